--- a/cmd/elderctl/agent.go
+++ b/cmd/elderctl/agent.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/agent"
+	"elderyard/internal/agent"
 )
 
 func agentCommand() *cobra.Command {
--- a/cmd/elderctl/apply.go
+++ b/cmd/elderctl/apply.go
@@ -9,10 +9,10 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/agent"
-	"linnetbend/revisions"
-	"linnetbend/rollout"
+	"elderyard/fleet"
+	"elderyard/internal/agent"
+	"elderyard/revisions"
+	"elderyard/rollout"
 )
 
 // change is how an apply is sent and followed.
--- a/cmd/elderctl/bench.go
+++ b/cmd/elderctl/bench.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/lab"
+	"elderyard/internal/lab"
 )
 
 func labBenchCommand() *cobra.Command {
--- a/cmd/elderctl/ca.go
+++ b/cmd/elderctl/ca.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/pki"
+	"elderyard/fleet"
+	"elderyard/internal/pki"
 )
 
 func caCommand() *cobra.Command {
--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/agent"
-	"linnetbend/revisions"
+	"elderyard/internal/agent"
+	"elderyard/revisions"
 )
 
 func checkCommand() *cobra.Command {
--- a/cmd/elderctl/content.go
+++ b/cmd/elderctl/content.go
@@ -9,8 +9,8 @@
 
 	"github.com/aymanbagabas/go-udiff"
 
-	"linnetbend/internal/document"
-	"linnetbend/revisions"
+	"elderyard/internal/document"
+	"elderyard/revisions"
 )
 
 // readContent reads a file, and overlays as NAME=FILE, over those of a parent;
--- a/cmd/elderctl/fleet.go
+++ b/cmd/elderctl/fleet.go
@@ -15,9 +15,9 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"linnetbend/internal/agent"
-	"linnetbend/internal/pki"
-	"linnetbend/revisions"
+	"elderyard/internal/agent"
+	"elderyard/internal/pki"
+	"elderyard/revisions"
 )
 
 const (
--- a/cmd/elderctl/fleet_test.go
+++ b/cmd/elderctl/fleet_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/agent"
-	"linnetbend/internal/lab"
-	"linnetbend/rollout"
+	"elderyard/internal/agent"
+	"elderyard/internal/lab"
+	"elderyard/rollout"
 )
 
 var (
--- a/cmd/elderctl/import.go
+++ b/cmd/elderctl/import.go
@@ -11,9 +11,9 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/spf13/cobra"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/document"
-	"linnetbend/revisions"
+	"elderyard/fleet"
+	"elderyard/internal/document"
+	"elderyard/revisions"
 )
 
 // importCommand makes a revision's file of the configurations that gateways have
--- a/cmd/elderctl/import_test.go
+++ b/cmd/elderctl/import_test.go
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/document"
-	"linnetbend/revisions"
+	"elderyard/internal/config"
+	"elderyard/internal/document"
+	"elderyard/revisions"
 )
 
 const imported = `{"name":"g0","listen":"127.0.0.1:1","discovery":"127.0.0.1:7001","counter":"127.0.0.1:7002","seed":"0a","limits":{"cores":1,"memory_mb":64,"sockets":512},
--- a/cmd/elderctl/keeper.go
+++ b/cmd/elderctl/keeper.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/lab"
+	"elderyard/internal/lab"
 )
 
 // keeperCommand is the process that outlives a lab that was killed: when its
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -15,10 +15,10 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/files"
-	"linnetbend/internal/lab"
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/otlpfile"
+	"elderyard/internal/files"
+	"elderyard/internal/lab"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/otlpfile"
 )
 
 // labFlags are what `elderctl lab` is asked.
--- a/cmd/elderctl/main.go
+++ b/cmd/elderctl/main.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/lab"
+	"elderyard/internal/lab"
 )
 
 // Exit statuses. They are part of the tool's interface.
--- a/cmd/elderctl/main_test.go
+++ b/cmd/elderctl/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/lab"
+	"elderyard/internal/lab"
 )
 
 const (
--- a/cmd/elderctl/members.go
+++ b/cmd/elderctl/members.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/agent"
-	"linnetbend/internal/files"
+	"elderyard/fleet"
+	"elderyard/internal/agent"
+	"elderyard/internal/files"
 )
 
 // do has the agent make one change, and says that it is done.
--- a/cmd/elderctl/peers.go
+++ b/cmd/elderctl/peers.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/peers"
-	"linnetbend/members"
+	"elderyard/internal/peers"
+	"elderyard/members"
 )
 
 const (
--- a/cmd/elderctl/peers_test.go
+++ b/cmd/elderctl/peers_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/lab"
-	"linnetbend/internal/peers"
-	"linnetbend/members"
+	"elderyard/internal/lab"
+	"elderyard/internal/peers"
+	"elderyard/members"
 )
 
 // Three real gateways: what the tool says of them whole, cut off and with one dead.
--- a/cmd/elderctl/quota_test.go
+++ b/cmd/elderctl/quota_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/lab"
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/wait"
+	"elderyard/internal/lab"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/wait"
 )
 
 var quotaFor = flag.Duration("quota-for", 8*time.Second, "load of the test of one quota over requests and limit commands")
--- a/cmd/elderctl/read.go
+++ b/cmd/elderctl/read.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/moments"
+	"elderyard/moments"
 )
 
 const mostMomentLine = 4 << 10 // bytes
--- a/cmd/elderctl/revisions.go
+++ b/cmd/elderctl/revisions.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/agent"
-	"linnetbend/revisions"
+	"elderyard/internal/agent"
+	"elderyard/revisions"
 )
 
 func number(text string) (uint64, error) {
--- a/cmd/elderctl/roster_test.go
+++ b/cmd/elderctl/roster_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/agent"
-	"linnetbend/internal/lab"
-	"linnetbend/internal/peers"
-	"linnetbend/members"
+	"elderyard/internal/agent"
+	"elderyard/internal/lab"
+	"elderyard/internal/peers"
+	"elderyard/members"
 )
 
 // Three agents with a gateway each: the voters agree on who belongs and the gateways
--- a/cmd/elderctl/site.go
+++ b/cmd/elderctl/site.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/site"
+	"elderyard/internal/site"
 )
 
 // keyLine is one key of a file, as `elderctl site keys` lists them.
--- a/cmd/elderctl/status.go
+++ b/cmd/elderctl/status.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"linnetbend/internal/agent"
+	"elderyard/internal/agent"
 )
 
 func statusCommand() *cobra.Command {
--- a/cmd/elderctl/trace.go
+++ b/cmd/elderctl/trace.go
@@ -19,7 +19,7 @@
 	common "go.opentelemetry.io/proto/otlp/common/v1"
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 
-	"linnetbend/internal/otlpfile"
+	"elderyard/internal/otlpfile"
 )
 
 const (
--- a/cmd/elderctl/trace_test.go
+++ b/cmd/elderctl/trace_test.go
@@ -11,7 +11,7 @@
 	resource "go.opentelemetry.io/proto/otlp/resource/v1"
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 
-	"linnetbend/internal/otlpfile"
+	"elderyard/internal/otlpfile"
 )
 
 func said(key, value string) *common.KeyValue {
--- a/cmd/elderctl/view.go
+++ b/cmd/elderctl/view.go
@@ -12,9 +12,9 @@
 
 	"golang.org/x/term"
 
-	"linnetbend/internal/lab"
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/lab/load"
+	"elderyard/internal/lab"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/lab/load"
 )
 
 const (
--- a/cmd/elderyard-peers/main.go
+++ b/cmd/elderyard-peers/main.go
@@ -7,10 +7,10 @@
 	"log"
 	"os"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/launch"
-	"linnetbend/internal/peers"
+	"elderyard/internal/config"
+	"elderyard/internal/gateway"
+	"elderyard/internal/launch"
+	"elderyard/internal/peers"
 )
 
 func main() {
--- a/cmd/elderyard/main.go
+++ b/cmd/elderyard/main.go
@@ -10,9 +10,9 @@
 import (
 	"errors"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/launch"
+	"elderyard/internal/config"
+	"elderyard/internal/gateway"
+	"elderyard/internal/launch"
 )
 
 func main() {
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -9,8 +9,8 @@
 	"io"
 	"os"
 
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"elderyard/internal/wire"
+	"elderyard/rules"
 )
 
 func main() {
--- a/fleet/belong.go
+++ b/fleet/belong.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 // Belong says which instances belong to the site from now on. It is an entry of its
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -14,9 +14,9 @@
 	"strings"
 	"time"
 
-	"linnetbend/members"
-	"linnetbend/revisions"
-	"linnetbend/rollout"
+	"elderyard/members"
+	"elderyard/revisions"
+	"elderyard/rollout"
 )
 
 // Bounds of what is kept.
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"linnetbend/revisions"
-	"linnetbend/rollout"
+	"elderyard/revisions"
+	"elderyard/rollout"
 )
 
 var at = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/replica"
-	"linnetbend/internal/wait"
-	"linnetbend/revisions"
+	"elderyard/fleet"
+	"elderyard/internal/replica"
+	"elderyard/internal/wait"
+	"elderyard/revisions"
 )
 
 // Options are what an agent is started with beside its file.
--- a/internal/agent/agent_linux_test.go
+++ b/internal/agent/agent_linux_test.go
@@ -19,14 +19,14 @@
 	"testing"
 	"time"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/loopback"
-	"linnetbend/internal/pki"
-	"linnetbend/internal/replica"
-	"linnetbend/internal/strict"
-	"linnetbend/revisions"
-	"linnetbend/rollout"
-	"linnetbend/supervise"
+	"elderyard/fleet"
+	"elderyard/internal/loopback"
+	"elderyard/internal/pki"
+	"elderyard/internal/replica"
+	"elderyard/internal/strict"
+	"elderyard/revisions"
+	"elderyard/rollout"
+	"elderyard/supervise"
 )
 
 const (
--- a/internal/agent/belong.go
+++ b/internal/agent/belong.go
@@ -12,10 +12,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/files"
-	"linnetbend/internal/peers"
-	"linnetbend/members"
+	"elderyard/fleet"
+	"elderyard/internal/files"
+	"elderyard/internal/peers"
+	"elderyard/members"
 )
 
 const (
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -8,11 +8,11 @@
 	"strconv"
 	"time"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/document"
-	"linnetbend/internal/replica"
-	"linnetbend/revisions"
-	"linnetbend/rollout"
+	"elderyard/fleet"
+	"elderyard/internal/document"
+	"elderyard/internal/replica"
+	"elderyard/revisions"
+	"elderyard/rollout"
 )
 
 // Call is an apply as the tool sends it.
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -11,8 +11,8 @@
 	"net/http"
 	"time"
 
-	"linnetbend/internal/pki"
-	"linnetbend/revisions"
+	"elderyard/internal/pki"
+	"elderyard/revisions"
 )
 
 // Failure is an agent's answer that it can't, or won't, do what it was asked.
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -15,12 +15,12 @@
 	"strings"
 	"time"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/pki"
-	"linnetbend/internal/site"
-	"linnetbend/internal/strict"
-	"linnetbend/members"
-	"linnetbend/supervise"
+	"elderyard/fleet"
+	"elderyard/internal/pki"
+	"elderyard/internal/site"
+	"elderyard/internal/strict"
+	"elderyard/members"
+	"elderyard/supervise"
 )
 
 // Config is an agent's file.
--- a/internal/agent/kept.go
+++ b/internal/agent/kept.go
@@ -9,10 +9,10 @@
 	"os"
 	"path/filepath"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/files"
-	"linnetbend/revisions"
-	"linnetbend/supervise"
+	"elderyard/fleet"
+	"elderyard/internal/files"
+	"elderyard/revisions"
+	"elderyard/supervise"
 )
 
 // fetch gets a revision, and keeps it on disk for a day without a leader.
--- a/internal/agent/lead.go
+++ b/internal/agent/lead.go
@@ -9,12 +9,12 @@
 	"strings"
 	"time"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/document"
-	"linnetbend/internal/replica"
-	"linnetbend/internal/wait"
-	"linnetbend/rollout"
-	"linnetbend/supervise"
+	"elderyard/fleet"
+	"elderyard/internal/document"
+	"elderyard/internal/replica"
+	"elderyard/internal/wait"
+	"elderyard/rollout"
+	"elderyard/supervise"
 )
 
 const (
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -13,12 +13,12 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/counter"
-	"linnetbend/internal/owner"
-	"linnetbend/internal/respfront"
-	"linnetbend/internal/site"
-	"linnetbend/internal/wait"
+	"elderyard/internal/config"
+	"elderyard/internal/counter"
+	"elderyard/internal/owner"
+	"elderyard/internal/respfront"
+	"elderyard/internal/site"
+	"elderyard/internal/wait"
 )
 
 const limitsLook = 250 * time.Millisecond // between looks for other files of the instance
--- a/internal/agent/listen.go
+++ b/internal/agent/listen.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"linnetbend/internal/pki"
+	"elderyard/internal/pki"
 )
 
 // One port serves both the voters' streams and HTTP: a stream of voters begins
--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -10,7 +10,7 @@
 	"path/filepath"
 	"syscall"
 
-	"linnetbend/internal/pki"
+	"elderyard/internal/pki"
 )
 
 // lockFolder keeps a second agent off the folder.
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"sync"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/document"
-	"linnetbend/revisions"
-	"linnetbend/supervise"
+	"elderyard/fleet"
+	"elderyard/internal/document"
+	"elderyard/revisions"
+	"elderyard/supervise"
 )
 
 // probe asks every agent what it would make of a content. Nothing is taken.
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -16,11 +16,11 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/document"
-	"linnetbend/internal/files"
-	"linnetbend/internal/output"
-	"linnetbend/internal/peers"
-	"linnetbend/supervise"
+	"elderyard/internal/document"
+	"elderyard/internal/files"
+	"elderyard/internal/output"
+	"elderyard/internal/peers"
+	"elderyard/supervise"
 )
 
 const (
--- a/internal/agent/refusals.go
+++ b/internal/agent/refusals.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/fleet"
+	"elderyard/fleet"
 )
 
 // refusals is the audit log of calls that this agent refused, one line each. It
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -8,10 +8,10 @@
 	"net/http"
 	"time"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/document"
-	"linnetbend/internal/wait"
-	"linnetbend/revisions"
+	"elderyard/fleet"
+	"elderyard/internal/document"
+	"elderyard/internal/wait"
+	"elderyard/revisions"
 )
 
 // observe is this agent's report.
--- a/internal/agent/scale_linux_test.go
+++ b/internal/agent/scale_linux_test.go
@@ -24,11 +24,11 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/wait"
-	"linnetbend/revisions"
-	"linnetbend/rollout"
-	"linnetbend/supervise"
+	"elderyard/fleet"
+	"elderyard/internal/wait"
+	"elderyard/revisions"
+	"elderyard/rollout"
+	"elderyard/supervise"
 )
 
 const asVoter = "AGENT_TEST_AS_VOTER"
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
-	"linnetbend/internal/pki"
-	"linnetbend/internal/replica"
-	"linnetbend/internal/wait"
-	"linnetbend/revisions"
-	"linnetbend/rollout"
+	"elderyard/internal/pki"
+	"elderyard/internal/replica"
+	"elderyard/internal/wait"
+	"elderyard/revisions"
+	"elderyard/rollout"
 )
 
 const (
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"linnetbend/internal/wait"
-	"linnetbend/rollout"
+	"elderyard/internal/wait"
+	"elderyard/rollout"
 )
 
 const (
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/replica"
-	"linnetbend/members"
-	"linnetbend/revisions"
-	"linnetbend/rollout"
-	"linnetbend/supervise"
+	"elderyard/fleet"
+	"elderyard/internal/replica"
+	"elderyard/members"
+	"elderyard/revisions"
+	"elderyard/rollout"
+	"elderyard/supervise"
 )
 
 // Status is the whole site as the leader sees it, or, where that can't be
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,9 +11,9 @@
 	"slices"
 	"strconv"
 
-	"linnetbend/internal/discovery"
-	"linnetbend/internal/site"
-	"linnetbend/internal/wire"
+	"elderyard/internal/discovery"
+	"elderyard/internal/site"
+	"elderyard/internal/wire"
 )
 
 // Config is what a gateway is told at its start.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"linnetbend/internal/testpeer"
+	"elderyard/internal/testpeer"
 )
 
 func TestConfig(t *testing.T) {
--- a/internal/counter/http.go
+++ b/internal/counter/http.go
@@ -18,9 +18,9 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/site"
-	"linnetbend/internal/sockets"
-	"linnetbend/rules"
+	"elderyard/internal/site"
+	"elderyard/internal/sockets"
+	"elderyard/rules"
 )
 
 const (
--- a/internal/counter/http_test.go
+++ b/internal/counter/http_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/sockets"
-	"linnetbend/internal/testpeer"
-	"linnetbend/rules"
+	"elderyard/internal/sockets"
+	"elderyard/internal/testpeer"
+	"elderyard/rules"
 )
 
 type reply struct {
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/resp"
-	"linnetbend/internal/sockets"
-	"linnetbend/rules"
+	"elderyard/internal/resp"
+	"elderyard/internal/sockets"
+	"elderyard/rules"
 )
 
 // Store says how a RESP store is reached.
--- a/internal/counter/resp_test.go
+++ b/internal/counter/resp_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/standin/respstore"
-	"linnetbend/internal/testpeer"
-	"linnetbend/rules"
+	"elderyard/internal/standin/respstore"
+	"elderyard/internal/testpeer"
+	"elderyard/rules"
 )
 
 const storeName = "q:7"
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -15,8 +15,8 @@
 	"slices"
 	"time"
 
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"elderyard/internal/wire"
+	"elderyard/rules"
 )
 
 const (
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/testpeer"
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"elderyard/internal/testpeer"
+	"elderyard/internal/wire"
+	"elderyard/rules"
 )
 
 func TestWatch(t *testing.T) {
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -19,13 +19,13 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/site"
-	"linnetbend/internal/strict"
-	"linnetbend/internal/wire"
-	"linnetbend/revisions"
-	"linnetbend/rollout"
-	"linnetbend/supervise"
+	"elderyard/internal/config"
+	"elderyard/internal/site"
+	"elderyard/internal/strict"
+	"elderyard/internal/wire"
+	"elderyard/revisions"
+	"elderyard/rollout"
+	"elderyard/supervise"
 )
 
 // file is the form of a revision's file. An overlay has the first two tables.
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/site"
-	"linnetbend/revisions"
-	"linnetbend/supervise"
+	"elderyard/internal/config"
+	"elderyard/internal/site"
+	"elderyard/revisions"
+	"elderyard/supervise"
 )
 
 const good = `
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/sockets"
-	"linnetbend/rules"
+	"elderyard/internal/sockets"
+	"elderyard/rules"
 )
 
 const (
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/sockets"
-	"linnetbend/internal/testpeer"
-	"linnetbend/rules"
+	"elderyard/internal/sockets"
+	"elderyard/internal/testpeer"
+	"elderyard/rules"
 )
 
 const patience = testpeer.Patience
--- a/internal/gateway/bulk_test.go
+++ b/internal/gateway/bulk_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/testpeer"
+	"elderyard/internal/testpeer"
 )
 
 // noise is a long body that is the same for the same seed.
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/sockets"
+	"elderyard/internal/sockets"
 )
 
 const (
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/sockets"
-	"linnetbend/rules"
+	"elderyard/internal/config"
+	"elderyard/internal/sockets"
+	"elderyard/rules"
 )
 
 // Connections that say nothing, however many, must not keep a usual client
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/sockets"
-	"linnetbend/internal/testpeer"
+	"elderyard/internal/config"
+	"elderyard/internal/sockets"
+	"elderyard/internal/testpeer"
 )
 
 // step is what a test does in the loop's own goroutine.
--- a/internal/gateway/end_test.go
+++ b/internal/gateway/end_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/testpeer"
-	"linnetbend/rules"
+	"elderyard/internal/config"
+	"elderyard/internal/testpeer"
+	"elderyard/rules"
 )
 
 // closed waits until the gateway takes no more connections.
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -14,10 +14,10 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/site"
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
-	"linnetbend/stories"
+	"elderyard/internal/site"
+	"elderyard/internal/wire"
+	"elderyard/rules"
+	"elderyard/stories"
 )
 
 const (
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
+	"elderyard/internal/wire"
+	"elderyard/rules"
 )
 
 // Whatever stands in the terms, what is taken is in range.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -13,13 +13,13 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/counter"
-	"linnetbend/internal/discovery"
-	"linnetbend/internal/owner"
-	"linnetbend/internal/respfront"
-	"linnetbend/internal/telemetry"
-	"linnetbend/rules"
+	"elderyard/internal/config"
+	"elderyard/internal/counter"
+	"elderyard/internal/discovery"
+	"elderyard/internal/owner"
+	"elderyard/internal/respfront"
+	"elderyard/internal/telemetry"
+	"elderyard/rules"
 )
 
 const (
--- a/internal/gateway/guard.go
+++ b/internal/gateway/guard.go
@@ -11,7 +11,7 @@
 	"sync"
 	"sync/atomic"
 
-	"linnetbend/internal/sockets"
+	"elderyard/internal/sockets"
 )
 
 // guard is a client's connection that looks at the framing of what comes. Danger:
--- a/internal/gateway/hand.go
+++ b/internal/gateway/hand.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/files"
+	"elderyard/internal/files"
 )
 
 const (
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/sockets"
-	"linnetbend/rules"
+	"elderyard/internal/sockets"
+	"elderyard/rules"
 )
 
 // Something on the way to a backend forgets connections that rest. Once that has
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"linnetbend/internal/testpeer"
+	"elderyard/internal/testpeer"
 )
 
 // forLong has no attempt end by itself while a test waits.
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"math"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 const mostLoad = 512 // bytes of a load report
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 func TestLoadReports(t *testing.T) {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -7,13 +7,13 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/discovery"
-	"linnetbend/internal/owner"
-	"linnetbend/internal/telemetry"
-	"linnetbend/internal/wire"
-	"linnetbend/rules"
-	"linnetbend/stories"
+	"elderyard/internal/config"
+	"elderyard/internal/discovery"
+	"elderyard/internal/owner"
+	"elderyard/internal/telemetry"
+	"elderyard/internal/wire"
+	"elderyard/rules"
+	"elderyard/stories"
 )
 
 const (
--- a/internal/gateway/moments.go
+++ b/internal/gateway/moments.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"time"
 
-	"linnetbend/internal/site"
-	"linnetbend/moments"
+	"elderyard/internal/site"
+	"elderyard/moments"
 )
 
 // momentsWait is how many spans may wait for the disk; more are left out.
--- a/internal/gateway/moments_test.go
+++ b/internal/gateway/moments_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/site"
-	"linnetbend/moments"
+	"elderyard/internal/site"
+	"elderyard/moments"
 )
 
 func TestMomentsGoToAFileThatIsBounded(t *testing.T) {
--- a/internal/gateway/news_test.go
+++ b/internal/gateway/news_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"linnetbend/internal/testpeer"
+	"elderyard/internal/testpeer"
 )
 
 // News that can't be read must not keep a backend in use that readable news would end,
--- a/internal/gateway/story.go
+++ b/internal/gateway/story.go
@@ -5,9 +5,9 @@
 	"encoding/binary"
 	"math/rand/v2"
 
-	"linnetbend/internal/telemetry"
-	"linnetbend/rules"
-	"linnetbend/stories"
+	"elderyard/internal/telemetry"
+	"elderyard/rules"
+	"elderyard/stories"
 )
 
 const (
--- a/internal/gateway/story_test.go
+++ b/internal/gateway/story_test.go
@@ -9,11 +9,11 @@
 
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 
-	"linnetbend/internal/standin/collector"
-	"linnetbend/internal/standin/link"
-	"linnetbend/internal/telemetry"
-	"linnetbend/internal/testpeer"
-	"linnetbend/stories"
+	"elderyard/internal/standin/collector"
+	"elderyard/internal/standin/link"
+	"elderyard/internal/telemetry"
+	"elderyard/internal/testpeer"
+	"elderyard/stories"
 )
 
 const (
--- a/internal/lab/audit/members.go
+++ b/internal/lab/audit/members.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"linnetbend/internal/peers"
-	"linnetbend/members"
+	"elderyard/internal/peers"
+	"elderyard/members"
 )
 
 // Happening is what the lab did.
--- a/internal/lab/audit/members_test.go
+++ b/internal/lab/audit/members_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 // clean is a record that breaks nothing: three gateways, one killed and started
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"linnetbend/internal/lab/load"
-	"linnetbend/internal/output"
-	"linnetbend/internal/wait"
+	"elderyard/internal/lab/load"
+	"elderyard/internal/output"
+	"elderyard/internal/wait"
 )
 
 // Bench states a measurement of the gateway next to another proxy on the same
--- a/internal/lab/counter.go
+++ b/internal/lab/counter.go
@@ -4,9 +4,9 @@
 	"net"
 	"time"
 
-	"linnetbend/internal/standin/counter"
-	"linnetbend/internal/standin/link"
-	"linnetbend/internal/standin/respstore"
+	"elderyard/internal/standin/counter"
+	"elderyard/internal/standin/link"
+	"elderyard/internal/standin/respstore"
 )
 
 // sharedCounter is what holds the site's counts, and what can be done to it.
--- a/internal/lab/export_test.go
+++ b/internal/lab/export_test.go
@@ -6,7 +6,7 @@
 
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 
-	"linnetbend/internal/lab/audit"
+	"elderyard/internal/lab/audit"
 )
 
 // What the gateways export is what the auditor counts from the sockets, also when the
--- a/internal/lab/fault.go
+++ b/internal/lab/fault.go
@@ -9,12 +9,12 @@
 	"strings"
 	"time"
 
-	"linnetbend/internal/lab/load"
-	"linnetbend/internal/standin/backend"
-	"linnetbend/internal/standin/collector"
-	"linnetbend/internal/standin/counter"
-	"linnetbend/internal/strict"
-	"linnetbend/internal/wait"
+	"elderyard/internal/lab/load"
+	"elderyard/internal/standin/backend"
+	"elderyard/internal/standin/collector"
+	"elderyard/internal/standin/counter"
+	"elderyard/internal/strict"
+	"elderyard/internal/wait"
 )
 
 // Fault is one thing that goes wrong for a while.
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -18,9 +18,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetbend/internal/loopback"
-	"linnetbend/internal/output"
-	"linnetbend/internal/wait"
+	"elderyard/internal/loopback"
+	"elderyard/internal/output"
+	"elderyard/internal/wait"
 )
 
 // Fleet has agents run the gateways in the lab's place: one agent for each, as
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -11,14 +11,14 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/lab/load"
-	"linnetbend/internal/standin/backend"
-	"linnetbend/internal/standin/collector"
-	"linnetbend/internal/standin/counter"
-	"linnetbend/internal/standin/link"
-	"linnetbend/internal/standin/registry"
-	"linnetbend/internal/wait"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/lab/load"
+	"elderyard/internal/standin/backend"
+	"elderyard/internal/standin/collector"
+	"elderyard/internal/standin/counter"
+	"elderyard/internal/standin/link"
+	"elderyard/internal/standin/registry"
+	"elderyard/internal/wait"
 )
 
 const (
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/goleak"
 
-	"linnetbend/internal/lab/audit"
+	"elderyard/internal/lab/audit"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/lab/load/bad.go
+++ b/internal/lab/load/bad.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/wait"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/wait"
 )
 
 // Bad plays clients that send what no gateway should take.
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/standin/backend"
-	"linnetbend/internal/wait"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/standin/backend"
+	"elderyard/internal/wait"
 )
 
 const (
@@ -61,7 +61,6 @@
 
 	mu       sync.Mutex
 	open     int
-	overrun  bool
 	progress Progress
 }
 
--- a/internal/lab/load/closed.go
+++ b/internal/lab/load/closed.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/wait"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/wait"
 )
 
 // Tally is what a closed loop came to.
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/standin/backend"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/standin/backend"
 )
 
 func config() Config {
--- a/internal/lab/load/takes.go
+++ b/internal/lab/load/takes.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"time"
 
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/resp"
-	"linnetbend/internal/wait"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/resp"
+	"elderyard/internal/wait"
 )
 
 // What apps do with limit commands: shares of their takes.
--- a/internal/lab/load/takes_test.go
+++ b/internal/lab/load/takes_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/resp"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/resp"
 )
 
 // Limit commands are a share of the timeline, and the rest of it is as without them.
--- a/internal/lab/members_measure_test.go
+++ b/internal/lab/members_measure_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/peers"
-	"linnetbend/internal/standin/ways"
-	"linnetbend/members"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/peers"
+	"elderyard/internal/standin/ways"
+	"elderyard/members"
 )
 
 // The figures of the design note. They take minutes and many processes, and rule on
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -12,13 +12,13 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetbend/internal/files"
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/loopback"
-	"linnetbend/internal/peers"
-	"linnetbend/internal/standin/ways"
-	"linnetbend/internal/wait"
-	"linnetbend/members"
+	"elderyard/internal/files"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/loopback"
+	"elderyard/internal/peers"
+	"elderyard/internal/standin/ways"
+	"elderyard/internal/wait"
+	"elderyard/members"
 )
 
 const (
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -13,10 +13,10 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/files"
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/loopback"
-	"linnetbend/internal/output"
+	"elderyard/internal/files"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/loopback"
+	"elderyard/internal/output"
 )
 
 const (
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"linnetbend/internal/strict"
+	"elderyard/internal/strict"
 )
 
 //go:embed scenarios/*.toml
--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -11,9 +11,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"linnetbend/internal/lab/audit"
-	"linnetbend/internal/lab/load"
-	"linnetbend/internal/standin/backend"
+	"elderyard/internal/lab/audit"
+	"elderyard/internal/lab/load"
+	"elderyard/internal/standin/backend"
 )
 
 // Site states a site and what is played on it. The zero value of a field means
--- a/internal/lab/takers.go
+++ b/internal/lab/takers.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"time"
 
-	"linnetbend/internal/files"
-	"linnetbend/internal/wait"
+	"elderyard/internal/files"
+	"elderyard/internal/wait"
 )
 
 const pingWait = time.Second
--- a/internal/lab/testing.go
+++ b/internal/lab/testing.go
@@ -10,7 +10,7 @@
 	"strings"
 	"syscall"
 
-	"linnetbend/internal/lab/audit"
+	"elderyard/internal/lab/audit"
 )
 
 // TB is what Start needs of a test; testing.TB has it.
--- a/internal/lab/usage.go
+++ b/internal/lab/usage.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/lab/audit"
+	"elderyard/internal/lab/audit"
 )
 
 const (
--- a/internal/lab/wrong_test.go
+++ b/internal/lab/wrong_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/lab/audit"
+	"elderyard/internal/lab/audit"
 )
 
 // asWrong in the environment makes this test binary a gateway with one flaw.
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -15,10 +15,10 @@
 	"strconv"
 	"syscall"
 
-	"linnetbend/internal/config"
-	"linnetbend/internal/gateway"
-	"linnetbend/internal/site"
-	"linnetbend/internal/telemetry"
+	"elderyard/internal/config"
+	"elderyard/internal/gateway"
+	"elderyard/internal/site"
+	"elderyard/internal/telemetry"
 )
 
 const defaultSite = "deploy/site.toml"
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"linnetbend/internal/counter"
-	"linnetbend/rules"
+	"elderyard/internal/counter"
+	"elderyard/rules"
 )
 
 // call is one addition on the counter that the module asked for.
--- a/internal/owner/checks.go
+++ b/internal/owner/checks.go
@@ -1,6 +1,6 @@
 package owner
 
-import "linnetbend/rules"
+import "elderyard/rules"
 
 // Asker has a question to the module about a quota, and takes its answer. Its methods
 // run in the owner's goroutine and must not wait.
--- a/internal/owner/checks_test.go
+++ b/internal/owner/checks_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/counter"
-	"linnetbend/internal/testpeer"
-	"linnetbend/rules"
+	"elderyard/internal/counter"
+	"elderyard/internal/testpeer"
+	"elderyard/rules"
 )
 
 // heldCounter takes calls and answers none until told.
--- a/internal/owner/clock_test.go
+++ b/internal/owner/clock_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/testpeer"
+	"elderyard/internal/testpeer"
 )
 
 // The windows of leases are cut from the clock, so gateways must agree on it.
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -11,9 +11,9 @@
 	"log"
 	"time"
 
-	"linnetbend/internal/counter"
-	"linnetbend/moments"
-	"linnetbend/rules"
+	"elderyard/internal/counter"
+	"elderyard/moments"
+	"elderyard/rules"
 )
 
 const (
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 // The module takes replies for one name in the order of the calls, so a later
--- a/internal/owner/timers.go
+++ b/internal/owner/timers.go
@@ -1,6 +1,6 @@
 package owner
 
-import "linnetbend/rules"
+import "elderyard/rules"
 
 // Due is what waits for a moment. Timers of what is over are most of all, and the
 // process is not woken for them.
--- a/internal/peers/ask.go
+++ b/internal/peers/ask.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 const (
--- a/internal/peers/clock_linux.go
+++ b/internal/peers/clock_linux.go
@@ -5,7 +5,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 // clock counts from the process's start, and on while it or its machine sleeps;
--- a/internal/peers/clock_other.go
+++ b/internal/peers/clock_other.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 // clock counts from the process's start. Where the system's monotonic clock stops
--- a/internal/peers/desk.go
+++ b/internal/peers/desk.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 // DeskPath is where a process's operators ask what it believes; WhyPath, with name,
--- a/internal/peers/detector.go
+++ b/internal/peers/detector.go
@@ -14,7 +14,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 const (
--- a/internal/peers/disk.go
+++ b/internal/peers/disk.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 
-	"linnetbend/internal/files"
-	"linnetbend/members"
+	"elderyard/internal/files"
+	"elderyard/members"
 )
 
 // kept is what must outlive a start: without the life, one that starts again with
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -14,7 +14,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 const lookEvery = 2 // intervals between looks at the files and the whole list
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/loopback"
-	"linnetbend/members"
+	"elderyard/internal/loopback"
+	"elderyard/members"
 )
 
 const patience = 30 * time.Second
--- a/internal/peers/settings.go
+++ b/internal/peers/settings.go
@@ -11,9 +11,9 @@
 	"path/filepath"
 	"time"
 
-	"linnetbend/internal/site"
-	"linnetbend/internal/strict"
-	"linnetbend/members"
+	"elderyard/internal/site"
+	"elderyard/internal/strict"
+	"elderyard/members"
 )
 
 // Settings are those of one process.
--- a/internal/peers/told.go
+++ b/internal/peers/told.go
@@ -4,7 +4,7 @@
 	"regexp"
 	"strings"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 // told reads the library's log. The library tells of some things nowhere else: whom
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 // Versions of what this program says beside the library's own messages. It reads
--- a/internal/peers/wire_test.go
+++ b/internal/peers/wire_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"linnetbend/members"
+	"elderyard/members"
 )
 
 // garbage makes datagrams: of any bytes, with the site's label before them, cut
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -21,7 +21,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/files"
+	"elderyard/internal/files"
 )
 
 // Role is what somebody may do.
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/wait"
-	"linnetbend/revisions"
+	"elderyard/fleet"
+	"elderyard/internal/wait"
+	"elderyard/revisions"
 )
 
 var (
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -21,7 +21,7 @@
 	"github.com/hashicorp/raft"
 	raftbolt "github.com/hashicorp/raft-boltdb/v2"
 
-	"linnetbend/fleet"
+	"elderyard/fleet"
 )
 
 // Errors that callers tell apart.
--- a/internal/replica/store_test.go
+++ b/internal/replica/store_test.go
@@ -14,10 +14,10 @@
 
 	"github.com/hashicorp/raft"
 
-	"linnetbend/fleet"
-	"linnetbend/internal/loopback"
-	"linnetbend/revisions"
-	"linnetbend/rollout"
+	"elderyard/fleet"
+	"elderyard/internal/loopback"
+	"elderyard/revisions"
+	"elderyard/rollout"
 )
 
 const (
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -22,6 +22,8 @@
 }
 
 // ErrProtocol is what can't be read on from: the connection ends with it.
+//
+//lint:ignore ST1005 the text is the one that RESP servers send to their clients
 var ErrProtocol = errors.New("Protocol error")
 
 func protocol(format string, a ...any) error {
--- a/internal/respfront/bench_test.go
+++ b/internal/respfront/bench_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/tidwall/redcon"
 
-	"linnetbend/internal/owner"
-	"linnetbend/internal/resp"
-	"linnetbend/rules"
+	"elderyard/internal/owner"
+	"elderyard/internal/resp"
+	"elderyard/rules"
 )
 
 // bare answers each command with a take's reply, and decides nothing.
--- a/internal/respfront/commands.go
+++ b/internal/respfront/commands.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"linnetbend/internal/resp"
+	"elderyard/internal/resp"
 )
 
 // level is the version of the published command set that INFO and HELLO name, since
--- a/internal/respfront/desk.go
+++ b/internal/respfront/desk.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/owner"
-	"linnetbend/limits"
-	"linnetbend/rules"
+	"elderyard/internal/owner"
+	"elderyard/limits"
+	"elderyard/rules"
 )
 
 const (
--- a/internal/respfront/front.go
+++ b/internal/respfront/front.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/internal/resp"
+	"elderyard/internal/resp"
 )
 
 // Settings are a front's.
--- a/internal/respfront/front_test.go
+++ b/internal/respfront/front_test.go
@@ -16,11 +16,11 @@
 	"github.com/redis/rueidis"
 	"go.uber.org/goleak"
 
-	"linnetbend/internal/counter"
-	"linnetbend/internal/owner"
-	"linnetbend/internal/resp"
-	"linnetbend/internal/testpeer"
-	"linnetbend/rules"
+	"elderyard/internal/counter"
+	"elderyard/internal/owner"
+	"elderyard/internal/resp"
+	"elderyard/internal/testpeer"
+	"elderyard/rules"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/respfront/limit.go
+++ b/internal/respfront/limit.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"strings"
 
-	"linnetbend/internal/resp"
-	"linnetbend/internal/site"
-	"linnetbend/rules"
+	"elderyard/internal/resp"
+	"elderyard/internal/site"
+	"elderyard/rules"
 )
 
 const (
--- a/internal/respfront/open.go
+++ b/internal/respfront/open.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"linnetbend/internal/owner"
-	"linnetbend/internal/site"
-	"linnetbend/internal/sockets"
-	"linnetbend/rules"
+	"elderyard/internal/owner"
+	"elderyard/internal/site"
+	"elderyard/internal/sockets"
+	"elderyard/rules"
 )
 
 // Open makes a front from the operator's file, for an owner whose module has these
--- a/internal/respfront/session.go
+++ b/internal/respfront/session.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/owner"
-	"linnetbend/internal/resp"
-	"linnetbend/internal/sockets"
+	"elderyard/internal/owner"
+	"elderyard/internal/resp"
+	"elderyard/internal/sockets"
 )
 
 // session is one connection: who its client is, and the replies that it is owed,
--- a/internal/respfront/tls_test.go
+++ b/internal/respfront/tls_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/redis/go-redis/v9"
 
-	"linnetbend/internal/resp"
-	"linnetbend/internal/testpeer"
+	"elderyard/internal/resp"
+	"elderyard/internal/testpeer"
 )
 
 // Over TLS clients with the right certificate are served, one after another on a
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"linnetbend/internal/strict"
+	"elderyard/internal/strict"
 )
 
 // Settings are all that the operator's file can say. Every key has its one
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -9,7 +9,7 @@
 	"os"
 	"syscall"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 // Peek looks, without waiting, at what a socket has to say: n is 1 where bytes have
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/standin/link"
+	"elderyard/internal/standin/link"
 )
 
 // Work is how long requests of a class take on one core at full speed.
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/standin/link"
+	"elderyard/internal/standin/link"
 )
 
 const patience = 10 * time.Second
--- a/internal/standin/backend/serve.go
+++ b/internal/standin/backend/serve.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"linnetbend/internal/standin/link"
-	"linnetbend/internal/wait"
+	"elderyard/internal/standin/link"
+	"elderyard/internal/wait"
 )
 
 const (
--- a/internal/standin/collector/collector.go
+++ b/internal/standin/collector/collector.go
@@ -26,9 +26,9 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"linnetbend/internal/otlpfile"
-	"linnetbend/internal/standin/link"
-	"linnetbend/internal/wait"
+	"elderyard/internal/otlpfile"
+	"elderyard/internal/standin/link"
+	"elderyard/internal/wait"
 )
 
 const (
--- a/internal/standin/collector/collector_test.go
+++ b/internal/standin/collector/collector_test.go
@@ -22,9 +22,9 @@
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 	"google.golang.org/protobuf/proto"
 
-	"linnetbend/internal/otlpfile"
-	"linnetbend/internal/standin/link"
-	"linnetbend/internal/testpeer"
+	"elderyard/internal/otlpfile"
+	"elderyard/internal/standin/link"
+	"elderyard/internal/testpeer"
 )
 
 func start(t *testing.T) *Collector {
--- a/internal/standin/collector/grpc.go
+++ b/internal/standin/collector/grpc.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"linnetbend/internal/wait"
+	"elderyard/internal/wait"
 )
 
 // calls are the statuses of gRPC that stand for those of HTTP in a Trouble.
--- a/internal/standin/collector/rules.go
+++ b/internal/standin/collector/rules.go
@@ -10,8 +10,8 @@
 	metrics "go.opentelemetry.io/proto/otlp/metrics/v1"
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 
-	"linnetbend/internal/otlpfile"
-	"linnetbend/stories"
+	"elderyard/internal/otlpfile"
+	"elderyard/stories"
 )
 
 // Series is one stream of points: a metric of a process with its attributes, written
--- a/internal/standin/counter/counter.go
+++ b/internal/standin/counter/counter.go
@@ -20,8 +20,8 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/standin/link"
-	"linnetbend/internal/wait"
+	"elderyard/internal/standin/link"
+	"elderyard/internal/wait"
 )
 
 const (
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"linnetbend/internal/loopback"
+	"elderyard/internal/loopback"
 )
 
 const (
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/standin/link"
+	"elderyard/internal/standin/link"
 )
 
 const (
--- a/internal/standin/respstore/respstore.go
+++ b/internal/standin/respstore/respstore.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/resp"
+	"elderyard/internal/resp"
 )
 
 // Fault is what the store does to transactions.
--- a/internal/standin/ways/ways.go
+++ b/internal/standin/ways/ways.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"linnetbend/internal/loopback"
+	"elderyard/internal/loopback"
 )
 
 const (
--- a/internal/standin/ways/ways_test.go
+++ b/internal/standin/ways/ways_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"linnetbend/internal/loopback"
+	"elderyard/internal/loopback"
 )
 
 const patience = 10 * time.Second
@@ -96,8 +96,10 @@
 	w.Set("a", "b", Trouble{Twice: 1, Delay: 30 * time.Millisecond})
 	began := time.Now()
 	a.send(t, b, "x")
-	if b.gets(patience) != "x" || b.gets(patience) != "x" {
-		t.Error("it did not come twice")
+	for range 2 {
+		if b.gets(patience) != "x" {
+			t.Error("it did not come twice")
+		}
 	}
 	if time.Since(began) < 30*time.Millisecond {
 		t.Error("it came before its delay")
--- a/internal/telemetry/encode.go
+++ b/internal/telemetry/encode.go
@@ -13,7 +13,7 @@
 	trace "go.opentelemetry.io/proto/slim/otlp/trace/v1"
 	"google.golang.org/protobuf/proto"
 
-	"linnetbend/stories"
+	"elderyard/stories"
 )
 
 // scopeName is what all signals are said to come from.
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -8,8 +8,8 @@
 	common "go.opentelemetry.io/proto/slim/otlp/common/v1"
 	metrics "go.opentelemetry.io/proto/slim/otlp/metrics/v1"
 
-	"linnetbend/rules"
-	"linnetbend/stories"
+	"elderyard/rules"
+	"elderyard/stories"
 )
 
 // Metric describes one metric; `elderctl site metrics` and the operators' page are made
--- a/internal/telemetry/settings.go
+++ b/internal/telemetry/settings.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"linnetbend/internal/site"
-	"linnetbend/stories"
+	"elderyard/internal/site"
+	"elderyard/stories"
 )
 
 // The bounds of what the environment may say; the file's are site's.
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"linnetbend/stories"
+	"elderyard/stories"
 )
 
 const (
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -16,12 +16,12 @@
 
 	"go.uber.org/goleak"
 
-	"linnetbend/internal/site"
-	"linnetbend/internal/standin/collector"
-	"linnetbend/internal/standin/link"
-	"linnetbend/internal/testpeer"
-	"linnetbend/rules"
-	"linnetbend/stories"
+	"elderyard/internal/site"
+	"elderyard/internal/standin/collector"
+	"elderyard/internal/standin/link"
+	"elderyard/internal/testpeer"
+	"elderyard/rules"
+	"elderyard/stories"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -9,7 +9,7 @@
 	"io"
 	"math"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 // Codes of the records in a batch.
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 // Codes of the records in a reply.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"fmt"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 // options mirrors the JSON of an Attach record; unknown keys are passed over.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 func frame(t testing.TB, text string) []byte {
--- a/limits/ledger.go
+++ b/limits/ledger.go
@@ -57,7 +57,6 @@
 	most    int
 	entries map[key]*entry
 	ends    entry // later: the oldest; earlier: the newest
-	open    int
 }
 
 // NewLedger remembers at most so many takes, each for span seconds from its answer.
--- a/rules/checks_test.go
+++ b/rules/checks_test.go
@@ -214,8 +214,7 @@
 			token uint64
 		}
 		timers := []timer{{d.now, timerHouse << 56}}
-		var see func([]Action)
-		see = func(out []Action) {
+		see := func(out []Action) {
 			for _, a := range out {
 				switch a := a.(type) {
 				case *Checked:
--- a/rules/state.go
+++ b/rules/state.go
@@ -182,7 +182,6 @@
 	met            bool    // the counter has told of it
 	dryUntil       float64
 	dryFor         float64 // units: fewer may still be there
-	excess         float64
 	owed           float64 // spent in this window and not told
 	doubt          float64 // of this window's calls that may have been added, and of what they were to take back
 	inCalls        int     // calls out
--- a/stories/stories_test.go
+++ b/stories/stories_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 const (
--- a/stories/tally.go
+++ b/stories/tally.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 // Tally counts what became of requests, in sums that only grow. Its series are as
--- a/stories/teller.go
+++ b/stories/teller.go
@@ -5,7 +5,7 @@
 	"math"
 	"math/rand/v2"
 
-	"linnetbend/rules"
+	"elderyard/rules"
 )
 
 // Settings say which stories are told.
