--- a/cmd/elderctl/read.go
+++ b/cmd/elderctl/read.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/moments"
+	"elderyard/rollup"
 )
 
 const mostMomentLine = 4 << 10 // bytes
@@ -59,7 +59,7 @@
 	if err != nil {
 		return usage(err)
 	}
-	site, err := moments.Sum(cut(lines, f.from.Seconds(), f.until.Seconds()), f.every.Seconds())
+	site, err := rollup.Sum(cut(lines, f.from.Seconds(), f.until.Seconds()), f.every.Seconds())
 	if err != nil {
 		return usage(err)
 	}
@@ -70,7 +70,7 @@
 }
 
 // cut leaves out what lies before from and, unless that is 0, from until on: seconds after the first line.
-func cut(lines []moments.Line, from, until float64) (kept []moments.Line) {
+func cut(lines []rollup.Line, from, until float64) (kept []rollup.Line) {
 	if len(lines) == 0 {
 		return nil
 	}
@@ -87,7 +87,7 @@
 }
 
 // readMoments reads the files of all gateways in a folder.
-func readMoments(dir string) (lines []moments.Line, err error) {
+func readMoments(dir string) (lines []rollup.Line, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.moments"))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, err)
@@ -105,7 +105,7 @@
 
 // readMomentFile appends the lines of one file. A last line without its end is what a gateway was killed at, and left
 // out.
-func readMomentFile(lines []moments.Line, path string) ([]moments.Line, error) {
+func readMomentFile(lines []rollup.Line, path string) ([]rollup.Line, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 		case err != nil:
 			return nil, fmt.Errorf("%s, line %d: %w", path, n, err)
 		}
-		var l moments.Line
+		var l rollup.Line
 		d := json.NewDecoder(bytes.NewReader(text))
 		d.DisallowUnknownFields()
 		if err := d.Decode(&l); err != nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-func printMoments(out io.Writer, s *moments.Site) error {
+func printMoments(out io.Writer, s *rollup.Site) error {
 	fmt.Fprintf(out, "%d gateways, %.1f s\n\n", s.Gateways, s.Seconds)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "kind\tsum\ta second\tpeak\tat\tin step\tuneven\t9 in 10 after\t")
@@ -145,13 +145,13 @@
 	}
 	fmt.Fprintln(out)
 	fmt.Fprint(w, "at\tactive\t")
-	for _, k := range moments.Kinds {
+	for _, k := range rollup.Kinds {
 		fmt.Fprintf(w, "%s\t", k.Name)
 	}
 	fmt.Fprintln(w)
 	for _, at := range s.Spans {
 		fmt.Fprintf(w, "%.1fs\t%d\t", at.At, at.Active)
-		for _, k := range moments.Kinds {
+		for _, k := range rollup.Kinds {
 			fmt.Fprintf(w, "%.0f\t", at.Counts[k.Name])
 		}
 		fmt.Fprintln(w)
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -17,7 +17,7 @@
 	"elderyard/internal/site"
 	"elderyard/internal/wire"
 	"elderyard/rules"
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 const (
@@ -54,8 +54,8 @@
 	upload *upload     // where it is not; the client's time runs from its end
 	left   float64     // seconds that the client waits from then
 
-	conn  *guard         // the client's; nil: not known
-	story *stories.Begin // nil where nothing is exported
+	conn  *guard        // the client's; nil: not known
+	story *traces.Begin // nil where nothing is exported
 
 	// reply takes the one final answer; the loop sends it and never waits.
 	reply chan answer
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -13,7 +13,7 @@
 	"elderyard/internal/telemetry"
 	"elderyard/internal/wire"
 	"elderyard/rules"
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 const (
@@ -140,7 +140,7 @@
 func (l *Loop) leave(x *exchange) {
 	if x.open {
 		x.open = false
-		l.tell(x, stories.Event{Kind: stories.Left})
+		l.tell(x, traces.Event{Kind: traces.Left})
 		l.Handle(rules.ClientGone{Request: x.ask.ID})
 		x.withhold()
 		l.drop(x)
@@ -179,7 +179,7 @@
 	if m := l.Moment(); m != nil {
 		m.Requests++
 	}
-	l.tell(x, stories.Event{Kind: stories.Began})
+	l.tell(x, traces.Event{Kind: traces.Began})
 	l.Handle(x.ask)
 }
 
@@ -377,7 +377,7 @@
 	a.ended, a.neverRan = true, rules.NeverRan(res.outcome)
 	x := a.x
 	x.out--
-	l.tell(x, stories.Event{Kind: stories.Ended, Attempt: a.number, Outcome: res.outcome})
+	l.tell(x, traces.Event{Kind: traces.Ended, Attempt: a.number, Outcome: res.outcome})
 	if res.outcome == rules.Served && x.open {
 		header := passedOn(res.header)
 		header.Del(loadHeader) // for gateways, not for clients
--- a/internal/gateway/moments.go
+++ b/internal/gateway/moments.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"elderyard/internal/site"
-	"elderyard/moments"
+	"elderyard/rollup"
 )
 
 // momentsWait is how many spans may wait for the disk; more are left out.
@@ -21,7 +21,7 @@
 	pools *pools
 	f     *os.File
 	left  int64 // bytes that the file may still grow
-	spans chan moments.Line
+	spans chan rollup.Line
 }
 
 // openMoments opens the file, to go on where an earlier process ended; nil where the operator's file asks for none.
@@ -39,15 +39,15 @@
 		f.Close()
 		return nil, fmt.Errorf("operator's file: moments: %w", err)
 	}
-	return &momentFile{name: name, pools: p, f: f, left: int64(s.MB)<<20 - stat.Size(), spans: make(chan moments.Line, momentsWait)}, nil
+	return &momentFile{name: name, pools: p, f: f, left: int64(s.MB)<<20 - stat.Size(), spans: make(chan rollup.Line, momentsWait)}, nil
 }
 
 // tally is what the owner counts with.
-func (m *momentFile) tally(every time.Duration) *moments.Tally {
-	return moments.NewTally(every, func(at float64, c moments.Counts) {
+func (m *momentFile) tally(every time.Duration) *rollup.Tally {
+	return rollup.NewTally(every, func(at float64, c rollup.Counts) {
 		c.Connects = int(m.pools.dials.Swap(0))
 		select {
-		case m.spans <- moments.Line{At: at, Gateway: m.name, Counts: c}:
+		case m.spans <- rollup.Line{At: at, Gateway: m.name, Counts: c}:
 		default: // the disk is slow: what it misses is seen by the gap
 		}
 	})
--- a/internal/gateway/moments_test.go
+++ b/internal/gateway/moments_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"elderyard/internal/site"
-	"elderyard/moments"
+	"elderyard/rollup"
 )
 
 func TestMomentsGoToAFileThatIsBounded(t *testing.T) {
@@ -25,7 +25,7 @@
 		go func() { defer close(done); m.run() }()
 		for i := range spans {
 			p.dials.Add(2)
-			m.spans <- moments.Line{At: 1000 + float64(i), Gateway: "n3", Counts: moments.Counts{Sends: 1}}
+			m.spans <- rollup.Line{At: 1000 + float64(i), Gateway: "n3", Counts: rollup.Counts{Sends: 1}}
 		}
 		tally.Now(9000).Calls++
 		tally.Flush()
--- a/internal/gateway/story.go
+++ b/internal/gateway/story.go
@@ -7,7 +7,7 @@
 
 	"elderyard/internal/telemetry"
 	"elderyard/rules"
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 const (
@@ -18,32 +18,32 @@
 // storyOf begins the story of a request: its client's, where that sent a valid
 // context, else the one that its key stands for, else one of its own. The headers for the other side follow
 // it.
-func (f *frontend) storyOf(x *exchange) *stories.Begin {
+func (f *frontend) storyOf(x *exchange) *traces.Begin {
 	h := x.header
-	client, valid := stories.ParseContext(h[parentHeader], h[stateHeader])
+	client, valid := traces.ParseContext(h[parentHeader], h[stateHeader])
 	key := h.Get(keyHeader)
 	self := client
 	binary.BigEndian.PutUint64(self.Span[:], max(rand.Uint64(), 1))
 	if !valid {
 		self.State = ""
 		if key != "" {
-			self.Trace = stories.KeyTrace(uint64(x.ask.Customer), key)
+			self.Trace = traces.KeyTrace(uint64(x.ask.Customer), key)
 		} else {
 			binary.BigEndian.PutUint64(self.Trace[:8], max(rand.Uint64(), 1))
 			binary.BigEndian.PutUint64(self.Trace[8:], rand.Uint64())
 		}
-		self.Sampled = stories.InShare(self.Trace, f.loop.share)
+		self.Sampled = traces.InShare(self.Trace, f.loop.share)
 	}
 	delete(h, stateHeader)
 	if self.State != "" {
 		h[stateHeader] = []string{self.State}
 	}
-	return &stories.Begin{Context: client, Self: self, Client: x.id, Class: x.ask.Class, Plan: x.ask.Plan,
+	return &traces.Begin{Context: client, Self: self, Client: x.id, Class: x.ask.Class, Plan: x.ask.Plan,
 		Units: x.ask.Units, Method: x.method, Key: key != "", Repeated: x.ask.Repeat, Sent: x.ask.Sent}
 }
 
 // tell hands an event of a request over, if it has a story.
-func (l *Loop) tell(x *exchange, e stories.Event) {
+func (l *Loop) tell(x *exchange, e traces.Event) {
 	if x.story == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 	binary.BigEndian.PutUint64(at.Span[:], max(rand.Uint64(), 1))
 	a.context = at.Parent()
 	b := l.names[a.backend]
-	l.tell(a.x, stories.Event{Kind: stories.Sent, Attempt: a.number, Span: at.Span, Backend: b.name, Zone: b.zone, Paid: paid})
+	l.tell(a.x, traces.Event{Kind: traces.Sent, Attempt: a.number, Span: at.Span, Backend: b.name, Zone: b.zone, Paid: paid})
 }
 
 // figures tells the exporter of the module.
@@ -70,12 +70,12 @@
 }
 
 // answered is the event of a final answer.
-func answered(a answer) stories.Event {
-	return stories.Event{Kind: stories.Answered, Status: a.status, Reason: a.why, Paid: a.paid, RetryAfter: a.retryAfter}
+func answered(a answer) traces.Event {
+	return traces.Event{Kind: traces.Answered, Status: a.status, Reason: a.why, Paid: a.paid, RetryAfter: a.retryAfter}
 }
 
 // deployed is what stories need of a deployment.
-func deployed(set *stories.Settings, classes []rules.Class, names, plans []string) {
+func deployed(set *traces.Settings, classes []rules.Class, names, plans []string) {
 	set.Classes, set.Plans = names, plans
 	for _, c := range classes {
 		set.Aims = append(set.Aims, c.Aim)
--- a/internal/gateway/story_test.go
+++ b/internal/gateway/story_test.go
@@ -13,7 +13,7 @@
 	"elderyard/internal/standin/link"
 	"elderyard/internal/telemetry"
 	"elderyard/internal/testpeer"
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 const (
@@ -35,8 +35,8 @@
 // exporting are the settings of a gateway that exports all stories.
 func exporting(c *collector.Collector, name string) *telemetry.Settings {
 	return &telemetry.Settings{Endpoint: "http://" + c.Address(""), Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: patience,
-		Flush: patience, QueueBytes: 1 << 20, Stories: stories.Settings{Share: 1},
-		Resource: []stories.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: name}}}
+		Flush: patience, QueueBytes: 1 << 20, Stories: traces.Settings{Share: 1},
+		Resource: []traces.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: name}}}
 }
 
 func same(text string) string { return text }
@@ -69,7 +69,7 @@
 	if got := wait(t, answers, "answer"); got.StatusCode != 200 {
 		t.Fatal(got.Status)
 	}
-	went, ok := stories.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"])
+	went, ok := traces.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"])
 	if !ok || hex.EncodeToString(went.Trace[:]) != clientTrace || went.State != "rojo=1" || !went.Sampled {
 		t.Errorf("went on: %v", req.Header)
 	}
@@ -156,7 +156,7 @@
 		if got := wait(t, answers, "answer"); got.StatusCode != http.StatusOK {
 			t.Fatal(got.Status)
 		}
-		if _, ok := stories.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"]); !ok || req.Header.Get("Tracestate") != "" {
+		if _, ok := traces.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"]); !ok || req.Header.Get("Tracestate") != "" {
 			t.Errorf("%.20q went on as %v", parent, req.Header)
 		}
 	}
--- a/internal/lab/members_measure_test.go
+++ b/internal/lab/members_measure_test.go
@@ -13,7 +13,7 @@
 
 	"elderyard/internal/lab/audit"
 	"elderyard/internal/peers"
-	"elderyard/internal/standin/ways"
+	"elderyard/internal/standin/faultproxy"
 	"elderyard/members"
 )
 
@@ -182,7 +182,7 @@
 	c.takes("all are whole", nil, func(a *peers.Answer) bool { return a.Picture.Verdict == members.Whole })
 	for _, from := range c.names() {
 		for _, to := range c.names() {
-			c.Ways().Set(from, to, ways.Trouble{Loss: 0.05})
+			c.Ways().Set(from, to, faultproxy.Trouble{Loss: 0.05})
 		}
 	}
 	stop := make(chan struct{})
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -13,7 +13,7 @@
 
 	"elderyard/internal/lab/audit"
 	"elderyard/internal/peers"
-	"elderyard/internal/standin/ways"
+	"elderyard/internal/standin/faultproxy"
 	"elderyard/members"
 )
 
@@ -105,8 +105,8 @@
 
 // cutPair cuts two gateways off from each other alone.
 func (c *club) cutPair(a, b string, on bool) {
-	c.Ways().Set(a, b, ways.Trouble{Cut: on})
-	c.Ways().Set(b, a, ways.Trouble{Cut: on})
+	c.Ways().Set(a, b, faultproxy.Trouble{Cut: on})
+	c.Ways().Set(b, a, faultproxy.Trouble{Cut: on})
 }
 
 // part cuts all ways between two parts, and returns what heals them.
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -16,7 +16,7 @@
 	"elderyard/internal/lab/audit"
 	"elderyard/internal/loopback"
 	"elderyard/internal/peers"
-	"elderyard/internal/standin/ways"
+	"elderyard/internal/standin/faultproxy"
 	"elderyard/internal/wait"
 	"elderyard/members"
 )
@@ -32,7 +32,7 @@
 
 // fellows are the ways between gateways and what was seen of their pictures.
 type fellows struct {
-	ways *ways.Ways
+	ways *faultproxy.Ways
 	dir  string
 
 	mu     sync.Mutex
@@ -62,7 +62,7 @@
 
 // openFellows lays the ways and files that gateways know each other by.
 func (l *Lab) openFellows() error {
-	f := &fellows{ways: ways.New(l.site.Seed), dir: filepath.Join(l.dir, "peers"), reach: map[string]string{}}
+	f := &fellows{ways: faultproxy.New(l.site.Seed), dir: filepath.Join(l.dir, "peers"), reach: map[string]string{}}
 	l.fellows = f
 	if err := os.Mkdir(f.dir, 0o700); err != nil {
 		return fmt.Errorf("peers: %w", err)
@@ -221,7 +221,7 @@
 
 // between changes directions, and returns what changes them back. Pick names those
 // that it is about.
-func (l *Lab) between(what string, pick func(from, to int) bool, set func(*ways.Trouble, bool)) (undo func() error) {
+func (l *Lab) between(what string, pick func(from, to int) bool, set func(*faultproxy.Trouble, bool)) (undo func() error) {
 	names := l.gatewayNames()
 	var struck [][2]string
 	for i, from := range names {
@@ -233,18 +233,18 @@
 	}
 	l.happened(audit.Troubled, what)
 	for _, w := range struck {
-		l.fellows.ways.Change(w[0], w[1], func(t *ways.Trouble) { set(t, true) })
+		l.fellows.ways.Change(w[0], w[1], func(t *faultproxy.Trouble) { set(t, true) })
 	}
 	return func() error {
 		for _, w := range struck {
-			l.fellows.ways.Change(w[0], w[1], func(t *ways.Trouble) { set(t, false) })
+			l.fellows.ways.Change(w[0], w[1], func(t *faultproxy.Trouble) { set(t, false) })
 		}
 		l.happened(audit.Healed, what)
 		return nil
 	}
 }
 
-func cut(t *ways.Trouble, on bool) { t.Cut = on }
+func cut(t *faultproxy.Trouble, on bool) { t.Cut = on }
 
 func peersCut(_ context.Context, l *Lab, f *Fault, targets []int) (func() error, error) {
 	in := func(i int) bool { return slices.Contains(targets, i) }
@@ -282,7 +282,7 @@
 
 func peersTrouble(_ context.Context, l *Lab, f *Fault, targets []int) (func() error, error) {
 	size := f.size()
-	return l.between(f.Kind, func(from, to int) bool { return slices.Contains(targets, from) || slices.Contains(targets, to) }, func(t *ways.Trouble, on bool) {
+	return l.between(f.Kind, func(from, to int) bool { return slices.Contains(targets, from) || slices.Contains(targets, to) }, func(t *faultproxy.Trouble, on bool) {
 		if !on {
 			size = 0
 		}
@@ -331,7 +331,7 @@
 }
 
 // Ways are those between the gateways; nil where they do not know each other.
-func (l *Lab) Ways() *ways.Ways { return l.fellows.ways }
+func (l *Lab) Ways() *faultproxy.Ways { return l.fellows.ways }
 
 func (l *Lab) gateway(name string) (*gatewayProcess, error) {
 	for _, g := range l.gateways {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"elderyard/internal/counter"
-	"elderyard/moments"
+	"elderyard/rollup"
 	"elderyard/rules"
 )
 
@@ -43,7 +43,7 @@
 // Owner is the one owner of a decision module.
 type Owner struct {
 	Clock   Clock
-	Moments *moments.Tally // nil: nothing is counted; set before Run
+	Moments *rollup.Tally // nil: nothing is counted; set before Run
 
 	gateway  *rules.Gateway
 	counter  Counter // nil: there is none
@@ -151,7 +151,7 @@
 }
 
 // Moment is the present span's counts; nil: nothing is counted. Only messages and actions may call it.
-func (o *Owner) Moment() *moments.Counts {
+func (o *Owner) Moment() *rollup.Counts {
 	if o.Moments == nil {
 		return nil
 	}
--- a/internal/standin/collector/rules.go
+++ b/internal/standin/collector/rules.go
@@ -11,7 +11,7 @@
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 
 	"elderyard/internal/otlpfile"
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 // Series is one stream of points: a metric of a process with its attributes, written
@@ -103,7 +103,7 @@
 	flaw(s.StartTimeUnixNano == 0 || s.EndTimeUnixNano < s.StartTimeUnixNano, "times")
 	flaw(s.Status != nil && s.Status.Code != trace.Status_STATUS_CODE_ERROR && s.Status.Message != "", "a message without an error")
 	if s.TraceState != "" {
-		c, _ := stories.ParseContext([]string{"00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"}, []string{s.TraceState})
+		c, _ := traces.ParseContext([]string{"00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"}, []string{s.TraceState})
 		flaw(c.State != s.TraceState, "tracestate")
 	}
 	_, bad := write(s.Attributes)
--- a/internal/standin/ways/ways.go
+++ b/internal/standin/faultproxy/proxy.go
@@ -1,9 +1,9 @@
-// Package ways gives every pair of a site's members a way of its own in each
+// Package faultproxy gives every pair of a site's members a way of its own in each
 // direction, for datagrams and connections alike, that can be cut, lose, delay, say
 // things twice and in another order. A member is reached by all others at one door;
 // who comes is told by its host, so every member must have a loopback address of
 // its own and send from it.
-package ways
+package faultproxy
 
 import (
 	"errors"
--- a/internal/standin/ways/ways_test.go
+++ b/internal/standin/faultproxy/proxy_test.go
@@ -1,4 +1,4 @@
-package ways
+package faultproxy
 
 import (
 	"net"
--- a/internal/telemetry/encode.go
+++ b/internal/telemetry/encode.go
@@ -13,7 +13,7 @@
 	trace "go.opentelemetry.io/proto/slim/otlp/trace/v1"
 	"google.golang.org/protobuf/proto"
 
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 // scopeName is what all signals are said to come from.
@@ -40,7 +40,7 @@
 	panic(fmt.Sprintf("attribute of type %T", v)) // no attribute of ours has another
 }
 
-func attributes(list []stories.Attr) (out []*common.KeyValue) {
+func attributes(list []traces.Attr) (out []*common.KeyValue) {
 	for _, a := range list {
 		out = append(out, &common.KeyValue{Key: a.Key, Value: value(a.Value)})
 	}
@@ -55,7 +55,7 @@
 	zip      *gzip.Writer // its tables are large, and used again
 }
 
-func newEncoder(attrs []stories.Attr) *encoder {
+func newEncoder(attrs []traces.Attr) *encoder {
 	z, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
 	if err != nil {
 		panic(err) // the level is one
@@ -64,16 +64,16 @@
 }
 
 // spans packs spans into one message.
-func (e *encoder) spans(list []stories.Span) (batch, error) {
+func (e *encoder) spans(list []traces.Span) (batch, error) {
 	made := &trace.ScopeSpans{Scope: e.scope}
 	for i := range list {
 		s := &list[i]
 		span := &trace.Span{TraceId: s.Trace[:], SpanId: s.ID[:], TraceState: s.State, Name: s.Name, Kind: trace.Span_SpanKind(s.Kind),
-			StartTimeUnixNano: stories.Nanos(s.Start), EndTimeUnixNano: stories.Nanos(s.End), Attributes: attributes(s.Attrs),
+			StartTimeUnixNano: traces.Nanos(s.Start), EndTimeUnixNano: traces.Nanos(s.End), Attributes: attributes(s.Attrs),
 			Flags: flagHasRemote, Status: &trace.Status{}}
-		if s.Parent != (stories.SpanID{}) {
+		if s.Parent != (traces.SpanID{}) {
 			span.ParentSpanId = s.Parent[:]
-			if s.Kind == stories.Server {
+			if s.Kind == traces.Server {
 				span.Flags |= flagIsRemote
 			}
 		}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -9,7 +9,7 @@
 	metrics "go.opentelemetry.io/proto/slim/otlp/metrics/v1"
 
 	"elderyard/rules"
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 // Metric describes one metric; `elderctl site metrics` and the operators' page are made
@@ -49,10 +49,10 @@
 
 // counts is a moment of all that is exported.
 type counts struct {
-	tally   *stories.Tally
-	teller  *stories.Teller
+	tally   *traces.Tally
+	teller  *traces.Teller
 	figures Figures
-	missed  [stories.EventKinds]uint64
+	missed  [traces.EventKinds]uint64
 	traces  *sender
 	points  *sender
 }
@@ -60,7 +60,7 @@
 // Figures are what the module's owner tells of a moment.
 type Figures struct {
 	rules.Figures
-	Calls [stories.Outcomes]uint64 // to the counter, by outcome
+	Calls [traces.Outcomes]uint64 // to the counter, by outcome
 }
 
 // gather makes the points of a moment. Sums have grown since start.
@@ -95,19 +95,19 @@
 	panic("metric " + name + " is not on the list") // a test makes every metric
 }
 
-func (g *gather) sum(name string, n uint64, attrs ...stories.Attr) {
+func (g *gather) sum(name string, n uint64, attrs ...traces.Attr) {
 	s := g.metric(name).GetSum()
 	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: g.start, TimeUnixNano: g.now,
 		Value: &metrics.NumberDataPoint_AsInt{AsInt: int64(n)}})
 }
 
-func (g *gather) gauge(name string, x float64, attrs ...stories.Attr) {
+func (g *gather) gauge(name string, x float64, attrs ...traces.Attr) {
 	s := g.metric(name).GetGauge()
 	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), TimeUnixNano: g.now,
 		Value: &metrics.NumberDataPoint_AsDouble{AsDouble: x}})
 }
 
-func (g *gather) histogram(name string, h *stories.Histogram, attrs ...stories.Attr) {
+func (g *gather) histogram(name string, h *traces.Histogram, attrs ...traces.Attr) {
 	p := &metrics.ExponentialHistogramDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: g.start, TimeUnixNano: g.now, Count: h.Count,
 		Scale: int32(h.Scale), ZeroCount: h.Zero, Positive: &metrics.ExponentialHistogramDataPoint_Buckets{Offset: int32(h.Offset),
 			BucketCounts: append([]uint64(nil), h.Buckets...)}}
@@ -115,19 +115,19 @@
 		least, most := h.Min, h.Max
 		p.Sum, p.Min, p.Max = &sum, &least, &most
 	}
-	if e := h.Exemplar; e.Context.Trace != (stories.TraceID{}) {
-		p.Exemplars = []*metrics.Exemplar{{TimeUnixNano: stories.Nanos(e.At), Value: &metrics.Exemplar_AsDouble{AsDouble: e.Value},
+	if e := h.Exemplar; e.Context.Trace != (traces.TraceID{}) {
+		p.Exemplars = []*metrics.Exemplar{{TimeUnixNano: traces.Nanos(e.At), Value: &metrics.Exemplar_AsDouble{AsDouble: e.Value},
 			TraceId: e.Context.Trace[:], SpanId: e.Context.Span[:], FilteredAttributes: []*common.KeyValue{}}}
 	}
 	s := g.metric(name).GetExponentialHistogram()
 	s.DataPoints = append(s.DataPoints, p)
 }
 
-func attr(key string, v any) stories.Attr { return stories.Attr{Key: key, Value: v} }
+func attr(key string, v any) traces.Attr { return traces.Attr{Key: key, Value: v} }
 
 // points makes the metrics of a moment. Start and now are seconds.
-func (c *counts) metrics(set *stories.Settings, start, now float64) []*metrics.Metric {
-	g := &gather{start: stories.Nanos(start), now: stories.Nanos(max(now, start)), at: map[string]*metrics.Metric{}}
+func (c *counts) metrics(set *traces.Settings, start, now float64) []*metrics.Metric {
+	g := &gather{start: traces.Nanos(start), now: traces.Nanos(max(now, start)), at: map[string]*metrics.Metric{}}
 	t := c.tally
 	for class, name := range set.Classes {
 		of := attr("elderyard.class", name)
@@ -139,12 +139,12 @@
 			g.sum("elderyard.requests.in_time", t.InTime[at], of, by)
 		}
 		for end, n := range t.Ends[class] {
-			g.sum("elderyard.request.ends", n, of, attr("elderyard.outcome", stories.End(end).Name()))
+			g.sum("elderyard.request.ends", n, of, attr("elderyard.outcome", traces.End(end).Name()))
 		}
 		g.histogram("http.server.request.duration", t.Latency[class], of)
 	}
 	for o, n := range t.Attempts {
-		g.sum("elderyard.attempts", n, attr("elderyard.outcome", stories.OutcomeName(rules.Outcome(o))))
+		g.sum("elderyard.attempts", n, attr("elderyard.outcome", traces.OutcomeName(rules.Outcome(o))))
 	}
 	f := &c.figures
 	for o, n := range f.Calls {
@@ -178,7 +178,7 @@
 		g.gauge("elderyard.telemetry.queue", float64(bytes), signal)
 	}
 	for kind, n := range c.missed {
-		g.sum("elderyard.telemetry.missed", n, attr("elderyard.kind", stories.EventKind(kind).String()))
+		g.sum("elderyard.telemetry.missed", n, attr("elderyard.kind", traces.EventKind(kind).String()))
 	}
 	return g.list
 }
@@ -191,7 +191,7 @@
 	case rules.Errored:
 		return "added without a total"
 	}
-	return stories.OutcomeName(o)
+	return traces.OutcomeName(o)
 }
 
 // Page is the list of metrics as the operators' page has it.
--- a/internal/telemetry/settings.go
+++ b/internal/telemetry/settings.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"elderyard/internal/site"
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 // The bounds of what the environment may say; the file's are site's.
@@ -25,7 +25,7 @@
 	}
 	set := &Settings{Endpoint: s.Endpoint, GRPC: s.Protocol == "grpc", Headers: map[string]string{}, Traces: s.Traces, Metrics: s.Metrics, Interval: time.Duration(s.Interval),
 		Timeout: time.Duration(s.Timeout), Flush: time.Duration(s.Flush), QueueBytes: s.QueueKB << 10,
-		Stories: stories.Settings{Share: s.Share, Keep: stories.Keep{}}}
+		Stories: traces.Settings{Share: s.Share, Keep: traces.Keep{}}}
 	for _, k := range s.Keep {
 		switch k {
 		case "failed":
@@ -67,14 +67,14 @@
 	if service == "" {
 		service = "elderyard"
 	}
-	set.Resource = []stories.Attr{{Key: "service.name", Value: service}, {Key: "service.instance.id", Value: name}}
+	set.Resource = []traces.Attr{{Key: "service.name", Value: service}, {Key: "service.instance.id", Value: name}}
 	more, err := pairs(env("OTEL_RESOURCE_ATTRIBUTES"))
 	if err != nil {
 		return nil, fmt.Errorf("OTEL_RESOURCE_ATTRIBUTES: %w", err)
 	}
 	for _, p := range more {
 		if p[0] != "service.name" && p[0] != "service.instance.id" {
-			set.Resource = append(set.Resource, stories.Attr{Key: p[0], Value: p[1]})
+			set.Resource = append(set.Resource, traces.Attr{Key: p[0], Value: p[1]})
 		}
 	}
 	return set, nil
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 const (
@@ -30,14 +30,14 @@
 	Endpoint   string            // URL; the paths of the signals come behind it
 	GRPC       bool              // over gRPC, with the methods of the signals behind the URL
 	Headers    map[string]string // of each call
-	Resource   []stories.Attr    // who exports
+	Resource   []traces.Attr     // who exports
 	Traces     bool
 	Metrics    bool
 	Interval   time.Duration // between metrics
 	Timeout    time.Duration // of a call
 	Flush      time.Duration // for what is left at the end
 	QueueBytes int           // that may wait, of each signal
-	Stories    stories.Settings
+	Stories    traces.Settings
 }
 
 // Telemetry is the exporter of one process.
@@ -48,11 +48,11 @@
 	log     *slog.Logger
 	start   float64
 	events  events
-	missed  [stories.EventKinds]atomic.Uint64
+	missed  [traces.EventKinds]atomic.Uint64
 	encoder *encoder
 	counts  counts
-	empty   []stories.Event // the list that is to be swapped in
-	spans   []stories.Span
+	empty   []traces.Event // the list that is to be swapped in
+	spans   []traces.Span
 	senders []*sender
 	stop    context.CancelFunc
 	ended   chan struct{}
@@ -73,11 +73,11 @@
 // prepare makes an exporter whose goroutine is not started.
 func prepare(set Settings, now func() float64, ask func(context.Context) (Figures, error), log *slog.Logger) (*Telemetry, *http.Client) {
 	t := &Telemetry{set: set, now: now, ask: ask, log: log, start: now(), events: newEvents(mostEvents),
-		empty: make([]stories.Event, 0, mostEvents), encoder: newEncoder(set.Resource), ended: make(chan struct{})}
+		empty: make([]traces.Event, 0, mostEvents), encoder: newEncoder(set.Resource), ended: make(chan struct{})}
 	transport := &http.Transport{MaxConnsPerHost: 2, DisableCompression: true, IdleConnTimeout: time.Minute}
-	traces, points := tracesPath, metricsPath
+	tracesTarget, metricsTarget := tracesPath, metricsPath
 	if set.GRPC {
-		traces, points = tracesCall, metricsCall
+		tracesTarget, metricsTarget = tracesCall, metricsCall
 		transport.Protocols = new(http.Protocols) // HTTP/2 alone, also without TLS
 		transport.Protocols.SetHTTP2(true)
 		transport.Protocols.SetUnencryptedHTTP2(true)
@@ -87,8 +87,8 @@
 	make := func(path string, reply func() partial) *sender {
 		return &sender{url: set.Endpoint + path, headers: set.Headers, client: client, grpc: set.GRPC, timeout: set.Timeout, queue: newQueue(set.QueueBytes), reply: reply}
 	}
-	t.counts = counts{tally: stories.NewTally(set.Stories), teller: stories.NewTeller(set.Stories, uint64(time.Now().UnixNano())),
-		traces: make(traces, func() partial { return &traceReply{} }), points: make(points, func() partial { return &metricsReply{} })}
+	t.counts = counts{tally: traces.NewTally(set.Stories), teller: traces.NewTeller(set.Stories, uint64(time.Now().UnixNano())),
+		traces: make(tracesTarget, func() partial { return &traceReply{} }), points: make(metricsTarget, func() partial { return &metricsReply{} })}
 	t.senders = []*sender{t.counts.traces, t.counts.points}
 	return t, client
 }
@@ -99,15 +99,15 @@
 	wake chan struct{} // has room for one: half of the room is taken
 
 	mu   sync.Mutex // held to add one, or to swap the lists
-	list []stories.Event
+	list []traces.Event
 }
 
 func newEvents(most int) events {
-	return events{wake: make(chan struct{}, 1), list: make([]stories.Event, 0, most)}
+	return events{wake: make(chan struct{}, 1), list: make([]traces.Event, 0, most)}
 }
 
 // add takes an event, unless there is no room.
-func (q *events) add(e stories.Event) bool {
+func (q *events) add(e traces.Event) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.list) == cap(q.list) {
@@ -123,7 +123,7 @@
 }
 
 // swap returns what has come, for an empty list of the same room.
-func (q *events) swap(empty []stories.Event) []stories.Event {
+func (q *events) swap(empty []traces.Event) []traces.Event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	full := q.list
@@ -132,7 +132,7 @@
 }
 
 // Tell hands an event over. It never waits: one that finds no room is counted.
-func (t *Telemetry) Tell(e stories.Event) {
+func (t *Telemetry) Tell(e traces.Event) {
 	if !t.events.add(e) {
 		t.missed[e.Kind].Add(1)
 	}
@@ -201,7 +201,7 @@
 	t.empty = list[:0]
 }
 
-func (t *Telemetry) take(e stories.Event) {
+func (t *Telemetry) take(e traces.Event) {
 	t.counts.tally.Handle(e)
 	if !t.set.Traces {
 		return
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -21,7 +21,7 @@
 	"elderyard/internal/standin/link"
 	"elderyard/internal/testpeer"
 	"elderyard/rules"
-	"elderyard/stories"
+	"elderyard/traces"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -42,29 +42,29 @@
 }
 
 func settings(address string) Settings {
-	return Settings{Endpoint: "http://" + address, Resource: []stories.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: "g0"}},
+	return Settings{Endpoint: "http://" + address, Resource: []traces.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: "g0"}},
 		Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testpeer.Patience, Flush: testpeer.Patience, QueueBytes: 1 << 20,
-		Stories: stories.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, Aims: []float64{0.5}, Share: 1}}
+		Stories: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, Aims: []float64{0.5}, Share: 1}}
 }
 
 func figures(context.Context) (Figures, error) {
-	return Figures{Figures: rules.Figures{Bound: 4, InFlight: 1, Held: []int{0, 2}, Well: 3}, Calls: [stories.Outcomes]uint64{7}}, nil
+	return Figures{Figures: rules.Figures{Bound: 4, InFlight: 1, Held: []int{0, 2}, Well: 3}, Calls: [traces.Outcomes]uint64{7}}, nil
 }
 
 // request tells of one request that is served, n of the test.
 func request(x *Telemetry, n int) {
-	var self stories.Context
+	var self traces.Context
 	binary.BigEndian.PutUint64(self.Trace[:8], uint64(n)+1)
 	binary.BigEndian.PutUint64(self.Trace[8:], uint64(n+1)*0x9e3779b97f4a7c15) // as good as random
 	binary.BigEndian.PutUint64(self.Span[:], uint64(n)+1)
 	at := now()
-	b := &stories.Begin{Self: self, Method: "GET", Sent: at, Repeated: n%4 == 3}
+	b := &traces.Begin{Self: self, Method: "GET", Sent: at, Repeated: n%4 == 3}
 	span := self.Span
 	span[0] = 1
-	x.Tell(stories.Event{Kind: stories.Began, At: at, Begin: b})
-	x.Tell(stories.Event{Kind: stories.Sent, At: at, Begin: b, Span: span, Backend: "n0", Paid: at})
-	x.Tell(stories.Event{Kind: stories.Ended, At: at + 0.01, Begin: b, Outcome: rules.Served})
-	x.Tell(stories.Event{Kind: stories.Answered, At: at + 0.01, Begin: b, Status: 200})
+	x.Tell(traces.Event{Kind: traces.Began, At: at, Begin: b})
+	x.Tell(traces.Event{Kind: traces.Sent, At: at, Begin: b, Span: span, Backend: "n0", Paid: at})
+	x.Tell(traces.Event{Kind: traces.Ended, At: at + 0.01, Begin: b, Outcome: rules.Served})
+	x.Tell(traces.Event{Kind: traces.Answered, At: at + 0.01, Begin: b, Status: 200})
 }
 
 // idle tells whether all that was told has been taken, or is about to be.
@@ -197,8 +197,8 @@
 	for _, n := range x.counts.tally.Tries {
 		begun += n
 	}
-	if begun+x.missed[stories.Began].Load() != 3*mostEvents {
-		t.Errorf("%d requests were counted and %d missed of %d", begun, x.missed[stories.Began].Load(), 3*mostEvents)
+	if begun+x.missed[traces.Began].Load() != 3*mostEvents {
+		t.Errorf("%d requests were counted and %d missed of %d", begun, x.missed[traces.Began].Load(), 3*mostEvents)
 	}
 }
 
@@ -307,9 +307,9 @@
 	x := Start(set, now, figures, quiet)
 	for i := range 100_000 {
 		at := now()
-		b := &stories.Begin{Client: fmt.Sprint(i), Method: "GET", Sent: at}
-		x.Tell(stories.Event{Kind: stories.Began, At: at, Begin: b})
-		x.Tell(stories.Event{Kind: stories.Answered, At: at, Begin: b, Status: 429})
+		b := &traces.Begin{Client: fmt.Sprint(i), Method: "GET", Sent: at}
+		x.Tell(traces.Event{Kind: traces.Began, At: at, Begin: b})
+		x.Tell(traces.Event{Kind: traces.Answered, At: at, Begin: b, Status: 429})
 		if i%1000 == 999 {
 			until(t, "the events are taken", x.idle)
 		}
@@ -327,11 +327,11 @@
 // Telling an event allocates nothing.
 func TestTellingAllocatesNothing(t *testing.T) {
 	x := &Telemetry{events: newEvents(4)}
-	e := stories.Event{Kind: stories.Ended}
+	e := traces.Event{Kind: traces.Ended}
 	if n := testing.AllocsPerRun(100, func() { x.Tell(e) }); n != 0 {
 		t.Errorf("%g allocations", n)
 	}
-	if x.missed[stories.Ended].Load() == 0 {
+	if x.missed[traces.Ended].Load() == 0 {
 		t.Error("events without room were not counted")
 	}
 }
@@ -425,7 +425,7 @@
 // BenchmarkTell measures what an event costs the request path, and what it costs in all.
 func BenchmarkTell(b *testing.B) {
 	x, _ := prepare(Settings{Endpoint: "http://127.0.0.1:1", Interval: time.Hour, Timeout: time.Second, QueueBytes: 1 << 20, Traces: true,
-		Stories: stories.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, Aims: []float64{0.5}, Share: 0.01}}, now, figures, quiet)
+		Stories: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, Aims: []float64{0.5}, Share: 0.01}}, now, figures, quiet)
 	b.ReportAllocs()
 	for i := range b.N {
 		request(x, i)
--- a/moments/moments.go
+++ b/rollup/rollup.go
@@ -1,7 +1,7 @@
-// Package moments counts what a gateway does by short spans of time, and adds such counts up over all gateways of a
+// Package rollup counts what a gateway does by short spans of time, and adds such counts up over all gateways of a
 // site. What a large fleet does to itself shows in that sum alone: what all do in the same tenth of a second, and what
 // some do that most do not. It does no I/O.
-package moments
+package rollup
 
 import (
 	"math"
--- a/moments/moments_test.go
+++ b/rollup/rollup_test.go
@@ -1,4 +1,4 @@
-package moments
+package rollup
 
 import (
 	"reflect"
--- a/stories/context.go
+++ b/traces/context.go
@@ -1,8 +1,8 @@
-// Package stories makes one story of what happens to a request: spans for the
+// Package traces makes one story of what happens to a request: spans for the
 // request, its waits and its attempts, and which of them are worth keeping. It is pure: events
 // in, spans and counts out, time handed in, no goroutine, no clock, no socket. How spans leave the
 // process is package telemetry's matter.
-package stories
+package traces
 
 import (
 	"crypto/sha256"
--- a/stories/span.go
+++ b/traces/span.go
@@ -1,4 +1,4 @@
-package stories
+package traces
 
 // Kind is whose work a span is.
 type Kind int
--- a/stories/teller.go
+++ b/traces/teller.go
@@ -1,4 +1,4 @@
-package stories
+package traces
 
 import (
 	"encoding/binary"
