--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,8 +146,8 @@
 	}
 	if export != nil {
 		set := *export
-		deployed(&set.Stories, c.Classes, c.ClassNames, c.PlanNames)
-		front.loop.share = set.Stories.Share
+		deployed(&set.Tracing, c.Classes, c.ClassNames, c.PlanNames)
+		front.loop.share = set.Tracing.SampleRatio
 		front.loop.telemetry = telemetry.Start(set, front.loop.Clock.Now, front.loop.figures, slog.Default())
 		defer front.loop.telemetry.Close() // last of all: no answer waits for it
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -140,7 +140,7 @@
 func (l *Loop) leave(x *exchange) {
 	if x.open {
 		x.open = false
-		l.tell(x, traces.Event{Kind: traces.Left})
+		l.tell(x, traces.Event{Kind: traces.ClientLeft})
 		l.Handle(rules.ClientGone{Request: x.ask.ID})
 		x.withhold()
 		l.drop(x)
--- a/internal/gateway/story.go
+++ b/internal/gateway/story.go
@@ -27,12 +27,12 @@
 	if !valid {
 		self.State = ""
 		if key != "" {
-			self.Trace = traces.KeyTrace(uint64(x.ask.Customer), key)
+			self.Trace = traces.TraceIDFromKey(uint64(x.ask.Customer), key)
 		} else {
 			binary.BigEndian.PutUint64(self.Trace[:8], max(rand.Uint64(), 1))
 			binary.BigEndian.PutUint64(self.Trace[8:], rand.Uint64())
 		}
-		self.Sampled = traces.InShare(self.Trace, f.loop.share)
+		self.Sampled = traces.InSample(self.Trace, f.loop.share)
 	}
 	delete(h, stateHeader)
 	if self.State != "" {
@@ -48,7 +48,7 @@
 		return
 	}
 	e.Begin, e.At = x.story, l.Clock.Now()
-	l.telemetry.Tell(e)
+	l.telemetry.Record(e)
 }
 
 // tellSent tells of an attempt, and gives it the context that goes with it.
@@ -78,6 +78,6 @@
 func deployed(set *traces.Settings, classes []rules.Class, names, plans []string) {
 	set.Classes, set.Plans = names, plans
 	for _, c := range classes {
-		set.Aims = append(set.Aims, c.Aim)
+		set.LatencyTargets = append(set.LatencyTargets, c.Aim)
 	}
 }
--- a/internal/gateway/story_test.go
+++ b/internal/gateway/story_test.go
@@ -35,7 +35,7 @@
 // exporting are the settings of a gateway that exports all stories.
 func exporting(c *collector.Collector, name string) *telemetry.Settings {
 	return &telemetry.Settings{Endpoint: "http://" + c.Address(""), Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: patience,
-		Flush: patience, QueueBytes: 1 << 20, Stories: traces.Settings{Share: 1},
+		Flush: patience, QueueBytes: 1 << 20, Tracing: traces.Settings{SampleRatio: 1},
 		Resource: []traces.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: name}}}
 }
 
--- a/internal/telemetry/deliver.go
+++ b/internal/telemetry/deliver.go
@@ -15,87 +15,100 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The way to the collector, as the specification of OTLP/HTTP has it:
+// Limits of a delivery, from the specification of OTLP/HTTP:
 // https://opentelemetry.io/docs/specs/otlp/.
 const (
-	firstPause = 500 * time.Millisecond
-	mostPause  = 30 * time.Second
-	mostAdvice = time.Minute // of a Retry-After
-	mostReply  = 64 << 10    // bytes
+	initialBackoff = 500 * time.Millisecond
+	maxBackoff     = 30 * time.Second
+	maxRetryAfter  = time.Minute // limit of a Retry-After
+	maxReplyBytes  = 64 << 10    // bytes
 )
 
-// verdict is what became of a sending.
-type verdict int
+// deliveryResult is what came of one delivery.
+type deliveryResult int
 
 const (
-	delivered verdict = iota
-	again             // it may be sent again
-	final             // it may not
+	delivered        deliveryResult = iota
+	retryable                       // the batch may be sent again
+	permanentFailure                // the batch must not be sent again
 )
 
-// judge tells what an answer means: 429, 502, 503 and 504 may be sent again, as may
-// what had no answer; every other status is final.
-func judge(status int, err error) verdict {
+// classifyHTTPStatus returns what the answer to a delivery means: it may be retried after 429, 502, 503 and 504 and
+// if there was no answer; every other failure is permanent.
+func classifyHTTPStatus(status int, err error) deliveryResult {
 	switch {
 	case err != nil:
-		return again
+		return retryable
 	case status >= 200 && status < 300:
 		return delivered
 	case status == http.StatusTooManyRequests || status == http.StatusBadGateway ||
 		status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout:
-		return again
+		return retryable
 	}
-	return final
+	return permanentFailure
 }
 
-// advice reads a Retry-After, in seconds or as a date.
-func advice(h http.Header, now time.Time) time.Duration {
+// retryAfter parses the header Retry-After, in seconds or as a date; 0 if there is none that is valid.
+func retryAfter(h http.Header, now time.Time) time.Duration {
 	text := h.Get("Retry-After")
 	if s, err := strconv.Atoi(text); err == nil && s > 0 {
-		return min(time.Duration(s)*time.Second, mostAdvice)
+		return min(time.Duration(s)*time.Second, maxRetryAfter)
 	}
 	if at, err := http.ParseTime(text); err == nil {
-		return min(max(at.Sub(now), 0), mostAdvice)
+		return min(max(at.Sub(now), 0), maxRetryAfter)
 	}
 	return 0
 }
 
-// backoff is the pause before a batch is sent again: doubled each time, drawn from
-// its upper half, so that many gateways do not come back together.
+// backoff computes the pause before a retry: it doubles each time and is drawn from its upper half, so that many
+// gateways do not retry at the same time.
 type backoff struct{ pause time.Duration }
 
 func (b *backoff) next(advised time.Duration) time.Duration {
-	b.pause = min(max(2*b.pause, firstPause), mostPause)
+	b.pause = min(max(2*b.pause, initialBackoff), maxBackoff)
 	drawn := b.pause/2 + time.Duration(rand.Int64N(int64(b.pause/2)+1))
 	if advised > 0 {
-		return advised + time.Duration(rand.Int64N(int64(firstPause))) // not all at once then, either
+		return advised + time.Duration(rand.Int64N(int64(initialBackoff))) // jitter, again so that not all retry at once
 	}
 	return drawn
 }
 
 func (b *backoff) reset() { b.pause = 0 }
 
-// partial is an answer that may say that not all was taken.
-type partial interface {
+// exportReply is a collector's answer, which may say that some items were rejected.
+type exportReply interface {
 	proto.Message
 	rejected() int64
 }
 
-// sender brings the batches of one signal to the collector.
+// sender delivers the batches of one signal to the collector.
 type sender struct {
 	url      string
 	headers  map[string]string
 	client   *http.Client
-	grpc     bool // the url is a method's, and the call gRPC's
+	grpc     bool // gRPC instead of HTTP; url then names the method
 	timeout  time.Duration
 	queue    *queue
-	reply    func() partial
+	reply    func() exportReply
 	sent     atomic.Uint64 // items
-	rejected atomic.Uint64 // items that the collector would not take
-	failures atomic.Uint64 // sendings without success
+	rejected atomic.Uint64 // items that the collector rejected
+	failures atomic.Uint64 // failed deliveries
 }
 
-// run sends until ctx ends; what waits then is drain's matter.
+// newSender makes the sender of the signal whose path or method is target. NewReply makes an empty reply.
+func newSender(set *Settings, target string, client *http.Client, newReply func() exportReply) *sender {
+	return &sender{
+		url:     set.Endpoint + target,
+		headers: set.Headers,
+		client:  client,
+		grpc:    set.GRPC,
+		timeout: set.Timeout,
+		queue:   newQueue(set.QueueBytes),
+		reply:   newReply,
+	}
+}
+
+// run delivers batches until ctx ends; drain delivers what is left.
 func (s *sender) run(ctx context.Context) {
 	var pause backoff
 	for {
@@ -113,10 +126,10 @@
 		case delivered:
 			pause.reset()
 			continue
-		case final:
+		case permanentFailure:
 			continue
 		}
-		s.queue.putBack(b)
+		s.queue.requeue(b)
 		select {
 		case <-ctx.Done():
 			return
@@ -125,51 +138,51 @@
 	}
 }
 
-// drain sends what is left until ctx ends, each batch once, and drops the rest.
+// drain tries to deliver each remaining batch once, until ctx ends, and drops the rest.
 func (s *sender) drain(ctx context.Context) {
 	for ctx.Err() == nil {
 		b, ok := s.queue.take()
 		if !ok {
 			return
 		}
-		if v, _ := s.send(ctx, b); v == again {
-			s.queue.lose(b.items)
+		if v, _ := s.send(ctx, b); v == retryable {
+			s.queue.countDropped(b.items)
 		}
 	}
 	s.queue.clear()
 }
 
-// send makes one sending, and books it unless it may be made again.
-func (s *sender) send(ctx context.Context, b batch) (v verdict, advised time.Duration) {
+// send makes one delivery and counts its result. A retryable batch is left to the caller.
+func (s *sender) send(ctx context.Context, b batch) (v deliveryResult, advised time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	var body []byte
 	if s.grpc {
-		v, advised, body = s.call(ctx, b.body)
+		v, advised, body = s.sendGRPC(ctx, b.body)
 	} else {
 		var status int
 		var header http.Header
 		var err error
-		status, header, body, err = s.post(ctx, b.body)
-		v, advised = judge(status, err), advice(header, time.Now())
+		status, header, body, err = s.sendHTTP(ctx, b.body)
+		v, advised = classifyHTTPStatus(status, err), retryAfter(header, time.Now())
 	}
 	switch v {
 	case delivered:
-		lost := s.refusedOf(body, b.items)
+		lost := s.rejectedItems(body, b.items)
 		s.rejected.Add(lost)
 		s.sent.Add(uint64(b.items) - lost)
-	case again:
+	case retryable:
 		s.failures.Add(1)
-	case final:
+	case permanentFailure:
 		s.failures.Add(1)
 		s.rejected.Add(uint64(b.items))
 	}
 	return v, advised
 }
 
-// refusedOf reads how many items of a batch that was taken were refused all the
-// same. A reply that can't be read refuses none.
-func (s *sender) refusedOf(body []byte, items int) uint64 {
+// rejectedItems returns how many items of an accepted batch the collector rejected, by its reply. A malformed reply
+// counts as none.
+func (s *sender) rejectedItems(body []byte, items int) uint64 {
 	r := s.reply()
 	if proto.Unmarshal(body, r) != nil {
 		return 0
@@ -177,7 +190,8 @@
 	return uint64(min(max(r.rejected(), 0), int64(items)))
 }
 
-func (s *sender) post(ctx context.Context, body []byte) (status int, h http.Header, reply []byte, err error) {
+// sendHTTP makes one delivery over HTTP and returns the reply's status, headers and body.
+func (s *sender) sendHTTP(ctx context.Context, body []byte) (status int, h http.Header, reply []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, err
@@ -192,9 +206,9 @@
 		return 0, nil, nil, err
 	}
 	defer resp.Body.Close()
-	reply, err = io.ReadAll(io.LimitReader(resp.Body, mostReply+1))
-	if len(reply) > mostReply {
-		return resp.StatusCode, resp.Header, nil, nil // its status stands; the rest of it is nobody's matter
+	reply, err = io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
+	if len(reply) > maxReplyBytes {
+		return resp.StatusCode, resp.Header, nil, nil // the status is valid, the oversized body is ignored
 	}
 	if err != nil && resp.StatusCode < 300 {
 		return 0, resp.Header, nil, fmt.Errorf("reply: %w", err)
--- a/internal/telemetry/encode.go
+++ b/internal/telemetry/encode.go
@@ -16,10 +16,10 @@
 	"elderyard/traces"
 )
 
-// scopeName is what all signals are said to come from.
+// scopeName is the instrumentation scope of all signals.
 const scopeName = "elderyard"
 
-// Bits of a span's flags beside W3C's: whether its parent is another process's.
+// Bits of a span's flags: W3C's sampled bit, and OTLP's bits for whether the parent is in another process.
 const (
 	flagSampled   = 0x1
 	flagHasRemote = 0x100
@@ -37,7 +37,7 @@
 	case float64:
 		return &common.AnyValue{Value: &common.AnyValue_DoubleValue{DoubleValue: v}}
 	}
-	panic(fmt.Sprintf("attribute of type %T", v)) // no attribute of ours has another
+	panic(fmt.Sprintf("attribute of type %T", v)) // this program sets no others
 }
 
 func attributes(list []traces.Attr) (out []*common.KeyValue) {
@@ -47,23 +47,23 @@
 	return out
 }
 
-// encoder makes messages that name their process.
+// encoder encodes the messages of one process.
 type encoder struct {
 	resource *resource.Resource
 	scope    *common.InstrumentationScope
-	text     []byte       // of the last message
-	zip      *gzip.Writer // its tables are large, and used again
+	text     []byte       // buffer of the last message, reused
+	zip      *gzip.Writer // reused, as its tables are large
 }
 
 func newEncoder(attrs []traces.Attr) *encoder {
 	z, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
 	if err != nil {
-		panic(err) // the level is one
+		panic(err) // the level is valid
 	}
 	return &encoder{resource: &resource.Resource{Attributes: attributes(attrs)}, scope: &common.InstrumentationScope{Name: scopeName}, zip: z}
 }
 
-// spans packs spans into one message.
+// spans encodes spans as one message.
 func (e *encoder) spans(list []traces.Span) (batch, error) {
 	made := &trace.ScopeSpans{Scope: e.scope}
 	for i := range list {
@@ -88,7 +88,7 @@
 	return e.pack(&coltrace.ExportTraceServiceRequest{ResourceSpans: []*trace.ResourceSpans{{Resource: e.resource, ScopeSpans: []*trace.ScopeSpans{made}}}}, len(list))
 }
 
-// metrics packs points into one message.
+// metrics encodes metrics as one message.
 func (e *encoder) metrics(list []*metrics.Metric) (batch, error) {
 	points := 0
 	for _, m := range list {
@@ -98,20 +98,21 @@
 		ScopeMetrics: []*metrics.ScopeMetrics{{Scope: e.scope, Metrics: list}}}}}, points)
 }
 
+// pack marshals and compresses a message of so many items.
 func (e *encoder) pack(m proto.Message, items int) (b batch, err error) {
 	if e.text, err = (proto.MarshalOptions{}).MarshalAppend(e.text[:0], m); err != nil {
 		return batch{}, fmt.Errorf("telemetry: %w", err)
 	}
 	var packed bytes.Buffer
 	e.zip.Reset(&packed)
-	e.zip.Write(e.text) // into memory: it can't fail
+	e.zip.Write(e.text) // writing to memory can't fail
 	if err := e.zip.Close(); err != nil {
 		return batch{}, fmt.Errorf("telemetry: %w", err)
 	}
 	return batch{packed.Bytes(), items}, nil
 }
 
-// What the collector may say of a message that it took.
+// The collector's replies to accepted messages.
 type (
 	traceReply struct {
 		coltrace.ExportTraceServiceResponse
--- a/internal/telemetry/grpc.go
+++ b/internal/telemetry/grpc.go
@@ -17,44 +17,44 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// OTLP over gRPC is one unary call a message. It needs no more than HTTP/2, which the
-// standard library has; the gRPC library would weigh more than the rest of the exporter.
+// OTLP over gRPC makes one unary call per message. The HTTP/2 client of the standard library suffices for that; the
+// gRPC library would be larger than the rest of the exporter.
 // https://github.com/grpc/grpc/blob/master/doc/PROTOCOL-HTTP2.md
 
 const (
-	tracesCall  = "/opentelemetry.proto.collector.trace.v1.TraceService/Export"
-	metricsCall = "/opentelemetry.proto.collector.metrics.v1.MetricsService/Export"
-	frameHead   = 5 // bytes: whether it is packed, and its length
+	tracesCall     = "/opentelemetry.proto.collector.trace.v1.TraceService/Export"
+	metricsCall    = "/opentelemetry.proto.collector.metrics.v1.MetricsService/Export"
+	frameHeaderLen = 5 // bytes: the compression flag and the length
 )
 
-// Statuses of gRPC that OTLP's specification lets a client try again after.
-var grpcAgain = map[int]bool{1: true, 4: true, 10: true, 11: true, 14: true, 15: true}
+// retryableGRPCStatus holds the gRPC statuses after which OTLP's specification allows a retry.
+var retryableGRPCStatus = map[int]bool{1: true, 4: true, 10: true, 11: true, 14: true, 15: true}
 
 const (
-	grpcOK        = 0
-	grpcExhausted = 8 // again, if the answer says when
+	grpcOK                = 0
+	grpcResourceExhausted = 8 // retryable only with a RetryInfo
 )
 
-// judgeCall tells what the status of a call means, and how long to stay away.
-func judgeCall(status int, details string) (verdict, time.Duration) {
-	delay, told := retryInfo(details)
+// classifyGRPCStatus returns what the status of a call means, and the pause that the server asks for.
+func classifyGRPCStatus(status int, details string) (deliveryResult, time.Duration) {
+	delay, ok := retryInfo(details)
 	switch {
 	case status == grpcOK:
 		return delivered, 0
-	case grpcAgain[status], status == grpcExhausted && told:
-		return again, min(delay, mostAdvice)
+	case retryableGRPCStatus[status], status == grpcResourceExhausted && ok:
+		return retryable, min(delay, maxRetryAfter)
 	}
-	return final, 0
+	return permanentFailure, 0
 }
 
-// call makes one sending over gRPC.
-func (s *sender) call(ctx context.Context, packed []byte) (v verdict, advised time.Duration, reply []byte) {
-	frame := make([]byte, frameHead, frameHead+len(packed))
+// sendGRPC makes one delivery over gRPC.
+func (s *sender) sendGRPC(ctx context.Context, packed []byte) (v deliveryResult, advised time.Duration, reply []byte) {
+	frame := make([]byte, frameHeaderLen, frameHeaderLen+len(packed))
 	frame[0] = 1
 	binary.BigEndian.PutUint32(frame[1:], uint32(len(packed)))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(append(frame, packed...)))
 	if err != nil {
-		return final, 0, nil
+		return permanentFailure, 0, nil
 	}
 	for k, v := range s.headers {
 		req.Header.Set(k, v)
@@ -65,68 +65,67 @@
 	}
 	resp, err := s.client.Do(req)
 	if err != nil {
-		return again, 0, nil
+		return retryable, 0, nil
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return judge(resp.StatusCode, nil), advice(resp.Header, time.Now()), nil
+		return classifyHTTPStatus(resp.StatusCode, nil), retryAfter(resp.Header, time.Now()), nil
 	}
 	reply, err = readFrame(resp.Body, resp.Header.Get("Grpc-Encoding"))
 	if err != nil {
-		return again, 0, nil
+		return retryable, 0, nil
 	}
 	from := resp.Trailer
 	if resp.Header.Get("Grpc-Status") != "" {
-		from = resp.Header // an answer of headers alone
+		from = resp.Header // a trailers-only response
 	}
 	status, err := strconv.Atoi(from.Get("Grpc-Status"))
 	if err != nil {
-		return again, 0, nil // it ended before its status
+		return retryable, 0, nil // the response ended before its status
 	}
-	v, advised = judgeCall(status, from.Get("Grpc-Status-Details-Bin"))
+	v, advised = classifyGRPCStatus(status, from.Get("Grpc-Status-Details-Bin"))
 	return v, advised, reply
 }
 
-var errFrame = errors.New("a frame that can't be read")
+var errMalformedFrame = errors.New("a frame that can't be read")
 
-// readFrame reads the one message of an answer, or nothing where there is none, to
-// the end of the answer, behind which its status comes. Servers pack their answers as the call
-// was, whatever it said that it takes.
+// readFrame reads a response to its end, after which its trailers are available, and returns its one message, nil
+// if there is none. Servers compress responses like the request, whatever it accepts.
 func readFrame(r io.Reader, encoding string) ([]byte, error) {
-	text, err := short(r)
+	text, err := readBounded(r)
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("%w: %w", errFrame, err)
+		return nil, fmt.Errorf("%w: %w", errMalformedFrame, err)
 	case len(text) == 0:
 		return nil, nil
-	case len(text) < frameHead || int(binary.BigEndian.Uint32(text[1:])) != len(text)-frameHead:
-		return nil, errFrame
+	case len(text) < frameHeaderLen || int(binary.BigEndian.Uint32(text[1:])) != len(text)-frameHeaderLen:
+		return nil, errMalformedFrame
 	case text[0] == 0:
-		return text[frameHead:], nil
+		return text[frameHeaderLen:], nil
 	case text[0] != 1 || encoding != "gzip":
-		return nil, errFrame
+		return nil, errMalformedFrame
 	}
-	z, err := gzip.NewReader(bytes.NewReader(text[frameHead:]))
+	z, err := gzip.NewReader(bytes.NewReader(text[frameHeaderLen:]))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errFrame, err)
+		return nil, fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	defer z.Close()
-	if text, err = short(z); err != nil {
-		return nil, fmt.Errorf("%w: %w", errFrame, err)
+	if text, err = readBounded(z); err != nil {
+		return nil, fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	return text, nil
 }
 
-// short reads to the end, of what is no longer than a reply may be.
-func short(r io.Reader) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(r, mostReply+1))
-	if err == nil && len(text) > mostReply {
+// readBounded reads to the end; more than maxReplyBytes is an error.
+func readBounded(r io.Reader) ([]byte, error) {
+	text, err := io.ReadAll(io.LimitReader(r, maxReplyBytes+1))
+	if err == nil && len(text) > maxReplyBytes {
 		err = errors.New("it is too long")
 	}
 	return text, err
 }
 
-// retryInfo reads the pause from the details of a status: a google.rpc.Status whose
+// retryInfo extracts the pause from the details of a status: a google.rpc.Status whose
 // details (field 3) hold an Any (type 1, value 2) of google.rpc.RetryInfo (a Duration in field 1).
 func retryInfo(details string) (time.Duration, bool) {
 	text, err := base64.RawStdEncoding.DecodeString(strings.TrimRight(details, "="))
@@ -141,8 +140,8 @@
 		for _, info := range fields(any, 2) {
 			for _, d := range fields(info, 1) {
 				seconds, nanos := number(d, 1), number(d, 2)
-				if seconds > uint64(mostAdvice/time.Second) {
-					return mostAdvice, true
+				if seconds > uint64(maxRetryAfter/time.Second) {
+					return maxRetryAfter, true
 				}
 				return time.Duration(seconds)*time.Second + time.Duration(min(nanos, 999_999_999)), true
 			}
@@ -151,7 +150,7 @@
 	return 0, false
 }
 
-// fields are the values of a field of bytes, of what can be read.
+// fields returns the values of a bytes field, up to the first malformed field.
 func fields(text []byte, want protowire.Number) (list [][]byte) {
 	for len(text) > 0 {
 		n, kind, size := protowire.ConsumeTag(text)
@@ -171,7 +170,7 @@
 	return list
 }
 
-// number is a field's whole number, 0 where it has none.
+// number returns the value of a varint field, 0 if it is absent.
 func number(text []byte, want protowire.Number) uint64 {
 	for len(text) > 0 {
 		n, kind, size := protowire.ConsumeTag(text)
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -12,8 +12,8 @@
 	"elderyard/traces"
 )
 
-// Metric describes one metric; `elderctl site metrics` and the operators' page are made
-// from this list.
+// Metric describes one metric. `elderctl site metrics` and the operators' page are generated from these
+// descriptions.
 type Metric struct{ Name, Unit, Kind, Attributes, About string }
 
 // The kinds of metric.
@@ -23,8 +23,7 @@
 	kindHistogram = "exponential histogram"
 )
 
-// Metrics are all that a gateway exports. Sums grow from the process's start and
-// are cumulative.
+// Metrics lists the metrics that a gateway exports. Sums are cumulative from the start of the process.
 func Metrics() []Metric {
 	return []Metric{
 		{"elderyard.requests", "{request}", kindSum, "elderyard.class, elderyard.plan, elderyard.first", "tries that were taken in; first: their clients did not mark them as another try"},
@@ -47,30 +46,30 @@
 	}
 }
 
-// counts is a moment of all that is exported.
-type counts struct {
-	tally   *traces.Tally
-	teller  *traces.Teller
-	figures Figures
-	missed  [traces.EventKinds]uint64
-	traces  *sender
-	points  *sender
+// exportState is the state from which metrics are made.
+type exportState struct {
+	tally       *traces.Tally
+	recorder    *traces.Recorder
+	figures     Figures
+	missed      [traces.EventKindCount]uint64
+	spanSender  *sender
+	pointSender *sender
 }
 
-// Figures are what the module's owner tells of a moment.
+// Figures are gauges and counters that the owner of the rules module reports.
 type Figures struct {
 	rules.Figures
-	Calls [traces.Outcomes]uint64 // to the counter, by outcome
+	Calls [traces.OutcomeCount]uint64 // calls to the counter, by outcome
 }
 
-// gather makes the points of a moment. Sums have grown since start.
-type gather struct {
+// metricBuilder collects the points of one export. Start and now are OTLP times.
+type metricBuilder struct {
 	start, now uint64
 	list       []*metrics.Metric
 	at         map[string]*metrics.Metric
 }
 
-func (g *gather) metric(name string) *metrics.Metric {
+func (g *metricBuilder) metric(name string) *metrics.Metric {
 	if m := g.at[name]; m != nil {
 		return m
 	}
@@ -92,22 +91,22 @@
 		g.at[name] = m
 		return m
 	}
-	panic("metric " + name + " is not on the list") // a test makes every metric
+	panic("metric " + name + " is not on the list") // a test exports every metric
 }
 
-func (g *gather) sum(name string, n uint64, attrs ...traces.Attr) {
+func (g *metricBuilder) sum(name string, n uint64, attrs ...traces.Attr) {
 	s := g.metric(name).GetSum()
 	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: g.start, TimeUnixNano: g.now,
 		Value: &metrics.NumberDataPoint_AsInt{AsInt: int64(n)}})
 }
 
-func (g *gather) gauge(name string, x float64, attrs ...traces.Attr) {
+func (g *metricBuilder) gauge(name string, x float64, attrs ...traces.Attr) {
 	s := g.metric(name).GetGauge()
 	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), TimeUnixNano: g.now,
 		Value: &metrics.NumberDataPoint_AsDouble{AsDouble: x}})
 }
 
-func (g *gather) histogram(name string, h *traces.Histogram, attrs ...traces.Attr) {
+func (g *metricBuilder) histogram(name string, h *traces.Histogram, attrs ...traces.Attr) {
 	p := &metrics.ExponentialHistogramDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: g.start, TimeUnixNano: g.now, Count: h.Count,
 		Scale: int32(h.Scale), ZeroCount: h.Zero, Positive: &metrics.ExponentialHistogramDataPoint_Buckets{Offset: int32(h.Offset),
 			BucketCounts: append([]uint64(nil), h.Buckets...)}}
@@ -125,17 +124,17 @@
 
 func attr(key string, v any) traces.Attr { return traces.Attr{Key: key, Value: v} }
 
-// points makes the metrics of a moment. Start and now are seconds.
-func (c *counts) metrics(set *traces.Settings, start, now float64) []*metrics.Metric {
-	g := &gather{start: traces.Nanos(start), now: traces.Nanos(max(now, start)), at: map[string]*metrics.Metric{}}
+// metrics returns the current metrics. Start and now are in seconds.
+func (c *exportState) metrics(set *traces.Settings, start, now float64) []*metrics.Metric {
+	g := &metricBuilder{start: traces.Nanos(start), now: traces.Nanos(max(now, start)), at: map[string]*metrics.Metric{}}
 	t := c.tally
 	for class, name := range set.Classes {
 		of := attr("elderyard.class", name)
 		for plan, bought := range set.Plans {
-			at := t.At(class, plan)
+			at := t.Index(class, plan)
 			by := attr("elderyard.plan", bought)
-			g.sum("elderyard.requests", t.First[at], of, by, attr("elderyard.first", true))
-			g.sum("elderyard.requests", t.Tries[at]-t.First[at], of, by, attr("elderyard.first", false))
+			g.sum("elderyard.requests", t.FirstTries[at], of, by, attr("elderyard.first", true))
+			g.sum("elderyard.requests", t.Requests[at]-t.FirstTries[at], of, by, attr("elderyard.first", false))
 			g.sum("elderyard.requests.in_time", t.InTime[at], of, by)
 		}
 		for end, n := range t.Ends[class] {
@@ -164,12 +163,12 @@
 	}
 	g.gauge("elderyard.accounts", float64(f.Customers))
 	g.gauge("elderyard.units.leased", f.Leased)
-	g.sum("elderyard.stories", uint64(c.teller.Kept), attr("elderyard.kept", true))
-	g.sum("elderyard.stories", uint64(c.teller.Left), attr("elderyard.kept", false))
+	g.sum("elderyard.stories", uint64(c.recorder.Kept), attr("elderyard.kept", true))
+	g.sum("elderyard.stories", uint64(c.recorder.Discarded), attr("elderyard.kept", false))
 	for _, s := range []struct {
 		name string
 		s    *sender
-	}{{"traces", c.traces}, {"metrics", c.points}} {
+	}{{"traces", c.spanSender}, {"metrics", c.pointSender}} {
 		bytes, dropped := s.s.queue.state()
 		signal := attr("elderyard.signal", s.name)
 		g.sum("elderyard.telemetry.items", s.s.sent.Load(), signal, attr("elderyard.state", "sent"))
@@ -183,7 +182,7 @@
 	return g.list
 }
 
-// callOutcome names what became of a call to the counter, which has fewer ends than an attempt.
+// callOutcome returns the exported name of the outcome of a call to the counter.
 func callOutcome(o rules.Outcome) string {
 	switch o {
 	case rules.Served:
@@ -194,7 +193,7 @@
 	return traces.OutcomeName(o)
 }
 
-// Page is the list of metrics as the operators' page has it.
+// Page returns the list of metrics as it stands on the operators' page.
 func Page() string {
 	var b strings.Builder
 	b.WriteString("| metric | unit | kind | attributes | what it is |\n| --- | --- | --- | --- | --- |\n")
--- a/internal/telemetry/peer_test.go
+++ b/internal/telemetry/peer_test.go
@@ -49,12 +49,12 @@
 	for i := range 10 {
 		request(x, i)
 	}
-	s := x.counts.traces
+	s := x.state.spanSender
 	until(t, "it is taken", func() bool { return s.sent.Load()+s.rejected.Load() == 20 })
 	x.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if uint64(p.spans) != s.sent.Load() || s.rejected.Load() == 0 || s.failures.Load() != 1 {
-		t.Errorf("%d spans were taken, %d told; %d refused, %d calls failed", p.spans, s.sent.Load(), s.rejected.Load(), s.failures.Load())
+		t.Errorf("%d spans were taken, %d sent; %d refused, %d calls failed", p.spans, s.sent.Load(), s.rejected.Load(), s.failures.Load())
 	}
 }
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// batch is one message that is ready to leave.
+// batch is one encoded message.
 type batch struct {
-	body  []byte // protobuf, packed
-	items int    // spans, or points of metrics
+	body  []byte // compressed protobuf
+	items int    // spans or metric points
 }
 
-// queue holds batches that wait for the collector, within a bound in bytes. At the
-// bound the oldest go, and are counted.
+// queue holds batches that wait for delivery, up to a limit in bytes. When it is full, the oldest are dropped and
+// counted.
 type queue struct {
-	most int
-	wake chan struct{} // has room for one: something has come
+	maxBytes int
+	wake     chan struct{} // buffered by one: a batch was added
 
 	mu      sync.Mutex
 	list    []batch
@@ -20,9 +20,9 @@
 	dropped uint64 // items
 }
 
-func newQueue(most int) *queue { return &queue{most: most, wake: make(chan struct{}, 1)} }
+func newQueue(most int) *queue { return &queue{maxBytes: most, wake: make(chan struct{}, 1)} }
 
-// add takes a batch in at the end.
+// add appends a batch.
 func (q *queue) add(b batch) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -35,8 +35,8 @@
 	}
 }
 
-// putBack takes in again, as the oldest, what could not be sent.
-func (q *queue) putBack(b batch) {
+// requeue puts a batch that could not be delivered back as the oldest.
+func (q *queue) requeue(b batch) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.list = append([]batch{b}, q.list...)
@@ -44,8 +44,9 @@
 	q.trim()
 }
 
+// trim drops the oldest batches until the limit is met.
 func (q *queue) trim() {
-	for len(q.list) > 0 && q.bytes > q.most {
+	for len(q.list) > 0 && q.bytes > q.maxBytes {
 		q.bytes -= len(q.list[0].body)
 		q.dropped += uint64(q.list[0].items)
 		q.list[0] = batch{}
@@ -53,7 +54,7 @@
 	}
 }
 
-// take takes the oldest off.
+// take removes and returns the oldest batch.
 func (q *queue) take() (b batch, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,21 +68,21 @@
 	return b, true
 }
 
-// lose counts items that will not leave.
-func (q *queue) lose(items int) {
+// countDropped counts items that will not be delivered.
+func (q *queue) countDropped(items int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.dropped += uint64(items)
 }
 
-// state is how much waits, and how many items were dropped so far.
+// state returns the bytes that are queued and the number of items dropped so far.
 func (q *queue) state() (bytes int, dropped uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.bytes, q.dropped
 }
 
-// clear drops all that waits.
+// clear drops all batches.
 func (q *queue) clear() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/telemetry/settings.go
+++ b/internal/telemetry/settings.go
@@ -11,31 +11,31 @@
 	"elderyard/traces"
 )
 
-// The bounds of what the environment may say; the file's are site's.
+// Limits of values from the environment; package site checks those of the operators' file.
 const (
-	leastInterval = 100 * time.Millisecond
-	mostInterval  = time.Hour
+	minInterval = 100 * time.Millisecond
+	maxInterval = time.Hour
 )
 
-// FromSite reads the operator's settings, and where these say nothing the standard
-// variables of OpenTelemetry. It returns nil where nothing is to be exported. Name is the process's.
+// FromSite returns the settings of the operators' file, completed from OpenTelemetry's standard environment
+// variables. It returns nil if nothing is to be exported. Name identifies the process.
 func FromSite(s site.Telemetry, env func(string) string, name string) (*Settings, error) {
 	if env("OTEL_SDK_DISABLED") == "true" && s.Endpoint == "" {
 		return nil, nil
 	}
 	set := &Settings{Endpoint: s.Endpoint, GRPC: s.Protocol == "grpc", Headers: map[string]string{}, Traces: s.Traces, Metrics: s.Metrics, Interval: time.Duration(s.Interval),
 		Timeout: time.Duration(s.Timeout), Flush: time.Duration(s.Flush), QueueBytes: s.QueueKB << 10,
-		Stories: traces.Settings{Share: s.Share, Keep: traces.Keep{}}}
+		Tracing: traces.Settings{SampleRatio: s.Share, Keep: traces.Keep{}}}
 	for _, k := range s.Keep {
 		switch k {
 		case "failed":
-			set.Stories.Keep.Failed = true
+			set.Tracing.Keep.Failed = true
 		case "refused":
-			set.Stories.Keep.Refused = true
+			set.Tracing.Keep.Refused = true
 		case "late":
-			set.Stories.Keep.Late = true
+			set.Tracing.Keep.Late = true
 		case "repeated":
-			set.Stories.Keep.Repeated = true
+			set.Tracing.Keep.Repeated = true
 		}
 	}
 	if set.Endpoint == "" {
@@ -80,7 +80,7 @@
 	return set, nil
 }
 
-// fromEnv takes what stands beside the endpoint in the environment.
+// fromEnv applies the environment variables that go with the endpoint.
 func (set *Settings) fromEnv(env func(string) string) error {
 	headers, err := pairs(env("OTEL_EXPORTER_OTLP_HEADERS"))
 	if err != nil {
@@ -96,30 +96,30 @@
 		}
 		ms, err := strconv.ParseInt(text, 10, 64)
 		d := time.Duration(ms) * time.Millisecond
-		if err != nil || ms > mostInterval.Milliseconds() || d < leastInterval {
-			return fmt.Errorf("%s: %q is not a number of milliseconds from %d to %d", name, text, leastInterval.Milliseconds(), mostInterval.Milliseconds())
+		if err != nil || ms > maxInterval.Milliseconds() || d < minInterval {
+			return fmt.Errorf("%s: %q is not a number of milliseconds from %d to %d", name, text, minInterval.Milliseconds(), maxInterval.Milliseconds())
 		}
 		*to = d
 	}
 	switch sampler := env("OTEL_TRACES_SAMPLER"); sampler {
 	case "":
 	case "always_on", "parentbased_always_on":
-		set.Stories.Share = 1
+		set.Tracing.SampleRatio = 1
 	case "always_off", "parentbased_always_off":
-		set.Stories.Share = 0
+		set.Tracing.SampleRatio = 0
 	case "traceidratio", "parentbased_traceidratio":
 		share, err := strconv.ParseFloat(env("OTEL_TRACES_SAMPLER_ARG"), 64)
 		if err != nil || !(share >= 0 && share <= 1) {
 			return fmt.Errorf("OTEL_TRACES_SAMPLER_ARG: %q is not a share from 0 to 1", env("OTEL_TRACES_SAMPLER_ARG"))
 		}
-		set.Stories.Share = share
+		set.Tracing.SampleRatio = share
 	default:
 		return fmt.Errorf("OTEL_TRACES_SAMPLER: %q is not known", sampler)
 	}
 	return nil
 }
 
-// pairs reads a list such as a=1,b=2, its values as in a URL.
+// pairs parses a list such as a=1,b=2 with URL-encoded values.
 func pairs(text string) (list [][2]string, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		part = strings.TrimSpace(part)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package telemetry carries what package stories makes of requests to a collector, by
-// OTLP over HTTP, and never holds a request up: events are handed over without waiting, all that waits is
-// bounded in bytes, and what finds no room is counted.
+// Package telemetry exports the traces and metrics that package traces makes of requests to a collector, by OTLP
+// over HTTP or gRPC. It never delays a request: events are recorded without blocking, queues are bounded in bytes,
+// and what does not fit is dropped and counted.
 package telemetry
 
 import (
@@ -15,99 +15,116 @@
 )
 
 const (
-	mostEvents    = 1 << 13 // that wait to be taken
-	mostSpans     = 64      // of one message: writing one takes the core from requests for so long
-	takeEvery     = 50 * time.Millisecond
-	spansEvery    = time.Second
-	figuresWithin = 200 * time.Millisecond
-	complainGap   = time.Minute // between lines about a collector that stays away
-	tracesPath    = "/v1/traces"
-	metricsPath   = "/v1/metrics"
+	maxEvents          = 1 << 13 // that may wait to be handled
+	maxSpansPerMessage = 64      // larger messages would keep a core from requests for longer
+	eventInterval      = 50 * time.Millisecond
+	spanInterval       = time.Second
+	figuresTimeout     = 200 * time.Millisecond
+	warningInterval    = time.Minute // between log lines about an unreachable collector
+	tracesPath         = "/v1/traces"
+	metricsPath        = "/v1/metrics"
 )
 
-// Settings say what is exported, and where to.
+// Settings say what is exported, and to which collector.
 type Settings struct {
-	Endpoint   string            // URL; the paths of the signals come behind it
-	GRPC       bool              // over gRPC, with the methods of the signals behind the URL
+	Endpoint   string            // URL, to which the paths of the signals are appended
+	GRPC       bool              // OTLP over gRPC instead of HTTP
 	Headers    map[string]string // of each call
-	Resource   []traces.Attr     // who exports
+	Resource   []traces.Attr     // attributes of this process
 	Traces     bool
 	Metrics    bool
-	Interval   time.Duration // between metrics
+	Interval   time.Duration // between exports of metrics
 	Timeout    time.Duration // of a call
-	Flush      time.Duration // for what is left at the end
-	QueueBytes int           // that may wait, of each signal
-	Stories    traces.Settings
+	Flush      time.Duration // how long Close may take to deliver what is queued
+	QueueBytes int           // limit of each signal's queue
+	Tracing    traces.Settings
 }
 
 // Telemetry is the exporter of one process.
 type Telemetry struct {
-	set     Settings
-	now     func() float64
-	ask     func(context.Context) (Figures, error)
-	log     *slog.Logger
-	start   float64
-	events  events
-	missed  [traces.EventKinds]atomic.Uint64
-	encoder *encoder
-	counts  counts
-	empty   []traces.Event // the list that is to be swapped in
-	spans   []traces.Span
-	senders []*sender
-	stop    context.CancelFunc
-	ended   chan struct{}
-	told    time.Time // when the log last heard of a collector that is away
-	failed  uint64    // sendings that had failed then
+	settings       Settings
+	now            func() float64
+	readFigures    func(context.Context) (Figures, error)
+	log            *slog.Logger
+	start          float64
+	events         eventBuffer
+	missed         [traces.EventKindCount]atomic.Uint64
+	encoder        *encoder
+	state          exportState
+	spare          []traces.Event // the list that is swapped in next
+	spans          []traces.Span
+	senders        []*sender
+	stop           context.CancelFunc
+	ended          chan struct{}
+	lastWarning    time.Time // when warnUndelivered last logged
+	warnedFailures uint64    // failed deliveries at that time
 }
 
-// Start begins to export. Now is the clock of the events, in seconds; ask tells the
-// owner's figures, and must end with its context. Close must be called.
-func Start(set Settings, now func() float64, ask func(context.Context) (Figures, error), log *slog.Logger) *Telemetry {
-	t, client := prepare(set, now, ask, log)
+// Start starts the exporter. Now is the clock of the events, in seconds; readFigures returns the owner's figures
+// and must respect its context. The caller must call Close.
+func Start(set Settings, now func() float64, readFigures func(context.Context) (Figures, error), log *slog.Logger) *Telemetry {
+	t, client := newTelemetry(set, now, readFigures, log)
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
 	go t.run(ctx, client)
 	return t
 }
 
-// prepare makes an exporter whose goroutine is not started.
-func prepare(set Settings, now func() float64, ask func(context.Context) (Figures, error), log *slog.Logger) (*Telemetry, *http.Client) {
-	t := &Telemetry{set: set, now: now, ask: ask, log: log, start: now(), events: newEvents(mostEvents),
-		empty: make([]traces.Event, 0, mostEvents), encoder: newEncoder(set.Resource), ended: make(chan struct{})}
-	transport := &http.Transport{MaxConnsPerHost: 2, DisableCompression: true, IdleConnTimeout: time.Minute}
+// newTelemetry makes an exporter whose goroutine is not started.
+func newTelemetry(set Settings, now func() float64, readFigures func(context.Context) (Figures, error), log *slog.Logger) (*Telemetry, *http.Client) {
+	t := &Telemetry{
+		settings:    set,
+		now:         now,
+		readFigures: readFigures,
+		log:         log,
+		start:       now(),
+		events:      newEventBuffer(maxEvents),
+		spare:       make([]traces.Event, 0, maxEvents),
+		encoder:     newEncoder(set.Resource),
+		ended:       make(chan struct{}),
+	}
+	client := newClient(set.GRPC)
 	tracesTarget, metricsTarget := tracesPath, metricsPath
 	if set.GRPC {
 		tracesTarget, metricsTarget = tracesCall, metricsCall
+	}
+	t.state = exportState{
+		tally:       traces.NewTally(set.Tracing),
+		recorder:    traces.NewRecorder(set.Tracing, uint64(time.Now().UnixNano())),
+		spanSender:  newSender(&set, tracesTarget, client, func() exportReply { return &traceReply{} }),
+		pointSender: newSender(&set, metricsTarget, client, func() exportReply { return &metricsReply{} }),
+	}
+	t.senders = []*sender{t.state.spanSender, t.state.pointSender}
+	return t, client
+}
+
+// newClient returns the client for both signals. It follows no redirects.
+func newClient(grpc bool) *http.Client {
+	transport := &http.Transport{MaxConnsPerHost: 2, DisableCompression: true, IdleConnTimeout: time.Minute}
+	if grpc {
 		transport.Protocols = new(http.Protocols) // HTTP/2 alone, also without TLS
 		transport.Protocols.SetHTTP2(true)
 		transport.Protocols.SetUnencryptedHTTP2(true)
 	}
-	client := &http.Client{Transport: transport,
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	make := func(path string, reply func() partial) *sender {
-		return &sender{url: set.Endpoint + path, headers: set.Headers, client: client, grpc: set.GRPC, timeout: set.Timeout, queue: newQueue(set.QueueBytes), reply: reply}
-	}
-	t.counts = counts{tally: traces.NewTally(set.Stories), teller: traces.NewTeller(set.Stories, uint64(time.Now().UnixNano())),
-		traces: make(tracesTarget, func() partial { return &traceReply{} }), points: make(metricsTarget, func() partial { return &metricsReply{} })}
-	t.senders = []*sender{t.counts.traces, t.counts.points}
-	return t, client
+	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &http.Client{Transport: transport, CheckRedirect: noRedirects}
 }
 
-// events are those that were told and not taken. They are taken many at a time: to
-// wake a goroutine for each would cost a request more than all that is told of it.
-type events struct {
-	wake chan struct{} // has room for one: half of the room is taken
+// eventBuffer holds recorded events that have not been handled. They are handled in batches: waking a goroutine
+// for each would cost a request more than the rest of its telemetry.
+type eventBuffer struct {
+	wake chan struct{} // buffered by one: the buffer is half full
 
-	mu   sync.Mutex // held to add one, or to swap the lists
+	mu   sync.Mutex // held only to add an event or swap the lists
 	list []traces.Event
 }
 
-func newEvents(most int) events {
-	return events{wake: make(chan struct{}, 1), list: make([]traces.Event, 0, most)}
+func newEventBuffer(most int) eventBuffer {
+	return eventBuffer{wake: make(chan struct{}, 1), list: make([]traces.Event, 0, most)}
 }
 
-// add takes an event, unless there is no room.
-func (q *events) add(e traces.Event) bool {
+// add appends an event and reports whether there was room.
+func (q *eventBuffer) add(e traces.Event) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.list) == cap(q.list) {
@@ -122,8 +139,8 @@
 	return true
 }
 
-// swap returns what has come, for an empty list of the same room.
-func (q *events) swap(empty []traces.Event) []traces.Event {
+// swap returns the waiting events and replaces them with an empty list of the same capacity.
+func (q *eventBuffer) swap(empty []traces.Event) []traces.Event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	full := q.list
@@ -131,21 +148,21 @@
 	return full
 }
 
-// Tell hands an event over. It never waits: one that finds no room is counted.
-func (t *Telemetry) Tell(e traces.Event) {
+// Record hands over an event. It never blocks: an event that does not fit is dropped and counted.
+func (t *Telemetry) Record(e traces.Event) {
 	if !t.events.add(e) {
 		t.missed[e.Kind].Add(1)
 	}
 }
 
-// Close takes what was told before, sends what it can within the flush time, and
-// ends. Nobody may Tell any more.
+// Close handles the events recorded so far, delivers what it can within Settings.Flush, and stops the exporter.
+// Record must not be called afterwards.
 func (t *Telemetry) Close() {
 	t.stop()
 	<-t.ended
 }
 
-// run is the exporter's goroutine, and owns all that it counts.
+// run is the exporter's goroutine, which owns all of its state but the event buffer and the queues.
 func (t *Telemetry) run(ctx context.Context, client *http.Client) {
 	defer close(t.ended)
 	defer client.CloseIdleConnections()
@@ -155,110 +172,121 @@
 	for _, s := range t.senders {
 		sending.Go(func() { s.run(sendCtx) })
 	}
-	spans := time.NewTicker(spansEvery)
+	t.export(ctx)
+	t.handleEvents()
+	t.exportSpans()
+	t.exportMetrics(ctx)
+	stopSending() // a delivery in progress is requeued and flushed with the rest
+	sending.Wait()
+	t.drain()
+	if _, lost := t.state.spanSender.queue.state(); lost > 0 {
+		t.log.Warn("spans were dropped for want of room or of a collector", "spans", lost)
+	}
+}
+
+// export handles events and queues spans and metrics until ctx ends.
+func (t *Telemetry) export(ctx context.Context) {
+	spans := time.NewTicker(spanInterval)
 	defer spans.Stop()
-	points := time.NewTicker(t.set.Interval)
+	points := time.NewTicker(t.settings.Interval)
 	defer points.Stop()
-	look := time.NewTicker(takeEvery)
+	look := time.NewTicker(eventInterval)
 	defer look.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-look.C:
-			t.takeAll()
+			t.handleEvents()
 		case <-t.events.wake:
-			t.takeAll()
+			t.handleEvents()
 		case <-spans.C:
-			t.flushSpans()
-			t.complain()
+			t.exportSpans()
+			t.warnUndelivered()
 		case <-points.C:
-			t.flushPoints(ctx)
+			t.exportMetrics(ctx)
 		}
 	}
-	t.takeAll()
-	t.flushSpans()
-	t.flushPoints(ctx)
-	stopSending() // what is out is put back, and goes with the rest
-	sending.Wait()
-	last, cancel := context.WithTimeout(context.Background(), t.set.Flush)
+}
+
+// drain delivers what is queued, within the flush time.
+func (t *Telemetry) drain() {
+	ctx, cancel := context.WithTimeout(context.Background(), t.settings.Flush)
 	defer cancel()
+	var sending sync.WaitGroup
 	for _, s := range t.senders {
-		sending.Go(func() { s.drain(last) })
+		sending.Go(func() { s.drain(ctx) })
 	}
 	sending.Wait()
-	if _, lost := t.counts.traces.queue.state(); lost > 0 {
-		t.log.Warn("spans were dropped for want of room or of a collector", "spans", lost)
-	}
 }
 
-// takeAll takes what has been told.
-func (t *Telemetry) takeAll() {
-	list := t.events.swap(t.empty)
+// handleEvents handles the events recorded since the last call.
+func (t *Telemetry) handleEvents() {
+	list := t.events.swap(t.spare)
 	for i := range list {
-		t.take(list[i])
+		t.handle(list[i])
 	}
-	clear(list) // what they point to is not held
-	t.empty = list[:0]
+	clear(list) // so that the requests can be collected
+	t.spare = list[:0]
 }
 
-func (t *Telemetry) take(e traces.Event) {
-	t.counts.tally.Handle(e)
-	if !t.set.Traces {
+func (t *Telemetry) handle(e traces.Event) {
+	t.state.tally.Handle(e)
+	if !t.settings.Traces {
 		return
 	}
-	if t.spans = t.counts.teller.Handle(e, t.spans); len(t.spans) >= mostSpans {
-		t.flushSpans()
+	if t.spans = t.state.recorder.Handle(e, t.spans); len(t.spans) >= maxSpansPerMessage {
+		t.exportSpans()
 	}
 }
 
-func (t *Telemetry) flushSpans() {
+func (t *Telemetry) exportSpans() {
 	if len(t.spans) == 0 {
 		return
 	}
 	b, err := t.encoder.spans(t.spans)
 	if err != nil {
 		t.log.Error("spans could not be written", "error", err)
-		t.counts.traces.queue.lose(len(t.spans))
+		t.state.spanSender.queue.countDropped(len(t.spans))
 	} else {
-		t.counts.traces.queue.add(b)
+		t.state.spanSender.queue.add(b)
 	}
 	clear(t.spans)
 	t.spans = t.spans[:0]
 }
 
-// flushPoints takes a moment's metrics. Where the owner does not tell its figures in
-// time, the last ones stand.
-func (t *Telemetry) flushPoints(ctx context.Context) {
-	if !t.set.Metrics {
+// exportMetrics queues the current metrics. If the owner does not return its figures in time, the previous ones
+// are exported again.
+func (t *Telemetry) exportMetrics(ctx context.Context) {
+	if !t.settings.Metrics {
 		return
 	}
-	within, cancel := context.WithTimeout(ctx, figuresWithin)
-	if f, err := t.ask(within); err == nil {
-		t.counts.figures = f
+	within, cancel := context.WithTimeout(ctx, figuresTimeout)
+	if f, err := t.readFigures(within); err == nil {
+		t.state.figures = f
 	}
 	cancel()
 	for i := range t.missed {
-		t.counts.missed[i] = t.missed[i].Load()
+		t.state.missed[i] = t.missed[i].Load()
 	}
-	list := t.counts.metrics(&t.set.Stories, t.start, t.now())
+	list := t.state.metrics(&t.settings.Tracing, t.start, t.now())
 	b, err := t.encoder.metrics(list)
 	if err != nil {
 		t.log.Error("metrics could not be written", "error", err)
 		return
 	}
-	t.counts.points.queue.add(b)
+	t.state.pointSender.queue.add(b)
 }
 
-// complain tells the log of a collector that is away, now and then, with the number
-// of sendings that failed since the last line.
-func (t *Telemetry) complain() {
+// warnUndelivered logs the number of deliveries that failed since its last line, at most once per
+// warningInterval.
+func (t *Telemetry) warnUndelivered() {
 	failed := uint64(0)
 	for _, s := range t.senders {
 		failed += s.failures.Load()
 	}
-	if failed == t.failed || time.Since(t.told) < complainGap {
+	if failed == t.warnedFailures || time.Since(t.lastWarning) < warningInterval {
 		return
 	}
-	t.log.Warn("the collector did not take what was sent", "endpoint", t.set.Endpoint, "sendings", failed-t.failed)
-	t.told, t.failed = time.Now(), failed
+	t.log.Warn("the collector did not take what was sent", "endpoint", t.settings.Endpoint, "sendings", failed-t.warnedFailures)
+	t.lastWarning, t.warnedFailures = time.Now(), failed
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -44,14 +44,14 @@
 func settings(address string) Settings {
 	return Settings{Endpoint: "http://" + address, Resource: []traces.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: "g0"}},
 		Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testpeer.Patience, Flush: testpeer.Patience, QueueBytes: 1 << 20,
-		Stories: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, Aims: []float64{0.5}, Share: 1}}
+		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyTargets: []float64{0.5}, SampleRatio: 1}}
 }
 
 func figures(context.Context) (Figures, error) {
-	return Figures{Figures: rules.Figures{Bound: 4, InFlight: 1, Held: []int{0, 2}, Well: 3}, Calls: [traces.Outcomes]uint64{7}}, nil
+	return Figures{Figures: rules.Figures{Bound: 4, InFlight: 1, Held: []int{0, 2}, Well: 3}, Calls: [traces.OutcomeCount]uint64{7}}, nil
 }
 
-// request tells of one request that is served, n of the test.
+// request records the events of one served request, the nth of the test.
 func request(x *Telemetry, n int) {
 	var self traces.Context
 	binary.BigEndian.PutUint64(self.Trace[:8], uint64(n)+1)
@@ -61,13 +61,13 @@
 	b := &traces.Begin{Self: self, Method: "GET", Sent: at, Repeated: n%4 == 3}
 	span := self.Span
 	span[0] = 1
-	x.Tell(traces.Event{Kind: traces.Began, At: at, Begin: b})
-	x.Tell(traces.Event{Kind: traces.Sent, At: at, Begin: b, Span: span, Backend: "n0", Paid: at})
-	x.Tell(traces.Event{Kind: traces.Ended, At: at + 0.01, Begin: b, Outcome: rules.Served})
-	x.Tell(traces.Event{Kind: traces.Answered, At: at + 0.01, Begin: b, Status: 200})
+	x.Record(traces.Event{Kind: traces.Began, At: at, Begin: b})
+	x.Record(traces.Event{Kind: traces.Sent, At: at, Begin: b, Span: span, Backend: "n0", Paid: at})
+	x.Record(traces.Event{Kind: traces.Ended, At: at + 0.01, Begin: b, Outcome: rules.Served})
+	x.Record(traces.Event{Kind: traces.Answered, At: at + 0.01, Begin: b, Status: 200})
 }
 
-// idle tells whether all that was told has been taken, or is about to be.
+// idle reports whether all recorded events have been handled, or are about to be.
 func (t *Telemetry) idle() bool {
 	t.events.mu.Lock()
 	defer t.events.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// All that was told arrives, and every metric of the list is exported.
+// All recorded events are exported, and so is every metric of the list.
 func TestAllArrives(t *testing.T) {
 	c := newCollector(t)
 	x := Start(settings(c.Address("g0")), now, figures, quiet)
@@ -133,7 +133,7 @@
 }
 
 // With the collector away nothing waits and no more than the bound is held; when
-// it is back, what was taken and what was dropped are all that was told.
+// it is back, the items taken and dropped add up to all that were recorded.
 func TestCollectorAwayAndBack(t *testing.T) {
 	c := newCollector(t)
 	set := settings(c.Address("g0"))
@@ -145,20 +145,20 @@
 		request(x, i)
 		if i%500 == 499 {
 			until(t, "the events are taken", x.idle)
-			if bytes, _ := x.counts.traces.queue.state(); bytes > set.QueueBytes {
+			if bytes, _ := x.state.spanSender.queue.state(); bytes > set.QueueBytes {
 				t.Fatalf("%d bytes wait", bytes)
 			}
 		}
 	}
-	until(t, "some were dropped", func() bool { _, dropped := x.counts.traces.queue.state(); return dropped > 0 })
+	until(t, "some were dropped", func() bool { _, dropped := x.state.spanSender.queue.state(); return dropped > 0 })
 	if err := c.Links()[0].Up(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the dropped ones are told", func() bool {
+	until(t, "the dropped ones are reported", func() bool {
 		return c.Sum("elderyard.telemetry.items", "elderyard.signal=traces", "elderyard.state=dropped") > 0
 	})
 	x.Close()
-	_, dropped := x.counts.traces.queue.state()
+	_, dropped := x.state.spanSender.queue.state()
 	missed := uint64(0)
 	for i := range x.missed {
 		missed += x.missed[i].Load()
@@ -167,10 +167,10 @@
 		t.Errorf("%d taken and %d dropped of %d; %d events were missed", taken, dropped, 2*n, missed)
 	}
 	if got := c.Sum("elderyard.telemetry.items", "elderyard.signal=traces", "elderyard.state=dropped"); got != float64(dropped) {
-		t.Errorf("%g were told to be dropped, %d were", got, dropped)
+		t.Errorf("%g were reported as dropped, %d were", got, dropped)
 	}
 	if got := c.Sum("elderyard.requests"); got != n {
-		t.Errorf("%g requests are told of %d", got, n)
+		t.Errorf("%g requests are reported of %d", got, n)
 	}
 	noFlaws(t, c)
 }
@@ -183,22 +183,22 @@
 	set := settings(c.Address("g0"))
 	set.Flush = 100 * time.Millisecond
 	x := Start(set, now, figures, quiet)
-	for i := range 3 * mostEvents { // more than there is room for, without a wait
+	for i := range 3 * maxEvents { // more than there is room for, without a wait
 		request(x, i)
 	}
 	done := make(chan struct{})
 	go func() { x.Close(); close(done) }()
 	testpeer.Wait(t, done, "end")
-	_, dropped := x.counts.traces.queue.state()
-	if dropped == 0 || x.counts.traces.sent.Load() != 0 {
-		t.Errorf("%d spans were dropped, %d sent", dropped, x.counts.traces.sent.Load())
+	_, dropped := x.state.spanSender.queue.state()
+	if dropped == 0 || x.state.spanSender.sent.Load() != 0 {
+		t.Errorf("%d spans were dropped, %d sent", dropped, x.state.spanSender.sent.Load())
 	}
 	begun := uint64(0)
-	for _, n := range x.counts.tally.Tries {
+	for _, n := range x.state.tally.Requests {
 		begun += n
 	}
-	if begun+x.missed[traces.Began].Load() != 3*mostEvents {
-		t.Errorf("%d requests were counted and %d missed of %d", begun, x.missed[traces.Began].Load(), 3*mostEvents)
+	if begun+x.missed[traces.Began].Load() != 3*maxEvents {
+		t.Errorf("%d requests were counted and %d missed of %d", begun, x.missed[traces.Began].Load(), 3*maxEvents)
 	}
 }
 
@@ -230,7 +230,7 @@
 				set.Metrics, set.GRPC = false, grpc
 				x := Start(set, now, figures, quiet)
 				request(x, 0)
-				s := x.counts.traces
+				s := x.state.spanSender
 				until(t, "it was tried", func() bool { return s.failures.Load()+s.sent.Load()+s.rejected.Load() > 0 })
 				if k.heals {
 					c.SetTrouble(collector.Trouble{})
@@ -247,7 +247,7 @@
 	}
 }
 
-// Over gRPC all that was told arrives as well.
+// Over gRPC all recorded events are exported as well.
 func TestAllArrivesOverGRPC(t *testing.T) {
 	c := newCollector(t)
 	set := settings(c.Address("g0"))
@@ -269,22 +269,22 @@
 func TestStatusesOfCalls(t *testing.T) {
 	info := base64.RawStdEncoding.EncodeToString([]byte("\x1a\x30\x0a\x28type.googleapis.com/google.rpc.RetryInfo\x12\x04\x0a\x02\x08\x07"))
 	for status := range 17 {
-		want := final
+		want := permanentFailure
 		switch status {
 		case 0:
 			want = delivered
 		case 1, 4, 10, 11, 14, 15:
-			want = again
+			want = retryable
 		}
-		if got, _ := judgeCall(status, ""); got != want {
+		if got, _ := classifyGRPCStatus(status, ""); got != want {
 			t.Errorf("status %d: %v", status, got)
 		}
 	}
-	if v, d := judgeCall(8, info); v != again || d != 7*time.Second {
+	if v, d := classifyGRPCStatus(8, info); v != retryable || d != 7*time.Second {
 		t.Errorf("exhausted, with a pause: %v %v", v, d)
 	}
 	for _, bad := range []string{"", "!", base64.RawStdEncoding.EncodeToString([]byte("\x1a\xff")), info[:20]} {
-		if v, _ := judgeCall(8, bad); v != final {
+		if v, _ := classifyGRPCStatus(8, bad); v != permanentFailure {
 			t.Errorf("details %q: %v", bad, v)
 		}
 	}
@@ -293,8 +293,8 @@
 func FuzzRetryInfo(f *testing.F) {
 	f.Add("GjAKKHR5cGUuZ29vZ2xlYXBpcy5jb20vZ29vZ2xlLnJwYy5SZXRyeUluZm8SBAoCCAc")
 	f.Fuzz(func(t *testing.T, details string) {
-		if d, told := retryInfo(details); d < 0 || d > mostAdvice+time.Second || !told && d != 0 {
-			t.Fatal(d, told)
+		if d, ok := retryInfo(details); d < 0 || d > maxRetryAfter+time.Second || !ok && d != 0 {
+			t.Fatal(d, ok)
 		}
 	})
 }
@@ -303,13 +303,13 @@
 func TestAccountsMakeNoSeries(t *testing.T) {
 	c := newCollector(t)
 	set := settings(c.Address("g0"))
-	set.Stories.Share = 0
+	set.Tracing.SampleRatio = 0
 	x := Start(set, now, figures, quiet)
 	for i := range 100_000 {
 		at := now()
 		b := &traces.Begin{Client: fmt.Sprint(i), Method: "GET", Sent: at}
-		x.Tell(traces.Event{Kind: traces.Began, At: at, Begin: b})
-		x.Tell(traces.Event{Kind: traces.Answered, At: at, Begin: b, Status: 429})
+		x.Record(traces.Event{Kind: traces.Began, At: at, Begin: b})
+		x.Record(traces.Event{Kind: traces.Answered, At: at, Begin: b, Status: 429})
 		if i%1000 == 999 {
 			until(t, "the events are taken", x.idle)
 		}
@@ -324,11 +324,11 @@
 	noFlaws(t, c)
 }
 
-// Telling an event allocates nothing.
-func TestTellingAllocatesNothing(t *testing.T) {
-	x := &Telemetry{events: newEvents(4)}
+// Recording an event allocates nothing.
+func TestRecordAllocatesNothing(t *testing.T) {
+	x := &Telemetry{events: newEventBuffer(4)}
 	e := traces.Event{Kind: traces.Ended}
-	if n := testing.AllocsPerRun(100, func() { x.Tell(e) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { x.Record(e) }); n != 0 {
 		t.Errorf("%g allocations", n)
 	}
 	if x.missed[traces.Ended].Load() == 0 {
@@ -341,32 +341,32 @@
 	last := time.Duration(0)
 	for range 20 {
 		d := b.next(0)
-		if d < b.pause/2 || d > b.pause || b.pause > mostPause || b.pause < last {
+		if d < b.pause/2 || d > b.pause || b.pause > maxBackoff || b.pause < last {
 			t.Fatalf("%v of %v", d, b.pause)
 		}
 		last = b.pause
 	}
-	if d := b.next(5 * time.Second); d < 5*time.Second || d > 5*time.Second+firstPause {
+	if d := b.next(5 * time.Second); d < 5*time.Second || d > 5*time.Second+initialBackoff {
 		t.Errorf("%v where 5s were advised", d)
 	}
 	b.reset()
-	if b.next(0); b.pause != firstPause {
+	if b.next(0); b.pause != initialBackoff {
 		t.Errorf("%v after a success", b.pause)
 	}
 	at := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	for text, want := range map[string]time.Duration{"": 0, "7": 7 * time.Second, "99999": mostAdvice, "-1": 0, "soon": 0,
+	for text, want := range map[string]time.Duration{"": 0, "7": 7 * time.Second, "99999": maxRetryAfter, "-1": 0, "soon": 0,
 		at.Add(3 * time.Second).Format(http.TimeFormat): 3 * time.Second, at.Add(-time.Hour).Format(http.TimeFormat): 0} {
-		if got := advice(http.Header{"Retry-After": {text}}, at); got != want {
+		if got := retryAfter(http.Header{"Retry-After": {text}}, at); got != want {
 			t.Errorf("Retry-After %q: %v, want %v", text, got, want)
 		}
 	}
-	for status, want := range map[int]verdict{200: delivered, 202: delivered, 307: final, 400: final, 401: final, 404: final, 413: final,
-		429: again, 500: final, 501: final, 502: again, 503: again, 504: again} {
-		if got := judge(status, nil); got != want {
+	for status, want := range map[int]deliveryResult{200: delivered, 202: delivered, 307: permanentFailure, 400: permanentFailure, 401: permanentFailure, 404: permanentFailure, 413: permanentFailure,
+		429: retryable, 500: permanentFailure, 501: permanentFailure, 502: retryable, 503: retryable, 504: retryable} {
+		if got := classifyHTTPStatus(status, nil); got != want {
 			t.Errorf("status %d: %v", status, got)
 		}
 	}
-	if judge(0, errors.New("x")) != again {
+	if classifyHTTPStatus(0, errors.New("x")) != retryable {
 		t.Error("no answer is final")
 	}
 }
@@ -392,13 +392,13 @@
 	s, err := FromSite(off, env("OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1/x/", "OTEL_EXPORTER_OTLP_HEADERS=a=b%20c, d=e", "OTEL_SERVICE_NAME=pl",
 		"OTEL_RESOURCE_ATTRIBUTES=team=ops,service.name=no", "OTEL_EXPORTER_OTLP_TIMEOUT=250", "OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0.25"), "g0")
 	if err != nil || s.Endpoint != "http://127.0.0.1:1/x" || s.Headers["a"] != "b c" || s.Headers["d"] != "e" || s.Timeout != 250*time.Millisecond ||
-		s.Stories.Share != 0.25 || fmt.Sprint(s.Resource) != "[{service.name pl} {service.instance.id g0} {team ops}]" || !s.Stories.Keep.Late || s.Stories.Keep.Refused {
+		s.Tracing.SampleRatio != 0.25 || fmt.Sprint(s.Resource) != "[{service.name pl} {service.instance.id g0} {team ops}]" || !s.Tracing.Keep.Late || s.Tracing.Keep.Refused {
 		t.Fatalf("%+v %v", s, err)
 	}
 	on := off
 	on.Endpoint, on.Share, on.Service = "https://collector:4318", 0.5, "x"
 	if s, err = FromSite(on, env("OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1", "OTEL_SERVICE_NAME=pl", "OTEL_TRACES_SAMPLER=always_on"), "g0"); err != nil ||
-		s.Endpoint != on.Endpoint || s.Stories.Share != 0.5 || s.Resource[0].Value != "x" {
+		s.Endpoint != on.Endpoint || s.Tracing.SampleRatio != 0.5 || s.Resource[0].Value != "x" {
 		t.Errorf("the file comes first: %+v %v", s, err)
 	}
 	for _, bad := range []string{"OTEL_EXPORTER_OTLP_ENDPOINT=ftp://x", "OTEL_EXPORTER_OTLP_PROTOCOL=http/json", "OTEL_EXPORTER_OTLP_HEADERS=a", "OTEL_EXPORTER_OTLP_TIMEOUT=0",
@@ -422,15 +422,15 @@
 	}
 }
 
-// BenchmarkTell measures what an event costs the request path, and what it costs in all.
-func BenchmarkTell(b *testing.B) {
-	x, _ := prepare(Settings{Endpoint: "http://127.0.0.1:1", Interval: time.Hour, Timeout: time.Second, QueueBytes: 1 << 20, Traces: true,
-		Stories: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, Aims: []float64{0.5}, Share: 0.01}}, now, figures, quiet)
+// BenchmarkRecord measures what an event costs the request path, and what it costs in all.
+func BenchmarkRecord(b *testing.B) {
+	x, _ := newTelemetry(Settings{Endpoint: "http://127.0.0.1:1", Interval: time.Hour, Timeout: time.Second, QueueBytes: 1 << 20, Traces: true,
+		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyTargets: []float64{0.5}, SampleRatio: 0.01}}, now, figures, quiet)
 	b.ReportAllocs()
 	for i := range b.N {
 		request(x, i)
 		if i%1000 == 999 {
-			x.takeAll()
+			x.handleEvents()
 		}
 	}
 }
--- a/traces/context.go
+++ b/traces/context.go
@@ -1,7 +1,6 @@
-// Package traces makes one story of what happens to a request: spans for the
-// request, its waits and its attempts, and which of them are worth keeping. It is pure: events
-// in, spans and counts out, time handed in, no goroutine, no clock, no socket. How spans leave the
-// process is package telemetry's matter.
+// Package traces builds the trace of each request, with spans for the request, its waits and its attempts,
+// decides which traces to sample, and counts requests for metrics. It is pure: events go in, spans and counts come
+// out; it has no goroutine, clock or socket. Package telemetry exports the result.
 package traces
 
 import (
@@ -11,40 +10,40 @@
 	"strings"
 )
 
-// TraceID names a story over all processes; it is never all zero.
+// TraceID identifies a trace across processes; a valid one is never all zero.
 type TraceID [16]byte
 
-// SpanID names one span; it is never all zero.
+// SpanID identifies a span; a valid one is never all zero.
 type SpanID [8]byte
 
-// Context is the trace context of W3C's recommendation: whose part a request is.
+// Context is a trace context of the W3C recommendation: the trace and span that a request belongs to.
 type Context struct {
 	Trace   TraceID
 	Span    SpanID
 	Sampled bool
-	State   string // tracestate, passed on as it came
+	State   string // tracestate, forwarded unchanged
 }
 
-// The bounds of W3C's recommendation, https://www.w3.org/TR/trace-context/.
+// Limits of the W3C recommendation, https://www.w3.org/TR/trace-context/.
 const (
-	parentLen    = 55
-	mostParent   = 512 // bytes of a later version's header
-	mostState    = 512 // bytes
-	mostMembers  = 32
-	mostStateKey = 256
-	mostStateVal = 256
+	parentLen        = 55
+	maxParentLen     = 512 // bytes, of a later version's header
+	maxStateLen      = 512 // bytes
+	maxStateMembers  = 32
+	maxStateKeyLen   = 256
+	maxStateValueLen = 256
 )
 
-// ParseContext reads the headers traceparent and tracestate. Where there is not one
-// valid traceparent it returns false, and the request begins a story of its own; a tracestate that
-// is not valid is dropped alone, as the recommendation has it.
+// ParseContext parses the values of the headers traceparent and tracestate. It returns false unless there is
+// exactly one valid traceparent; the request then starts a new trace. An invalid tracestate alone is dropped, as
+// the recommendation demands.
 func ParseContext(parent, state []string) (Context, bool) {
 	var c Context
 	if len(parent) != 1 {
 		return c, false
 	}
 	text := parent[0]
-	if len(text) < parentLen || len(text) > mostParent || text[2] != '-' || text[35] != '-' || text[52] != '-' {
+	if len(text) < parentLen || len(text) > maxParentLen || text[2] != '-' || text[35] != '-' || text[52] != '-' {
 		return c, false
 	}
 	var version, flags [1]byte
@@ -61,7 +60,7 @@
 	return c, true
 }
 
-// lowerHex reads lower case digits alone.
+// lowerHex decodes lower-case hexadecimal digits and reports whether they are valid and fill to.
 func lowerHex(to []byte, text string) bool {
 	for i := range len(text) {
 		if c := text[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
@@ -72,11 +71,11 @@
 	return err == nil && n == len(to)
 }
 
-// parseState joins the lines of a tracestate, or returns "" if it is not valid.
+// parseState joins the lines of a tracestate; it returns "" if they are not valid.
 func parseState(lines []string) string {
 	total := 0
 	for _, l := range lines {
-		if total += len(l) + 1; total > mostState+1 {
+		if total += len(l) + 1; total > maxStateLen+1 {
 			return ""
 		}
 	}
@@ -88,7 +87,7 @@
 			continue
 		}
 		key, value, ok := strings.Cut(part, "=")
-		if !ok || seen[key] || !stateKey(key) || !stateValue(value) || len(members) == mostMembers {
+		if !ok || seen[key] || !stateKey(key) || !stateValue(value) || len(members) == maxStateMembers {
 			return ""
 		}
 		seen[key] = true
@@ -98,7 +97,7 @@
 }
 
 func stateKey(key string) bool {
-	if key == "" || len(key) > mostStateKey {
+	if key == "" || len(key) > maxStateKeyLen {
 		return false
 	}
 	tenant, system, multi := strings.Cut(key, "@")
@@ -122,7 +121,7 @@
 }
 
 func stateValue(value string) bool {
-	if value == "" || len(value) > mostStateVal || value[len(value)-1] == ' ' {
+	if value == "" || len(value) > maxStateValueLen || value[len(value)-1] == ' ' {
 		return false
 	}
 	for i := range len(value) {
@@ -133,7 +132,7 @@
 	return true
 }
 
-// Parent is the header traceparent for what a span sends on.
+// Parent returns the value of the header traceparent for requests that the span sends.
 func (c Context) Parent() string {
 	text := append(make([]byte, 0, parentLen), "00-"...)
 	text = append(hex.AppendEncode(text, c.Trace[:]), '-')
@@ -144,11 +143,14 @@
 	return string(text)
 }
 
-// KeyTrace is the story of a keyed request that brought no context. All gateways
-// derive the same, so a booking that is tried again through another one is one story. The last eight bytes
-// are as good as random, which shares of stories are cut by.
-func KeyTrace(account uint64, key string) (t TraceID) {
-	text := append(make([]byte, 0, 64), "elderyard story "...)
+// traceIDSeed is part of the derivation of trace IDs: gateways of all versions must agree on it.
+const traceIDSeed = "elderyard story "
+
+// TraceIDFromKey derives the trace ID of a request with an idempotency key but no trace context. All gateways
+// derive the same ID, so retries through different gateways share one trace. The last eight bytes, which sampling
+// uses, are uniformly distributed.
+func TraceIDFromKey(account uint64, key string) (t TraceID) {
+	text := append(make([]byte, 0, 64), traceIDSeed...)
 	text = append(binary.BigEndian.AppendUint64(text, account), key...)
 	sum := sha256.Sum256(text)
 	copy(t[:], sum[:])
--- a/traces/span.go
+++ b/traces/span.go
@@ -1,19 +1,19 @@
 package traces
 
-// Kind is whose work a span is.
+// Kind is the role of a span.
 type Kind int
 
-// The kinds, numbered as OTLP numbers them.
+// The kinds of span, with OTLP's numbers.
 const (
 	Internal Kind = 1
 	Server   Kind = 2
 	Client   Kind = 3
 )
 
-// Span is one stretch of a story. Times are seconds on the clock of the caller.
+// Span is one operation of a trace. Times are in seconds on the caller's clock.
 type Span struct {
 	Trace      TraceID
-	ID, Parent SpanID // Parent all zero: none
+	ID, Parent SpanID // an all-zero Parent means none
 	State      string
 	Sampled    bool
 	Name       string
@@ -21,16 +21,16 @@
 	Start, End float64
 	Attrs      []Attr
 	Failed     bool
-	Message    string // why, where it failed
+	Message    string // why it failed
 }
 
-// Attr is one attribute.
+// Attr is an attribute of a span, metric or resource.
 type Attr struct {
 	Key   string
 	Value any // string, int64, float64 or bool
 }
 
-// Get returns an attribute's value, or nil.
+// Get returns the value of an attribute, nil if the span has none with that key.
 func (s *Span) Get(key string) any {
 	for _, a := range s.Attrs {
 		if a.Key == key {
--- a/traces/traces_test.go
+++ b/traces/traces_test.go
@@ -54,21 +54,21 @@
 			return
 		}
 		again, ok := ParseContext([]string{c.Parent()}, []string{c.State})
-		if !ok || again != c || len(c.State) > mostState {
+		if !ok || again != c || len(c.State) > maxStateLen {
 			t.Fatalf("%+v became %+v", c, again)
 		}
 	})
 }
 
 func settings() Settings {
-	return Settings{Classes: []string{"lookup", "booking"}, Plans: []string{"basic"}, Aims: []float64{0.4, 0.9},
+	return Settings{Classes: []string{"lookup", "booking"}, Plans: []string{"basic"}, LatencyTargets: []float64{0.4, 0.9},
 		Keep: Keep{Failed: true, Refused: true, Late: true, Repeated: true}}
 }
 
-// play tells a story of one request: when it was paid, and its attempts.
-func play(t *Teller, b Begin, events ...Event) []Span {
+// record feeds the events of one request to a recorder and returns its spans.
+func record(t *Recorder, b Begin, events ...Event) []Span {
 	if b.Self.Trace == (TraceID{}) {
-		b.Self = Context{Trace: KeyTrace(1, "k"), Span: SpanID{9}}
+		b.Self = Context{Trace: TraceIDFromKey(1, "k"), Span: SpanID{9}}
 	}
 	b.Method = "GET"
 	out := t.Handle(Event{Kind: Began, At: 10, Begin: &b}, nil)
@@ -79,12 +79,12 @@
 	return out
 }
 
-func TestOneStory(t *testing.T) {
-	teller := NewTeller(settings(), 1)
+func TestSpansOfOneRequest(t *testing.T) {
+	recorder := NewRecorder(settings(), 1)
 	client, _ := ParseContext([]string{"00-" + trace + "-" + parent + "-01"}, []string{"a=1"})
 	self := client
 	self.Span = SpanID{7}
-	spans := play(teller, Begin{Context: client, Self: self, Class: 1, Sent: 10, Units: 2},
+	spans := record(recorder, Begin{Context: client, Self: self, Class: 1, Sent: 10, Units: 2},
 		Event{Kind: Sent, At: 10.3, Attempt: 0, Span: SpanID{1}, Backend: "n1", Paid: 10.2},
 		Event{Kind: Ended, At: 10.4, Attempt: 0, Outcome: rules.Full},
 		Event{Kind: Sent, At: 10.4, Attempt: 1, Span: SpanID{2}, Backend: "n2", Paid: 10.2},
@@ -109,14 +109,13 @@
 	if spans[0].Get("elderyard.outcome") != "served" || spans[0].Get("elderyard.kept.why") != "client" || spans[0].Failed {
 		t.Errorf("%+v", spans[0])
 	}
-	if teller.Kept != 1 {
-		t.Errorf("%d stories were told", teller.Kept)
+	if recorder.Kept != 1 {
+		t.Errorf("%d traces were recorded", recorder.Kept)
 	}
 }
 
-// What went wrong is kept, what did not is a matter of the share, and each span says
-// how large that was.
-func TestWhichStoriesAreKept(t *testing.T) {
+// Traces of requests that went wrong are always kept, the others are sampled, and each span carries the sample ratio.
+func TestSampling(t *testing.T) {
 	served := []Event{{Kind: Sent, At: 10, Span: SpanID{1}, Paid: 10}, {Kind: Answered, At: 10.1, Status: 200}, {Kind: Ended, At: 10.1, Outcome: rules.Served}}
 	late := []Event{{Kind: Sent, At: 10, Span: SpanID{1}, Paid: 10}, {Kind: Answered, At: 10.5, Status: 200}, {Kind: Ended, At: 10.5, Outcome: rules.Served}}
 	refused := []Event{{Kind: Answered, At: 10, Status: 429, Reason: rules.NoPlace, Paid: 10}}
@@ -134,11 +133,11 @@
 		"failed":           {Begin{Sent: 10}, []Event{{Kind: Answered, At: 10, Status: 502}}, settings().Keep, "failed"},
 		"marked":           {Begin{Sent: 10, Repeated: true}, served, settings().Keep, "repeated"},
 		"the client asked": {Begin{Sent: 10, Context: Context{Sampled: true}}, served, Keep{}, "client"},
-		"gone":             {Begin{Sent: 10}, []Event{{Kind: Left, At: 11}}, settings().Keep, nil},
+		"gone":             {Begin{Sent: 10}, []Event{{Kind: ClientLeft, At: 11}}, settings().Keep, nil},
 	} {
 		set := settings()
 		set.Keep = k.keep
-		spans := play(NewTeller(set, 1), k.begin, k.events...)
+		spans := record(NewRecorder(set, 1), k.begin, k.events...)
 		var why any
 		if len(spans) > 0 {
 			why = spans[0].Get("elderyard.kept.why")
@@ -148,15 +147,15 @@
 		}
 	}
 	set := settings()
-	set.Share = 0.25
-	teller, rng := NewTeller(set, 1), rand.New(rand.NewPCG(1, 1))
+	set.SampleRatio = 0.25
+	recorder, rng := NewRecorder(set, 1), rand.New(rand.NewPCG(1, 1))
 	n := 0
 	for range 4000 {
 		var id TraceID
 		for i := range id {
 			id[i] = byte(rng.Uint32())
 		}
-		spans := play(teller, Begin{Sent: 10, Self: Context{Trace: id, Span: SpanID{1}}}, served...)
+		spans := record(recorder, Begin{Sent: 10, Self: Context{Trace: id, Span: SpanID{1}}}, served...)
 		if len(spans) > 0 {
 			n++
 			for _, s := range spans {
@@ -165,7 +164,7 @@
 				}
 			}
 		}
-		if (len(spans) > 0) != InShare(id, 0.25) {
+		if (len(spans) > 0) != InSample(id, 0.25) {
 			t.Fatal("two processes would not agree")
 		}
 	}
@@ -174,13 +173,13 @@
 	}
 }
 
-// Two gateways derive one story from a key, and other keys and accounts have others.
-func TestKeyTrace(t *testing.T) {
+// Two gateways derive the same trace ID from a key; other keys and accounts have other IDs.
+func TestTraceIDFromKey(t *testing.T) {
 	seen := map[TraceID]bool{}
 	for account := range uint64(20) {
 		for _, key := range []string{"a", "b", "", "a b"} {
-			id := KeyTrace(account, key)
-			if id == (TraceID{}) || seen[id] || id != KeyTrace(account, key) {
+			id := TraceIDFromKey(account, key)
+			if id == (TraceID{}) || seen[id] || id != TraceIDFromKey(account, key) {
 				t.Errorf("%d %q: %x", account, key, id)
 			}
 			seen[id] = true
@@ -188,13 +187,13 @@
 	}
 }
 
-// Whatever comes in whatever order, a story is told once, its spans hang together, and
-// the tally counts each request once.
+// In whatever order events come, a trace is recorded once, its spans belong together, and the tally counts each
+// request once.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
-		set.Share = 1
-		teller, tally := NewTeller(set, 1), NewTally(set)
+		set.SampleRatio = 1
+		recorder, tally := NewRecorder(set, 1), NewTally(set)
 		open := map[int]*Begin{}
 		ended := map[*Begin]bool{}
 		began, ends, roots, over := uint64(0), uint64(0), map[SpanID]bool{}, 0
@@ -206,7 +205,7 @@
 			id := rapid.IntRange(1, 20).Draw(t, "request")
 			e.Begin = open[id]
 			if e.Begin == nil {
-				e.Begin = &Begin{Self: Context{Trace: KeyTrace(uint64(i), "x"), Span: SpanID{2, byte(i), byte(i >> 8)}},
+				e.Begin = &Begin{Self: Context{Trace: TraceIDFromKey(uint64(i), "x"), Span: SpanID{2, byte(i), byte(i >> 8)}},
 					Class: rapid.IntRange(0, 1).Draw(t, "class"), Sent: at, Method: "GET", Repeated: i%3 == 0}
 				open[id] = e.Begin
 				if e.Kind == Began {
@@ -215,18 +214,18 @@
 			} else if e.Kind == Began {
 				continue
 			}
-			if (e.Kind == Answered || e.Kind == Left) && !ended[e.Begin] {
+			if (e.Kind == Answered || e.Kind == ClientLeft) && !ended[e.Begin] {
 				ended[e.Begin] = true
 				ends++
-			} else if e.Kind == Answered || e.Kind == Left {
+			} else if e.Kind == Answered || e.Kind == ClientLeft {
 				continue // a request has one end
 			}
 			tally.Handle(e)
-			spans := teller.Handle(e, nil)
+			spans := recorder.Handle(e, nil)
 			for n, s := range spans {
 				if n == 0 {
 					if roots[s.ID] {
-						t.Fatalf("a story was told twice: %+v", s)
+						t.Fatalf("a trace was recorded twice: %+v", s)
 					}
 					roots[s.ID] = true
 					over++
@@ -237,13 +236,13 @@
 				}
 			}
 		}
-		if teller.Kept != over || teller.Left != 0 {
-			t.Fatalf("%d told, %d left out, %d seen", teller.Kept, teller.Left, over)
+		if recorder.Kept != over || recorder.Discarded != 0 {
+			t.Fatalf("%d recorded, %d discarded, %d seen", recorder.Kept, recorder.Discarded, over)
 		}
 		tries, counted := uint64(0), uint64(0)
-		for i := range tally.Tries {
-			tries += tally.Tries[i]
-			if tally.First[i] > tally.Tries[i] {
+		for i := range tally.Requests {
+			tries += tally.Requests[i]
+			if tally.FirstTries[i] > tally.Requests[i] {
 				t.Fatalf("%+v", tally)
 			}
 		}
@@ -280,7 +279,7 @@
 				t.Fatalf("bucket %d of (%g, %g] at scale %d has %d of %d values", i, low, high, h.Scale, n, in)
 			}
 		}
-		if sum != h.Count || h.Count != uint64(len(values)) || len(h.Buckets) > mostBuckets {
+		if sum != h.Count || h.Count != uint64(len(values)) || len(h.Buckets) > maxBuckets {
 			t.Fatalf("%+v", h)
 		}
 	})
