--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -69,8 +69,8 @@
 	at         map[string]*metrics.Metric
 }
 
-func (g *metricBuilder) metric(name string) *metrics.Metric {
-	if m := g.at[name]; m != nil {
+func (b *metricBuilder) metric(name string) *metrics.Metric {
+	if m := b.at[name]; m != nil {
 		return m
 	}
 	for _, d := range Metrics() {
@@ -87,27 +87,27 @@
 			m.Data = &metrics.Metric_ExponentialHistogram{ExponentialHistogram: &metrics.ExponentialHistogram{
 				AggregationTemporality: metrics.AggregationTemporality_AGGREGATION_TEMPORALITY_CUMULATIVE}}
 		}
-		g.list = append(g.list, m)
-		g.at[name] = m
+		b.list = append(b.list, m)
+		b.at[name] = m
 		return m
 	}
 	panic("metric " + name + " is not on the list") // a test exports every metric
 }
 
-func (g *metricBuilder) sum(name string, n uint64, attrs ...traces.Attr) {
-	s := g.metric(name).GetSum()
-	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: g.start, TimeUnixNano: g.now,
+func (b *metricBuilder) sum(name string, n uint64, attrs ...traces.Attr) {
+	s := b.metric(name).GetSum()
+	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: b.start, TimeUnixNano: b.now,
 		Value: &metrics.NumberDataPoint_AsInt{AsInt: int64(n)}})
 }
 
-func (g *metricBuilder) gauge(name string, x float64, attrs ...traces.Attr) {
-	s := g.metric(name).GetGauge()
-	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), TimeUnixNano: g.now,
+func (b *metricBuilder) gauge(name string, x float64, attrs ...traces.Attr) {
+	s := b.metric(name).GetGauge()
+	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), TimeUnixNano: b.now,
 		Value: &metrics.NumberDataPoint_AsDouble{AsDouble: x}})
 }
 
-func (g *metricBuilder) histogram(name string, h *traces.Histogram, attrs ...traces.Attr) {
-	p := &metrics.ExponentialHistogramDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: g.start, TimeUnixNano: g.now, Count: h.Count,
+func (b *metricBuilder) histogram(name string, h *traces.Histogram, attrs ...traces.Attr) {
+	p := &metrics.ExponentialHistogramDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: b.start, TimeUnixNano: b.now, Count: h.Count,
 		Scale: int32(h.Scale), ZeroCount: h.Zero, Positive: &metrics.ExponentialHistogramDataPoint_Buckets{Offset: int32(h.Offset),
 			BucketCounts: append([]uint64(nil), h.Buckets...)}}
 	if sum := h.Sum; h.Count > 0 {
@@ -118,7 +118,7 @@
 		p.Exemplars = []*metrics.Exemplar{{TimeUnixNano: traces.Nanos(e.At), Value: &metrics.Exemplar_AsDouble{AsDouble: e.Value},
 			TraceId: e.Context.Trace[:], SpanId: e.Context.Span[:], FilteredAttributes: []*common.KeyValue{}}}
 	}
-	s := g.metric(name).GetExponentialHistogram()
+	s := b.metric(name).GetExponentialHistogram()
 	s.DataPoints = append(s.DataPoints, p)
 }
 
@@ -126,60 +126,74 @@
 
 // metrics returns the current metrics. Start and now are in seconds.
 func (c *exportState) metrics(set *traces.Settings, start, now float64) []*metrics.Metric {
-	g := &metricBuilder{start: traces.Nanos(start), now: traces.Nanos(max(now, start)), at: map[string]*metrics.Metric{}}
-	t := c.tally
-	for class, name := range set.Classes {
-		of := attr("elderyard.class", name)
-		for plan, bought := range set.Plans {
-			at := t.Index(class, plan)
-			by := attr("elderyard.plan", bought)
-			g.sum("elderyard.requests", t.FirstTries[at], of, by, attr("elderyard.first", true))
-			g.sum("elderyard.requests", t.Requests[at]-t.FirstTries[at], of, by, attr("elderyard.first", false))
-			g.sum("elderyard.requests.in_time", t.InTime[at], of, by)
+	b := &metricBuilder{start: traces.Nanos(start), now: traces.Nanos(max(now, start)), at: map[string]*metrics.Metric{}}
+	b.addRequests(c.tally, set)
+	b.addFigures(&c.figures)
+	b.addSampling(c.recorder)
+	b.addSignal("traces", c.spanSender)
+	b.addSignal("metrics", c.pointSender)
+	for kind, n := range c.missed {
+		b.sum("elderyard.telemetry.missed", n, attr("elderyard.kind", traces.EventKind(kind).String()))
+	}
+	return b.list
+}
+
+// addRequests adds what the tally counted of requests and attempts.
+func (b *metricBuilder) addRequests(t *traces.Tally, set *traces.Settings) {
+	for class, className := range set.Classes {
+		byClass := attr("elderyard.class", className)
+		for plan, planName := range set.Plans {
+			i := t.Index(class, plan)
+			byPlan := attr("elderyard.plan", planName)
+			b.sum("elderyard.requests", t.FirstTries[i], byClass, byPlan, attr("elderyard.first", true))
+			b.sum("elderyard.requests", t.Requests[i]-t.FirstTries[i], byClass, byPlan, attr("elderyard.first", false))
+			b.sum("elderyard.requests.in_time", t.InTime[i], byClass, byPlan)
 		}
 		for end, n := range t.Ends[class] {
-			g.sum("elderyard.request.ends", n, of, attr("elderyard.outcome", traces.End(end).Name()))
+			b.sum("elderyard.request.ends", n, byClass, attr("elderyard.outcome", traces.End(end).Name()))
 		}
-		g.histogram("http.server.request.duration", t.Latency[class], of)
+		b.histogram("http.server.request.duration", t.Latency[class], byClass)
 	}
-	for o, n := range t.Attempts {
-		g.sum("elderyard.attempts", n, attr("elderyard.outcome", traces.OutcomeName(rules.Outcome(o))))
+	for outcome, n := range t.Attempts {
+		b.sum("elderyard.attempts", n, attr("elderyard.outcome", traces.OutcomeName(rules.Outcome(outcome))))
 	}
-	f := &c.figures
-	for o, n := range f.Calls {
-		g.sum("elderyard.counter.calls", n, attr("elderyard.outcome", callOutcome(rules.Outcome(o))))
+}
+
+// addFigures adds what the owner reported.
+func (b *metricBuilder) addFigures(f *Figures) {
+	for outcome, n := range f.Calls {
+		b.sum("elderyard.counter.calls", n, attr("elderyard.outcome", callOutcome(rules.Outcome(outcome))))
 	}
-	g.gauge("elderyard.bound", f.Bound)
-	g.gauge("elderyard.in_flight", float64(f.InFlight))
+	b.gauge("elderyard.bound", f.Bound)
+	b.gauge("elderyard.in_flight", float64(f.InFlight))
 	for level, n := range f.Held {
-		g.gauge("elderyard.held", float64(n), attr("elderyard.level", strconv.Itoa(level)))
+		b.gauge("elderyard.held", float64(n), attr("elderyard.level", strconv.Itoa(level)))
 	}
-	g.gauge("elderyard.waiting", float64(f.Waiting))
-	for _, h := range []struct {
-		name string
-		n    int
+	b.gauge("elderyard.waiting", float64(f.Waiting))
+	for _, backends := range []struct {
+		health string
+		count  int
 	}{{"well", f.Well}, {"left out", f.LeftOut}, {"cold", f.Cold}, {"by hand", f.ByHand}, {"not ready", f.NotReady}} {
-		g.gauge("elderyard.backends", float64(h.n), attr("elderyard.health", h.name))
-	}
-	g.gauge("elderyard.accounts", float64(f.Customers))
-	g.gauge("elderyard.units.leased", f.Leased)
-	g.sum("elderyard.stories", uint64(c.recorder.Kept), attr("elderyard.kept", true))
-	g.sum("elderyard.stories", uint64(c.recorder.Discarded), attr("elderyard.kept", false))
-	for _, s := range []struct {
-		name string
-		s    *sender
-	}{{"traces", c.spanSender}, {"metrics", c.pointSender}} {
-		bytes, dropped := s.s.queue.state()
-		signal := attr("elderyard.signal", s.name)
-		g.sum("elderyard.telemetry.items", s.s.sent.Load(), signal, attr("elderyard.state", "sent"))
-		g.sum("elderyard.telemetry.items", dropped, signal, attr("elderyard.state", "dropped"))
-		g.sum("elderyard.telemetry.items", s.s.rejected.Load(), signal, attr("elderyard.state", "rejected"))
-		g.gauge("elderyard.telemetry.queue", float64(bytes), signal)
+		b.gauge("elderyard.backends", float64(backends.count), attr("elderyard.health", backends.health))
 	}
-	for kind, n := range c.missed {
-		g.sum("elderyard.telemetry.missed", n, attr("elderyard.kind", traces.EventKind(kind).String()))
-	}
-	return g.list
+	b.gauge("elderyard.accounts", float64(f.Customers))
+	b.gauge("elderyard.units.leased", f.Leased)
+}
+
+// addSampling adds how many traces were exported and how many discarded.
+func (b *metricBuilder) addSampling(r *traces.Recorder) {
+	b.sum("elderyard.stories", uint64(r.Kept), attr("elderyard.kept", true))
+	b.sum("elderyard.stories", uint64(r.Discarded), attr("elderyard.kept", false))
+}
+
+// addSignal adds what became of the items of one signal.
+func (b *metricBuilder) addSignal(name string, s *sender) {
+	queued, dropped := s.queue.state()
+	signal := attr("elderyard.signal", name)
+	b.sum("elderyard.telemetry.items", s.sent.Load(), signal, attr("elderyard.state", "sent"))
+	b.sum("elderyard.telemetry.items", dropped, signal, attr("elderyard.state", "dropped"))
+	b.sum("elderyard.telemetry.items", s.rejected.Load(), signal, attr("elderyard.state", "rejected"))
+	b.gauge("elderyard.telemetry.queue", float64(queued), signal)
 }
 
 // callOutcome returns the exported name of the outcome of a call to the counter.
--- a/internal/telemetry/settings.go
+++ b/internal/telemetry/settings.go
@@ -1,7 +1,9 @@
 package telemetry
 
 import (
+	"cmp"
 	"fmt"
+	"maps"
 	"net/url"
 	"strconv"
 	"strings"
@@ -17,38 +19,35 @@
 	maxInterval = time.Hour
 )
 
+const (
+	serviceNameKey     = "service.name"
+	serviceInstanceKey = "service.instance.id"
+	defaultService     = "elderyard"
+)
+
 // FromSite returns the settings of the operators' file, completed from OpenTelemetry's standard environment
 // variables. It returns nil if nothing is to be exported. Name identifies the process.
 func FromSite(s site.Telemetry, env func(string) string, name string) (*Settings, error) {
 	if env("OTEL_SDK_DISABLED") == "true" && s.Endpoint == "" {
 		return nil, nil
 	}
-	set := &Settings{Endpoint: s.Endpoint, GRPC: s.Protocol == "grpc", Headers: map[string]string{}, Traces: s.Traces, Metrics: s.Metrics, Interval: time.Duration(s.Interval),
-		Timeout: time.Duration(s.Timeout), Flush: time.Duration(s.Flush), QueueBytes: s.QueueKB << 10,
-		Tracing: traces.Settings{SampleRatio: s.Share, Keep: traces.Keep{}}}
-	for _, k := range s.Keep {
-		switch k {
-		case "failed":
-			set.Tracing.Keep.Failed = true
-		case "refused":
-			set.Tracing.Keep.Refused = true
-		case "late":
-			set.Tracing.Keep.Late = true
-		case "repeated":
-			set.Tracing.Keep.Repeated = true
-		}
+	set := &Settings{
+		Endpoint:   s.Endpoint,
+		GRPC:       s.Protocol == "grpc",
+		Headers:    map[string]string{},
+		Traces:     s.Traces,
+		Metrics:    s.Metrics,
+		Interval:   time.Duration(s.Interval),
+		Timeout:    time.Duration(s.Timeout),
+		Flush:      time.Duration(s.Flush),
+		QueueBytes: s.QueueKB << 10,
+		Tracing:    traces.Settings{SampleRatio: s.Share, Keep: keepOf(s.Keep)},
 	}
 	if set.Endpoint == "" {
-		if set.Endpoint = env("OTEL_EXPORTER_OTLP_ENDPOINT"); set.Endpoint == "" {
+		set.Endpoint = env("OTEL_EXPORTER_OTLP_ENDPOINT")
+		if set.Endpoint == "" {
 			return nil, nil
 		}
-		switch protocol := env("OTEL_EXPORTER_OTLP_PROTOCOL"); protocol {
-		case "", "http/protobuf":
-		case "grpc":
-			set.GRPC = true
-		default:
-			return nil, fmt.Errorf("OTEL_EXPORTER_OTLP_PROTOCOL: %q is neither http/protobuf nor grpc", protocol)
-		}
 		if err := set.fromEnv(env); err != nil {
 			return nil, err
 		}
@@ -57,31 +56,57 @@
 		return nil, fmt.Errorf("collector: %q is not a URL of http or https", set.Endpoint)
 	}
 	set.Endpoint = strings.TrimSuffix(set.Endpoint, "/")
-	for key, value := range s.Headers {
-		set.Headers[key] = value
-	}
-	service := s.Service
-	if service == "" {
-		service = env("OTEL_SERVICE_NAME")
+	maps.Copy(set.Headers, s.Headers)
+	resource, err := resourceOf(s.Service, env, name)
+	if err != nil {
+		return nil, err
 	}
-	if service == "" {
-		service = "elderyard"
+	set.Resource = resource
+	return set, nil
+}
+
+// keepOf converts the list of the operators' file, which package site has checked.
+func keepOf(list []string) (keep traces.Keep) {
+	for _, k := range list {
+		switch k {
+		case "failed":
+			keep.Failed = true
+		case "refused":
+			keep.Refused = true
+		case "late":
+			keep.Late = true
+		case "repeated":
+			keep.Repeated = true
+		}
 	}
-	set.Resource = []traces.Attr{{Key: "service.name", Value: service}, {Key: "service.instance.id", Value: name}}
+	return keep
+}
+
+// resourceOf returns the attributes of a process.
+func resourceOf(service string, env func(string) string, name string) ([]traces.Attr, error) {
+	service = cmp.Or(service, env("OTEL_SERVICE_NAME"), defaultService)
+	resource := []traces.Attr{{Key: serviceNameKey, Value: service}, {Key: serviceInstanceKey, Value: name}}
 	more, err := pairs(env("OTEL_RESOURCE_ATTRIBUTES"))
 	if err != nil {
 		return nil, fmt.Errorf("OTEL_RESOURCE_ATTRIBUTES: %w", err)
 	}
 	for _, p := range more {
-		if p[0] != "service.name" && p[0] != "service.instance.id" {
-			set.Resource = append(set.Resource, traces.Attr{Key: p[0], Value: p[1]})
+		if p[0] != serviceNameKey && p[0] != serviceInstanceKey {
+			resource = append(resource, traces.Attr{Key: p[0], Value: p[1]})
 		}
 	}
-	return set, nil
+	return resource, nil
 }
 
 // fromEnv applies the environment variables that go with the endpoint.
 func (set *Settings) fromEnv(env func(string) string) error {
+	switch protocol := env("OTEL_EXPORTER_OTLP_PROTOCOL"); protocol {
+	case "", "http/protobuf":
+	case "grpc":
+		set.GRPC = true
+	default:
+		return fmt.Errorf("OTEL_EXPORTER_OTLP_PROTOCOL: %q is neither http/protobuf nor grpc", protocol)
+	}
 	headers, err := pairs(env("OTEL_EXPORTER_OTLP_HEADERS"))
 	if err != nil {
 		return fmt.Errorf("OTEL_EXPORTER_OTLP_HEADERS: %w", err)
@@ -89,18 +114,32 @@
 	for _, p := range headers {
 		set.Headers[p[0]] = p[1]
 	}
-	for name, to := range map[string]*time.Duration{"OTEL_EXPORTER_OTLP_TIMEOUT": &set.Timeout, "OTEL_METRIC_EXPORT_INTERVAL": &set.Interval} {
-		text := env(name)
-		if text == "" {
-			continue
-		}
-		ms, err := strconv.ParseInt(text, 10, 64)
-		d := time.Duration(ms) * time.Millisecond
-		if err != nil || ms > maxInterval.Milliseconds() || d < minInterval {
-			return fmt.Errorf("%s: %q is not a number of milliseconds from %d to %d", name, text, minInterval.Milliseconds(), maxInterval.Milliseconds())
-		}
-		*to = d
+	if err := durationFromEnv(env, "OTEL_EXPORTER_OTLP_TIMEOUT", &set.Timeout); err != nil {
+		return err
+	}
+	if err := durationFromEnv(env, "OTEL_METRIC_EXPORT_INTERVAL", &set.Interval); err != nil {
+		return err
+	}
+	return set.samplerFromEnv(env)
+}
+
+// durationFromEnv sets d to a variable's number of milliseconds, unless the variable is empty.
+func durationFromEnv(env func(string) string, name string, d *time.Duration) error {
+	text := env(name)
+	if text == "" {
+		return nil
 	}
+	ms, err := strconv.ParseInt(text, 10, 64)
+	value := time.Duration(ms) * time.Millisecond
+	if err != nil || ms > maxInterval.Milliseconds() || value < minInterval {
+		return fmt.Errorf("%s: %q is not a number of milliseconds from %d to %d", name, text, minInterval.Milliseconds(), maxInterval.Milliseconds())
+	}
+	*d = value
+	return nil
+}
+
+// samplerFromEnv sets the sample ratio.
+func (set *Settings) samplerFromEnv(env func(string) string) error {
 	switch sampler := env("OTEL_TRACES_SAMPLER"); sampler {
 	case "":
 	case "always_on", "parentbased_always_on":
@@ -108,11 +147,11 @@
 	case "always_off", "parentbased_always_off":
 		set.Tracing.SampleRatio = 0
 	case "traceidratio", "parentbased_traceidratio":
-		share, err := strconv.ParseFloat(env("OTEL_TRACES_SAMPLER_ARG"), 64)
-		if err != nil || !(share >= 0 && share <= 1) {
+		ratio, err := strconv.ParseFloat(env("OTEL_TRACES_SAMPLER_ARG"), 64)
+		if err != nil || !(ratio >= 0 && ratio <= 1) {
 			return fmt.Errorf("OTEL_TRACES_SAMPLER_ARG: %q is not a share from 0 to 1", env("OTEL_TRACES_SAMPLER_ARG"))
 		}
-		set.Tracing.SampleRatio = share
+		set.Tracing.SampleRatio = ratio
 	default:
 		return fmt.Errorf("OTEL_TRACES_SAMPLER: %q is not known", sampler)
 	}
