--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -104,10 +104,10 @@
 		return usage(err)
 	}
 	if f.moments != "" {
-		if site.Moments, err = filepath.Abs(f.moments); err != nil {
+		if site.RollupDir, err = filepath.Abs(f.moments); err != nil {
 			return usage(err)
 		}
-		if err := os.MkdirAll(site.Moments, 0o755); err != nil {
+		if err := os.MkdirAll(site.RollupDir, 0o755); err != nil {
 			return usage(err)
 		}
 	}
--- a/cmd/elderctl/read.go
+++ b/cmd/elderctl/read.go
@@ -138,20 +138,20 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "kind\tsum\ta second\tpeak\tat\tin step\tuneven\t9 in 10 after\t")
 	for _, k := range s.Totals {
-		fmt.Fprintf(w, "%s\t%.0f\t%.1f\t%.0f\t%.1fs\t%.1f\t%.1f\t%.1fs\t\n", k.Kind, k.Sum, k.PerS, k.Peak, k.PeakAt, k.InStep, k.Uneven, k.Reached)
+		fmt.Fprintf(w, "%s\t%.0f\t%.1f\t%.0f\t%.1fs\t%.1f\t%.1f\t%.1fs\t\n", k.Counter, k.Sum, k.PerSecond, k.Peak, k.PeakAt, k.Dispersion, k.PeakToMean, k.SpreadTime)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintln(out)
 	fmt.Fprint(w, "at\tactive\t")
-	for _, k := range rollup.Kinds {
+	for _, k := range rollup.Counters {
 		fmt.Fprintf(w, "%s\t", k.Name)
 	}
 	fmt.Fprintln(w)
-	for _, at := range s.Spans {
+	for _, at := range s.Intervals {
 		fmt.Fprintf(w, "%.1fs\t%d\t", at.At, at.Active)
-		for _, k := range rollup.Kinds {
+		for _, k := range rollup.Counters {
 			fmt.Fprintf(w, "%.0f\t", at.Counts[k.Name])
 		}
 		fmt.Fprintln(w)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -128,18 +128,18 @@
 	gotList := sync.OnceFunc(func() { front.ready.Store(true); close(listed) })
 	front.loop = newLoop(c, pools, shared, gotList)
 
-	counts, err := openMoments(c.Site.Moments, c.Name, pools)
+	counts, err := openMoments(c.Site.Rollup, c.Name, pools)
 	if err != nil {
 		return err
 	}
 	inner, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	if counts != nil {
-		front.loop.Moments = counts.tally(time.Duration(c.Site.Moments.Every))
+		front.loop.Rollup = counts.tally(time.Duration(c.Site.Rollup.Every))
 		written := make(chan struct{})
 		go func() { defer close(written); counts.run() }()
 		defer func() { // after the loop, which counts
-			front.loop.Moments.Flush()
+			front.loop.Rollup.Flush()
 			close(counts.spans)
 			<-written
 		}()
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -176,7 +176,7 @@
 	}
 	x.ask.ID, x.open = l.NewID(), true
 	l.live[x.ask.ID], l.held[x.id] = x, struct{}{}
-	if m := l.Moment(); m != nil {
+	if m := l.RollupCounts(); m != nil {
 		m.Requests++
 	}
 	l.tell(x, traces.Event{Kind: traces.Began})
@@ -223,7 +223,7 @@
 	}
 	l.Handle(ev)
 	if kind != rules.CachedList {
-		if m := l.Moment(); m != nil {
+		if m := l.RollupCounts(); m != nil {
 			m.Changes += len(ev.Entries)
 		}
 		l.onListed()
--- a/internal/gateway/moments.go
+++ b/internal/gateway/moments.go
@@ -25,7 +25,7 @@
 }
 
 // openMoments opens the file, to go on where an earlier process ended; nil where the operator's file asks for none.
-func openMoments(s site.Moments, name string, p *pools) (*momentFile, error) {
+func openMoments(s site.Rollup, name string, p *pools) (*momentFile, error) {
 	if s.Dir == "" {
 		return nil, nil
 	}
@@ -43,8 +43,8 @@
 }
 
 // tally is what the owner counts with.
-func (m *momentFile) tally(every time.Duration) *rollup.Tally {
-	return rollup.NewTally(every, func(at float64, c rollup.Counts) {
+func (m *momentFile) tally(every time.Duration) *rollup.Aggregator {
+	return rollup.NewAggregator(every, func(at float64, c rollup.Counts) {
 		c.Connects = int(m.pools.dials.Swap(0))
 		select {
 		case m.spans <- rollup.Line{At: at, Gateway: m.name, Counts: c}:
--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -37,12 +37,12 @@
 	Export   bool    // a collector takes the gateways' stories, all of them, and metrics
 	Peers    bool    // the gateways know each other
 	// Every is between a gateway's probes of the others.
-	Every   time.Duration
-	looks   time.Duration // between looks at a gateway's picture; 0: as often as the lab bears
-	Absent  int           // of the last gateways, not started at first, and not in the first roster
-	Moments string        // folder for the gateways' counts of short spans; "": none
-	Honour  float64       // share of clients that wait as Retry-After says; below 0: none
-	Ceiling float64       // hard ceiling on every plan, in times its quota; 0: none
+	Every     time.Duration
+	looks     time.Duration // between looks at a gateway's picture; 0: as often as the lab bears
+	Absent    int           // of the last gateways, not started at first, and not in the first roster
+	RollupDir string        // folder for the gateways' rollup files; "": none
+	Honour    float64       // share of clients that wait as Retry-After says; below 0: none
+	Ceiling   float64       // hard ceiling on every plan, in times its quota; 0: none
 
 	Overshoot  float64 // of a quota that is let pass, in percent of the account's burst
 	SpareUnits float64 // and so many units
@@ -350,8 +350,8 @@
 	if s.Store == storeRESP {
 		file["counter"] = object{"kind": "resp"}
 	}
-	if s.Moments != "" {
-		file["moments"] = object{"dir": s.Moments}
+	if s.RollupDir != "" {
+		file["moments"] = object{"dir": s.RollupDir}
 	}
 	if fronts > 0 {
 		file["quotas"] = object{"fronts": fronts}
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -29,7 +29,7 @@
 
 func (o *Owner) count(c rules.Count) {
 	k := &call{o: o, id: c.Call, sent: o.Clock.Now()}
-	if m := o.Moment(); m != nil {
+	if m := o.RollupCounts(); m != nil {
 		m.Calls++
 		m.Units += c.Amount
 	}
@@ -57,7 +57,7 @@
 	}
 	k.ended, k.outcome, k.total = true, out, total
 	o.ended[out]++
-	if m := o.Moment(); m != nil {
+	if m := o.RollupCounts(); m != nil {
 		switch out {
 		case rules.Full, rules.ConnectFailed:
 			m.Full++
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -42,8 +42,8 @@
 
 // Owner is the one owner of a decision module.
 type Owner struct {
-	Clock   Clock
-	Moments *rollup.Tally // nil: nothing is counted; set before Run
+	Clock  Clock
+	Rollup *rollup.Aggregator // nil: nothing is counted; set before Run
 
 	gateway  *rules.Gateway
 	counter  Counter // nil: there is none
@@ -150,12 +150,13 @@
 	}
 }
 
-// Moment is the present span's counts; nil: nothing is counted. Only messages and actions may call it.
-func (o *Owner) Moment() *rollup.Counts {
-	if o.Moments == nil {
+// RollupCounts returns the counts of the current interval, nil if nothing is counted. Only messages and actions may
+// call it.
+func (o *Owner) RollupCounts() *rollup.Counts {
+	if o.Rollup == nil {
 		return nil
 	}
-	return o.Moments.Now(o.Now())
+	return o.Rollup.Current(o.Now())
 }
 
 // After has d told when the clock is at that time. Only messages and actions may
@@ -207,14 +208,14 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case rules.Send:
-			if m := o.Moment(); m != nil {
+			if m := o.RollupCounts(); m != nil {
 				m.Sends++
 			}
 			o.requests.Send(a)
 		case rules.Cancel:
 			o.requests.Cancel(a)
 		case rules.Refuse:
-			if m := o.Moment(); m != nil {
+			if m := o.RollupCounts(); m != nil {
 				switch a.Why {
 				case rules.NoQuota:
 					m.NoQuota++
@@ -226,7 +227,7 @@
 			}
 			o.requests.Refuse(a)
 		case rules.Fail:
-			if m := o.Moment(); m != nil {
+			if m := o.RollupCounts(); m != nil {
 				m.Failed++
 			}
 			o.requests.Fail(a)
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -26,7 +26,7 @@
 	RESP    RESP    `toml:"resp" doc:"limit commands over RESP"`
 
 	Telemetry Telemetry `toml:"telemetry" doc:"traces and metrics, to a collector by OTLP"`
-	Moments   Moments   `toml:"moments" doc:"counts by tenths of a second, to a file"`
+	Rollup    Rollup    `toml:"moments" doc:"counts by tenths of a second, to a file"`
 	Peers     Peers     `toml:"peers" doc:"the other gateways of the site; needs the program elderyard-peers"`
 }
 
@@ -50,8 +50,8 @@
 	Address string `toml:"address" doc:"IP address and port"`
 }
 
-// Moments says where the counts of short spans go.
-type Moments struct {
+// Rollup says where the gateway's counts of short intervals are written.
+type Rollup struct {
 	Dir   string          `toml:"dir" doc:"folder for the file, NAME.moments by the gateway's name; default none, nothing is counted"`
 	Every strict.Duration `toml:"every" doc:"length of a span; 10ms to 1m, default 100ms"`
 	MB    int             `toml:"most_mb" doc:"the file grows no further than this; 1 to 1024, default 16"`
@@ -131,8 +131,8 @@
 func Defaults() Settings {
 	return Settings{Clients: Clients{SocketShare: 0.75, MemoryShare: 0.25}, Memory: Memory{HeapShare: 0.7, HeapGrow: 400},
 		Counter: Counter{Kind: "http", Prefix: "elderyard:"}, RESP: RESP{Most: 64, Idle: strict.Duration(5 * time.Minute)},
-		Peers:   Peers{Every: strict.Duration(time.Second), MostKB: 256},
-		Moments: Moments{Every: strict.Duration(100 * time.Millisecond), MB: 16},
+		Peers:  Peers{Every: strict.Duration(time.Second), MostKB: 256},
+		Rollup: Rollup{Every: strict.Duration(100 * time.Millisecond), MB: 16},
 		Telemetry: Telemetry{Protocol: "http", Traces: true, Metrics: true, Share: 0.01, Keep: []string{"failed", "late", "repeated"}, Interval: strict.Duration(10 * time.Second),
 			Timeout: strict.Duration(10 * time.Second), Flush: strict.Duration(500 * time.Millisecond), QueueKB: 1024}}
 }
@@ -167,7 +167,7 @@
 		{"quotas.fronts", float64(s.Quotas.Fronts), 0, 64},
 		{"telemetry.share", s.Telemetry.Share, 0, 1},
 		{"telemetry.queue_kb", float64(s.Telemetry.QueueKB), 64, 65536},
-		{"moments.most_mb", float64(s.Moments.MB), 1, 1024},
+		{"moments.most_mb", float64(s.Rollup.MB), 1, 1024},
 		{"peers.most_kb", float64(s.Peers.MostKB), 8, 65536},
 	} {
 		if !(r.value >= r.least && r.value <= r.most) {
@@ -191,7 +191,7 @@
 	case len(k.Prefix) > 64:
 		return "counter.prefix", errors.New("it is longer than 64 bytes")
 	}
-	if every := time.Duration(s.Moments.Every); every < 10*time.Millisecond || every > time.Minute {
+	if every := time.Duration(s.Rollup.Every); every < 10*time.Millisecond || every > time.Minute {
 		return "moments.every", fmt.Errorf("%v is not between 10ms and 1m", every)
 	}
 	if key, err := s.Telemetry.check(); err != nil {
--- a/rollup/rollup.go
+++ b/rollup/rollup.go
@@ -1,6 +1,6 @@
-// Package rollup counts what a gateway does by short spans of time, and adds such counts up over all gateways of a
-// site. What a large fleet does to itself shows in that sum alone: what all do in the same tenth of a second, and what
-// some do that most do not. It does no I/O.
+// Package rollup counts what a gateway does in short intervals of time, and sums such counts over all gateways of a
+// site. Only the sum shows effects of a large fleet: what all gateways do in the same tenth of a second, and what a
+// few do that most do not. It does no I/O.
 package rollup
 
 import (
@@ -8,56 +8,59 @@
 	"time"
 )
 
-// Counts is what happened in one span. A field that is 0 is left out of a line.
+// Counts is what one gateway did in one interval. Fields that are 0 are omitted from a line.
 type Counts struct {
-	Requests int     `json:"requests,omitempty"` // taken from clients
+	Requests int     `json:"requests,omitempty"` // accepted from clients
 	Sends    int     `json:"sends,omitempty"`    // attempts
 	Connects int     `json:"connects,omitempty"` // dials to backends
 	Calls    int     `json:"calls,omitempty"`    // to the counter
-	Units    float64 `json:"units,omitempty"`    // that these told it, less what they took back
-	Full     int     `json:"full,omitempty"`     // calls turned away, by the counter or before it
-	Silent   int     `json:"silent,omitempty"`   // calls with no answer in time, or a broken one
-	NoQuota  int     `json:"no_quota,omitempty"` // refusals, by what the request lacked
+	Units    float64 `json:"units,omitempty"`    // reported to the counter by these, less what they took back
+	Full     int     `json:"full,omitempty"`     // calls rejected, by the counter or before it
+	Silent   int     `json:"silent,omitempty"`   // calls without an answer in time, or with a broken one
+	NoQuota  int     `json:"no_quota,omitempty"` // refusals, by cause
 	NoPlace  int     `json:"no_place,omitempty"`
 	NoAnswer int     `json:"no_answer,omitempty"`
 	Failed   int     `json:"failed,omitempty"`  // answers that are neither served nor refused
-	Changes  int     `json:"changes,omitempty"` // entries of the list of backends that discovery told of
+	Changes  int     `json:"changes,omitempty"` // changed entries of discovery's list of backends
 }
 
-// Line is the counts of one gateway in one span. At is Unix time in seconds, of the span's begin.
+// Line is one line of a rollup file: the counts of one gateway in one interval. At is the Unix time in seconds at
+// which the interval starts.
 type Line struct {
 	At      float64 `json:"at"`
 	Gateway string  `json:"gateway"`
 	Counts
 }
 
-// Tally has the span that is open. It is not safe for concurrent use.
-type Tally struct {
-	every float64
-	emit  func(at float64, c Counts)
-	at    float64
-	open  Counts
+// Aggregator collects the counts of the current interval. It is not safe for concurrent use.
+type Aggregator struct {
+	interval float64
+	emit     func(start float64, c Counts)
+	start    float64
+	counts   Counts
 }
 
-// NewTally hands each span to emit once it is over, if anything was counted in it. Emit must not wait.
-func NewTally(every time.Duration, emit func(at float64, c Counts)) *Tally {
-	return &Tally{every: every.Seconds(), emit: emit}
+// NewAggregator returns an Aggregator with intervals of the given length. It calls emit with each interval that is
+// over and has counts; emit must not block.
+func NewAggregator(interval time.Duration, emit func(start float64, c Counts)) *Aggregator {
+	return &Aggregator{interval: interval.Seconds(), emit: emit}
 }
 
-// Now is the span that is open at that time, Unix time in seconds. It is good until the next call. A clock that steps
-// back has the open span go on.
-func (t *Tally) Now(now float64) *Counts {
-	if at := math.Floor(now/t.every) * t.every; at > t.at {
-		t.Flush()
-		t.at = at
+// Current returns the counts of the interval at now, a Unix time in seconds. The pointer is valid until the next
+// call. If the clock steps back, the current interval continues.
+func (a *Aggregator) Current(now float64) *Counts {
+	start := math.Floor(now/a.interval) * a.interval
+	if start > a.start {
+		a.Flush()
+		a.start = start
 	}
-	return &t.open
+	return &a.counts
 }
 
-// Flush hands the open span on.
-func (t *Tally) Flush() {
-	if t.open != (Counts{}) {
-		t.emit(t.at, t.open)
-		t.open = Counts{}
+// Flush emits the current interval.
+func (a *Aggregator) Flush() {
+	if a.counts != (Counts{}) {
+		a.emit(a.start, a.counts)
+		a.counts = Counts{}
 	}
 }
--- a/rollup/rollup_test.go
+++ b/rollup/rollup_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-func TestASpanIsHandedOnOnceItIsOver(t *testing.T) {
+func TestAggregatorEmitsFinishedIntervals(t *testing.T) {
 	var got []Line
-	tally := NewTally(100*time.Millisecond, func(at float64, c Counts) { got = append(got, Line{At: at, Counts: c}) })
-	tally.Now(1000.02).Sends++
-	tally.Now(1000.09).Sends++
-	tally.Now(999.5).Calls++ // the clock steps back
-	tally.Now(1000.75)       // nothing happens
-	tally.Now(1000.81).Units += 2.5
-	tally.Flush()
-	tally.Flush()
+	aggregator := NewAggregator(100*time.Millisecond, func(at float64, c Counts) { got = append(got, Line{At: at, Counts: c}) })
+	aggregator.Current(1000.02).Sends++
+	aggregator.Current(1000.09).Sends++
+	aggregator.Current(999.5).Calls++ // the clock steps back
+	aggregator.Current(1000.75)       // nothing happens
+	aggregator.Current(1000.81).Units += 2.5
+	aggregator.Flush()
+	aggregator.Flush()
 	for i := range got {
 		got[i].At = float64(int(got[i].At*10+0.5)) / 10
 	}
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestWhatComesInStepIsTold(t *testing.T) {
+func TestTotals(t *testing.T) {
 	var lines []Line
 	for g := range 10 {
 		name := string(rune('a' + g))
@@ -44,21 +44,21 @@
 	}
 	by := map[string]Total{}
 	for _, k := range s.Totals {
-		by[k.Kind] = k
+		by[k.Counter] = k
 	}
-	if s.Gateways != 10 || s.Seconds != 10 || len(s.Spans) != 20 || by["sends"].Sum != 200 || by["sends"].InStep != 0 || by["sends"].Uneven != 1 {
+	if s.Gateways != 10 || s.Seconds != 10 || len(s.Intervals) != 20 || by["sends"].Sum != 200 || by["sends"].Dispersion != 0 || by["sends"].PeakToMean != 1 {
 		t.Errorf("%+v", s)
 	}
-	if c := by["connects"]; c.Peak != 30 || c.PeakAt != 4 || c.InStep < 20 {
+	if c := by["connects"]; c.Peak != 30 || c.PeakAt != 4 || c.Dispersion < 20 {
 		t.Errorf("connects all at once: %+v", c)
 	}
-	if c := by["calls"]; c.Uneven != 10 {
+	if c := by["calls"]; c.PeakToMean != 10 {
 		t.Errorf("calls of one: %+v", c)
 	}
-	if c := by["changes"]; c.Reached != 4 {
+	if c := by["changes"]; c.SpreadTime != 4 {
 		t.Errorf("nine of ten hear of a change 4 s after the first: %+v", c)
 	}
-	if c := by["failed"]; c != (Total{Kind: "failed"}) {
+	if c := by["failed"]; c != (Total{Counter: "failed"}) {
 		t.Errorf("none: %+v", c)
 	}
 	if s, err := Sum(nil, 1); err != nil || s.Gateways != 0 {
@@ -69,8 +69,8 @@
 	}
 }
 
-// Whatever the spans and the order of the lines, nothing is lost.
-func TestSumsAreWhole(t *testing.T) {
+// Whatever the interval and the order of the lines, nothing is lost.
+func TestSumLosesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var lines []Line
 		sends, units := 0, 0.0
