--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -100,7 +100,7 @@
 			"voters": voters, "gateway": f.Gateway,
 			"timing":   object{"report": "200ms", "heartbeat": "500ms", "settle": "3s", "fetch_within": "6s", "first_pause": "200ms"},
 			"instance": []object{{"name": l.gateways[i].name, "listen": l.gateways[i].address, "env": []string{"TMPDIR=" + l.dir}}}}
-		if l.fellows != nil {
+		if l.peerNetwork != nil {
 			file["roster"] = true
 			file["instance"].([]object)[0]["env"] = []string{"TMPDIR=" + l.dir, "EDGE_OPERATOR=" + l.gateways[i].desk}
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -62,7 +62,7 @@
 	registry *registry.Registry
 	// collector takes what gateways export; nil: they export nothing.
 	collector *collector.Collector
-	fellows   *fellows          // nil: the gateways do not know each other
+	peerNetwork   *peerNetwork          // nil: the gateways do not know each other
 	twins     []*gatewayProcess // second processes under the names of gateways
 	agents    []*agentProcess   // of a fleet, each with the gateway of its place
 	keeper    *os.File          // while it is open, the lab lives
@@ -177,7 +177,7 @@
 	l.wg.Go(func() { l.watchProcesses(l.ctx) })
 	l.wg.Go(func() { l.watchFalls(l.ctx) })
 	if site.Peers {
-		if err := l.openFellows(); err != nil {
+		if err := l.openPeerNetwork(); err != nil {
 			return nil, err
 		}
 	}
@@ -387,8 +387,8 @@
 		if l.collector != nil {
 			l.collector.Close()
 		}
-		if l.fellows != nil {
-			l.fellows.ways.Close()
+		if l.peerNetwork != nil {
+			l.peerNetwork.proxy.Close()
 		}
 		l.wg.Wait()
 		for _, g := range ours { // one may have been on its way up
@@ -538,8 +538,8 @@
 	// What came before the load began is no matter of its rules.
 	log.Late = after(log.Late, log.From)
 	v := audit.Judge(l.site.rules(), log)
-	if l.fellows != nil {
-		v.Members = audit.JudgeMembers(l.memberRules(), l.fellows.read())
+	if l.peerNetwork != nil {
+		v.Members = audit.JudgeMembers(l.memberRules(), l.peerNetwork.read())
 		v.Findings = append(v.Findings, v.Members.Findings...)
 	}
 	return v
--- a/internal/lab/members_measure_test.go
+++ b/internal/lab/members_measure_test.go
@@ -157,7 +157,7 @@
 	time.Sleep(*flapFor)
 	c.must(undo())
 	changes, last, lost := map[string]int{}, map[string]audit.Picture{}, 0
-	for _, p := range c.fellows.read().Pictures {
+	for _, p := range c.peerNetwork.read().Pictures {
 		if q, known := last[p.Name]; known && q.Verdict != p.Verdict {
 			changes[p.Name]++
 		}
@@ -182,7 +182,7 @@
 	c.takes("all are whole", nil, func(a *peers.Answer) bool { return a.Picture.Verdict == members.Whole })
 	for _, from := range c.names() {
 		for _, to := range c.names() {
-			c.Ways().Set(from, to, faultproxy.Trouble{Loss: 0.05})
+			c.PeerProxy().SetFault(from, to, faultproxy.Fault{Loss: 0.05})
 		}
 	}
 	stop := make(chan struct{})
@@ -202,7 +202,7 @@
 	close(stop)
 	burners.Wait()
 	v := c.Members()
-	pictures := c.fellows.read().Pictures
+	pictures := c.peerNetwork.read().Pictures
 	t.Logf("%d gateways, %v, all %d cores busy, 5%% loss: %d false failures, %d changes of verdicts, %d pictures", *calmCount, *calmFor, runtime.NumCPU(), v.False, v.Changes, len(pictures))
 	if v.False > 0 {
 		t.Errorf("%d false failures", v.False)
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -105,8 +105,8 @@
 
 // cutPair cuts two gateways off from each other alone.
 func (c *club) cutPair(a, b string, on bool) {
-	c.Ways().Set(a, b, faultproxy.Trouble{Cut: on})
-	c.Ways().Set(b, a, faultproxy.Trouble{Cut: on})
+	c.PeerProxy().SetFault(a, b, faultproxy.Fault{Cut: on})
+	c.PeerProxy().SetFault(b, a, faultproxy.Fault{Cut: on})
 }
 
 // part cuts all ways between two parts, and returns what heals them.
@@ -274,7 +274,7 @@
 	for _, sleeps := range []bool{false, true} {
 		t.Run(fmt.Sprintf("sleeps=%v", sleeps), func(t *testing.T) {
 			c := newClub(t, 5, 0)
-			for !slices.ContainsFunc(c.fellows.read().Pictures, func(p audit.Picture) bool { return p.Name == "g2" && p.MayHold }) {
+			for !slices.ContainsFunc(c.peerNetwork.read().Pictures, func(p audit.Picture) bool { return p.Name == "g2" && p.MayHold }) {
 				time.Sleep(lookPeers) // what is ruled on is what was recorded
 			}
 			if sleeps {
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -31,8 +31,8 @@
 )
 
 // fellows are the ways between gateways and what was seen of their pictures.
-type fellows struct {
-	ways *faultproxy.Ways
+type peerNetwork struct {
+	proxy *faultproxy.Proxy
 	dir  string
 
 	mu     sync.Mutex
@@ -41,7 +41,7 @@
 	log    audit.MembersLog
 }
 
-func (f *fellows) read() audit.MembersLog {
+func (f *peerNetwork) read() audit.MembersLog {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	log := f.log
@@ -51,19 +51,19 @@
 
 // happened notes what the lab did to a gateway, or to the ways between them.
 func (l *Lab) happened(what audit.Happening, name string) {
-	if l.fellows == nil {
+	if l.peerNetwork == nil {
 		return
 	}
-	f := l.fellows
+	f := l.peerNetwork
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.log.Happened = append(f.log.Happened, audit.Happened{At: time.Now(), What: what, Name: name})
 }
 
 // openFellows lays the ways and files that gateways know each other by.
-func (l *Lab) openFellows() error {
-	f := &fellows{ways: faultproxy.New(l.site.Seed), dir: filepath.Join(l.dir, "peers"), reach: map[string]string{}}
-	l.fellows = f
+func (l *Lab) openPeerNetwork() error {
+	f := &peerNetwork{proxy: faultproxy.New(l.site.Seed), dir: filepath.Join(l.dir, "peers"), reach: map[string]string{}}
+	l.peerNetwork = f
 	if err := os.Mkdir(f.dir, 0o700); err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
@@ -72,7 +72,7 @@
 	}
 	var names []string
 	for _, g := range l.gateways {
-		if err := l.seat(g); err != nil {
+		if err := l.assignPeerAddresses(g); err != nil {
 			return err
 		}
 		names = append(names, g.name)
@@ -87,28 +87,28 @@
 }
 
 // seat gives a gateway its addresses among the others.
-func (l *Lab) seat(g *gatewayProcess) (err error) {
+func (l *Lab) assignPeerAddresses(g *gatewayProcess) (err error) {
 	if g.desk, err = loopback.Free(); err != nil {
 		return fmt.Errorf("%s: %w", g.name, err)
 	}
 	if g.peers, err = loopback.Free(); err != nil {
 		return fmt.Errorf("%s: %w", g.name, err)
 	}
-	reach, err := l.fellows.ways.Add(g.name, g.peers)
+	reach, err := l.peerNetwork.proxy.Add(g.name, g.peers)
 	if err != nil {
 		return err
 	}
-	l.fellows.mu.Lock()
-	defer l.fellows.mu.Unlock()
-	l.fellows.reach[g.name] = reach
+	l.peerNetwork.mu.Lock()
+	defer l.peerNetwork.mu.Unlock()
+	l.peerNetwork.reach[g.name] = reach
 	return nil
 }
 
-func (f *fellows) path(name string) string { return filepath.Join(f.dir, name) }
+func (f *peerNetwork) path(name string) string { return filepath.Join(f.dir, name) }
 
 // Roster agrees on who belongs: the file that all gateways read has the next epoch.
 func (l *Lab) Roster(names ...string) error {
-	f := l.fellows
+	f := l.peerNetwork
 	f.mu.Lock()
 	f.roster = f.roster.Next(names)
 	text, err := toml.Marshal(f.roster)
@@ -125,10 +125,10 @@
 
 // peersOf is what a gateway's operator's file says of the others; nil: nothing.
 func (l *Lab) peersOf(g *gatewayProcess) object {
-	if l.fellows == nil {
+	if l.peerNetwork == nil {
 		return nil
 	}
-	f := l.fellows
+	f := l.peerNetwork
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var reach []object
@@ -172,7 +172,7 @@
 			continue // it is stopped, or on its way up or down
 		}
 		p := audit.PictureOf(asked, a)
-		f := l.fellows
+		f := l.peerNetwork
 		f.mu.Lock()
 		if len(f.log.Pictures) < mostLooks {
 			f.log.Pictures = append(f.log.Pictures, p)
@@ -200,7 +200,7 @@
 		return fmt.Errorf("twin of %s: %w", name, err)
 	}
 	twin := &gatewayProcess{name: name, rank: g.rank, dir: dir, state: Dead, side: 1 - g.side}
-	if err := l.seat(twin); err != nil {
+	if err := l.assignPeerAddresses(twin); err != nil {
 		return err
 	}
 	l.mu.Lock()
@@ -221,7 +221,7 @@
 
 // between changes directions, and returns what changes them back. Pick names those
 // that it is about.
-func (l *Lab) between(what string, pick func(from, to int) bool, set func(*faultproxy.Trouble, bool)) (undo func() error) {
+func (l *Lab) setLinkFaults(what string, pick func(from, to int) bool, set func(*faultproxy.Fault, bool)) (undo func() error) {
 	names := l.gatewayNames()
 	var struck [][2]string
 	for i, from := range names {
@@ -233,39 +233,39 @@
 	}
 	l.happened(audit.Troubled, what)
 	for _, w := range struck {
-		l.fellows.ways.Change(w[0], w[1], func(t *faultproxy.Trouble) { set(t, true) })
+		l.peerNetwork.proxy.UpdateFault(w[0], w[1], func(t *faultproxy.Fault) { set(t, true) })
 	}
 	return func() error {
 		for _, w := range struck {
-			l.fellows.ways.Change(w[0], w[1], func(t *faultproxy.Trouble) { set(t, false) })
+			l.peerNetwork.proxy.UpdateFault(w[0], w[1], func(t *faultproxy.Fault) { set(t, false) })
 		}
 		l.happened(audit.Healed, what)
 		return nil
 	}
 }
 
-func cut(t *faultproxy.Trouble, on bool) { t.Cut = on }
+func setCut(t *faultproxy.Fault, on bool) { t.Cut = on }
 
 func peersCut(_ context.Context, l *Lab, f *Fault, targets []int) (func() error, error) {
 	in := func(i int) bool { return slices.Contains(targets, i) }
-	return l.between(f.Kind, func(from, to int) bool { return in(from) != in(to) }, cut), nil
+	return l.setLinkFaults(f.Kind, func(from, to int) bool { return in(from) != in(to) }, setCut), nil
 }
 
 func peersApart(_ context.Context, l *Lab, f *Fault, targets []int) (func() error, error) {
-	return l.between(f.Kind, func(from, to int) bool { return slices.Contains(targets, from) || slices.Contains(targets, to) }, cut), nil
+	return l.setLinkFaults(f.Kind, func(from, to int) bool { return slices.Contains(targets, from) || slices.Contains(targets, to) }, setCut), nil
 }
 
 func peersDeaf(_ context.Context, l *Lab, f *Fault, targets []int) (func() error, error) {
-	return l.between(f.Kind, func(_, to int) bool { return slices.Contains(targets, to) }, cut), nil
+	return l.setLinkFaults(f.Kind, func(_, to int) bool { return slices.Contains(targets, to) }, setCut), nil
 }
 
 func peersMute(_ context.Context, l *Lab, f *Fault, targets []int) (func() error, error) {
-	return l.between(f.Kind, func(from, _ int) bool { return slices.Contains(targets, from) }, cut), nil
+	return l.setLinkFaults(f.Kind, func(from, _ int) bool { return slices.Contains(targets, from) }, setCut), nil
 }
 
 func peersRing(_ context.Context, l *Lab, f *Fault, _ []int) (func() error, error) {
 	n := len(l.gateways)
-	return l.between(f.Kind, func(from, to int) bool { d := (from - to + n) % n; return d != 1 && d != n-1 }, cut), nil
+	return l.setLinkFaults(f.Kind, func(from, to int) bool { d := (from - to + n) % n; return d != 1 && d != n-1 }, setCut), nil
 }
 
 func peersFlap(ctx context.Context, l *Lab, f *Fault, targets []int) (func() error, error) {
@@ -282,7 +282,7 @@
 
 func peersTrouble(_ context.Context, l *Lab, f *Fault, targets []int) (func() error, error) {
 	size := f.size()
-	return l.between(f.Kind, func(from, to int) bool { return slices.Contains(targets, from) || slices.Contains(targets, to) }, func(t *faultproxy.Trouble, on bool) {
+	return l.setLinkFaults(f.Kind, func(from, to int) bool { return slices.Contains(targets, from) || slices.Contains(targets, to) }, func(t *faultproxy.Fault, on bool) {
 		if !on {
 			size = 0
 		}
@@ -292,7 +292,7 @@
 		case "peers-late":
 			t.Delay = time.Duration(size * float64(time.Millisecond))
 		case "peers-muddle":
-			t.Twice, t.Reorder = size, size
+			t.Duplicate, t.Reorder = size, size
 		}
 	}), nil
 }
@@ -327,11 +327,11 @@
 
 // Members rules on the pictures that have been seen so far.
 func (l *Lab) Members() *audit.MembersVerdict {
-	return audit.JudgeMembers(l.memberRules(), l.fellows.read())
+	return audit.JudgeMembers(l.memberRules(), l.peerNetwork.read())
 }
 
 // Ways are those between the gateways; nil where they do not know each other.
-func (l *Lab) Ways() *faultproxy.Ways { return l.fellows.ways }
+func (l *Lab) PeerProxy() *faultproxy.Proxy { return l.peerNetwork.proxy }
 
 func (l *Lab) gateway(name string) (*gatewayProcess, error) {
 	for _, g := range l.gateways {
--- a/internal/standin/faultproxy/proxy_test.go
+++ b/internal/standin/faultproxy/proxy_test.go
@@ -10,14 +10,14 @@
 
 const patience = 10 * time.Second
 
-// end is one member: a socket for datagrams and a listener, on one address.
-type end struct {
+// member is a member of the site: a UDP socket and a TCP listener on one address.
+type member struct {
 	udp   *net.UDPConn
 	tcp   net.Listener
 	reach string
 }
 
-func add(t *testing.T, w *Ways, name string) end {
+func add(t *testing.T, p *Proxy, name string) member {
 	t.Helper()
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(loopback.Host())})
 	if err != nil {
@@ -28,107 +28,107 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { udp.Close(); tcp.Close() })
-	reach, err := w.Add(name, udp.LocalAddr().String())
+	reach, err := p.Add(name, udp.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return end{udp, tcp, reach}
+	return member{udp, tcp, reach}
 }
 
-func (e end) send(t *testing.T, to end, text string) {
+func (m member) send(t *testing.T, to member, text string) {
 	t.Helper()
 	at, err := net.ResolveUDPAddr("udp", to.reach)
 	if err == nil {
-		_, err = e.udp.WriteToUDP([]byte(text), at)
+		_, err = m.udp.WriteToUDP([]byte(text), at)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// gets returns what comes within a time, and "" where nothing does.
-func (e end) gets(within time.Duration) string {
+// receive returns the next datagram, or "" if none arrives within a time.
+func (m member) receive(within time.Duration) string {
 	b := make([]byte, 100)
-	e.udp.SetReadDeadline(time.Now().Add(within))
-	n, _, err := e.udp.ReadFromUDP(b)
+	m.udp.SetReadDeadline(time.Now().Add(within))
+	n, _, err := m.udp.ReadFromUDP(b)
 	if err != nil {
 		return ""
 	}
 	return string(b[:n])
 }
 
-func two(t *testing.T) (w *Ways, a, b end) {
+func twoMembers(t *testing.T) (p *Proxy, a, b member) {
 	t.Helper()
-	w = New(1)
-	t.Cleanup(w.Close)
-	return w, add(t, w, "a"), add(t, w, "b")
+	p = New(1)
+	t.Cleanup(p.Close)
+	return p, add(t, p, "a"), add(t, p, "b")
 }
 
-// lost waits until so many datagrams have been lost: the doors are read by goroutines
-// of their own, so what was sent may come to one after its direction has healed.
-func lost(t *testing.T, w *Ways, n int) {
+// waitDropped waits until n datagrams have been dropped: goroutines read the proxy's sockets, so a datagram may reach
+// the proxy after its direction has healed.
+func waitDropped(t *testing.T, p *Proxy, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); w.Lost() < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); p.Dropped() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d were lost of %d", w.Lost(), n)
+			t.Fatalf("%d were dropped of %d", p.Dropped(), n)
 		}
 	}
 }
 
 func TestCutInOneDirection(t *testing.T) {
-	w, a, b := two(t)
-	w.Set("a", "b", Trouble{Cut: true})
+	p, a, b := twoMembers(t)
+	p.SetFault("a", "b", Fault{Cut: true})
 	a.send(t, b, "one")
 	b.send(t, a, "two")
-	if got := a.gets(patience); got != "two" {
-		t.Errorf("the way back brought %q", got)
+	if got := a.receive(patience); got != "two" {
+		t.Errorf("the reverse direction delivered %q", got)
 	}
-	lost(t, w, 1)
-	w.Set("a", "b", Trouble{})
+	waitDropped(t, p, 1)
+	p.SetFault("a", "b", Fault{})
 	a.send(t, b, "three")
-	if got := b.gets(patience); got != "three" {
-		t.Errorf("after the cut came %q: what was sent in it must be lost, and what came after it must not", got)
+	if got := b.receive(patience); got != "three" {
+		t.Errorf("after the cut %q arrived: what was sent during it must be dropped, and what was sent after it must not", got)
 	}
 }
 
-func TestTwiceAndLate(t *testing.T) {
-	w, a, b := two(t)
-	w.Set("a", "b", Trouble{Twice: 1, Delay: 30 * time.Millisecond})
+func TestDuplicateAndDelay(t *testing.T) {
+	p, a, b := twoMembers(t)
+	p.SetFault("a", "b", Fault{Duplicate: 1, Delay: 30 * time.Millisecond})
 	began := time.Now()
 	a.send(t, b, "x")
 	for range 2 {
-		if b.gets(patience) != "x" {
-			t.Error("it did not come twice")
+		if b.receive(patience) != "x" {
+			t.Error("it did not arrive twice")
 		}
 	}
 	if time.Since(began) < 30*time.Millisecond {
-		t.Error("it came before its delay")
+		t.Error("it arrived before its delay")
 	}
 }
 
 func TestLoss(t *testing.T) {
-	w, a, b := two(t)
-	w.Set("a", "b", Trouble{Loss: 0.5})
+	p, a, b := twoMembers(t)
+	p.SetFault("a", "b", Fault{Loss: 0.5})
 	const sent = 200
 	n := 0
-	for i := range sent { // one at a time, each lost or come before the next
+	for i := range sent { // one at a time: each is dropped or arrives before the next is sent
 		a.send(t, b, "x")
-		for end := time.Now().Add(patience); n+w.Lost() <= i; {
-			if b.gets(time.Millisecond) == "x" {
+		for end := time.Now().Add(patience); n+p.Dropped() <= i; {
+			if b.receive(time.Millisecond) == "x" {
 				n++
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%d came and %d were lost of %d", n, w.Lost(), i+1)
+				t.Fatalf("%d arrived and %d were dropped of %d", n, p.Dropped(), i+1)
 			}
 		}
 	}
-	if n < 50 || n > 150 || n+w.Lost() != sent {
-		t.Errorf("%d of %d came with half lost, %d were", n, sent, w.Lost())
+	if n < 50 || n > 150 || n+p.Dropped() != sent {
+		t.Errorf("%d of %d arrived with a loss of half, %d were dropped", n, sent, p.Dropped())
 	}
 }
 
 func TestConnectionIsHeldByACut(t *testing.T) {
-	w, a, b := two(t)
+	p, a, b := twoMembers(t)
 	got := make(chan string, 1)
 	go func() {
 		c, err := b.tcp.Accept()
@@ -147,33 +147,33 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	w.Set("a", "b", Trouble{Cut: true})
+	p.SetFault("a", "b", Fault{Cut: true})
 	c.Write([]byte("x"))
 	select {
 	case text := <-got:
-		t.Fatalf("%q came through a cut", text)
+		t.Fatalf("%q passed a cut", text)
 	case <-time.After(100 * time.Millisecond):
 	}
-	w.Set("a", "b", Trouble{})
+	p.SetFault("a", "b", Fault{})
 	select {
 	case text := <-got:
 		if text != "x" {
-			t.Errorf("%q came", text)
+			t.Errorf("%q arrived", text)
 		}
 	case <-time.After(patience):
-		t.Error("nothing came after the cut")
+		t.Error("nothing arrived after the cut")
 	}
 }
 
-func TestStrangersAreTurnedAway(t *testing.T) {
-	_, _, b := two(t)
-	c, err := net.Dial("tcp", b.reach) // from an address that is no member's
+func TestUnknownSendersAreRejected(t *testing.T) {
+	_, _, b := twoMembers(t)
+	c, err := net.Dial("tcp", b.reach) // from an address of no member
 	if err != nil {
-		return // on a busy machine it is turned away before this sees it come up
+		return // on a busy machine it is rejected before Dial sees it established
 	}
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(patience))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("a stranger was let in")
+		t.Error("an unknown sender was accepted")
 	}
 }
