--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -12,8 +12,8 @@
 	"elderyard/traces"
 )
 
-// Metric describes one metric; `elderctl site metrics` and the operators' page are made
-// from this list.
+// Metric describes one metric. `elderctl site metrics` and the operators' page are generated from these
+// descriptions.
 type Metric struct{ Name, Unit, Kind, Attributes, About string }
 
 // The kinds of metric.
@@ -23,8 +23,7 @@
 	kindHistogram = "exponential histogram"
 )
 
-// Metrics are all that a gateway exports. Sums grow from the process's start and
-// are cumulative.
+// Metrics lists the metrics that a gateway exports. Sums are cumulative from the start of the process.
 func Metrics() []Metric {
 	return []Metric{
 		{"elderyard.requests", "{request}", kindSum, "elderyard.class, elderyard.plan, elderyard.first", "tries that were taken in; first: their clients did not mark them as another try"},
@@ -47,31 +46,31 @@
 	}
 }
 
-// counts is a moment of all that is exported.
-type counts struct {
-	tally   *traces.Tally
-	teller  *traces.Teller
-	figures Figures
-	missed  [traces.EventKinds]uint64
-	traces  *sender
-	points  *sender
+// exportState is the state from which metrics are made.
+type exportState struct {
+	tally       *traces.Tally
+	recorder    *traces.Recorder
+	figures     Figures
+	missed      [traces.EventKindCount]uint64
+	spanSender  *sender
+	pointSender *sender
 }
 
-// Figures are what the module's owner tells of a moment.
+// Figures are gauges and counters that the owner of the rules module reports.
 type Figures struct {
 	rules.Figures
-	Calls [traces.Outcomes]uint64 // to the counter, by outcome
+	Calls [traces.OutcomeCount]uint64 // calls to the counter, by outcome
 }
 
-// gather makes the points of a moment. Sums have grown since start.
-type gather struct {
+// metricBuilder collects the points of one export. Start and now are OTLP times.
+type metricBuilder struct {
 	start, now uint64
 	list       []*metrics.Metric
 	at         map[string]*metrics.Metric
 }
 
-func (g *gather) metric(name string) *metrics.Metric {
-	if m := g.at[name]; m != nil {
+func (b *metricBuilder) metric(name string) *metrics.Metric {
+	if m := b.at[name]; m != nil {
 		return m
 	}
 	for _, d := range Metrics() {
@@ -88,27 +87,27 @@
 			m.Data = &metrics.Metric_ExponentialHistogram{ExponentialHistogram: &metrics.ExponentialHistogram{
 				AggregationTemporality: metrics.AggregationTemporality_AGGREGATION_TEMPORALITY_CUMULATIVE}}
 		}
-		g.list = append(g.list, m)
-		g.at[name] = m
+		b.list = append(b.list, m)
+		b.at[name] = m
 		return m
 	}
-	panic("metric " + name + " is not on the list") // a test makes every metric
+	panic("metric " + name + " is not on the list") // a test exports every metric
 }
 
-func (g *gather) sum(name string, n uint64, attrs ...traces.Attr) {
-	s := g.metric(name).GetSum()
-	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: g.start, TimeUnixNano: g.now,
+func (b *metricBuilder) sum(name string, n uint64, attrs ...traces.Attr) {
+	s := b.metric(name).GetSum()
+	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: b.start, TimeUnixNano: b.now,
 		Value: &metrics.NumberDataPoint_AsInt{AsInt: int64(n)}})
 }
 
-func (g *gather) gauge(name string, x float64, attrs ...traces.Attr) {
-	s := g.metric(name).GetGauge()
-	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), TimeUnixNano: g.now,
+func (b *metricBuilder) gauge(name string, x float64, attrs ...traces.Attr) {
+	s := b.metric(name).GetGauge()
+	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), TimeUnixNano: b.now,
 		Value: &metrics.NumberDataPoint_AsDouble{AsDouble: x}})
 }
 
-func (g *gather) histogram(name string, h *traces.Histogram, attrs ...traces.Attr) {
-	p := &metrics.ExponentialHistogramDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: g.start, TimeUnixNano: g.now, Count: h.Count,
+func (b *metricBuilder) histogram(name string, h *traces.Histogram, attrs ...traces.Attr) {
+	p := &metrics.ExponentialHistogramDataPoint{Attributes: attributes(attrs), StartTimeUnixNano: b.start, TimeUnixNano: b.now, Count: h.Count,
 		Scale: int32(h.Scale), ZeroCount: h.Zero, Positive: &metrics.ExponentialHistogramDataPoint_Buckets{Offset: int32(h.Offset),
 			BucketCounts: append([]uint64(nil), h.Buckets...)}}
 	if sum := h.Sum; h.Count > 0 {
@@ -119,71 +118,85 @@
 		p.Exemplars = []*metrics.Exemplar{{TimeUnixNano: traces.Nanos(e.At), Value: &metrics.Exemplar_AsDouble{AsDouble: e.Value},
 			TraceId: e.Context.Trace[:], SpanId: e.Context.Span[:], FilteredAttributes: []*common.KeyValue{}}}
 	}
-	s := g.metric(name).GetExponentialHistogram()
+	s := b.metric(name).GetExponentialHistogram()
 	s.DataPoints = append(s.DataPoints, p)
 }
 
 func attr(key string, v any) traces.Attr { return traces.Attr{Key: key, Value: v} }
 
-// points makes the metrics of a moment. Start and now are seconds.
-func (c *counts) metrics(set *traces.Settings, start, now float64) []*metrics.Metric {
-	g := &gather{start: traces.Nanos(start), now: traces.Nanos(max(now, start)), at: map[string]*metrics.Metric{}}
-	t := c.tally
-	for class, name := range set.Classes {
-		of := attr("elderyard.class", name)
-		for plan, bought := range set.Plans {
-			at := t.At(class, plan)
-			by := attr("elderyard.plan", bought)
-			g.sum("elderyard.requests", t.First[at], of, by, attr("elderyard.first", true))
-			g.sum("elderyard.requests", t.Tries[at]-t.First[at], of, by, attr("elderyard.first", false))
-			g.sum("elderyard.requests.in_time", t.InTime[at], of, by)
+// metrics returns the current metrics. Start and now are in seconds.
+func (c *exportState) metrics(set *traces.Settings, start, now float64) []*metrics.Metric {
+	b := &metricBuilder{start: traces.Nanos(start), now: traces.Nanos(max(now, start)), at: map[string]*metrics.Metric{}}
+	b.addRequests(c.tally, set)
+	b.addFigures(&c.figures)
+	b.addSampling(c.recorder)
+	b.addSignal("traces", c.spanSender)
+	b.addSignal("metrics", c.pointSender)
+	for kind, n := range c.missed {
+		b.sum("elderyard.telemetry.missed", n, attr("elderyard.kind", traces.EventKind(kind).String()))
+	}
+	return b.list
+}
+
+// addRequests adds what the tally counted of requests and attempts.
+func (b *metricBuilder) addRequests(t *traces.Tally, set *traces.Settings) {
+	for class, className := range set.Classes {
+		byClass := attr("elderyard.class", className)
+		for plan, planName := range set.Plans {
+			i := t.Index(class, plan)
+			byPlan := attr("elderyard.plan", planName)
+			b.sum("elderyard.requests", t.FirstTries[i], byClass, byPlan, attr("elderyard.first", true))
+			b.sum("elderyard.requests", t.Requests[i]-t.FirstTries[i], byClass, byPlan, attr("elderyard.first", false))
+			b.sum("elderyard.requests.in_time", t.InTime[i], byClass, byPlan)
 		}
 		for end, n := range t.Ends[class] {
-			g.sum("elderyard.request.ends", n, of, attr("elderyard.outcome", traces.End(end).Name()))
+			b.sum("elderyard.request.ends", n, byClass, attr("elderyard.outcome", traces.End(end).Name()))
 		}
-		g.histogram("http.server.request.duration", t.Latency[class], of)
+		b.histogram("http.server.request.duration", t.Latency[class], byClass)
 	}
-	for o, n := range t.Attempts {
-		g.sum("elderyard.attempts", n, attr("elderyard.outcome", traces.OutcomeName(rules.Outcome(o))))
+	for outcome, n := range t.Attempts {
+		b.sum("elderyard.attempts", n, attr("elderyard.outcome", traces.OutcomeName(rules.Outcome(outcome))))
 	}
-	f := &c.figures
-	for o, n := range f.Calls {
-		g.sum("elderyard.counter.calls", n, attr("elderyard.outcome", callOutcome(rules.Outcome(o))))
+}
+
+// addFigures adds what the owner reported.
+func (b *metricBuilder) addFigures(f *Figures) {
+	for outcome, n := range f.Calls {
+		b.sum("elderyard.counter.calls", n, attr("elderyard.outcome", callOutcome(rules.Outcome(outcome))))
 	}
-	g.gauge("elderyard.bound", f.Bound)
-	g.gauge("elderyard.in_flight", float64(f.InFlight))
+	b.gauge("elderyard.bound", f.Bound)
+	b.gauge("elderyard.in_flight", float64(f.InFlight))
 	for level, n := range f.Held {
-		g.gauge("elderyard.held", float64(n), attr("elderyard.level", strconv.Itoa(level)))
+		b.gauge("elderyard.held", float64(n), attr("elderyard.level", strconv.Itoa(level)))
 	}
-	g.gauge("elderyard.waiting", float64(f.Waiting))
-	for _, h := range []struct {
-		name string
-		n    int
+	b.gauge("elderyard.waiting", float64(f.Waiting))
+	for _, backends := range []struct {
+		health string
+		count  int
 	}{{"well", f.Well}, {"left out", f.LeftOut}, {"cold", f.Cold}, {"by hand", f.ByHand}, {"not ready", f.NotReady}} {
-		g.gauge("elderyard.backends", float64(h.n), attr("elderyard.health", h.name))
-	}
-	g.gauge("elderyard.accounts", float64(f.Customers))
-	g.gauge("elderyard.units.leased", f.Leased)
-	g.sum("elderyard.stories", uint64(c.teller.Kept), attr("elderyard.kept", true))
-	g.sum("elderyard.stories", uint64(c.teller.Left), attr("elderyard.kept", false))
-	for _, s := range []struct {
-		name string
-		s    *sender
-	}{{"traces", c.traces}, {"metrics", c.points}} {
-		bytes, dropped := s.s.queue.state()
-		signal := attr("elderyard.signal", s.name)
-		g.sum("elderyard.telemetry.items", s.s.sent.Load(), signal, attr("elderyard.state", "sent"))
-		g.sum("elderyard.telemetry.items", dropped, signal, attr("elderyard.state", "dropped"))
-		g.sum("elderyard.telemetry.items", s.s.rejected.Load(), signal, attr("elderyard.state", "rejected"))
-		g.gauge("elderyard.telemetry.queue", float64(bytes), signal)
+		b.gauge("elderyard.backends", float64(backends.count), attr("elderyard.health", backends.health))
 	}
-	for kind, n := range c.missed {
-		g.sum("elderyard.telemetry.missed", n, attr("elderyard.kind", traces.EventKind(kind).String()))
-	}
-	return g.list
+	b.gauge("elderyard.accounts", float64(f.Customers))
+	b.gauge("elderyard.units.leased", f.Leased)
+}
+
+// addSampling adds how many traces were exported and how many discarded.
+func (b *metricBuilder) addSampling(r *traces.Recorder) {
+	b.sum("elderyard.stories", uint64(r.Kept), attr("elderyard.kept", true))
+	b.sum("elderyard.stories", uint64(r.Discarded), attr("elderyard.kept", false))
+}
+
+// addSignal adds what became of the items of one signal.
+func (b *metricBuilder) addSignal(name string, s *sender) {
+	queued, dropped := s.queue.state()
+	signal := attr("elderyard.signal", name)
+	b.sum("elderyard.telemetry.items", s.sent.Load(), signal, attr("elderyard.state", "sent"))
+	b.sum("elderyard.telemetry.items", dropped, signal, attr("elderyard.state", "dropped"))
+	b.sum("elderyard.telemetry.items", s.rejected.Load(), signal, attr("elderyard.state", "rejected"))
+	b.gauge("elderyard.telemetry.queue", float64(queued), signal)
 }
 
-// callOutcome names what became of a call to the counter, which has fewer ends than an attempt.
+// callOutcome returns the exported name of the outcome of a call to the counter.
 func callOutcome(o rules.Outcome) string {
 	switch o {
 	case rules.Served:
@@ -194,7 +207,7 @@
 	return traces.OutcomeName(o)
 }
 
-// Page is the list of metrics as the operators' page has it.
+// Page returns the list of metrics as it stands on the operators' page.
 func Page() string {
 	var b strings.Builder
 	b.WriteString("| metric | unit | kind | attributes | what it is |\n| --- | --- | --- | --- | --- |\n")
