--- /dev/null
+++ b/capacity/fit.go
@@ -0,0 +1,191 @@
+package capacity
+
+import (
+	"fmt"
+	"math"
+	"slices"
+)
+
+// Form is how a quantity is expected to grow with its size.
+type Form string
+
+// The forms that a slope may take.
+const (
+	Constant     Form = "constant"     // a
+	Linear       Form = "linear"       // a + b*size
+	Logarithmic  Form = "logarithmic"  // a + b*ln(size)
+	Interpolated Form = "interpolated" // straight between neighbouring points, nothing beyond them
+)
+
+// Point is one measured value at one size.
+type Point struct {
+	Size  float64 `json:"size"`
+	Value float64 `json:"value"`
+}
+
+// Fit is a least-squares fit of points by a form.
+type Fit struct {
+	Form      Form
+	Intercept float64
+	Slope     float64 // 0 for Constant and Interpolated
+	RMS       float64 // root of the mean squared residual, in the measure's unit
+	Worst     float64 // the largest distance of a point from the fit, in the measure's unit
+	Least     float64 // the smallest size measured
+	Largest   float64 // the largest size measured
+
+	points []Point
+}
+
+// FitPoints fits points by a form. Linear and logarithmic forms need two
+// different sizes; with fewer the fit holds at the one measured size alone, as
+// Interpolated does. Sizes must be positive and there must be a point; callers
+// have validated that.
+func FitPoints(form Form, points []Point) Fit {
+	points = slices.Clone(points)
+	slices.SortStableFunc(points, func(a, b Point) int {
+		switch {
+		case a.Size < b.Size:
+			return -1
+		case a.Size > b.Size:
+			return 1
+		}
+		return 0
+	})
+	fit := Fit{Form: form, Least: points[0].Size, Largest: points[len(points)-1].Size, points: points}
+	if fit.Least == fit.Largest && form != Constant {
+		fit.Form = Interpolated
+	}
+	switch fit.Form {
+	case Constant:
+		fit.Intercept = mean(points, func(p Point) float64 { return p.Value })
+	case Linear, Logarithmic:
+		fit.leastSquares()
+	}
+	fit.residuals()
+	return fit
+}
+
+// leastSquares sets intercept and slope over the transformed size.
+func (f *Fit) leastSquares() {
+	meanX := mean(f.points, func(p Point) float64 { return f.transform(p.Size) })
+	meanY := mean(f.points, func(p Point) float64 { return p.Value })
+	var covariance, variance float64
+	for _, p := range f.points {
+		dx := f.transform(p.Size) - meanX
+		covariance += dx * (p.Value - meanY)
+		variance += dx * dx
+	}
+	f.Slope = covariance / variance
+	f.Intercept = meanY - f.Slope*meanX
+}
+
+// transform is the size as the form's line sees it.
+func (f *Fit) transform(size float64) float64 {
+	if f.Form == Logarithmic {
+		return math.Log(size)
+	}
+	return size
+}
+
+func (f *Fit) residuals() {
+	var squares float64
+	for _, p := range f.points {
+		value, _ := f.At(p.Size)
+		distance := math.Abs(p.Value - value)
+		squares += distance * distance
+		f.Worst = max(f.Worst, distance)
+	}
+	f.RMS = math.Sqrt(squares / float64(len(f.points)))
+}
+
+// At is the fitted value at a size; false where the form says nothing of it.
+func (f *Fit) At(size float64) (float64, bool) {
+	if f.Form == Interpolated {
+		return f.between(size)
+	}
+	return f.Intercept + f.Slope*f.transform(size), true
+}
+
+// between is the value on the straight line between the neighbouring points;
+// points of one size count by their mean.
+func (f *Fit) between(size float64) (float64, bool) {
+	if size < f.Least || size > f.Largest {
+		return 0, false
+	}
+	low, high := f.Least, f.Largest
+	for _, p := range f.points {
+		if p.Size <= size {
+			low = p.Size
+		}
+		if p.Size >= size && p.Size < high {
+			high = p.Size
+		}
+	}
+	at := func(size float64) float64 {
+		var same []Point
+		for _, p := range f.points {
+			if p.Size == size {
+				same = append(same, p)
+			}
+		}
+		return mean(same, func(p Point) float64 { return p.Value })
+	}
+	if low == high {
+		return at(low), true
+	}
+	share := (size - low) / (high - low)
+	return at(low) + share*(at(high)-at(low)), true
+}
+
+// String is the fit as a formula of n, the size.
+func (f *Fit) String() string {
+	switch f.Form {
+	case Constant:
+		return number(f.Intercept)
+	case Linear:
+		return fmt.Sprintf("%s + %s n", number(f.Intercept), number(f.Slope))
+	case Logarithmic:
+		return fmt.Sprintf("%s + %s ln n", number(f.Intercept), number(f.Slope))
+	}
+	if f.Least == f.Largest {
+		return "one size"
+	}
+	return "between points"
+}
+
+func mean(points []Point, of func(Point) float64) float64 {
+	var sum float64
+	for _, p := range points {
+		sum += of(p)
+	}
+	return sum / float64(len(points))
+}
+
+// number is a figure in three digits, without an exponent where a person reads it
+// easily.
+func number(v float64) string {
+	magnitude := math.Abs(v)
+	switch {
+	case v == 0:
+		return "0"
+	case magnitude >= 1000:
+		return grouped(math.Round(v))
+	case magnitude >= 100:
+		return fmt.Sprintf("%.0f", v)
+	case magnitude < 0.001:
+		return fmt.Sprintf("%.2e", v)
+	}
+	return fmt.Sprintf("%.3g", v)
+}
+
+// grouped writes a whole number with its thousands apart.
+func grouped(v float64) string {
+	text := fmt.Sprintf("%.0f", math.Abs(v))
+	for i := len(text) - 3; i > 0; i -= 3 {
+		text = text[:i] + "," + text[i:]
+	}
+	if v < 0 {
+		return "-" + text
+	}
+	return text
+}
--- /dev/null
+++ b/capacity/measures.go
@@ -0,0 +1,153 @@
+package capacity
+
+// Dimension is what the sizes of a slope's points count.
+type Dimension string
+
+// The dimensions that a slope may be measured over.
+const (
+	Gateways          Dimension = "gateways"             // gateways of the site, each with its agent
+	Records           Dimension = "records"              // routes and tenants of the site's configuration
+	BackendsOfSite    Dimension = "backends of the site" // in one whole list of discovery
+	BackendsInList    Dimension = "backends in one list" // that one request's decision chooses among
+	GatewaysPerTenant Dimension = "gateways a tenant comes to"
+)
+
+// Measure is a quantity that can be measured at several sizes. Its name is what
+// a file of slopes refers to.
+type Measure struct {
+	Name      string
+	Unit      string
+	Dimension Dimension
+	Form      Form // how it is expected to grow with the dimension
+	About     string
+}
+
+// Names of the measures. What is "of one gateway" is the mean over all gateways
+// of the run unless the name says worst.
+const (
+	AgentBytes    = "agent.bytes_per_second"
+	AgentMessages = "agent.messages_per_second"
+	AgentCPU      = "agent.cpu_cores"
+	AgentMemory   = "agent.memory_mb"
+
+	LeaderCPU    = "leader.cpu_cores"
+	LeaderMemory = "leader.memory_mb"
+	LeaderBytes  = "leader.bytes_per_second"
+	VoterCPU     = "voter.cpu_cores"
+	VoterMemory  = "voter.memory_mb"
+	VoterBytes   = "voter.bytes_per_second"
+
+	MembersBytes    = "members.bytes_per_second"
+	MembersMessages = "members.datagrams_per_second"
+	MembersCPU      = "members.cpu_cores"
+	MembersMemory   = "members.memory_mb"
+	MembersAgree    = "members.agree_seconds"
+	MembersHeal     = "members.heal_seconds"
+
+	FileBytesByRecords  = "file.bytes_per_change"
+	FileLeaderMemory    = "file.leader_peak_mb"
+	FileInForce         = "file.in_force_seconds"
+	FileBytesPerSecond  = "file.bytes_per_second"
+	FileWorstMinute     = "file.worst_minute_bytes_per_second"
+	FileLeaderCPU       = "file.leader_cpu_cores"
+	FileLeaderBytesRate = "file.leader_bytes_per_second"
+
+	RecordsBytes          = "records.bytes_per_second"
+	RecordsWorstMinute    = "records.worst_minute_bytes_per_second"
+	RecordsMessages       = "records.messages_per_second"
+	RecordsBytesPerChange = "records.bytes_per_change"
+	RecordsInForceMedian  = "records.in_force_median_seconds"
+	RecordsInForceP99     = "records.in_force_p99_seconds"
+	RecordsInForceMost    = "records.in_force_most_seconds"
+	RecordsAgentCPU       = "records.agent_cpu_cores"
+	RecordsAgentMemory    = "records.agent_memory_mb"
+	RecordsSnapshotBytes  = "records.snapshot_bytes"
+	RecordsServerCPU      = "records.server_cpu_cores"
+	RecordsServerMemory   = "records.server_memory_mb"
+	RecordsServerBytes    = "records.server_bytes_per_second"
+
+	RequestDecision = "request.decision_us"
+	RequestAdded    = "request.added_p99_ms"
+	RequestCPU      = "request.cpu_us"
+
+	DiscoveryListBytes   = "discovery.list_bytes"
+	DiscoveryChangeBytes = "discovery.bytes_per_change"
+
+	CounterCalls = "counter.calls_per_request"
+	CounterBytes = "counter.bytes_per_call"
+	CounterCPU   = "counter.cpu_us_per_call"
+
+	OperatorStatusBytes   = "operator.status_bytes"
+	OperatorStatusSeconds = "operator.status_seconds"
+)
+
+// measures are all that a file of slopes may name.
+var measures = []Measure{
+	{AgentBytes, "B/s", Gateways, Constant, "one agent's reports and the orders it gets, both directions, on a site at rest"},
+	{AgentMessages, "1/s", Gateways, Constant, "one agent's reports, on a site at rest"},
+	{AgentCPU, "cores", Gateways, Constant, "one agent on a site at rest, without records"},
+	{AgentMemory, "MB", Gateways, Constant, "one agent's resident memory on a site at rest, without records"},
+
+	{LeaderCPU, "cores", Gateways, Linear, "the leader's process on a site at rest"},
+	{LeaderMemory, "MB", Gateways, Linear, "the leader's resident memory on a site at rest"},
+	{LeaderBytes, "B/s", Gateways, Linear, "all that the leader sends and receives on a site at rest"},
+	{VoterCPU, "cores", Gateways, Linear, "a voter that does not lead, on a site at rest"},
+	{VoterMemory, "MB", Gateways, Linear, "resident memory of a voter that does not lead"},
+	{VoterBytes, "B/s", Gateways, Linear, "all that a voter that does not lead sends and receives on a site at rest"},
+
+	{MembersBytes, "B/s", Gateways, Constant, "one gateway's datagrams and connections for membership, sent, at rest"},
+	{MembersMessages, "1/s", Gateways, Constant, "one gateway's datagrams for membership, sent, at rest"},
+	{MembersCPU, "cores", Gateways, Linear, "one idle gateway that knows the others of its site"},
+	{MembersMemory, "MB", Gateways, Linear, "the largest resident memory of an idle gateway that knows the others"},
+	{MembersAgree, "s", Gateways, Logarithmic, "from a kill until every other gateway has given the killed one up; the longest"},
+	{MembersHeal, "s", Gateways, Logarithmic, "from the end of a cut into halves until all hear all; the longest"},
+
+	{FileBytesByRecords, "B", Records, Linear, "whole file, sent as revisions are: bytes one agent receives for one change"},
+	{FileLeaderMemory, "MB", Records, Linear, "whole file: the leader's largest resident memory over a change"},
+	{FileInForce, "s", Gateways, Linear, "whole file: from accepted until in force at every gateway; the longest"},
+	{FileBytesPerSecond, "B/s", Gateways, Constant, "whole file: one gateway's control bytes over the day of changes, pressed rate turned back to the day's"},
+	{FileWorstMinute, "B/s", Gateways, Constant, "whole file: the worst 60 s of any gateway"},
+	{FileLeaderCPU, "cores", Gateways, Linear, "whole file: the leader's process over the day of changes"},
+	{FileLeaderBytesRate, "B/s", Gateways, Linear, "whole file: what the leader sends over the day of changes"},
+
+	{RecordsBytes, "B/s", Gateways, Constant, "records: one gateway's bytes for records, both directions, mean over the day of changes"},
+	{RecordsWorstMinute, "B/s", Gateways, Constant, "records: the worst 60 s of any gateway"},
+	{RecordsMessages, "1/s", Gateways, Constant, "records: requests of one gateway's agent to the control machines"},
+	{RecordsBytesPerChange, "B", Records, Constant, "records: bytes one agent receives for one change of one record"},
+	{RecordsInForceMedian, "s", Gateways, Logarithmic, "records: from accepted until in force at every gateway; median of the day's changes"},
+	{RecordsInForceP99, "s", Gateways, Logarithmic, "records: the same; 99th of 100"},
+	{RecordsInForceMost, "s", Gateways, Logarithmic, "records: the same; the longest"},
+	{RecordsAgentCPU, "cores", Gateways, Constant, "records: one agent's part for records"},
+	{RecordsAgentMemory, "MB", Records, Linear, "records: one agent's resident memory for a replica of so many records, with the copy on its way to disk"},
+	{RecordsSnapshotBytes, "B", Records, Linear, "records: bytes an empty replica receives until it is whole"},
+	{RecordsServerCPU, "cores", Gateways, Linear, "records: the busiest control process"},
+	{RecordsServerMemory, "MB", Gateways, Linear, "records: the largest resident memory of a control process"},
+	{RecordsServerBytes, "B/s", Gateways, Linear, "records: what the busiest control process sends and receives"},
+
+	{RequestDecision, "us", BackendsInList, Linear, "CPU of one request's decision, in a site of 610 gateways"},
+	{RequestAdded, "ms", BackendsInList, Linear, "time added to a request at the 99th of 100"},
+	{RequestCPU, "us", BackendsInList, Linear, "CPU of the gateway's process for one request, sockets and all"},
+
+	{DiscoveryListBytes, "B", BackendsOfSite, Linear, "one whole list as a gateway receives it"},
+	{DiscoveryChangeBytes, "B", BackendsOfSite, Constant, "one backend's change as a gateway receives it"},
+
+	{CounterCalls, "1", GatewaysPerTenant, Interpolated, "calls to the counter for one request, at a gateway's 279 requests a second"},
+	{CounterBytes, "B", Gateways, Constant, "one call to the counter with its answer"},
+	{CounterCPU, "us", Gateways, Constant, "the counter's CPU for one call"},
+
+	{OperatorStatusBytes, "B", Gateways, Linear, "one answer to elderctl instances --json"},
+	{OperatorStatusSeconds, "s", Gateways, Linear, "one run of elderctl instances --json"},
+}
+
+// Measures lists every measure that a file of slopes may name.
+func Measures() []Measure { return append([]Measure(nil), measures...) }
+
+// measureOf finds a measure by its name.
+func measureOf(name string) (Measure, bool) {
+	for _, m := range measures {
+		if m.Name == name {
+			return m, true
+		}
+	}
+	return Measure{}, false
+}
