--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -1,6 +1,7 @@
 package capacity
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"slices"
@@ -42,15 +43,7 @@
 // have validated that.
 func FitPoints(form Form, points []Point) Fit {
 	points = slices.Clone(points)
-	slices.SortStableFunc(points, func(a, b Point) int {
-		switch {
-		case a.Size < b.Size:
-			return -1
-		case a.Size > b.Size:
-			return 1
-		}
-		return 0
-	})
+	slices.SortStableFunc(points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
 	fit := Fit{Form: form, Least: points[0].Size, Largest: points[len(points)-1].Size, points: points}
 	if fit.Least == fit.Largest && form != Constant {
 		fit.Form = Interpolated
@@ -160,32 +153,3 @@
 	}
 	return sum / float64(len(points))
 }
-
-// number is a figure in three digits, without an exponent where a person reads it
-// easily.
-func number(v float64) string {
-	magnitude := math.Abs(v)
-	switch {
-	case v == 0:
-		return "0"
-	case magnitude >= 1000:
-		return grouped(math.Round(v))
-	case magnitude >= 100:
-		return fmt.Sprintf("%.0f", v)
-	case magnitude < 0.001:
-		return fmt.Sprintf("%.2e", v)
-	}
-	return fmt.Sprintf("%.3g", v)
-}
-
-// grouped writes a whole number with its thousands apart.
-func grouped(v float64) string {
-	text := fmt.Sprintf("%.0f", math.Abs(v))
-	for i := len(text) - 3; i > 0; i -= 3 {
-		text = text[:i] + "," + text[i:]
-	}
-	if v < 0 {
-		return "-" + text
-	}
-	return text
-}
--- /dev/null
+++ b/capacity/fit_test.go
@@ -0,0 +1,98 @@
+package capacity
+
+import (
+	"math"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+func TestFitPoints(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		form     Form
+		points   []Point
+		size     float64
+		want     float64
+		none     bool // the form says nothing at the size
+		rms      float64
+		worst    float64
+		formText string
+	}{
+		{"a constant is the mean", Constant, []Point{{5, 200}, {20, 202}, {50, 204}}, 610, 202, false, 1.632993, 2, "202"},
+		{"a constant of one point", Constant, []Point{{610, 320}}, 610, 320, false, 0, 0, "320"},
+		{"a line through two points", Linear, []Point{{100, 10}, {200, 20}}, 1000, 100, false, 0, 0, "0 + 0.1 n"},
+		{"a line with an intercept", Linear, []Point{{0.5, 6}, {1, 7}, {2, 9}}, 10, 25, false, 0, 0, "5 + 2 n"},
+		{"a line that misses its points", Linear, []Point{{1, 1}, {2, 3}, {3, 2}}, 2, 2, false, 0.707107, 1, "1 + 0.5 n"},
+		{"points in any order", Linear, []Point{{200, 20}, {100, 10}}, 150, 15, false, 0, 0, "0 + 0.1 n"},
+		{"a logarithm", Logarithmic, []Point{{1, 2}, {math.E, 5}}, math.E * math.E, 8, false, 0, 0, "2 + 3 ln n"},
+		{"a line of one size holds there", Linear, []Point{{610, 0.14}, {610, 0.18}}, 610, 0.16, false, 0.02, 0.02, "one size"},
+		{"and nowhere else", Linear, []Point{{610, 0.14}, {610, 0.18}}, 611, 0, true, 0.02, 0.02, "one size"},
+		{"between two points", Interpolated, []Point{{5, 0.2}, {50, 1.1}, {610, 1}}, 10, 0.3, false, 0, 0, "between points"},
+		{"at a point", Interpolated, []Point{{5, 0.2}, {50, 1.1}, {610, 1}}, 50, 1.1, false, 0, 0, "between points"},
+		{"beyond the last point", Interpolated, []Point{{5, 0.2}, {610, 1}}, 611, 0, true, 0, 0, "between points"},
+		{"before the first point", Interpolated, []Point{{5, 0.2}, {610, 1}}, 4, 0, true, 0, 0, "between points"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			fit := FitPoints(c.form, c.points)
+			got, ok := fit.At(c.size)
+			if ok == c.none || !near(got, c.want) {
+				t.Errorf("at %g: %g, %v; want %g, %v", c.size, got, ok, c.want, !c.none)
+			}
+			if !near(fit.RMS, c.rms) || !near(fit.Worst, c.worst) {
+				t.Errorf("residual %g, worst %g; want %g, %g", fit.RMS, fit.Worst, c.rms, c.worst)
+			}
+			if fit.String() != c.formText {
+				t.Errorf("%q, want %q", fit.String(), c.formText)
+			}
+		})
+	}
+}
+
+func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
+
+// No other line has a smaller sum of squares than the fitted one.
+func TestLinearFitIsTheLeastSquares(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		value := rapid.Float64Range(0, 1000)
+		points := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Point {
+			return Point{rapid.Float64Range(1, 1000).Draw(t, "size"), value.Draw(t, "value")}
+		}), 2, 20).Draw(t, "points")
+		fit := FitPoints(Linear, points)
+		if fit.Form != Linear || fit.Largest-fit.Least < 1 {
+			t.Skip("one size, or sizes too close for a line")
+		}
+		squares := func(intercept, slope float64) (sum float64) {
+			for _, p := range points {
+				distance := p.Value - intercept - slope*p.Size
+				sum += distance * distance
+			}
+			return sum
+		}
+		best := squares(fit.Intercept, fit.Slope)
+		intercept := fit.Intercept + rapid.Float64Range(-10, 10).Draw(t, "other intercept")
+		slope := fit.Slope + rapid.Float64Range(-1, 1).Draw(t, "other slope")
+		if other := squares(intercept, slope); other < best-1e-6*max(1, best) {
+			t.Fatalf("%v has squares %g, and %g + %g n has %g", fit.String(), best, intercept, slope, other)
+		}
+		if !near(fit.RMS, math.Sqrt(best/float64(len(points)))) || fit.Worst < fit.RMS-1e-9 {
+			t.Fatalf("RMS %g, worst %g of squares %g", fit.RMS, fit.Worst, best)
+		}
+	})
+}
+
+func TestNumbersForPeople(t *testing.T) {
+	for _, c := range []struct {
+		value float64
+		unit  string
+		want  string
+	}{
+		{0, "s", "0 s"}, {0.00012, "s", "1.20e-04 s"}, {0.0192, "ms", "0.0192 ms"}, {12, "s", "12 s"}, {999.6, "us", "1000 us"},
+		{8800, "", "8,800"}, {1234567, "1/s", "1,234,567 1/s"}, {-1234, "s", "-1,234 s"},
+		{6000, "B/s", "6,000 B/s"}, {17531, "B/s", "17.5 kB/s"}, {2.97e6, "B", "2.97 MB"}, {1.8117e9, "B", "1.81 GB"}, {64, "MB", "64 MB"},
+	} {
+		if got := withUnit(c.value, c.unit); got != c.want {
+			t.Errorf("%g %s: %q, want %q", c.value, c.unit, got, c.want)
+		}
+	}
+}
--- a/capacity/measures.go
+++ b/capacity/measures.go
@@ -10,6 +10,7 @@
 	BackendsOfSite    Dimension = "backends of the site" // in one whole list of discovery
 	BackendsInList    Dimension = "backends in one list" // that one request's decision chooses among
 	GatewaysPerTenant Dimension = "gateways a tenant comes to"
+	Single            Dimension = "one" // does not depend on any size; points have size 1
 )
 
 // Measure is a quantity that can be measured at several sizes. Its name is what
@@ -132,8 +133,8 @@
 	{DiscoveryChangeBytes, "B", BackendsOfSite, Constant, "one backend's change as a gateway receives it"},
 
 	{CounterCalls, "1", GatewaysPerTenant, Interpolated, "calls to the counter for one request, at a gateway's 279 requests a second"},
-	{CounterBytes, "B", Gateways, Constant, "one call to the counter with its answer"},
-	{CounterCPU, "us", Gateways, Constant, "the counter's CPU for one call"},
+	{CounterBytes, "B", Single, Constant, "one call to the counter with its answer, without headers of TCP and IP"},
+	{CounterCPU, "us", Single, Constant, "the counter's CPU for one call"},
 
 	{OperatorStatusBytes, "B", Gateways, Linear, "one answer to elderctl instances --json"},
 	{OperatorStatusSeconds, "s", Gateways, Linear, "one run of elderctl instances --json"},
--- /dev/null
+++ b/capacity/plan.go
@@ -0,0 +1,240 @@
+package capacity
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Verdict is what becomes of a requirement at the size.
+type Verdict string
+
+// The verdicts.
+const (
+	Carried  Verdict = "carried"
+	Over     Verdict = "over"
+	NotKnown Verdict = "not known" // a slope is missing, or does not reach so far
+	NoBudget Verdict = "no budget" // nothing says what it may be
+)
+
+// Role is a process, or a part of one, that a site pays for.
+type Role string
+
+// The roles, in the order of the page.
+const (
+	RequestPath   Role = "gateway: request path"
+	Membership    Role = "gateway: membership"
+	Discovery     Role = "gateway: discovery"
+	Configuration Role = "gateway: configuration"
+	Quotas        Role = "gateway: quotas"
+	Agent         Role = "agent"
+	GatewayTotal  Role = "gateway: all control"
+	Voter         Role = "voter and its leader"
+	Counter       Role = "counter"
+	Registry      Role = "discovery"
+	Tool          Role = "operator's tool"
+)
+
+// Kind is what a line is about.
+type Kind string
+
+// The kinds of lines.
+const (
+	State    Kind = "state"
+	Messages Kind = "messages"
+	Bytes    Kind = "bytes"
+	CPU      Kind = "CPU"
+	Memory   Kind = "memory"
+	Time     Kind = "time"
+)
+
+// Line is one requirement of a role at the size.
+type Line struct {
+	Role      Role     `json:"role"`
+	Kind      Kind     `json:"kind"`
+	Item      string   `json:"item"`
+	Mechanism string   `json:"mechanism"` // what carries it today
+	Planned   string   `json:"planned,omitempty"`
+	Unit      string   `json:"unit"`
+	Value     *float64 `json:"value"`              // absent: not known
+	Upper     *float64 `json:"upper"`              // value plus the fit's largest residual
+	AtLeast   *float64 `json:"at_least,omitempty"` // the known part of a sum that is not known
+	Budget    *float64 `json:"budget"`             // absent: there is none
+	Factor    *float64 `json:"factor,omitempty"`   // upper, or at least, over budget
+	Verdict   Verdict  `json:"verdict"`
+	Why       string   `json:"why,omitempty"` // where it is not known
+	Note      string   `json:"note,omitempty"`
+	Measures  []string `json:"measures,omitempty"` // none: arithmetic from the size alone
+	Trial     bool     `json:"trial,omitempty"`    // one of these is a trial
+}
+
+// SlopeLine is one measured slope with its fit and its value at the size.
+type SlopeLine struct {
+	Slope
+	Dimension Dimension `json:"dimension"`
+	Fit       string    `json:"fit"`
+	Form      Form      `json:"form"`
+	RMS       float64   `json:"residual_rms"`
+	Worst     float64   `json:"residual_worst"`
+	Largest   float64   `json:"largest_size"`
+	At        float64   `json:"at_size"`
+	Value     *float64  `json:"value"`           // absent: the form says nothing of the size
+	Trusted   bool      `json:"trusted"`         // the size is within TrustedReach of the largest measured
+	About     string    `json:"about,omitempty"` // of the measure
+}
+
+// Plan is all that is worked out for a size.
+type Plan struct {
+	Size       Size        `json:"size"`
+	Lines      []Line      `json:"lines"`
+	Slopes     []SlopeLine `json:"slopes"`
+	Unmeasured []string    `json:"unmeasured"` // measures without a slope
+	Placement  Placement   `json:"placement"`
+	Failures   []Failure   `json:"failures"`
+}
+
+// Compute works a plan out. Size and slopes have been validated.
+func Compute(size Size, slopes []Slope) Plan {
+	b := &builder{size: size, estimates: newEstimates(slopes)}
+	b.requestPath()
+	b.membership()
+	b.discovery()
+	b.configuration()
+	b.quotas()
+	b.agent()
+	b.gatewayTotal()
+	b.voter()
+	b.counter()
+	b.registry()
+	b.tool()
+	plan := Plan{Size: size, Lines: b.lines, Placement: Place(size.Budget.ControlMachines, size.Site.Regions, size.Site.Zones)}
+	plan.Slopes, plan.Unmeasured = b.slopeLines(slopes)
+	plan.Failures = b.failures(plan.Placement)
+	return plan
+}
+
+// NotCarried are the lines that are over their budget, by factor, largest first.
+func (p *Plan) NotCarried() []Line {
+	var over []Line
+	for _, l := range p.Lines {
+		if l.Verdict == Over {
+			over = append(over, l)
+		}
+	}
+	slices.SortStableFunc(over, func(a, b Line) int { return cmp.Compare(*b.Factor, *a.Factor) })
+	return over
+}
+
+// Unknown are the lines for which a slope is missing.
+func (p *Plan) Unknown() []Line {
+	var list []Line
+	for _, l := range p.Lines {
+		if l.Verdict == NotKnown {
+			list = append(list, l)
+		}
+	}
+	return list
+}
+
+// builder collects the lines of a plan.
+type builder struct {
+	size      Size
+	estimates estimates
+	lines     []Line
+}
+
+// requirement is a line before its verdict.
+type requirement struct {
+	role      Role
+	kind      Kind
+	item      string
+	mechanism string
+	planned   string
+	unit      string
+	value     quantity
+	budget    float64 // 0: none
+	note      string
+}
+
+func (b *builder) add(r requirement) {
+	line := Line{
+		Role: r.role, Kind: r.kind, Item: r.item, Mechanism: r.mechanism, Planned: r.planned, Unit: r.unit,
+		Note: r.note, Measures: r.value.from, Trial: r.value.trial, Why: r.value.unknown,
+	}
+	if r.budget > 0 {
+		line.Budget = &r.budget
+	}
+	if r.value.unknown == "" {
+		line.Value, line.Upper = &r.value.value, &r.value.upper
+	} else if r.value.least > 0 {
+		line.AtLeast = &r.value.least
+	}
+	line.Verdict = verdict(&line)
+	b.lines = append(b.lines, line)
+}
+
+// verdict sets the factor and rules by it. A sum of which a part is not known is
+// over its budget if the known part is.
+func verdict(line *Line) Verdict {
+	switch {
+	case line.Value == nil && line.Budget != nil && line.AtLeast != nil && *line.AtLeast > *line.Budget:
+		factor := *line.AtLeast / *line.Budget
+		line.Factor = &factor
+		return Over
+	case line.Value == nil:
+		return NotKnown
+	case line.Budget == nil:
+		return NoBudget
+	}
+	factor := *line.Upper / *line.Budget
+	line.Factor = &factor
+	if factor > 1 {
+		return Over
+	}
+	return Carried
+}
+
+// slopeLines are the slopes in the order of the measures, and the measures
+// without one.
+func (b *builder) slopeLines(slopes []Slope) (lines []SlopeLine, unmeasured []string) {
+	for _, m := range measures {
+		f, measured := b.estimates.slopes[m.Name]
+		if !measured {
+			unmeasured = append(unmeasured, m.Name)
+			continue
+		}
+		line := SlopeLine{
+			Slope: f.slope, Dimension: m.Dimension, Form: f.fit.Form, Fit: f.fit.String(), RMS: f.fit.RMS, Worst: f.fit.Worst,
+			Largest: f.fit.Largest, At: b.target(m.Dimension), About: m.About,
+		}
+		line.Trusted = line.At <= line.Largest*TrustedReach
+		if value, ok := f.fit.At(line.At); ok {
+			line.Value = &value
+		}
+		lines = append(lines, line)
+	}
+	return lines, unmeasured
+}
+
+// target is the size that a dimension is to reach.
+func (b *builder) target(d Dimension) float64 {
+	site := &b.size.Site
+	switch d {
+	case Gateways:
+		return float64(site.Gateways)
+	case Records:
+		return float64(b.size.Entries())
+	case BackendsOfSite:
+		return float64(site.Backends)
+	case BackendsInList:
+		return b.largestService()
+	case GatewaysPerTenant:
+		return float64(b.size.Assumptions.GatewaysPerTenant)
+	}
+	return 1
+}
+
+// of is a measure's figure at the size.
+func (b *builder) of(name string) quantity {
+	m, _ := measureOf(name)
+	return b.estimates.at(name, b.target(m.Dimension))
+}
--- /dev/null
+++ b/capacity/plan_test.go
@@ -0,0 +1,210 @@
+package capacity
+
+import (
+	"slices"
+	"strings"
+	"testing"
+)
+
+// slopeOf is a slope as a file would hold it.
+func slopeOf(t *testing.T, measure string, points ...Point) Slope {
+	t.Helper()
+	m, ok := measureOf(measure)
+	if !ok {
+		t.Fatalf("no measure %q", measure)
+	}
+	return Slope{Measure: measure, Unit: m.Unit, Command: "a test", Measured: "2026-12-02", Points: points}
+}
+
+// lineOf is the line of a plan whose item begins so.
+func lineOf(t *testing.T, plan Plan, role Role, item string) Line {
+	t.Helper()
+	i := slices.IndexFunc(plan.Lines, func(l Line) bool { return l.Role == role && strings.HasPrefix(l.Item, item) })
+	if i < 0 {
+		t.Fatalf("no line %s: %s", role, item)
+	}
+	return plan.Lines[i]
+}
+
+func TestVerdicts(t *testing.T) {
+	size := goodSize(t)
+	for _, c := range []struct {
+		name    string
+		points  []Point
+		verdict Verdict
+		value   float64
+		factor  float64
+		why     string
+	}{
+		{"within the budget", []Point{{305, 3000}, {610, 3000}}, Carried, 3000, 0.5, ""},
+		{"exactly the budget", []Point{{610, 6000}}, Carried, 6000, 1, ""},
+		{"over the budget", []Point{{610, 12000}}, Over, 12000, 2, ""},
+		{"the fit's worst residual is over it", []Point{{305, 5000}, {610, 6900}}, Over, 5950, 1.15, ""},
+		{"half the size measured: trusted", []Point{{305, 600}}, Carried, 600, 0.1, ""},
+		{"less than half of it measured: not", []Point{{100, 600}, {304, 600}}, NotKnown, 0, 0, "agent.bytes_per_second is measured up to 304 alone"},
+		{"not measured", nil, NotKnown, 0, 0, "agent.bytes_per_second is not measured"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var slopes []Slope
+			if c.points != nil {
+				slopes = append(slopes, slopeOf(t, AgentBytes, c.points...))
+			}
+			l := lineOf(t, Compute(size, slopes), Agent, "reports and orders")
+			if l.Verdict != c.verdict || l.Why != c.why {
+				t.Fatalf("%s (%s), want %s (%s)", l.Verdict, l.Why, c.verdict, c.why)
+			}
+			if c.verdict == NotKnown {
+				if l.Value != nil || l.Factor != nil {
+					t.Errorf("a figure that is not known: %+v", l)
+				}
+				return
+			}
+			if !near(*l.Value, c.value) || !near(*l.Factor, c.factor) {
+				t.Errorf("%g, factor %g; want %g, %g", *l.Value, *l.Factor, c.value, c.factor)
+			}
+		})
+	}
+}
+
+// The figures of today's way, from the slopes that were seen.
+func TestWholeFilesAtTheSize(t *testing.T) {
+	size := goodSize(t)
+	plan := Compute(size, []Slope{
+		slopeOf(t, FileBytesByRecords, Point{26_000, 2.97e6}),
+		slopeOf(t, AgentBytes, Point{610, 320}),
+	})
+	for _, c := range []struct {
+		role   Role
+		item   string
+		value  float64
+		factor float64
+	}{
+		{Configuration, "whole file: all entries", 2.86e6, 2.86e6 / 262144},
+		{Configuration, "whole file: mean of the day's changes", 2.97e6 * 510 / 86400, 2.97e6 * 510 / 86400 / 6000},
+		{Configuration, "whole file: one change at the budget's", 495, 495.0 / 19},
+		{Voter, "whole file: that at the machine's", 2.97e6 * 610 / 125e6, 2.97e6 * 610 / 125e6 / 19},
+	} {
+		l := lineOf(t, plan, c.role, c.item)
+		if l.Value == nil || !near(*l.Value, c.value) || !near(*l.Factor, c.factor) {
+			t.Errorf("%s: %+v; want %g, factor %g", c.item, l, c.value, c.factor)
+		}
+	}
+	over := plan.NotCarried()
+	for i := 1; i < len(over); i++ {
+		if *over[i].Factor > *over[i-1].Factor {
+			t.Errorf("%s (%g) stands behind %s (%g)", over[i].Item, *over[i].Factor, over[i-1].Item, *over[i-1].Factor)
+		}
+	}
+	// A sum of which a part is missing is over if its known part is.
+	total := lineOf(t, plan, GatewayTotal, "configuration as whole files")
+	if total.Verdict != Over || total.Value != nil || !near(*total.AtLeast, 320+2.97e6*510/86400) {
+		t.Errorf("%+v", total)
+	}
+	if total := lineOf(t, plan, GatewayTotal, "configuration as records"); total.Verdict != NotKnown || !near(*total.AtLeast, 320) {
+		t.Errorf("%+v", total)
+	}
+}
+
+func TestQuotaCallsCountWhereTheSizeSaysSo(t *testing.T) {
+	size := goodSize(t)
+	slopes := []Slope{slopeOf(t, CounterCalls, Point{5, 0.25}, Point{610, 1}), slopeOf(t, CounterBytes, Point{1, 150})}
+	if l := lineOf(t, Compute(size, slopes), Quotas, "calls at the peak"); l.Verdict != NoBudget {
+		t.Errorf("%+v", l)
+	}
+	size.Assumptions.QuotaCallsAreControl = true
+	size.Assumptions.GatewaysPerTenant = 5
+	i := slices.IndexFunc(Compute(size, slopes).Lines, func(l Line) bool { return l.Role == Quotas && l.Kind == Bytes })
+	l := Compute(size, slopes).Lines[i]
+	if want := 0.25 * 150 * 170_000 / 610.0; l.Verdict != Over || !near(*l.Value, want) {
+		t.Errorf("%+v, want %g", l, want)
+	}
+}
+
+func TestNothingIsInventedWithoutSlopes(t *testing.T) {
+	plan := Compute(goodSize(t), nil)
+	for _, l := range plan.Lines {
+		if len(l.Measures) > 0 && (l.Verdict != NotKnown || l.Value != nil || l.AtLeast != nil) {
+			// The soak of a rollout is arithmetic, and the known part of its sum.
+			if l.Verdict == Over && l.AtLeast != nil && *l.AtLeast == defaultSoak {
+				continue
+			}
+			t.Errorf("%+v", l)
+		}
+	}
+	if len(plan.Unmeasured) != len(measures) {
+		t.Errorf("%d unmeasured of %d", len(plan.Unmeasured), len(measures))
+	}
+}
+
+func TestEveryMeasureIsUsed(t *testing.T) {
+	used := map[string]bool{}
+	for _, l := range Compute(goodSize(t), nil).Lines {
+		for _, name := range l.Measures {
+			used[name] = true
+		}
+	}
+	seen := map[string]bool{}
+	for _, m := range measures {
+		if !used[m.Name] {
+			t.Errorf("no line rests on %s", m.Name)
+		}
+		if seen[m.Name] {
+			t.Errorf("%s stands twice", m.Name)
+		}
+		seen[m.Name] = true
+	}
+}
+
+func TestPlace(t *testing.T) {
+	for _, c := range []struct {
+		machines, regions, zones int
+		voters                   int
+		inRegions                []int // voters
+		mostInZone               int
+		deciding                 int
+	}{
+		{6, 2, 4, 5, []int{3, 2}, 2, 1},
+		{5, 2, 4, 5, []int{3, 2}, 2, 1},
+		{4, 2, 2, 3, []int{2, 1}, 2, 1},
+		{6, 1, 3, 5, []int{5}, 2, 1},
+		{6, 3, 3, 5, []int{2, 2, 1}, 2, 0},
+		{1, 2, 2, 1, []int{1, 0}, 1, 1},
+		{2, 2, 2, 1, []int{1, 0}, 1, 1},
+		{9, 2, 5, 5, []int{3, 2}, 1, 1},
+	} {
+		p := Place(c.machines, c.regions, c.zones)
+		if len(p.Machines) != c.machines || p.Voters != c.voters || p.MostVotersInZone() != c.mostInZone || p.DecidingRegion() != c.deciding {
+			t.Errorf("%+v: %+v, %d in a zone, region %d decides", c, p, p.MostVotersInZone(), p.DecidingRegion())
+		}
+		for i, want := range c.inRegions {
+			if got := p.VotersIn(i + 1); got != want {
+				t.Errorf("%+v: %d voters in region %d, want %d", c, got, i+1, want)
+			}
+		}
+		for _, m := range p.Machines {
+			if m.Zone < 1 || m.Zone > c.zones || (m.Zone-1)%c.regions != m.Region-1 {
+				t.Errorf("%+v: a machine in zone %d of region %d", c, m.Zone, m.Region)
+			}
+		}
+	}
+}
+
+func TestFailuresOfOtherSites(t *testing.T) {
+	for _, change := range []func(*Size){
+		func(s *Size) { s.Site.Regions, s.Site.Zones = 1, 1 },
+		func(s *Size) { s.Site.Regions, s.Site.Zones = 3, 3 },
+		func(s *Size) { s.Budget.ControlMachines = 1 },
+		func(s *Size) { s.Failures = Failures{} },
+		func(s *Size) { s.Site.Gateways, s.Assumptions.GatewaysPerTenant = 1, 1 },
+	} {
+		size := goodSize(t)
+		change(&size)
+		for _, f := range Compute(size, nil).Failures {
+			for _, text := range []string{f.Name, f.Often, f.Hits, f.GoesOn, f.Stops, f.Stale, f.Heals} {
+				if text == "" || strings.Contains(text, "NaN") || strings.Contains(text, "Inf") || strings.Contains(text, "%!") {
+					t.Errorf("%+v", f)
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/capacity/size.go
@@ -0,0 +1,183 @@
+package capacity
+
+import (
+	"fmt"
+	"math"
+	"reflect"
+
+	"elderyard/internal/strict"
+)
+
+// Size is a site, what it may spend, what fails in it, and what is assumed where
+// nothing says.
+type Size struct {
+	Site        Site        `toml:"site" json:"site" doc:"what the site has and does"`
+	Budget      Budget      `toml:"budget" json:"budget" doc:"what may be spent"`
+	Failures    Failures    `toml:"failures" json:"failures" doc:"what fails, and how often"`
+	Assumptions Assumptions `toml:"assumptions" json:"assumptions" doc:"what is assumed where nothing says"`
+}
+
+// Site is what a site has and does.
+type Site struct {
+	Gateways          int `toml:"gateways" json:"gateways" doc:"gateways, one a machine, each with its agent"`
+	Backends          int `toml:"backends" json:"backends" doc:"backends, one a machine"`
+	Services          int `toml:"services" json:"services" doc:"services that the backends make up"`
+	RequestsPerSecond int `toml:"requests_per_second" json:"requests_per_second" doc:"requests a second at the peak, over all gateways"`
+	Routes            int `toml:"routes" json:"routes" doc:"routes of the configuration"`
+	Tenants           int `toml:"tenants" json:"tenants" doc:"tenants of the configuration"`
+	Regions           int `toml:"regions" json:"regions" doc:"regions"`
+	Zones             int `toml:"zones" json:"zones" doc:"zones over all regions"`
+	ChangesPerDay     int `toml:"changes_per_day" json:"changes_per_day" doc:"changes of configuration a day"`
+}
+
+// Budget is what the site may spend.
+type Budget struct {
+	InForceSeconds        float64 `toml:"in_force_seconds" json:"in_force_seconds" doc:"from a change's acceptance until it is in force at every gateway"`
+	AddedMilliseconds     float64 `toml:"added_ms" json:"added_ms" doc:"ms added to a request, for 99 in 100"`
+	GatewayCores          float64 `toml:"gateway_cores" json:"gateway_cores" doc:"cores of one gateway's machine for control"`
+	GatewayMemoryMB       float64 `toml:"gateway_memory_mb" json:"gateway_memory_mb" doc:"MB of one gateway's machine for control"`
+	GatewayBytesPerSecond float64 `toml:"gateway_bytes_per_second" json:"gateway_bytes_per_second" doc:"bytes a second of one gateway's machine for control"`
+	ControlMachines       int     `toml:"control_machines" json:"control_machines" doc:"machines set aside for control"`
+}
+
+// Failures is what fails, and how often.
+type Failures struct {
+	MachinesPerDay    float64 `toml:"machines_per_day" json:"machines_per_day" doc:"machines that fail on an ordinary day"`
+	RestartsPerDay    float64 `toml:"restarts_per_day" json:"restarts_per_day" doc:"processes that are restarted or replaced on a day"`
+	RacksPerYear      float64 `toml:"racks_per_year" json:"racks_per_year" doc:"racks or switches that go in a year"`
+	ZonesPerYear      float64 `toml:"zones_per_year" json:"zones_per_year" doc:"zones that go in a year"`
+	RegionCutsPerYear float64 `toml:"region_cuts_per_year" json:"region_cuts_per_year" doc:"times a year that regions lose each other"`
+	RegionCutMinutes  float64 `toml:"region_cut_minutes" json:"region_cut_minutes" doc:"minutes that regions lose each other for"`
+}
+
+// Assumptions are figures that the plan of the site does not give.
+type Assumptions struct {
+	RecordBytes           float64 `toml:"record_bytes" json:"record_bytes" doc:"bytes of a route's or tenant's plain entry"`
+	ChangePeakOverMean    float64 `toml:"change_peak_over_mean" json:"change_peak_over_mean" doc:"changes in the busiest minutes over the day's mean"`
+	RestartBurstShare     float64 `toml:"restart_burst_share" json:"restart_burst_share" doc:"share of the gateways that may be restarted in one instant"`
+	RackMachines          int     `toml:"rack_machines" json:"rack_machines" doc:"machines in a rack"`
+	LargestServiceShare   float64 `toml:"largest_service_share" json:"largest_service_share" doc:"share of all backends that the largest service may have"`
+	GatewaysPerTenant     int     `toml:"gateways_per_tenant" json:"gateways_per_tenant" doc:"gateways that a tenant's requests come to"`
+	QuotaCallsAreControl  bool    `toml:"quota_calls_are_control" json:"quota_calls_are_control" doc:"calls to the counter count against the bytes for control"`
+	ListSeconds           float64 `toml:"list_seconds" json:"list_seconds" doc:"a whole list of backends must have arrived after so many seconds"`
+	ControlCores          float64 `toml:"control_cores" json:"control_cores" doc:"cores of a control machine"`
+	ControlMemoryMB       float64 `toml:"control_memory_mb" json:"control_memory_mb" doc:"MB of a control machine"`
+	ControlBytesPerSecond float64 `toml:"control_bytes_per_second" json:"control_bytes_per_second" doc:"bytes a second that a control machine may send and receive"`
+}
+
+// Entries is the number of records that the configuration holds.
+func (s *Size) Entries() int { return s.Site.Routes + s.Site.Tenants }
+
+// Machines is the number of machines: one for each gateway, backend and control
+// process.
+func (s *Size) Machines() int { return s.Site.Gateways + s.Site.Backends + s.Budget.ControlMachines }
+
+// DecodeSize reads a size from TOML. What is not given counts as 0, which most
+// keys refuse. Errors are *strict.Error and name file, key, and line if there is one.
+func DecodeSize(file string, text []byte) (Size, error) {
+	var size Size
+	if err := strict.Decode(file, text, &size); err != nil {
+		return Size{}, err
+	}
+	if err := size.validate(file, text); err != nil {
+		return Size{}, err
+	}
+	return size, nil
+}
+
+// sizeRange is what a key's value may be.
+type sizeRange struct {
+	least, most float64
+	above       bool // least itself is not allowed
+}
+
+// mostCount bounds every number and every size, far above what any site has.
+const mostCount = 1e12
+
+// sizeRanges are the keys whose values may not be anything above 0.
+var sizeRanges = map[string]sizeRange{
+	"site.regions":                      {least: 1, most: mostCount},
+	"site.zones":                        {least: 1, most: mostCount},
+	"budget.control_machines":           {least: 1, most: 1000},
+	"failures.machines_per_day":         {least: 0, most: mostCount},
+	"failures.restarts_per_day":         {least: 0, most: mostCount},
+	"failures.racks_per_year":           {least: 0, most: mostCount},
+	"failures.zones_per_year":           {least: 0, most: mostCount},
+	"failures.region_cuts_per_year":     {least: 0, most: mostCount},
+	"failures.region_cut_minutes":       {least: 0, most: mostCount},
+	"assumptions.change_peak_over_mean": {least: 1, most: mostCount},
+	"assumptions.restart_burst_share":   {least: 0, most: 1, above: true},
+	"assumptions.largest_service_share": {least: 0, most: 1, above: true},
+}
+
+func (s *Size) validate(file string, text []byte) error {
+	root := reflect.ValueOf(s).Elem()
+	for i := range root.NumField() {
+		table := root.Type().Field(i).Tag.Get("toml")
+		if err := validateTable(file, text, table, root.Field(i)); err != nil {
+			return err
+		}
+	}
+	switch site := &s.Site; {
+	case site.Zones < site.Regions:
+		return strict.At(file, text, "site.zones", "%d zones can't make up %d regions", site.Zones, site.Regions)
+	case site.Services > site.Backends:
+		return strict.At(file, text, "site.services", "%d services of %d backends", site.Services, site.Backends)
+	case s.Assumptions.GatewaysPerTenant > site.Gateways:
+		return strict.At(file, text, "assumptions.gateways_per_tenant", "%d, and there are %d gateways", s.Assumptions.GatewaysPerTenant, site.Gateways)
+	}
+	return nil
+}
+
+func validateTable(file string, text []byte, table string, value reflect.Value) error {
+	for i := range value.NumField() {
+		key := table + "." + value.Type().Field(i).Tag.Get("toml")
+		var number float64
+		switch field := value.Field(i); field.Kind() {
+		case reflect.Int:
+			number = float64(field.Int())
+		case reflect.Float64:
+			number = field.Float()
+		default:
+			continue
+		}
+		allowed, special := sizeRanges[key]
+		if !special {
+			allowed = sizeRange{least: 0, most: mostCount, above: true}
+		}
+		switch {
+		case math.IsNaN(number), number < allowed.least, number > allowed.most:
+			return strict.At(file, text, key, "%g is not between %g and %g", number, allowed.least, allowed.most)
+		case allowed.above && number == allowed.least:
+			return strict.At(file, text, key, "it must be given, and above %g: %s", allowed.least, value.Type().Field(i).Tag.Get("doc"))
+		}
+	}
+	return nil
+}
+
+// sizeKey is one key of a size with its value, for a table.
+type sizeKey struct{ name, value, about string }
+
+// keys lists all keys of the size, in the order of the file.
+func (s *Size) keys() (list []sizeKey) {
+	root := reflect.ValueOf(s).Elem()
+	for i := range root.NumField() {
+		table := root.Type().Field(i).Tag.Get("toml")
+		value := root.Field(i)
+		for k := range value.NumField() {
+			tag := value.Type().Field(k).Tag
+			list = append(list, sizeKey{table + "." + tag.Get("toml"), keyText(value.Field(k)), tag.Get("doc")})
+		}
+	}
+	return list
+}
+
+func keyText(value reflect.Value) string {
+	switch value.Kind() {
+	case reflect.Int:
+		return number(float64(value.Int()))
+	case reflect.Float64:
+		return number(value.Float())
+	}
+	return fmt.Sprint(value.Interface())
+}
--- /dev/null
+++ b/capacity/slopes.go
@@ -0,0 +1,188 @@
+package capacity
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"elderyard/internal/strict"
+)
+
+// Bounds of a file of slopes.
+const (
+	mostSlopeFile = 1 << 20 // bytes
+	mostPoints    = 10_000  // of one slope
+	mostValue     = 1e15    // of one point
+	dateForm      = "2006-01-02"
+)
+
+// Slope is one measure at several sizes, as one command measured it.
+type Slope struct {
+	Measure  string  `json:"measure"`        // the name of a Measure
+	Unit     string  `json:"unit"`           // the measure's unit, said again so that a mistake is noticed
+	Command  string  `json:"command"`        // what measured it, so that it can be measured again
+	Measured string  `json:"measured"`       // the day, as 2026-12-02
+	Beside   string  `json:"beside"`         // what else ran on the machine
+	Trial    bool    `json:"trial"`          // of a scratch copy, or on a machine with other load: to be measured again
+	Note     string  `json:"note,omitempty"` // anything that a reader has to know
+	Points   []Point `json:"points"`
+}
+
+// DecodeSlopes reads a file of slopes: a JSON list of Slope. Errors are
+// *strict.Error and name file, line and key. A measure may stand in it once.
+func DecodeSlopes(file string, text []byte) ([]Slope, error) {
+	d := slopeDecoder{file: file, text: text}
+	if len(text) > mostSlopeFile {
+		return nil, d.errorAt(0, "", "%d bytes, and %d may be", len(text), mostSlopeFile)
+	}
+	return d.decode()
+}
+
+type slopeDecoder struct {
+	file string
+	text []byte
+}
+
+func (d *slopeDecoder) decode() ([]Slope, error) {
+	reader := json.NewDecoder(bytes.NewReader(d.text))
+	reader.DisallowUnknownFields()
+	if token, err := reader.Token(); err != nil || token != json.Delim('[') {
+		return nil, d.errorAt(0, "", "a list of slopes is expected: [ ... ]")
+	}
+	var slopes []Slope
+	seen := map[string]int{}
+	for reader.More() {
+		start := d.elementStart(reader.InputOffset())
+		key := fmt.Sprintf("[%d]", len(slopes))
+		var slope Slope
+		if err := reader.Decode(&slope); err != nil {
+			return nil, d.decodeError(start, key, err)
+		}
+		end := int(reader.InputOffset())
+		if field, problem := slope.problem(); problem != "" {
+			return nil, d.errorAt(d.fieldOffset(start, end, field), key+"."+field, "%s", problem)
+		}
+		if before, twice := seen[slope.Measure]; twice {
+			return nil, d.errorAt(d.fieldOffset(start, end, "measure"), key+".measure", "%q stands in [%d] already", slope.Measure, before)
+		}
+		seen[slope.Measure] = len(slopes)
+		slopes = append(slopes, slope)
+	}
+	if _, err := reader.Token(); err != nil {
+		return nil, d.decodeError(len(d.text), "", err)
+	}
+	if _, err := reader.Token(); !errors.Is(err, io.EOF) {
+		return nil, d.errorAt(int(reader.InputOffset()), "", "there is more behind the list")
+	}
+	return slopes, nil
+}
+
+// problem is what is wrong with a slope, and in which field; empty if nothing is.
+func (s *Slope) problem() (field, problem string) {
+	measure, known := measureOf(s.Measure)
+	switch {
+	case s.Measure == "":
+		return "measure", "it must be named"
+	case !known:
+		problem = fmt.Sprintf("there is no measure %q", s.Measure)
+		if near := strict.Near(s.Measure, measureNames()); near != "" {
+			problem += fmt.Sprintf("; did you mean %q?", near)
+		}
+		return "measure", problem
+	case s.Unit != measure.Unit:
+		return "unit", fmt.Sprintf("%q; %s is measured in %q", s.Unit, s.Measure, measure.Unit)
+	case strings.TrimSpace(s.Command) == "":
+		return "command", "it must say what measured the points"
+	case len(s.Points) == 0:
+		return "points", "there must be one at least"
+	case len(s.Points) > mostPoints:
+		return "points", fmt.Sprintf("%d, and %d may be", len(s.Points), mostPoints)
+	}
+	if _, err := time.Parse(dateForm, s.Measured); err != nil {
+		return "measured", fmt.Sprintf("%q is not a day such as \"2026-12-02\"", s.Measured)
+	}
+	for i, p := range s.Points {
+		switch {
+		case p.Size < 1 || p.Size > mostCount:
+			return fmt.Sprintf("points[%d].size", i), fmt.Sprintf("%g is not between 1 and %g", p.Size, mostCount)
+		case p.Value < 0 || p.Value > mostValue:
+			return fmt.Sprintf("points[%d].value", i), fmt.Sprintf("%g is not between 0 and %g", p.Value, mostValue)
+		}
+	}
+	return "", ""
+}
+
+func measureNames() []string {
+	var names []string
+	for _, m := range measures {
+		names = append(names, m.Name)
+	}
+	return names
+}
+
+// decodeError turns an error of the standard decoder, within the element that
+// begins at start, into one that names the line.
+func (d *slopeDecoder) decodeError(start int, key string, err error) error {
+	var syntax *json.SyntaxError
+	var kind *json.UnmarshalTypeError
+	switch {
+	case errors.As(err, &syntax):
+		return d.errorAt(int(syntax.Offset), key, "%s", strings.TrimPrefix(syntax.Error(), "json: "))
+	case errors.As(err, &kind):
+		return d.errorAt(int(kind.Offset), key+"."+kind.Field, "a %s where a %s is expected", kind.Value, kind.Type)
+	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
+		return d.errorAt(len(d.text), key, "the file ends in the midst of it")
+	}
+	// The decoder names an unknown field in its text alone.
+	if _, rest, ok := strings.Cut(err.Error(), "unknown field "); ok {
+		field := strings.Trim(rest, `"`)
+		problem := "there is no such key"
+		if near := strict.Near(field, slopeKeys); near != "" {
+			problem += fmt.Sprintf("; did you mean %q?", near)
+		}
+		return d.errorAt(d.fieldOffset(start, len(d.text), field), key+"."+field, "%s", problem)
+	}
+	return d.errorAt(start, key, "%v", err)
+}
+
+// slopeKeys are the keys of a slope and of its points.
+var slopeKeys = []string{"measure", "unit", "command", "measured", "beside", "trial", "note", "points", "size", "value"}
+
+// elementStart skips the comma and space before an element.
+func (d *slopeDecoder) elementStart(offset int64) int {
+	start := int(offset)
+	for start < len(d.text) && strings.ContainsRune(" \t\r\n,", rune(d.text[start])) {
+		start++
+	}
+	return start
+}
+
+// fieldOffset finds a field of the element between start and end, such as "unit"
+// or "points[2].size"; start if it is not there.
+func (d *slopeDecoder) fieldOffset(start, end int, field string) int {
+	name, turn := field, 0
+	if i := strings.LastIndex(field, "."); i >= 0 {
+		name = field[i+1:]
+		fmt.Sscanf(field, "points[%d]", &turn)
+	}
+	offset := start
+	for range turn + 1 {
+		at := bytes.Index(d.text[offset:end], []byte(`"`+name+`"`))
+		if at < 0 {
+			return start
+		}
+		offset += at + 1
+	}
+	return offset
+}
+
+// errorAt is an error at an offset of the text.
+func (d *slopeDecoder) errorAt(offset int, key, format string, a ...any) error {
+	offset = min(max(offset, 0), len(d.text))
+	line := 1 + bytes.Count(d.text[:offset], []byte("\n"))
+	return &strict.Error{File: d.file, Line: line, Key: strings.TrimPrefix(key, "."), Text: fmt.Sprintf(format, a...)}
+}
--- /dev/null
+++ b/cmd/elderctl/capacity.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"elderyard/capacity"
+	"elderyard/internal/files"
+)
+
+// Where the checkout keeps the size and the slopes.
+const (
+	defaultSize   = "docs/capacity/size.toml"
+	defaultSlopes = "docs/capacity/slopes.json"
+)
+
+// capacityCommand works out whether a site carries a size.
+func capacityCommand() *cobra.Command {
+	var sizePath, slopesPath, page string
+	var asJSON, all bool
+	cmd := &cobra.Command{
+		Use:   "capacity",
+		Short: "Work out, from measured slopes, what a site of a size holds, sends and spends",
+		Long: `Work out, from measured slopes, what a site of a size holds, sends and spends: by
+role, beside its budget, with the verdict. The size and the slopes are files; a
+slope that is not measured, or that does not reach so far, gives "not known".
+The exit status is 0 whatever the verdicts are; programs read them with --json.
+` + exitHelp,
+		Args: noArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			plan, err := readPlan(sizePath, slopesPath)
+			if err != nil {
+				return usage(err)
+			}
+			switch {
+			case page != "":
+				return fillPage(page, plan)
+			case asJSON:
+				return began(writeJSON(cmd.OutOrStdout(), "-", plan))
+			}
+			printPlan(cmd.OutOrStdout(), plan, all)
+			return nil
+		},
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&sizePath, "size", defaultSize, "the size, as TOML")
+	flags.StringVar(&slopesPath, "slopes", defaultSlopes, "the measured slopes, as JSON")
+	flags.BoolVar(&asJSON, "json", false, "as JSON")
+	flags.BoolVar(&all, "all", false, "also the size, the slopes and the measures that a file of slopes may name")
+	flags.StringVar(&page, "page", "", "write the tables into the marked blocks of this page, in place of printing them")
+	cmd.MarkFlagsMutuallyExclusive("json", "page")
+	return cmd
+}
+
+// readPlan computes the plan of two files.
+func readPlan(sizePath, slopesPath string) (*capacity.Plan, error) {
+	text, err := os.ReadFile(sizePath)
+	if err != nil {
+		return nil, fmt.Errorf("size: %w", err)
+	}
+	size, err := capacity.DecodeSize(sizePath, text)
+	if err != nil {
+		return nil, err
+	}
+	if text, err = os.ReadFile(slopesPath); err != nil {
+		return nil, fmt.Errorf("slopes: %w", err)
+	}
+	slopes, err := capacity.DecodeSlopes(slopesPath, text)
+	if err != nil {
+		return nil, err
+	}
+	plan := capacity.Compute(size, slopes)
+	return &plan, nil
+}
+
+// fillPage writes the tables into a page, which is replaced whole.
+func fillPage(path string, plan *capacity.Plan) error {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return usage(fmt.Errorf("page: %w", err))
+	}
+	filled, err := plan.Fill(string(text))
+	if err != nil {
+		return usage(fmt.Errorf("%s: %w", path, err))
+	}
+	return began(files.Replace(path, []byte(filled), 0o644))
+}
+
+// shownAlways are the tables that are printed without --all.
+var shownAlways = map[string]bool{"roles": true, "records": true, "not-carried": true, "placement": true}
+
+func printPlan(out io.Writer, plan *capacity.Plan, all bool) {
+	for _, t := range plan.Tables() {
+		if !all && !shownAlways[t.Name] {
+			continue
+		}
+		fmt.Fprintf(out, "%s\n\n", t.Title)
+		if len(t.Rows) == 0 {
+			fmt.Fprintln(out, t.Empty)
+		} else {
+			table(out, func(w io.Writer) {
+				fmt.Fprintln(w, strings.Join(t.Header, "\t"))
+				for _, row := range t.Rows {
+					fmt.Fprintln(w, strings.Join(row, "\t"))
+				}
+			})
+		}
+		fmt.Fprintln(out)
+	}
+	over, unknown := len(plan.NotCarried()), len(plan.Unknown())
+	fmt.Fprintf(out, "%d requirements: %d over their budget, %d not known\n", len(plan.Lines), over, unknown)
+}
--- a/cmd/elderctl/main.go
+++ b/cmd/elderctl/main.go
@@ -75,7 +75,7 @@
 		SilenceUsage:  true,
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
-	root.AddCommand(labCommand(), traceCommand(), siteCommand(), peersCommand(), reverseProxyCommand(), keeperCommand())
+	root.AddCommand(labCommand(), traceCommand(), siteCommand(), peersCommand(), reverseProxyCommand(), keeperCommand(), capacityCommand())
 	root.AddCommand(fleetCommands()...)
 	root.SetArgs(args)
 	err := root.ExecuteContext(ctx)
