--- a/capacity/decode_test.go
+++ b/capacity/decode_test.go
@@ -49,6 +49,7 @@
 		{"gateways = 610", "gateways = 6.5", `f.toml:5: `},
 		{"gateways = 610", "gateways = 609", `f.toml:37: assumptions.gateways_per_tenant: 610, and there are 609 gateways`},
 		{"zones = 4", "zones = 1", `f.toml:12: site.zones: 1 zones can't make up 2 regions`},
+		{"regions = 2", "regions = 1000000000000", `f.toml:11: site.regions: 1e+12 is not between 1 and 1000`},
 		{"services = 410", "services = 8801", `f.toml:7: site.services: 8801 services of 8800 backends`},
 		{"restart_burst_share = 0.333", "restart_burst_share = 1.5", `f.toml:34: assumptions.restart_burst_share: 1.5 is not between 0 and 1`},
 		{"largest_service_share = 1.0", "largest_service_share = 0", `f.toml:36: assumptions.largest_service_share: it must be given, and above 0`},
--- a/capacity/failures.go
+++ b/capacity/failures.go
@@ -14,12 +14,11 @@
 }
 
 const (
-	daysPerYear      = 365.0
-	minutesPerDay    = 1440.0
-	silentAfter      = 10.0 // seconds, silent_after of a rollout that names none
-	firstRestart     = 0.5  // seconds before an agent starts an ended gateway again
-	settleAtMost     = 10.0 // seconds that a new leader waits to hear all agents
-	detectedBySilent = "the leader calls it silent after %s s"
+	daysPerYear   = 365.0
+	minutesPerDay = 1440.0
+	silentAfter   = 10.0 // seconds, silent_after of a rollout that names none
+	firstRestart  = 0.5  // seconds before an agent starts an ended gateway again
+	settleAtMost  = 10.0 // seconds that a new leader waits to hear all agents
 )
 
 func (b *builder) failures(placement Placement) []Failure {
@@ -42,21 +41,37 @@
 	return part * float64(b.size.Site.Gateways), part * float64(b.size.Site.Backends)
 }
 
-// rateWithout is the requests a second of each gateway that is left.
-func (b *builder) rateWithout(gateways float64) float64 {
-	left := max(float64(b.size.Site.Gateways)-gateways, 1)
-	return float64(b.size.Site.RequestsPerSecond) / left
+// load is what each gateway that is left has to take.
+func (b *builder) load(lost float64) string {
+	left := max(float64(b.size.Site.Gateways)-lost, 1)
+	rate := float64(b.size.Site.RequestsPerSecond) / left
+	more := 100 * (rate/b.requestsPerGateway() - 1)
+	return fmt.Sprintf("at %s requests a second each (%s%% more)", number(rate), number(more))
 }
 
-func (b *builder) detection() string {
-	return fmt.Sprintf("members: all have given it up after %s; "+detectedBySilent, b.of(MembersAgree).text("s"), number(silentAfter))
+// after is when something is done.
+func after(q quantity) string {
+	if q.unknown != "" {
+		return "after a time that is not known"
+	}
+	return "after " + q.text("s")
 }
 
-func (b *builder) inForce() string { return b.of(RecordsInForceMost).text("s") }
+// amount is a number of bytes, or of bytes a second.
+func amount(q quantity, unit string) string {
+	if q.unknown != "" {
+		return "bytes that are not known"
+	}
+	return q.text(unit)
+}
+
+func (b *builder) detection() string {
+	return fmt.Sprintf("members: all have given it up %s; the leader calls it silent after %s s", after(b.of(MembersAgree)), number(silentAfter))
+}
 
-// snapshotAtBudget is how long an empty replica takes to become whole.
-func (b *builder) snapshotAtBudget() string {
-	return b.of(RecordsSnapshotBytes).times(1 / b.size.Budget.GatewayBytesPerSecond).text("s")
+// wholeAgain is when an empty replica is whole, at the budget's bytes a second.
+func (b *builder) wholeAgain() string {
+	return after(b.of(RecordsSnapshotBytes).times(1 / b.size.Budget.GatewayBytesPerSecond))
 }
 
 func (b *builder) oneMachine(p Placement) Failure {
@@ -67,12 +82,12 @@
 		Name:  "a machine",
 		Often: fmt.Sprintf("a given one every %s days; one of the control machines every %s days", number(total/max(perDay, 1e-9)), number(control)),
 		Hits:  "a gateway, a backend or a control machine",
-		GoesOn: fmt.Sprintf("all other gateways, at %s requests a second each in place of %s; %d voters of %d bear the loss of %d",
-			number(b.rateWithout(1)), number(b.requestsPerGateway()), p.Voters, p.Voters, p.Voters-p.Majority),
+		GoesOn: fmt.Sprintf("all other gateways, %s; %d voters bear the loss of %d",
+			b.load(1), p.Voters, p.Voters-p.Majority),
 		Stops: "what the gateway held; with the leader, changes until another leads",
 		Stale: "nobody else",
-		Heals: fmt.Sprintf("%s; a new leader goes on after at most %s s; a gateway with its replica on disk asks for the changes since, an empty one is whole after %s",
-			b.detection(), number(settleAtMost), b.snapshotAtBudget()),
+		Heals: fmt.Sprintf("%s; a new leader goes on after at most %s s; a gateway with its replica on disk asks for the changes since, an empty one is whole %s",
+			b.detection(), number(settleAtMost), b.wholeAgain()),
 	}
 }
 
@@ -102,8 +117,8 @@
 		GoesOn: "a gateway that ends in order answers what it holds",
 		Stops:  "nothing that has been taken, where the restart is one in order",
 		Stale:  "a gateway starts with the configuration on its disk; with none, it waits for one",
-		Heals: fmt.Sprintf("an ended gateway is started after %s s; its list of backends costs %s by the mean of the day; an empty replica is whole after %s",
-			number(firstRestart), list.text("B/s"), b.snapshotAtBudget()),
+		Heals: fmt.Sprintf("an ended gateway is started after %s s; its list of backends costs %s by the mean of the day; an empty replica is whole %s",
+			number(firstRestart), amount(list, "B/s"), b.wholeAgain()),
 	}
 }
 
@@ -115,11 +130,11 @@
 		Name:   "a burst of restarts",
 		Often:  "an assumption of this page",
 		Hits:   fmt.Sprintf("%s gateways in one instant, all empty", number(burst)),
-		GoesOn: fmt.Sprintf("the others, at %s requests a second each until they are back", number(b.rateWithout(burst))),
+		GoesOn: fmt.Sprintf("the others, %s, until they are back", b.load(burst)),
 		Stops:  "what they held",
 		Stale:  "the empty ones take nothing before they are whole",
-		Heals: fmt.Sprintf("each control machine sends %s; at the budget each gateway is whole after %s; discovery sends %s of lists",
-			each.text("B"), b.snapshotAtBudget(), b.of(DiscoveryListBytes).times(burst).text("B")),
+		Heals: fmt.Sprintf("each control machine sends %s; at the budget each gateway is whole %s; discovery sends %s of lists",
+			amount(each, "B"), b.wholeAgain(), amount(b.of(DiscoveryListBytes).times(burst), "B")),
 	}
 }
 
@@ -130,8 +145,8 @@
 		Name:   "a rack or switch",
 		Often:  fmt.Sprintf("every %s days", number(daysPerYear/max(b.size.Failures.RacksPerYear, 1e-9))),
 		Hits:   fmt.Sprintf("%s machines: %s gateways and %s backends, and one control machine at most, if no rack has two", number(machines), number(gateways), number(backends)),
-		GoesOn: fmt.Sprintf("the others, at %s requests a second each; %d voters of %d", number(b.rateWithout(gateways)), p.Voters-1, p.Voters),
-		Stops:  "what its gateways held; rollouts by waves end with some missing",
+		GoesOn: fmt.Sprintf("the others, %s; %d voters of %d", b.load(gateways), p.Voters-1, p.Voters),
+		Stops:  "what its gateways held; a rollout by waves ends with some missing, or goes back where two that were told are silent",
 		Stale:  "its gateways, for as long as they are away, if it was the switch alone",
 		Heals:  b.detection() + "; on their return they ask for the changes since",
 	}
@@ -151,7 +166,7 @@
 		Name:   "a zone",
 		Often:  fmt.Sprintf("%s times a year", number(b.size.Failures.ZonesPerYear)),
 		Hits:   fmt.Sprintf("%s gateways, %s backends, %d voters at most", number(gateways), number(float64(b.size.Site.Backends)/zones), lost),
-		GoesOn: fmt.Sprintf("the others, at %s requests a second each; %s", number(b.rateWithout(gateways)), decides),
+		GoesOn: fmt.Sprintf("the others, %s; %s", b.load(gateways), decides),
 		Stops:  stops,
 		Stale:  "its gateways, for as long as they are away",
 		Heals:  b.detection() + "; on their return they ask for the changes since, or repair by ranges",
@@ -175,7 +190,7 @@
 		Name:   "a whole region",
 		Often:  "not planned for",
 		Hits:   fmt.Sprintf("%s gateways, %s backends", number(gateways), number(float64(b.size.Site.Backends)/regions)),
-		GoesOn: fmt.Sprintf("the other gateways, at %s requests a second each; %s", number(b.rateWithout(gateways)), goes),
+		GoesOn: fmt.Sprintf("the other gateways, %s; %s", b.load(gateways), goes),
 		Stops:  stops,
 		Stale:  "if it decided, all that is left, until one side decides again",
 		Heals:  "as a zone",
@@ -193,7 +208,7 @@
 		GoesOn: "requests on both sides, each with the backends that it reaches",
 		Stale: fmt.Sprintf("the side that does not decide: up to %s minutes and %s changes (%s in the busiest minutes)",
 			number(minutes), number(changes), number(changes*b.size.Assumptions.ChangePeakOverMean)),
-		Heals: fmt.Sprintf("the changes since, in force everywhere within %s after the heal; members hear each other after %s", b.inForce(), b.of(MembersHeal).text("s")),
+		Heals: fmt.Sprintf("the changes since are in force everywhere %s from the heal on; members hear each other %s", after(b.of(RecordsInForceMost)), after(b.of(MembersHeal))),
 	}
 	if deciding := p.DecidingRegion(); deciding != 0 {
 		failure.GoesOn += fmt.Sprintf("; changes in region %d, which has %d voters of %d", deciding, p.VotersIn(deciding), p.Voters)
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -12,6 +12,8 @@
 	microsPerSecond = 1e6
 	microsPerMilli  = 1e3
 	defaultSoak     = 20.0 // seconds, soak_for of a rollout that names none
+	defaultWaves    = 3.0  // one instance, a quarter, all
+	reportEvery     = 2.0  // seconds between two reports of an agent
 )
 
 // Mechanisms that several lines name.
@@ -125,8 +127,9 @@
 	add(State, "all entries in one file", "B", plain, revisions.MostFile, "the budget is the largest file that is accepted today")
 	add(Bytes, "mean of the day's changes", "B/s", b.fileBytesPerSecond(), budget.GatewayBytesPerSecond, "")
 	add(Time, "one change at the budget's bytes a second", "s", change.times(1/budget.GatewayBytesPerSecond), budget.InForceSeconds, "")
-	add(Time, "one change by waves, without soak", "s", b.of(FileInForce), budget.InForceSeconds, "")
-	add(Time, "one change by waves, with one soak of 20 s", "s", b.of(FileInForce).plus(arithmetic(defaultSoak)), budget.InForceSeconds, "each wave has its soak; one is the least")
+	add(Time, "one change by waves, no soak, all away at once", "s", b.of(FileInForce), budget.InForceSeconds, "")
+	add(Time, "one change by waves, with the default soaks, all away at once", "s", b.of(FileInForce).plus(arithmetic(defaultWaves*defaultSoak)), budget.InForceSeconds, "20 s in each of 3 waves")
+	add(Time, "one change by waves, with the default policy", "s", b.defaultRollout(), budget.InForceSeconds, "most_away = 1: the next is told when the one before has reported that it is ready")
 	add(Time, "changes that the history holds, at the day's rate", "h", b.historyHours(), 0, "")
 	add(Bytes, "mean of a day as measured", "B/s", b.of(FileBytesPerSecond), budget.GatewayBytesPerSecond, "")
 	add(Bytes, "worst 60 s of any gateway", "B/s", b.of(FileWorstMinute), budget.GatewayBytesPerSecond, "")
@@ -150,6 +153,15 @@
 	add(Time, "an empty replica whole, at the budget's bytes a second", "s", b.of(RecordsSnapshotBytes).times(1/budget.GatewayBytesPerSecond), 0, "the newest changes come first meanwhile")
 }
 
+// defaultRollout is the least time of a rollout with the default policy: one
+// report for each gateway, since one alone may be away, and the waves' soaks.
+func (b *builder) defaultRollout() quantity {
+	return quantity{
+		least:   reportEvery*float64(b.size.Site.Gateways) + defaultWaves*defaultSoak,
+		unknown: "a lower bound",
+	}
+}
+
 // historyHours is how far back a history of whole files reaches.
 func (b *builder) historyHours() quantity {
 	size := b.of(FileBytesByRecords)
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -94,11 +94,14 @@
 // mostCount bounds every number and every size, far above what any site has.
 const mostCount = 1e12
 
+// mostPlaces bounds regions, zones and control machines.
+const mostPlaces = 1000
+
 // sizeRanges are the keys whose values may not be anything above 0.
 var sizeRanges = map[string]sizeRange{
-	"site.regions":                      {least: 1, most: mostCount},
-	"site.zones":                        {least: 1, most: mostCount},
-	"budget.control_machines":           {least: 1, most: 1000},
+	"site.regions":                      {least: 1, most: mostPlaces},
+	"site.zones":                        {least: 1, most: mostPlaces},
+	"budget.control_machines":           {least: 1, most: mostPlaces},
 	"failures.machines_per_day":         {least: 0, most: mostCount},
 	"failures.restarts_per_day":         {least: 0, most: mostCount},
 	"failures.racks_per_year":           {least: 0, most: mostCount},
--- /dev/null
+++ b/cmd/elderctl/capacity_test.go
@@ -0,0 +1,147 @@
+package main
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"elderyard/capacity"
+)
+
+const capacityPage = "../../docs/CAPACITY.md"
+
+// capacityFiles are the flags that name the checkout's size and slopes.
+var capacityFiles = []string{"--size", "../../" + defaultSize, "--slopes", "../../" + defaultSlopes}
+
+func capacityTool(t *testing.T, args ...string) (status int, out, errs string) {
+	t.Helper()
+	return tool(t, append(append([]string{"capacity"}, capacityFiles...), args...)...)
+}
+
+// writeFile writes a file of this test.
+func writeFile(t *testing.T, name, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+func readFile(t *testing.T, path string) string {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// The page has the tables that the command computes.
+func TestCapacityPageIsWhatTheCommandComputes(t *testing.T) {
+	page := readFile(t, capacityPage)
+	copied := writeFile(t, "page.md", page)
+	if status, out, errs := capacityTool(t, "--page", copied); status != exitOK || out != "" {
+		t.Fatalf("status %d: %s%s", status, out, errs)
+	}
+	filled := strings.Split(readFile(t, copied), "\n")
+	for i, line := range strings.Split(page, "\n") {
+		if i >= len(filled) || line != filled[i] {
+			t.Fatalf("docs/CAPACITY.md:%d: the command computes something else; write it with `elderctl capacity --page docs/CAPACITY.md`\npage:    %s\ncommand: %s", i+1, line, append(filled, "")[min(i, len(filled))])
+		}
+	}
+}
+
+// The figures in the page's short answer are those of its tables.
+func TestCapacityPageSaysItsTablesFigures(t *testing.T) {
+	page := readFile(t, capacityPage)
+	_, rest, found := strings.Cut(page, "## The answer in short")
+	short, _, ends := strings.Cut(rest, "\n## ")
+	if !found || !ends {
+		t.Fatal("the page has no short answer")
+	}
+	short = strings.Join(strings.Fields(short), " ")
+	plan, err := readPlan("../../"+defaultSize, "../../"+defaultSlopes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var tables strings.Builder
+	for _, table := range plan.Tables() {
+		tables.WriteString(table.Markdown())
+	}
+	for _, figure := range []string{"2.86 MB", "262 kB", "495 s", "1,280 s", "1.5 MB", "250 s", "170,000", "0.369 cores", "1.33 ms", "0.0192 ms", "0.16 cores", "48 MB", "118", "64 MB"} {
+		if !strings.Contains(short, figure) {
+			t.Errorf("the short answer does not say %s any more: change this list with it", figure)
+		}
+		if !strings.Contains(tables.String(), figure) {
+			t.Errorf("the short answer says %s, and no table does", figure)
+		}
+	}
+}
+
+func TestCapacityPrints(t *testing.T) {
+	status, out, errs := capacityTool(t)
+	if status != exitOK || !strings.Contains(out, "gateway: membership") || !strings.Contains(out, "over their budget") || strings.Contains(out, "Measures\n") {
+		t.Errorf("status %d: %s%s", status, out, errs)
+	}
+	if status, out, _ := capacityTool(t, "--all"); status != exitOK || !strings.Contains(out, "Measures\n") {
+		t.Errorf("status %d: %s", status, out)
+	}
+	status, out, errs = capacityTool(t, "--json")
+	var plan capacity.Plan
+	if err := json.Unmarshal([]byte(out), &plan); status != exitOK || err != nil {
+		t.Fatalf("status %d: %v: %s", status, err, errs)
+	}
+	if plan.Size.Site.Gateways != 610 || len(plan.Lines) == 0 || len(plan.Placement.Machines) != 6 || len(plan.Failures) == 0 {
+		t.Errorf("%d gateways, %d lines, %+v", plan.Size.Site.Gateways, len(plan.Lines), plan.Placement)
+	}
+}
+
+func TestCapacityOfAnotherSize(t *testing.T) {
+	size := strings.Replace(readFile(t, "../../"+defaultSize), "routes = 14000", "routes = 1400", 1)
+	size = strings.Replace(size, "tenants = 12000", "tenants = 400", 1)
+	status, out, errs := capacityTool(t, "--json", "--size", writeFile(t, "size.toml", size))
+	var plan capacity.Plan
+	if err := json.Unmarshal([]byte(out), &plan); status != exitOK || err != nil {
+		t.Fatalf("status %d: %v: %s", status, err, errs)
+	}
+	for _, l := range plan.Lines {
+		if l.Role == capacity.Configuration && l.Kind == capacity.State && strings.HasPrefix(l.Item, "whole file") {
+			if l.Verdict != capacity.Carried || *l.Value != 1800*110 {
+				t.Errorf("%+v", l)
+			}
+			return
+		}
+	}
+	t.Error("no line about the whole file")
+}
+
+func TestCapacityOfWrongFiles(t *testing.T) {
+	wrongSize := writeFile(t, "size.toml", "[site]\ngatways = 5\n")
+	wrongSlopes := writeFile(t, "slopes.json", "[\n {\"measure\": \"agent.cpu\"}\n]\n")
+	page := readFile(t, capacityPage)
+	for _, c := range []struct {
+		args []string
+		says string
+	}{
+		{[]string{"--size", "none.toml"}, "size: open none.toml"},
+		{[]string{"--slopes", "none.json"}, "slopes: open none.json"},
+		{[]string{"--size", wrongSize}, wrongSize + `:2: site.gatways: there is no such key; did you mean "gateways"?`},
+		{[]string{"--slopes", wrongSlopes}, wrongSlopes + `:2: [0].measure: there is no measure "agent.cpu"`},
+		{[]string{"--page", "none.md"}, "page: open none.md"},
+		{[]string{"--page", writeFile(t, "page.md", "# none\n")}, `table "site" has no block on the page`},
+		{[]string{"--page", writeFile(t, "page.md", page+"<!-- capacity:begin roles -->\n")}, `there is no table "roles", or it has a block already`},
+		{[]string{"--page", writeFile(t, "page.md", page+"<!-- capacity:end roles -->\n")}, `block "roles" ends and has not begun`},
+		{[]string{"--page", writeFile(t, "page.md", strings.Replace(page, "<!-- capacity:end site -->", "", 1))}, `within block "site"`},
+		{[]string{"--page", writeFile(t, "page.md", strings.Replace(page, "<!-- capacity:end measures -->", "", 1))}, `block "measures" does not end`},
+		{[]string{"--page", "x", "--json"}, "none of the others can be"},
+		{[]string{"more"}, "unknown command"},
+	} {
+		status, out, errs := capacityTool(t, c.args...)
+		if status != exitUsage || out != "" || !strings.Contains(errs, c.says) {
+			t.Errorf("%v: status %d: %s%s; want %s", c.args, status, out, errs, c.says)
+		}
+	}
+}
