--- a/capacity/measures.go
+++ b/capacity/measures.go
@@ -73,6 +73,7 @@
 
 	DiscoveryListBytes   = "discovery.list_bytes"
 	DiscoveryChangeBytes = "discovery.bytes_per_change"
+	DiscoveryWatchBytes  = "discovery.bytes_per_empty_watch"
 
 	CounterCalls = "counter.calls_per_request"
 	CounterBytes = "counter.bytes_per_call"
@@ -125,12 +126,13 @@
 	{RecordsServerMemory, "MB", Gateways, Linear, "records: the largest resident memory of a control process"},
 	{RecordsServerBytes, "B/s", Gateways, Linear, "records: what the busiest control process sends and receives"},
 
-	{RequestDecision, "us", BackendsInList, Linear, "CPU of one request's decision, in a site of 610 gateways"},
+	{RequestDecision, "us", BackendsInList, Linear, "CPU of one request's decisions, with the housekeeping of its share, in a site of 610 gateways"},
 	{RequestAdded, "ms", BackendsInList, Linear, "time added to a request at the 99th of 100"},
 	{RequestCPU, "us", BackendsInList, Linear, "CPU of the gateway's process for one request, sockets and all"},
 
-	{DiscoveryListBytes, "B", BackendsOfSite, Linear, "one whole list as a gateway receives it"},
-	{DiscoveryChangeBytes, "B", BackendsOfSite, Constant, "one backend's change as a gateway receives it"},
+	{DiscoveryListBytes, "B", BackendsOfSite, Linear, "one whole list, call and answer"},
+	{DiscoveryChangeBytes, "B", BackendsOfSite, Constant, "one backend's change, call and answer"},
+	{DiscoveryWatchBytes, "B", BackendsOfSite, Constant, "one watch that ends without news, call and answer"},
 
 	{CounterCalls, "1", GatewaysPerTenant, Interpolated, "calls to the counter for one request, at a gateway's 279 requests a second"},
 	{CounterBytes, "B", Single, Constant, "one call to the counter with its answer, without headers of TCP and IP"},
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -14,6 +14,7 @@
 	defaultSoak     = 20.0 // seconds, soak_for of a rollout that names none
 	defaultWaves    = 3.0  // one instance, a quarter, all
 	reportEvery     = 2.0  // seconds between two reports of an agent
+	watchSeconds    = 4.0  // of a watch of discovery without news
 )
 
 // Mechanisms that several lines name.
@@ -85,8 +86,9 @@
 	list := b.of(DiscoveryListBytes)
 	add(State, "backends in a gateway's list", "", arithmetic(float64(b.size.Site.Backends)), 0, "", "")
 	add(Bytes, "one whole list", "B", list, 0, plannedList, "")
-	add(Time, "one whole list at the budget's bytes a second", "s", list.times(1/b.size.Budget.GatewayBytesPerSecond), b.size.Assumptions.ListSeconds, plannedList, "each start and each broken watch; the bound is ours")
+	add(Time, "one whole list at the budget's bytes a second", "s", list.times(1/b.size.Budget.GatewayBytesPerSecond), b.size.Assumptions.ListSeconds, plannedList, "each start, and each time that discovery has dropped the version; the bound is ours")
 	add(Bytes, "lists, mean of the day's starts", "B/s", b.listsPerSecond(), b.size.Budget.GatewayBytesPerSecond, plannedList, "")
+	add(Bytes, "watches without news", "B/s", b.emptyWatchesPerSecond(), b.size.Budget.GatewayBytesPerSecond, "", "each ends after 4 s")
 	add(Bytes, "changes, mean of the day", "B/s", b.backendChangesPerSecond(), b.size.Budget.GatewayBytesPerSecond, "", "a backend that fails or restarts is two changes")
 }
 
@@ -107,6 +109,11 @@
 	return b.of(DiscoveryChangeBytes).times(changes / secondsPerDay)
 }
 
+// emptyWatchesPerSecond is what watches without news cost a gateway.
+func (b *builder) emptyWatchesPerSecond() quantity {
+	return b.of(DiscoveryWatchBytes).times(1 / watchSeconds)
+}
+
 func (b *builder) configuration() {
 	b.configurationByFile()
 	b.configurationByRecords()
@@ -223,7 +230,7 @@
 // configuration sent in either way.
 func (b *builder) gatewayTotal() {
 	budget := &b.size.Budget
-	bytes := b.of(AgentBytes).plus(b.of(MembersBytes)).plus(b.listsPerSecond()).plus(b.backendChangesPerSecond())
+	bytes := b.of(AgentBytes).plus(b.of(MembersBytes)).plus(b.listsPerSecond()).plus(b.emptyWatchesPerSecond()).plus(b.backendChangesPerSecond())
 	if b.size.Assumptions.QuotaCallsAreControl {
 		bytes = bytes.plus(b.quotaBytesPerSecond())
 	}
