--- a/capacity/decode_test.go
+++ b/capacity/decode_test.go
@@ -158,6 +158,9 @@
 		for _, table := range plan.Tables() {
 			table.Markdown()
 		}
+		if picture := plan.Curves(); strings.Contains(picture, "NaN") || strings.Contains(picture, "Inf") {
+			t.Fatal("a place in the picture that is no number")
+		}
 	})
 }
 
--- a/cmd/elderctl/capacity.go
+++ b/cmd/elderctl/capacity.go
@@ -20,7 +20,7 @@
 
 // capacityCommand works out whether a site carries a size.
 func capacityCommand() *cobra.Command {
-	var sizePath, slopesPath, page string
+	var sizePath, slopesPath, page, curves string
 	var asJSON, all bool
 	cmd := &cobra.Command{
 		Use:   "capacity",
@@ -36,9 +36,16 @@
 			if err != nil {
 				return usage(err)
 			}
+			if curves != "" {
+				if err := files.Replace(curves, []byte(plan.Curves()), 0o644); err != nil {
+					return began(fmt.Errorf("curves: %w", err))
+				}
+			}
 			switch {
 			case page != "":
 				return fillPage(page, plan)
+			case curves != "":
+				return nil
 			case asJSON:
 				return began(writeJSON(cmd.OutOrStdout(), "-", plan))
 			}
@@ -52,7 +59,9 @@
 	flags.BoolVar(&asJSON, "json", false, "as JSON")
 	flags.BoolVar(&all, "all", false, "also the size, the slopes and the measures that a file of slopes may name")
 	flags.StringVar(&page, "page", "", "write the tables into the marked blocks of this page, in place of printing them")
+	flags.StringVar(&curves, "curves", "", "write a picture of the slopes to this file, as SVG, in place of printing")
 	cmd.MarkFlagsMutuallyExclusive("json", "page")
+	cmd.MarkFlagsMutuallyExclusive("json", "curves")
 	return cmd
 }
 
--- a/cmd/elderctl/capacity_test.go
+++ b/cmd/elderctl/capacity_test.go
@@ -54,6 +54,20 @@
 	}
 }
 
+// The page's picture is the one that the command draws.
+func TestCapacityCurvesAreWhatTheCommandDraws(t *testing.T) {
+	drawn := filepath.Join(t.TempDir(), "curves.svg")
+	if status, out, errs := capacityTool(t, "--curves", drawn); status != exitOK || out != "" {
+		t.Fatalf("status %d: %s%s", status, out, errs)
+	}
+	if readFile(t, "../../docs/capacity/curves.svg") != readFile(t, drawn) {
+		t.Error("docs/capacity/curves.svg is another picture; draw it with `elderctl capacity --curves docs/capacity/curves.svg`")
+	}
+	if !strings.Contains(readFile(t, capacityPage), "](capacity/curves.svg)") {
+		t.Error("the page does not show the picture")
+	}
+}
+
 // The figures in the page's short answer are those of its tables.
 func TestCapacityPageSaysItsTablesFigures(t *testing.T) {
 	page := readFile(t, capacityPage)
@@ -137,6 +151,7 @@
 		{[]string{"--page", writeFile(t, "page.md", strings.Replace(page, "<!-- capacity:end site -->", "", 1))}, `within block "site"`},
 		{[]string{"--page", writeFile(t, "page.md", strings.Replace(page, "<!-- capacity:end measures -->", "", 1))}, `block "measures" does not end`},
 		{[]string{"--page", "x", "--json"}, "none of the others can be"},
+		{[]string{"--curves", "x", "--json"}, "none of the others can be"},
 		{[]string{"more"}, "unknown command"},
 	} {
 		status, out, errs := capacityTool(t, c.args...)
