--- a/capacity/number.go
+++ b/capacity/number.go
@@ -24,7 +24,13 @@
 			}
 		}
 	}
-	return strings.TrimSpace(number(v) + " " + unit)
+	switch unit {
+	case "", "1":
+		return number(v)
+	case "1/s":
+		return number(v) + "/s"
+	}
+	return number(v) + " " + unit
 }
 
 // number is a figure in three digits, without an exponent where a person reads it
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -49,19 +49,22 @@
 }
 
 func (p *Plan) rolesTable(name, title string, want func(*Line) bool) Table {
-	t := Table{Name: name, Title: title, Header: []string{"role", "what", "at the size", "with the fit's worst residual", "budget", "verdict", "from"}}
-	var last Role
+	t := Table{Name: name, Title: title, Header: []string{"role", "mechanism", "what", "at the size", "with the fit's worst residual", "budget", "verdict", "from"}}
+	var last Line
 	for i := range p.Lines {
 		l := &p.Lines[i]
 		if !want(l) {
 			continue
 		}
-		role := string(l.Role)
-		if l.Role == last {
+		role, mechanism := string(l.Role), l.Mechanism
+		if l.Role == last.Role { // said once
 			role = ""
+			if l.Mechanism == last.Mechanism {
+				mechanism = ""
+			}
 		}
-		last = l.Role
-		t.Rows = append(t.Rows, []string{role, l.what(), l.atSize(), l.figureIfOther(), l.figure(l.Budget), l.verdictText(), l.basis()})
+		last = *l
+		t.Rows = append(t.Rows, []string{role, mechanism, l.what(), l.atSize(), l.figureIfOther(), l.figure(l.Budget), l.verdictText(), l.basis()})
 	}
 	return t
 }
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -72,7 +72,7 @@
 	}
 	add(State, "members that a gateway knows", "", arithmetic(float64(b.size.Site.Gateways)), 0, "")
 	add(Messages, "datagrams", "1/s", b.of(MembersMessages), 0, "")
-	add(Bytes, "bytes a second, sent", "B/s", b.of(MembersBytes), b.size.Budget.GatewayBytesPerSecond, "")
+	add(Bytes, "sent", "B/s", b.of(MembersBytes), b.size.Budget.GatewayBytesPerSecond, "")
 	add(CPU, "an idle gateway with members", "cores", b.of(MembersCPU), b.size.Budget.GatewayCores, "the whole idle gateway")
 	add(Memory, "an idle gateway with members", "MB", b.of(MembersMemory), b.size.Budget.GatewayMemoryMB, "the whole idle gateway")
 	add(Time, "until all have given a killed one up", "s", b.of(MembersAgree), 0, "")
