--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -1,6 +1,6 @@
 // Package registry is a stand-in for discovery: it tells each gateway, after
 // that gateway's own delay, which backends there are and what changed, answers
-// watches, and can fall silent or go on answering from an old list. It records
+// watches, and can fall silent, go on answering from an old list or be crowded. It records
 // when it told whom of what, since the rule on drains counts from then.
 package registry
 
@@ -70,6 +70,7 @@
 	views   map[string]*view
 	links   []*link.Link
 	wg      sync.WaitGroup
+	room    room
 
 	mu      sync.Mutex
 	changes []change // generation n is changes[n-1-dropped]
@@ -209,8 +210,12 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	l, ok := r.wait(q.Context(), peer, since, wait)
-	if !ok {
+	if !r.room.enter(q.Context(), wait > 0) {
+		http.Error(w, "crowded", http.StatusServiceUnavailable)
+		return
+	}
+	l, late, ok := r.serve(q.Context(), peer, since, wait)
+	if !ok || !pause(q.Context(), late) {
 		return
 	}
 	text, err := json.Marshal(l)
@@ -226,6 +231,18 @@
 	r.note(peer, l)
 }
 
+// serve makes the answer to a call that has a place, and gives the place back. The answer
+// is to be written so much later. It fails when the caller leaves.
+func (r *Registry) serve(ctx context.Context, peer string, since int64, wait time.Duration) (l listing, late time.Duration, ok bool) {
+	defer r.room.leave()
+	service, late := r.room.crowdTimes()
+	if !pause(ctx, service) {
+		return listing{}, 0, false
+	}
+	l, ok = r.wait(ctx, peer, since, wait)
+	return l, late, ok
+}
+
 // watch reads the query of a call. A since of -1 asks for the whole list.
 func watch(q *http.Request) (since int64, wait time.Duration, err error) {
 	text := q.URL.Query().Get("since")
