--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -10,9 +10,11 @@
 	"hash/fnv"
 	"io"
 	"log"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"slices"
+	"sync"
 	"time"
 
 	"elderyard/internal/wire"
@@ -112,12 +114,11 @@
 	return b, err
 }
 
-// Watcher follows discovery and hands on each answer.
+// Watcher follows discovery and hands on each answer that brings news.
 type Watcher struct {
+	follower
 	address string
 	client  *http.Client
-	since   int64
-	listed  bool // a whole list has come
 	heard   func(Listing)
 }
 
@@ -136,31 +137,108 @@
 		defer cancel()
 		return connect(ctx, network, address)
 	}
-	return &Watcher{address: address, heard: heard,
-		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 2, DialContext: bounded}}}
+	return &Watcher{follower: *newFollower(rand.Uint64()), address: address, heard: heard,
+		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: mostCalls, DialContext: bounded}}}
 }
 
+// SetSeed sets what draws the distances between calls to a crowded discovery, before Run.
+// Without it they come from a seed of the process's own.
+func (w *Watcher) SetSeed(seed uint64) { w.random = rand.New(rand.NewPCG(seed, 0)) }
+
+// outcome is how one call ended.
+type outcome struct {
+	id      int
+	listing Listing
+	err     error // errRefused, an answerError, or what broke the call
+}
+
+// errRefused means that discovery turned a call away for now.
+var errRefused = errors.New("refused")
+
+// answerError is an answer that is none: another status, or text that is no list.
+type answerError struct{ error }
+
 // Run asks until ctx ends: once for the list, from then on for changes. A
 // failed call is made again soon, on a new connection, from the last version
-// that arrived; what changed meanwhile comes with its answer.
+// that arrived; what changed meanwhile comes with its answer. The follower says when
+// which call is made; here is the I/O.
 func (w *Watcher) Run(ctx context.Context) {
+	ctx, stop := context.WithCancel(ctx)
+	began := time.Now()
+	outcomes := make(chan outcome)
+	cancels := map[int]context.CancelFunc{}
+	var calls sync.WaitGroup
 	defer w.client.CloseIdleConnections()
-	var complained time.Time
+	defer calls.Wait()
+	defer stop()
+	complain := complaints()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for ctx.Err() == nil {
-		l, err := w.ask(ctx)
-		if err == nil {
-			w.since, w.listed = l.Generation, true
-			w.heard(l)
-			continue
+		next := w.advance(time.Since(began))
+		if next.overdue {
+			complain(errors.New("no answer in time"))
+			w.client.CloseIdleConnections()
 		}
-		if ctx.Err() == nil && time.Since(complained) > complaintGap {
-			complained = time.Now()
-			log.Printf("discovery: %v", err)
+		for _, id := range next.ended {
+			cancels[id]()
+			delete(cancels, id)
 		}
-		w.client.CloseIdleConnections()
+		if c := next.opened; c != nil {
+			bounded, cancel := context.WithCancel(ctx)
+			cancels[c.id] = cancel
+			calls.Go(func() {
+				l, err := w.ask(bounded, *c)
+				select {
+				case outcomes <- outcome{c.id, l, err}:
+				case <-ctx.Done():
+				}
+			})
+		}
+		timer.Reset(max(next.wake-time.Since(began), 0))
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchRetry):
+		case <-timer.C:
+		case o := <-outcomes:
+			if cancel, open := cancels[o.id]; open {
+				cancel()
+				delete(cancels, o.id)
+				if err := w.take(o, time.Since(began)); err != nil && ctx.Err() == nil {
+					complain(err)
+					w.client.CloseIdleConnections()
+				}
+			}
+		}
+	}
+}
+
+// take passes the end of a call on, to the follower and, where it brings news, to heard.
+func (w *Watcher) take(o outcome, now time.Duration) error {
+	var bad answerError
+	switch {
+	case errors.Is(o.err, errRefused):
+		w.refused(o.id, now)
+	case errors.As(o.err, &bad):
+		w.rejected(o.id, now)
+	case o.err != nil:
+		w.broken(o.id, now)
+	default:
+		l, err := w.answered(o.id, o.listing, now)
+		if l != nil {
+			w.heard(*l)
+		}
+		return err
+	}
+	return o.err
+}
+
+// complaints logs errors, with gaps of complaintGap at least.
+func complaints() func(error) {
+	var last time.Time
+	return func(err error) {
+		if time.Since(last) > complaintGap {
+			last = time.Now()
+			log.Printf("discovery: %v", err)
 		}
 	}
 }
@@ -186,45 +264,38 @@
 	return l, nil
 }
 
-func (w *Watcher) ask(ctx context.Context) (l Listing, err error) {
-	url, limit := "http://"+w.address+listPath, listTimeout
-	if w.listed {
-		url += fmt.Sprintf("?since=%d&timeout_ms=%d", w.since, watchWait.Milliseconds())
-		limit = watchWait + watchGrace
+// ask makes one call and reads its answer.
+func (w *Watcher) ask(ctx context.Context, c call) (Listing, error) {
+	url := "http://" + w.address + listPath
+	switch c.form {
+	case watch:
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", c.since, watchWait.Milliseconds())
+	case poll:
+		url += fmt.Sprintf("?since=%d&timeout_ms=0", c.since)
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
-	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return l, err
+		return Listing{}, err
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return l, err
+		return Listing{}, err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, mostListing+1))
-	if err != nil {
-		return l, err
-	}
-	if len(body) > mostListing {
-		return l, fmt.Errorf("list: over %d bytes", mostListing)
-	}
-	if resp.StatusCode != http.StatusOK {
-		w.listed = false // the version may be the trouble: start from the whole list
-		return l, fmt.Errorf("status %s", resp.Status)
-	}
-	if l, err = read(body); err != nil {
-		w.listed = false
-		return l, err
-	}
-	if w.listed && !l.Reset && l.Generation < w.since {
-		// Danger: what it calls changes is older than what is known, and would put back what has gone.
-		w.listed = false
-		return l, fmt.Errorf("changes of version %d after %d", l.Generation, w.since)
+	switch {
+	case err != nil:
+		return Listing{}, err
+	case len(body) > mostListing:
+		return Listing{}, fmt.Errorf("list: over %d bytes", mostListing)
+	case resp.StatusCode == http.StatusServiceUnavailable:
+		return Listing{}, fmt.Errorf("status %s: %w", resp.Status, errRefused)
+	case resp.StatusCode != http.StatusOK:
+		return Listing{}, answerError{fmt.Errorf("status %s", resp.Status)}
 	}
-	if !w.listed {
-		l.Reset = true // a call without a version is answered with all there are
+	l, err := read(body)
+	if err != nil {
+		return Listing{}, answerError{err}
 	}
 	return l, nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -185,7 +185,9 @@
 		ended := make(chan struct{})
 		wg.Go(func() {
 			defer close(ended)
-			discovery.NewWatcher(address, front.loop.hear).Run(ctx)
+			w := discovery.NewWatcher(address, front.loop.hear)
+			w.SetSeed(c.Seed)
+			w.Run(ctx)
 		})
 		return func() { cancel(); <-ended }
 	}
--- a/internal/standin/registry/crowd.go
+++ b/internal/standin/registry/crowd.go
@@ -59,6 +59,9 @@
 	return r.room.count
 }
 
+// Watching returns how many watches hold a place.
+func (r *Registry) Watching() int { return int(r.watching.Load()) }
+
 // enter waits for a place, which the call then has to leave. It reports false for a
 // call that is refused, or whose caller has left.
 func (r *room) enter(ctx context.Context, mayWait bool) bool {
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -13,6 +13,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"elderyard/internal/standin/link"
@@ -72,6 +73,8 @@
 	wg      sync.WaitGroup
 	room    room
 
+	watching atomic.Int64 // watches that hold a place
+
 	mu      sync.Mutex
 	changes []change // generation n is changes[n-1-dropped]
 	dropped int
@@ -235,6 +238,10 @@
 // is to be written so much later. It fails when the caller leaves.
 func (r *Registry) serve(ctx context.Context, peer string, since int64, wait time.Duration) (l listing, late time.Duration, ok bool) {
 	defer r.room.leave()
+	if wait > 0 {
+		r.watching.Add(1)
+		defer r.watching.Add(-1)
+	}
 	service, late := r.room.crowdTimes()
 	if !pause(ctx, service) {
 		return listing{}, 0, false
