--- /dev/null
+++ b/cmd/elderyard/restart_test.go
@@ -0,0 +1,269 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os/exec"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"elderyard/internal/loopback"
+	"elderyard/internal/standin/link"
+	"elderyard/internal/standin/registry"
+	"elderyard/internal/testpeer"
+)
+
+const restarted = 30 // processes
+
+// restartSite is a fleet of processes before one registry and one backend that lives.
+type restartSite struct {
+	registry *registry.Registry
+	links    []*link.Link
+	gateways []*restartGateway
+}
+
+// restartGateway is one process after another at one address.
+type restartGateway struct {
+	address, config string
+	cmd             *exec.Cmd
+	stderr          *bytes.Buffer
+	served          atomic.Int64 // requests of clients that got their 200
+}
+
+func newRestartSite(t *testing.T) *restartSite {
+	t.Helper()
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
+	t.Cleanup(backend.Close)
+	alive := strings.TrimPrefix(backend.URL, "http://")
+	gone, err := loopback.Free()
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &restartSite{}
+	for i := range restarted {
+		l, err := link.Listen(fmt.Sprintf("n%d", i))
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.links = append(s.links, l)
+	}
+	s.registry = registry.Start(func(_, id string) string {
+		if id == "alive" {
+			return alive
+		}
+		return gone
+	}, 1<<16, s.links...)
+	t.Cleanup(s.registry.Close)
+	s.registry.Set(registry.Instance{ID: "alive", Zone: "a", Type: "m", Lifecycle: registry.Ready, Weight: 1})
+	for i, l := range s.links {
+		address, err := loopback.Free()
+		if err != nil {
+			t.Fatal(err)
+		}
+		g := &restartGateway{address: address, config: restartConfig(i, address, l.Address(), alive, gone)}
+		s.gateways = append(s.gateways, g)
+		t.Cleanup(func() { g.kill() })
+	}
+	return s
+}
+
+// restartConfig is the configuration of a gateway that knows an old list: of its backends
+// but one is still there.
+func restartConfig(rank int, address, discovery, alive, gone string) string {
+	known := fmt.Sprintf(`{"instanceId": "alive", "hostPort": %q, "zone": "a", "machineType": "m", "lifecycle": "Ready", "weight": 1}`, alive)
+	for i := range 3 {
+		known += fmt.Sprintf(`, {"instanceId": "gone%d", "hostPort": %q, "zone": "a", "machineType": "m", "lifecycle": "Ready", "weight": 1}`, i, gone)
+	}
+	return fmt.Sprintf(`{"name": "n%d", "listen": %q, "discovery": %q, "seed": "%x",
+		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": {"generation": 7, "reset": true, "instances": [%s]},
+		"settings": {"fleetSize": %d, "rank": %d, "tickS": 0.002, "localities": ["a"], "kinds": ["m"],
+		"allowed": {"connectTimeoutS": 1, "keepaliveS": 15, "mostTries": 3},
+		"classes": [{"name": "c", "objectiveS": 2, "deadlineS": 2, "points": 1, "effect": "repeatable"}],
+		"packages": [{"name": "p", "pays": 1}]}}`, rank, address, discovery, rank+1, known, restarted, rank)
+}
+
+func (g *restartGateway) start(t *testing.T) {
+	t.Helper()
+	g.cmd, g.stderr = command(t, g.config)
+	if err := g.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// kill ends the process that this test started last.
+func (g *restartGateway) kill() {
+	if g.cmd != nil {
+		g.cmd.Process.Signal(syscall.SIGKILL)
+		g.cmd.Wait()
+		g.cmd = nil
+	}
+}
+
+func (g *restartGateway) ready() bool {
+	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := client.Get("http://" + g.address + "/health/ready")
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// allReady waits until every gateway is ready.
+func (s *restartSite) allReady(t *testing.T) {
+	t.Helper()
+	end := time.Now().Add(3 * testpeer.Patience)
+	for i, g := range s.gateways {
+		for !g.ready() {
+			if time.Now().After(end) {
+				t.Fatalf("n%d is not ready; it said %q", i, g.stderr)
+			}
+			time.Sleep(10 * time.Millisecond)
+		}
+	}
+}
+
+// load sends requests to all gateways in turn, until the test ends.
+func (s *restartSite) load(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var clients sync.WaitGroup
+	t.Cleanup(func() { cancel(); clients.Wait() })
+	var id atomic.Int64
+	for range 4 {
+		clients.Go(func() {
+			client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+			for ctx.Err() == nil {
+				n := id.Add(1)
+				s.gateways[n%restarted].send(ctx, &client, n)
+				time.Sleep(time.Millisecond)
+			}
+		})
+	}
+}
+
+// send makes one request of a client.
+func (g *restartGateway) send(ctx context.Context, client *http.Client, id int64) {
+	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+g.address+"/c/1", nil)
+	if err != nil {
+		return
+	}
+	for k, v := range map[string]string{"X-Correlation-Id": fmt.Sprint(id), "X-Service-Class": "c", "X-Tier": "p",
+		"X-Api-Key": "0000000000000001", "X-Time-Left-Ms": "2000", "X-Call-Terms": "units=1,spread=1,first=0"} {
+		req.Header.Set(k, v)
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return
+	}
+	resp.Body.Close()
+	if resp.StatusCode == http.StatusOK {
+		g.served.Add(1)
+	}
+}
+
+// allServe waits until every gateway has served a request from now on.
+func (s *restartSite) allServe(t *testing.T) {
+	t.Helper()
+	var before [restarted]int64
+	for i, g := range s.gateways {
+		before[i] = g.served.Load()
+	}
+	end := time.Now().Add(3 * testpeer.Patience)
+	for i, g := range s.gateways {
+		for g.served.Load() == before[i] {
+			if time.Now().After(end) {
+				t.Fatalf("n%d serves nothing; it said %q", i, g.stderr)
+			}
+			time.Sleep(10 * time.Millisecond)
+		}
+	}
+}
+
+// toldPeers returns how many gateways were told of a backend.
+func (s *restartSite) toldPeers(instance string) int {
+	told, _ := s.registry.Record()
+	peers := map[string]bool{}
+	for _, one := range told {
+		if one.Instance == instance {
+			peers[one.Peer] = true
+		}
+	}
+	return len(peers)
+}
+
+// silence makes the registry answer no gateway, or all again.
+func (s *restartSite) silence(on bool) {
+	for _, l := range s.links {
+		s.registry.SetSilent(l.Peer(), on)
+	}
+}
+
+// Processes that are all killed and started again beside load are ready and serve by the
+// list that they know from before, however old, while discovery answers none of them; and
+// when it does, all learn from it what is new.
+func TestRestartedProcessesAreReadyWithoutDiscovery(t *testing.T) {
+	s := newRestartSite(t)
+	for _, g := range s.gateways {
+		g.start(t)
+	}
+	s.allReady(t)
+	s.load(t)
+	crowd := registry.Crowd{Serving: 2, Waiting: 8, Service: 50 * time.Millisecond, Patience: 2 * time.Second, NoWatch: true}
+	for _, step := range []struct {
+		name string
+		away func() // discovery answers none from now on
+		back func(t *testing.T)
+	}{
+		{"silent", func() { s.silence(true) }, func(*testing.T) { s.silence(false) }},
+		{"crowded", func() { s.silence(true); s.registry.SetCrowd(crowd) }, func(*testing.T) { s.silence(false) }},
+		{"down", func() { s.down() }, func(t *testing.T) { s.up(t) }},
+	} {
+		t.Run(step.name, func(t *testing.T) {
+			for _, g := range s.gateways {
+				g.kill()
+			}
+			step.away()
+			s.registry.Set(registry.Instance{ID: step.name, Zone: "a", Type: "m", Lifecycle: registry.Ready, Weight: 1})
+			for _, g := range s.gateways {
+				g.start(t)
+			}
+			s.allReady(t)
+			s.allServe(t)
+			if n := s.toldPeers(step.name); n > 0 {
+				t.Fatalf("discovery has answered %d of them meanwhile", n)
+			}
+			step.back(t)
+			for end := time.Now().Add(3 * testpeer.Patience); s.toldPeers(step.name) < restarted; time.Sleep(10 * time.Millisecond) {
+				if time.Now().After(end) {
+					t.Fatalf("only %d have learnt what is new; calls: %+v", s.toldPeers(step.name), s.registry.Crowded())
+				}
+			}
+			s.allServe(t)
+		})
+	}
+}
+
+// down takes discovery's sockets away.
+func (s *restartSite) down() {
+	for _, l := range s.links {
+		l.Down()
+	}
+}
+
+// up brings them back at the same addresses.
+func (s *restartSite) up(t *testing.T) {
+	t.Helper()
+	for _, l := range s.links {
+		if err := l.Up(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
