--- a/internal/discovery/crowd_test.go
+++ b/internal/discovery/crowd_test.go
@@ -105,25 +105,38 @@
 	}
 }
 
-// toldDrainsAreHeard checks that whoever was told of a drain knows it.
-func (f *fleet) toldDrainsAreHeard(t *testing.T) {
+// toldDrainsAreHeard checks that whoever was told of a drain knows it, once the registry
+// has recorded that all were told.
+func (f *fleet) toldDrainsAreHeard(t *testing.T, drained string) {
 	t.Helper()
-	told, beyond := f.registry.Record()
-	drains := 0
+	for end := time.Now().Add(testpeer.Patience); f.recorded(t, drained) < len(f.peers); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("only %d are recorded as told that %s drains", f.recorded(t, drained), drained)
+		}
+	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, one := range told {
-		if one.Lifecycle != registry.Terminating {
-			continue
-		}
-		drains++
-		if got := f.known[one.Peer][one.Instance]; got == registry.Ready {
-			t.Errorf("%s was told that %s drains, and takes it for %s", one.Peer, one.Instance, got)
+	for _, peer := range f.peers {
+		if got := f.known[peer][drained]; got != registry.Terminating {
+			t.Errorf("%s was told that %s drains, and takes it for %q", peer, drained, got)
 		}
 	}
-	if drains < len(f.peers) || beyond > 0 {
-		t.Errorf("%d drains told, %d records lost", drains, beyond)
+}
+
+// recorded returns how many watchers were told that an instance drains.
+func (f *fleet) recorded(t *testing.T, id string) int {
+	t.Helper()
+	told, beyond := f.registry.Record()
+	if beyond > 0 {
+		t.Fatalf("%d records are lost", beyond)
+	}
+	peers := map[string]bool{}
+	for _, one := range told {
+		if one.Instance == id && one.Lifecycle == registry.Terminating {
+			peers[one.Peer] = true
+		}
 	}
+	return len(peers)
 }
 
 // Before a discovery that is crowded by watches each of a fleet learns of each change, the
@@ -142,7 +155,7 @@
 			f.allKnow(t, "b", registry.Ready)
 			f.set("a", registry.Terminating)
 			f.allKnow(t, "a", registry.Terminating)
-			f.toldDrainsAreHeard(t)
+			f.toldDrainsAreHeard(t, "a")
 			f.set("c", registry.Ready)
 			f.allKnow(t, "c", registry.Ready)
 			f.silence(true)
@@ -152,7 +165,7 @@
 			f.silence(false)
 			f.allKnow(t, "b", registry.Terminating)
 			f.allKnow(t, "a", registry.Gone)
-			f.toldDrainsAreHeard(t)
+			f.toldDrainsAreHeard(t, "b")
 		})
 	}
 }
@@ -189,7 +202,7 @@
 	f.allKnow(t, "a", registry.Ready)
 	f.set("a", registry.Terminating)
 	f.allKnow(t, "a", registry.Terminating)
-	f.toldDrainsAreHeard(t)
+	f.toldDrainsAreHeard(t, "a")
 }
 
 // With a discovery that is no longer crowded, the fleet goes back to its watches.
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -24,7 +24,8 @@
 const (
 	toldWithin   = 6 * time.Second        // a change has to be known so long after discovery had it
 	answerTime   = 800 * time.Millisecond // kept of that for the next answer
-	retryReserve = 1 * time.Second        // and for a call after a refusal
+	dueReserve   = 1 * time.Second        // kept of it for the call beside a poll that is late
+	retryReserve = 2 * time.Second        // and for a call after a refusal, which may be refused as well
 	gapStart     = 3 * time.Second        // from one answered poll to the next, opening to opening
 	gapLow       = 2500 * time.Millisecond
 	gapHigh      = 4 * time.Second
@@ -38,7 +39,9 @@
 	backoffStart  = 1 * time.Second // window of the first call after a refusal
 	backoffGrowth = 1.5
 	backoffHigh   = 2500 * time.Millisecond
-	backoffLeast  = 0.2 // share of the window that always passes
+	backoffUrgent = 500 * time.Millisecond // window where the list is about to be too stale
+	urgentFor     = toldWithin             // after that time a crowd that still refuses is spared
+	backoffLeast  = 0.2                    // share of the window that always passes
 
 	quickAnswer     = 100 * time.Millisecond // an agent that is not crowded answers at once
 	mostQuickNeeded = 64
@@ -158,7 +161,7 @@
 	case !f.listed:
 		c.form, c.due, c.end = wholeList, now+listTimeout, now+callEnd
 	case f.crowded:
-		stale := f.fresh + toldWithin - retryReserve
+		stale := f.fresh + toldWithin - dueReserve
 		latest := max(pollDueHigh, min(time.Duration(overSlowest*float64(f.slowest)), pollDueMost))
 		c.form, c.due, c.end = poll, now+min(max(stale-now, pollDueLow), latest), now+callEnd
 	default:
@@ -302,8 +305,10 @@
 	for i := 1; i < f.refusals && window < backoffHigh; i++ {
 		window = min(backoffHigh, time.Duration(backoffGrowth*float64(window)))
 	}
-	left := f.fresh + toldWithin - retryReserve - now
-	f.next = now + f.within(min(window, max(left, backoffStart)), backoffLeast)
+	if left := f.fresh + toldWithin - retryReserve - now; left > -urgentFor {
+		window = min(window, max(left, backoffUrgent))
+	}
+	f.next = now + f.within(window, backoffLeast)
 }
 
 // enterCrowd goes over to polls. The sooner after the last return, the more of them have
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -222,11 +222,19 @@
 	if latest < backoffStart || f.gap != gapHigh {
 		t.Errorf("pauses of %v at most, %v from poll to poll", latest, f.gap)
 	}
-	// The staler the list, the sooner the next.
-	f.fresh = now - toldWithin
-	f.refused(c.id, now)
-	if _, at := opened(t, f, poll); at-now > backoffStart {
-		t.Errorf("%v after a refusal, with a stale list", at-now)
+	// The staler the list, the sooner the next, until it is stale for long.
+	for stale, most := range map[time.Duration]time.Duration{toldWithin: backoffUrgent, toldWithin / 2: toldWithin/2 - retryReserve, 3 * toldWithin: backoffHigh} {
+		longest := time.Duration(0)
+		for range 50 {
+			f.fresh = now - stale
+			f.refused(c.id, now)
+			next, at := opened(t, f, poll)
+			longest = max(longest, at-now)
+			c, now = next, at
+		}
+		if longest > most || longest < most*8/10 {
+			t.Errorf("%v at most after refusals with a list %v old, want up to %v", longest, stale, most)
+		}
 	}
 }
 
