--- /dev/null
+++ b/internal/sockets/closed_linux.go
@@ -0,0 +1,27 @@
+package sockets
+
+import "syscall"
+
+// TCP states in which the other side has closed or reset the connection, as in the
+// kernel's include/net/tcp_states.h.
+const (
+	tcpClose     = 7
+	tcpCloseWait = 8
+	tcpLastAck   = 9
+	tcpClosing   = 11
+)
+
+// closedBehindData reports whether the other side has closed or reset a connection that
+// still holds unread bytes. The state is the first byte of struct tcp_info, of which the
+// kernel gives as many bytes as are asked for. A socket that is not TCP counts as open.
+func closedBehindData(fd uintptr) bool {
+	info, err := syscall.GetsockoptInet4Addr(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
+	if err != nil {
+		return false
+	}
+	switch info[0] {
+	case tcpClose, tcpCloseWait, tcpLastAck, tcpClosing:
+		return true
+	}
+	return false
+}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -51,15 +51,23 @@
 	return !known || err == nil && quiet
 }
 
-// Gone looks, without waiting, whether the other side has ended a connection. What
-// it sent before may still be there, unread, and hides the end.
+// Gone reports, without waiting, whether the other side has closed or reset a
+// connection. Danger: bytes that it sent before and that nobody has read yet hide the
+// end from a read; where the system can, its state of the connection is asked as well.
 func Gone(conn net.Conn) bool {
-	over := false
+	gone := false
 	known, err := look(conn, func(fd uintptr) {
 		n, err := Peek(fd)
-		over = err == nil && n == 0 || err != nil && !errors.Is(err, syscall.EAGAIN)
+		switch {
+		case err != nil:
+			gone = !errors.Is(err, syscall.EAGAIN)
+		case n == 0:
+			gone = true
+		default:
+			gone = closedBehindData(fd)
+		}
 	})
-	return known && (err != nil || over)
+	return known && (err != nil || gone)
 }
 
 // Ended tells a time-out from a connection that ended.
