--- a/cmd/elderyard/descriptors_linux_test.go
+++ b/cmd/elderyard/descriptors_linux_test.go
@@ -203,86 +203,85 @@
 	}
 }
 
+// request is one of a client, on a connection of its own.
+type request struct{ answered chan answer }
+
+// answer is what a client reads: a status, or why there is none.
+type answer struct {
+	status int
+	err    error
+}
+
 // ask sends a request of a customer of its own on a new connection.
-func (r *outageRig) ask() (net.Conn, error) {
+func (r *outageRig) ask() *request {
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
-		return nil, err
+		r.t.Fatal(err)
 	}
+	r.t.Cleanup(func() { conn.Close() })
 	n := r.nextID.Add(1)
-	conn.SetDeadline(time.Now().Add(2 * eventPatience))
-	_, err = fmt.Fprintf(conn, "GET /c/1 HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %d\r\nX-Service-Class: c\r\nX-Tier: p\r\n"+
-		"X-Api-Key: %016x\r\nX-Time-Left-Ms: 100000\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", n, n)
-	return conn, err
+	if _, err = fmt.Fprintf(conn, "GET /c/1 HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %d\r\nX-Service-Class: c\r\nX-Tier: p\r\n"+
+		"X-Api-Key: %016x\r\nX-Time-Left-Ms: 100000\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", n, n); err != nil {
+		r.t.Fatal(err)
+	}
+	q := &request{make(chan answer, 1)}
+	go func() {
+		defer conn.Close()
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil {
+			q.answered <- answer{0, err}
+			return
+		}
+		_, err = io.Copy(io.Discard, resp.Body)
+		q.answered <- answer{resp.StatusCode, err}
+	}()
+	return q
 }
 
-// status reads the answer to a request.
-func status(conn net.Conn) (int, error) {
-	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	if err != nil {
-		return 0, err
+// served waits for the answer to a request, which must be 200.
+func (r *outageRig) served(what string, q *request) {
+	r.t.Helper()
+	select {
+	case a := <-q.answered:
+		if a.err != nil || a.status != http.StatusOK {
+			r.t.Errorf("%s: status %d, %v", what, a.status, a.err)
+		}
+	case <-time.After(eventPatience):
+		r.t.Errorf("%s: no answer", what)
 	}
-	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, resp.Body)
-	return resp.StatusCode, err
 }
 
-// serveByNew sends new requests, each once the one before it is out, until the new backend has
-// served one. It returns the others, which old backends hold. A new connection may be shut
-// before its request is read.
-func (r *outageRig) serveByNew() (held []net.Conn) {
+// serveByNew sends new requests, each once the one before it is out, until one is served,
+// which only the new backend does. It returns the others, which old backends hold. A new
+// connection may be shut before its request is read.
+func (r *outageRig) serveByNew() (held []*request) {
 	for range oldBackends {
 		before := r.old.begun.Load()
-		conn, err := r.ask()
-		if err != nil {
-			r.t.Fatal(err)
-		}
-		answered := make(chan int, 1)
-		head := bufio.NewReader(conn)
-		go func() {
-			head.Peek(1)
-			answered <- head.Buffered()
-		}()
-		shut := false
-		r.until("the request is out, or its connection shut", func() bool {
+		q := r.ask()
+		var got *answer
+		r.until("the request is out or answered, or its connection shut", func() bool {
 			select {
-			case n := <-answered:
-				shut = n == 0
+			case a := <-q.answered:
+				got = &a
 				return true
 			default:
 				return r.old.begun.Load() > before
 			}
 		})
-		if r.old.begun.Load() > before {
-			held = append(held, conn)
-			continue
-		}
-		if !shut {
-			resp, err := http.ReadResponse(head, nil)
-			if err != nil || resp.StatusCode != http.StatusOK || r.new.begun.Load() == 0 {
-				r.t.Fatalf("a new request: %v, %v", resp, err)
-			}
-			conn.Close()
+		switch {
+		case got == nil:
+			held = append(held, q)
+		case got.err != nil && r.old.begun.Load() == before: // shut unread
+		case got.err != nil || got.status != http.StatusOK:
+			r.t.Fatalf("a new request: status %d, %v", got.status, got.err)
+		default:
 			return held
 		}
-		conn.Close()
 	}
 	r.t.Fatal("no new request was served by the new backend")
 	return nil
 }
 
-// served asks for something on a new connection, and returns the answer's status. A client
-// that has waited for long enough closes, as does one whose connection is shut.
-func (r *outageRig) served(patience time.Duration) (int, error) {
-	conn, err := r.ask()
-	if err != nil {
-		return 0, err
-	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
-	return status(conn)
-}
-
 // flood keeps idle clients connected until ctx ends, a new one for each that is shut. It
 // returns how many have been shut.
 func (r *outageRig) flood(ctx context.Context, wg *sync.WaitGroup) *atomic.Int64 {
@@ -317,22 +316,15 @@
 	r := &outageRig{t: t, old: backendStandIn{released: make(chan struct{})}}
 	r.startLimited()
 	for range 4 * oldBackends { // the gateway learns how long an answer takes
-		if got, err := r.served(eventPatience); err != nil || got != http.StatusOK {
-			t.Fatalf("before the outage: status %d, %v", got, err)
-		}
+		r.served("before the outage", r.ask())
 	}
 	r.registry.set(true, r.registry.list)
 	r.old.holds.Store(true)
 	r.old.begun.Store(0)
 
-	var held []net.Conn
+	var held []*request
 	for range heldRequests {
-		conn, err := r.ask()
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		held = append(held, conn)
+		held = append(held, r.ask())
 	}
 	r.until("all requests are out", func() bool { return r.old.begun.Load() == heldRequests })
 
@@ -362,10 +354,8 @@
 			descriptorLimit-most, descriptorLimit, counterConns)
 	}
 	close(r.old.released)
-	for i, conn := range held {
-		if got, err := status(conn); err != nil || got != http.StatusOK {
-			t.Errorf("request %d that was held: status %d, %v", i, got, err)
-		}
+	for _, q := range held {
+		r.served("a request that was held", q)
 	}
 	if said := r.end(); strings.Contains(said, "too many open files") {
 		t.Error("the gateway ran out of descriptors")
