--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,7 +23,9 @@
 )
 
 const (
-	reserved   = 64                     // descriptors for the counter, discovery and the runtime
+	// Descriptors for the counter (32), discovery (4 while its address changes), telemetry and files
+	// (4), listeners and the runtime (8).
+	reserved   = 64
 	clientCost = 24 << 10               // bytes of an idle connection: two buffers, a stack and the books
 	knownAfter = 3 * time.Second        // without discovery, the list known from before has to do
 	stayFor    = 600 * time.Millisecond // new connections still come so long after a stop was asked for
@@ -54,10 +56,40 @@
 }
 
 const (
-	fellowsPath = "/_peers"
-	fellowCost  = 24 // descriptors
+	fellowsPath  = "/_peers"
+	fellowCost   = 24 // descriptors
+	operatorCost = 12 // descriptors: mostCallers and four more, of which reserved can spare 16
+	limitCost    = 2  // descriptors of the front for limit commands: its listener, and a client that is turned away
+	limitShare   = 4  // clients of limit commands may hold one of so many descriptors
 )
 
+// descriptors is how the limit on descriptors is divided.
+type descriptors struct {
+	own          int // of the gateway: counter, discovery, operators, the runtime and what knows other gateways
+	limitClients int // of clients of limit commands, their listener among them
+	clients      int
+	backends     int
+}
+
+// divideDescriptors divides the limit so that whatever one kind of connection takes, the
+// others keep what is theirs.
+func divideDescriptors(c *config.Config, fellows, operator bool) descriptors {
+	d := descriptors{own: reserved}
+	if fellows {
+		d.own += fellowCost
+	}
+	if operator {
+		d.own += operatorCost
+	}
+	if c.Site.RESP.Listen != "" {
+		wanted := c.Site.RESP.Most + limitCost
+		d.limitClients = max(min(wanted, (c.Sockets-d.own)/limitShare), limitCost+1)
+	}
+	d.clients = mostClients(c, d.own+d.limitClients)
+	d.backends = c.Sockets - d.own - d.limitClients - d.clients
+	return d
+}
+
 // Run serves clients until ctx ends, then answers what it holds and returns. Fd is
 // the clients' listening socket where that came with the process, else below 0. Export
 // says where stories and metrics go; nil: nowhere. Fellows is nil where the gateway
@@ -108,12 +140,8 @@
 
 // serve is Run on sockets that are open. Desk is the operators', or nil.
 func serve(ctx context.Context, c *config.Config, listener, desk net.Listener, export *telemetry.Settings, fellows Fellows, reload Reload) error {
-	own := reserved
-	if fellows != nil {
-		own += fellowCost
-	}
-	most := mostClients(c, own)
-	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), c.Sockets-own-most)
+	share := divideDescriptors(c, fellows != nil, desk != nil)
+	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), share.backends)
 	c.Settings.Fronts = c.Site.Quotas.Fronts
 	calls, err := counter.Open(c.Site.Counter, c.Settings, c.Counter)
 	if err != nil {
@@ -155,7 +183,7 @@
 	defer wg.Wait()
 	defer stop()
 	if c.Site.RESP.Listen != "" {
-		limits, err := openLimits(c, front.loop.Owner)
+		limits, err := openLimits(c, share.limitClients-limitCost, front.loop.Owner)
 		if err != nil {
 			return err
 		}
@@ -197,7 +225,7 @@
 	})
 	defer known.Stop()
 
-	callers := newClients(listener, most)
+	callers := newClients(listener, share.clients)
 	server := front.server(callers, longest(c))
 	if desk != nil {
 		staff := &operator{front: front, book: book, fellows: fellows}
@@ -251,10 +279,15 @@
 
 const bindAgain = 100 * time.Millisecond // between tries for an address that the process before still has
 
-// openLimits opens the front for limit commands and returns what serves it. In an
-// upgrade the process before has the address until it ends; then it is tried for again.
-func openLimits(c *config.Config, o *owner.Owner) (serve func(context.Context), err error) {
-	front, err := respfront.Open(c.Site.RESP, o, c.Settings, c.PlanNames)
+// openLimits opens the front for limit commands, which takes so many clients at most, and
+// returns what serves it. In an upgrade the process before has the address until it ends; then it is tried for again.
+func openLimits(c *config.Config, most int, o *owner.Owner) (serve func(context.Context), err error) {
+	set := c.Site.RESP
+	if most < set.Most {
+		log.Printf("resp.most_clients: %d descriptors leave room for %d clients, not %d", c.Sockets, most, set.Most)
+		set.Most = most
+	}
+	front, err := respfront.Open(set, o, c.Settings, c.PlanNames)
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -561,3 +561,30 @@
 		}
 	}
 }
+
+// Whatever clients of any kind and backends hold, the descriptors that are the gateway's own
+// stay free, and each kind has some.
+func TestDivideDescriptors(t *testing.T) {
+	for _, c := range []struct {
+		sockets, limitClients int
+		fellows, operator     bool
+		want                  descriptors
+	}{
+		{256, 0, false, false, descriptors{64, 0, 144, 48}},
+		{512, 0, false, false, descriptors{64, 0, 336, 112}},
+		{1024, 0, false, false, descriptors{64, 0, 720, 240}},
+		{1024, 64, false, true, descriptors{76, 66, 661, 221}},
+		{256, 64, true, true, descriptors{100, 39, 87, 30}},
+		{128, 64, false, true, descriptors{76, 13, 29, 10}},
+		{128, 100000, true, true, descriptors{100, 7, 15, 6}},
+	} {
+		conf := &config.Config{Site: site.Defaults(), MemoryMB: 192, Sockets: c.sockets}
+		if c.limitClients > 0 {
+			conf.Site.RESP.Listen, conf.Site.RESP.Most = "127.0.0.1:0", c.limitClients
+		}
+		got := divideDescriptors(conf, c.fellows, c.operator)
+		if sum := got.own + got.limitClients + got.clients + got.backends; got != c.want || sum != c.sockets {
+			t.Errorf("%+v: %+v, of %d", c, got, sum)
+		}
+	}
+}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -91,7 +91,7 @@
 // RESP is the front for limit commands.
 type RESP struct {
 	Listen  string          `toml:"listen" doc:"address for limit commands; default none, no front"`
-	Most    int             `toml:"most_clients" doc:"connections at most; 1 to 100000, default 64"`
+	Most    int             `toml:"most_clients" doc:"connections at most, of a gateway no more than a quarter of its descriptors; 1 to 100000, default 64"`
 	Idle    strict.Duration `toml:"idle" doc:"a connection without a command for so long is closed; 1s to 24h, default 5m"`
 	Cert    string          `toml:"cert" doc:"certificate of the front; default none, a plain connection"`
 	Key     string          `toml:"key" doc:"its key"`
@@ -117,7 +117,7 @@
 
 // Clients bounds what clients may hold.
 type Clients struct {
-	SocketShare float64 `toml:"socket_share" doc:"share of the descriptors, less 64 of the gateway's own, for clients; backends get the rest; 0.1 to 0.9, default 0.75"`
+	SocketShare float64 `toml:"socket_share" doc:"share of the descriptors, less 64 of the gateway's own (76 with an operator's address) and those of limit commands' clients, for clients; backends get the rest; 0.1 to 0.9, default 0.75"`
 	MemoryShare float64 `toml:"memory_share" doc:"share of the memory limit for clients that stand idle; 0.05 to 0.5, default 0.25"`
 }
 
