--- a/cmd/elderyard/descriptors_linux_test.go
+++ b/cmd/elderyard/descriptors_linux_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -23,8 +22,8 @@
 	descriptorLimit = 256 // the lowest limit that the platform sets
 	oldBackends     = 10
 	heldRequests    = 8
-	counterConns    = 32 // of one gateway, as many as the counter takes
-	idleClients     = 400
+	counterConns    = 32               // of one gateway, as many as the counter takes
+	idleClients     = 400              // of requests, and as many of limit commands
 	eventPatience   = 40 * time.Second // bounds each wait; none is expected to last so long
 )
 
@@ -32,6 +31,7 @@
 type outageRig struct {
 	t        *testing.T
 	address  string // of the gateway, for clients
+	limits   string // and for limit commands
 	registry registryStandIn
 	counter  counterStandIn
 	old, new backendStandIn
@@ -135,10 +135,11 @@
 	r.registry.set(false, list(1, addresses...))
 	after := list(2, append(addresses, serveStandIn(t, &r.new))...)
 	site := filepath.Join(t.TempDir(), "site.toml")
-	if err := os.WriteFile(site, []byte("[clients]\nsocket_share = 0.9\n"), 0o600); err != nil {
+	r.address, r.limits = unusedAddress(t), unusedAddress(t)
+	text := fmt.Sprintf("[clients]\nsocket_share = 0.9\n[resp]\nlisten = %q\nmost_clients = 100\n", r.limits)
+	if err := os.WriteFile(site, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r.address = unusedAddress(t)
 	cmd, stderr := command(t, fmt.Sprintf(`{"name": "n0", "listen": %q, "discovery": %q, "counter": %q, "seed": "1",
 		"limits": {"cores": 1, "memory_mb": 192, "sockets": %d},
 		"settings": {"fleetSize": 1, "tickS": 0.002, "localities": ["a"], "kinds": ["m"],
@@ -282,20 +283,20 @@
 	return nil
 }
 
-// flood keeps idle clients connected until ctx ends, a new one for each that is shut. It
-// returns how many have been shut.
-func (r *outageRig) flood(ctx context.Context, wg *sync.WaitGroup) *atomic.Int64 {
+// flood keeps idle clients connected to address until ctx ends, a new one for each that is
+// shut. It returns how many have been shut.
+func flood(ctx context.Context, wg *sync.WaitGroup, address string) *atomic.Int64 {
 	shut := &atomic.Int64{}
 	for range idleClients {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				conn, err := net.DialTimeout("tcp", r.address, eventPatience)
+				conn, err := net.DialTimeout("tcp", address, eventPatience)
 				if err == nil {
 					stop := context.AfterFunc(ctx, func() { conn.Close() })
-					_, err = conn.Read(make([]byte, 1))
+					io.Copy(io.Discard, conn) // until it is shut
 					stop()
 					conn.Close()
-					if ctx.Err() == nil && err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+					if ctx.Err() == nil {
 						shut.Add(1)
 					}
 				}
@@ -332,8 +333,8 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	shut := r.flood(ctx, &wg)
-	r.until("idle clients are replaced", func() bool { return shut.Load() >= 2*idleClients })
+	shut, limitsShut := flood(ctx, &wg, r.address), flood(ctx, &wg, r.limits)
+	r.until("idle clients are shut", func() bool { return min(shut.Load(), limitsShut.Load()) >= 2*idleClients })
 	calls := r.registry.callsWhileDown()
 	most := 0
 	r.until("discovery is called again", func() bool {
@@ -348,7 +349,7 @@
 	if r.counter.calls.Load() == counted {
 		t.Error("the counter was not called")
 	}
-	t.Logf("%d descriptors at most, %d idle clients shut", most, shut.Load())
+	t.Logf("%d descriptors at most, %d and %d idle clients shut", most, shut.Load(), limitsShut.Load())
 	if most+counterConns > descriptorLimit {
 		t.Errorf("clients and backends left %d descriptors of %d; the counter's connections alone may be %d",
 			descriptorLimit-most, descriptorLimit, counterConns)
