--- a/rules/divide_test.go
+++ b/rules/divide_test.go
@@ -52,4 +52,23 @@
 	if got := d.g.senders(); got != 9 {
 		t.Errorf("%g senders, want 9", got)
 	}
+	// Sends that a gateway with no others' traffic to go by saves up for a cold backend in 20 s.
+	saved := func(fleet Fleet) float64 {
+		set := testSettings()
+		set.Fleet, set.ColdFrom, set.ColdFor = 2, 0.5, 30
+		d := start(t, set, some(2)...)
+		d.handle(fleet)
+		d.handle(Backends{Kind: Delta, Entries: []Backend{{ID: 900, State: Ready, Born: d.now, Weight: 1}}})
+		d.now += 20
+		d.handle(Timer{Token: timerHouse << 56})
+		s := d.g.servers[900]
+		d.g.coldRoom(s)
+		return s.budget
+	}
+	if got := saved(Fleet{}); got != coldSave {
+		t.Errorf("one of two saved %g sends, want %g", got, coldSave)
+	}
+	if got, most := saved(Fleet{Share: 7, Cold: 20}), 20*coldMin/20; got <= 0 || got > most {
+		t.Errorf("one of twenty saved %g sends, want at most %g", got, most)
+	}
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -673,8 +673,8 @@
 	if w >= 1 {
 		return true
 	}
-	rate, most := max(w*g.warmRate, coldMin/float64(max(g.set.Fleet, 1))), coldSave
-	if g.wide() {
+	rate, most := max(w*g.warmRate, coldMin/g.senders()), coldSave
+	if g.wide() || g.senders() > boundStart {
 		rate *= coldWide + (1-coldWide)*w // what comes of many hands comes less evenly
 		most = 1
 	}
