--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -40,6 +40,7 @@
 	Backend
 	free  []float64 // when each core is
 	sends []float64
+	from  []int     // the gateway of each send
 	ends  []float64 // of what was sent, done or not
 	fails bool      // all, at once
 	cut   bool      // nothing comes back from it, and what it holds goes on
@@ -138,6 +139,7 @@
 			n := j.sends
 			j.sends++
 			end := f.work(f.backends[a.Backend])
+			f.backends[a.Backend].from = append(f.backends[a.Backend].from, i)
 			until := f.now + a.Timeout
 			cut := f.backends[a.Backend].cut
 			if cut {
