--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -239,6 +239,10 @@
 		}
 		return list, nil
 	}
+	multiple := fallMultiple
+	if s.neverFall {
+		multiple = 0
+	}
 	cells := make([]*backend.Dedupe, s.Cells)
 	for i := range cells {
 		cells[i] = backend.NewDedupe(dedupeWindow)
@@ -252,7 +256,7 @@
 		b, err := backend.Start(backend.Config{ID: fmt.Sprint("n", i), Cell: cell, Cores: s.Cores, Speed: 1, Queue: 25 * s.Cores,
 			Conns: 1200, Work: s.work(), Keyed: map[string]bool{"booking": true}, Drops: cells[cell], Idle: keepAlive,
 			Handshake: time.Millisecond, Report: 400 * time.Millisecond, Seed: s.Seed, ColdFrom: coldFrom, ColdFor: coldFor,
-			FallMultiple: fallMultiple, FallFor: fallFor, MostRecords: mostAttempts}, ways...)
+			FallMultiple: multiple, FallFor: fallFor, MostRecords: mostAttempts}, ways...)
 		if err != nil {
 			return err
 		}
@@ -279,9 +283,13 @@
 	for i, name := range names {
 		l.registry.SetDelay(name, time.Duration(400+300*i%900)*time.Millisecond)
 	}
-	for _, n := range l.nodes {
+	listed := len(l.nodes) - s.unlisted
+	for _, n := range l.nodes[:listed] {
 		l.tell(n, registryReady)
 	}
+	for _, n := range l.nodes[listed:] {
+		n.Kill()
+	}
 	return nil
 }
 
--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -50,10 +50,14 @@
 	// Gateway is the program to run. Empty: beside this program, or built once
 	// from the checkout.
 	Gateway string
-	bench   bool     // quick backends without bounds, plans without quotas
-	fleet   *Fleet   // agents run the gateways; nil: the lab does
-	others  []other  // further programs beside the gateways
-	env     []string // beside the gateways' own
+	bench   bool // quick backends without bounds, plans without quotas
+	// fleetSize is that in the gateways' settings; 0: as many as there are.
+	fleetSize int
+	unlisted  int      // of the last nodes, down and not listed at first
+	neverFall bool     // cold nodes bear whatever they are sent
+	fleet     *Fleet   // agents run the gateways; nil: the lab does
+	others    []other  // further programs beside the gateways
+	env       []string // beside the gateways' own
 
 	// Log takes lines about what happens; nil: none.
 	Log func(format string, a ...any)
@@ -110,6 +114,7 @@
 	set(&s.Overshoot, DefaultOvershoot)
 	set(&s.SpareUnits, DefaultSpareUnits)
 	set(&s.GreedyIn, planShapes[0].name)
+	set(&s.fleetSize, s.Gateways)
 	set(&s.Store, storeHTTP)
 	if s.Log == nil {
 		s.Log = func(string, ...any) {}
@@ -284,7 +289,7 @@
 		plans = append(plans, plan)
 	}
 	return object{
-		"fleetSize": s.Gateways, "rank": rank, "tickS": 0.002, "localities": []string{"block-a", "block-b"}, "locality": rank % 2,
+		"fleetSize": s.fleetSize, "rank": rank % s.fleetSize, "tickS": 0.002, "localities": []string{"block-a", "block-b"}, "locality": rank % 2,
 		"kinds": []string{"std-2core"}, "discovery": "push", "weights": "rough",
 		"loadReport": object{"how": "inline", "fields": []string{"busy_reqs", "pending"}},
 		"allowed": object{"cancel": true, "connectTimeoutS": connectTimeout.Seconds(), "keepaliveS": keepAlive.Seconds(), "maxOpen": 0,
