--- a/rules/fleet_cold_test.go
+++ b/rules/fleet_cold_test.go
@@ -206,3 +206,26 @@
 		}
 	}
 }
+
+// A gateway that starts again within the ramp has its share of a cold backend anew. The shares that are lost and
+// begun must cancel out over the fleet: restarts must not add to what the backend gets.
+func TestRestartedGatewaysSendColdBackendsNoMore(t *testing.T) {
+	const seeds = 8
+	for _, gateways := range []int{20, 30} {
+		without, once, often := 0.0, 0.0, 0.0
+		for seed := range uint64(seeds) {
+			for _, c := range []struct {
+				restarts []float64
+				sum      *float64
+			}{{nil, &without}, {[]float64{3}, &once}, {[]float64{1, 2, 3, 4, 5, 6, 7, 8}, &often}} {
+				_, sends := (&coldCase{restarts: c.restarts}).play(seed, gateways)
+				*c.sum += sends
+			}
+		}
+		t.Logf("%d gateways, %d seeds: %.0f sends with no restart, %.0f with one, %.0f with eight", gateways, seeds, without, once, often)
+		if most := without + 2*math.Sqrt(without) + 2; once > most || often > most {
+			t.Errorf("%d gateways: %.0f sends with a restart and %.0f with eight; %.0f with none, at most %.0f", gateways, once, often,
+				without, most)
+		}
+	}
+}
