--- a/rules/divide_test.go
+++ b/rules/divide_test.go
@@ -1,6 +1,9 @@
 package rules
 
-import "testing"
+import (
+	"math"
+	"testing"
+)
 
 // While the counter is away, what a customer may spend at one gateway is its part by
 // the number that members give, where it may come to all gateways; one that may come
@@ -72,3 +75,22 @@
 		t.Errorf("one of twenty saved %g sends, want at most %g", got, most)
 	}
 }
+
+// Who is told of no others can see by the backends' load reports that far more gateways send than the settings
+// name. A little more work than its own is no proof, and what members tell goes first.
+func TestSendersShowInLoadReports(t *testing.T) {
+	for _, c := range []struct {
+		held, load float64 // requests at a backend as reported, and own ones at both
+		cold       int
+		want       float64
+	}{{0, 0, 0, 2}, {10, 0, 0, 2}, {10, 1, 0, 20}, {2, 1, 0, 2}, {2.1, 1, 0, 4.2}, {10, 1, 3, 3}} {
+		set := testSettings()
+		set.Fleet = 2
+		d := start(t, set, some(2)...)
+		d.handle(Fleet{Cold: c.cold})
+		d.g.held, d.g.load = c.held, c.load
+		if got := d.g.senders(); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("%g held, %g own, %d told of: %g senders, want %g", c.held, c.load, c.cold, got, c.want)
+		}
+	}
+}
--- a/rules/state.go
+++ b/rules/state.go
@@ -412,12 +412,22 @@
 	return float64(max(gateways, 1) + g.set.Fronts)
 }
 
-// senders is how many gateways send to a cold backend.
+// senderMultiple is how many times more gateways than the settings name load reports have to show before they
+// are believed: a gateway's own part of the work is uneven.
+const senderMultiple = 2.0
+
+// senders is how many gateways send to a cold backend: as many as members tell of, else as the settings name, unless
+// backends report far more work than that many gateways with this one's load would give them.
 func (g *Gateway) senders() float64 {
 	if g.divide.Cold > 0 {
 		return float64(g.divide.Cold)
 	}
-	return float64(max(g.set.Fleet, 1))
+	size := float64(max(g.set.Fleet, 1))
+	own := g.load / float64(max(len(g.list), 1)) // attempts of this gateway at a backend
+	if own > 0 && g.held > senderMultiple*size*own {
+		return g.held / own
+	}
+	return size
 }
 
 // customerOf finds the customer of a request, or begins to keep books on it.
