--- a/internal/lab/counter.go
+++ b/internal/lab/counter.go
@@ -29,7 +29,7 @@
 		return &store{respstore.Over(nil, "", s.Seed, listeners...), ways}, nil
 	}
 	return counter.Start(counter.Config{PerSecond: max(950, 10*s.Rate), Parts: 2, Service: time.Millisecond, Conns: 32,
-		Idle: 10 * time.Second, Seed: s.Seed, MostRecords: mostCalls}, ways...)
+		Idle: 10 * time.Second, Seed: s.Seed, MostRecords: maxCounterRecords}, ways...)
 }
 
 // store is a RESP store in the counter's place.
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -299,7 +299,7 @@
 	if pid == 0 {
 		return fmt.Errorf("%s: %w", g.name, errNotRunning)
 	}
-	end := l.excuse(g, "killed")
+	end := l.excuseFromNow(g, "killed")
 	if err := syscall.Kill(pid, syscall.SIGKILL); err != nil {
 		return fmt.Errorf("%s: %w", g.name, err)
 	}
@@ -316,7 +316,7 @@
 
 // Excuse notes that a gateway is about to fail by the test's own doing, until
 // the returned function is called.
-func (l *Lab) Excuse(i int, what string) (end func()) { return l.excuse(l.gateways[i], what) }
+func (l *Lab) Excuse(i int, what string) (end func()) { return l.excuseFromNow(l.gateways[i], what) }
 
 // PID is the process of a gateway; 0: none is known.
 func (l *Lab) PID(i int) int { return l.gateways[i].pid() }
@@ -381,8 +381,8 @@
 	if err := Sweep(l.dir); err != nil {
 		l.site.Log("lab: %v", err)
 	}
-	if l.keeper != nil {
-		l.keeper.Close()
+	if l.aliveFile != nil {
+		l.aliveFile.Close()
 	}
 }
 
@@ -401,7 +401,7 @@
 		write.Close()
 		return fmt.Errorf("keeper: %w", err)
 	}
-	l.keeper = write
+	l.aliveFile = write
 	l.wg.Go(func() { cmd.Wait() })
 	return nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -192,7 +192,7 @@
 			t.Errorf("%s has no description", k[0])
 		}
 	}
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		if k.apply == nil && k.name != "surge" {
 			t.Errorf("%s does nothing", k.name)
 		}
@@ -221,16 +221,16 @@
 	}
 }
 
-func TestTroublesAddUpToTheWorst(t *testing.T) {
+func TestOverlappingFaultsAddUpToTheWorst(t *testing.T) {
 	var n node
-	remove := n.troubles.add(backendTrouble("node-slow", 3))
-	n.troubles.add(backendTrouble("node-slow", 2))
-	n.troubles.add(backendTrouble("node-errors", 0.5))
-	if got := n.troubles.sum(); got.Slow != 3 || got.Errors != 0.5 {
+	remove := n.faults.add(faultKindNamed("node-slow").backendFault(3))
+	n.faults.add(faultKindNamed("node-slow").backendFault(2))
+	n.faults.add(faultKindNamed("node-errors").backendFault(0.5))
+	if got := n.faults.worst(); got.Slow != 3 || got.Errors != 0.5 {
 		t.Errorf("%+v", got)
 	}
 	remove()
-	if got := n.troubles.sum(); got.Slow != 2 {
+	if got := n.faults.worst(); got.Slow != 2 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -214,7 +214,7 @@
 func TestMembersOneDirection(t *testing.T) {
 	c := newClub(t, 5, 0)
 	for _, kind := range []string{"peers-deaf", "peers-mute"} {
-		heal, _ := kindOf(kind).apply(t.Context(), c.Lab, &Fault{Kind: kind}, []int{4})
+		heal, _ := faultKindNamed(kind).apply(t.Context(), c.Lab, &Fault{Kind: kind}, []int{4})
 		c.until("g4", kind+": it holds nothing", func(a *peers.Answer) bool { return !mayHold(a) })
 		for _, name := range []string{"g0", "g1", "g2", "g3"} {
 			c.until(name, kind+": it goes on without g4", func(a *peers.Answer) bool { return mayHold(a) && !state(a, "g4").There() })
@@ -275,7 +275,7 @@
 		t.Run(fmt.Sprintf("sleeps=%v", sleeps), func(t *testing.T) {
 			c := newClub(t, 5, 0)
 			for !slices.ContainsFunc(c.peerNetwork.read().Pictures, func(p audit.Picture) bool { return p.Name == "g2" && p.MayHold }) {
-				time.Sleep(lookPeers) // what is ruled on is what was recorded
+				time.Sleep(pictureInterval) // what is ruled on is what was recorded
 			}
 			if sleeps {
 				c.must(c.Pause("g2", true))
@@ -304,7 +304,7 @@
 				})
 			}
 			for end := time.Now().Add(memberPatience); c.Members().Judged[audit.RuleTwoMay] == 0 && time.Now().Before(end); {
-				time.Sleep(lookPeers)
+				time.Sleep(pictureInterval)
 			}
 			c.kept(audit.RuleTwoMay)
 		})
@@ -318,12 +318,12 @@
 	for _, together := range [][]Fault{{{Kind: "peers-loss", Size: 0.3}, {Kind: "peers-late", Size: 500}}, {{Kind: "peers-muddle", Size: 0.5}}} {
 		var undo []func() error
 		for _, f := range together {
-			end, err := peersTrouble(t.Context(), c.Lab, &f, []int{0, 1, 2, 3, 4})
+			end, err := peersDegrade(t.Context(), c.Lab, &f, []int{0, 1, 2, 3, 4})
 			c.must(err)
 			undo = append(undo, end)
 		}
 		time.Sleep(5 * time.Second)
-		c.must(all(undo)())
+		c.must(undoAll(undo)())
 		c.becomes(members.Whole, c.names()...)
 	}
 	c.kept()
@@ -370,7 +370,7 @@
 			c.schedule(seed)
 			c.becomes(members.Whole, c.names()...)
 			for end := time.Now().Add(memberPatience); c.Members().Judged[audit.RuleAgree] == 0 && time.Now().Before(end); {
-				time.Sleep(lookPeers) // until the bound has passed in the records
+				time.Sleep(pictureInterval) // until the bound has passed in the records
 			}
 			c.kept(audit.RuleAgree, audit.RuleSafe)
 			v := c.Members()
@@ -421,7 +421,7 @@
 			f := kinds[rng.IntN(len(kinds))]
 			targets := rng.Perm(len(names))[:1+rng.IntN(len(names)-1)]
 			c.t.Logf("%s %v", f.Kind, targets)
-			heal, err := kindOf(f.Kind).apply(c.t.Context(), c.Lab, &f, targets)
+			heal, err := faultKindNamed(f.Kind).apply(c.t.Context(), c.Lab, &f, targets)
 			c.must(err)
 			heals = append(heals, heal)
 		case 5:
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -188,7 +188,7 @@
 		if crashed {
 			// That is a breach of its own; what it held is no second one.
 			l.excuseSince(time.Now().Add(-crashSeen), g, "crashed")
-			l.noticeDead(l.ctx, g)
+			l.removeDeadFromFront(l.ctx, g)
 		}
 	})
 	return l.awaitReady(ctx, g, exited)
--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -284,7 +284,7 @@
 		plans = append(plans, plan)
 	}
 	return object{
-		"fleetSize": s.Gateways, "rank": rank, "tickS": 0.002, "localities": []string{"block-a", "block-b"}, "locality": rank % 2,
+		"fleetSize": s.Gateways, "rank": rank, "tickS": 0.002, "localities": zones, "locality": rank % len(zones),
 		"kinds": []string{"std-2core"}, "discovery": "push", "weights": "rough",
 		"loadReport": object{"how": "inline", "fields": []string{"busy_reqs", "pending"}},
 		"allowed": object{"cancel": true, "connectTimeoutS": connectTimeout.Seconds(), "keepaliveS": keepAlive.Seconds(), "maxOpen": 0,
--- a/internal/lab/takers.go
+++ b/internal/lab/takers.go
@@ -123,7 +123,7 @@
 	}
 	l.limits.Leave(i)
 	a := l.agents[i]
-	end := l.window(&l.excused, time.Now(), a.name, "killed")
+	end := l.openWindow(&l.excused, time.Now(), a.name, "killed")
 	a.mu.Lock()
 	a.back = end
 	a.mu.Unlock()
--- a/internal/lab/usage.go
+++ b/internal/lab/usage.go
@@ -204,7 +204,7 @@
 	if len(l.late) < mostLate {
 		l.late = append(l.late, audit.Window{Gateway: gateway, From: from, To: to, By: by, What: what})
 	} else {
-		l.lost++
+		l.dropped++
 	}
 }
 
