--- a/rollout/machine_test.go
+++ b/rollout/machine_test.go
@@ -98,7 +98,7 @@
 	n.order, n.Ready, n.readyAt = a.Revision, false, s.now.Add(n.takes)
 	away := 0
 	for name, n := range s.nodes {
-		if i := s.m.fleet[name]; i != nil && i.silent {
+		if i := s.m.instances[name]; i != nil && i.silent {
 			continue // it is back, and nobody has heard of it yet
 		}
 		if n.byOrder && !n.Ready && !n.dead && s.now.Sub(n.toldAt) <= s.policy.ReadyWithin {
--- /dev/null
+++ b/rollout/policy.go
@@ -0,0 +1,48 @@
+package rollout
+
+import (
+	"fmt"
+	"time"
+)
+
+// Policy says how a rollout proceeds.
+type Policy struct {
+	Canaries       int           // instances of the first wave
+	Waves          []float64     // shares of all instances that are assigned by the end of each further wave, rising to 1
+	MostAway       int           // instances that may be unavailable at once for any cause, except silent and lost ones
+	ReadyWithin    time.Duration // from an assignment until the instance must be ready again; else it is lost
+	SoakFor        time.Duration // how long it must then stay ready without a crash
+	SilentAfter    time.Duration // how long after it was last heard of an instance is silent
+	MostSilent     int           // assigned instances that may be silent
+	ServiceFall    float64       // share by which the service level may fall; 0: it is not checked
+	ServiceFor     time.Duration // how long the level may be lower than that
+	Deadline       time.Duration // from the start to the end, pauses included
+	RollbackWithin time.Duration // how long a rollback waits for instances
+}
+
+// Validate returns an error if a rollout with the policy could not begin or not end.
+func (p *Policy) Validate() error {
+	switch {
+	case p.Canaries < 1:
+		return fmt.Errorf("canaries: %d is below 1", p.Canaries)
+	case p.MostAway < 1:
+		return fmt.Errorf("most away: %d is below 1: nobody could ever be told", p.MostAway)
+	case p.MostSilent < 0:
+		return fmt.Errorf("most silent: %d is below 0", p.MostSilent)
+	case p.ReadyWithin <= 0 || p.SilentAfter <= 0 || p.Deadline <= 0 || p.RollbackWithin <= 0:
+		return fmt.Errorf("ready within, silent after, deadline and rollback within must be above 0")
+	case p.SoakFor < 0 || p.ServiceFor < 0:
+		return fmt.Errorf("soak for and service for must not be below 0")
+	case p.ServiceFall < 0 || p.ServiceFall >= 1:
+		return fmt.Errorf("service fall: %g is not from 0 to below 1", p.ServiceFall)
+	}
+	for i, w := range p.Waves {
+		if w <= 0 || w > 1 || i > 0 && w <= p.Waves[i-1] {
+			return fmt.Errorf("waves: %v do not rise to 1", p.Waves)
+		}
+	}
+	if n := len(p.Waves); n == 0 || p.Waves[n-1] != 1 {
+		return fmt.Errorf("waves: %v do not rise to 1", p.Waves)
+	}
+	return nil
+}
--- a/rollout/types.go
+++ b/rollout/types.go
@@ -1,60 +1,41 @@
-// Package rollout decides how a revision reaches the instances of a site: in
-// which order, how many at once, whether it goes on, and when it goes back. It
-// does no I/O, starts no goroutine and reads no clock: events go in one at a
-// time with the time at which they happened, actions come out.
+// Package rollout decides how a new revision is rolled out to the instances of a site: in which order, how many at a
+// time, whether the rollout goes on, and when it is rolled back. It is a pure state machine without I/O, goroutine or
+// clock: events go in with the time at which they happened, actions come out.
 //
-// A rollout ends with one revision that is wanted everywhere: the new one or the
-// one before. Which instances have yet to take it is stated, and they are told
-// as soon as they are heard of again, however long after.
+// A rollout ends with one revision that is wanted everywhere: the new one or the previous one. Instances that do not
+// have it yet are named in the status, and are assigned it as soon as they are heard of again.
 package rollout
 
-import "time"
-
 // Revision is the number of a revision; 0 is none.
 type Revision uint64
 
-// Policy is how a rollout proceeds. Validate tells what is wrong with one.
-type Policy struct {
-	Canaries       int           // instances of the first wave
-	Waves          []float64     // shares of all instances that have been told by the end of each further wave, rising to 1
-	MostAway       int           // instances that may be unavailable at once, by whatever cause, silent and lost ones apart
-	ReadyWithin    time.Duration // an instance that was told has so long to be ready again; one that is not is lost
-	SoakFor        time.Duration // and must then stay ready for so long, without a crash
-	SilentAfter    time.Duration // one that is not heard of for so long is silent
-	MostSilent     int           // so many that were told may be silent in the end
-	ServiceFall    float64       // the service may be below its level before by this share; 0: not looked at
-	ServiceFor     time.Duration // for so long
-	Deadline       time.Duration // for the whole way forward; paused time counts
-	RollbackWithin time.Duration // for the way back; whoever has not gone back by then is stated
-}
-
-// State is what a rollout is doing.
+// State is the state of a rollout.
 type State string
 
-// The states of a rollout. The last four are its ends.
+// The states of a rollout. The last four are final.
 const (
 	Idle        State = "idle"         // none has been started
-	Advancing   State = "advancing"    // waves are on their way
-	Paused      State = "paused"       // by an operator; nobody new is told
-	RollingBack State = "rolling back" // everybody who was told is told to go back
+	Advancing   State = "advancing"    // waves are being assigned
+	Paused      State = "paused"       // by an operator; there are no new assignments
+	RollingBack State = "rolling back" // assigned instances are assigned the previous revision
 	Applied     State = "applied"      // all have the new revision
 	Partly      State = "applied, some missing"
-	RolledBack  State = "rolled back" // all have the revision before
+	RolledBack  State = "rolled back" // all have the previous revision
 	BackPartly  State = "rolled back, some missing"
 )
 
-// Ended tells whether a state is an end.
+// Ended reports whether a state is final.
 func (s State) Ended() bool {
 	return s == Applied || s == Partly || s == RolledBack || s == BackPartly
 }
 
-// Phase is where one instance stands in a rollout.
+// Phase is the state of one instance in a rollout.
 type Phase string
 
 // The phases of an instance.
 const (
-	Waiting Phase = "waiting" // it has the revision before, and is to be told
-	Taking  Phase = "taking"  // it was told, and is not yet ready with the new one
+	Waiting Phase = "waiting" // it has the previous revision and no assignment yet
+	Taking  Phase = "taking"  // it was assigned a revision and is not ready with it yet
 	Soaking Phase = "being watched"
 	Took    Phase = "took it"
 	Refused Phase = "refused it"
@@ -64,45 +45,43 @@
 	Was     Phase = "went back"
 )
 
-// Observed is what is heard of an instance.
+// Observed is what an instance reports.
 type Observed struct {
-	Revision Revision // that it runs
+	Revision Revision // running
 	Ready    bool
-	Crashes  int // times that it has ended unasked, ever; it only rises
+	Crashes  int // since its first start; never decreases
 }
 
-// Event is one thing that happened.
+// Event is something that happened.
 type Event interface{ event() }
 
-// Start begins a rollout of New. Before is the revision that is wanted so far.
-// Instances are all that the site has, with what was last heard of each; an
-// instance that has not been heard of lately is away from the start: it is told
-// when it is back, and counts for nothing until then.
+// Start begins a rollout of New in place of Before. Instances are all instances of the site with what was last heard of
+// each; one that has not been heard of lately is away, and left out until it returns.
 //
-// A rollout that another machine had begun goes on where State and Why say: its
-// instances that are at New already count as told.
+// If State is set, Start takes over a rollout that another machine began, in that state: instances that have New already
+// count as assigned.
 type Start struct {
 	New, Before Revision
 	Instances   map[string]Known
-	Service     float64 // the level before; 0: not known
-	State       State   // "": it begins
+	Service     float64 // service level at the start; 0: unknown
+	State       State   // "": a new rollout
 	Why         string
 }
 
 // Known is an instance at the start of a rollout.
 type Known struct {
 	Observed
-	Told Revision // that it is on its way to
+	Told Revision // assigned
 	Away bool
 }
 
-// Heard is news of an instance. One that is new to the site is added by it.
+// Heard is news of an instance. It adds an instance that is new to the site.
 type Heard struct {
 	Instance string
 	Observed
 }
 
-// Refuses says that an instance will not take a revision, and why.
+// Refuses says that an instance rejects a revision, and why.
 type Refuses struct {
 	Instance string
 	Revision Revision
@@ -112,46 +91,53 @@
 // Removed says that an instance no longer belongs to the site.
 type Removed struct{ Instance string }
 
-// Service is the site's level at this moment.
+// Service is the site's present service level.
 type Service struct{ Level float64 }
 
-// Tick lets time pass.
+// Tick says that time has passed.
 type Tick struct{}
 
-// Pause, Resume and Abort are an operator's. Abort goes back.
+// Pause, Resume and Abort are commands of an operator. Abort rolls back.
 type (
 	Pause  struct{ By string }
 	Resume struct{ By string }
 	Abort  struct{ By string }
 )
 
-func (Start) event()   {}
-func (Heard) event()   {}
+func (Start) event() {}
+
+func (Heard) event() {}
+
 func (Refuses) event() {}
+
 func (Removed) event() {}
+
 func (Service) event() {}
-func (Tick) event()    {}
-func (Pause) event()   {}
-func (Resume) event()  {}
-func (Abort) event()   {}
 
-// Action is one thing to be done.
+func (Tick) event() {}
+
+func (Pause) event() {}
+
+func (Resume) event() {}
+
+func (Abort) event() {}
+
+// Action is something to be done.
 type Action interface{ action() }
 
-// Tell has an instance take a revision. It may be told the same again, which
-// changes nothing.
+// Tell assigns a revision to an instance. It may repeat an assignment, which changes nothing.
 type Tell struct {
 	Instance string
 	Revision Revision
 }
 
-// Changed says that the rollout, or one instance in it, is in another state,
-// and why.
+// Changed reports that the rollout, or one instance in it, has changed its state, and why.
 type Changed struct {
 	Instance string // "": the rollout
 	From, To string
 	Why      string
 }
 
-func (Tell) action()    {}
+func (Tell) action() {}
+
 func (Changed) action() {}
