--- a/members/machine_test.go
+++ b/members/machine_test.go
@@ -48,7 +48,7 @@
 	for end := m.now + d; m.now < end; {
 		m.Handle(m.now+s(0.25), Tick{})
 		for _, name := range answer {
-			if f := m.fellows[name]; f != nil {
+			if f := m.peers[name]; f != nil {
 				m.Handle(m.now, Heard{name, f.life})
 			}
 		}
@@ -64,7 +64,7 @@
 
 func (m *tester) lose(names ...string) {
 	for _, name := range names {
-		m.do(Failed{name, m.fellows[name].life})
+		m.do(Failed{name, m.peers[name].life})
 	}
 }
 
@@ -392,13 +392,13 @@
 		m.do(Alive{Name: fmt.Sprintf("x%d", i), Life: 1, Epoch: 1}, Lived{fmt.Sprintf("y%d", i), 1}, Suspected{"g1", 100, "g2"})
 		m.do(Alive{Name: "g1", Life: Life(1000 + i), Epoch: 1})
 	}
-	if n := len(m.fellows); n > 3+mostStrangers {
+	if n := len(m.peers); n > 3+maxStrangers {
 		t.Errorf("%d names are kept", n)
 	}
-	if n := len(m.fellows["g1"].older); n > mostOlder {
+	if n := len(m.peers["g1"].earlierLives); n > maxEarlierLives {
 		t.Errorf("%d earlier lives are kept", n)
 	}
-	if n := len(m.evidence); n > mostEvidence {
+	if n := len(m.evidence); n > maxEvidence {
 		t.Errorf("%d entries of evidence are kept", n)
 	}
 	if p := m.Picture(m.now); p.Dropped == 0 {
--- a/members/property_test.go
+++ b/members/property_test.go
@@ -65,7 +65,7 @@
 					t.Fatalf("%s went back from life %d to %d", v.Name, lives[v.Name], v.Life)
 				}
 			}
-			if len(p.Members) > MostNames+mostStrangers+1 {
+			if len(p.Members) > MostNames+maxStrangers+1 {
 				t.Fatalf("%d names", len(p.Members))
 			}
 			if p.Verdict < before.Verdict {
--- a/members/roster.go
+++ b/members/roster.go
@@ -14,9 +14,9 @@
 	MostNames = 512 // in a roster
 	MostName  = 64  // bytes of a name: names go in every datagram
 
-	mostStrangers = 64  // names outside the roster that are kept track of
-	mostOlder     = 4   // earlier lives of one name
-	mostEvidence  = 512 // entries; the oldest go
+	maxStrangers    = 64  // names outside the roster that are kept track of
+	maxEarlierLives = 4   // earlier lives of one name
+	maxEvidence     = 512 // entries; the oldest go
 )
 
 // Life numbers the lives of a name. A later life has a higher number.
--- a/members/search_test.go
+++ b/members/search_test.go
@@ -78,12 +78,12 @@
 	c := *m
 	c.evidence = nil
 	c.probes = slices.Clone(m.probes)
-	c.rivals = maps.Clone(m.rivals)
-	c.fellows = map[string]*fellow{}
-	for name, f := range m.fellows {
+	c.conflictingRosters = maps.Clone(m.conflictingRosters)
+	c.peers = map[string]*peer{}
+	for name, f := range m.peers {
 		g := *f
-		g.older = slices.Clone(f.older)
-		c.fellows[name] = &g
+		g.earlierLives = slices.Clone(f.earlierLives)
+		c.peers[name] = &g
 	}
 	return &c
 }
@@ -95,14 +95,14 @@
 	fmt.Fprint(&b, w.roster.Epoch, w.restarts, w.cut)
 	for _, s := range w.souls {
 		m := s.machine
-		fmt.Fprint(&b, "|", s.name, s.running, s.stalled, m.set.Life, m.roster.Epoch, m.superseded, m.joined, m.share, m.verdict, m.changes,
-			age(m, m.ticked), age(m, m.woke), m.heard > m.woke, age(m, m.changedAt), m.probes, s.answered, s.later)
-		for _, t := range m.allowed {
+		fmt.Fprint(&b, "|", s.name, s.running, s.stalled, m.settings.Life, m.roster.Epoch, m.superseded, m.joined, m.share, m.verdict, m.recentFalls,
+			age(m, m.lastTick), age(m, m.awakeSince), m.lastAnswer > m.awakeSince, age(m, m.changedAt), m.probes, s.answered, s.later)
+		for _, t := range m.allowedSince {
 			fmt.Fprint(&b, ",", age(m, t))
 		}
 		for _, name := range worldNames {
-			if f := m.fellows[name]; f != nil {
-				fmt.Fprint(&b, ";", name, f.life, f.state, f.knew, f.epoch, f.older, f.state == Suspect && age(m, f.since) > 2)
+			if f := m.peers[name]; f != nil {
+				fmt.Fprint(&b, ";", name, f.life, f.state, f.highestEpoch, f.epoch, f.earlierLives, f.state == Suspect && age(m, f.since) > 2)
 			}
 		}
 	}
@@ -121,14 +121,14 @@
 	m, at := to.machine, to.machine.now
 	r := from.machine.roster
 	for _, l := range from.machine.Lives() {
-		to.later = to.later || l.Name == to.name && l.Life > m.set.Life
+		to.later = to.later || l.Name == to.name && l.Life > m.settings.Life
 		m.Handle(at, l)
 	}
 	m.Handle(at, RosterTold{r, from.name})
-	m.Handle(at, Alive{Name: from.name, Life: from.machine.set.Life, Epoch: r.Epoch, Sum: r.Sum()})
-	for _, f := range from.machine.fellows {
-		for _, o := range f.older {
-			if o.there {
+	m.Handle(at, Alive{Name: from.name, Life: from.machine.settings.Life, Epoch: r.Epoch, Sum: r.Sum()})
+	for _, f := range from.machine.peers {
+		for _, o := range f.earlierLives {
+			if o.alive {
 				m.Handle(at, Alive{Name: f.name, Life: o.life, Epoch: f.epoch, Sum: f.sum})
 			}
 		}
@@ -163,39 +163,39 @@
 			continue
 		}
 		if s.stalled {
-			add(func(w *world) { w.souls[i].stalled = false }, "wake %s%d", s.name, s.machine.set.Life)
+			add(func(w *world) { w.souls[i].stalled = false }, "wake %s%d", s.name, s.machine.settings.Life)
 			continue
 		}
 		add(func(w *world) {
 			w.souls[i].stalled, w.souls[i].answered = true, false
 			w.souls[i].machine.now += 3 * time.Second
-		}, "stall %s%d", s.name, s.machine.set.Life)
+		}, "stall %s%d", s.name, s.machine.settings.Life)
 		if w.restarts < 2 {
-			add(func(w *world) { w.souls[i].running = false }, "kill %s%d", s.name, s.machine.set.Life)
+			add(func(w *world) { w.souls[i].running = false }, "kill %s%d", s.name, s.machine.settings.Life)
 		}
 		if s.machine.roster.Epoch < w.roster.Epoch {
-			add(func(w *world) { w.souls[i].machine.Handle(w.souls[i].machine.now, RosterTold{w.roster, "file"}) }, "%s%d reads epoch %d", s.name, s.machine.set.Life, w.roster.Epoch)
+			add(func(w *world) { w.souls[i].machine.Handle(w.souls[i].machine.now, RosterTold{w.roster, "file"}) }, "%s%d reads epoch %d", s.name, s.machine.settings.Life, w.roster.Epoch)
 		}
 		for k, o := range w.souls {
-			if i == k || o.name == s.name && o.machine.set.Life == s.machine.set.Life {
+			if i == k || o.name == s.name && o.machine.settings.Life == s.machine.settings.Life {
 				continue
 			}
-			life, name := o.machine.set.Life, o.name
-			f := s.machine.fellows[name]
+			life, name := o.machine.settings.Life, o.name
+			f := s.machine.peers[name]
 			known := f != nil && f.life == life && f.state.There()
 			if w.both(s, o) {
-				add(func(w *world) { w.gossip(w.souls[k], w.souls[i]); w.gossip(w.souls[i], w.souls[k]) }, "%s%d and %s%d exchange", s.name, s.machine.set.Life, name, life)
+				add(func(w *world) { w.gossip(w.souls[k], w.souls[i]); w.gossip(w.souls[i], w.souls[k]) }, "%s%d and %s%d exchange", s.name, s.machine.settings.Life, name, life)
 				if known {
 					add(func(w *world) {
 						w.souls[i].answered = true
 						w.souls[i].machine.Handle(w.souls[i].machine.now, Heard{name, life})
-					}, "%s%d hears %s%d", s.name, s.machine.set.Life, name, life)
+					}, "%s%d hears %s%d", s.name, s.machine.settings.Life, name, life)
 				}
 			} else if known {
 				add(func(w *world) {
 					w.souls[i].machine.Handle(w.souls[i].machine.now, Suspected{name, life, w.souls[i].name})
-				}, "%s%d suspects %s%d", s.name, s.machine.set.Life, name, life)
-				add(func(w *world) { w.souls[i].machine.Handle(w.souls[i].machine.now, Failed{name, life}) }, "%s%d gives %s%d up", s.name, s.machine.set.Life, name, life)
+				}, "%s%d suspects %s%d", s.name, s.machine.settings.Life, name, life)
+				add(func(w *world) { w.souls[i].machine.Handle(w.souls[i].machine.now, Failed{name, life}) }, "%s%d gives %s%d up", s.name, s.machine.settings.Life, name, life)
 			}
 		}
 	}
@@ -259,20 +259,20 @@
 			// It acts by its own clock, which went on while it slept.
 			if may, _ := m.May(m.now, HoldDuty); may {
 				if s.stalled {
-					return fmt.Sprintf("%s%d sleeps and would find on waking that it may hold a duty", s.name, m.set.Life)
+					return fmt.Sprintf("%s%d sleeps and would find on waking that it may hold a duty", s.name, m.settings.Life)
 				}
 				if !s.answered {
-					return fmt.Sprintf("%s%d may hold a duty and has heard nobody since it woke", s.name, m.set.Life)
+					return fmt.Sprintf("%s%d may hold a duty and has heard nobody since it woke", s.name, m.settings.Life)
 				}
 				if m.verdict < Majority {
-					return fmt.Sprintf("%s%d may hold a duty while %v", s.name, m.set.Life, m.verdict)
+					return fmt.Sprintf("%s%d may hold a duty while %v", s.name, m.settings.Life, m.verdict)
 				}
 			}
 			if may, _ := m.May(m.now, HoldDuty); may && s.later {
-				return fmt.Sprintf("%s%d may hold a duty and was told of a later life", s.name, m.set.Life)
+				return fmt.Sprintf("%s%d may hold a duty and was told of a later life", s.name, m.settings.Life)
 			}
-			if m.safe() < len(m.roster.Members) {
-				return fmt.Sprintf("%s%d counts %d, and %d belong", s.name, m.set.Life, m.safe(), len(m.roster.Members))
+			if m.safeCount() < len(m.roster.Members) {
+				return fmt.Sprintf("%s%d counts %d, and %d belong", s.name, m.settings.Life, m.safeCount(), len(m.roster.Members))
 			}
 		}
 		parts += share
@@ -322,7 +322,7 @@
 	w.play(t, "time", "a1 and b2 exchange", "b2 and c3 exchange", "a1 and c3 exchange", "a1 hears b2", "b2 hears c3", "c3 hears a1", "time", "time")
 	for _, s := range w.souls {
 		if s.machine.verdict != Whole {
-			t.Fatalf("%s is %v: %s", s.name, s.machine.verdict, s.machine.why)
+			t.Fatalf("%s is %v: %s", s.name, s.machine.verdict, s.machine.reason)
 		}
 	}
 	w.trail = nil
@@ -368,15 +368,15 @@
 			"agree that c belongs, and start it", "b2 and c4 exchange", "time", "c4 hears b2"}, func(m *Machine) { m.joined = true }},
 		{"a later life is heeded", []string{"start c beside 1"}, func(m *Machine) { m.superseded = 0 }},
 		{"who was given up goes on counting", []string{"cut a to c", "cut b to c"}, func(m *Machine) {
-			for name, f := range m.fellows {
+			for name, f := range m.peers {
 				if f.state == Gone {
 					m.roster.Members = slices.DeleteFunc(slices.Clone(m.roster.Members), func(o Member) bool { return o.Name == name })
 				}
 			}
-			m.judge()
+			m.updateVerdict()
 		}},
-		{"a sleeper finds out by its clock", nil, func(m *Machine) { m.ticked = m.now }},
-		{"a sleeper trusts nothing until it is answered", []string{"stall a1", "wake a1"}, func(m *Machine) { m.heard = max(m.heard, m.woke+1) }},
+		{"a sleeper finds out by its clock", nil, func(m *Machine) { m.lastTick = m.now }},
+		{"a sleeper trusts nothing until it is answered", []string{"stall a1", "wake a1"}, func(m *Machine) { m.lastAnswer = max(m.lastAnswer, m.awakeSince+1) }},
 	} {
 		t.Run(c.guard, func(t *testing.T) {
 			w := settledWorld(t)
--- a/members/verdict.go
+++ b/members/verdict.go
@@ -18,7 +18,7 @@
 
 // Permit is what this process may do now.
 func (m *Machine) Permit() Permit {
-	return Permit{m.verdict, m.superseded != 0, m.ticked + m.set.Tick + m.set.StallAfter}
+	return Permit{m.verdict, m.superseded != 0, m.lastTick + m.settings.Tick + m.settings.StallAfter}
 }
 
 // May tells whether something may be done now, and why. It is asked right before
@@ -42,41 +42,41 @@
 // better one must have held for a while, and the longer the more often the
 // verdict has fallen lately: so a way that flaps changes it seldom, in whatever
 // rhythm.
-func (m *Machine) judge() {
-	raw, why := m.raw()
+func (m *Machine) updateVerdict() {
+	raw, why := m.currentVerdict()
 	if raw != Unsure {
 		m.likely = m.likelyCount()
 	} else if m.likely == 0 {
 		m.likely = len(m.roster.Members)
 	}
-	if m.now-m.changedAt >= m.set.SettleMost {
-		m.changes, m.changedAt = m.changes/2, m.now
+	if m.now-m.changedAt >= m.settings.SettleMost {
+		m.recentFalls, m.changedAt = m.recentFalls/2, m.now
 	}
-	for v := range m.allowed {
+	for v := range m.allowedSince {
 		if raw < Verdict(v) {
-			m.allowed[v] = m.now
+			m.allowedSince[v] = m.now
 		}
 	}
-	switch better := m.held(); {
+	switch better := m.settledVerdict(); {
 	case raw < m.verdict:
-		m.changes, m.changedAt = m.changes+1, m.now
-		m.turn(raw, why)
+		m.recentFalls, m.changedAt = m.recentFalls+1, m.now
+		m.setVerdict(raw, why)
 	case better > m.verdict:
-		m.turn(better, why)
+		m.setVerdict(better, why)
 	case raw == m.verdict:
-		m.why = why
+		m.reason = why
 	}
 	// A smaller share is taken at once, a larger one where the verdict allows it.
-	if by := m.shareBy(); by > m.share || by < m.share && m.mayWiden() {
+	if by := m.quotaDivisor(); by > m.share || by < m.share && m.mayWiden() {
 		m.share = by
 		m.number++
 	}
 }
 
 // held is the best verdict that the evidence has allowed for as long as it must.
-func (m *Machine) held() Verdict {
+func (m *Machine) settledVerdict() Verdict {
 	v := Whole
-	for v > Unsure && m.now-m.allowed[v] < m.dwell() {
+	for v > Unsure && m.now-m.allowedSince[v] < m.settleTime() {
 		v--
 	}
 	return v
@@ -88,57 +88,57 @@
 }
 
 // dwell is how long a better verdict must have held.
-func (m *Machine) dwell() time.Duration {
-	d := m.set.Settle
-	for range m.changes {
-		if d *= 2; d >= m.set.SettleMost {
-			return m.set.SettleMost
+func (m *Machine) settleTime() time.Duration {
+	d := m.settings.Settle
+	for range m.recentFalls {
+		if d *= 2; d >= m.settings.SettleMost {
+			return m.settings.SettleMost
 		}
 	}
 	return d
 }
 
-func (m *Machine) turn(v Verdict, why string) {
-	m.verdict, m.why, m.since = v, why, m.now
+func (m *Machine) setVerdict(v Verdict, why string) {
+	m.verdict, m.reason, m.since = v, why, m.now
 	m.number++
-	m.note(m.set.Self, m.set.Life, "is "+v.String()+": "+why, "")
+	m.addEvidence(m.settings.Self, m.settings.Life, "is "+v.String()+": "+why, "")
 }
 
 // raw is the verdict by what is known at this moment.
-func (m *Machine) raw() (Verdict, string) {
+func (m *Machine) currentVerdict() (Verdict, string) {
 	n := len(m.roster.Members)
 	switch {
 	case m.superseded != 0:
-		return Unsure, fmt.Sprintf("life %d of this name has taken the place of life %d", m.superseded, m.set.Life)
-	case m.fellows[m.set.Self] != nil && m.fellows[m.set.Self].lingers():
+		return Unsure, fmt.Sprintf("life %d of this name has taken the place of life %d", m.superseded, m.settings.Life)
+	case m.peers[m.settings.Self] != nil && m.peers[m.settings.Self].hasEarlierLife():
 		return Unsure, "an earlier life of this name is still heard"
-	case !m.roster.Has(m.set.Self):
+	case !m.roster.Has(m.settings.Self):
 		return Unsure, fmt.Sprintf("the roster of epoch %d does not have this one", m.roster.Epoch)
-	case len(m.rivals) > 0:
-		return Unsure, fmt.Sprintf("there are %d rosters of epoch %d", 1+len(m.rivals), m.roster.Epoch)
+	case len(m.conflictingRosters) > 0:
+		return Unsure, fmt.Sprintf("there are %d rosters of epoch %d", 1+len(m.conflictingRosters), m.roster.Epoch)
 	}
-	awake := m.now - m.woke
-	if n > 1 && m.heard <= m.woke && awake < m.set.Blind {
-		if m.slept > 0 {
-			return Unsure, fmt.Sprintf("it slept for %v and has had no answer since: others' silence proves nothing yet", m.slept.Round(time.Millisecond))
+	awake := m.now - m.awakeSince
+	if n > 1 && m.lastAnswer <= m.awakeSince && awake < m.settings.Blind {
+		if m.lastSleep > 0 {
+			return Unsure, fmt.Sprintf("it slept for %v and has had no answer since: others' silence proves nothing yet", m.lastSleep.Round(time.Millisecond))
 		}
 		return Unsure, whyStarted + ", and nobody has answered yet"
 	}
-	if n > 1 && m.heard <= m.woke {
+	if n > 1 && m.lastAnswer <= m.awakeSince {
 		return Alone, fmt.Sprintf("nobody has answered in %v", awake.Round(time.Millisecond))
 	}
 	failed := 0
 	for _, p := range m.probes {
-		if f := m.fellows[p.name]; !p.answered && f != nil && f.state.There() {
+		if f := m.peers[p.name]; !p.answered && f != nil && f.state.There() {
 			failed++ // who counts as gone is not expected to answer
 		}
 	}
-	if len(m.probes) >= probesLeast && 2*failed > len(m.probes) {
+	if len(m.probes) >= minProbes && 2*failed > len(m.probes) {
 		return Unsure, fmt.Sprintf("%d of its last %d probes were not answered", failed, len(m.probes))
 	}
 	there := 1
 	for _, other := range m.roster.Members {
-		if f := m.fellows[other.Name]; f != nil && other.Name != m.set.Self && f.state.There() {
+		if f := m.peers[other.Name]; f != nil && other.Name != m.settings.Self && f.state.There() {
 			there++
 		}
 	}
