--- a/cmd/elderctl/members.go
+++ b/cmd/elderctl/members.go
@@ -58,8 +58,11 @@
 				voters := map[string]string{}
 				for _, v := range m.Voters {
 					voters[v.Name] = "voter"
-					if v.Leader {
+					switch {
+					case v.Leader:
 						voters[v.Name] = "voter, leads"
+					case v.NonVoter:
+						voters[v.Name] = "replica"
 					}
 				}
 				table(out, func(w io.Writer) {
@@ -76,14 +79,21 @@
 				})
 			})
 		}))
-	add := verb("add NAME ADDRESS", "Make an agent a voter", "  elderctl members add a2 10.0.0.2:7946", cobra.ExactArgs(2),
+	var nonVoter bool
+	add := verb("add NAME ADDRESS", "Make an agent a voter; with --non-voter, a replica that answers reads and has no vote",
+		"  elderctl members add a2 10.0.0.2:7946\n  elderctl members add a6 10.0.0.6:7946 --non-voter", cobra.ExactArgs(2),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			change, err := client.AddMember(cmd.Context(), agent.Verb{Name: args[0], Address: args[1]})
+			call := client.AddMember
+			if nonVoter {
+				call = client.AddNonVoter
+			}
+			change, err := call(cmd.Context(), agent.Verb{Name: args[0], Address: args[1]})
 			if err != nil {
 				return err
 			}
 			return noted(cmd, change)
 		})
+	add.Flags().BoolVar(&nonVoter, "non-voter", false, "the agent follows the log and counts for no majority")
 	var whole bool
 	remove := verb("remove NAME", "Take a voter out; with --agent-too, forget the agent and its instances", "  elderctl members remove a2", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -263,29 +263,43 @@
 	}
 }
 
-func (a *Agent) addMember(ctx context.Context, c *call) (any, error) {
-	var v Verb
-	if err := c.read(&v); err != nil {
-		return nil, err
-	}
-	if err := fleet.CheckName("agent", v.Name); err != nil {
-		return nil, &Failure{codeBad, err.Error()}
-	}
-	if err := a.store.Confirm(); err != nil {
-		return nil, err
-	}
-	if a.port == nil {
-		return nil, &Failure{codeRefused, "this voter has no port: set listen in its file before others join"}
-	}
-	change, err := a.store.Add(v.Name, v.Address)
-	if err != nil {
-		return nil, err
-	}
-	_, err = a.propose(ctx, fleet.Entry{Noted: &fleet.Event{At: time.Now().UTC(), Who: c.name, What: fmt.Sprintf("voter %s at %s was added", v.Name, v.Address)}})
-	if err != nil {
-		return nil, err
+// suffrage is whether a store of the site counts for its majorities.
+type suffrage string
+
+const (
+	voter    suffrage = "voter"
+	nonVoter suffrage = "replica without a vote"
+)
+
+func (a *Agent) addMember(as suffrage) func(context.Context, *call) (any, error) {
+	return func(ctx context.Context, c *call) (any, error) {
+		var v Verb
+		if err := c.read(&v); err != nil {
+			return nil, err
+		}
+		if err := fleet.CheckName("agent", v.Name); err != nil {
+			return nil, &Failure{codeBad, err.Error()}
+		}
+		if err := a.store.Confirm(); err != nil {
+			return nil, err
+		}
+		if a.port == nil {
+			return nil, &Failure{codeRefused, "this voter has no port: set listen in its file before others join"}
+		}
+		add := a.store.Add
+		if as == nonVoter {
+			add = a.store.AddNonVoter
+		}
+		change, err := add(v.Name, v.Address)
+		if err != nil {
+			return nil, err
+		}
+		_, err = a.propose(ctx, fleet.Entry{Noted: &fleet.Event{At: time.Now().UTC(), Who: c.name, What: fmt.Sprintf("%s %s at %s was added", as, v.Name, v.Address)}})
+		if err != nil {
+			return nil, err
+		}
+		return a.noted(ctx, change)
 	}
-	return a.noted(ctx, change)
 }
 
 // noted tells which voters have yet to note a change of the voters. Danger: the agent that sent the call on waits
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -194,6 +194,11 @@
 	return m, c.call(ctx, http.MethodPost, "/v1/members/add", v, &m)
 }
 
+// AddNonVoter makes an agent a replica that answers reads and has no vote, and tells which stores have yet to note it.
+func (c *Client) AddNonVoter(ctx context.Context, v Verb) (m MemberChange, err error) {
+	return m, c.call(ctx, http.MethodPost, "/v1/replicas/add", v, &m)
+}
+
 // RemoveMember takes a voter out, and tells the same.
 func (c *Client) RemoveMember(ctx context.Context, v Verb) (m MemberChange, err error) {
 	return m, c.call(ctx, http.MethodPost, "/v1/members/remove", v, &m)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -78,7 +78,8 @@
 		"POST /v1/abort":          {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Abort{By: by} })},
 		"POST /v1/drain":          {need: pki.Operator, do: a.drain(true)},
 		"POST /v1/undrain":        {need: pki.Operator, do: a.drain(false)},
-		"POST /v1/members/add":    {need: pki.Operator, do: a.addMember},
+		"POST /v1/members/add":    {need: pki.Operator, do: a.addMember(voter)},
+		"POST /v1/replicas/add":   {need: pki.Operator, do: a.addMember(nonVoter)},
 		"POST /v1/members/remove": {need: pki.Operator, do: a.removeMember},
 		"POST /v1/agents/remove":  {need: pki.Operator, do: a.removeAgent},
 	} {
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -359,14 +359,16 @@
 // Leading tells whether this voter believes that it leads.
 func (s *Store) Leading() bool { return s.raft.State() == raft.Leader }
 
-// Member is one voter of the site.
+// Member is one store of the site: a voter, or a replica that follows the log
+// and has no vote.
 type Member struct {
-	Name    string `json:"name"`
-	Address string `json:"address"`
-	Leader  bool   `json:"leader"`
+	Name     string `json:"name"`
+	Address  string `json:"address"`
+	Leader   bool   `json:"leader"`
+	NonVoter bool   `json:"non_voter,omitempty"`
 }
 
-// Members returns the voters by name.
+// Members returns the voters and the replicas without a vote, by name.
 func (s *Store) Members() ([]Member, error) {
 	future := s.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -375,7 +377,8 @@
 	leader, _ := s.Leader()
 	var list []Member
 	for _, server := range future.Configuration().Servers {
-		list = append(list, Member{string(server.ID), string(server.Address), string(server.ID) == leader})
+		list = append(list, Member{Name: string(server.ID), Address: string(server.Address),
+			Leader: string(server.ID) == leader, NonVoter: server.Suffrage == raft.Nonvoter})
 	}
 	slices.SortFunc(list, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	return list, nil
@@ -389,7 +392,20 @@
 	return s.agreed(s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.patience))
 }
 
-// Remove takes a voter out. The leader alone can; it must not leave none.
+// AddNonVoter makes an agent a replica that follows the log and answers reads, and counts for no majority. The
+// leader alone can. A voter is not demoted by it: that is refused.
+func (s *Store) AddNonVoter(name, address string) (Change, error) {
+	list, err := s.Members()
+	if err != nil {
+		return Change{}, err
+	}
+	if slices.ContainsFunc(list, func(m Member) bool { return m.Name == name && !m.NonVoter }) {
+		return Change{}, fmt.Errorf("%s is a voter: remove it before it is added without a vote", name)
+	}
+	return s.agreed(s.raft.AddNonvoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.patience))
+}
+
+// Remove takes a voter or a replica without a vote out. The leader alone can; it must leave a voter.
 func (s *Store) Remove(name string) (Change, error) {
 	list, err := s.Members()
 	if err != nil {
@@ -398,7 +414,7 @@
 	if !slices.ContainsFunc(list, func(m Member) bool { return m.Name == name }) {
 		return Change{}, fmt.Errorf("%s is no voter", name)
 	}
-	if len(list) == 1 {
+	if !slices.ContainsFunc(list, func(m Member) bool { return m.Name != name && !m.NonVoter }) {
 		return Change{}, fmt.Errorf("%s is the only voter: a site needs one", name)
 	}
 	return s.agreed(s.raft.RemoveServer(raft.ServerID(name), 0, s.patience))
@@ -426,7 +442,7 @@
 	}
 	var others []raft.ServerID
 	for _, m := range members {
-		if m.Name != s.id {
+		if m.Name != s.id && !m.NonVoter { // one without a vote bears on no majority
 			others = append(others, raft.ServerID(m.Name))
 		}
 	}
