--- /dev/null
+++ b/records/compress.go
@@ -0,0 +1,65 @@
+package records
+
+import (
+	"bytes"
+	"fmt"
+	"sync"
+
+	"github.com/klauspost/compress/zstd"
+)
+
+// compressFrom is the size in bytes from which a message is compressed.
+const compressFrom = 512
+
+// zstdMagic begins every Zstandard frame; no JSON text begins so.
+var zstdMagic = []byte{0x28, 0xb5, 0x2f, 0xfd}
+
+// encoderWindow bounds the encoder's memory, in bytes.
+const encoderWindow = 1 << 20
+
+var encoder = sync.OnceValue(func() *zstd.Encoder {
+	encoder, err := zstd.NewWriter(nil,
+		zstd.WithEncoderLevel(zstd.SpeedBetterCompression),
+		zstd.WithEncoderConcurrency(1),
+		zstd.WithWindowSize(encoderWindow),
+		zstd.WithLowerEncoderMem(true))
+	if err != nil {
+		panic(err) // the options are constant
+	}
+	return encoder
+})
+
+// compress returns the data as a Zstandard frame if that is worth it.
+func compress(data []byte) []byte {
+	if len(data) < compressFrom {
+		return data
+	}
+	return encoder().EncodeAll(data, nil)
+}
+
+// expand undoes compress and refuses more than limit bytes before it makes room for
+// them.
+func expand(data []byte, limit int) ([]byte, error) {
+	if !bytes.HasPrefix(data, zstdMagic) {
+		if len(data) > limit {
+			return nil, fmt.Errorf("%d bytes, at most %d are allowed", len(data), limit)
+		}
+		return data, nil
+	}
+	decoder, err := zstd.NewReader(nil,
+		zstd.WithDecoderConcurrency(1),
+		zstd.WithDecoderLowmem(true),
+		zstd.WithDecoderMaxMemory(uint64(limit)))
+	if err != nil {
+		return nil, fmt.Errorf("zstd decoder: %w", err)
+	}
+	defer decoder.Close()
+	expanded, err := decoder.DecodeAll(data, nil)
+	if err != nil {
+		return nil, fmt.Errorf("decompress: %w", err)
+	}
+	if len(expanded) > limit {
+		return nil, fmt.Errorf("%d bytes, at most %d are allowed", len(expanded), limit)
+	}
+	return expanded, nil
+}
--- /dev/null
+++ b/records/delta_test.go
@@ -0,0 +1,198 @@
+package records
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+)
+
+func since(t testing.TB, store *Store, version uint64) Delta {
+	t.Helper()
+	delta, err := store.ChangesSince(version)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return delta
+}
+
+func TestDeltaIsTheNetEffect(t *testing.T) {
+	store := smallStore(t)
+	apply(t, store, 2, change(put("plan/free", planValue), put("plan/brief", planValue), put("tenant/acme", `{"plan":"gold"}`)), Accepted)
+	apply(t, store, 3, change(put("plan/free", `{"price_weight":2,"requests_per_second":1}`), remove("plan/brief"), remove("route/search")), Accepted)
+	apply(t, store, 4, change(remove("service/search")), Accepted)
+	apply(t, store, 5, change(put("service/search", `{"class":"batch"}`)), Accepted)
+	delta := since(t, store, 1)
+	var got []string
+	for _, record := range delta.Puts {
+		got = append(got, fmt.Sprintf("%s@%d", record.Key, record.Version))
+	}
+	for _, tombstone := range delta.Deletes {
+		got = append(got, fmt.Sprintf("-%s@%d", tombstone.Key, tombstone.Version))
+	}
+	want := []string{"tenant/acme@2", "plan/free@3", "service/search@5", "-plan/brief@3", "-route/search@3"}
+	if !slices.Equal(got, want) || delta.From != 1 || delta.To != 5 || delta.Digest != store.Digest() {
+		t.Errorf("got %v from %d to %d", got, delta.From, delta.To)
+	}
+	if delta := since(t, store, 5); !delta.Empty() {
+		t.Errorf("nothing new: %+v", delta)
+	}
+	if _, err := store.ChangesSince(6); !errors.Is(err, ErrFuture) {
+		t.Errorf("the future: %v", err)
+	}
+}
+
+func TestReplicaTakesAVersionWholeOrNotAtAll(t *testing.T) {
+	store := smallStore(t)
+	replica := &Replica{}
+	first := since(t, store, 0)
+	if err := replica.ApplyDelta(first); err != nil {
+		t.Fatal(err)
+	}
+	apply(t, store, 2, change(put("plan/free", planValue)), Accepted)
+	second := since(t, store, 1)
+	apply(t, store, 3, change(remove("route/search")), Accepted)
+	third := since(t, store, 2)
+	both := since(t, store, 1)
+
+	refuse := func(name string, delta Delta, want error) {
+		t.Helper()
+		version, digest, count := replica.Version(), replica.Digest(), replica.Len()
+		err := replica.ApplyDelta(delta)
+		if err == nil || want != nil && !errors.Is(err, want) {
+			t.Errorf("%s: %v, want %v", name, err, want)
+		}
+		if replica.Version() != version || replica.Digest() != digest || replica.Len() != count {
+			t.Errorf("%s: the copy has changed", name)
+		}
+	}
+	refuse("a version skipped", third, ErrGap)
+	damaged := second
+	damaged.Puts = slices.Clone(second.Puts)
+	damaged.Puts[0].Value = []byte(`{"price_weight":9,"requests_per_second":1}`)
+	refuse("damaged", damaged, ErrDigest)
+	missing := both
+	missing.Deletes = nil
+	refuse("a delete is missing", missing, ErrDigest)
+	twice := both
+	twice.Puts = append(slices.Clone(both.Puts), both.Puts...)
+	refuse("a record is there twice", twice, nil)
+	loose := second
+	loose.Puts = slices.Clone(second.Puts)
+	loose.Puts[0].Value = []byte(planValue + " ")
+	refuse("not canonical", loose, nil)
+
+	if err := replica.ApplyDelta(both); err != nil {
+		t.Fatal(err)
+	}
+	if err := replica.ApplyDelta(both); err != nil {
+		t.Errorf("twice: %v", err)
+	}
+	refuse("an old one", second, ErrBehind)
+	wrong := third
+	wrong.Digest[0]++
+	refuse("the same version with another digest", wrong, ErrDigest)
+	if replica.Digest() != store.Digest() || replica.Version() != 3 {
+		t.Errorf("at %d", replica.Version())
+	}
+	if record, found := replica.Get(key("plan/free")); !found || record.Version != 2 || len(replica.List(Plan, "", 0)) != 2 {
+		t.Errorf("plan/free: %+v, %t", record, found)
+	}
+}
+
+func TestCompaction(t *testing.T) {
+	store := smallStore(t)
+	for i := range MaxLogChanges + 10 {
+		apply(t, store, uint64(i+2), change(put("plan/free", fmt.Sprintf(`{"price_weight":1,"requests_per_second":%d}`, i+1))), Accepted)
+	}
+	newest := store.Version()
+	oldest := newest - MaxLogChanges
+	if _, err := store.ChangesSince(oldest - 1); !errors.Is(err, ErrCompacted) {
+		t.Errorf("below the log: %v", err)
+	}
+	if delta := since(t, store, oldest); len(delta.Puts) != 1 {
+		t.Errorf("%d puts", len(delta.Puts))
+	}
+	if _, found := store.DigestAt(oldest - 1); found {
+		t.Error("a compacted version has a digest")
+	}
+	if _, found := store.DigestAt(oldest); !found || len(store.History(0)) != MaxLogChanges {
+		t.Error("the log does not go back as far as it should")
+	}
+}
+
+// The log is bounded in bytes too, and a change of any size fits into it.
+func TestLogBytes(t *testing.T) {
+	store := largeStore(t, 4)
+	version := store.Version()
+	for round := range 8 {
+		var operations []Operation
+		for i := range 5000 {
+			operations = append(operations, put(fmt.Sprintf("plan/p%0100d", i), fmt.Sprintf(`{"price_weight":1,"requests_per_second":%d}`, round+1)))
+		}
+		version++
+		apply(t, store, version, change(operations...), Accepted)
+		if store.log.bytes > MaxLogBytes {
+			t.Fatalf("the log has %d bytes", store.log.bytes)
+		}
+		if delta := since(t, store, version-1); len(delta.Puts) != 5000 {
+			t.Fatalf("%d puts", len(delta.Puts))
+		}
+	}
+	if kept := len(store.History(0)); kept != 6 {
+		t.Errorf("%d changes are kept", kept)
+	}
+}
+
+func TestDifference(t *testing.T) {
+	from, to := smallStore(t), smallStore(t)
+	if delta := Difference(from, to); !delta.Empty() {
+		t.Errorf("of equals: %+v", delta)
+	}
+	apply(t, to, 2, change(put("plan/free", planValue), remove("route/search"), put("tenant/acme", `{"plan":"gold"}`)), Accepted)
+	delta := Difference(from, to)
+	if len(delta.Puts) != 2 || len(delta.Deletes) != 1 || delta.Puts[0].Key != key("plan/free") || delta.Deletes[0].Key != key("route/search") {
+		t.Errorf("%+v", delta)
+	}
+	back := Difference(to, from)
+	if len(back.Puts) != 2 || len(back.Deletes) != 1 {
+		t.Errorf("back: %+v", back)
+	}
+}
+
+func TestAnswer(t *testing.T) {
+	store := smallStore(t)
+	old := store.Digest()
+	apply(t, store, 5, change(put("plan/free", planValue)), Accepted)
+	wrong := Digest{1}
+	for _, test := range []struct {
+		name    string
+		request ChangesRequest
+		want    Answer
+	}{
+		{"nothing new", ChangesRequest{Since: 5}, Answer{}},
+		{"a change", ChangesRequest{Since: 1, Digest: &old}, Answer{Delta: &Delta{}}},
+		{"from the beginning", ChangesRequest{}, Answer{Delta: &Delta{}}},
+		{"another digest", ChangesRequest{Since: 1, Digest: &wrong}, Answer{Repair: RepairDigest}},
+		{"another digest of the newest", ChangesRequest{Since: 5, Digest: &wrong}, Answer{Repair: RepairDigest}},
+		{"no such version", ChangesRequest{Since: 3, Digest: &old}, Answer{Repair: RepairDigest}},
+		{"the future", ChangesRequest{Since: 6}, Answer{Behind: true}},
+	} {
+		answer := store.Answer(test.request)
+		if (answer.Delta == nil) != (test.want.Delta == nil) || answer.Repair != test.want.Repair || answer.Behind != test.want.Behind {
+			t.Errorf("%s: %+v", test.name, answer)
+		}
+		data, err := EncodeAnswer(answer)
+		if err != nil {
+			t.Fatal(err)
+		}
+		decoded, err := DecodeAnswer(data)
+		if err != nil || decoded.Version != 5 || decoded.Digest != store.Digest() || (decoded.Delta == nil) != (answer.Delta == nil) {
+			t.Errorf("%s: decoded %+v, %v", test.name, decoded, err)
+		}
+	}
+	large := largeStore(t, 26_000)
+	if answer := large.Answer(ChangesRequest{}); answer.Repair != RepairTooLarge {
+		t.Errorf("26,000 records: %s", answer.Repair)
+	}
+}
--- /dev/null
+++ b/records/digest.go
@@ -0,0 +1,102 @@
+package records
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"math/bits"
+)
+
+// RangeCount is the number of ranges into which the hash of the key divides a state.
+const RangeCount = 1024
+
+// Digest identifies the content of a state: keys, versions and values.
+//
+// Each record is hashed by itself, and the hashes of a range are added, so that a
+// change costs what it touches. This guards against accidents (damage, lost or
+// repeated changes, faults of a program); it does not withstand somebody who
+// searches for records whose hashes add up to a given sum.
+type Digest [16]byte
+
+// String returns the digest in hexadecimal.
+func (d Digest) String() string { return hex.EncodeToString(d[:]) }
+
+// ParseDigest reads the hexadecimal form.
+func ParseDigest(text string) (Digest, error) {
+	var digest Digest
+	if len(text) != hex.EncodedLen(len(digest)) {
+		return Digest{}, fmt.Errorf("digest %.64q: want %d hexadecimal digits", text, hex.EncodedLen(len(digest)))
+	}
+	if _, err := hex.Decode(digest[:], []byte(text)); err != nil {
+		return Digest{}, fmt.Errorf("digest %q: %w", text, err)
+	}
+	return digest, nil
+}
+
+// MarshalText writes the hexadecimal form.
+func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
+
+// UnmarshalText reads the hexadecimal form.
+func (d *Digest) UnmarshalText(text []byte) error {
+	digest, err := ParseDigest(string(text))
+	if err != nil {
+		return err
+	}
+	*d = digest
+	return nil
+}
+
+// sum is a 128-bit sum of the hashes of records. It does not depend on their order.
+type sum struct{ high, low uint64 }
+
+func (s sum) plus(other sum) sum {
+	low, carry := bits.Add64(s.low, other.low, 0)
+	high, _ := bits.Add64(s.high, other.high, carry)
+	return sum{high: high, low: low}
+}
+
+func (s sum) minus(other sum) sum {
+	low, borrow := bits.Sub64(s.low, other.low, 0)
+	high, _ := bits.Sub64(s.high, other.high, borrow)
+	return sum{high: high, low: low}
+}
+
+// hashRecord hashes key, version and value. A key has no zero byte, so that
+// different records give different input.
+func hashRecord(record Record) sum {
+	buffer := make([]byte, 0, 512)
+	buffer = append(buffer, record.Key.Kind...)
+	buffer = append(buffer, '/')
+	buffer = append(buffer, record.Key.Name...)
+	buffer = append(buffer, 0)
+	buffer = binary.BigEndian.AppendUint64(buffer, record.Version)
+	buffer = append(buffer, record.Value...)
+	hash := sha256.Sum256(buffer)
+	return sum{high: binary.BigEndian.Uint64(hash[0:8]), low: binary.BigEndian.Uint64(hash[8:16])}
+}
+
+func hashRecords(records []Record) sum {
+	var total sum
+	for _, record := range records {
+		total = total.plus(hashRecord(record))
+	}
+	return total
+}
+
+// RangeOf returns the range of a key, from 0 to RangeCount-1.
+func RangeOf(key Key) int {
+	const (
+		offset = 14695981039346656037 // of FNV-1a
+		prime  = 1099511628211
+	)
+	hash := uint64(offset)
+	for _, text := range [...]string{string(key.Kind), "/", key.Name} {
+		for i := range len(text) {
+			hash = (hash ^ uint64(text[i])) * prime
+		}
+	}
+	// FNV's bits depend on the text unevenly: mix them as MurmurHash3 ends.
+	hash = (hash ^ hash>>33) * 0xff51afd7ed558ccd
+	return int((hash ^ hash>>33) % RangeCount)
+}
--- /dev/null
+++ b/records/evaluate.go
@@ -0,0 +1,217 @@
+package records
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strings"
+	"unicode/utf8"
+)
+
+// evaluation is what a valid change would make of a store.
+type evaluation struct {
+	draft      *draft
+	changed    []Key       // in the order of the operations
+	references map[Key]int // how the counts of references would change
+}
+
+// Check tells what Apply would refuse in a change on the store as it is, or nil.
+func (s *Store) Check(change Change) (Status, *Problem) {
+	evaluation, status, problem := s.evaluate(s.applied+1, change)
+	if problem != nil {
+		return status, problem
+	}
+	if len(evaluation.changed) == 0 {
+		return Unchanged, nil
+	}
+	return Accepted, nil
+}
+
+// evaluate works out a change without touching the store.
+func (s *Store) evaluate(version uint64, change Change) (evaluation, Status, *Problem) {
+	if problem := checkText(change); problem != nil {
+		return evaluation{}, Invalid, problem
+	}
+	values, problem := parseOperations(change.Operations)
+	if problem != nil {
+		return evaluation{}, Invalid, problem
+	}
+	if problem := s.checkConditions(change.Operations); problem != nil {
+		return evaluation{}, Conflict, problem
+	}
+	result := s.perform(version, change.Operations, values)
+	if problem := s.checkBounds(result.draft.state); problem != nil {
+		return evaluation{}, Invalid, problem
+	}
+	if problem := s.checkReferences(result, change.Operations, values); problem != nil {
+		return evaluation{}, Invalid, problem
+	}
+	return result, Accepted, nil
+}
+
+// parsedValue is an operation's value, read and in canonical form.
+type parsedValue struct {
+	value     Value // nil: a delete
+	canonical json.RawMessage
+}
+
+func checkText(change Change) *Problem {
+	texts := []struct {
+		field, text string
+		highest     int
+		required    bool
+	}{
+		{"request", change.Request, MaxNameBytes, false},
+		{"author", change.Author, MaxNameBytes, true},
+		{"message", change.Message, MaxTextBytes, false},
+	}
+	for _, each := range texts {
+		switch {
+		case each.required && each.text == "":
+			return problemOf("", each.field, "missing")
+		case len(each.text) > each.highest:
+			return problemOf("", each.field, fmt.Sprintf("%d bytes, at most %d are allowed", len(each.text), each.highest))
+		case !utf8.ValidString(each.text):
+			return problemOf("", each.field, "not valid UTF-8")
+		}
+	}
+	switch count := len(change.Operations); {
+	case count == 0:
+		return problemOf("", "operations", "the change has none")
+	case count > MaxOperations:
+		return problemOf("", "operations", fmt.Sprintf("%d operations, at most %d are allowed", count, MaxOperations))
+	}
+	if year := change.At.UTC().Year(); year < 0 || year > 9999 {
+		return problemOf("", "at", "the year is not between 0 and 9999")
+	}
+	return nil
+}
+
+func parseOperations(operations []Operation) ([]parsedValue, *Problem) {
+	values := make([]parsedValue, len(operations))
+	seen := make(map[Key]bool, len(operations))
+	for i, operation := range operations {
+		key := operation.Key
+		if err := key.Check(); err != nil {
+			return nil, problemOf(key.String(), "", err.Error())
+		}
+		if seen[key] {
+			return nil, problemOf(key.String(), "", "the change names the record twice")
+		}
+		seen[key] = true
+		if operation.Delete {
+			if len(operation.Value) > 0 {
+				return nil, problemOf(key.String(), "value", "a delete has no value")
+			}
+			continue
+		}
+		value, canonical, problem := ParseValue(key.Kind, operation.Value)
+		if problem != nil {
+			return nil, problemOf(key.String(), problem.Field, problem.Reason)
+		}
+		values[i] = parsedValue{value: value, canonical: canonical}
+	}
+	return values, nil
+}
+
+func (s *Store) checkConditions(operations []Operation) *Problem {
+	for _, operation := range operations {
+		if operation.If == nil {
+			continue
+		}
+		record, found := s.Get(operation.Key)
+		switch expected := *operation.If; {
+		case expected == record.Version:
+		case !found:
+			return problemOf(operation.Key.String(), "", fmt.Sprintf("the record does not exist, the change expects version %d", expected))
+		case expected == 0:
+			return problemOf(operation.Key.String(), "", fmt.Sprintf("the record exists at version %d, the change expects none", record.Version))
+		default:
+			return problemOf(operation.Key.String(), "", fmt.Sprintf("the record is at version %d, the change expects %d", record.Version, expected))
+		}
+	}
+	return nil
+}
+
+// perform makes the draft of the state after the operations.
+func (s *Store) perform(version uint64, operations []Operation, values []parsedValue) evaluation {
+	result := evaluation{draft: s.current().edit(), references: map[Key]int{}}
+	for i, operation := range operations {
+		old, existed := s.Get(operation.Key)
+		if operation.Delete && !existed || existed && !operation.Delete && bytes.Equal(old.Value, values[i].canonical) {
+			continue
+		}
+		result.changed = append(result.changed, operation.Key)
+		if existed {
+			result.count(referenceOf(old), -1)
+		}
+		if operation.Delete {
+			result.draft.remove(operation.Key)
+			continue
+		}
+		result.count(values[i].value, 1)
+		result.draft.put(Record{Key: operation.Key, Version: version, Value: values[i].canonical})
+	}
+	return result
+}
+
+// count adds to the number of references to the record that a value needs.
+func (e *evaluation) count(value Value, by int) {
+	if value == nil {
+		return
+	}
+	if key, _, needed := value.Reference(); needed {
+		e.references[key] += by
+	}
+}
+
+// referenceOf parses the value of a stored record; nil if it is not valid any more.
+func referenceOf(record Record) Value {
+	value, _, problem := ParseValue(record.Key.Kind, record.Value)
+	if problem != nil {
+		return nil
+	}
+	return value
+}
+
+func (s *Store) checkBounds(after *state) *Problem {
+	if after.count > MaxRecords && after.count > s.Len() {
+		return problemOf("", "operations", fmt.Sprintf("%d records after the change, at most %d are allowed", after.count, MaxRecords))
+	}
+	if after.bytes > MaxStateBytes && after.bytes > s.current().bytes {
+		return problemOf("", "operations", fmt.Sprintf("%d bytes of records after the change, at most %d are allowed", after.bytes, MaxStateBytes))
+	}
+	return nil
+}
+
+// checkReferences holds the state after a change to what its records need.
+func (s *Store) checkReferences(after evaluation, operations []Operation, values []parsedValue) *Problem {
+	for i, operation := range operations {
+		if operation.Delete {
+			count := s.references[operation.Key] + after.references[operation.Key]
+			if count > 0 {
+				return problemOf(operation.Key.String(), "", fmt.Sprintf("%d records still need it", count))
+			}
+			continue
+		}
+		key, field, needed := values[i].value.Reference()
+		if !needed {
+			continue
+		}
+		if _, found := after.draft.state.get(key); !found {
+			return problemOf(operation.Key.String(), field, fmt.Sprintf("there is no %s", key))
+		}
+	}
+	return nil
+}
+
+// maxProblemBytes bounds each text of a problem, which is remembered.
+const maxProblemBytes = 256
+
+func problemOf(key, field, reason string) *Problem {
+	return &Problem{Key: cutText(key), Field: cutText(field), Reason: cutText(reason)}
+}
+
+func cutText(text string) string {
+	return strings.ToValidUTF8(text[:min(len(text), maxProblemBytes)], "")
+}
--- /dev/null
+++ b/records/key.go
@@ -0,0 +1,105 @@
+package records
+
+import (
+	"cmp"
+	"fmt"
+	"strings"
+)
+
+// Kind is the type of a record.
+type Kind string
+
+// The kinds of records.
+const (
+	Route   Kind = "route"
+	Tenant  Kind = "tenant"
+	Plan    Kind = "plan"
+	Service Kind = "service"
+)
+
+// Kinds lists all kinds.
+func Kinds() []Kind { return []Kind{Route, Tenant, Plan, Service} }
+
+// ParseKind reads a kind; any other text is an error.
+func ParseKind(text string) (Kind, error) {
+	for _, kind := range Kinds() {
+		if text == string(kind) {
+			return kind, nil
+		}
+	}
+	return "", fmt.Errorf("unknown kind %q: want route, tenant, plan or service", text)
+}
+
+// Key names a record.
+type Key struct {
+	Kind Kind
+	Name string
+}
+
+// ParseKey reads the text form KIND/NAME.
+func ParseKey(text string) (Key, error) {
+	kindText, name, found := strings.Cut(text, "/")
+	if !found {
+		return Key{}, fmt.Errorf("key %q: want KIND/NAME", text)
+	}
+	kind, err := ParseKind(kindText)
+	if err != nil {
+		return Key{}, fmt.Errorf("key %q: %w", text, err)
+	}
+	if err := checkName(name); err != nil {
+		return Key{}, fmt.Errorf("key %q: %w", text, err)
+	}
+	return Key{Kind: kind, Name: name}, nil
+}
+
+// String returns the text form KIND/NAME.
+func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
+
+// Check returns an error for an unknown kind or a malformed name.
+func (k Key) Check() error {
+	_, err := ParseKey(k.String())
+	return err
+}
+
+// Compare orders keys by kind, then by name.
+func (k Key) Compare(other Key) int {
+	return cmp.Or(cmp.Compare(k.Kind, other.Kind), cmp.Compare(k.Name, other.Name))
+}
+
+// MarshalText writes the text form.
+func (k Key) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
+
+// UnmarshalText reads the text form.
+func (k *Key) UnmarshalText(text []byte) error {
+	key, err := ParseKey(string(text))
+	if err != nil {
+		return err
+	}
+	*k = key
+	return nil
+}
+
+// checkName accepts 1 to MaxNameBytes ASCII letters, digits and ". _ - :", of
+// which the first is a letter or a digit.
+func checkName(name string) error {
+	if name == "" {
+		return fmt.Errorf("the name is empty")
+	}
+	if len(name) > MaxNameBytes {
+		return fmt.Errorf("the name has %d bytes, at most %d are allowed", len(name), MaxNameBytes)
+	}
+	for i := range len(name) {
+		if !nameByte(name[i], i == 0) {
+			return fmt.Errorf("the name has %q at byte %d: want letters, digits and . _ - :, a letter or digit first", name[i], i)
+		}
+	}
+	return nil
+}
+
+func nameByte(b byte, first bool) bool {
+	switch {
+	case 'a' <= b && b <= 'z', 'A' <= b && b <= 'Z', '0' <= b && b <= '9':
+		return true
+	}
+	return !first && strings.IndexByte("._-:", b) >= 0
+}
--- /dev/null
+++ b/records/log.go
@@ -0,0 +1,99 @@
+package records
+
+import (
+	"slices"
+)
+
+// changeLog is what is kept of the newest accepted changes, oldest first. Values
+// are not kept: the present state has those that still count.
+type changeLog struct {
+	entries []logEntry
+	bytes   int
+	// The state before the oldest entry.
+	floorVersion uint64
+	floorDigest  Digest
+}
+
+// logEntry is one accepted change.
+type logEntry struct {
+	Info   ChangeInfo `json:"info"`
+	Digest Digest     `json:"digest"` // of the state after the change
+	Keys   []Key      `json:"keys"`   // that it put or deleted
+}
+
+// entryOverhead is what an entry or a key counts for beside its text, in bytes.
+const entryOverhead = 32
+
+func (e *logEntry) size() int {
+	size := 4*entryOverhead + len(e.Info.Author) + len(e.Info.Message)
+	for _, key := range e.Keys {
+		size += entryOverhead + len(key.Name)
+	}
+	return size
+}
+
+// add appends an entry and compacts what is beyond the bounds.
+func (l *changeLog) add(entry logEntry) {
+	l.entries = append(l.entries, entry)
+	l.bytes += entry.size()
+	drop := 0
+	for len(l.entries)-drop > MaxLogChanges || l.bytes > MaxLogBytes {
+		l.bytes -= l.entries[drop].size()
+		drop++
+	}
+	l.compact(drop)
+}
+
+// compact forgets the oldest entries.
+func (l *changeLog) compact(count int) {
+	if count == 0 {
+		return
+	}
+	last := &l.entries[count-1]
+	l.floorVersion, l.floorDigest = last.Info.Version, last.Digest
+	l.entries = slices.Delete(l.entries, 0, count)
+}
+
+// after returns the entries above a version.
+func (l *changeLog) after(version uint64) []logEntry {
+	position, found := l.find(version)
+	if found {
+		position++
+	}
+	return l.entries[position:]
+}
+
+func (l *changeLog) find(version uint64) (int, bool) {
+	return slices.BinarySearchFunc(l.entries, version, func(entry logEntry, version uint64) int {
+		switch {
+		case entry.Info.Version < version:
+			return -1
+		case entry.Info.Version > version:
+			return 1
+		}
+		return 0
+	})
+}
+
+func (l *changeLog) digestAt(version uint64) (Digest, bool) {
+	if version == l.floorVersion {
+		return l.floorDigest, true
+	}
+	position, found := l.find(version)
+	if !found {
+		return Digest{}, false
+	}
+	return l.entries[position].Digest, true
+}
+
+func (l *changeLog) history(limit int) []ChangeInfo {
+	count := len(l.entries)
+	if limit > 0 {
+		count = min(count, limit)
+	}
+	infos := make([]ChangeInfo, 0, count)
+	for i := range count {
+		infos = append(infos, l.entries[len(l.entries)-1-i].Info)
+	}
+	return infos
+}
--- /dev/null
+++ b/records/snapshot.go
@@ -0,0 +1,245 @@
+package records
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// ErrSnapshot is that a snapshot is damaged, cut short or contradicts itself.
+var ErrSnapshot = errors.New("unusable snapshot of records")
+
+// First lines of the files: what they hold, and the version of the form.
+const (
+	storeHeader   = "elderyard records store 1\n"
+	replicaHeader = "elderyard records replica 1\n"
+)
+
+// maxSnapshotBytes bounds a snapshot before compression.
+const maxSnapshotBytes = 64 << 20
+
+// replicaSnapshot is what a replica's file holds.
+type replicaSnapshot struct {
+	Version uint64       `json:"version"`
+	Digest  Digest       `json:"digest"`
+	Records List[Record] `json:"records"`
+}
+
+// storeSnapshot is what a store's snapshot holds.
+type storeSnapshot struct {
+	replicaSnapshot
+	Applied      uint64                 `json:"applied"`
+	FloorVersion uint64                 `json:"floor_version"`
+	FloorDigest  Digest                 `json:"floor_digest"`
+	Log          List[logEntry]         `json:"log"`
+	Requests     List[rememberedResult] `json:"requests"`
+}
+
+// Snapshot returns the copy in the form that Restore reads.
+func (r *Replica) Snapshot() ([]byte, error) {
+	return seal(replicaHeader, replicaSnapshot{Version: r.version, Digest: r.Digest(), Records: r.current().sorted()})
+}
+
+// Restore replaces the copy by a snapshot's. The error wraps ErrSnapshot if it is
+// not whole, or ErrBehind if it is older than the copy; the copy is then as before.
+func (r *Replica) Restore(data []byte) error {
+	var snapshot replicaSnapshot
+	if err := unseal(replicaHeader, data, &snapshot); err != nil {
+		return err
+	}
+	restored, err := snapshot.state()
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrSnapshot, err)
+	}
+	if snapshot.Version < r.version {
+		return fmt.Errorf("%w: the snapshot has %d, the replica is at %d", ErrBehind, snapshot.Version, r.version)
+	}
+	r.state, r.version = restored, snapshot.Version
+	return nil
+}
+
+// Snapshot returns the store with its log and its remembered results in the form
+// that Restore reads.
+func (s *Store) Snapshot() ([]byte, error) {
+	return seal(storeHeader, storeSnapshot{
+		replicaSnapshot: replicaSnapshot{Version: s.version, Digest: s.Digest(), Records: s.current().sorted()},
+		Applied:         s.applied,
+		FloorVersion:    s.log.floorVersion,
+		FloorDigest:     s.log.floorDigest,
+		Log:             s.log.entries,
+		Requests:        s.requests.list(),
+	})
+}
+
+// Restore replaces the store by a snapshot's. The error wraps ErrSnapshot if it is
+// not whole; the store is then as before.
+func (s *Store) Restore(data []byte) error {
+	var snapshot storeSnapshot
+	if err := unseal(storeHeader, data, &snapshot); err != nil {
+		return err
+	}
+	restored, err := snapshot.store()
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrSnapshot, err)
+	}
+	*s = *restored
+	return nil
+}
+
+func (s *state) sorted() []Record {
+	sorted := make([]Record, 0, s.count)
+	for record := range s.all {
+		sorted = append(sorted, record)
+	}
+	slices.SortFunc(sorted, func(a, b Record) int { return a.Key.Compare(b.Key) })
+	return sorted
+}
+
+// state builds the records and holds them to the digest.
+func (s *replicaSnapshot) state() (*state, error) {
+	if len(s.Records) > MaxRecords {
+		return nil, fmt.Errorf("%d records, at most %d are allowed", len(s.Records), MaxRecords)
+	}
+	draft := emptyState.edit()
+	for i, record := range s.Records {
+		if err := checkRecord(record, s.Version); err != nil {
+			return nil, err
+		}
+		if i > 0 && s.Records[i-1].Key.Compare(record.Key) >= 0 {
+			return nil, fmt.Errorf("%s does not come after %s", record.Key, s.Records[i-1].Key)
+		}
+		draft.put(record)
+	}
+	built := draft.finish()
+	if built.digest != s.Digest {
+		return nil, fmt.Errorf("%w: %s instead of %s at version %d", ErrDigest, built.digest, s.Digest, s.Version)
+	}
+	return built, nil
+}
+
+// store builds a store and holds its parts to each other.
+func (s *storeSnapshot) store() (*Store, error) {
+	built, err := s.state()
+	if err != nil {
+		return nil, err
+	}
+	references, err := countReferences(built)
+	if err != nil {
+		return nil, err
+	}
+	log, err := s.changeLog()
+	if err != nil {
+		return nil, err
+	}
+	requests, err := s.requestLog()
+	if err != nil {
+		return nil, err
+	}
+	return &Store{state: built, version: s.Version, applied: s.Applied, log: *log, requests: *requests, references: references}, nil
+}
+
+// countReferences validates every record as Apply does.
+func countReferences(built *state) (map[Key]int, error) {
+	references := map[Key]int{}
+	for record := range built.all {
+		value, canonical, problem := ParseValue(record.Key.Kind, record.Value)
+		if problem != nil {
+			return nil, fmt.Errorf("%s: %w", record.Key, problem)
+		}
+		if !bytes.Equal(canonical, record.Value) {
+			return nil, fmt.Errorf("%s: the value is not in canonical form", record.Key)
+		}
+		key, field, needed := value.Reference()
+		if !needed {
+			continue
+		}
+		if _, found := built.get(key); !found {
+			return nil, fmt.Errorf("%s: %s: there is no %s", record.Key, field, key)
+		}
+		references[key]++
+	}
+	return references, nil
+}
+
+func (s *storeSnapshot) changeLog() (*changeLog, error) {
+	if s.Applied < s.Version {
+		return nil, fmt.Errorf("applied up to %d, but at version %d", s.Applied, s.Version)
+	}
+	log := &changeLog{floorVersion: s.FloorVersion, floorDigest: s.FloorDigest}
+	newest, digest := s.FloorVersion, s.FloorDigest
+	for i := range s.Log {
+		entry := &s.Log[i]
+		if entry.Info.Version <= newest {
+			return nil, fmt.Errorf("log: version %d follows %d", entry.Info.Version, newest)
+		}
+		for _, key := range entry.Keys {
+			if err := key.Check(); err != nil {
+				return nil, fmt.Errorf("log: version %d: %w", entry.Info.Version, err)
+			}
+		}
+		newest, digest = entry.Info.Version, entry.Digest
+		log.bytes += entry.size()
+	}
+	if len(s.Log) > MaxLogChanges || log.bytes > MaxLogBytes {
+		return nil, fmt.Errorf("log: %d changes with %d bytes are beyond the bounds", len(s.Log), log.bytes)
+	}
+	if newest != s.Version {
+		return nil, fmt.Errorf("log: it ends at version %d, the records are at %d", newest, s.Version)
+	}
+	if newest > 0 && digest != s.Digest {
+		return nil, fmt.Errorf("log: %w: it ends with %s, the records have %s", ErrDigest, digest, s.Digest)
+	}
+	log.entries = s.Log
+	return log, nil
+}
+
+func (s *storeSnapshot) requestLog() (*requestLog, error) {
+	if len(s.Requests) > MaxRequests {
+		return nil, fmt.Errorf("%d requests, at most %d are allowed", len(s.Requests), MaxRequests)
+	}
+	log := &requestLog{}
+	for _, remembered := range s.Requests {
+		if _, found := log.results[remembered.Request]; found {
+			return nil, fmt.Errorf("the request %q is there twice", remembered.Request)
+		}
+		log.add(remembered)
+	}
+	return log, nil
+}
+
+// seal writes the header, a checksum of what follows, and the content.
+func seal(header string, content any) ([]byte, error) {
+	text, err := json.Marshal(content)
+	if err != nil {
+		return nil, fmt.Errorf("encode snapshot of records: %w", err)
+	}
+	body := compress(text)
+	checksum := sha256.Sum256(body)
+	return slices.Concat([]byte(header), checksum[:], body), nil
+}
+
+// unseal reads what seal has written.
+func unseal(header string, data []byte, into any) error {
+	rest, found := bytes.CutPrefix(data, []byte(header))
+	if !found {
+		return fmt.Errorf("%w: it does not begin with %q", ErrSnapshot, header)
+	}
+	if len(rest) < sha256.Size {
+		return fmt.Errorf("%w: it ends within the checksum", ErrSnapshot)
+	}
+	body := rest[sha256.Size:]
+	if sha256.Sum256(body) != [sha256.Size]byte(rest) {
+		return fmt.Errorf("%w: the checksum does not fit", ErrSnapshot)
+	}
+	text, err := expand(body, maxSnapshotBytes)
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrSnapshot, err)
+	}
+	if err := decodeStrict(text, into); err != nil {
+		return fmt.Errorf("%w: %w", ErrSnapshot, err)
+	}
+	return nil
+}
--- /dev/null
+++ b/records/snapshot_test.go
@@ -0,0 +1,166 @@
+package records
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestSnapshot(t *testing.T) {
+	store := smallStore(t)
+	apply(t, store, 4, change(remove("route/search"), put("plan/free", planValue)), Accepted)
+	apply(t, store, 6, change(remove("plan/gold")), Invalid)
+	data, err := store.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored := &Store{}
+	if err := restored.Restore(data); err != nil {
+		t.Fatal(err)
+	}
+	if restored.Version() != 4 || restored.Digest() != store.Digest() || restored.Len() != 4 || len(restored.History(0)) != 2 {
+		t.Errorf("restored: version %d, %d records", restored.Version(), restored.Len())
+	}
+	if _, err := restored.Apply(6, change(remove("plan/free"))); !errors.Is(err, ErrVersion) {
+		t.Errorf("the same version again: %v", err)
+	}
+	apply(t, restored, 7, change(remove("plan/gold")), Invalid)
+	if delta := since(t, restored, 1); len(delta.Puts) != 1 || len(delta.Deletes) != 1 {
+		t.Errorf("delta of the restored: %+v", delta)
+	}
+	again, err := restored.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := (&Store{}).Restore(again); err != nil {
+		t.Error(err)
+	}
+	if err := (&Replica{}).Restore(data); !errors.Is(err, ErrSnapshot) {
+		t.Errorf("a store's snapshot as a replica: %v", err)
+	}
+}
+
+// A file that is cut short or changed anywhere is refused, and the copy stays.
+func TestDamagedSnapshot(t *testing.T) {
+	store := smallStore(t)
+	replica := &Replica{}
+	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
+		t.Fatal(err)
+	}
+	ofStore, err := store.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	ofReplica, err := replica.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, test := range []struct {
+		name    string
+		data    []byte
+		restore func([]byte) error
+	}{
+		{"store", ofStore, store.Restore},
+		{"replica", ofReplica, replica.Restore},
+	} {
+		digest := store.Digest()
+		for length := range test.data {
+			if err := test.restore(test.data[:length]); !errors.Is(err, ErrSnapshot) {
+				t.Fatalf("%s cut to %d bytes: %v", test.name, length, err)
+			}
+		}
+		for i := range test.data {
+			changed := append([]byte{}, test.data...)
+			changed[i] ^= 1
+			if err := test.restore(changed); !errors.Is(err, ErrSnapshot) {
+				t.Fatalf("%s changed at byte %d: %v", test.name, i, err)
+			}
+		}
+		if err := test.restore(append(append([]byte{}, test.data...), 0)); !errors.Is(err, ErrSnapshot) {
+			t.Fatalf("%s with one byte more: %v", test.name, err)
+		}
+		if store.Digest() != digest || replica.Digest() != digest || store.Len() != 4 || replica.Len() != 4 {
+			t.Fatalf("%s: the copy has changed", test.name)
+		}
+		if err := test.restore(test.data); err != nil {
+			t.Errorf("%s whole: %v", test.name, err)
+		}
+	}
+}
+
+func TestSnapshotNeverGoesBack(t *testing.T) {
+	store := smallStore(t)
+	replica := &Replica{}
+	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
+		t.Fatal(err)
+	}
+	old, err := replica.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	apply(t, store, 2, change(remove("route/search")), Accepted)
+	if err := replica.ApplyDelta(since(t, store, 1)); err != nil {
+		t.Fatal(err)
+	}
+	if err := replica.Restore(old); !errors.Is(err, ErrBehind) || replica.Version() != 2 {
+		t.Errorf("%v, at version %d", err, replica.Version())
+	}
+}
+
+// A snapshot whose checksum fits may still contradict itself.
+func TestContradictorySnapshot(t *testing.T) {
+	store := smallStore(t)
+	apply(t, store, 4, change(remove("route/search"), put("plan/free", planValue)), Accepted)
+	whole := func() storeSnapshot {
+		return storeSnapshot{
+			replicaSnapshot: replicaSnapshot{Version: 4, Digest: store.Digest(), Records: store.current().sorted()},
+			Applied:         4,
+			Log:             append(List[logEntry]{}, store.log.entries...),
+		}
+	}
+	for name, change := range map[string]func(*storeSnapshot){
+		"digest":            func(s *storeSnapshot) { s.Digest[0]++ },
+		"version":           func(s *storeSnapshot) { s.Version = 3 },
+		"record's version":  func(s *storeSnapshot) { s.Records[0].Version = 5 },
+		"record is missing": func(s *storeSnapshot) { s.Records = s.Records[1:] },
+		"order":             func(s *storeSnapshot) { s.Records[0], s.Records[1] = s.Records[1], s.Records[0] },
+		"value":             func(s *storeSnapshot) { s.Records[0].Value = []byte(`{"no":1}`); s.Digest = digestOf(s.Records) },
+		"not canonical": func(s *storeSnapshot) {
+			s.Records[0].Value = []byte(`{"requests_per_second":1,"price_weight":1}`)
+			s.Digest = digestOf(s.Records)
+		},
+		"reference":          func(s *storeSnapshot) { s.Records = s.Records[2:]; s.Digest = digestOf(s.Records) },
+		"applied":            func(s *storeSnapshot) { s.Applied = 3 },
+		"log's order":        func(s *storeSnapshot) { s.Log[0], s.Log[1] = s.Log[1], s.Log[0] },
+		"log's end":          func(s *storeSnapshot) { s.Log = s.Log[:1] },
+		"log's digest":       func(s *storeSnapshot) { s.Log[1].Digest[0]++ },
+		"log's key":          func(s *storeSnapshot) { s.Log[1].Keys = []Key{{}} },
+		"log's floor":        func(s *storeSnapshot) { s.FloorVersion = 1 },
+		"requests twice":     func(s *storeSnapshot) { s.Requests = make(List[rememberedResult], 2) },
+		"too many log lines": func(s *storeSnapshot) { s.Log = make(List[logEntry], MaxLogChanges+1) },
+	} {
+		snapshot := whole()
+		change(&snapshot)
+		data, err := seal(storeHeader, snapshot)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := (&Store{}).Restore(data); !errors.Is(err, ErrSnapshot) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	data, err := seal(storeHeader, whole())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := (&Store{}).Restore(data); err != nil {
+		t.Errorf("the whole one: %v", err)
+	}
+}
+
+func digestOf(records []Record) Digest {
+	draft := emptyState.edit()
+	for _, record := range records {
+		draft.put(record)
+	}
+	return draft.finish().digest
+}
--- /dev/null
+++ b/records/state.go
@@ -0,0 +1,150 @@
+package records
+
+import (
+	"cmp"
+	"crypto/sha256"
+	"encoding/binary"
+	"slices"
+	"strings"
+)
+
+// state is a set of records in ranges of their keys' hash. It is immutable once
+// made: a draft shares the ranges that it does not touch.
+type state struct {
+	ranges [RangeCount]keyRange
+	count  int
+	bytes  int // keys and values
+	digest Digest
+}
+
+// keyRange is the records of one range in order of key, with the sum of their hashes.
+type keyRange struct {
+	records []Record
+	sum     sum
+}
+
+func (r *keyRange) find(key Key) (int, bool) {
+	return slices.BinarySearchFunc(r.records, key, func(record Record, key Key) int {
+		return record.Key.Compare(key)
+	})
+}
+
+var emptyState = new(draft).begin(&state{}).finish()
+
+func (s *state) get(key Key) (Record, bool) {
+	keys := &s.ranges[RangeOf(key)]
+	position, found := keys.find(key)
+	if !found {
+		return Record{}, false
+	}
+	return keys.records[position], true
+}
+
+// all yields the records, range by range.
+func (s *state) all(yield func(Record) bool) {
+	for i := range s.ranges {
+		for _, record := range s.ranges[i].records {
+			if !yield(record) {
+				return
+			}
+		}
+	}
+}
+
+// list returns up to limit records of a kind whose names begin with the prefix, in
+// order of name; a limit of 0 or less means all.
+func (s *state) list(kind Kind, prefix string, limit int) []Record {
+	var found []Record
+	for record := range s.all {
+		if record.Key.Kind == kind && strings.HasPrefix(record.Key.Name, prefix) {
+			found = append(found, record)
+		}
+	}
+	slices.SortFunc(found, func(a, b Record) int { return cmp.Compare(a.Key.Name, b.Key.Name) })
+	if limit > 0 && len(found) > limit {
+		found = slices.Clone(found[:limit])
+	}
+	return found
+}
+
+// draft is a state in the making.
+type draft struct {
+	state *state
+	owned [RangeCount]bool // ranges whose records are the draft's own
+}
+
+func (s *state) edit() *draft { return new(draft).begin(s) }
+
+func (d *draft) begin(from *state) *draft {
+	copied := *from
+	d.state = &copied
+	return d
+}
+
+// own returns a range for changing.
+func (d *draft) own(index int) *keyRange {
+	keys := &d.state.ranges[index]
+	if !d.owned[index] {
+		keys.records = slices.Clone(keys.records)
+		d.owned[index] = true
+	}
+	return keys
+}
+
+func (d *draft) put(record Record) {
+	keys := d.own(RangeOf(record.Key))
+	position, found := keys.find(record.Key)
+	if found {
+		old := keys.records[position]
+		keys.sum = keys.sum.minus(hashRecord(old))
+		d.state.bytes -= old.size()
+		keys.records[position] = record
+	} else {
+		keys.records = slices.Insert(keys.records, position, record)
+		d.state.count++
+	}
+	keys.sum = keys.sum.plus(hashRecord(record))
+	d.state.bytes += record.size()
+}
+
+func (d *draft) remove(key Key) {
+	index := RangeOf(key)
+	position, found := d.state.ranges[index].find(key)
+	if !found {
+		return
+	}
+	keys := d.own(index)
+	old := keys.records[position]
+	keys.records = slices.Delete(keys.records, position, position+1)
+	keys.sum = keys.sum.minus(hashRecord(old))
+	d.state.count--
+	d.state.bytes -= old.size()
+}
+
+// replace sets all records of a range; they are in order of key.
+func (d *draft) replace(index int, records []Record) {
+	keys := &d.state.ranges[index]
+	for _, old := range keys.records {
+		d.state.bytes -= old.size()
+	}
+	d.state.count += len(records) - len(keys.records)
+	keys.records = slices.Clone(records)
+	keys.sum = hashRecords(records)
+	for _, record := range records {
+		d.state.bytes += record.size()
+	}
+	d.owned[index] = true
+}
+
+// finish computes the digest and returns the state; the draft is not used any more.
+func (d *draft) finish() *state {
+	const sumBytes = 16
+	buffer := make([]byte, 0, RangeCount*sumBytes)
+	for i := range d.state.ranges {
+		buffer = binary.BigEndian.AppendUint64(buffer, d.state.ranges[i].sum.high)
+		buffer = binary.BigEndian.AppendUint64(buffer, d.state.ranges[i].sum.low)
+	}
+	hash := sha256.Sum256(buffer)
+	copy(d.state.digest[:], hash[:])
+	return d.state
+}
--- /dev/null
+++ b/records/value.go
@@ -0,0 +1,102 @@
+package records
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+)
+
+// FieldError is what is wrong with one field of a value.
+type FieldError struct {
+	Field  string // empty: the value as a whole
+	Reason string
+}
+
+// Error names the field and the reason.
+func (e *FieldError) Error() string {
+	if e.Field == "" {
+		return e.Reason
+	}
+	return e.Field + ": " + e.Reason
+}
+
+func fieldError(field, format string, arguments ...any) *FieldError {
+	return &FieldError{Field: field, Reason: fmt.Sprintf(format, arguments...)}
+}
+
+// Value is the typed content of a record.
+type Value interface {
+	// Validate returns the first problem of the value by itself, or nil.
+	Validate() *FieldError
+	// Reference returns the record that must exist beside this one, if any.
+	Reference() (key Key, field string, ok bool)
+}
+
+// ParseValue reads and validates the value of a record of a kind, and returns it
+// with its canonical JSON form.
+func ParseValue(kind Kind, data []byte) (Value, json.RawMessage, *FieldError) {
+	value, problem := newValue(kind)
+	if problem != nil {
+		return nil, nil, problem
+	}
+	if len(data) > MaxValueBytes {
+		return nil, nil, fieldError("", "the value has %d bytes, at most %d are allowed", len(data), MaxValueBytes)
+	}
+	if err := decodeStrict(data, value); err != nil {
+		return nil, nil, decodeProblem(err)
+	}
+	if problem := value.Validate(); problem != nil {
+		return nil, nil, problem
+	}
+	canonical, err := json.Marshal(value)
+	if err != nil {
+		return nil, nil, fieldError("", "%v", err)
+	}
+	if len(canonical) > MaxValueBytes {
+		return nil, nil, fieldError("", "the value has %d bytes, at most %d are allowed", len(canonical), MaxValueBytes)
+	}
+	return value, canonical, nil
+}
+
+func newValue(kind Kind) (Value, *FieldError) {
+	switch kind {
+	case Route:
+		return &RouteValue{}, nil
+	case Tenant:
+		return &TenantValue{}, nil
+	case Plan:
+		return &PlanValue{}, nil
+	case Service:
+		return &ServiceValue{}, nil
+	}
+	return nil, fieldError("", "unknown kind %q", kind)
+}
+
+// decodeStrict reads just one JSON value without unknown fields.
+func decodeStrict(data []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return err
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return errors.New("there is more behind the JSON value")
+	}
+	return nil
+}
+
+// unknownField begins encoding/json's message on a field that the type lacks.
+const unknownField = `json: unknown field "`
+
+func decodeProblem(err error) *FieldError {
+	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
+		return fieldError(wrongType.Field, "cannot be a JSON %s", wrongType.Value)
+	}
+	if field, found := strings.CutPrefix(err.Error(), unknownField); found {
+		return fieldError(strings.TrimSuffix(field, `"`), "unknown field")
+	}
+	return fieldError("", "not a JSON object of this kind: %v", err)
+}
