--- a/fleet/state.go
+++ b/fleet/state.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"elderyard/members"
+	"elderyard/records"
 	"elderyard/revisions"
 	"elderyard/rollout"
 )
@@ -80,7 +81,8 @@
 	Remove  *Remove            `json:"remove,omitempty"`
 	Drain   *Drain             `json:"drain,omitempty"`
 	Belong  *Belong            `json:"belong,omitempty"`
-	Noted   *Event             `json:"noted,omitempty"` // a change that was made elsewhere, such as to the voters
+	Records *records.Change    `json:"records,omitempty"` // validated by the state that it meets
+	Noted   *Event             `json:"noted,omitempty"`   // a change that was made elsewhere, such as to the voters
 }
 
 // Turn says that the rollout of New is in another state. By is empty where the
@@ -116,8 +118,9 @@
 
 // Outcome is what became of an entry.
 type Outcome struct {
-	Result  revisions.Result `json:"result"`  // of a Command
-	Refused string           `json:"refused"` // why nothing was changed; "": it was
+	Result  revisions.Result `json:"result"`            // of a Command
+	Refused string           `json:"refused"`           // why nothing was changed; "": it was
+	Records *records.Result  `json:"records,omitempty"` // of a change of records
 }
 
 // Busy is the answer to a command that came while a rollout was on its way. It
@@ -133,6 +136,7 @@
 	agents  map[string]Agent
 	drained map[string]bool
 	roster  members.Roster // epoch 0: none has been agreed on
+	records records.Store
 	events  []Event
 }
 
@@ -200,7 +204,7 @@
 
 func (e *Entry) check() error {
 	parts := 0
-	for _, set := range []bool{e.Command != nil, e.Turn != nil, e.Enroll != nil, e.Remove != nil, e.Drain != nil, e.Belong != nil, e.Noted != nil} {
+	for _, set := range []bool{e.Command != nil, e.Turn != nil, e.Enroll != nil, e.Remove != nil, e.Drain != nil, e.Belong != nil, e.Records != nil, e.Noted != nil} {
 		if set {
 			parts++
 		}
@@ -237,6 +241,8 @@
 		return CheckName("instance", e.Drain.Instance)
 	case e.Belong != nil:
 		return e.Belong.Check()
+	case e.Records != nil:
+		return checkChange(e.Records)
 	case e.Noted != nil:
 		if len(e.Noted.What)+len(e.Noted.Who) > MostText {
 			return fmt.Errorf("event: longer than %d bytes", MostText)
@@ -263,9 +269,12 @@
 	return nil
 }
 
-// Apply carries an entry out. What can't be done changes nothing and is refused
-// with why; an error is of an entry that Decode would not have let through.
-func (s *State) Apply(e Entry) (Outcome, error) {
+// Apply carries an entry out. The index is the entry's place in the log that all
+// voters share, from 1; it becomes the version of the records that the entry
+// changes. What can't be done changes nothing and is refused with why; an error is
+// of an entry that Decode would not have let through, or of a change of records
+// whose index is not above those before.
+func (s *State) Apply(index uint64, e Entry) (Outcome, error) {
 	if err := e.check(); err != nil {
 		return Outcome{}, err
 	}
@@ -290,6 +299,8 @@
 		return s.drain(e.Drain), nil
 	case e.Belong != nil:
 		return s.belong(e.Belong), nil
+	case e.Records != nil:
+		return s.changeRecords(index, *e.Records)
 	case e.Noted != nil:
 		s.log(e.Noted.At, e.Noted.Who, e.Noted.What)
 	}
@@ -408,6 +419,7 @@
 	Agents  []Agent             `json:"agents"`
 	Drained []string            `json:"drained"`
 	Roster  *members.Roster     `json:"roster,omitempty"`
+	Records []byte              `json:"records,omitempty"` // as records.Store writes them; none: there has been no change of records
 	Events  []Event             `json:"events"`
 }
 
@@ -423,7 +435,11 @@
 	if s.roster.Epoch > 0 {
 		roster = &s.roster
 	}
-	return json.Marshal(snapshot{snapshotForm, history, s.rollout, s.before, s.Agents(), slices.Sorted(maps.Keys(s.drained)), roster, s.events})
+	stored, err := s.snapshotRecords()
+	if err != nil {
+		return nil, err
+	}
+	return json.Marshal(snapshot{snapshotForm, history, s.rollout, s.before, s.Agents(), slices.Sorted(maps.Keys(s.drained)), roster, stored, s.events})
 }
 
 // Restore reads what Snapshot wrote in place of this state. What is cut short,
@@ -470,6 +486,11 @@
 		}
 		next.roster = *r
 	}
+	if shot.Records != nil {
+		if err := next.records.Restore(shot.Records); err != nil {
+			return fmt.Errorf("snapshot: %w", err)
+		}
+	}
 	if len(shot.Events) > MostEvents {
 		return errors.New("snapshot: more events than a state keeps")
 	}
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := s.Apply(back)
+	out, err := s.Apply(1, back)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 			case 4:
 				e = Entry{Remove: &Remove{name, "ann", at}}
 			}
-			if _, err := s.Apply(e); err != nil {
+			if _, err := s.Apply(1, e); err != nil {
 				t.Fatal(err)
 			}
 			text, err := s.Snapshot()
@@ -263,7 +263,7 @@
 			return
 		}
 		var s State
-		if _, err := s.Apply(e); err != nil {
+		if _, err := s.Apply(1, e); err != nil {
 			t.Fatalf("what was decoded can't be applied: %v", err)
 		}
 		if _, err := e.Encode(); err != nil {
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -75,6 +75,11 @@
 	mu      sync.RWMutex
 	state   fleet.State
 	changed chan struct{} // closed at the next change
+	records chan struct{} // closed at the next change of the records
+}
+
+func newMachine() *machine {
+	return &machine{changed: make(chan struct{}), records: make(chan struct{})}
 }
 
 func (m *machine) Apply(log *raft.Log) any {
@@ -86,11 +91,15 @@
 		// All decode alike, so all leave it out.
 		return fmt.Errorf("entry %d: %w", log.Index, err)
 	}
-	outcome, err := m.state.Apply(entry)
+	before := m.state.Records().Version()
+	outcome, err := m.state.Apply(log.Index, entry)
 	if err != nil {
 		return fmt.Errorf("entry %d: %w", log.Index, err)
 	}
 	m.wake()
+	if m.state.Records().Version() != before {
+		m.wakeRecords()
+	}
 	return outcome
 }
 
@@ -119,6 +128,7 @@
 		return err
 	}
 	m.wake()
+	m.wakeRecords()
 	return nil
 }
 
@@ -221,7 +231,7 @@
 	config.SnapshotThreshold, config.TrailingLogs, config.MaxAppendEntries = snapshotEvery, trailingLogs, appendsAtOnce
 	config.ShutdownOnRemove = false
 
-	s = &Store{logs: logs, id: c.ID, fsm: &machine{changed: make(chan struct{})}, patience: 10 * c.Heartbeat}
+	s = &Store{logs: logs, id: c.ID, fsm: newMachine(), patience: 10 * c.Heartbeat}
 	s.watched = &watchedLogs{LogStore: logs, spoil: c.Spoil, broken: make(chan struct{}), release: make(chan struct{})}
 	// One call at a time to a voter, so that each goes through wire: a site's state changes once in seconds.
 	transport := newWire(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: c.Streams, MaxPool: connections,
@@ -241,7 +251,7 @@
 	case c.Recover && !known:
 		return nil, fmt.Errorf("%s holds nothing to recover", c.Dir)
 	case c.Recover:
-		if err := raft.RecoverCluster(config, &machine{changed: make(chan struct{})}, logs, logs, snapshots, s.transport, alone); err != nil {
+		if err := raft.RecoverCluster(config, newMachine(), logs, logs, snapshots, s.transport, alone); err != nil {
 			return nil, fmt.Errorf("recover: %w", err)
 		}
 	case c.Bootstrap && !known:
@@ -452,15 +462,19 @@
 // Load has all voters take a saved state in place of theirs. The leader alone
 // can. A state that is damaged is refused before anybody is told.
 func (s *Store) Load(text []byte) error {
-	var probe fleet.State
-	if err := probe.Restore(text); err != nil {
+	var saved fleet.State
+	if err := saved.Restore(text); err != nil {
 		return err
 	}
 	members := s.raft.GetConfiguration()
 	if err := members.Error(); err != nil {
 		return fmt.Errorf("voters: %w", err)
 	}
-	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Index: s.raft.LastIndex(), Size: int64(len(text)),
+	last, text, err := s.advance(&saved, text)
+	if err != nil {
+		return err
+	}
+	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Index: last, Size: int64(len(text)),
 		Configuration: members.Configuration(), ConfigurationIndex: members.Index()}
 	return s.sort(s.raft.Restore(meta, bytes.NewReader(text), s.patience))
 }
