--- a/records/answer.go
+++ b/records/answer.go
@@ -69,6 +69,9 @@
 
 // check returns what is contradictory in an answer.
 func (a Answer) check() error {
+	if a.Digest == (Digest{}) {
+		return errNoDigest
+	}
 	set := 0
 	for _, each := range []bool{a.Delta != nil, a.Repair != "", a.Behind} {
 		if each {
--- a/records/codec.go
+++ b/records/codec.go
@@ -7,7 +7,7 @@
 )
 
 // MaxMessageBytes bounds a message on the wire, before and after compression.
-const MaxMessageBytes = 8 << 20
+const MaxMessageBytes = 2 << 20
 
 // ErrMessage is that a message is damaged, too large or contradicts itself.
 var ErrMessage = errors.New("unusable message about records")
@@ -21,6 +21,19 @@
 // DecodeAnswer reads what EncodeAnswer has written; the error wraps ErrMessage.
 func DecodeAnswer(data []byte) (Answer, error) { return decode[Answer](data) }
 
+// EncodeRangeDigests returns the digests as they go over the wire.
+func EncodeRangeDigests(digests RangeDigests) ([]byte, error) { return encode(digests) }
+
+// DecodeRangeDigests reads what EncodeRangeDigests has written; the error wraps
+// ErrMessage.
+func DecodeRangeDigests(data []byte) (RangeDigests, error) { return decode[RangeDigests](data) }
+
+// EncodeChunk returns the chunk as it goes over the wire.
+func EncodeChunk(chunk Chunk) ([]byte, error) { return encode(chunk) }
+
+// DecodeChunk reads what EncodeChunk has written; the error wraps ErrMessage.
+func DecodeChunk(data []byte) (Chunk, error) { return decode[Chunk](data) }
+
 func encode(message any) ([]byte, error) {
 	text, err := json.Marshal(message)
 	if err != nil {
--- a/records/digest.go
+++ b/records/digest.go
@@ -4,6 +4,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"math/bits"
 )
@@ -22,6 +23,9 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
+// errNoDigest is that a message lacks its digest: no content has the digest 0.
+var errNoDigest = errors.New("the digest is missing")
+
 // ParseDigest reads the hexadecimal form.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
--- a/records/list.go
+++ b/records/list.go
@@ -6,6 +6,9 @@
 	"fmt"
 )
 
+// minElementBytes is less than any element of a List takes as JSON.
+const minElementBytes = 16
+
 // List is a list that reads at most MaxRecords elements from JSON, so that a small
 // message cannot make a program allocate much, and none with unknown fields.
 type List[Element any] []Element
@@ -21,10 +24,11 @@
 	if start, err := decoder.Token(); err != nil || start != json.Delim('[') {
 		return fmt.Errorf("want a list, not %.32q", data)
 	}
+	highest := min(MaxRecords, len(data)/minElementBytes)
 	var list List[Element]
 	for decoder.More() {
-		if len(list) == MaxRecords {
-			return fmt.Errorf("a list has more than %d elements", MaxRecords)
+		if len(list) == highest {
+			return fmt.Errorf("a list of %d bytes has more than %d elements", len(data), highest)
 		}
 		var element Element
 		if err := decoder.Decode(&element); err != nil {
--- /dev/null
+++ b/records/machine_test.go
@@ -0,0 +1,335 @@
+package records
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// model is what the store should hold, kept in the plainest way.
+type model struct {
+	values   map[Key]string
+	versions map[Key]uint64
+}
+
+func (m model) clone() model {
+	return model{values: maps.Clone(m.values), versions: maps.Clone(m.versions)}
+}
+
+// allows tells whether every record is valid and has what it needs.
+func (m model) allows() bool {
+	for key, value := range m.values {
+		parsed, _, problem := ParseValue(key.Kind, []byte(value))
+		if problem != nil {
+			return false
+		}
+		if needed, _, ok := parsed.Reference(); ok {
+			if _, found := m.values[needed]; !found {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+func drawOperation(t *rapid.T) Operation {
+	kind := rapid.SampledFrom(Kinds()).Draw(t, "kind")
+	operation := Operation{Key: Key{Kind: kind, Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")}}
+	if rapid.IntRange(0, 3).Draw(t, "delete") == 0 {
+		operation.Delete = true
+		return operation
+	}
+	other := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "other")
+	number := rapid.IntRange(1, 3).Draw(t, "number")
+	switch kind {
+	case Plan:
+		operation.Value = fmt.Appendf(nil, `{"price_weight":%d,"requests_per_second":1}`, number)
+	case Tenant:
+		operation.Value = fmt.Appendf(nil, `{"plan":"%s","burst":%d}`, other, number)
+	case Service:
+		operation.Value = fmt.Appendf(nil, `{"class":"c%d"}`, number)
+	case Route:
+		operation.Value = fmt.Appendf(nil, `{"service":"%s","prefix":"/%d"}`, other, number)
+	}
+	return operation
+}
+
+func drawOperations(t *rapid.T) []Operation {
+	operations := rapid.SliceOfN(rapid.Custom(drawOperation), 1, 6).Draw(t, "operations")
+	seen := map[Key]bool{}
+	return slices.DeleteFunc(operations, func(operation Operation) bool {
+		again := seen[operation.Key]
+		seen[operation.Key] = true
+		return again
+	})
+}
+
+// machine is a store, its model, and replicas that meet every fault.
+type machine struct {
+	store    *Store
+	model    model
+	index    uint64
+	accepted map[uint64]Digest // all versions that there have been
+	deltas   []Delta           // some of all that have been sent
+	replicas []*Replica
+	repairs  []*Repair
+	seen     []uint64 // versions of the replicas, which never go back
+}
+
+func newMachine() *machine {
+	m := &machine{store: &Store{}, model: model{values: map[Key]string{}, versions: map[Key]uint64{}}}
+	m.accepted = map[uint64]Digest{0: m.store.Digest()}
+	for range 3 {
+		m.replicas = append(m.replicas, &Replica{})
+	}
+	m.repairs = make([]*Repair, len(m.replicas))
+	m.seen = make([]uint64, len(m.replicas))
+	return m
+}
+
+// change applies a change to the store and to the model, and compares the results.
+func (m *machine) change(t *rapid.T) {
+	operations := drawOperations(t)
+	m.index += uint64(rapid.IntRange(1, 3).Draw(t, "step"))
+	want := Unchanged
+	after := m.model.clone()
+	for i, operation := range operations {
+		if rapid.IntRange(0, 4).Draw(t, "conditional") == 0 {
+			expected := rapid.SampledFrom([]uint64{0, m.store.Version(), m.model.versions[operation.Key]}).Draw(t, "expected")
+			operations[i].If = &expected
+			if expected != m.model.versions[operation.Key] {
+				want = Conflict
+			}
+		}
+		value, found := m.model.values[operation.Key]
+		if operation.Delete && !found || !operation.Delete && value == string(operation.Value) {
+			continue
+		}
+		if want == Unchanged {
+			want = Accepted
+		}
+		delete(after.values, operation.Key)
+		delete(after.versions, operation.Key)
+		if !operation.Delete {
+			after.values[operation.Key] = string(operation.Value)
+			after.versions[operation.Key] = m.index
+		}
+	}
+	if want == Accepted && !after.allows() {
+		want = Invalid
+	}
+	result, err := m.store.Apply(m.index, change(operations...))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if result.Status != want {
+		t.Fatalf("%s (%v), want %s", result.Status, result.Problem, want)
+	}
+	if want == Accepted {
+		m.model = after
+		m.accepted[m.index] = m.store.Digest()
+	}
+}
+
+func (m *machine) pick(t *rapid.T) int {
+	return rapid.IntRange(0, len(m.replicas)-1).Draw(t, "replica")
+}
+
+// send gives a replica the changes since any version.
+func (m *machine) send(t *rapid.T) {
+	replica := m.replicas[m.pick(t)]
+	from := replica.Version()
+	if rapid.Bool().Draw(t, "any version") {
+		from = rapid.Uint64Range(0, m.store.Version()).Draw(t, "from")
+	}
+	delta, err := m.store.ChangesSince(from)
+	if err != nil {
+		if !errors.Is(err, ErrCompacted) || from >= m.store.log.floorVersion {
+			t.Fatal(err)
+		}
+		return
+	}
+	m.deltas = append(m.deltas, delta)
+	err = replica.ApplyDelta(delta)
+	if from > replica.Version() && !errors.Is(err, ErrGap) || from <= replica.Version() && err != nil {
+		t.Fatalf("from %d: %v", from, err)
+	}
+}
+
+// resend gives a replica something that has been sent before, perhaps damaged.
+func (m *machine) resend(t *rapid.T) {
+	if len(m.deltas) == 0 {
+		t.Skip("nothing has been sent")
+	}
+	delta := rapid.SampledFrom(m.deltas).Draw(t, "delta")
+	switch rapid.IntRange(0, 4).Draw(t, "damage") {
+	case 0:
+		delta.Puts = delta.Puts[:len(delta.Puts)/2]
+	case 1:
+		delta.Deletes = delta.Deletes[:len(delta.Deletes)/2]
+	case 2:
+		if delta.Puts = slices.Clone(delta.Puts); len(delta.Puts) > 0 {
+			delta.Puts[0].Version = max(1, delta.Puts[0].Version-1)
+		}
+	case 3:
+		delta.From = min(delta.From+1, delta.To)
+	}
+	_ = m.replicas[m.pick(t)].ApplyDelta(delta) // check looks at what has become of it
+}
+
+func (m *machine) compact(t *rapid.T) {
+	m.store.log.compact(rapid.IntRange(0, len(m.store.log.entries)).Draw(t, "count"))
+}
+
+func (m *machine) restart(t *rapid.T) {
+	data, err := m.store.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored := &Store{}
+	if err := restored.Restore(data); err != nil {
+		t.Fatal(err)
+	}
+	m.store = restored
+	i := m.pick(t)
+	data, err = m.replicas[i].Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	m.replicas[i], m.repairs[i] = &Replica{}, nil
+	if err := m.replicas[i].Restore(data); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// repair takes one step of a replica's repair, the wrong one at times.
+func (m *machine) repair(t *rapid.T) {
+	i := m.pick(t)
+	if m.repairs[i] == nil {
+		m.repairs[i] = NewRepair(m.replicas[i])
+	}
+	m.repairStep(t, i, rapid.IntRange(1, 400).Draw(t, "bytes"))
+}
+
+func (m *machine) repairStep(t *rapid.T, i, maxBytes int) {
+	repair := m.repairs[i]
+	switch repair.Next() {
+	case NeedDigests:
+		if err := repair.TakeDigests(m.store.RangeDigests()); err != nil {
+			t.Fatal(err)
+		}
+	case NeedContent:
+		chunk := m.store.Chunk(ContentRequest{Ranges: repair.Pending(), MaxBytes: maxBytes})
+		if err := repair.TakeChunk(chunk); err != nil {
+			t.Fatal(err)
+		}
+	case NeedChanges:
+		delta, err := m.store.ChangesSince(repair.Since())
+		if err != nil {
+			repair.Recompare()
+			return
+		}
+		if err := repair.Finish(m.replicas[i], delta); err != nil {
+			t.Fatalf("finish: %v", err)
+		}
+		m.repairs[i] = nil
+	}
+}
+
+// check holds the store to the model, and each replica to a version that there was.
+func (m *machine) check(t *rapid.T) {
+	if m.store.Len() != len(m.model.values) {
+		t.Fatalf("%d records, want %d", m.store.Len(), len(m.model.values))
+	}
+	for key, value := range m.model.values {
+		record, found := m.store.Get(key)
+		if !found || string(record.Value) != value || record.Version != m.model.versions[key] {
+			t.Fatalf("%s: %+v", key, record)
+		}
+	}
+	for i, replica := range m.replicas {
+		digest, found := m.accepted[replica.Version()]
+		if !found || digest != replica.Digest() {
+			t.Fatalf("replica %d at version %d is no version that there was", i, replica.Version())
+		}
+		if replica.Version() < m.seen[i] {
+			t.Fatalf("replica %d went back from %d to %d", i, m.seen[i], replica.Version())
+		}
+		m.seen[i] = replica.Version()
+	}
+}
+
+// Whatever happens to the changes on their way, a replica is always exactly one of
+// the versions that were accepted, never goes back, and comes to the newest in the
+// end.
+func TestReplicasAreWholeVersions(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newMachine()
+		t.Repeat(map[string]func(*rapid.T){
+			"change":  m.change,
+			"change2": m.change,
+			"send":    m.send,
+			"resend":  m.resend,
+			"compact": m.compact,
+			"restart": m.restart,
+			"repair":  m.repair,
+			"repair2": m.repair,
+			"":        m.check,
+		})
+		m.store.log.compact(len(m.store.log.entries))
+		for i, replica := range m.replicas {
+			m.repairs[i] = NewRepair(replica)
+			for steps := 0; m.repairs[i] != nil; steps++ {
+				if steps > 2*RangeCount {
+					t.Fatal("the repair does not end")
+				}
+				m.repairStep(t, i, MaxChunkBytes)
+			}
+			if replica.Version() != m.store.Version() || replica.Digest() != m.store.Digest() {
+				t.Fatalf("replica %d is at %d after the repair, the store at %d", i, replica.Version(), m.store.Version())
+			}
+		}
+		m.check(t)
+	})
+}
+
+// Of two operators who change the same record from the same version, one succeeds.
+func TestTwoOperatorsAtTheSameRecord(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		store := &Store{}
+		if _, err := store.Apply(1, change(put("plan/a", planValue))); err != nil {
+			t.Fatal(err)
+		}
+		read := [2]uint64{1, 1}
+		succeeded := 0
+		for index := uint64(2); index < 20; index++ {
+			who := rapid.IntRange(0, 1).Draw(t, "who")
+			if rapid.Bool().Draw(t, "read again") {
+				record, _ := store.Get(key("plan/a"))
+				read[who] = record.Version
+				continue
+			}
+			before := store.Version()
+			value := fmt.Sprintf(`{"price_weight":1,"requests_per_second":%d}`, index)
+			result, err := store.Apply(index, change(onlyIf(read[who], put("plan/a", value))))
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := Conflict
+			if read[who] == before {
+				want = Accepted
+				succeeded++
+			}
+			if result.Status != want {
+				t.Fatalf("%s, want %s", result.Status, want)
+			}
+		}
+		if len(store.History(0)) != 1+succeeded {
+			t.Fatalf("%d changes, %d succeeded", len(store.History(0)), succeeded)
+		}
+	})
+}
--- /dev/null
+++ b/records/ranges.go
@@ -0,0 +1,223 @@
+package records
+
+import (
+	"encoding/base64"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// MaxChunkBytes bounds the ranges of a chunk before compression. A single range is
+// always given whole.
+const MaxChunkBytes = 256 << 10
+
+// DigestList is the short digests of all ranges: the low halves of their sums. The
+// digest of an empty range is 0.
+type DigestList [RangeCount]uint64
+
+const digestListBytes = RangeCount * 8
+
+// MarshalText writes the list in base64.
+func (l DigestList) MarshalText() ([]byte, error) {
+	raw := make([]byte, 0, digestListBytes)
+	for _, digest := range l {
+		raw = binary.BigEndian.AppendUint64(raw, digest)
+	}
+	return base64.RawStdEncoding.AppendEncode(nil, raw), nil
+}
+
+// UnmarshalText reads what MarshalText has written.
+func (l *DigestList) UnmarshalText(text []byte) error {
+	if want := base64.RawStdEncoding.EncodedLen(digestListBytes); len(text) != want {
+		return fmt.Errorf("digests of ranges: %d characters instead of %d", len(text), want)
+	}
+	raw, err := base64.RawStdEncoding.Strict().DecodeString(string(text))
+	if err != nil {
+		return fmt.Errorf("digests of ranges: %w", err)
+	}
+	if len(raw) != digestListBytes {
+		return fmt.Errorf("digests of ranges: %d bytes instead of %d", len(raw), digestListBytes)
+	}
+	for i := range l {
+		l[i] = binary.BigEndian.Uint64(raw[i*8:])
+	}
+	return nil
+}
+
+// RangeDigests tells the digests of a server's ranges at its version.
+type RangeDigests struct {
+	Version uint64      `json:"version"`
+	Digest  Digest      `json:"digest"` // of the whole content
+	Ranges  *DigestList `json:"ranges"`
+}
+
+// check returns what is contradictory in the message.
+func (d RangeDigests) check() error {
+	if d.Digest == (Digest{}) {
+		return errNoDigest
+	}
+	if d.Ranges == nil {
+		return errors.New("the digests of the ranges are missing")
+	}
+	return nil
+}
+
+// RangeContent is all records of one range, in order of key.
+type RangeContent struct {
+	Range   int          `json:"range"`
+	Digest  uint64       `json:"digest"` // as in DigestList
+	Records List[Record] `json:"records"`
+}
+
+// check returns what is contradictory in the content of a range at a version.
+func (c RangeContent) check(version uint64) error {
+	if c.Range < 0 || c.Range >= RangeCount {
+		return fmt.Errorf("there is no range %d", c.Range)
+	}
+	for i, record := range c.Records {
+		if err := checkRecord(record, version); err != nil {
+			return err
+		}
+		if RangeOf(record.Key) != c.Range {
+			return fmt.Errorf("%s is not of range %d", record.Key, c.Range)
+		}
+		if i > 0 && c.Records[i-1].Key.Compare(record.Key) >= 0 {
+			return fmt.Errorf("%s does not come after %s", record.Key, c.Records[i-1].Key)
+		}
+	}
+	if digest := hashRecords(c.Records).low; digest != c.Digest {
+		return fmt.Errorf("range %d: %w: %016x instead of %016x", c.Range, ErrDigest, digest, c.Digest)
+	}
+	return nil
+}
+
+// size is about how many bytes the content takes before compression.
+func (c RangeContent) size() int {
+	size := recordOverhead
+	for _, record := range c.Records {
+		size += recordOverhead + record.size()
+	}
+	return size
+}
+
+// ContentRequest asks a server for the content of ranges.
+type ContentRequest struct {
+	Ranges   []int // in ascending order
+	MaxBytes int   // before compression; the rest is asked for again
+}
+
+// Chunk is the content of some ranges, all read at one version of a server.
+type Chunk struct {
+	Version uint64             `json:"version"`
+	Digest  Digest             `json:"digest"` // of the server's whole content
+	Ranges  List[RangeContent] `json:"ranges"` // in ascending order
+}
+
+// check returns what is contradictory in a chunk.
+func (c Chunk) check() error {
+	if c.Digest == (Digest{}) {
+		return errNoDigest
+	}
+	records := 0
+	for i, content := range c.Ranges {
+		if i > 0 && content.Range <= c.Ranges[i-1].Range {
+			return fmt.Errorf("range %d follows %d", content.Range, c.Ranges[i-1].Range)
+		}
+		if err := content.check(c.Version); err != nil {
+			return err
+		}
+		records += len(content.Records)
+	}
+	if records > MaxRecords {
+		return fmt.Errorf("the chunk has %d records, at most %d are allowed", records, MaxRecords)
+	}
+	return nil
+}
+
+// RangeDigests tells the digests of all ranges.
+func (s *Store) RangeDigests() RangeDigests {
+	return RangeDigests{Version: s.version, Digest: s.Digest(), Ranges: s.current().digests()}
+}
+
+func (s *state) digests() *DigestList {
+	var list DigestList
+	for i := range s.ranges {
+		list[i] = s.ranges[i].sum.low
+	}
+	return &list
+}
+
+// Range returns the content of a range, from 0 to RangeCount-1, at the store's
+// version. Its records are not to be changed; later changes leave them as they are.
+func (s *Store) Range(index int) RangeContent {
+	keys := &s.current().ranges[index]
+	return RangeContent{Range: index, Digest: keys.sum.low, Records: keys.records}
+}
+
+// Chunk returns the first of the ranges that a request names: at least one, more
+// while they fit its bound and MaxChunkBytes. Ranges that do not exist are left out.
+func (s *Store) Chunk(request ContentRequest) Chunk {
+	chunk := Chunk{Version: s.version, Digest: s.Digest()}
+	room := min(request.MaxBytes, MaxChunkBytes)
+	for _, index := range request.Ranges {
+		if index < 0 || index >= RangeCount {
+			continue
+		}
+		content := s.Range(index)
+		room -= content.size()
+		if room < 0 && len(chunk.Ranges) > 0 {
+			break
+		}
+		chunk.Ranges = append(chunk.Ranges, content)
+	}
+	return chunk
+}
+
+// FormatRanges writes ascending ranges in short, such as "0-9,12".
+func FormatRanges(ranges []int) string {
+	var text strings.Builder
+	for i := 0; i < len(ranges); {
+		last := i
+		for last+1 < len(ranges) && ranges[last+1] == ranges[last]+1 {
+			last++
+		}
+		if i > 0 {
+			text.WriteByte(',')
+		}
+		text.WriteString(strconv.Itoa(ranges[i]))
+		if last > i {
+			text.WriteByte('-')
+			text.WriteString(strconv.Itoa(ranges[last]))
+		}
+		i = last + 1
+	}
+	return text.String()
+}
+
+// ParseRanges reads what FormatRanges has written: at least one range, all of them
+// existing and in ascending order.
+func ParseRanges(text string) ([]int, error) {
+	var ranges []int
+	next := 0
+	for part := range strings.SplitSeq(text, ",") {
+		firstText, lastText, several := strings.Cut(part, "-")
+		if !several {
+			lastText = firstText
+		}
+		first, firstErr := strconv.Atoi(firstText)
+		last, lastErr := strconv.Atoi(lastText)
+		if firstErr != nil || lastErr != nil {
+			return nil, fmt.Errorf("ranges: %.32q: want a number or FIRST-LAST", part)
+		}
+		if first < next || last < first || last >= RangeCount {
+			return nil, fmt.Errorf("ranges: %.32q: want numbers in ascending order from 0 to %d", part, RangeCount-1)
+		}
+		for index := first; index <= last; index++ {
+			ranges = append(ranges, index)
+		}
+		next = last + 1
+	}
+	return ranges, nil
+}
--- a/records/snapshot_test.go
+++ b/records/snapshot_test.go
@@ -1,7 +1,9 @@
 package records
 
 import (
+	"crypto/sha256"
 	"errors"
+	"slices"
 	"testing"
 )
 
@@ -157,6 +159,15 @@
 	}
 }
 
+// sealed returns a snapshot of a body with the checksum that fits.
+func sealed(header string, body []byte) []byte {
+	checksum := sha256.Sum256(body)
+	return slices.Concat([]byte(header), checksum[:], body)
+}
+
+// unsealed returns the body of a snapshot.
+func unsealed(header string, data []byte) []byte { return data[len(header)+sha256.Size:] }
+
 func digestOf(records []Record) Digest {
 	draft := emptyState.edit()
 	for _, record := range records {
