--- /dev/null
+++ b/internal/recordsync/handler.go
@@ -0,0 +1,189 @@
+package recordsync
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"elderyard/records"
+)
+
+// MaxWaiting is how many requests for changes a handler holds open at once; more
+// are turned away, and go to another server.
+const MaxWaiting = 2048
+
+// writeWithin is how long the reader of an answer may take.
+const writeWithin = 30 * time.Second
+
+// Source is where a handler reads the records. It is used by several goroutines.
+type Source interface {
+	// ReadRecords calls read with the present store, which must not be kept.
+	ReadRecords(read func(*records.Store))
+	// RecordsChanged returns a channel that is closed at the next change.
+	RecordsChanged() <-chan struct{}
+}
+
+// Handler answers followers from one source, whether that leads or not.
+type Handler struct {
+	source  Source
+	waiting chan struct{}
+	encoded encodedAnswers
+	mux     *http.ServeMux
+}
+
+// NewHandler makes a handler of a source.
+func NewHandler(source Source) *Handler {
+	h := &Handler{source: source, waiting: make(chan struct{}, MaxWaiting), mux: http.NewServeMux()}
+	h.mux.HandleFunc("GET "+ChangesPath, h.serveChanges)
+	h.mux.HandleFunc("GET "+RangesPath, h.serveRanges)
+	h.mux.HandleFunc("GET "+ContentPath, h.serveContent)
+	return h
+}
+
+// ServeHTTP answers a follower.
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
+
+// Waiting returns how many requests for changes are held open.
+func (h *Handler) Waiting() int { return len(h.waiting) }
+
+func (h *Handler) serveChanges(w http.ResponseWriter, r *http.Request) {
+	request, err := parseChanges(r.URL.Query())
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	answer, err := h.answer(r.Context(), request)
+	if errors.Is(err, errBusy) {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	if err != nil {
+		return // the follower has gone
+	}
+	data, err := h.encoded.encode(request, answer)
+	write(w, data, err)
+}
+
+var errBusy = fmt.Errorf("%d requests for changes are waiting, and no more may", MaxWaiting)
+
+// answer answers at once if there is something to tell, and else when there is, or
+// when the time that the follower gives is over.
+func (h *Handler) answer(ctx context.Context, request records.ChangesRequest) (records.Answer, error) {
+	answer, changed := h.look(request)
+	if !answer.NothingNew() || request.Wait <= 0 {
+		return answer, nil
+	}
+	select {
+	case h.waiting <- struct{}{}:
+		defer func() { <-h.waiting }()
+	default:
+		return answer, errBusy
+	}
+	timer := time.NewTimer(request.Wait)
+	defer timer.Stop()
+	for answer.NothingNew() {
+		select {
+		case <-changed:
+			answer, changed = h.look(request)
+		case <-timer.C:
+			return answer, nil
+		case <-ctx.Done():
+			return answer, ctx.Err()
+		}
+	}
+	return answer, nil
+}
+
+// look answers from the present state, and returns what is closed when that changes.
+func (h *Handler) look(request records.ChangesRequest) (answer records.Answer, changed <-chan struct{}) {
+	changed = h.source.RecordsChanged() // first: a change in between is seen twice, and not missed
+	h.source.ReadRecords(func(store *records.Store) { answer = store.Answer(request) })
+	return answer, changed
+}
+
+func (h *Handler) serveRanges(w http.ResponseWriter, _ *http.Request) {
+	var digests records.RangeDigests
+	h.source.ReadRecords(func(store *records.Store) { digests = store.RangeDigests() })
+	data, err := records.EncodeRangeDigests(digests)
+	write(w, data, err)
+}
+
+func (h *Handler) serveContent(w http.ResponseWriter, r *http.Request) {
+	request, err := parseContent(r.URL.Query())
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	var chunk records.Chunk
+	h.source.ReadRecords(func(store *records.Store) { chunk = store.Chunk(request) })
+	data, err := records.EncodeChunk(chunk)
+	write(w, data, err)
+}
+
+func write(w http.ResponseWriter, data []byte, err error) {
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	// A connection that knows no deadlines has none.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin))
+	w.Header().Set("Content-Type", "application/octet-stream")
+	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
+	_, _ = w.Write(data) // the follower notices what is cut short
+}
+
+// ---- requests as queries, both ways
+
+func parseChanges(query url.Values) (records.ChangesRequest, error) {
+	since, err := strconv.ParseUint(query.Get("since"), 10, 64)
+	if err != nil {
+		return records.ChangesRequest{}, fmt.Errorf("since=%.32q is no version", query.Get("since"))
+	}
+	request := records.ChangesRequest{Since: since}
+	if text := query.Get("digest"); text != "" {
+		digest, err := records.ParseDigest(text)
+		if err != nil {
+			return records.ChangesRequest{}, err
+		}
+		request.Digest = &digest
+	}
+	if text := query.Get("wait_ms"); text != "" {
+		millis, err := strconv.ParseUint(text, 10, 32)
+		if err != nil {
+			return records.ChangesRequest{}, fmt.Errorf("wait_ms=%.32q is no number of milliseconds", text)
+		}
+		request.Wait = min(time.Duration(millis)*time.Millisecond, records.MaxWait)
+	}
+	return request, nil
+}
+
+func changesQuery(request records.ChangesRequest) url.Values {
+	query := url.Values{"since": {strconv.FormatUint(request.Since, 10)}}
+	if request.Digest != nil {
+		query.Set("digest", request.Digest.String())
+	}
+	if request.Wait > 0 {
+		query.Set("wait_ms", strconv.FormatInt(request.Wait.Milliseconds(), 10))
+	}
+	return query
+}
+
+func parseContent(query url.Values) (records.ContentRequest, error) {
+	ranges, err := records.ParseRanges(query.Get("ranges"))
+	if err != nil {
+		return records.ContentRequest{}, err
+	}
+	maxBytes, err := strconv.ParseUint(query.Get("max_bytes"), 10, 31)
+	if err != nil {
+		return records.ContentRequest{}, fmt.Errorf("max_bytes=%.32q is no number of bytes", query.Get("max_bytes"))
+	}
+	return records.ContentRequest{Ranges: ranges, MaxBytes: int(maxBytes)}, nil
+}
+
+func contentQuery(request records.ContentRequest) url.Values {
+	return url.Values{"ranges": {records.FormatRanges(request.Ranges)}, "max_bytes": {strconv.Itoa(request.MaxBytes)}}
+}
--- /dev/null
+++ b/internal/recordsync/handler_test.go
@@ -0,0 +1,164 @@
+package recordsync
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"elderyard/records"
+)
+
+func TestHandlerTellsChanges(t *testing.T) {
+	source := newMemorySource()
+	source.apply(t, many(3)...)
+	server := serve(t, NewHandler(source)).Listener.Addr().String()
+	client := newWireClient(t)
+
+	empty := (&records.Store{}).Digest()
+	answer, size, err := client.changes(t.Context(), server, records.ChangesRequest{Digest: &empty})
+	must(t, err)
+	if answer.Version != 1 || answer.Delta == nil || len(answer.Delta.Puts) != 3 || size == 0 {
+		t.Fatalf("%+v in %d bytes", answer, size)
+	}
+	// The same again is answered from what was encoded before.
+	again, _, err := client.changes(t.Context(), server, records.ChangesRequest{Digest: &empty})
+	must(t, err)
+	if again.Delta == nil || again.Delta.Digest != answer.Delta.Digest {
+		t.Fatalf("%+v", again)
+	}
+	if answer, _, err = client.changes(t.Context(), server, records.ChangesRequest{Since: 5}); err != nil || !answer.Behind || answer.Version != 1 {
+		t.Fatalf("%+v, %v", answer, err)
+	}
+	if answer, _, err = client.changes(t.Context(), server, records.ChangesRequest{Since: 1, Digest: &records.Digest{1}}); err != nil || answer.Repair != records.RepairDigest {
+		t.Fatalf("%+v, %v", answer, err)
+	}
+	digest := source.digest()
+	if answer, _, err = client.changes(t.Context(), server, records.ChangesRequest{Since: 1, Digest: &digest}); err != nil || !answer.NothingNew() {
+		t.Fatalf("%+v, %v", answer, err)
+	}
+}
+
+func TestHandlerWaitsForAChange(t *testing.T) {
+	source := newMemorySource()
+	source.apply(t, plan("gold", 1))
+	handler := NewHandler(source)
+	server := serve(t, handler).Listener.Addr().String()
+	client := newWireClient(t)
+	digest := source.digest()
+	request := records.ChangesRequest{Since: 1, Digest: &digest, Wait: records.MaxWait}
+
+	answers := make(chan records.Answer, 1)
+	go func() {
+		answer, _, err := client.changes(t.Context(), server, request)
+		if err != nil {
+			t.Error(err)
+		}
+		answers <- answer
+	}()
+	until(t, "the request waits", func() bool { return handler.Waiting() == 1 })
+	source.apply(t, plan("silver", 1))
+	if answer := <-answers; answer.Version != 2 || answer.Delta == nil {
+		t.Fatalf("%+v", answer)
+	}
+	until(t, "nobody waits", func() bool { return handler.Waiting() == 0 })
+
+	// One that goes away gives its place back.
+	ctx, cancel := context.WithCancel(t.Context())
+	gone := make(chan error, 1)
+	digest = source.digest()
+	go func() {
+		_, _, err := client.changes(ctx, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: records.MaxWait})
+		gone <- err
+	}()
+	until(t, "the request waits", func() bool { return handler.Waiting() == 1 })
+	cancel()
+	if err := <-gone; err == nil {
+		t.Fatal("a request that was given up was answered")
+	}
+	until(t, "its place is free", func() bool { return handler.Waiting() == 0 })
+
+	// With nothing new the wait ends by itself.
+	answer, _, err := client.changes(t.Context(), server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: time.Millisecond})
+	if err != nil || !answer.NothingNew() {
+		t.Fatalf("%+v, %v", answer, err)
+	}
+}
+
+func TestHandlerBoundsWaiting(t *testing.T) {
+	source := newMemorySource()
+	handler := NewHandler(source)
+	for range MaxWaiting {
+		handler.waiting <- struct{}{}
+	}
+	server := serve(t, handler).Listener.Addr().String()
+	client := newWireClient(t)
+	_, _, err := client.changes(t.Context(), server, records.ChangesRequest{Wait: records.MaxWait})
+	if err == nil || !strings.Contains(err.Error(), "503") {
+		t.Fatalf("one more than may wait: %v", err)
+	}
+	if answer, _, err := client.changes(t.Context(), server, records.ChangesRequest{}); err != nil || !answer.NothingNew() {
+		t.Fatalf("one that does not wait: %+v, %v", answer, err)
+	}
+}
+
+func TestHandlerTellsRanges(t *testing.T) {
+	source := newMemorySource()
+	source.apply(t, many(500)...)
+	server := serve(t, NewHandler(source)).Listener.Addr().String()
+	client := newWireClient(t)
+	digests, _, err := client.rangeDigests(t.Context(), server)
+	must(t, err)
+	if digests.Version != 1 || digests.Digest != source.digest() {
+		t.Fatalf("%+v", digests)
+	}
+	replica := &records.Replica{}
+	repair := records.NewRepair(replica)
+	chunks := 0
+	for repair.Next() == records.NeedContent {
+		chunk, _, err := client.chunk(t.Context(), server, records.ContentRequest{Ranges: repair.Pending(), MaxBytes: 10_000})
+		must(t, err)
+		must(t, repair.TakeChunk(chunk))
+		chunks++
+	}
+	answer, _, err := client.changes(t.Context(), server, records.ChangesRequest{Since: repair.Since()})
+	must(t, err)
+	delta := records.Delta{From: answer.Version, To: answer.Version, Digest: answer.Digest}
+	must(t, repair.Finish(replica, delta))
+	if chunks < 2 || replica.Digest() != source.digest() {
+		t.Fatalf("%d chunks, digest %s", chunks, replica.Digest())
+	}
+}
+
+func TestHandlerRefusesWhatMakesNoSense(t *testing.T) {
+	source := newMemorySource()
+	url := serve(t, NewHandler(source)).URL
+	for path, want := range map[string]string{
+		ChangesPath:                                     `since="" is no version`,
+		ChangesPath + "?since=-1":                       `since="-1" is no version`,
+		ChangesPath + "?since=1&digest=xy":              "want 32 hexadecimal digits",
+		ChangesPath + "?since=1&wait_ms=soon":           `wait_ms="soon"`,
+		ContentPath + "?ranges=9-3&max_bytes=1":         "ascending",
+		ContentPath + "?ranges=1&max_bytes=-1":          `max_bytes="-1"`,
+		ContentPath + "?ranges=1024&max_bytes=1":        "ranges",
+		ContentPath + "?max_bytes=1000":                 "ranges",
+		ContentPath + "?ranges=1&max_bytes=99999999999": "max_bytes",
+	} {
+		response, err := http.Get(url + path)
+		must(t, err)
+		text, err := io.ReadAll(response.Body)
+		must(t, err)
+		response.Body.Close()
+		if response.StatusCode != http.StatusBadRequest || !strings.Contains(string(text), want) {
+			t.Errorf("%s: %s %s, want %q", path, response.Status, text, want)
+		}
+	}
+	response, err := http.Post(url+ChangesPath, "text/plain", nil)
+	must(t, err)
+	response.Body.Close()
+	if response.StatusCode != http.StatusMethodNotAllowed {
+		t.Errorf("POST: %s", response.Status)
+	}
+}
--- /dev/null
+++ b/internal/recordsync/helpers_test.go
@@ -0,0 +1,103 @@
+package recordsync
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"sync"
+	"testing"
+	"time"
+
+	"elderyard/records"
+)
+
+const patience = time.Minute
+
+var testTime = time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC)
+
+// memorySource is a store without voters.
+type memorySource struct {
+	mu      sync.Mutex
+	store   *records.Store
+	changed chan struct{}
+}
+
+func newMemorySource() *memorySource {
+	return &memorySource{store: &records.Store{}, changed: make(chan struct{})}
+}
+
+func (s *memorySource) ReadRecords(read func(*records.Store)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	read(s.store)
+}
+
+func (s *memorySource) RecordsChanged() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.changed
+}
+
+func (s *memorySource) digest() (digest records.Digest) {
+	s.ReadRecords(func(store *records.Store) { digest = store.Digest() })
+	return digest
+}
+
+// apply makes one change at the next version.
+func (s *memorySource) apply(t testing.TB, operations ...records.Operation) uint64 {
+	t.Helper()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	version := s.store.Applied() + 1
+	result, err := s.store.Apply(version, records.Change{Author: "ann", At: testTime, Operations: operations})
+	if err != nil || result.Status != records.Accepted {
+		t.Fatalf("%+v (%v), %v", result, result.Problem, err)
+	}
+	close(s.changed)
+	s.changed = make(chan struct{})
+	return version
+}
+
+func must(t testing.TB, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+func until(t testing.TB, what string, is func() bool) {
+	t.Helper()
+	for limit := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(limit) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+func plan(name string, price int) records.Operation {
+	value := fmt.Sprintf(`{"price_weight":%d,"requests_per_second":10}`, price)
+	return records.Operation{Key: records.Key{Kind: records.Plan, Name: name}, Value: json.RawMessage(value)}
+}
+
+// many returns so many plans whose values differ.
+func many(count int) (operations []records.Operation) {
+	for i := range count {
+		operations = append(operations, plan(fmt.Sprintf("p%05d", i), 1+i))
+	}
+	return operations
+}
+
+func serve(t testing.TB, handler http.Handler) *httptest.Server {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return server
+}
+
+func newWireClient(t testing.TB) *wireClient {
+	t.Helper()
+	client := &http.Client{Transport: &http.Transport{}}
+	t.Cleanup(client.CloseIdleConnections)
+	return &wireClient{http: client, base: func(server string) string { return "http://" + server }}
+}
