--- /dev/null
+++ b/records/follower_test.go
@@ -0,0 +1,344 @@
+package records
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// inForce is how long a change may take to be in force everywhere.
+const inForce = 19 * time.Second
+
+func urgent(number int) Operation {
+	return put("tenant/urgent", fmt.Sprintf(`{"plan":"gold","requests_per_second":%d}`, number+1))
+}
+
+// settledWorld has all followers at the newest version.
+func settledWorld(t *testing.T, servers, followers int) *world {
+	t.Helper()
+	w := newWorld(t, servers, followers, smallStore(t))
+	w.mustReach(5 * time.Second)
+	return w
+}
+
+func TestFollowersAtRest(t *testing.T) {
+	w := settledWorld(t, 6, 60)
+	for _, server := range w.servers {
+		server.asks = 0
+	}
+	for _, f := range w.followers {
+		f.asks, f.received = 0, 0
+	}
+	w.run(10 * time.Minute)
+	for _, server := range w.servers {
+		// 60 followers that ask every 8 seconds, spread over six servers.
+		if server.asks < 200 || server.asks > 1800 {
+			t.Errorf("%s was asked %d times", server.name, server.asks)
+		}
+	}
+	for _, f := range w.followers {
+		if f.asks > 80 || f.received > 80*200 {
+			t.Errorf("%s asked %d times and received %d bytes", f.name, f.asks, f.received)
+		}
+		status := f.follower.Status(w.now)
+		if age, known := status.Age(w.now); status.State != Following || !known || age > 10*time.Second || status.Reason != "" {
+			t.Errorf("%s: %+v", f.name, status)
+		}
+	}
+	w.change(urgent(1))
+	w.mustReach(time.Second)
+	for _, f := range w.followers {
+		if f.saved != w.version || f.saves != 2 {
+			t.Errorf("%s saved %d times, version %d at last", f.name, f.saves, f.saved)
+		}
+	}
+}
+
+func TestAChangeEachSecond(t *testing.T) {
+	w := settledWorld(t, 6, 12)
+	for _, f := range w.followers {
+		f.received = 0
+	}
+	for i := range 600 {
+		w.change(urgent(i))
+		w.tellHead()
+		w.run(time.Second)
+		if !w.everywhere() {
+			t.Fatalf("change %d is not everywhere after a second", i)
+		}
+	}
+	for _, f := range w.followers {
+		if f.received > 600*400 {
+			t.Errorf("%s received %d bytes", f.name, f.received)
+		}
+	}
+}
+
+// With all servers but one at fault in any one way, a change is everywhere in time
+// once its version has been told.
+func TestServersAtFault(t *testing.T) {
+	for _, fault := range faults() {
+		t.Run(fmt.Sprint(int(fault)), func(t *testing.T) {
+			w := settledWorld(t, 6, 30)
+			for _, server := range w.servers[2:] {
+				w.setFault(server, fault)
+			}
+			w.run(3 * time.Second)
+			w.change(urgent(1), put("service/new", serviceValue))
+			w.tellHead()
+			w.mustReach(inForce)
+			// Those at fault are left alone for a while.
+			w.change(urgent(2))
+			w.tellHead()
+			w.mustReach(inForce)
+			for _, server := range w.servers {
+				w.setFault(server, healthy)
+			}
+			w.change(urgent(3))
+			w.tellHead()
+			w.mustReach(inForce)
+		})
+	}
+}
+
+// A server that stands still is left even if nobody tells of the change.
+func TestServerThatStandsStill(t *testing.T) {
+	w := settledWorld(t, 2, 10)
+	w.setFault(w.servers[0], still)
+	w.change(urgent(1))
+	w.mustReach(inForce)
+	w.setFault(w.servers[0], healthy)
+	w.servers[0].asks = 0
+	w.run(time.Minute)
+	if w.servers[0].asks == 0 {
+		t.Error("nobody has come back to the server that woke")
+	}
+}
+
+// A follower that is cut off goes on with what it has, says so, and comes back by
+// the ranges that differ when the log has been compacted between.
+func TestCutOff(t *testing.T) {
+	w := newWorld(t, 3, 4, largeStore(t, 2000))
+	w.mustReach(2 * time.Minute)
+	w.run(time.Minute)
+	last := w.version
+	f := w.followers[0]
+	f.cut = true
+	for i := range 300 {
+		w.change(urgent(i), put(fmt.Sprintf("plan/p%d", i%5), planValue), put("service/x", fmt.Sprintf(`{"class":"c%d"}`, i)))
+		w.run(time.Second)
+	}
+	if !w.everywhere() {
+		t.Fatal("the others have not gone on")
+	}
+	status := f.follower.Status(w.now)
+	if age, known := status.Age(w.now); status.State != CutOff || status.Version != last || !known || age < 280*time.Second || status.Reason == "" {
+		t.Errorf("%+v, age %v", status, age)
+	}
+	if f.asks > 400 {
+		t.Errorf("asked %d times", f.asks)
+	}
+	for _, server := range w.servers {
+		server.store.log.compact(len(server.store.log.entries))
+	}
+	f.cut = false
+	f.received = 0
+	w.tellHead()
+	w.mustReach(inForce)
+	if f.received > 20_000 {
+		t.Errorf("received %d bytes for a few ranges", f.received)
+	}
+	if status := f.follower.Status(w.now); status.State != Following || status.Reason != "" {
+		t.Errorf("%+v", status)
+	}
+}
+
+// An empty replica is repaired within its budget, goes on where it was when servers
+// die, and keeps what it has fetched.
+func TestBudgetOfARepair(t *testing.T) {
+	w := newWorld(t, 3, 3, largeStore(t, 12_000))
+	budget := func(f *worldFollower, elapsed time.Duration) int {
+		return DefaultBurstBytes + int(elapsed.Seconds()*DefaultBytesPerSecond) + chunkBytes/2
+	}
+	start := w.now
+	for second := range 200 {
+		if w.everywhere() {
+			break
+		}
+		// Every server dies in turn and comes back.
+		for i, server := range w.servers {
+			w.setFault(server, healthy)
+			if second/7%3 == i {
+				w.setFault(server, refusing)
+			}
+		}
+		if second%5 == 0 {
+			w.change(urgent(second))
+		}
+		w.run(time.Second)
+		for _, f := range w.followers {
+			if most := budget(f, w.now.Sub(start)); f.received > most {
+				t.Fatalf("%s received %d bytes in %v, the budget is %d", f.name, f.received, w.now.Sub(start), most)
+			}
+		}
+	}
+	w.mustReach(inForce)
+	for _, f := range w.followers {
+		if f.received < 150_000 || f.received > 320_000 {
+			t.Errorf("%s received %d bytes", f.name, f.received)
+		}
+	}
+	t.Logf("12,000 records in %v, %d bytes", w.now.Sub(start), w.followers[0].received)
+}
+
+// While a repair is under way that takes long, a server that can give the changes
+// since the replica's version is found, and they come first.
+func TestChangesGoBeforeARepair(t *testing.T) {
+	w := newWorld(t, 2, 0, largeStore(t, 12_000))
+	replica := &Replica{}
+	if err := replica.ApplyDelta(since(t, w.newest, 0)); err != nil {
+		t.Fatal(err)
+	}
+	var bulk []Operation
+	for i := range 6000 {
+		bulk = append(bulk, put(fmt.Sprintf("tenant/bulk-%d", i), fmt.Sprintf(`{"plan":"free","burst":%d}`, i+1)))
+	}
+	w.change(bulk...)
+	compacted, whole := w.servers[0], w.servers[1]
+	compacted.store.log.compact(len(compacted.store.log.entries))
+	w.setFault(whole, refusing)
+	f := w.addFollower("gateway", replica)
+	w.run(10 * time.Second)
+	if status := f.follower.Status(w.now); status.State != Repairing || status.RangesWanted == 0 {
+		t.Fatalf("%+v", status)
+	}
+	w.setFault(whole, healthy)
+	w.setFault(compacted, refusing)
+	w.change(urgent(1))
+	w.tellHead()
+	w.mustReach(inForce)
+	if status := f.follower.Status(w.now); status.State != Following {
+		t.Errorf("%+v", status)
+	}
+}
+
+// One change of 5,000 records is everywhere in time, and so is an urgent one behind it.
+func TestLargeChange(t *testing.T) {
+	w := settledWorld(t, 6, 6)
+	var bulk []Operation
+	for i := range 5000 {
+		bulk = append(bulk, largeRecord(i))
+	}
+	w.change(bulk...)
+	w.mustReach(inForce)
+	w.change(urgent(1))
+	w.mustReach(inForce)
+}
+
+// A server whose content has gone wrong is not believed against the others.
+func TestServerWithAnotherDigest(t *testing.T) {
+	w := settledWorld(t, 3, 9)
+	// At the same version the first server has other content.
+	forged := smallStore(t)
+	apply(t, forged, 2, change(urgent(99)), Accepted)
+	w.servers[0].store = forged
+	w.servers[0].applied = 1
+	w.change(urgent(1))
+	w.tellHead()
+	w.mustReach(inForce)
+	w.run(time.Minute)
+	for _, f := range w.followers {
+		if f.follower.repair != nil {
+			t.Errorf("%s is in a repair: %+v", f.name, f.follower.Status(w.now))
+		}
+	}
+}
+
+// A replica whose content is not what all servers had is repaired.
+func TestReplicaWithAnotherDigest(t *testing.T) {
+	w := newWorld(t, 3, 0, smallStore(t))
+	forged := smallStore(t)
+	apply(t, forged, 2, change(urgent(99)), Accepted)
+	replica := &Replica{}
+	if err := replica.ApplyDelta(since(t, forged, 0)); err != nil {
+		t.Fatal(err)
+	}
+	w.change(urgent(1))
+	w.change(urgent(2))
+	w.accepted[2] = forged.Digest() // where the replica stands
+	f := w.addFollower("gateway", replica)
+	w.mustReach(inForce)
+	if status := f.follower.Status(w.now); status.State != Following || status.Reason != "" {
+		t.Errorf("%+v", status)
+	}
+}
+
+// Followers of one name and start decide alike; those of other names do not.
+func TestFollowersAreSpread(t *testing.T) {
+	names := []string{"a", "b", "c", "d", "e", "f"}
+	first := map[string]int{}
+	wakes := map[time.Time]bool{}
+	for i := range 610 {
+		name := fmt.Sprintf("gateway-%d", i)
+		follower := NewFollower(FollowerConfig{Name: name, Servers: names}, &Replica{}, testTime)
+		again := NewFollower(FollowerConfig{Name: name, Servers: names}, &Replica{}, testTime)
+		if follower.Wake() != again.Wake() || follower.servers.pick(testTime, false) != again.servers.pick(testTime, false) {
+			t.Fatal("the same follower decides otherwise")
+		}
+		first[follower.servers.pick(testTime, false)]++
+		wakes[follower.Wake()] = true
+		if wait := follower.Wake().Sub(testTime); wait < 0 || wait >= startSpread {
+			t.Fatalf("asks first after %v", wait)
+		}
+	}
+	for _, name := range names {
+		if first[name] < 70 || first[name] > 140 {
+			t.Errorf("%s is the first of %d", name, first[name])
+		}
+	}
+	if len(wakes) < 600 {
+		t.Errorf("%d different times", len(wakes))
+	}
+}
+
+// Late, repeated and unknown answers do nothing.
+func TestStrayAnswers(t *testing.T) {
+	store := smallStore(t)
+	replica := &Replica{}
+	follower := NewFollower(FollowerConfig{Name: "g", Servers: []string{"a", "b"}}, replica, testTime)
+	body, err := EncodeAnswer(store.Answer(ChangesRequest{}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := follower.Wake()
+	ask := follower.Handle(now, Tick{})[0].(Ask)
+	if actions := follower.Handle(now, Tick{}); len(actions) != 0 {
+		t.Errorf("a second tick: %v", actions)
+	}
+	if actions := follower.Handle(now, Answered{ID: ask.ID + 1, Body: body}); len(actions) != 0 || replica.Version() != 0 {
+		t.Errorf("an unknown answer: %v", actions)
+	}
+	late := now.Add(ask.Timeout)
+	if follower.Wake() != late {
+		t.Errorf("wants to wake at %v, not at %v", follower.Wake(), late)
+	}
+	actions := follower.Handle(late, Tick{})
+	if len(actions) != 1 || actions[0] != (Cancel{ID: ask.ID}) {
+		t.Fatalf("too late: %v", actions)
+	}
+	if actions := follower.Handle(late, Answered{ID: ask.ID, Body: body}); len(actions) != 0 || replica.Version() != 0 {
+		t.Errorf("an answer after the cancel: %v", actions)
+	}
+	next := follower.Handle(follower.Wake(), Tick{})[0].(Ask)
+	if next.Server == ask.Server || next.ID == ask.ID {
+		t.Errorf("asked %+v again", next)
+	}
+	actions = follower.Handle(follower.now, Answered{ID: next.ID, Body: body})
+	if save, ok := actions[0].(Save); !ok || save.Version != 1 || save.Delta == nil || replica.Version() != 1 {
+		t.Errorf("the right answer: %+v", actions)
+	}
+	none := NewFollower(FollowerConfig{Name: "g"}, &Replica{}, testTime)
+	if actions := none.Handle(testTime.Add(time.Minute), Tick{}); len(actions) != 0 || !none.Wake().After(testTime.Add(time.Minute)) {
+		t.Errorf("without servers: %v", actions)
+	}
+}
--- a/records/helpers_test.go
+++ b/records/helpers_test.go
@@ -3,8 +3,9 @@
 import (
 	"encoding/json"
 	"fmt"
-	"testing"
 	"time"
+
+	"pgregory.net/rapid"
 )
 
 var testTime = time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC)
@@ -33,7 +34,7 @@
 }
 
 // apply applies a change and requires its status.
-func apply(t testing.TB, store *Store, version uint64, change Change, want Status) Result {
+func apply(t rapid.TB, store *Store, version uint64, change Change, want Status) Result {
 	t.Helper()
 	result, err := store.Apply(version, change)
 	if err != nil {
@@ -53,7 +54,7 @@
 )
 
 // smallStore has one record of each kind, all of version 1.
-func smallStore(t testing.TB) *Store {
+func smallStore(t rapid.TB) *Store {
 	t.Helper()
 	store := &Store{}
 	apply(t, store, 1, change(
@@ -66,7 +67,7 @@
 }
 
 // largeStore has some 12,000 tenants and 14,000 routes for each 26,000 records.
-func largeStore(t testing.TB, count int) *Store {
+func largeStore(t rapid.TB, count int) *Store {
 	t.Helper()
 	store := &Store{}
 	version := uint64(1)
--- /dev/null
+++ b/records/world_test.go
@@ -0,0 +1,378 @@
+package records
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// fault is what is wrong with a server of a world.
+type fault int
+
+const (
+	healthy fault = iota
+	refusing
+	still   // takes requests and never answers
+	damaged // every answer has a changed byte
+	lying   // as damaged, but inside the compression: only digests tell
+	stale   // gets no changes
+)
+
+func faults() []fault { return []fault{healthy, refusing, still, damaged, lying, stale} }
+
+// world runs followers and servers on a clock of its own.
+type world struct {
+	t         rapid.TB
+	now       time.Time
+	servers   []*worldServer
+	followers []*worldFollower
+	version   uint64
+	accepted  map[uint64]Digest
+	newest    *Store
+	changes   []versionedChange
+}
+
+type versionedChange struct {
+	version uint64
+	change  Change
+}
+
+type worldServer struct {
+	name    string
+	store   *Store
+	fault   fault
+	applied int // of the world's changes
+	asks    int
+	polls   []*worldFollower // that wait for a change
+}
+
+type worldFollower struct {
+	name     string
+	replica  *Replica
+	follower *Follower
+	cut      bool // from all servers
+	ask      *Ask
+	pollEnd  time.Time // zero: it does not wait at a server
+	answerAt time.Time // zero: nothing is on its way
+	answer   Event
+	saved    uint64
+	saves    int
+	asks     int
+	received int // bytes
+	seen     uint64
+}
+
+const latency = 20 * time.Millisecond
+
+func newWorld(t rapid.TB, servers, followers int, start *Store) *world {
+	t.Helper()
+	w := &world{t: t, now: testTime, version: start.Version(), newest: copyStore(t, start), accepted: map[uint64]Digest{0: emptyState.digest}}
+	w.accepted[w.version] = start.Digest()
+	for i := range servers {
+		w.servers = append(w.servers, &worldServer{name: fmt.Sprintf("control-%d", i), store: copyStore(t, start)})
+	}
+	for i := range followers {
+		w.addFollower(fmt.Sprintf("gateway-%d", i), &Replica{})
+	}
+	return w
+}
+
+func copyStore(t rapid.TB, store *Store) *Store {
+	t.Helper()
+	data, err := store.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	copied := &Store{}
+	if err := copied.Restore(data); err != nil {
+		t.Fatal(err)
+	}
+	return copied
+}
+
+func (w *world) addFollower(name string, replica *Replica) *worldFollower {
+	f := &worldFollower{name: name}
+	w.followers = append(w.followers, f)
+	w.start(f, replica)
+	return f
+}
+
+// start starts a follower, or starts it again.
+func (w *world) start(f *worldFollower, replica *Replica) {
+	var names []string
+	for _, server := range w.servers {
+		names = append(names, server.name)
+	}
+	w.forget(f)
+	f.replica = replica
+	f.seen = replica.Version()
+	f.follower = NewFollower(FollowerConfig{Name: f.name, Servers: names}, replica, w.now)
+}
+
+// restart starts a follower again from its file.
+func (w *world) restart(f *worldFollower) {
+	data, err := f.replica.Snapshot()
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	replica := &Replica{}
+	if err := replica.Restore(data); err != nil {
+		w.t.Fatal(err)
+	}
+	w.start(f, replica)
+}
+
+func (w *world) forget(f *worldFollower) {
+	f.ask, f.answer, f.answerAt, f.pollEnd = nil, nil, time.Time{}, time.Time{}
+	for _, server := range w.servers {
+		server.polls = slices.DeleteFunc(server.polls, func(each *worldFollower) bool { return each == f })
+	}
+}
+
+// change has a change accepted and given to all servers that get changes.
+func (w *world) change(operations ...Operation) uint64 {
+	w.version++
+	each := versionedChange{w.version, change(operations...)}
+	apply(w.t, w.newest, each.version, each.change, Accepted)
+	w.accepted[w.version] = w.newest.Digest()
+	w.changes = append(w.changes, each)
+	w.replicate()
+	return w.version
+}
+
+func (w *world) replicate() {
+	for _, server := range w.servers {
+		if server.fault == stale || server.applied == len(w.changes) {
+			continue
+		}
+		for _, each := range w.changes[server.applied:] {
+			apply(w.t, server.store, each.version, each.change, Accepted)
+		}
+		server.applied = len(w.changes)
+		waiting := server.polls
+		server.polls = nil
+		for _, f := range waiting {
+			w.serve(server, f)
+		}
+	}
+}
+
+func (w *world) setFault(server *worldServer, fault fault) {
+	server.fault = fault
+	w.replicate()
+}
+
+func (w *world) tellHead() {
+	for _, f := range w.followers {
+		w.handle(f, ToldHead{Version: w.version})
+	}
+}
+
+// handle gives an event to a follower and carries out its actions.
+func (w *world) handle(f *worldFollower, event Event) {
+	for _, action := range f.follower.Handle(w.now, event) {
+		switch action := action.(type) {
+		case Cancel:
+			if f.ask == nil || f.ask.ID != action.ID {
+				w.t.Fatalf("%s cancels what is not open", f.name)
+			}
+			w.forget(f)
+		case Save:
+			f.saves++
+			f.saved = action.Version
+		case Ask:
+			if f.ask != nil {
+				w.t.Fatalf("%s asks two things at once", f.name)
+			}
+			f.asks++
+			f.ask = &action
+			w.send(f)
+		}
+	}
+	w.check(f)
+}
+
+// check holds a replica to the versions that there were.
+func (w *world) check(f *worldFollower) {
+	digest, found := w.accepted[f.replica.Version()]
+	if !found || digest != f.replica.Digest() {
+		w.t.Fatalf("%s at version %d is no version that there was", f.name, f.replica.Version())
+	}
+	if f.replica.Version() < f.seen {
+		w.t.Fatalf("%s went back from %d to %d", f.name, f.seen, f.replica.Version())
+	}
+	f.seen = f.replica.Version()
+}
+
+func (w *world) send(f *worldFollower) {
+	for _, server := range w.servers {
+		if server.name == f.ask.Server {
+			server.asks++
+			w.serve(server, f)
+		}
+	}
+}
+
+// serve has a server answer a follower, or keep it waiting.
+func (w *world) serve(server *worldServer, f *worldFollower) {
+	f.pollEnd = time.Time{}
+	switch {
+	case f.cut || server.fault == refusing:
+		w.deliver(f, Failed{ID: f.ask.ID, Reason: "connection refused"})
+		return
+	case server.fault == still:
+		return
+	}
+	var message []byte
+	var err error
+	switch request := f.ask.Request.(type) {
+	case ChangesRequest:
+		answer := server.store.Answer(request)
+		if answer.NothingNew() && request.Wait > 0 {
+			f.pollEnd = w.now.Add(request.Wait)
+			server.polls = append(server.polls, f)
+			return
+		}
+		message, err = EncodeAnswer(w.lie(server, answer))
+	case DigestsRequest:
+		message, err = EncodeRangeDigests(server.store.RangeDigests())
+	case ContentRequest:
+		chunk := server.store.Chunk(request)
+		if server.fault == lying && len(chunk.Ranges[0].Records) > 0 {
+			chunk.Ranges[0].Records = chunk.Ranges[0].Records[1:]
+			chunk.Ranges[0].Digest = hashRecords(chunk.Ranges[0].Records).low
+		}
+		message, err = EncodeChunk(chunk)
+	}
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	if server.fault == damaged {
+		message = slices.Clone(message)
+		message[len(message)/2] ^= 0x10
+	}
+	w.deliver(f, Answered{ID: f.ask.ID, Body: message})
+}
+
+// lie changes what a server says so that only digests tell.
+func (w *world) lie(server *worldServer, answer Answer) Answer {
+	if server.fault != lying || answer.Delta == nil || len(answer.Delta.Puts) == 0 {
+		return answer
+	}
+	delta := *answer.Delta
+	delta.Puts = slices.Clone(delta.Puts)
+	delta.Puts[0].Value = []byte(`{"class":"lie"}`)
+	answer.Delta = &delta
+	return answer
+}
+
+func (w *world) deliver(f *worldFollower, answer Event) {
+	f.answer = answer
+	f.answerAt = w.now.Add(latency)
+}
+
+// run runs the world for a time.
+func (w *world) run(duration time.Duration) {
+	w.runUntil(duration, func() bool { return false })
+}
+
+// runUntil runs until the condition holds, and tells whether it did in time.
+func (w *world) runUntil(duration time.Duration, condition func() bool) bool {
+	end := w.now.Add(duration)
+	for !condition() {
+		f, due := w.nextFollower()
+		if f == nil || due.After(end) {
+			w.now = end
+			return false
+		}
+		if due.After(w.now) {
+			w.now = due
+		}
+		w.step(f)
+	}
+	return true
+}
+
+// due returns when something happens next for the follower.
+func (f *worldFollower) due() time.Time {
+	due := f.follower.Wake()
+	for _, each := range []time.Time{f.answerAt, f.pollEnd} {
+		if !each.IsZero() && each.Before(due) {
+			due = each
+		}
+	}
+	return due
+}
+
+func (w *world) nextFollower() (*worldFollower, time.Time) {
+	var next *worldFollower
+	earliest := time.Unix(math.MaxInt32, 0)
+	for _, f := range w.followers {
+		if due := f.due(); due.Before(earliest) {
+			next, earliest = f, due
+		}
+	}
+	return next, earliest
+}
+
+func (w *world) step(f *worldFollower) {
+	switch {
+	case !f.answerAt.IsZero() && !f.answerAt.After(w.now):
+		answer := f.answer
+		if answered, ok := answer.(Answered); ok {
+			f.received += len(answered.Body)
+		}
+		w.forget(f)
+		w.handle(f, answer)
+	case !f.pollEnd.IsZero() && !f.pollEnd.After(w.now):
+		w.endPoll(f)
+	default:
+		w.handle(f, Tick{})
+	}
+}
+
+// endPoll answers a request that has waited in vain.
+func (w *world) endPoll(f *worldFollower) {
+	for _, server := range w.servers {
+		if !slices.Contains(server.polls, f) {
+			continue
+		}
+		ask := *f.ask
+		w.forget(f)
+		request := ask.Request.(ChangesRequest)
+		request.Wait = 0
+		ask.Request = request
+		f.ask = &ask
+		w.serve(server, f)
+		return
+	}
+	w.t.Fatalf("%s waits at no server", f.name)
+}
+
+// everywhere tells whether the newest version is in force everywhere.
+func (w *world) everywhere() bool {
+	for _, f := range w.followers {
+		if !f.cut && f.replica.Version() != w.version {
+			return false
+		}
+	}
+	return true
+}
+
+// mustReach requires the newest version everywhere within a time.
+func (w *world) mustReach(within time.Duration) {
+	w.t.Helper()
+	start := w.now
+	if w.runUntil(within, w.everywhere) {
+		return
+	}
+	for _, f := range w.followers {
+		if f.replica.Version() != w.version {
+			w.t.Errorf("%s is at %d of %d after %v: %+v", f.name, f.replica.Version(), w.version, w.now.Sub(start), f.follower.Status(w.now))
+		}
+	}
+	w.t.FailNow()
+}
