--- /dev/null
+++ b/internal/recordsync/follower_test.go
@@ -0,0 +1,353 @@
+package recordsync
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"elderyard/records"
+)
+
+// running is a follower of a test, and the end of its goroutine.
+type running struct {
+	*Follower
+	t    testing.TB
+	stop func()
+}
+
+func options(dir string, servers ...string) Options {
+	return Options{Name: "g1", Servers: servers, Dir: dir, Dial: (&net.Dialer{}).DialContext, Log: discard(),
+		BytesPerSecond: 1 << 20, BurstBytes: 1 << 20,
+		BaseURL: func(server string) string { return "http://" + server }}
+}
+
+func start(t testing.TB, o Options) *running {
+	t.Helper()
+	f, err := Open(o)
+	must(t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { defer close(done); f.Run(ctx) }()
+	stop := func() { cancel(); <-done }
+	t.Cleanup(stop)
+	return &running{f, t, stop}
+}
+
+// has waits until the follower has what the source has.
+func (r *running) has(source *memorySource) records.FollowerStatus {
+	r.t.Helper()
+	var status records.FollowerStatus
+	until(r.t, fmt.Sprintf("version %d is in force", source.version()), func() bool {
+		status = r.Status()
+		return status.Version == source.version() && status.Digest == source.digest()
+	})
+	return status
+}
+
+func addressOf(server *httptest.Server) string { return server.Listener.Addr().String() }
+
+func TestFollowerTakesChanges(t *testing.T) {
+	t.Parallel()
+	source := newMemorySource()
+	source.apply(t, many(100)...)
+	var servers []string
+	for range 3 {
+		servers = append(servers, addressOf(serve(t, NewHandler(source))))
+	}
+	dir := t.TempDir()
+	first := start(t, options(dir, servers...))
+	first.has(source)
+	for i := range 5 {
+		changed := first.Changed()
+		source.apply(t, plan(fmt.Sprint("later", i), 1))
+		<-changed
+		first.has(source)
+	}
+	var names int
+	must(t, first.View(t.Context(), func(replica *records.Replica) { names = replica.Len() }))
+	status := first.Status()
+	if age, known := status.Age(time.Now()); names != 105 || !known || age < 0 || status.Reason != "" {
+		t.Fatalf("%d records, %+v", names, status)
+	}
+	if first.Traffic().Read() == 0 || first.Traffic().Written() == 0 {
+		t.Fatal("nothing was counted")
+	}
+	first.stop()
+
+	// A restart has the copy at once, and knows how old it is.
+	source.apply(t, plan("while-it-was-away", 1), plan("another", 1))
+	again, err := Open(options(dir, servers...))
+	must(t, err)
+	if now := again.Status(); now.Version != status.Version || now.Digest != status.Digest || now.Confirmed.IsZero() {
+		t.Fatalf("%+v after the restart, %+v before", now, status)
+	}
+	again.folder.closeJournal()
+	second := start(t, options(dir, servers...))
+	second.has(source)
+	if second.Status().Version <= status.Version {
+		t.Fatal("it did not go on")
+	}
+}
+
+func TestFollowerReadsOutOfTime(t *testing.T) {
+	t.Parallel()
+	f, err := Open(options(t.TempDir()))
+	must(t, err)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if err := f.View(ctx, func(*records.Replica) {}); err == nil {
+		t.Fatal("a view without an owner ended well")
+	}
+	for v := range uint64(5) {
+		f.TellHead(v)
+	}
+	if head := <-f.heads; head != 4 {
+		t.Fatalf("head %d", head)
+	}
+}
+
+// TestFollowerLeavesABadServer has one server of two do wrong, for followers whose
+// names spread them over both.
+func TestFollowerLeavesABadServer(t *testing.T) {
+	t.Parallel()
+	const followers = 6
+	stale := newMemorySource()
+	stale.apply(t, plan("old", 1))
+	bad := map[string]func(source *memorySource) http.Handler{
+		"damaged": func(source *memorySource) http.Handler {
+			inner := NewHandler(source)
+			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				recorded := httptest.NewRecorder()
+				inner.ServeHTTP(recorded, r)
+				body := recorded.Body.Bytes()
+				body[len(body)/2] ^= 1
+				w.Write(body)
+			})
+		},
+		"cut short": func(source *memorySource) http.Handler {
+			inner := NewHandler(source)
+			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				recorded := httptest.NewRecorder()
+				inner.ServeHTTP(recorded, r)
+				w.Write(recorded.Body.Bytes()[:recorded.Body.Len()/2])
+			})
+		},
+		"standing still": func(*memorySource) http.Handler {
+			return http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+		},
+		"behind": func(*memorySource) http.Handler { return NewHandler(stale) },
+		"failing": func(*memorySource) http.Handler {
+			return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				http.Error(w, "no", http.StatusServiceUnavailable)
+			})
+		},
+	}
+	for name, handler := range bad {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			source := newMemorySource()
+			source.apply(t, plan("old", 1))
+			source.apply(t, many(50)...)
+			var asked atomic.Int64
+			inner := handler(source)
+			wrong := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				asked.Add(1)
+				inner.ServeHTTP(w, r)
+			}))
+			good := serve(t, NewHandler(source))
+			var list []*running
+			for i := range followers {
+				o := options(t.TempDir(), addressOf(wrong), addressOf(good))
+				o.Name = fmt.Sprint("g", i)
+				f := start(t, o)
+				f.TellHead(source.version())
+				list = append(list, f)
+			}
+			for _, f := range list {
+				f.has(source)
+			}
+			source.apply(t, plan("later", 1))
+			for _, f := range list {
+				f.TellHead(source.version())
+				f.has(source)
+			}
+			if asked.Load() == 0 {
+				t.Fatal("nobody asked the server that does wrong")
+			}
+		})
+	}
+}
+
+// TestFollowerCutOff loses all servers, goes on with what it has, says how old that
+// is, and follows again when one is back.
+func TestFollowerCutOff(t *testing.T) {
+	t.Parallel()
+	source := newMemorySource()
+	source.apply(t, many(10)...)
+	var cut atomic.Bool
+	inner := NewHandler(source)
+	server := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if cut.Load() {
+			panic(http.ErrAbortHandler)
+		}
+		inner.ServeHTTP(w, r)
+	}))
+	f := start(t, options(t.TempDir(), addressOf(server)))
+	before := f.has(source)
+	cut.Store(true)
+	server.CloseClientConnections()
+	source.apply(t, plan("later", 1))
+	f.TellHead(source.version())
+	var status records.FollowerStatus
+	until(t, "it says why it is behind", func() bool {
+		status = f.Status()
+		return status.Reason != ""
+	})
+	if status.Version != before.Version || status.Digest != before.Digest || status.Head != before.Version+1 {
+		t.Fatalf("%+v, %+v before", status, before)
+	}
+	older := status.Confirmed
+	until(t, "more failures", func() bool { return f.Status().Contact.Equal(status.Contact) && time.Since(older) > time.Second })
+	if now := f.Status(); !now.Confirmed.Equal(older) {
+		t.Fatalf("confirmed at %v, %v before: it got younger without a server", now.Confirmed, older)
+	}
+	cut.Store(false)
+	if status = f.has(source); !status.Confirmed.After(older) {
+		t.Fatalf("confirmed at %v still", status.Confirmed)
+	}
+}
+
+// TestFollowerRepairsAcrossACompactedLog loses sight of more changes than the log
+// keeps, and fetches the ranges that differ, not all.
+func TestFollowerRepairsAcrossACompactedLog(t *testing.T) {
+	t.Parallel()
+	source := newMemorySource()
+	source.apply(t, noise(5000)...)
+	server := addressOf(serve(t, NewHandler(source)))
+	dir := t.TempDir()
+	first := start(t, options(dir, server))
+	first.has(source)
+	first.stop()
+	whole := first.Traffic().Read()
+	for i := range records.MaxLogChanges + 1 {
+		source.apply(t, plan("changing", 1+i))
+	}
+	var answer records.Answer
+	source.ReadRecords(func(store *records.Store) { answer = store.Answer(records.ChangesRequest{Since: 1}) })
+	if answer.Repair != records.RepairCompacted {
+		t.Fatalf("%+v", answer)
+	}
+	second := start(t, options(dir, server))
+	if second.Status().Version != 1 {
+		t.Fatalf("%+v", second.Status())
+	}
+	second.has(source)
+	if part := second.Traffic().Read(); part >= whole/2 {
+		t.Fatalf("%d bytes for one record, %d for all", part, whole)
+	}
+}
+
+// TestFollowerBeginsAnewOnDamagedFiles fetches what the disk has lost.
+func TestFollowerBeginsAnewOnDamagedFiles(t *testing.T) {
+	t.Parallel()
+	source := newMemorySource()
+	source.apply(t, many(200)...)
+	server := addressOf(serve(t, NewHandler(source)))
+	dir := t.TempDir()
+	first := start(t, options(dir, server))
+	first.has(source)
+	first.stop()
+	path := filepath.Join(dir, copyName)
+	data, err := os.ReadFile(path)
+	must(t, err)
+	must(t, os.WriteFile(path, data[:len(data)/2], fileMode))
+	second := start(t, options(dir, server))
+	second.has(source)
+	if _, err := os.Stat(path + damagedSuffix); err != nil {
+		t.Fatal(err)
+	}
+	second.stop()
+	if third, err := Open(options(dir, server)); err != nil || third.Status().Version != source.version() {
+		t.Fatalf("%+v, %v", third.Status(), err)
+	}
+}
+
+// TestFollowerWithoutADisk goes on with a folder that can't be written, and says so.
+func TestFollowerWithoutADisk(t *testing.T) {
+	t.Parallel()
+	source := newMemorySource()
+	source.apply(t, many(20)...)
+	dir := filepath.Join(t.TempDir(), "records")
+	f, err := Open(options(dir, addressOf(serve(t, NewHandler(source)))))
+	must(t, err)
+	must(t, os.Remove(dir))
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { defer close(done); f.Run(ctx) }()
+	r := &running{f, t, nil}
+	r.has(source)
+	if !strings.Contains(f.DiskError(), dir) {
+		t.Fatalf("the disk said %q", f.DiskError())
+	}
+	cancel()
+	<-done
+}
+
+// noise returns plans that compress badly, so that a budget of bytes is felt.
+func noise(count int) (operations []records.Operation) {
+	random := rand.New(rand.NewPCG(1, 2))
+	for i := range count {
+		operations = append(operations, plan(fmt.Sprintf("%016x%016x-%d", random.Uint64(), random.Uint64(), i), 1+random.IntN(1_000_000)))
+	}
+	return operations
+}
+
+// TestFollowerKeepsItsBudget fills an empty copy while changes go on, and never
+// takes more bytes than its budget, but for one answer.
+func TestFollowerKeepsItsBudget(t *testing.T) {
+	t.Parallel()
+	const (
+		perSecond = 20_000
+		burst     = 20_000
+		oneAnswer = 64 << 10 // a chunk before compression, and its heads
+	)
+	source := newMemorySource()
+	source.apply(t, noise(3000)...)
+	server := serve(t, NewHandler(source))
+	o := options(t.TempDir(), addressOf(server))
+	o.BytesPerSecond, o.BurstBytes = perSecond, burst
+	began := time.Now()
+	f := start(t, o)
+	held := func() bool {
+		taken := f.Traffic().Read() + f.Traffic().Written()
+		most := burst + oneAnswer + int64(perSecond*time.Since(began).Seconds())
+		if taken > most {
+			t.Fatalf("%d bytes, %d may be", taken, most)
+		}
+		return true
+	}
+	urgent := 0
+	until(t, "the copy is whole", func() bool {
+		if held(); urgent < 50 {
+			source.apply(t, plan(fmt.Sprint("urgent", urgent), 1))
+			urgent++
+		}
+		return f.Status().Digest == source.digest()
+	})
+	if urgent < 2 {
+		t.Fatalf("%d changes while the copy was fetched", urgent)
+	}
+	// What is urgent from here on comes by itself, though the budget is spent.
+	source.apply(t, plan("last", 1))
+	f.has(source)
+	held()
+}
--- a/internal/recordsync/helpers_test.go
+++ b/internal/recordsync/helpers_test.go
@@ -1,6 +1,7 @@
 package recordsync
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"net/http"
@@ -59,6 +60,11 @@
 	return version
 }
 
+func (s *memorySource) version() (version uint64) {
+	s.ReadRecords(func(store *records.Store) { version = store.Version() })
+	return version
+}
+
 func must(t testing.TB, err error) {
 	t.Helper()
 	if err != nil {
@@ -101,3 +107,11 @@
 	t.Cleanup(client.CloseIdleConnections)
 	return &wireClient{http: client, base: func(server string) string { return "http://" + server }}
 }
+
+func askChanges(ctx context.Context, client *wireClient, server string, request records.ChangesRequest) (records.Answer, error) {
+	body, err := client.ask(ctx, server, request)
+	if err != nil {
+		return records.Answer{}, err
+	}
+	return records.DecodeAnswer(body)
+}
