--- a/internal/agent/agent_linux_test.go
+++ b/internal/agent/agent_linux_test.go
@@ -20,6 +20,7 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/loopback"
 	"elderyard/internal/pki"
 	"elderyard/internal/replica"
@@ -745,10 +746,10 @@
 		}
 	}
 	m.is(m.ended(1), rollout.Applied, 1)
-	if err := as("ann", m).call(ctx, http.MethodPost, "/v1/report", report{}, &orders{}); !errors.As(err, &f) || !f.Forbidden() {
+	if err := as("ann", m).call(ctx, http.MethodPost, "/v1/report", agentapi.Report{}, &agentapi.Orders{}); !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("an operator reported as an agent: %v", err)
 	}
-	if err := as("a2", m).call(ctx, http.MethodPost, "/v1/report", report{Agent: fleet.Agent{Name: "a1"}}, &orders{}); !errors.As(err, &f) || !f.Forbidden() {
+	if err := as("a2", m).call(ctx, http.MethodPost, "/v1/report", agentapi.Report{Agent: fleet.Agent{Name: "a1"}}, &agentapi.Orders{}); !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("one agent reported as another: %v", err)
 	}
 	// A stranger speaks for nobody.
--- a/internal/agent/belong.go
+++ b/internal/agent/belong.go
@@ -13,6 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"elderyard/fleet"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/files"
 	"elderyard/internal/peers"
 	"elderyard/members"
@@ -63,7 +64,7 @@
 }
 
 // rosterFor is what an agent is told of who belongs; nil: it knows, or does not ask.
-func (t *term) rosterFor(r *report) *members.Roster {
+func (t *term) rosterFor(r *agentapi.Report) *members.Roster {
 	if !r.Belong {
 		return nil
 	}
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/document"
 	"elderyard/internal/replica"
 	"elderyard/revisions"
@@ -25,7 +26,7 @@
 }
 
 func (a *Agent) takeReport(ctx context.Context, c *call) (any, error) {
-	var r report
+	var r agentapi.Report
 	if err := c.read(&r); err != nil {
 		return nil, err
 	}
@@ -33,7 +34,7 @@
 	if c.name != r.Agent.Name && !a.config.Plain {
 		return nil, &Failure{codeForbidden, fmt.Sprintf("%s reports as %s", c.name, r.Agent.Name)}
 	}
-	var got *orders
+	var got *agentapi.Orders
 	err := a.inTerm(ctx, func(t *term) (err error) {
 		got, err = t.report(ctx, &r)
 		return err
--- a/internal/agent/kept.go
+++ b/internal/agent/kept.go
@@ -10,13 +10,14 @@
 	"path/filepath"
 
 	"elderyard/fleet"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/files"
 	"elderyard/revisions"
 	"elderyard/supervise"
 )
 
 // fetch gets a revision, and keeps it on disk for a day without a leader.
-func (a *Agent) fetch(ctx context.Context, o order) (r revisions.Revision, err error) {
+func (a *Agent) fetch(ctx context.Context, o agentapi.Order) (r revisions.Revision, err error) {
 	number := o.Revision
 	a.mu.Lock()
 	r, found := a.kept[number]
--- a/internal/agent/lead.go
+++ b/internal/agent/lead.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/document"
 	"elderyard/internal/replica"
 	"elderyard/internal/wait"
@@ -71,7 +72,7 @@
 
 // heardOf is what the leader knows of an instance.
 type heardOf struct {
-	observed
+	agentapi.Observed
 	at time.Time
 }
 
@@ -201,7 +202,7 @@
 		}
 		k := rollout.Known{Away: true}
 		if h := t.heard[name]; h != nil && time.Since(h.at) < idleSilence {
-			k = rollout.Known{Observed: t.observed(&h.observed), Told: rollout.Revision(h.Taking)}
+			k = rollout.Known{Observed: t.observed(&h.Observed), Told: rollout.Revision(h.Taking)}
 		}
 		instances[name] = k
 	}
@@ -270,7 +271,7 @@
 
 // observed is what an instance's report means for a rollout. One that runs what
 // another site called by the same number runs none of this one's.
-func (t *term) observed(o *observed) rollout.Observed {
+func (t *term) observed(o *agentapi.Observed) rollout.Observed {
 	seen := rollout.Observed{Revision: rollout.Revision(o.Running), Ready: o.State == supervise.Ready, Crashes: o.Crashes}
 	if o.Content != t.sum(o.Running) {
 		seen.Revision = 0
@@ -317,7 +318,7 @@
 func (r *refusal) Error() string { return r.text }
 
 // report takes an agent's report and answers with its orders.
-func (t *term) report(ctx context.Context, r *report) (*orders, error) {
+func (t *term) report(ctx context.Context, r *agentapi.Report) (*agentapi.Orders, error) {
 	t.look()
 	known := t.agents[r.Agent.Name]
 	if known.Name == "" || known.Address != r.Agent.Address || !slices.Equal(known.Instances, r.Agent.Instances) {
@@ -329,7 +330,7 @@
 			return nil, &refusal{out.Refused}
 		}
 	}
-	answer := &orders{Leader: t.name, Address: t.address, Orders: map[string]order{}, Roster: t.rosterFor(r)}
+	answer := &agentapi.Orders{Leader: t.name, Address: t.address, Orders: map[string]agentapi.Order{}, Roster: t.rosterFor(r)}
 	for _, o := range r.Instances {
 		if _, found := slices.BinarySearch(r.Agent.Instances, o.Name); !found {
 			return nil, &refusal{fmt.Sprintf("agent %s has no instance %s", r.Agent.Name, o.Name)}
@@ -366,8 +367,8 @@
 // order is what an instance is to run. There is none for one that the first
 // rollout of a site has yet to tell: it keeps what it has. Danger: gateways that
 // ran before the site was founded anew would all be stopped at once.
-func (t *term) order(o observed) (order, bool) {
-	w := order{Revision: uint64(t.machine.Order(o.Name)), Drained: t.drained[o.Name]}
+func (t *term) order(o agentapi.Observed) (agentapi.Order, bool) {
+	w := agentapi.Order{Revision: uint64(t.machine.Order(o.Name)), Drained: t.drained[o.Name]}
 	if w.Revision == 0 {
 		back := t.machine.Status().State == rollout.RolledBack && o.Taking == t.rollout
 		return w, back || w.Drained
@@ -408,7 +409,7 @@
 		i := &s.Instances[n]
 		i.DoubtedBy = doubts[i.Name]
 		if h := t.heard[i.Name]; h != nil {
-			i.show(&h.observed, h.at)
+			i.show(&h.Observed, h.at)
 		}
 		if p, found := phases[i.Name]; found {
 			i.Phase, i.Told, i.Silent = p.Phase, uint64(p.Told), p.Silent
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -9,13 +9,15 @@
 	"net/http"
 	"slices"
 	"time"
+
+	"elderyard/internal/agentapi"
 )
 
 // errand is a call to another agent.
 type errand struct {
 	method, path string
 	body         []byte
-	hop          string  // see hopHeader
+	hop          string  // see agentapi.HopHeader
 	whose        *caller // for whom this agent speaks; nil: itself
 	limit        time.Duration
 }
@@ -26,7 +28,7 @@
 	for _, address := range a.voters() {
 		e := errand{method: method, path: path, body: body, limit: voterLimit}
 		if address != a.knownLeader() {
-			e.hop = "0" // it may send this on
+			e.hop = agentapi.HopMay // it may send this on
 		}
 		err := a.callOne(ctx, address, e, answer)
 		if err == nil || answered(err) {
@@ -59,7 +61,7 @@
 		return err
 	}
 	if e.hop != "" {
-		req.Header.Set(hopHeader, e.hop)
+		req.Header.Set(agentapi.HopHeader, e.hop)
 	}
 	if e.whose != nil {
 		req.Header.Set(forHeader, e.whose.name+";"+string(e.whose.role))
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -9,20 +9,21 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/document"
 	"elderyard/internal/wait"
 	"elderyard/revisions"
 )
 
 // observe is this agent's report.
-func (a *Agent) observe() report {
-	r := report{Agent: a.self}
+func (a *Agent) observe() agentapi.Report {
+	r := agentapi.Report{Agent: a.self}
 	if a.config.Roster {
 		r.Belong, r.Epoch = true, a.epoch
 	}
 	for _, name := range a.self.Instances {
 		s := a.processes[name].peek()
-		o := observed{Name: name, State: s.status.State, Why: s.status.Why, Crashes: s.status.Crashes, PID: s.pid}
+		o := agentapi.Observed{Name: name, State: s.status.State, Why: s.status.Why, Crashes: s.status.Crashes, PID: s.pid}
 		if s.status.Running != nil && s.pid != 0 {
 			o.Running, o.Content = s.status.Running.Revision, s.status.Running.Content
 		}
@@ -65,7 +66,7 @@
 }
 
 // note remembers who leads, or why nobody could be asked.
-func (a *Agent) note(got *orders, err error) {
+func (a *Agent) note(got *agentapi.Orders, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.cutOff
@@ -82,12 +83,12 @@
 	}
 }
 
-func (a *Agent) reportOnce(ctx context.Context) (*orders, error) {
+func (a *Agent) reportOnce(ctx context.Context) (*agentapi.Orders, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportLimit)
 	defer cancel()
 	r := a.observe()
 	if a.lead != nil {
-		var got *orders
+		var got *agentapi.Orders
 		err := a.lead.ask(ctx, func(t *term) (err error) {
 			got, err = t.report(ctx, &r)
 			return err
@@ -100,15 +101,15 @@
 	if err != nil {
 		return nil, err
 	}
-	var got orders
-	if err := a.callLeader(ctx, http.MethodPost, "/v1/report", text, &got); err != nil {
+	var got agentapi.Orders
+	if err := a.callLeader(ctx, http.MethodPost, agentapi.ReportPath, text, &got); err != nil {
 		return nil, err
 	}
 	return &got, nil
 }
 
 // obey does what the leader ordered.
-func (a *Agent) obey(ctx context.Context, got *orders) {
+func (a *Agent) obey(ctx context.Context, got *agentapi.Orders) {
 	if got.Roster != nil {
 		a.keepRoster(got.Roster)
 	}
@@ -135,7 +136,7 @@
 }
 
 // take has an instance go to a revision, if its gateway's parsers take it.
-func (a *Agent) take(ctx context.Context, p *process, o order) {
+func (a *Agent) take(ctx context.Context, p *process, o agentapi.Order) {
 	name, number := p.entry.Name, o.Revision
 	a.mu.Lock()
 	again := a.refused[name].revision == number
--- a/internal/agent/scale_linux_test.go
+++ b/internal/agent/scale_linux_test.go
@@ -25,6 +25,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"elderyard/fleet"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/wait"
 	"elderyard/revisions"
 	"elderyard/rollout"
@@ -152,8 +153,8 @@
 	}}}
 	defer client.CloseIdleConnections()
 	name := fmt.Sprintf("g%04d", i)
-	r := report{Agent: fleet.Agent{Name: fmt.Sprintf("a%04d", i), Address: "127.0.0.1:1", Instances: []string{name}},
-		Instances: []observed{{Name: name, State: supervise.Down}}}
+	r := agentapi.Report{Agent: fleet.Agent{Name: fmt.Sprintf("a%04d", i), Address: "127.0.0.1:1", Instances: []string{name}},
+		Instances: []agentapi.Observed{{Name: name, State: supervise.Down}}}
 	wait.For(ctx, *interval*time.Duration(i)/time.Duration(*simulated))
 	for ctx.Err() == nil {
 		text, err := json.Marshal(r)
@@ -165,7 +166,7 @@
 			return
 		}
 		if resp, err := client.Do(req); err == nil {
-			var got orders
+			var got agentapi.Orders
 			if readAnswer(resp, &got) == nil {
 				calls.Add(1)
 				if o := got.Orders[name]; o.Revision != 0 {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -10,6 +10,7 @@
 	"strings"
 	"time"
 
+	"elderyard/internal/agentapi"
 	"elderyard/internal/pki"
 	"elderyard/internal/replica"
 	"elderyard/internal/wait"
@@ -31,7 +32,6 @@
 	electWithin = 5 * time.Second // an election is over by then, or there is no majority
 	electLook   = 50 * time.Millisecond
 
-	hopHeader = "X-Elderyard-Hop" // how often a call was sent on; "0": it may be
 	forHeader = "X-Elderyard-For" // for whom an agent speaks
 )
 
@@ -61,26 +61,26 @@
 func (a *Agent) routes() http.Handler {
 	mux := http.NewServeMux()
 	for pattern, e := range map[string]endpoint{
-		"POST /v1/report":         {need: pki.Agent, most: mostReport, do: a.takeReport},
-		"GET /v1/status":          {need: pki.Viewer, do: a.tellStatus, old: a.oldStatus},
-		"GET /v1/revisions":       {need: pki.Viewer, do: a.tellRevisions, old: a.oldRevisions},
-		"GET /v1/revisions/{n}":   {need: pki.Viewer, do: a.tellRevision},
-		"GET /v1/members":         {need: pki.Viewer, do: a.tellMembers, old: a.oldMembers},
-		"GET /v1/audit":           {need: pki.Viewer, do: a.tellAudit, old: a.oldAudit},
-		"GET /v1/refused":         {need: pki.Viewer, here: true, do: a.tellRefused},
-		"GET /v1/snapshot":        {need: pki.Operator, do: a.saveSnapshot},
-		"POST /v1/snapshot":       {need: pki.Operator, most: mostSaved, do: a.loadSnapshot},
-		"POST /v1/apply":          {need: pki.Operator, do: a.apply},
-		"POST /v1/probe":          {need: pki.Viewer, do: a.probe},
-		"POST /v1/probe-here":     {need: pki.Agent, here: true, do: a.probeHere},
-		"POST /v1/pause":          {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Pause{By: by} })},
-		"POST /v1/resume":         {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Resume{By: by} })},
-		"POST /v1/abort":          {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Abort{By: by} })},
-		"POST /v1/drain":          {need: pki.Operator, do: a.drain(true)},
-		"POST /v1/undrain":        {need: pki.Operator, do: a.drain(false)},
-		"POST /v1/members/add":    {need: pki.Operator, do: a.addMember},
-		"POST /v1/members/remove": {need: pki.Operator, do: a.removeMember},
-		"POST /v1/agents/remove":  {need: pki.Operator, do: a.removeAgent},
+		"POST " + agentapi.ReportPath: {need: pki.Agent, most: mostReport, do: a.takeReport},
+		"GET /v1/status":              {need: pki.Viewer, do: a.tellStatus, old: a.oldStatus},
+		"GET /v1/revisions":           {need: pki.Viewer, do: a.tellRevisions, old: a.oldRevisions},
+		"GET /v1/revisions/{n}":       {need: pki.Viewer, do: a.tellRevision},
+		"GET /v1/members":             {need: pki.Viewer, do: a.tellMembers, old: a.oldMembers},
+		"GET /v1/audit":               {need: pki.Viewer, do: a.tellAudit, old: a.oldAudit},
+		"GET /v1/refused":             {need: pki.Viewer, here: true, do: a.tellRefused},
+		"GET /v1/snapshot":            {need: pki.Operator, do: a.saveSnapshot},
+		"POST /v1/snapshot":           {need: pki.Operator, most: mostSaved, do: a.loadSnapshot},
+		"POST /v1/apply":              {need: pki.Operator, do: a.apply},
+		"POST /v1/probe":              {need: pki.Viewer, do: a.probe},
+		"POST /v1/probe-here":         {need: pki.Agent, here: true, do: a.probeHere},
+		"POST /v1/pause":              {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Pause{By: by} })},
+		"POST /v1/resume":             {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Resume{By: by} })},
+		"POST /v1/abort":              {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Abort{By: by} })},
+		"POST /v1/drain":              {need: pki.Operator, do: a.drain(true)},
+		"POST /v1/undrain":            {need: pki.Operator, do: a.drain(false)},
+		"POST /v1/members/add":        {need: pki.Operator, do: a.addMember},
+		"POST /v1/members/remove":     {need: pki.Operator, do: a.removeMember},
+		"POST /v1/agents/remove":      {need: pki.Operator, do: a.removeAgent},
 	} {
 		if e.most == 0 {
 			e.most = mostBody
@@ -187,8 +187,8 @@
 
 // sendOn has the leader answer a call in this agent's place.
 func (a *Agent) sendOn(ctx context.Context, c *call) ([]byte, error) {
-	hop := c.r.Header.Get(hopHeader)
-	if hop != "" && hop != "0" || hop == "0" && a.store == nil {
+	hop := c.r.Header.Get(agentapi.HopHeader)
+	if hop != "" && hop != agentapi.HopMay || hop == agentapi.HopMay && a.store == nil {
 		return nil, &Failure{codeUnreachable, "this agent does not lead either"}
 	}
 	addresses := a.voters()
@@ -201,7 +201,7 @@
 	}
 	err := error(&Failure{codeUnreachable, "no leader is known"})
 	for _, address := range addresses {
-		e := errand{method: c.r.Method, path: c.r.URL.RequestURI(), body: c.body, hop: "0", whose: &c.caller, limit: leadLimit}
+		e := errand{method: c.r.Method, path: c.r.URL.RequestURI(), body: c.body, hop: agentapi.HopMay, whose: &c.caller, limit: leadLimit}
 		if c.r.Method == http.MethodGet {
 			e.limit = readLimit
 		}
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/replica"
-	"elderyard/members"
 	"elderyard/revisions"
 	"elderyard/rollout"
 	"elderyard/supervise"
@@ -48,7 +48,7 @@
 }
 
 // show puts into a status what a report says.
-func (i *InstanceStatus) show(o *observed, at time.Time) {
+func (i *InstanceStatus) show(o *agentapi.Observed, at time.Time) {
 	i.Running, i.State, i.Ready, i.Why, i.Crashes, i.PID, i.Heard = o.Running, o.State, o.State == supervise.Ready, o.Why, o.Crashes, o.PID, at.UTC()
 	i.Believes = o.Believes
 	if o.Refused != 0 {
@@ -56,47 +56,6 @@
 	}
 }
 
-// report is what an agent tells the leader.
-type report struct {
-	Agent     fleet.Agent `json:"agent"`
-	Instances []observed  `json:"instances"`
-	Belong    bool        `json:"belong,omitempty"` // it keeps who belongs, as of Epoch
-	Epoch     uint64      `json:"epoch,omitempty"`
-}
-
-// observed is one instance of a report.
-type observed struct {
-	Name    string          `json:"name"`
-	Running uint64          `json:"running"`
-	Content string          `json:"content,omitempty"` // the checksum of what runs
-	Taking  uint64          `json:"taking"`            // that it is on its way to
-	State   supervise.State `json:"state"`
-	Why     string          `json:"why,omitempty"`
-	Crashes int             `json:"crashes"`
-	PID     int             `json:"pid,omitempty"`
-	Refused uint64          `json:"refused,omitempty"`
-	Refusal string          `json:"refusal,omitempty"`
-
-	Believes string   `json:"believes,omitempty"`
-	Missing  []string `json:"missing,omitempty"` // instances that it does not hear
-}
-
-// orders answer a report.
-type orders struct {
-	Leader  string           `json:"leader"`
-	Address string           `json:"address"`
-	Wait    bool             `json:"wait"` // the leader does not know yet
-	Orders  map[string]order `json:"orders"`
-	Roster  *members.Roster  `json:"roster,omitempty"` // newer than the agent's
-}
-
-// order is what one instance is to run.
-type order struct {
-	Revision uint64 `json:"revision"`           // 0: nothing
-	Checksum string `json:"checksum,omitempty"` // of its content: another site's revision may have its number
-	Drained  bool   `json:"drained,omitempty"`
-}
-
 // Applied answers an apply.
 type Applied struct {
 	Answer   revisions.Answer   `json:"answer"`
