--- a/cmd/elderctl/fleet.go
+++ b/cmd/elderctl/fleet.go
@@ -186,5 +186,5 @@
 		changeCommand("abort", "Have a rollout go back"),
 		instanceCommand("drain", "Take an instance out of service: it answers what it holds and ends"),
 		instanceCommand("undrain", "Let an instance back into service"),
-		membersCommand(), snapshotCommand(), auditCommand()}
+		membersCommand(), snapshotCommand(), auditCommand(), recordsCommand()}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/recordsync"
 	"elderyard/internal/replica"
 	"elderyard/internal/wait"
 	"elderyard/revisions"
@@ -37,6 +38,9 @@
 	lead      *lead          // nil: no voter
 	port      *port          // nil: the local socket alone
 	peers     *http.Client
+	own       *handover            // connections of this agent to itself
+	pulls     http.Handler         // answers followers of the records; nil: records are off
+	records   *recordsync.Follower // this agent's copy; nil: records are off
 	refusals  *refusals
 	checks    chan struct{} // bounds what is parsed at once
 
@@ -124,6 +128,14 @@
 			wg.Go(func() { a.watchService(inner) })
 		}
 	}
+	a.own = newHandover(advertised(localServer))
+	if c.Records {
+		a.pulls = a.newPulls()
+		if a.records, err = a.openRecords(); err != nil {
+			return err
+		}
+		wg.Go(func() { a.records.Run(inner) })
+	}
 	local, err := listenLocal(c.Socket)
 	if err != nil {
 		return err
@@ -139,6 +151,7 @@
 		wg.Go(func() { <-inner.Done(); s.Close() })
 	}
 	serve(local)
+	serve(a.own)
 	if a.port != nil {
 		serve(a.port.http)
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -20,6 +20,7 @@
 	"elderyard/internal/site"
 	"elderyard/internal/strict"
 	"elderyard/members"
+	"elderyard/records"
 	"elderyard/supervise"
 )
 
@@ -34,6 +35,8 @@
 	Voter       bool            `toml:"voter" doc:"keep the site's desired state; at least one agent must"`
 	Voters      []string        `toml:"voters" doc:"addresses of the site's voters; none: this agent, a voter, founds a site"`
 	Roster      bool            `toml:"roster" doc:"have the voters agree on who belongs to the site, and keep that for gateways that know each other (elderyard-peers); the same at all agents; default false"`
+	Records     bool            `toml:"records" doc:"keep a copy of the site's records (routes, tenants, plans, services) and report its version; a voter also answers others' copies; the same at all agents; default false"`
+	RecordBytes int             `toml:"records_bytes" doc:"bytes a second that the copy of the records may take over the network; default 6000"`
 	Gateway     string          `toml:"gateway" doc:"the gateway's program; default elderyard beside this one"`
 	ServiceFrom string          `toml:"service_from" doc:"URL that answers the site's level of service, a number from 0 to 1, for the rollouts' service_fall; voters read it while they lead"`
 	TLS         TLS             `toml:"tls" doc:"certificates"`
@@ -68,12 +71,15 @@
 	Env    []string `toml:"env" doc:"further KEY=VALUE of its environment"`
 }
 
+// minRecordBytes is the least budget: one poll a second and its answer.
+const minRecordBytes = 1000
+
 // Keys lists the keys of the file with what they mean.
 func Keys() [][2]string { return strict.Keys(Config{}) }
 
 func defaults() Config {
 	d := func(d time.Duration) strict.Duration { return strict.Duration(d) }
-	return Config{RESP: site.Defaults().RESP, Timing: Timing{Report: d(2 * time.Second), FetchWithin: d(15 * time.Second), Heartbeat: d(time.Second), Settle: d(10 * time.Second),
+	return Config{RecordBytes: records.DefaultBytesPerSecond, RESP: site.Defaults().RESP, Timing: Timing{Report: d(2 * time.Second), FetchWithin: d(15 * time.Second), Heartbeat: d(time.Second), Settle: d(10 * time.Second),
 		FirstPause: d(500 * time.Millisecond), MostPause: d(30 * time.Second), CalmAfter: d(time.Minute), KillMargin: d(2 * time.Second)}}
 }
 
@@ -160,6 +166,9 @@
 	if u, err := url.Parse(c.ServiceFrom); c.ServiceFrom != "" && (err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "") {
 		return "service_from", fmt.Errorf("%q is no URL", c.ServiceFrom)
 	}
+	if c.RecordBytes < minRecordBytes {
+		return "records_bytes", fmt.Errorf("%d is below %d", c.RecordBytes, minRecordBytes)
+	}
 	for i, address := range c.Voters {
 		if _, err := hostOf(address); err != nil {
 			return "voters", fmt.Errorf("number %d, %q, is not an address with a port", i+1, address)
--- a/internal/agent/lead.go
+++ b/internal/agent/lead.go
@@ -66,6 +66,7 @@
 	belongingAt time.Time
 	misfit      string // why they can't be agreed on, as last said
 
+	records map[string]heardRecords // by agent
 	agents  map[string]fleet.Agent
 	drained map[string]bool // every instance of the site, and whether it is
 }
@@ -181,6 +182,7 @@
 			delete(t.heard, name)
 		}
 	}
+	t.forgetRecords()
 	if t.machine != nil && t.rollout == now.New {
 		for _, i := range t.machine.Status().Instances {
 			// One that was taken out of service on purpose says nothing of a revision.
@@ -330,7 +332,7 @@
 			return nil, &refusal{out.Refused}
 		}
 	}
-	answer := &agentapi.Orders{Leader: t.name, Address: t.address, Orders: map[string]agentapi.Order{}, Roster: t.rosterFor(r)}
+	answer := &agentapi.Orders{Leader: t.name, Address: t.address, Orders: map[string]agentapi.Order{}, Roster: t.rosterFor(r), Records: t.hearRecords(r.Agent.Name, r.Records)}
 	for _, o := range r.Instances {
 		if _, found := slices.BinarySearch(r.Agent.Instances, o.Name); !found {
 			return nil, &refusal{fmt.Sprintf("agent %s has no instance %s", r.Agent.Name, o.Name)}
--- /dev/null
+++ b/internal/agent/records_lag.go
@@ -0,0 +1,113 @@
+package agent
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"elderyard/internal/agentapi"
+	"elderyard/records"
+)
+
+// heardRecords is what the leader knows of an agent's copy of the records.
+type heardRecords struct {
+	status *agentapi.RecordsStatus // nil: the agent keeps none
+	at     time.Time
+}
+
+// hearRecords notes what a report says of an agent's copy, and returns what the
+// agent is told of the site's records; nil: it keeps none.
+func (t *term) hearRecords(agent string, status *agentapi.RecordsStatus) *agentapi.RecordsHead {
+	if t.records == nil {
+		t.records = map[string]heardRecords{}
+	}
+	t.records[agent] = heardRecords{status: status, at: time.Now()}
+	if status == nil {
+		return nil
+	}
+	var head agentapi.RecordsHead
+	t.store.ReadRecords(func(store *records.Store) { head.Version = store.Version() })
+	return &head
+}
+
+// recordsLag compares what the agents have reported with the site's records.
+func (t *term) recordsLag() (lag agentapi.RecordsLag) {
+	t.look()
+	lag.Agents = []agentapi.AgentRecords{}
+	t.store.ReadRecords(func(store *records.Store) {
+		lag.Version, lag.Digest = store.Version(), store.Digest()
+		history := store.History(0)
+		for _, name := range slices.Sorted(maps.Keys(t.agents)) {
+			one := agentapi.AgentRecords{Agent: name}
+			if heard, found := t.records[name]; found {
+				one = compareRecords(name, heard, store, history)
+			} else {
+				one.State = agentapi.RecordsSilent
+			}
+			if one.State == agentapi.RecordsInForce {
+				lag.InForce++
+			}
+			lag.Agents = append(lag.Agents, one)
+		}
+	})
+	return lag
+}
+
+// compareRecords finds how one agent's copy stands to the store's content.
+func compareRecords(name string, heard heardRecords, store *records.Store, history []records.ChangeInfo) agentapi.AgentRecords {
+	at := heard.at.UTC()
+	one := agentapi.AgentRecords{Agent: name, Heard: &at}
+	if heard.status == nil {
+		one.State = agentapi.RecordsNoReports
+		return one
+	}
+	one.Status = *heard.status
+	digest, known := store.DigestAt(one.Status.Version)
+	switch {
+	case time.Since(heard.at) > idleSilence:
+		one.State = agentapi.RecordsSilent
+	case one.Status.Version > store.Version(), known && digest != one.Status.Digest:
+		one.State = agentapi.RecordsDiffer
+	case one.Status.Version < store.Version():
+		one.State = agentapi.RecordsBehind
+	default:
+		one.State = agentapi.RecordsInForce
+	}
+	one.Since = firstLacking(one.Status.Version, history)
+	return one
+}
+
+// firstLacking tells when the first change above a version was accepted, as far as
+// the history, newest first, goes back.
+func firstLacking(version uint64, history []records.ChangeInfo) *time.Time {
+	n, _ := slices.BinarySearchFunc(history, version, func(info records.ChangeInfo, version uint64) int {
+		if info.Version > version {
+			return -1
+		}
+		return 1
+	})
+	if n == 0 {
+		return nil
+	}
+	at := history[n-1].At
+	return &at
+}
+
+func (a *Agent) tellRecordsLag(ctx context.Context, _ *call) (any, error) {
+	if err := a.store.Confirm(); err != nil {
+		return nil, err
+	}
+	var lag agentapi.RecordsLag
+	err := a.inTerm(ctx, func(t *term) error { lag = t.recordsLag(); return nil })
+	return lag, err
+}
+
+// forgetRecords drops what was heard of agents that no longer belong to the site.
+func (t *term) forgetRecords() {
+	for name := range t.records {
+		if _, belongs := t.agents[name]; !belongs {
+			delete(t.records, name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/agent/records_linux_test.go
@@ -0,0 +1,438 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"elderyard/internal/agentapi"
+	"elderyard/internal/loopback"
+	"elderyard/records"
+)
+
+const (
+	goldPlan   = `{"price_weight":1.5,"requests_per_second":100}`
+	testBudget = 1 << 20 // bytes a second
+)
+
+func putOf(t testing.TB, key, value string) records.Operation {
+	t.Helper()
+	parsed, err := records.ParseKey(key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return records.Operation{Key: parsed, Value: json.RawMessage(value)}
+}
+
+func (m *machine) change(request string, operations ...records.Operation) records.Result {
+	m.t.Helper()
+	result, err := sendChange(m.client, request, operations...)
+	if err != nil {
+		m.t.Fatal(err)
+	}
+	return result
+}
+
+func sendChange(c *Client, request string, operations ...records.Operation) (records.Result, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
+	return c.ChangeRecords(ctx, agentapi.RecordsChange{Request: request, Message: "test", Operations: operations})
+}
+
+// recordsSite starts voters and followers without gateways, all with records on.
+func recordsSite(t *testing.T, voters, followers int) (list []*machine) {
+	t.Helper()
+	var addresses []string
+	for i := range voters + followers {
+		var others []string
+		if i > 0 {
+			others = addresses
+		}
+		m := newMachine(t, fmt.Sprint("a", i), i < voters, others)
+		m.config.Records, m.config.RecordBytes = true, testBudget
+		m.start()
+		if i > 0 && i < voters {
+			if c, err := list[0].client.AddMember(context.Background(), Verb{m.config.Name, m.config.Listen}); err != nil || c.Lacking != nil {
+				t.Fatal(c, err)
+			}
+		}
+		if i < voters {
+			addresses = append(addresses, m.config.Listen)
+		}
+		list = append(list, m)
+	}
+	return list
+}
+
+// inForce waits until a version is in force at so many agents, and nobody else is known.
+func inForce(t testing.TB, c *Client, version uint64, agents int) agentapi.RecordsLag {
+	t.Helper()
+	var lag agentapi.RecordsLag
+	until(t, fmt.Sprintf("version %d is in force at %d agents", version, agents), func() bool {
+		var err error
+		lag, err = c.RecordsLag(context.Background())
+		return err == nil && lag.Stale == "" && lag.Version >= version && lag.InForce == agents && len(lag.Agents) == agents && lag.Everywhere()
+	})
+	return lag
+}
+
+func TestRecordsInForceEverywhere(t *testing.T) {
+	t.Parallel()
+	list := recordsSite(t, 3, 2)
+	first := list[4].change("1", putOf(t, "plan/gold", goldPlan), putOf(t, "tenant/acme", `{"plan":"gold"}`))
+	if first.Status != records.Accepted {
+		t.Fatalf("%+v", first)
+	}
+	lag := inForce(t, list[3].client, first.Version, 5)
+	for _, a := range lag.Agents {
+		if a.Status.Version != first.Version || a.Status.Digest != lag.Digest || a.Status.AgeSeconds == nil || a.Since != nil {
+			t.Fatalf("%+v of %+v", a, lag)
+		}
+	}
+	for _, m := range list {
+		if _, err := os.Stat(filepath.Join(m.config.Dir, recordsFolder, "records")); err != nil {
+			t.Fatal(err)
+		}
+	}
+
+	// A repeat is answered as the first was; another change under its key is refused.
+	if again := list[2].change("1", putOf(t, "plan/gold", goldPlan), putOf(t, "tenant/acme", `{"plan":"gold"}`)); again != first {
+		t.Fatalf("%+v, %+v before", again, first)
+	}
+	if other := list[2].change("1", putOf(t, "plan/silver", goldPlan)); other.Status != records.Invalid || other.Problem.Field != "request" {
+		t.Fatalf("%+v", other)
+	}
+	// A bad change is refused whole, with the record and the field.
+	bad := list[1].change("2", putOf(t, "plan/silver", goldPlan), putOf(t, "tenant/zed", `{"plan":"copper"}`))
+	if bad.Status != records.Invalid || bad.Problem.Key != "tenant/zed" || bad.Problem.Field != "plan" {
+		t.Fatalf("%+v, %+v", bad, bad.Problem)
+	}
+	got, err := list[0].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: "silver"})
+	if err != nil || len(got.Records) != 0 || got.Version != first.Version || got.Total != 2 {
+		t.Fatalf("%+v, %v", got, err)
+	}
+	// Two operators at one record: one of them comes first, and the other is told.
+	var wg sync.WaitGroup
+	var results [2]records.Result
+	for i := range results {
+		operation := putOf(t, "tenant/acme", fmt.Sprintf(`{"plan":"gold","burst":%d}`, i+1))
+		operation.If = &first.Version
+		wg.Go(func() { results[i] = list[i+2].change(fmt.Sprint("cas", i), operation) })
+	}
+	wg.Wait()
+	winner := 0
+	if results[1].Status == records.Accepted {
+		winner = 1
+	}
+	loser := results[1-winner]
+	if results[winner].Status != records.Accepted || loser.Status != records.Conflict || loser.Problem.Key != "tenant/acme" {
+		t.Fatalf("%+v", results)
+	}
+	second := results[winner].Version
+	inForce(t, list[3].client, second, 5)
+
+	diff, err := list[4].client.RecordsDiff(t.Context(), first.Version, 0)
+	if err != nil || diff.To != second || len(diff.Changes) != 1 || diff.Changes[0].Record == nil || diff.Changes[0].Version != second {
+		t.Fatalf("%+v, %v", diff, err)
+	}
+	versions, err := list[4].client.RecordsVersions(t.Context(), 0)
+	if err != nil || len(versions.Changes) != 2 || versions.Changes[0].Version != second || versions.Changes[1].Author == "" {
+		t.Fatalf("%+v, %v", versions, err)
+	}
+	tenants, err := list[4].client.RecordsOf(t.Context(), records.Tenant, "a", 10)
+	if err != nil || len(tenants.Records) != 1 || string(tenants.Records[0].Value) != fmt.Sprintf(`{"plan":"gold","burst":%d}`, winner+1) {
+		t.Fatalf("%+v, %v", tenants, err)
+	}
+	// Undo is a new change, and a record that is needed can't be deleted.
+	if kept := list[0].change("3", records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}); kept.Status != records.Invalid || kept.Problem.Key != "plan/gold" {
+		t.Fatalf("%+v", kept)
+	}
+	undo := list[0].change("4", putOf(t, "tenant/acme", `{"plan":"gold"}`))
+	if undo.Status != records.Accepted || undo.Version <= second {
+		t.Fatalf("%+v", undo)
+	}
+	inForce(t, list[3].client, undo.Version, 5)
+	audit, err := list[3].client.Audit(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	found := 0
+	for _, e := range audit.Changes {
+		if strings.HasPrefix(e.What, "records version ") {
+			found++
+		}
+	}
+	if found != 3 {
+		t.Fatalf("%d accepted changes in the audit log: %+v", found, audit.Changes)
+	}
+}
+
+func TestRecordsAreOff(t *testing.T) {
+	t.Parallel()
+	m := newMachine(t, "a0", true, nil).start()
+	var f *Failure
+	_, err := sendChange(m.client, "1", putOf(t, "plan/gold", goldPlan))
+	if !errors.As(err, &f) || !f.Refused() || !strings.Contains(err.Error(), "set records = true") {
+		t.Fatalf("%v", err)
+	}
+	if _, err := os.Stat(filepath.Join(m.config.Dir, recordsFolder)); !os.IsNotExist(err) {
+		t.Fatalf("a folder of records: %v", err)
+	}
+}
+
+// TestRecordsOnOneMachine has a site without a port keep its records.
+func TestRecordsOnOneMachine(t *testing.T) {
+	t.Parallel()
+	m := newMachine(t, "a0", true, nil)
+	m.config.Listen, m.config.Advertise, m.config.Records = "", "", true
+	m.start()
+	result := m.change("1", putOf(t, "plan/gold", goldPlan))
+	inForce(t, m.client, result.Version, 1)
+	m.end()
+	m.start()
+	inForce(t, m.client, result.Version, 1)
+}
+
+// TestRecordsOfAFollowerCutOff has all voters gone: the follower goes on with what
+// it has, also across a restart, and says how old that is.
+func TestRecordsOfAFollowerCutOff(t *testing.T) {
+	t.Parallel()
+	list := recordsSite(t, 1, 1)
+	result := list[0].change("1", putOf(t, "plan/gold", goldPlan))
+	inForce(t, list[0].client, result.Version, 2)
+	list[0].end()
+	alone := func() (one agentapi.AgentRecords) {
+		until(t, "the follower says why it is not confirmed", func() bool {
+			lag, err := list[1].client.RecordsLag(context.Background())
+			if err != nil || lag.Stale == "" || len(lag.Agents) != 1 {
+				return false
+			}
+			one = lag.Agents[0]
+			return one.Status.Why != "" && one.Status.AgeSeconds != nil
+		})
+		return one
+	}
+	before := alone()
+	if before.Status.Version != result.Version || before.State != agentapi.RecordsUnknown {
+		t.Fatalf("%+v", before)
+	}
+	list[1].end()
+	list[1].start()
+	after := alone()
+	if after.Status.Version != result.Version || after.Status.Digest != before.Status.Digest || *after.Status.AgeSeconds <= *before.Status.AgeSeconds {
+		t.Fatalf("%+v, %+v before the restart", after.Status, before.Status)
+	}
+	list[0].start()
+	next := list[0].change("2", putOf(t, "plan/silver", goldPlan))
+	inForce(t, list[0].client, next.Version, 2)
+}
+
+// TestRecordsWhoIsBehind tells who is behind, and since when.
+func TestRecordsWhoIsBehind(t *testing.T) {
+	t.Parallel()
+	list := recordsSite(t, 1, 2)
+	first := list[0].change("1", putOf(t, "plan/gold", goldPlan))
+	inForce(t, list[0].client, first.Version, 3)
+	list[2].end()
+	second := list[0].change("2", putOf(t, "plan/silver", goldPlan))
+	third := list[0].change("3", putOf(t, "plan/copper", goldPlan))
+	versions, err := list[0].client.RecordsVersions(t.Context(), 0)
+	if err != nil || len(versions.Changes) != 3 || versions.Changes[1].Version != second.Version {
+		t.Fatalf("%+v, %v", versions, err)
+	}
+	until(t, "one is silent and behind since the second change, two are not", func() bool {
+		lag, err := list[0].client.RecordsLag(context.Background())
+		if err != nil || lag.InForce != 2 || len(lag.Agents) != 3 || lag.Everywhere() {
+			return false
+		}
+		gone := lag.Agents[2]
+		return gone.State == agentapi.RecordsSilent && gone.Status.Version == first.Version && gone.Since != nil && gone.Since.Equal(versions.Changes[1].At)
+	})
+	list[2].start()
+	inForce(t, list[0].client, third.Version, 3)
+}
+
+// TestRecordsRepairAfterADay has a follower away while the voters' log of changes
+// is compacted behind it.
+func TestRecordsRepairAfterADay(t *testing.T) {
+	t.Parallel()
+	list := recordsSite(t, 1, 1)
+	first := list[0].change("1", putOf(t, "plan/gold", goldPlan))
+	inForce(t, list[0].client, first.Version, 2)
+	list[1].end()
+	var last records.Result
+	compacted := false
+	for round := 0; !compacted && round < 20; round++ {
+		var operations []records.Operation
+		for i := range records.MaxOperations {
+			name := fmt.Sprintf("plan/%s-%05d", strings.Repeat("n", 100), i)
+			operations = append(operations, putOf(t, name, fmt.Sprintf(`{"price_weight":%d,"requests_per_second":100}`, round+1)))
+		}
+		if last = list[0].change(fmt.Sprint("round", round), operations...); last.Status != records.Accepted {
+			t.Fatalf("%+v, %v", last, last.Problem)
+		}
+		until(t, "the changes that are kept are listed", func() bool {
+			versions, err := list[0].client.RecordsVersions(context.Background(), 0)
+			compacted = err == nil && versions.Changes[len(versions.Changes)-1].Version != first.Version
+			return err == nil
+		})
+	}
+	if !compacted {
+		t.Fatal("the log of changes was not compacted")
+	}
+	list[1].start()
+	inForce(t, list[0].client, last.Version, 2)
+}
+
+// voterProcess is a voter in a process of its own, which can be killed.
+type voterProcess struct {
+	t      testing.TB
+	name   string
+	at     string
+	file   string
+	client *Client
+	cmd    *exec.Cmd // nil: it does not run
+}
+
+func newVoterProcess(t testing.TB, name string, voters []string) *voterProcess {
+	t.Helper()
+	dir, err := os.MkdirTemp("", "agent")
+	if err != nil {
+		t.Fatal(err)
+	}
+	at, err := loopback.Free()
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := toml.Marshal(map[string]any{"name": name, "dir": dir, "listen": at, "plain": true, "voter": true, "voters": voters, "records": true,
+		"records_bytes": testBudget, "timing": map[string]string{"report": "50ms", "heartbeat": "500ms"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	v := &voterProcess{t: t, name: name, at: at, file: filepath.Join(dir, "agent.toml")}
+	if err := os.WriteFile(v.file, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if v.client, err = NewClient(Target{Socket: filepath.Join(dir, "agent.sock")}); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		v.kill()
+		v.client.Close()
+		os.RemoveAll(dir)
+	})
+	return v.start()
+}
+
+func (v *voterProcess) start() *voterProcess {
+	v.t.Helper()
+	v.cmd = exec.Command(os.Args[0])
+	v.cmd.Env = append(os.Environ(), asVoter+"="+v.file)
+	v.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := v.cmd.Start(); err != nil {
+		v.t.Fatal(err)
+	}
+	until(v.t, v.name+" answers", func() bool { _, err := v.client.Members(context.Background()); return err == nil })
+	return v
+}
+
+func (v *voterProcess) kill() {
+	if v.cmd != nil {
+		v.cmd.Process.Kill()
+		v.cmd.Wait()
+		v.cmd = nil
+	}
+}
+
+// TestRecordsLeaderKilled kills the leader twice, each time while changes are on
+// their way: each is taken once, and a repeat gets the same answer.
+func TestRecordsLeaderKilled(t *testing.T) {
+	t.Parallel()
+	const changes = 12
+	var list []*voterProcess
+	var addresses []string
+	for i := range 3 {
+		v := newVoterProcess(t, fmt.Sprint("v", i), addresses)
+		if i > 0 {
+			until(t, v.name+" is a voter", func() bool {
+				c, err := list[0].client.AddMember(context.Background(), Verb{v.name, v.at})
+				return err == nil && c.Lacking == nil
+			})
+		}
+		list, addresses = append(list, v), append(addresses, v.at)
+	}
+	follower := newMachine(t, "a0", false, addresses)
+	follower.config.Records, follower.config.RecordBytes = true, testBudget
+	follower.start()
+	answers := map[string]records.Result{}
+	send := func(from *Client, request string) (records.Result, error) {
+		return sendChange(from, request, putOf(t, "plan/"+request, goldPlan))
+	}
+	for round := range 2 {
+		var leader, other *voterProcess
+		until(t, "a leader", func() bool {
+			s, err := list[0].client.Status(context.Background())
+			for _, v := range list {
+				switch {
+				case err != nil || s.Stale != "":
+				case v.name == s.Leader:
+					leader = v
+				default:
+					other = v
+				}
+			}
+			return leader != nil && other != nil
+		})
+		var mu sync.Mutex
+		var wg sync.WaitGroup
+		accepted := make(chan bool, changes)
+		for i := range changes {
+			wg.Go(func() {
+				request := fmt.Sprintf("r%d-%d", round, i)
+				result, err := send(other.client, request)
+				if err != nil || result.Status != records.Accepted {
+					t.Errorf("%s: %+v, %v", request, result, err)
+				}
+				mu.Lock()
+				defer mu.Unlock()
+				answers[request] = result
+				accepted <- true
+			})
+		}
+		<-accepted // the others are on their way, or were just answered
+		leader.kill()
+		wg.Wait()
+		leader.start()
+	}
+	versions := map[uint64]string{}
+	for request, first := range answers {
+		if twice := versions[first.Version]; twice != "" {
+			t.Fatalf("%s and %s have version %d", request, twice, first.Version)
+		}
+		versions[first.Version] = request
+		for _, v := range list {
+			if again, err := send(v.client, request); err != nil || again != first {
+				t.Fatalf("%s by %s: %+v, %v, %+v before", request, v.name, again, err, first)
+			}
+		}
+		got, err := list[1].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: request})
+		if err != nil || len(got.Records) != 1 || got.Records[0].Version != first.Version {
+			t.Fatalf("%s: %+v, %v, %+v answered", request, got.Records, err, first)
+		}
+	}
+	last := uint64(0)
+	for version := range versions {
+		last = max(last, version)
+	}
+	inForce(t, follower.client, last, 4)
+}
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -17,7 +17,7 @@
 
 // observe is this agent's report.
 func (a *Agent) observe() agentapi.Report {
-	r := agentapi.Report{Agent: a.self}
+	r := agentapi.Report{Agent: a.self, Records: a.recordsStatus()}
 	if a.config.Roster {
 		r.Belong, r.Epoch = true, a.epoch
 	}
@@ -61,6 +61,9 @@
 			started = true
 		}
 		a.note(got, err)
+		if err == nil {
+			a.hearHead(got.Records)
+		}
 		wait.For(ctx, time.Duration(a.config.Timing.Report))
 	}
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -60,6 +60,12 @@
 
 func (a *Agent) routes() http.Handler {
 	mux := http.NewServeMux()
+	add := func(pattern string, e endpoint) {
+		if e.most == 0 {
+			e.most = mostBody
+		}
+		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { a.serve(w, r, &e) })
+	}
 	for pattern, e := range map[string]endpoint{
 		"POST " + agentapi.ReportPath: {need: pki.Agent, most: mostReport, do: a.takeReport},
 		"GET /v1/status":              {need: pki.Viewer, do: a.tellStatus, old: a.oldStatus},
@@ -83,11 +89,9 @@
 		"POST /v1/members/remove":     {need: pki.Operator, do: a.removeMember},
 		"POST /v1/agents/remove":      {need: pki.Operator, do: a.removeAgent},
 	} {
-		if e.most == 0 {
-			e.most = mostBody
-		}
-		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { a.serve(w, r, &e) })
+		add(pattern, e)
 	}
+	a.handleRecords(mux, add)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		answerWith(w, http.StatusNotFound, Failure{codeUnknown, "there is no such call: " + r.Method + " " + r.URL.Path})
 	})
--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -26,6 +26,8 @@
 	Instances []Observed  `json:"instances"`
 	Belong    bool        `json:"belong,omitempty"` // the agent keeps the members' roster, as of Epoch
 	Epoch     uint64      `json:"epoch,omitempty"`
+
+	Records *RecordsStatus `json:"records,omitempty"` // nil: the agent keeps no copy of the records
 }
 
 // Observed is the state of one instance in a Report.
@@ -51,7 +53,8 @@
 	Address string           `json:"address"`
 	Wait    bool             `json:"wait"` // the leader does not know yet
 	Orders  map[string]Order `json:"orders"`
-	Roster  *members.Roster  `json:"roster,omitempty"` // set where it is newer than the agent's
+	Roster  *members.Roster  `json:"roster,omitempty"`  // set where it is newer than the agent's
+	Records *RecordsHead     `json:"records,omitempty"` // set where the report tells of records
 }
 
 // Order is what one instance is to run.
