--- /dev/null
+++ b/cmd/elderctl/records_test.go
@@ -0,0 +1,139 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"elderyard/internal/agentapi"
+	"elderyard/records"
+)
+
+// recordsAgent runs an agent without gateways that keeps records, and returns its socket.
+func recordsAgent(t *testing.T) string {
+	t.Helper()
+	dir, err := os.MkdirTemp("", "records") // short: a socket's path is bounded
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(dir, "agent.toml")
+	text := fmt.Sprintf("name = \"a1\"\ndir = %q\nvoter = true\nrecords = true\n[timing]\nreport = \"50ms\"\n", dir)
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cmd := command(context.Background(), "agent", "run", file)
+	var said bytes.Buffer
+	cmd.Stderr = &said
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		cmd.Process.Signal(syscall.SIGTERM)
+		if err := cmd.Wait(); err != nil {
+			t.Errorf("%v: %s", err, &said)
+		}
+		os.RemoveAll(dir)
+	})
+	socket := filepath.Join(dir, "agent.sock")
+	for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
+		if status, _, errs := tool(t, "records", "lag", "--agent", socket); status == exitOK || status == exitPartly {
+			return socket
+		} else if time.Now().After(end) {
+			t.Fatalf("no agent answers: %s", errs)
+		}
+	}
+}
+
+func writeFile(t *testing.T, name, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+func TestRecordsVerbs(t *testing.T) {
+	t.Parallel()
+	socket := recordsAgent(t)
+	run := func(want int, said string, args ...string) string {
+		t.Helper()
+		status, out, errs := tool(t, append(append([]string{"records"}, args...), "--agent", socket)...)
+		if status != want || !strings.Contains(out+errs, said) {
+			t.Fatalf("%v: status %d, want %d with %q\n%s%s", args, status, want, said, out, errs)
+		}
+		return out
+	}
+	result := func(text string) (r records.Result) {
+		t.Helper()
+		if err := json.Unmarshal([]byte(text), &r); err != nil {
+			t.Fatalf("%v: %s", err, text)
+		}
+		return r
+	}
+	first := writeFile(t, "first.json", `[
+		{"key": "plan/gold", "value": {"price_weight": 1.5, "requests_per_second": 100}},
+		{"key": "service/search", "value": {"class": "interactive"}},
+		{"key": "route/search", "value": {"service": "search", "prefix": "/search"}}]`)
+	one := result(run(exitOK, "accepted", "put", "--from", first, "--message", "the first", "--json", "--wait", "1m"))
+	run(exitOK, "in force at 1 of 1 agents", "lag")
+	run(exitOK, "accepted as version", "put", "tenant/acme", "--value", `{"plan":"gold"}`, "--if", "0")
+	run(exitOK, "unchanged", "put", "tenant/acme", "--value", `{ "plan": "gold" }`)
+	run(exitConflict, "tenant/acme", "put", "tenant/acme", "--value", `{"plan":"gold","burst":5}`, "--if", "0")
+	run(exitRefused, "tenant/zed: plan: there is no plan/copper", "put", "tenant/zed", "--value", `{"plan":"copper"}`)
+	run(exitRefused, "plan/gold", "delete", "plan/gold")
+	value := writeFile(t, "acme.json", `{"plan":"gold","burst":7}`)
+	two := result(run(exitOK, "accepted", "put", "tenant/acme", "--file", value, "--json", "--request", "k1"))
+	if again := result(run(exitOK, "accepted", "put", "tenant/acme", "--file", value, "--json", "--request", "k1")); again != two {
+		t.Fatalf("%+v, %+v before", again, two)
+	}
+	run(exitRefused, "k1", "put", "tenant/acme", "--value", `{"plan":"gold"}`, "--request", "k1")
+	run(exitOK, `{"plan":"gold","burst":7}`, "get", "tenant/acme")
+	run(exitRefused, "there is no record tenant/none", "get", "tenant/none")
+	run(exitOK, "route/search", "list", "route", "se")
+	run(exitOK, "1 records changed", "diff", strconv.FormatUint(one.Version, 10))
+	run(exitOK, "0 records changed", "diff", strconv.FormatUint(two.Version, 10), strconv.FormatUint(two.Version, 10))
+	run(exitRefused, "the newest is", "diff", "99999999")
+	run(exitOK, "the first", "versions")
+	run(exitOK, "accepted", "delete", "tenant/acme", "--if", strconv.FormatUint(two.Version, 10), "--wait", "1m")
+	run(exitOK, "- ", "diff", strconv.FormatUint(two.Version, 10))
+	var lag agentapi.RecordsLag
+	if err := json.Unmarshal([]byte(run(exitOK, "", "lag", "--json")), &lag); err != nil || lag.InForce != 1 || !lag.Everywhere() {
+		t.Fatalf("%+v, %v", lag, err)
+	}
+
+	// Nothing is sent of what is written wrongly.
+	version := lag.Version
+	for said, args := range map[string][]string{
+		"want KIND/NAME":           {"put", "acme", "--value", "{}"},
+		"unknown kind":             {"list", "tenants"},
+		"--value":                  {"put", "tenant/acme", "--value", "{plan"},
+		"by --value or --file":     {"put", "tenant/acme"},
+		"give nothing else beside": {"put", "tenant/acme", "--from", first},
+		"operation 1: json":        {"put", "--from", writeFile(t, "bad.json", `[{"kee":"plan/a"}]`)},
+		"want a JSON list":         {"put", "--from", value},
+		"is no version":            {"diff", "yesterday"},
+		"name one, or use put":     {"delete", "plan/a", "plan/b", "--if", "1"},
+	} {
+		run(exitUsage, said, args...)
+	}
+	if err := json.Unmarshal([]byte(run(exitOK, "", "lag", "--json")), &lag); err != nil || lag.Version != version {
+		t.Fatalf("%+v, %v", lag, err)
+	}
+}
+
+func TestRecordsWithoutAnAgent(t *testing.T) {
+	t.Parallel()
+	status, _, errs := tool(t, "records", "get", "plan/gold", "--agent", filepath.Join(t.TempDir(), "none.sock"))
+	if status != exitUnreachable {
+		t.Fatalf("status %d: %s", status, errs)
+	}
+}
