--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -436,3 +436,29 @@
 	}
 	inForce(t, follower.client, last, 4)
 }
+
+// TestRecordsFromAReplica has a follower that knows no server but a replica without
+// a vote.
+func TestRecordsFromAReplica(t *testing.T) {
+	t.Parallel()
+	list := recordsSite(t, 1, 0)
+	replica := newMachine(t, "r0", true, []string{list[0].config.Listen})
+	replica.config.Records, replica.config.RecordBytes = true, testBudget
+	replica.start()
+	if c, err := list[0].client.AddNonVoter(t.Context(), Verb{replica.config.Name, replica.config.Listen}); err != nil || c.Lacking != nil {
+		t.Fatal(c, err)
+	}
+	follower := newMachine(t, "a1", false, []string{replica.config.Listen})
+	follower.config.Records, follower.config.RecordBytes = true, testBudget
+	follower.start()
+	result := follower.change("1", putOf(t, "plan/gold", goldPlan))
+	inForce(t, follower.client, result.Version, 3)
+	members, err := follower.client.Members(t.Context())
+	if err != nil || len(members.Voters) != 2 || members.Voters[0].NonVoter || !members.Voters[1].NonVoter {
+		t.Fatalf("%+v, %v", members.Voters, err)
+	}
+	audit, err := follower.client.Audit(t.Context())
+	if err != nil || !strings.Contains(fmt.Sprint(audit.Changes), "replica without a vote r0") {
+		t.Fatalf("%+v, %v", audit.Changes, err)
+	}
+}
