--- a/cmd/elderctl/records.go
+++ b/cmd/elderctl/records.go
@@ -23,7 +23,9 @@
 	// defaultVersions is how many changes 'records versions' lists unless it is told.
 	defaultVersions = 20
 	lagEvery        = 200 * time.Millisecond
-	maxNamedAgents  = 5 // of those that lack a change, in an error
+	// sendWithin is for how long a change whose answer is lost is repeated.
+	sendWithin     = 30 * time.Second
+	maxNamedAgents = 5 // of those that lack a change, in an error
 )
 
 func recordsCommand() *cobra.Command {
@@ -63,7 +65,9 @@
 			return err
 		}
 	}
-	result, err := client.ChangeRecords(cmd.Context(), agentapi.RecordsChange{Request: c.request, Message: c.message, Operations: operations})
+	ctx, cancel := context.WithTimeout(cmd.Context(), sendWithin)
+	defer cancel()
+	result, err := client.ChangeRecords(ctx, agentapi.RecordsChange{Request: c.request, Message: c.message, Operations: operations})
 	if err != nil {
 		return err
 	}
--- a/cmd/elderctl/records_test.go
+++ b/cmd/elderctl/records_test.go
@@ -132,8 +132,10 @@
 
 func TestRecordsWithoutAnAgent(t *testing.T) {
 	t.Parallel()
-	status, _, errs := tool(t, "records", "get", "plan/gold", "--agent", filepath.Join(t.TempDir(), "none.sock"))
-	if status != exitUnreachable {
-		t.Fatalf("status %d: %s", status, errs)
+	for _, args := range [][]string{{"get", "plan/gold"}, {"lag"}, {"put", "plan/gold", "--value", "{}"}} {
+		status, _, errs := tool(t, append(append([]string{"records"}, args...), "--agent", filepath.Join(t.TempDir(), "none.sock"))...)
+		if status != exitUnreachable {
+			t.Fatalf("%v: status %d: %s", args, status, errs)
+		}
 	}
 }
