--- a/records/follower_events.go
+++ b/records/follower_events.go
@@ -58,8 +58,8 @@
 type Cancel struct{ ID uint64 }
 
 // Save tells that the replica has come to a version, which is now in force and is
-// to be kept on disk. Delta is what led there from the last one; nil after a
-// repair: the replica has to be written whole.
+// to be kept on disk. Delta is what led there from the last one, for the journal;
+// nil after a repair: the replica has to be written whole.
 type Save struct {
 	Version uint64
 	Delta   *Delta
