--- a/records/repair_test.go
+++ b/records/repair_test.go
@@ -101,6 +101,41 @@
 	}
 }
 
+// Chunks may come from servers at different versions, the later one behind the
+// first: the changes above the lowest version make them one.
+func TestRepairAcrossServers(t *testing.T) {
+	ahead := smallStore(t)
+	behind := smallStore(t)
+	for _, store := range []*Store{ahead, behind} {
+		store.log.compact(len(store.log.entries))
+	}
+	changed := key("plan/gold")
+	apply(t, ahead, 2, change(Operation{Key: changed, Value: []byte(`{"price_weight":2,"requests_per_second":2}`)}), Accepted)
+	apply(t, ahead, 3, change(remove("route/search")), Accepted)
+
+	replica := &Replica{}
+	repair := NewRepair(replica)
+	for repair.Next() == NeedContent {
+		from := ahead
+		if index := repair.Pending()[0]; index == RangeOf(changed) || index == RangeOf(key("route/search")) {
+			from = behind
+		}
+		fetch(t, repair, from, 1)
+	}
+	if since := repair.Since(); since != 1 {
+		t.Errorf("the changes since %d are wanted", since)
+	}
+	if err := repair.Finish(replica, Delta{From: 1, To: 1, Digest: behind.Digest()}); !errors.Is(err, ErrBehind) {
+		t.Errorf("finished by the server that is behind: %v", err)
+	}
+	if err := repair.Finish(replica, since(t, ahead, repair.Since())); err != nil {
+		t.Fatal(err)
+	}
+	if replica.Version() != 3 || replica.Digest() != ahead.Digest() {
+		t.Errorf("at version %d", replica.Version())
+	}
+}
+
 func TestRepairRefuses(t *testing.T) {
 	store := smallStore(t)
 	replica := &Replica{}
@@ -155,6 +190,9 @@
 	if err := repair.Finish(replica, damaged); !errors.Is(err, ErrDigest) || replica.Version() != 2 {
 		t.Errorf("damaged changes: %v, at version %d", err, replica.Version())
 	}
+	if repair.Next() != NeedDigests {
+		t.Error("the ranges are not to be compared again")
+	}
 	// The ranges that differ now are fetched again, and no more.
 	compare(t, repair, store)
 	if pending := repair.Pending(); len(pending) != 1 || pending[0] != RangeOf(key("plan/last")) {
