--- a/internal/recordsync/disk.go
+++ b/internal/recordsync/disk.go
@@ -1,11 +1,9 @@
 package recordsync
 
 import (
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"log/slog"
 	"os"
@@ -32,8 +30,6 @@
 	fileMode   = 0o600
 
 	maxFileBytes = 64 << 20 // a larger file is none of ours
-	// The copy is written whole when the journal is larger than the copy, and this.
-	leastJournalBytes = 256 << 10
 	// confirmEvery is how often the time of the last confirmation is written.
 	confirmEvery = 30 * time.Second
 )
@@ -44,7 +40,6 @@
 	log *slog.Logger
 
 	journal      *os.File // nil: the copy has to be written whole
-	copyBytes    int
 	journalBytes int
 
 	confirmedAt time.Time // as written
@@ -75,7 +70,6 @@
 		replica = &records.Replica{}
 		return f, replica, errors.Join(f.setAside(copyName, err), f.setAside(journalName, errNoCopy))
 	}
-	f.copyBytes = len(data)
 	if err := f.replay(replica); err != nil {
 		if err := f.setAside(journalName, err); err != nil {
 			return nil, nil, err
@@ -128,19 +122,10 @@
 	if err != nil {
 		return err
 	}
-	for rest := data; len(rest) > 0; {
-		var delta records.Delta
-		if delta, rest, err = readFrame(rest); err != nil {
-			return fmt.Errorf("behind version %d: %w", replica.Version(), err)
-		}
-		if delta.To <= replica.Version() {
-			continue // the copy was written whole, and the journal not emptied yet
-		}
-		if err := replica.ApplyDelta(delta); err != nil {
-			return fmt.Errorf("behind version %d: %w", replica.Version(), err)
-		}
+	if _, err := replica.Replay(data); err != nil {
+		return fmt.Errorf("behind version %d: %w", replica.Version(), err)
 	}
-	if f.copyBytes == 0 {
+	if replica.Version() == 0 {
 		return nil // the first save writes the copy whole
 	}
 	f.journalBytes = len(data)
@@ -150,14 +135,14 @@
 
 // save writes down that the replica has come to a version.
 func (f *folder) save(replica *records.Replica, saved records.Save) error {
-	if saved.Delta == nil || f.journal == nil || f.journalBytes > max(f.copyBytes, leastJournalBytes) {
+	if saved.Delta == nil || f.journal == nil || f.journalBytes > records.MaxJournalBytes {
 		return f.saveWhole(replica)
 	}
-	frame, err := newFrame(*saved.Delta)
+	entry, err := records.EncodeJournalEntry(*saved.Delta)
 	if err != nil {
 		return err
 	}
-	if _, err = f.journal.Write(frame); err == nil {
+	if _, err = f.journal.Write(entry); err == nil {
 		err = f.journal.Sync()
 	}
 	if err != nil {
@@ -165,7 +150,7 @@
 		f.closeJournal()
 		return fmt.Errorf("write %s: %w", f.path(journalName), err)
 	}
-	f.journalBytes += len(frame)
+	f.journalBytes += len(entry)
 	return nil
 }
 
@@ -179,7 +164,7 @@
 	if err := files.Replace(f.path(copyName), data, fileMode); err != nil {
 		return err
 	}
-	f.copyBytes, f.journalBytes = len(data), 0
+	f.journalBytes = 0
 	journal, err := os.OpenFile(f.path(journalName), os.O_CREATE|os.O_TRUNC|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
@@ -234,42 +219,3 @@
 	f.confirmedAt = at
 	return files.Replace(f.path(confirmedName), text, fileMode)
 }
-
-// A frame of the journal is the length of an encoded answer, its checksum, and the
-// answer, which holds one delta.
-const frameHeader = 8 // bytes
-
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-func newFrame(delta records.Delta) ([]byte, error) {
-	body, err := records.EncodeAnswer(records.Answer{Version: delta.To, Digest: delta.Digest, Delta: &delta})
-	if err != nil {
-		return nil, err
-	}
-	frame := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
-	frame = binary.BigEndian.AppendUint32(frame, crc32.Checksum(body, castagnoli))
-	return append(frame, body...), nil
-}
-
-func readFrame(data []byte) (delta records.Delta, rest []byte, err error) {
-	if len(data) < frameHeader {
-		return delta, nil, errors.New("a change is cut off")
-	}
-	length, checksum := binary.BigEndian.Uint32(data), binary.BigEndian.Uint32(data[4:])
-	data = data[frameHeader:]
-	if uint64(length) > uint64(len(data)) {
-		return delta, nil, fmt.Errorf("a change is cut off: %d bytes of %d", len(data), length)
-	}
-	body, rest := data[:length], data[length:]
-	if crc32.Checksum(body, castagnoli) != checksum {
-		return delta, nil, errors.New("a change does not fit its checksum")
-	}
-	answer, err := records.DecodeAnswer(body)
-	if err != nil {
-		return delta, nil, err
-	}
-	if answer.Delta == nil {
-		return delta, nil, errors.New("a change is missing")
-	}
-	return *answer.Delta, rest, nil
-}
--- a/internal/recordsync/disk_test.go
+++ b/internal/recordsync/disk_test.go
@@ -71,7 +71,7 @@
 func TestFolderWritesTheCopyAnew(t *testing.T) {
 	dir, source := keep(t)
 	f, replica := reopen(t, dir)
-	f.journalBytes = leastJournalBytes + f.copyBytes
+	f.journalBytes = records.MaxJournalBytes + 1
 	source.apply(t, plan("more", 1))
 	advance(t, f, replica, source)
 	if f.journalBytes != 0 {
--- a/internal/recordsync/follower_test.go
+++ b/internal/recordsync/follower_test.go
@@ -210,7 +210,7 @@
 	var status records.FollowerStatus
 	until(t, "it says why it is behind", func() bool {
 		status = f.Status()
-		return status.Reason != ""
+		return status.Reason != "" && status.Head == source.version()
 	})
 	if status.Version != before.Version || status.Digest != before.Digest || status.Head != before.Version+1 {
 		t.Fatalf("%+v, %+v before", status, before)
