--- a/cmd/elderctl/records_test.go
+++ b/cmd/elderctl/records_test.go
@@ -52,15 +52,6 @@
 	}
 }
 
-func writeFile(t *testing.T, name, text string) string {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
 func TestRecordsVerbs(t *testing.T) {
 	t.Parallel()
 	socket := recordsAgent(t)
