--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -354,34 +354,34 @@
 	}
 }
 
-// TestRecordsLeaderKilled kills the leader twice, each time while changes are on
-// their way: each is taken once, and a repeat gets the same answer.
-func TestRecordsLeaderKilled(t *testing.T) {
-	t.Parallel()
-	const changes = 12
-	var list []*voterProcess
+// processSite starts three voters in processes of their own, and followers in this one.
+func processSite(t *testing.T, followers int) (voters []*voterProcess, list []*machine) {
+	t.Helper()
 	var addresses []string
 	for i := range 3 {
 		v := newVoterProcess(t, fmt.Sprint("v", i), addresses)
 		if i > 0 {
 			until(t, v.name+" is a voter", func() bool {
-				c, err := list[0].client.AddMember(context.Background(), Verb{v.name, v.at})
+				c, err := voters[0].client.AddMember(context.Background(), Verb{v.name, v.at})
 				return err == nil && c.Lacking == nil
 			})
 		}
-		list, addresses = append(list, v), append(addresses, v.at)
+		voters, addresses = append(voters, v), append(addresses, v.at)
 	}
-	follower := newMachine(t, "a0", false, addresses)
-	follower.config.Records, follower.config.RecordBytes = true, testBudget
-	follower.start()
-	answers := map[string]records.Result{}
-	send := func(from *Client, request string) (records.Result, error) {
-		return sendChange(from, request, putOf(t, "plan/"+request, goldPlan))
+	for i := range followers {
+		m := newMachine(t, fmt.Sprint("a", i), false, addresses)
+		m.config.Records, m.config.RecordBytes = true, testBudget
+		list = append(list, m.start())
 	}
-	for round := range 2 {
-		var leader, other *voterProcess
-		until(t, "a leader", func() bool {
-			s, err := list[0].client.Status(context.Background())
+	return voters, list
+}
+
+// roles tells who leads, and names another voter.
+func roles(t testing.TB, list []*voterProcess) (leader, other *voterProcess) {
+	t.Helper()
+	until(t, "a leader", func() bool {
+		for _, asked := range list {
+			s, err := asked.client.Status(context.Background())
 			for _, v := range list {
 				switch {
 				case err != nil || s.Stale != "":
@@ -391,8 +391,28 @@
 					other = v
 				}
 			}
-			return leader != nil && other != nil
-		})
+			if leader != nil && other != nil {
+				return true
+			}
+		}
+		return false
+	})
+	return leader, other
+}
+
+// TestRecordsLeaderKilled kills the leader twice, each time while changes are on
+// their way: each is taken once, and a repeat gets the same answer.
+func TestRecordsLeaderKilled(t *testing.T) {
+	t.Parallel()
+	const changes = 12
+	list, followers := processSite(t, 1)
+	follower := followers[0]
+	answers := map[string]records.Result{}
+	send := func(from *Client, request string) (records.Result, error) {
+		return sendChange(from, request, putOf(t, "plan/"+request, goldPlan))
+	}
+	for round := range 2 {
+		leader, other := roles(t, list)
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		accepted := make(chan bool, changes)
@@ -462,3 +482,37 @@
 		t.Fatalf("%+v, %v", audit.Changes, err)
 	}
 }
+
+// TestRecordsLeaderStandsStill stops the leader's process and wakes it: others come
+// to a change without it, copies that asked it go to another voter, and it comes to
+// what was agreed on without it.
+func TestRecordsLeaderStandsStill(t *testing.T) {
+	t.Parallel()
+	list, followers := processSite(t, 3)
+	first := followers[0].change("1", putOf(t, "plan/gold", goldPlan))
+	inForce(t, followers[0].client, first.Version, 6)
+	leader, other := roles(t, list)
+	if err := leader.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+		t.Fatal(err)
+	}
+	second, err := sendChange(other.client, "2", putOf(t, "plan/silver", goldPlan))
+	if err != nil || second.Status != records.Accepted {
+		t.Fatalf("%+v, %v", second, err)
+	}
+	until(t, "the change is in force at all that run", func() bool {
+		lag, err := other.client.RecordsLag(context.Background())
+		if err != nil || lag.Stale != "" || lag.InForce != 5 {
+			return false
+		}
+		for _, a := range lag.Agents {
+			if a.State == agentapi.RecordsInForce && (a.Status.Version != second.Version || a.Agent == leader.name) {
+				t.Errorf("%+v of %+v", a, lag)
+			}
+		}
+		return lag.Version == second.Version
+	})
+	if err := leader.cmd.Process.Signal(syscall.SIGCONT); err != nil {
+		t.Fatal(err)
+	}
+	inForce(t, other.client, second.Version, 6)
+}
