--- a/records/follower.go
+++ b/records/follower.go
@@ -22,10 +22,6 @@
 // chunkBytes is how much of the ranges is asked for at once, before compression.
 const chunkBytes = 64 << 10
 
-// maxMismatches is how often a repair may end with another digest than the
-// server's before it begins anew from the copy in force.
-const maxMismatches = 3
-
 // FollowerConfig is what a follower needs to know.
 type FollowerConfig struct {
 	Name           string   // of the gateway: it spreads requests over servers and time
@@ -56,7 +52,6 @@
 
 	repair         *Repair // nil: none is under way
 	repairReason   RepairReason
-	mismatches     int
 	changesAskedAt time.Time // during a repair
 	doubted        bool      // a server takes the replica's content for wrong
 
--- a/records/follower_answer.go
+++ b/records/follower_answer.go
@@ -138,7 +138,6 @@
 	}
 	f.repair = NewRepair(f.replica)
 	f.repairReason = reason
-	f.mismatches = 0
 }
 
 // finishRepair takes the changes that complete what has been staged.
@@ -153,20 +152,9 @@
 	}
 	if err := f.repair.Finish(f.replica, delta); err != nil {
 		f.repair.Recompare()
-		f.countMismatch()
 		return nil, err
 	}
 	f.repair = nil
 	f.applied()
 	return []Action{Save{Version: f.replica.Version()}}, nil
 }
-
-// countMismatch begins a repair anew that has come out wrong too often.
-func (f *Follower) countMismatch() {
-	f.mismatches++
-	if f.mismatches < maxMismatches {
-		return
-	}
-	f.repair = NewRepair(f.replica)
-	f.mismatches = 0
-}
--- a/records/follower_test.go
+++ b/records/follower_test.go
@@ -80,7 +80,7 @@
 	for _, fault := range faults() {
 		t.Run(fmt.Sprint(int(fault)), func(t *testing.T) {
 			w := settledWorld(t, 6, 30)
-			for _, server := range w.servers[2:] {
+			for _, server := range w.servers[1:] {
 				w.setFault(server, fault)
 			}
 			w.run(3 * time.Second)
--- a/records/snapshot_test.go
+++ b/records/snapshot_test.go
@@ -4,6 +4,7 @@
 	"crypto/sha256"
 	"errors"
 	"slices"
+	"strings"
 	"testing"
 )
 
@@ -119,35 +120,47 @@
 			Log:             append(List[logEntry]{}, store.log.entries...),
 		}
 	}
-	for name, change := range map[string]func(*storeSnapshot){
-		"digest":            func(s *storeSnapshot) { s.Digest[0]++ },
-		"version":           func(s *storeSnapshot) { s.Version = 3 },
-		"record's version":  func(s *storeSnapshot) { s.Records[0].Version = 5 },
-		"record is missing": func(s *storeSnapshot) { s.Records = s.Records[1:] },
-		"order":             func(s *storeSnapshot) { s.Records[0], s.Records[1] = s.Records[1], s.Records[0] },
-		"value":             func(s *storeSnapshot) { s.Records[0].Value = []byte(`{"no":1}`); s.Digest = digestOf(s.Records) },
-		"not canonical": func(s *storeSnapshot) {
+	// forge makes the digests fit what the records have been changed to.
+	forge := func(s *storeSnapshot) {
+		s.Digest = digestOf(s.Records)
+		s.Log[len(s.Log)-1].Digest = s.Digest
+	}
+	for _, test := range []struct {
+		name   string
+		change func(*storeSnapshot)
+		reason string
+	}{
+		{"digest", func(s *storeSnapshot) { s.Digest[0]++ }, "does not fit the digest"},
+		{"version", func(s *storeSnapshot) { s.Version = 3 }, "version 4 is not between"},
+		{"record's version", func(s *storeSnapshot) { s.Records[0].Version = 5 }, "version 5 is not between"},
+		{"record is missing", func(s *storeSnapshot) { s.Records = s.Records[1:] }, "does not fit the digest"},
+		{"order", func(s *storeSnapshot) { s.Records[0], s.Records[1] = s.Records[1], s.Records[0] }, "does not come after"},
+		{"value", func(s *storeSnapshot) { s.Records[0].Value = []byte(`{"no":1}`); forge(s) }, "no: unknown field"},
+		{"not canonical", func(s *storeSnapshot) {
 			s.Records[0].Value = []byte(`{"requests_per_second":1,"price_weight":1}`)
-			s.Digest = digestOf(s.Records)
-		},
-		"reference":          func(s *storeSnapshot) { s.Records = s.Records[2:]; s.Digest = digestOf(s.Records) },
-		"applied":            func(s *storeSnapshot) { s.Applied = 3 },
-		"log's order":        func(s *storeSnapshot) { s.Log[0], s.Log[1] = s.Log[1], s.Log[0] },
-		"log's end":          func(s *storeSnapshot) { s.Log = s.Log[:1] },
-		"log's digest":       func(s *storeSnapshot) { s.Log[1].Digest[0]++ },
-		"log's key":          func(s *storeSnapshot) { s.Log[1].Keys = []Key{{}} },
-		"log's floor":        func(s *storeSnapshot) { s.FloorVersion = 1 },
-		"requests twice":     func(s *storeSnapshot) { s.Requests = make(List[rememberedResult], 2) },
-		"too many log lines": func(s *storeSnapshot) { s.Log = make(List[logEntry], MaxLogChanges+1) },
+			forge(s)
+		}, "not in canonical form"},
+		{"reference", func(s *storeSnapshot) { s.Records = s.Records[2:]; forge(s) }, "there is no plan/gold"},
+		{"applied", func(s *storeSnapshot) { s.Applied = 3 }, "applied up to 3"},
+		{"log's order", func(s *storeSnapshot) { s.Log[0], s.Log[1] = s.Log[1], s.Log[0] }, "version 1 follows 4"},
+		{"log's end", func(s *storeSnapshot) { s.Log = s.Log[:1] }, "ends at version 1"},
+		{"log's digest", func(s *storeSnapshot) { s.Log[1].Digest[0]++ }, "log: the content does not fit the digest"},
+		{"log's key", func(s *storeSnapshot) { s.Log[1].Keys = []Key{{}} }, "unknown kind"},
+		{"log's floor", func(s *storeSnapshot) { s.FloorVersion = 1 }, "version 1 follows 1"},
+		{"requests twice", func(s *storeSnapshot) { s.Requests = make(List[rememberedResult], 2) }, "there twice"},
+		{"long log", func(s *storeSnapshot) { s.Log = longLog() }, "beyond the bounds"},
 	} {
 		snapshot := whole()
-		change(&snapshot)
+		test.change(&snapshot)
+		if _, err := snapshot.store(); err == nil || !strings.Contains(err.Error(), test.reason) {
+			t.Errorf("%s: %v, want %q", test.name, err, test.reason)
+		}
 		data, err := seal(storeHeader, snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := (&Store{}).Restore(data); !errors.Is(err, ErrSnapshot) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v", test.name, err)
 		}
 	}
 	data, err := seal(storeHeader, whole())
@@ -168,6 +181,15 @@
 // unsealed returns the body of a snapshot.
 func unsealed(header string, data []byte) []byte { return data[len(header)+sha256.Size:] }
 
+// longLog has one change more than a log may have.
+func longLog() List[logEntry] {
+	log := make(List[logEntry], MaxLogChanges+1)
+	for i := range log {
+		log[i].Info.Version = uint64(i + 1)
+	}
+	return log
+}
+
 func digestOf(records []Record) Digest {
 	draft := emptyState.edit()
 	for _, record := range records {
