--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -516,3 +516,30 @@
 	}
 	inForce(t, other.client, second.Version, 6)
 }
+
+// TestRecordsRestored restores a saved state behind which the copies have gone on:
+// they take it all the same, as a new version.
+func TestRecordsRestored(t *testing.T) {
+	t.Parallel()
+	list := recordsSite(t, 1, 1)
+	first := list[0].change("1", putOf(t, "plan/gold", goldPlan))
+	saved, err := list[0].client.Snapshot(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	second := list[0].change("2", putOf(t, "plan/silver", goldPlan))
+	inForce(t, list[0].client, second.Version, 2)
+	if err := list[0].client.Restore(t.Context(), saved); err != nil {
+		t.Fatal(err)
+	}
+	restored := inForce(t, list[0].client, second.Version+1, 2)
+	got, err := list[1].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: "silver"})
+	if err != nil || len(got.Records) != 0 || got.Total != 1 || got.Version != restored.Version {
+		t.Fatalf("%+v, %v", got, err)
+	}
+	if got, err = list[1].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: "gold"}); err != nil || len(got.Records) != 1 || got.Records[0].Version != first.Version {
+		t.Fatalf("%+v, %v", got, err)
+	}
+	third := list[1].change("3", putOf(t, "plan/copper", goldPlan))
+	inForce(t, list[0].client, third.Version, 2)
+}
--- a/internal/recordsync/follower.go
+++ b/internal/recordsync/follower.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net/http"
@@ -54,12 +55,18 @@
 	done chan struct{}
 }
 
+// leastWait is the shortest time between two ticks.
+const leastWait = time.Millisecond
+
 // idleTimeout is after how long a connection that is not in use is closed.
 const idleTimeout = time.Minute
 
 // Open reads the copy that an earlier run kept. Run must be called, or nothing
 // more happens.
 func Open(o Options) (*Follower, error) {
+	if len(o.Servers) == 0 {
+		return nil, errors.New("records: no server is named that a copy could follow")
+	}
 	folder, replica, err := openFolder(o.Dir, o.Log)
 	if err != nil {
 		return nil, err
@@ -88,7 +95,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(time.Until(f.machine.Wake()))
+		timer.Reset(max(leastWait, time.Until(f.machine.Wake())))
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/recordsync/follower_test.go
+++ b/internal/recordsync/follower_test.go
@@ -100,7 +100,10 @@
 
 func TestFollowerReadsOutOfTime(t *testing.T) {
 	t.Parallel()
-	f, err := Open(options(t.TempDir()))
+	if _, err := Open(options(t.TempDir())); err == nil {
+		t.Fatal("opened without a server")
+	}
+	f, err := Open(options(t.TempDir(), "127.0.0.1:1"))
 	must(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
