--- a/internal/agent/records_copy.go
+++ b/internal/agent/records_copy.go
@@ -21,6 +21,7 @@
 	localServer  = "local"
 	localAddress = localServer + ":80" // as an HTTP client dials it
 	maxWhy       = 512                 // bytes of the reason in a report
+	ageUnit      = 100 * time.Millisecond
 )
 
 // openRecords opens this agent's copy of the records.
@@ -30,20 +31,33 @@
 		Dial: a.dialRecords, BaseURL: a.recordsURL, Log: a.log})
 }
 
-// recordsServers are the voters that this agent's file names, and itself where it
-// is one.
+// recordsServers are the voters that this agent's file names; for a voter, those
+// that it knows of at its start as well, and itself.
 func (a *Agent) recordsServers() (servers []string) {
-	for _, address := range a.config.Voters {
+	add := func(address string) {
 		if address != a.self.Address && !slices.Contains(servers, address) {
 			servers = append(servers, address)
 		}
 	}
-	if a.store != nil {
-		servers = append(servers, localServer)
+	for _, address := range a.config.Voters {
+		add(address)
+	}
+	if a.store == nil {
+		return servers
+	}
+	members, err := a.store.Members()
+	if err != nil {
+		a.log.Warn("the copy of the records asks the voters of the file alone", "error", err)
+	}
+	for _, m := range members {
+		if m.Name != a.config.Name {
+			add(m.Address)
+		}
 	}
-	return servers
+	return append(servers, localServer)
 }
 
+// recordsURL is where a server answers, without a path.
 func (a *Agent) recordsURL(server string) string {
 	if server == localServer {
 		return "http://" + localServer
@@ -51,6 +65,7 @@
 	return a.url(server, "")
 }
 
+// dialRecords reaches another agent, or this one without the network.
 func (a *Agent) dialRecords(ctx context.Context, _, address string) (net.Conn, error) {
 	if address != localAddress {
 		return a.port.dial(ctx, address)
@@ -68,7 +83,7 @@
 	now := a.records.Status()
 	status := &agentapi.RecordsStatus{State: now.State, Version: now.Version, Digest: now.Digest, Why: now.Reason}
 	if age, known := now.Age(time.Now()); known {
-		seconds := age.Seconds()
+		seconds := age.Round(ageUnit).Seconds()
 		status.AgeSeconds = &seconds
 	}
 	if status.Why == "" {
--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -17,6 +18,8 @@
 
 	"elderyard/internal/agentapi"
 	"elderyard/internal/loopback"
+	"elderyard/internal/pki"
+	"elderyard/internal/recordsync"
 	"elderyard/records"
 )
 
@@ -543,3 +546,82 @@
 	third := list[1].change("3", putOf(t, "plan/copper", goldPlan))
 	inForce(t, list[0].client, third.Version, 2)
 }
+
+// TestRecordsWhoMay has a copy follow over TLS, and roles keep to what they may.
+func TestRecordsWhoMay(t *testing.T) {
+	t.Parallel()
+	ca := filepath.Join(t.TempDir(), "ca")
+	if err := pki.Init(ca); err != nil {
+		t.Fatal(err)
+	}
+	files := func(name string) pki.Files {
+		return pki.Files{CA: filepath.Join(ca, "ca.pem"), Cert: filepath.Join(ca, name+".pem"), Key: filepath.Join(ca, name+"-key.pem")}
+	}
+	for name, role := range map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer} {
+		if err := pki.Issue(ca, name, role, 30); err != nil {
+			t.Fatal(err)
+		}
+	}
+	secure := func(name string, voter bool, others ...string) *machine {
+		m := newMachine(t, name, voter, others)
+		f := files(name)
+		m.config.Plain, m.config.TLS, m.config.Records = false, TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}, true
+		return m.start()
+	}
+	voter := secure("a1", true)
+	follower := secure("a2", false, voter.config.Listen)
+	as := func(name string) *Client {
+		c, err := NewClient(Target{Address: follower.config.Listen, Files: files(name)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(c.Close)
+		return c
+	}
+	result, err := sendChange(as("ann"), "1", putOf(t, "plan/gold", goldPlan))
+	if err != nil || result.Status != records.Accepted {
+		t.Fatalf("%+v, %v", result, err)
+	}
+	inForce(t, as("vic"), result.Version, 2)
+	var f *Failure
+	if _, err := sendChange(as("vic"), "2", putOf(t, "plan/gold", goldPlan)); !errors.As(err, &f) || !f.Forbidden() {
+		t.Fatalf("a viewer changes records: %v", err)
+	}
+	versions, err := as("vic").RecordsVersions(t.Context(), 1)
+	if err != nil || len(versions.Changes) != 1 || versions.Changes[0].Author != "ann" {
+		t.Fatalf("%+v, %v", versions, err)
+	}
+	for name, want := range map[string]int{"vic": http.StatusForbidden, "ann": http.StatusForbidden, "a2": http.StatusOK} {
+		config, err := files(name).Client()
+		if err != nil {
+			t.Fatal(err)
+		}
+		client := &http.Client{Transport: &http.Transport{TLSClientConfig: config}}
+		for _, path := range []string{recordsync.ChangesPath + "?since=0", recordsync.RangesPath, recordsync.ContentPath + "?ranges=0&max_bytes=1000"} {
+			response, err := client.Get("https://" + voter.config.Listen + path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			response.Body.Close()
+			if response.StatusCode != want {
+				t.Errorf("%s gets %s: %s", name, path, response.Status)
+			}
+		}
+		client.CloseIdleConnections()
+	}
+	// An agent that is no voter says so.
+	config, err := files("a1").Client()
+	if err != nil {
+		t.Fatal(err)
+	}
+	client := &http.Client{Transport: &http.Transport{TLSClientConfig: config}}
+	defer client.CloseIdleConnections()
+	response, err := client.Get("https://" + follower.config.Listen + recordsync.RangesPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response.Body.Close()
+	if response.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("a follower answers %s", response.Status)
+	}
+}
