--- a/internal/recordsync/client.go
+++ b/internal/recordsync/client.go
@@ -2,10 +2,12 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"net/url"
 	"strings"
 	"sync/atomic"
 
@@ -75,7 +77,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, err // names the method and the URL
+		return nil, withoutURL(err) // the follower names the server
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -89,6 +91,15 @@
 	return body, nil
 }
 
+// withoutURL takes off what an HTTP client says of the call beside the cause.
+func withoutURL(err error) error {
+	var inner *url.Error
+	if errors.As(err, &inner) {
+		return inner.Err
+	}
+	return err
+}
+
 // targetOf returns the path and query of a request.
 func targetOf(asked records.Request) (string, error) {
 	switch asked := asked.(type) {
--- a/internal/recordsync/follower_test.go
+++ b/internal/recordsync/follower_test.go
@@ -215,6 +215,9 @@
 		status = f.Status()
 		return status.Reason != "" && status.Head == source.version()
 	})
+	if strings.Contains(status.Reason, ChangesPath) || !strings.Contains(status.Reason, addressOf(server)) {
+		t.Fatalf("the reason names more than the server and the cause: %s", status.Reason)
+	}
 	if status.Version != before.Version || status.Digest != before.Digest || status.Head != before.Version+1 {
 		t.Fatalf("%+v, %+v before", status, before)
 	}
