--- /dev/null
+++ b/records/follower_repair_test.go
@@ -0,0 +1,156 @@
+package records
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A follower that is cut off goes on with what it has, says so, and comes back by
+// the ranges that differ when the log has been compacted between.
+func TestCutOff(t *testing.T) {
+	w := newWorld(t, 3, 4, largeStore(t, 1000))
+	w.mustReach(2 * time.Minute)
+	w.run(time.Minute)
+	last := w.version
+	f := w.followers[0]
+	f.cut = true
+	for i := range 300 {
+		w.change(urgent(i), put(fmt.Sprintf("plan/p%d", i%5), planValue), put("service/x", fmt.Sprintf(`{"class":"c%d"}`, i)))
+		w.run(time.Second)
+	}
+	if !w.everywhere() {
+		t.Fatal("the others have not gone on")
+	}
+	status := f.follower.Status(w.now)
+	if age, known := status.Age(w.now); status.State != CutOff || status.Version != last || !known || age < 280*time.Second || status.Reason == "" {
+		t.Errorf("%+v, age %v", status, age)
+	}
+	if f.asks > 400 {
+		t.Errorf("asked %d times", f.asks)
+	}
+	for _, server := range w.servers {
+		server.store.log.compact(len(server.store.log.entries))
+	}
+	f.cut = false
+	f.received = 0
+	w.tellHead()
+	w.mustReach(inForce)
+	if f.received > 20_000 {
+		t.Errorf("received %d bytes for a few ranges", f.received)
+	}
+	if status := f.follower.Status(w.now); status.State != Following || status.Reason != "" {
+		t.Errorf("%+v", status)
+	}
+}
+
+// An empty replica is repaired within its budget, goes on where it was when servers
+// die, and keeps what it has fetched.
+func TestBudgetOfARepair(t *testing.T) {
+	const bytesPerSecond = 1000
+	w := newWorld(t, 3, 0, largeStore(t, 3000))
+	w.bytesPerSecond = bytesPerSecond
+	for _, server := range w.servers {
+		server.store.log.compact(len(server.store.log.entries))
+	}
+	for i := range 3 {
+		w.addFollower(fmt.Sprintf("gateway-%d", i), &Replica{})
+	}
+	// One answer may go beyond the budget: a chunk, compressed.
+	budget := func(elapsed time.Duration) int {
+		return 4*bytesPerSecond + int(elapsed.Seconds()*bytesPerSecond) + chunkBytes/4
+	}
+	start := w.now
+	for second := range 200 {
+		if w.everywhere() {
+			break
+		}
+		// Every server dies in turn and comes back.
+		for i, server := range w.servers {
+			w.setFault(server, healthy)
+			if second/7%3 == i {
+				w.setFault(server, refusing)
+			}
+		}
+		if second%5 == 0 {
+			w.change(urgent(second))
+		}
+		w.run(time.Second)
+		for _, f := range w.followers {
+			if most := budget(w.now.Sub(start)); f.received > most {
+				t.Fatalf("%s received %d bytes in %v, the budget is %d", f.name, f.received, w.now.Sub(start), most)
+			}
+		}
+	}
+	w.mustReach(inForce)
+	for _, f := range w.followers {
+		if f.received < 40_000 || f.received > 90_000 {
+			t.Errorf("%s received %d bytes", f.name, f.received)
+		}
+	}
+	t.Logf("3,000 records in %v, %d bytes", w.now.Sub(start), w.followers[0].received)
+}
+
+// While a repair is under way that takes long, a server that can give the changes
+// since the replica's version is found, and they come first.
+func TestChangesGoBeforeARepair(t *testing.T) {
+	w := newWorld(t, 2, 0, largeStore(t, 2000))
+	w.bytesPerSecond = 500
+	replica := &Replica{}
+	if err := replica.ApplyDelta(since(t, w.newest, 0)); err != nil {
+		t.Fatal(err)
+	}
+	var bulk []Operation
+	for i := range 2000 {
+		bulk = append(bulk, put(fmt.Sprintf("tenant/bulk-%d", i), fmt.Sprintf(`{"plan":"free","burst":%d}`, i+1)))
+	}
+	w.change(bulk...)
+	compacted, whole := w.servers[0], w.servers[1]
+	compacted.store.log.compact(len(compacted.store.log.entries))
+	w.setFault(whole, refusing)
+	f := w.addFollower("gateway", replica)
+	w.run(10 * time.Second)
+	if status := f.follower.Status(w.now); status.State != Repairing || status.RangesWanted == 0 {
+		t.Fatalf("%+v", status)
+	}
+	w.setFault(whole, healthy)
+	w.setFault(compacted, refusing)
+	w.change(urgent(1))
+	w.tellHead()
+	w.mustReach(inForce)
+	if status := f.follower.Status(w.now); status.State != Following {
+		t.Errorf("%+v", status)
+	}
+}
+
+// One change of 5,000 records is everywhere in time, and so is an urgent one behind it.
+func TestLargeChange(t *testing.T) {
+	w := settledWorld(t, 6, 6)
+	var bulk []Operation
+	for i := range 5000 {
+		bulk = append(bulk, largeRecord(i))
+	}
+	w.change(bulk...)
+	w.mustReach(inForce)
+	w.change(urgent(1))
+	w.mustReach(inForce)
+}
+
+// A replica whose content is not what all servers had is repaired.
+func TestReplicaWithAnotherDigest(t *testing.T) {
+	w := newWorld(t, 3, 0, smallStore(t))
+	forged := smallStore(t)
+	apply(t, forged, 2, change(urgent(99)), Accepted)
+	replica := &Replica{}
+	if err := replica.ApplyDelta(since(t, forged, 0)); err != nil {
+		t.Fatal(err)
+	}
+	w.change(urgent(1))
+	w.change(urgent(2))
+	w.accepted[2] = forged.Digest() // where the replica stands
+	f := w.addFollower("gateway", replica)
+	w.mustReach(inForce)
+	if status := f.follower.Status(w.now); status.State != Following || status.Reason != "" {
+		t.Errorf("%+v", status)
+	}
+}
