--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -17,6 +18,8 @@
 
 	"elderyard/internal/agentapi"
 	"elderyard/internal/loopback"
+	"elderyard/internal/pki"
+	"elderyard/internal/recordsync"
 	"elderyard/records"
 )
 
@@ -354,34 +357,34 @@
 	}
 }
 
-// TestRecordsLeaderKilled kills the leader twice, each time while changes are on
-// their way: each is taken once, and a repeat gets the same answer.
-func TestRecordsLeaderKilled(t *testing.T) {
-	t.Parallel()
-	const changes = 12
-	var list []*voterProcess
+// processSite starts three voters in processes of their own, and followers in this one.
+func processSite(t *testing.T, followers int) (voters []*voterProcess, list []*machine) {
+	t.Helper()
 	var addresses []string
 	for i := range 3 {
 		v := newVoterProcess(t, fmt.Sprint("v", i), addresses)
 		if i > 0 {
 			until(t, v.name+" is a voter", func() bool {
-				c, err := list[0].client.AddMember(context.Background(), Verb{v.name, v.at})
+				c, err := voters[0].client.AddMember(context.Background(), Verb{v.name, v.at})
 				return err == nil && c.Lacking == nil
 			})
 		}
-		list, addresses = append(list, v), append(addresses, v.at)
+		voters, addresses = append(voters, v), append(addresses, v.at)
 	}
-	follower := newMachine(t, "a0", false, addresses)
-	follower.config.Records, follower.config.RecordBytes = true, testBudget
-	follower.start()
-	answers := map[string]records.Result{}
-	send := func(from *Client, request string) (records.Result, error) {
-		return sendChange(from, request, putOf(t, "plan/"+request, goldPlan))
+	for i := range followers {
+		m := newMachine(t, fmt.Sprint("a", i), false, addresses)
+		m.config.Records, m.config.RecordBytes = true, testBudget
+		list = append(list, m.start())
 	}
-	for round := range 2 {
-		var leader, other *voterProcess
-		until(t, "a leader", func() bool {
-			s, err := list[0].client.Status(context.Background())
+	return voters, list
+}
+
+// roles tells who leads, and names another voter.
+func roles(t testing.TB, list []*voterProcess) (leader, other *voterProcess) {
+	t.Helper()
+	until(t, "a leader", func() bool {
+		for _, asked := range list {
+			s, err := asked.client.Status(context.Background())
 			for _, v := range list {
 				switch {
 				case err != nil || s.Stale != "":
@@ -391,8 +394,28 @@
 					other = v
 				}
 			}
-			return leader != nil && other != nil
-		})
+			if leader != nil && other != nil {
+				return true
+			}
+		}
+		return false
+	})
+	return leader, other
+}
+
+// TestRecordsLeaderKilled kills the leader twice, each time while changes are on
+// their way: each is taken once, and a repeat gets the same answer.
+func TestRecordsLeaderKilled(t *testing.T) {
+	t.Parallel()
+	const changes = 12
+	list, followers := processSite(t, 1)
+	follower := followers[0]
+	answers := map[string]records.Result{}
+	send := func(from *Client, request string) (records.Result, error) {
+		return sendChange(from, request, putOf(t, "plan/"+request, goldPlan))
+	}
+	for round := range 2 {
+		leader, other := roles(t, list)
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		accepted := make(chan bool, changes)
@@ -462,3 +485,143 @@
 		t.Fatalf("%+v, %v", audit.Changes, err)
 	}
 }
+
+// TestRecordsLeaderStandsStill stops the leader's process and wakes it: others come
+// to a change without it, copies that asked it go to another voter, and it comes to
+// what was agreed on without it.
+func TestRecordsLeaderStandsStill(t *testing.T) {
+	t.Parallel()
+	list, followers := processSite(t, 3)
+	first := followers[0].change("1", putOf(t, "plan/gold", goldPlan))
+	inForce(t, followers[0].client, first.Version, 6)
+	leader, other := roles(t, list)
+	if err := leader.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+		t.Fatal(err)
+	}
+	second, err := sendChange(other.client, "2", putOf(t, "plan/silver", goldPlan))
+	if err != nil || second.Status != records.Accepted {
+		t.Fatalf("%+v, %v", second, err)
+	}
+	until(t, "the change is in force at all that run", func() bool {
+		lag, err := other.client.RecordsLag(context.Background())
+		if err != nil || lag.Stale != "" || lag.InForce != 5 {
+			return false
+		}
+		for _, a := range lag.Agents {
+			if a.State == agentapi.RecordsInForce && (a.Status.Version != second.Version || a.Agent == leader.name) {
+				t.Errorf("%+v of %+v", a, lag)
+			}
+		}
+		return lag.Version == second.Version
+	})
+	if err := leader.cmd.Process.Signal(syscall.SIGCONT); err != nil {
+		t.Fatal(err)
+	}
+	inForce(t, other.client, second.Version, 6)
+}
+
+// TestRecordsRestored restores a saved state behind which the copies have gone on:
+// they take it all the same, as a new version.
+func TestRecordsRestored(t *testing.T) {
+	t.Parallel()
+	list := recordsSite(t, 1, 1)
+	first := list[0].change("1", putOf(t, "plan/gold", goldPlan))
+	saved, err := list[0].client.Snapshot(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	second := list[0].change("2", putOf(t, "plan/silver", goldPlan))
+	inForce(t, list[0].client, second.Version, 2)
+	if err := list[0].client.Restore(t.Context(), saved); err != nil {
+		t.Fatal(err)
+	}
+	restored := inForce(t, list[0].client, second.Version+1, 2)
+	got, err := list[1].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: "silver"})
+	if err != nil || len(got.Records) != 0 || got.Total != 1 || got.Version != restored.Version {
+		t.Fatalf("%+v, %v", got, err)
+	}
+	if got, err = list[1].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: "gold"}); err != nil || len(got.Records) != 1 || got.Records[0].Version != first.Version {
+		t.Fatalf("%+v, %v", got, err)
+	}
+	third := list[1].change("3", putOf(t, "plan/copper", goldPlan))
+	inForce(t, list[0].client, third.Version, 2)
+}
+
+// TestRecordsWhoMay has a copy follow over TLS, and roles keep to what they may.
+func TestRecordsWhoMay(t *testing.T) {
+	t.Parallel()
+	ca := filepath.Join(t.TempDir(), "ca")
+	if err := pki.Init(ca); err != nil {
+		t.Fatal(err)
+	}
+	files := func(name string) pki.Files {
+		return pki.Files{CA: filepath.Join(ca, "ca.pem"), Cert: filepath.Join(ca, name+".pem"), Key: filepath.Join(ca, name+"-key.pem")}
+	}
+	for name, role := range map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer} {
+		if err := pki.Issue(ca, name, role, 30); err != nil {
+			t.Fatal(err)
+		}
+	}
+	secure := func(name string, voter bool, others ...string) *machine {
+		m := newMachine(t, name, voter, others)
+		f := files(name)
+		m.config.Plain, m.config.TLS, m.config.Records = false, TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}, true
+		return m.start()
+	}
+	voter := secure("a1", true)
+	follower := secure("a2", false, voter.config.Listen)
+	as := func(name string) *Client {
+		c, err := NewClient(Target{Address: follower.config.Listen, Files: files(name)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(c.Close)
+		return c
+	}
+	result, err := sendChange(as("ann"), "1", putOf(t, "plan/gold", goldPlan))
+	if err != nil || result.Status != records.Accepted {
+		t.Fatalf("%+v, %v", result, err)
+	}
+	inForce(t, as("vic"), result.Version, 2)
+	var f *Failure
+	if _, err := sendChange(as("vic"), "2", putOf(t, "plan/gold", goldPlan)); !errors.As(err, &f) || !f.Forbidden() {
+		t.Fatalf("a viewer changes records: %v", err)
+	}
+	versions, err := as("vic").RecordsVersions(t.Context(), 1)
+	if err != nil || len(versions.Changes) != 1 || versions.Changes[0].Author != "ann" {
+		t.Fatalf("%+v, %v", versions, err)
+	}
+	for name, want := range map[string]int{"vic": http.StatusForbidden, "ann": http.StatusForbidden, "a2": http.StatusOK} {
+		config, err := files(name).Client()
+		if err != nil {
+			t.Fatal(err)
+		}
+		client := &http.Client{Transport: &http.Transport{TLSClientConfig: config}}
+		for _, path := range []string{recordsync.ChangesPath + "?since=0", recordsync.RangesPath, recordsync.ContentPath + "?ranges=0&max_bytes=1000"} {
+			response, err := client.Get("https://" + voter.config.Listen + path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			response.Body.Close()
+			if response.StatusCode != want {
+				t.Errorf("%s gets %s: %s", name, path, response.Status)
+			}
+		}
+		client.CloseIdleConnections()
+	}
+	// An agent that is no voter says so.
+	config, err := files("a1").Client()
+	if err != nil {
+		t.Fatal(err)
+	}
+	client := &http.Client{Transport: &http.Transport{TLSClientConfig: config}}
+	defer client.CloseIdleConnections()
+	response, err := client.Get("https://" + follower.config.Listen + recordsync.RangesPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response.Body.Close()
+	if response.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("a follower answers %s", response.Status)
+	}
+}
