--- a/members/compare.go
+++ b/members/compare.go
@@ -1,9 +1,8 @@
 package members
 
-// Compare returns what brings this machine to the detector's whole list of those
-// living. Some events may have found no room, and the detector tells nobody that a
-// suspicion was denied. Lost says that an event is known to have been lost: only then
-// does a name that is not on the list count as gone, since its end may be on its way.
+// Compare returns the events that reconcile this machine with the failure detector's complete list of living members.
+// Events may have been dropped, and the detector does not report denied suspicions. Lost says that an event is known to
+// have been dropped: only then does a name that is missing from the list count as gone, as its end may still be queued.
 func (m *Machine) Compare(living []Alive, lost bool) (events []Event) {
 	latest := map[string]Alive{}
 	for _, a := range living {
--- a/members/contacts.go
+++ b/members/contacts.go
@@ -7,30 +7,29 @@
 )
 
 const (
-	mostAsked  = 4  // at a time: one of them knows of all the others
-	askFirst   = 2  // intervals of the first pause between asks; it doubles
-	askMost    = 20 // intervals of the longest
-	tellPauses = 5  // intervals between rosters told to one member
+	maxAsked   = 4  // at a time: any of them knows all the others
+	firstPause = 2  // intervals; the pause between requests doubles
+	maxPause   = 20 // intervals
+	tellPause  = 5  // intervals between rosters sent to one member
 )
 
-// Contacts decides whom a process asks to be let in again, and whom it tells its
-// roster, beside what the detector does by itself. It belongs to one goroutine.
+// Contacts decides which addresses a process asks to rejoin, and which members it sends its roster, in addition to what
+// the failure detector does. It is not safe for concurrent use.
 type Contacts struct {
 	every time.Duration // the detector's interval
 	askAt Time
 	pause time.Duration
-	told  map[string]Time
+	sent  map[string]Time
 }
 
-// NewContacts begins with an ask that is due at once.
+// NewContacts returns Contacts whose first request is due at once.
 func NewContacts(every time.Duration, now Time) *Contacts {
-	return &Contacts{every: every, askAt: now, pause: askFirst * every, told: map[string]Time{}}
+	return &Contacts{every: every, askAt: now, pause: firstPause * every, sent: map[string]Time{}}
 }
 
-// Ask returns the addresses to be asked now, in any order: of whoever belongs and is
-// not heard, and the seeds while too few are known. After a long cut the detector
-// has forgotten those beyond it. Address is where a member was last found, "" for
-// nowhere. Pauses grow while anybody is missed.
+// Ask returns the addresses to ask now, in any order: of members that are not heard of, as the failure detector forgets
+// members after a long partition, and seeds while too few are known. Address returns the last known address of a member,
+// "" for none. The pauses grow while members are missing.
 func (c *Contacts) Ask(now Time, p *Picture, address func(name string) string, seeds []string, rng *rand.Rand) (targets []string) {
 	if now < c.askAt {
 		return nil
@@ -45,28 +44,28 @@
 	}
 	c.askAt = now + c.pause + time.Duration(rng.Int64N(int64(c.pause/2)))
 	if len(targets) == 0 {
-		c.pause = askFirst * c.every
+		c.pause = firstPause * c.every
 		return nil
 	}
-	c.pause = min(2*c.pause, askMost*c.every)
+	c.pause = min(2*c.pause, maxPause*c.every)
 	slices.Sort(targets)
 	targets = slices.Compact(targets)
 	rng.Shuffle(len(targets), func(i, k int) { targets[i], targets[k] = targets[k], targets[i] })
-	return targets[:min(len(targets), mostAsked)]
+	return targets[:min(len(targets), maxAsked)]
 }
 
-// Tell tells whether a member is to be given this process's roster: it has an older
-// or another one, and was not told lately.
+// Tell reports whether to send a member this process's roster: it has an older or different one, and was not sent it
+// lately.
 func (c *Contacts) Tell(now Time, mine Roster, a Alive) bool {
 	if a.Epoch > mine.Epoch || a.Epoch == mine.Epoch && a.Sum == mine.Sum() {
 		return false
 	}
-	if last, told := c.told[a.Name]; told && now-last < tellPauses*c.every {
+	if last, sent := c.sent[a.Name]; sent && now-last < tellPause*c.every {
 		return false
 	}
-	if len(c.told) > 2*MostNames {
-		clear(c.told)
+	if len(c.sent) > 2*MostNames {
+		clear(c.sent)
 	}
-	c.told[a.Name] = now
+	c.sent[a.Name] = now
 	return true
 }
--- a/members/contacts_test.go
+++ b/members/contacts_test.go
@@ -42,8 +42,8 @@
 	m.lose("g3", "g4", "g5", "g6", "g7", "g8")
 	m.pass(s(40))
 	got := ask("at-g1", "seed")
-	if len(got) != mostAsked || len(slices.Compact(slices.Sorted(slices.Values(got)))) != mostAsked {
-		t.Errorf("%v are asked, want %d different ones", got, mostAsked)
+	if len(got) != maxAsked || len(slices.Compact(slices.Sorted(slices.Values(got)))) != maxAsked {
+		t.Errorf("%v are asked, want %d different ones", got, maxAsked)
 	}
 }
 
--- a/members/diff.go
+++ b/members/diff.go
@@ -7,22 +7,21 @@
 	"strings"
 )
 
-// Difference is one thing that pictures do not agree on.
+// Difference is something on which pictures disagree.
 type Difference struct {
 	What   string   `json:"what"`           // such as "epoch", or "g3"
-	Groups []Saying `json:"groups"`         // who says what, the most first
-	Belief string   `json:"belief"`         // what that most likely means
-	Name   string   `json:"name,omitempty"` // of the member that it is about
+	Groups []Saying `json:"groups"`         // who says what, the largest group first
+	Belief string   `json:"belief"`         // the most likely cause
+	Name   string   `json:"name,omitempty"` // member concerned
 }
 
-// Saying is what some of the pictures say.
+// Saying is what a group of pictures says.
 type Saying struct {
 	Says string   `json:"says"`
 	By   []string `json:"by"`
 }
 
-// Differences are what pictures of a site do not agree on. That each hears others at
-// its own times is none.
+// Differences returns the differences between pictures of a site, except for times.
 func Differences(pictures []Picture) (list []Difference) {
 	compare := func(what, name, belief string, say func(*Picture) string) {
 		var groups []Saying
--- a/members/events.go
+++ b/members/events.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// Time is a moment on this process's own clock: how long it has been since the
-// process began. It goes on while the process is stopped.
+// Time is a time on this process's own clock: the duration since the process started. It runs on while the process is
+// stopped.
 type Time = time.Duration
 
-// Event is one thing that a process learned of its fellows.
+// Event is something that a process learned of its peers.
 type Event interface{ event() }
 
-// Tick says that time passes. It comes at least every Settings.Tick; one that
-// comes much later tells that this process slept.
+// Tick says that time has passed. It must be handled every Settings.Tick; a much later one shows that this process was
+// suspended.
 type Tick struct{}
 
-// Heard says that a member answered this process itself.
+// Heard says that a member answered this process directly.
 type Heard struct {
 	Name string
 	Life Life
 }
 
-// Alive says that a life of a name is there, by whatever way it was learned, and
-// what it tells of itself.
+// Alive says that a life of a name is alive, from whatever source, and what it reports of itself.
 type Alive struct {
 	Name    string
 	Life    Life
 	Address string // where others reach it
-	Desk    string // where its operators call; "": nowhere
+	Desk    string // address of its operator interface; "": none
 	Epoch   uint64 // of its roster
 	Sum     uint64 // of its roster
 }
@@ -37,35 +36,35 @@
 	By   string
 }
 
-// Contradicted says that a member has denied being gone. By had said so.
+// Contradicted says that a member denied By's report that it is gone.
 type Contradicted struct {
 	Name string
 	Life Life
 	By   string
 }
 
-// Failed says that a member's silence has lasted: the detector counts it as gone.
+// Failed says that the failure detector counts a member as gone.
 type Failed struct {
 	Name string
 	Life Life
 }
 
-// Left says that a member has said itself that it ends.
+// Left says that a member announced its own end.
 type Left struct {
 	Name string
 	Life Life
 }
 
-// Lived says that a life of a name has been, alive or not.
+// Lived says that a life of a name existed; it may be over.
 type Lived struct {
 	Name string
 	Life Life
 }
 
-// RosterTold is a roster that somebody has.
+// RosterTold is a roster that was received.
 type RosterTold struct {
 	Roster Roster
-	By     string // a member, or where else it comes from
+	By     string // the sender: a member, or another source
 }
 
 func (Tick) event()         {}
--- a/members/picture.go
+++ b/members/picture.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// State is what is known of one life.
+// State is the known state of a life.
 type State int
 
 // The states.
 const (
-	Unheard State = iota // never heard of
+	Unheard State = iota // nothing has been heard of it
 	Living
-	Suspect // a probe was not answered; it still counts as living
-	Gone    // the detector has given it up. That proves nothing
-	Ended   // it said itself that it ends, or a later life of its name is there
+	Suspect // a probe was not answered; it still counts as alive
+	Gone    // the failure detector gave it up, which proves nothing
+	Ended   // it announced its end, or was superseded by a later life
 )
 
 var stateNames = [...]string{"unheard", "living", "suspect", "gone", "ended"}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// View is what a picture says of one name.
+// View is what a picture says about one name.
 type View struct {
 	Name    string `json:"name"`
 	Self    bool   `json:"self,omitempty"`
@@ -56,18 +56,17 @@
 	Life    Life   `json:"life,omitempty"`
 	State   State  `json:"state"`
 	Since   Time   `json:"since_ns"`       // of the state
-	Heard   Time   `json:"heard_ns"`       // its last answer to this process; 0: none
-	Epoch   uint64 `json:"epoch"`          // that it last said it has
-	Older   int    `json:"older"`          // earlier lives that are still heard
-	Address string `json:"address"`        // as it says itself
-	Desk    string `json:"desk,omitempty"` // its operators' address
+	Heard   Time   `json:"heard_ns"`       // last answer to this process; 0: none
+	Epoch   uint64 `json:"epoch"`          // that it last reported
+	Older   int    `json:"older"`          // earlier lives that are still heard of
+	Address string `json:"address"`        // that it reports
+	Desk    string `json:"desk,omitempty"` // address of its operator interface
 }
 
-// Picture is what one process believes. It is a copy: what happens later does
-// not change it.
+// Picture is one process's view of the site at one time. It is a copy that does not change.
 type Picture struct {
-	Number     uint64  `json:"number"` // grows with each change
-	At         Time    `json:"at_ns"`  // when it was asked for
+	Number     uint64  `json:"number"` // increases with each change
+	At         Time    `json:"at_ns"`  // when it was made
 	Self       string  `json:"self"`
 	Life       Life    `json:"life"`
 	Verdict    Verdict `json:"verdict"`
@@ -75,18 +74,18 @@
 	Why        string  `json:"why"`
 	Epoch      uint64  `json:"epoch"`
 	Sum        uint64  `json:"sum"`
-	Belong     int     `json:"belong"`               // names in the roster
-	Safe       int     `json:"safe"`                 // never under the number that may be serving
-	Likely     int     `json:"likely"`               // how many seem to be
-	Share      int     `json:"share"`                // what this one divides quotas by
-	Dropped    uint64  `json:"dropped"`              // names that there was no room for
-	Superseded Life    `json:"superseded,omitempty"` // the later life of this process's name; 0: none
-	Joining    string  `json:"joining,omitempty"`    // a member that has yet to know of this one; "": all do
-	Heard      Time    `json:"heard_ns"`             // the last answer of anybody; 0: none
+	Belong     int     `json:"belong"`               // members of the roster
+	Safe       int     `json:"safe"`                 // never below the number of processes that may be serving
+	Likely     int     `json:"likely"`               // how many seem to be alive
+	Share      int     `json:"share"`                // divisor of quotas
+	Dropped    uint64  `json:"dropped"`              // names that did not fit
+	Superseded Life    `json:"superseded,omitempty"` // later life of this process's name; 0: none
+	Joining    string  `json:"joining,omitempty"`    // a member that may not know of this one; "": none
+	Heard      Time    `json:"heard_ns"`             // last answer of any peer; 0: none
 	Members    []View  `json:"members"`              // by name
 }
 
-// Line is what the picture says at a moment, and how old it is, for a person.
+// Line returns the picture in one line for display, with its age at now.
 func (p *Picture) Line(now Time) string {
 	const round = 100 * time.Millisecond
 	heard := "nobody has answered yet"
@@ -96,10 +95,10 @@
 	return fmt.Sprintf("%v for %v (%s), epoch %d, %s", p.Verdict, (now - p.Since).Round(round), p.Why, p.Epoch, heard)
 }
 
-// There tells whether a life counts as living.
+// There reports whether a life counts as alive.
 func (s State) There() bool { return s == Living || s == Suspect }
 
-// Evidence is one thing that was learned of a member, for people who ask why.
+// Evidence is something that was learned about a member, to explain verdicts to operators.
 type Evidence struct {
 	At   Time   `json:"at_ns"`
 	Name string `json:"name"`
--- a/members/roster.go
+++ b/members/roster.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// Bounds of what is kept, whatever others say.
+// Limits of what is kept, whatever peers send.
 const (
 	MostNames = 512 // in a roster
-	MostName  = 64  // bytes of a name: names go in every datagram
+	MostName  = 64  // bytes of a name: every datagram holds names
 
-	maxStrangers    = 64  // names outside the roster that are kept track of
-	maxEarlierLives = 4   // earlier lives of one name
-	maxEvidence     = 512 // entries; the oldest go
+	maxStrangers    = 64  // tracked names outside the roster
+	maxEarlierLives = 4   // tracked earlier lives of one name
+	maxEvidence     = 512 // entries; the oldest are dropped
 )
 
-// Life numbers the lives of a name. A later life has a higher number.
+// Life is the incarnation number of a name: each start of a process has a higher one.
 type Life uint64
 
 // Member is one name of a roster.
@@ -28,8 +28,7 @@
 	Since uint64 `toml:"since" json:"since,omitempty" doc:"epoch in which it was added; 0, the default: it was there from the start"`
 }
 
-// Roster says who belongs. Epochs only grow: of two rosters the one of the
-// higher epoch holds.
+// Roster is the list of a site's members. Epochs only increase: of two rosters the one with the higher epoch is valid.
 type Roster struct {
 	Epoch   uint64   `toml:"epoch" json:"epoch" doc:"number of this roster, above that of each one before (needed)"`
 	Members []Member `toml:"member" json:"members" doc:"who belongs (needed)"`
@@ -42,7 +41,7 @@
 	return r
 }
 
-// Check finds what is wrong with a roster, and names the key that it stands at.
+// Check returns an error if the roster is invalid, and the key of the offending value.
 func (r Roster) Check() (key string, err error) {
 	switch {
 	case r.Epoch == 0:
@@ -69,7 +68,7 @@
 	return "", nil
 }
 
-// CheckName finds what is wrong with the name of a member.
+// CheckName returns an error if a name is not valid for a member.
 func CheckName(name string) error {
 	if name == "" || len(name) > MostName || !Plain(name) {
 		return fmt.Errorf("%.80q: a name has letters, digits, '-', '_' and '.', 1 to %d of them", name, MostName)
@@ -77,20 +76,20 @@
 	return nil
 }
 
-// Plain tells whether a text has nothing but what names may have.
+// Plain reports whether a text has only characters that are allowed in names.
 func Plain(text string) bool {
 	return !strings.ContainsFunc(text, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.')
 	})
 }
 
-// Has tells whether a name belongs.
+// Has reports whether a name is a member.
 func (r Roster) Has(name string) bool {
 	return slices.ContainsFunc(r.Members, func(m Member) bool { return m.Name == name })
 }
 
-// Sum is the same for the same roster in whatever order: two of one epoch that
-// differ are told apart by it.
+// Sum returns a hash of the roster that does not depend on the order of members. It distinguishes different rosters of
+// one epoch.
 func (r Roster) Sum() uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d", r.Epoch)
@@ -100,8 +99,7 @@
 	return h.Sum64()
 }
 
-// Next is the roster after a change: names that are new have its epoch as their
-// since, the others keep theirs.
+// Next returns the roster of the next epoch with these names. New names are members since that epoch, others keep theirs.
 func (r Roster) Next(names []string) Roster {
 	next := Roster{Epoch: r.Epoch + 1}
 	for _, name := range names {
@@ -109,7 +107,7 @@
 		if i := slices.IndexFunc(r.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
 			m.Since = r.Members[i].Since
 		} else if r.Epoch == 0 {
-			m.Since = 0 // a founder: nobody was there before who would have to know of it
+			m.Since = 0 // a member of the first roster: no earlier member has to learn of it
 		}
 		next.Members = append(next.Members, m)
 	}
--- a/members/table.go
+++ b/members/table.go
@@ -1,15 +1,14 @@
 package members
 
-// Verdict is how much of its roster a process hears.
+// Verdict says how much of its roster a process hears of.
 type Verdict int
 
-// The verdicts, those that allow least first. An even half is below a majority:
-// the other half may think the same.
+// The verdicts, the least permissive first. Exactly half is less than a majority: the other half may think the same.
 const (
-	Unsure   Verdict = iota // what it holds may be old: it slept, has just started, or rosters disagree
-	Alone                   // it hears nobody
-	Minority                // it hears less than half, itself among them
-	Even                    // just half
+	Unsure   Verdict = iota // its state may be outdated: it was suspended, just started, or rosters conflict
+	Alone                   // it hears of nobody
+	Minority                // it hears of less than half, itself included
+	Even                    // exactly half
 	Majority                // more than half, and not all
 	Whole                   // all
 	verdicts
@@ -19,17 +18,17 @@
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Use is something that is done by what is known of the others.
+// Use is something that depends on what is known of the other members.
 type Use int
 
 // The uses.
 const (
-	HoldDuty       Use = iota // go on with a duty that only one may hold; the lease is granted elsewhere
-	WidenShare                // take a larger local share of a quota than before, as the safe count allows
-	CountOthers               // count what others say that they spent
-	ShareCold                 // divide what a cold backend bears by the likely count
+	HoldDuty       Use = iota // continue an exclusive duty; its lease is granted elsewhere
+	WidenShare                // take a larger local share of a quota, by the safe count
+	CountOthers               // count what others report as spent
+	ShareCold                 // divide a cold backend's capacity by the likely count
 	TakeOut                   // take a backend out for all gateways
-	AnswerOperator            // say what is known, with its verdict and its age
+	AnswerOperator            // report the state with its verdict and age
 	uses
 )
 
@@ -38,15 +37,15 @@
 
 func (u Use) String() string { return useNames[u] }
 
-// cell is one decision with its reason.
-type cell struct {
+// decision is an entry of the table, with its reason.
+type decision struct {
 	may bool
 	why string
 }
 
-// table is all that may be done in which verdict. Whoever acts on what is known
-// of the others asks here (May, Machine.May) and nowhere else.
-var table = [uses][verdicts]cell{
+// table says which uses each verdict allows. All code that acts on what is known of other members asks it, through May or
+// Machine.May.
+var table = [uses][verdicts]decision{
 	HoldDuty: {
 		Unsure:   {false, "the lease may have run out while this one slept, and another may hold the duty"},
 		Alone:    {false, "who grants duties can't be reached either, most likely; the others will hand them on"},
@@ -97,13 +96,13 @@
 	},
 }
 
-// May tells whether something may be done in a verdict, and why.
+// May reports whether a verdict allows a use, and why.
 func May(u Use, v Verdict) (may bool, why string) {
-	c := table[u][v]
-	return c.may, c.why
+	d := table[u][v]
+	return d.may, d.why
 }
 
-// Uses are all that there are.
+// Uses lists all uses.
 func Uses() (list []Use) {
 	for u := range uses {
 		list = append(list, u)
--- a/members/verdict.go
+++ b/members/verdict.go
@@ -8,22 +8,20 @@
 // whyStarted is the reason of the first verdict.
 const whyStarted = "it has just begun"
 
-// Permit is what a process may do until it hears otherwise. It is a copy that may
-// be asked from anywhere, by a clock alone.
+// Permit says what a process may do. It is a copy that is safe for concurrent use and needs only a clock.
 type Permit struct {
 	verdict    Verdict
 	superseded bool
-	until      Time // after this the process must have slept
+	until      Time // later than this, the process must have been suspended
 }
 
-// Permit is what this process may do now.
+// Permit returns what this process may do now.
 func (m *Machine) Permit() Permit {
 	return Permit{m.verdict, m.superseded != 0, m.lastTick + m.settings.Tick + m.settings.StallAfter}
 }
 
-// May tells whether something may be done now, and why. It is asked right before
-// the effect: a process that slept since its last tick holds nothing, and finds
-// out here, not afterwards.
+// May reports whether a use is allowed now, and why. Callers ask right before the effect: a process that was suspended
+// since its last tick may hold nothing, and finds out here.
 func (p Permit) May(now Time, u Use) (may bool, why string) {
 	v := p.verdict
 	if now >= p.until {
@@ -35,13 +33,12 @@
 	return May(u, v)
 }
 
-// May is Permit's.
+// May is like Permit.May.
 func (m *Machine) May(now Time, u Use) (may bool, why string) { return m.Permit().May(now, u) }
 
-// judge brings the verdict up to the evidence. A worse one holds at once; a
-// better one must have held for a while, and the longer the more often the
-// verdict has fallen lately: so a way that flaps changes it seldom, in whatever
-// rhythm.
+// updateVerdict adapts the verdict to the evidence. A worse verdict is adopted at once. A better one is adopted after the
+// evidence has supported it for a while, the longer the more often the verdict fell lately, so that a flapping link
+// changes it seldom.
 func (m *Machine) updateVerdict() {
 	raw, why := m.currentVerdict()
 	if raw != Unsure {
@@ -66,14 +63,14 @@
 	case raw == m.verdict:
 		m.reason = why
 	}
-	// A smaller share is taken at once, a larger one where the verdict allows it.
-	if by := m.quotaDivisor(); by > m.share || by < m.share && m.mayWiden() {
-		m.share = by
+	// A smaller share is taken at once, a larger one only if the verdict allows it.
+	if divisor := m.quotaDivisor(); divisor > m.share || divisor < m.share && m.mayWiden() {
+		m.share = divisor
 		m.number++
 	}
 }
 
-// held is the best verdict that the evidence has allowed for as long as it must.
+// settledVerdict returns the best verdict that the evidence has supported for the settle time.
 func (m *Machine) settledVerdict() Verdict {
 	v := Whole
 	for v > Unsure && m.now-m.allowedSince[v] < m.settleTime() {
@@ -82,12 +79,13 @@
 	return v
 }
 
+// mayWiden reports whether a larger share of quotas is allowed.
 func (m *Machine) mayWiden() bool {
 	may, _ := m.May(m.now, WidenShare)
 	return may
 }
 
-// dwell is how long a better verdict must have held.
+// settleTime returns how long the evidence must support a better verdict.
 func (m *Machine) settleTime() time.Duration {
 	d := m.settings.Settle
 	for range m.recentFalls {
@@ -98,59 +96,85 @@
 	return d
 }
 
+// setVerdict sets the verdict and records it as evidence.
 func (m *Machine) setVerdict(v Verdict, why string) {
 	m.verdict, m.reason, m.since = v, why, m.now
 	m.number++
 	m.addEvidence(m.settings.Self, m.settings.Life, "is "+v.String()+": "+why, "")
 }
 
-// raw is the verdict by what is known at this moment.
+// currentVerdict returns the verdict that the present evidence supports, and why.
 func (m *Machine) currentVerdict() (Verdict, string) {
-	n := len(m.roster.Members)
+	if why := m.identityProblem(); why != "" {
+		return Unsure, why
+	}
+	if len(m.roster.Members) > 1 && m.lastAnswer <= m.awakeSince {
+		return m.unansweredVerdict()
+	}
+	if failed := m.failedProbes(); len(m.probes) >= minProbes && 2*failed > len(m.probes) {
+		return Unsure, fmt.Sprintf("%d of its last %d probes were not answered", failed, len(m.probes))
+	}
+	return m.countVerdict()
+}
+
+// identityProblem returns why this process can't be sure of its own place in the roster, "" if it can.
+func (m *Machine) identityProblem() string {
+	self := m.peers[m.settings.Self]
 	switch {
 	case m.superseded != 0:
-		return Unsure, fmt.Sprintf("life %d of this name has taken the place of life %d", m.superseded, m.settings.Life)
-	case m.peers[m.settings.Self] != nil && m.peers[m.settings.Self].hasEarlierLife():
-		return Unsure, "an earlier life of this name is still heard"
+		return fmt.Sprintf("life %d of this name has taken the place of life %d", m.superseded, m.settings.Life)
+	case self != nil && self.hasEarlierLife():
+		return "an earlier life of this name is still heard"
 	case !m.roster.Has(m.settings.Self):
-		return Unsure, fmt.Sprintf("the roster of epoch %d does not have this one", m.roster.Epoch)
+		return fmt.Sprintf("the roster of epoch %d does not have this one", m.roster.Epoch)
 	case len(m.conflictingRosters) > 0:
-		return Unsure, fmt.Sprintf("there are %d rosters of epoch %d", 1+len(m.conflictingRosters), m.roster.Epoch)
+		return fmt.Sprintf("there are %d rosters of epoch %d", 1+len(m.conflictingRosters), m.roster.Epoch)
 	}
+	return ""
+}
+
+// unansweredVerdict returns the verdict if nobody has answered since this process started or was suspended.
+func (m *Machine) unansweredVerdict() (Verdict, string) {
 	awake := m.now - m.awakeSince
-	if n > 1 && m.lastAnswer <= m.awakeSince && awake < m.settings.Blind {
-		if m.lastSleep > 0 {
-			return Unsure, fmt.Sprintf("it slept for %v and has had no answer since: others' silence proves nothing yet", m.lastSleep.Round(time.Millisecond))
-		}
-		return Unsure, whyStarted + ", and nobody has answered yet"
-	}
-	if n > 1 && m.lastAnswer <= m.awakeSince {
+	switch {
+	case awake >= m.settings.Blind:
 		return Alone, fmt.Sprintf("nobody has answered in %v", awake.Round(time.Millisecond))
+	case m.lastSleep > 0:
+		return Unsure, fmt.Sprintf("it slept for %v and has had no answer since: others' silence proves nothing yet", m.lastSleep.Round(time.Millisecond))
 	}
+	return Unsure, whyStarted + ", and nobody has answered yet"
+}
+
+// failedProbes returns how many of the latest probes were not answered. Peers that count as gone are not expected to
+// answer.
+func (m *Machine) failedProbes() int {
 	failed := 0
-	for _, p := range m.probes {
-		if f := m.peers[p.name]; !p.answered && f != nil && f.state.There() {
-			failed++ // who counts as gone is not expected to answer
+	for _, probe := range m.probes {
+		if p := m.peers[probe.name]; !probe.answered && p != nil && p.state.There() {
+			failed++
 		}
 	}
-	if len(m.probes) >= minProbes && 2*failed > len(m.probes) {
-		return Unsure, fmt.Sprintf("%d of its last %d probes were not answered", failed, len(m.probes))
-	}
-	there := 1
-	for _, other := range m.roster.Members {
-		if f := m.peers[other.Name]; f != nil && other.Name != m.settings.Self && f.state.There() {
-			there++
+	return failed
+}
+
+// countVerdict returns the verdict by how many members seem to be alive.
+func (m *Machine) countVerdict() (Verdict, string) {
+	count := len(m.roster.Members)
+	alive := 1
+	for _, member := range m.roster.Members {
+		if p := m.peers[member.Name]; p != nil && member.Name != m.settings.Self && p.state.There() {
+			alive++
 		}
 	}
-	why := fmt.Sprintf("%d of %d are heard", there, n)
+	why := fmt.Sprintf("%d of %d are heard", alive, count)
 	switch {
-	case there == n:
+	case alive == count:
 		return Whole, why
-	case there == 1:
+	case alive == 1:
 		return Alone, why
-	case 2*there > n:
+	case 2*alive > count:
 		return Majority, why
-	case 2*there == n:
+	case 2*alive == count:
 		return Even, why
 	}
 	return Minority, why
