--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -146,16 +146,14 @@
 }
 func (s *sink) Late(time.Time, time.Time, string) {}
 
-// play sends one arrival at a server that answers tries with the given texts,
-// one after another; "" closes the connection, "-" says nothing.
-func play(t *testing.T, h Habits, class int, answers ...string) ([]audit.Try, []*http.Request) {
+// serveConnections listens on loopback and hands each connection to handle, which may use it until it returns. Stop
+// closes the listener and waits for all of them.
+func serveConnections(t *testing.T, handle func(c net.Conn)) (address string, stop func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var mu sync.Mutex
-	var seen []*http.Request
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
@@ -165,29 +163,44 @@
 			}
 			wg.Go(func() {
 				defer c.Close()
-				r := bufio.NewReader(c)
-				for {
-					req, err := http.ReadRequest(r)
-					if err != nil {
-						return
-					}
-					io.Copy(io.Discard, req.Body)
-					mu.Lock()
-					n := len(seen)
-					seen = append(seen, req)
-					mu.Unlock()
-					if n >= len(answers) || answers[n] == "" {
-						return
-					}
-					if answers[n] != "-" {
-						io.WriteString(c, answers[n])
-					}
-				}
+				handle(c)
 			})
 		}
 	})
+	return l.Addr().String(), func() {
+		l.Close()
+		wg.Wait()
+	}
+}
+
+// play sends one arrival at a server that answers tries with the given texts,
+// one after another; "" closes the connection, "-" says nothing.
+func play(t *testing.T, h Habits, class int, answers ...string) ([]audit.Try, []*http.Request) {
+	t.Helper()
+	var mu sync.Mutex
+	var seen []*http.Request
+	address, stop := serveConnections(t, func(c net.Conn) {
+		r := bufio.NewReader(c)
+		for {
+			req, err := http.ReadRequest(r)
+			if err != nil {
+				return
+			}
+			io.Copy(io.Discard, req.Body)
+			mu.Lock()
+			n := len(seen)
+			seen = append(seen, req)
+			mu.Unlock()
+			if n >= len(answers) || answers[n] == "" {
+				return
+			}
+			if answers[n] != "-" {
+				io.WriteString(c, answers[n])
+			}
+		}
+	})
 	front := NewFront([]string{"g0"})
-	front.Take(0, l.Addr().String())
+	front.Take(0, address)
 	s := &sink{}
 	cfg := config()
 	cfg.Classes[0].Deadline, cfg.Classes[1].Deadline = 700*time.Millisecond, 700*time.Millisecond
@@ -198,8 +211,7 @@
 		t.Errorf("%+v", p)
 	}
 	front.Close()
-	l.Close()
-	wg.Wait()
+	stop()
 	return s.tries, seen
 }
 
@@ -275,34 +287,19 @@
 // down, and one that keeps silent.
 func TestBadClientsAreOwedAnEnd(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		var wg sync.WaitGroup
-		wg.Go(func() {
-			for {
-				c, err := l.Accept()
-				if err != nil {
-					return
-				}
-				wg.Go(func() {
-					defer c.Close()
-					if silent {
-						io.Copy(io.Discard, c)
-					}
-				})
+		address, stop := serveConnections(t, func(c net.Conn) {
+			if silent {
+				io.Copy(io.Discard, c)
 			}
 		})
 		front := NewFront([]string{"g0"})
-		front.Take(0, l.Addr().String())
+		front.Take(0, address)
 		s := &sink{}
 		b := &Bad{Seed: 1, Front: front, Sink: s, Owed: 50 * time.Millisecond, Class: config().Classes[1], Plan: config().Plans[0]}
 		for i := range badKinds {
 			b.one(t.Context(), rand.New(rand.NewPCG(1, 1)), &badKinds[i])
 		}
-		l.Close()
-		wg.Wait()
+		stop()
 		kinds := map[string]audit.Outcome{}
 		for _, try := range s.tries {
 			if !strings.HasSuffix(try.ID, innerMark) {
--- a/internal/lab/load/takes_test.go
+++ b/internal/lab/load/takes_test.go
@@ -50,43 +50,29 @@
 
 func (k *taker) serve(t *testing.T, answer func(w *resp.Writer, args []string) bool) (address string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var wg sync.WaitGroup
-	wg.Go(func() {
+	address, stop := serveConnections(t, func(c net.Conn) {
+		r := resp.NewReader(c, replyBounds)
 		for {
-			c, err := l.Accept()
+			words, _, err := r.Command(nil, nil)
 			if err != nil {
 				return
 			}
-			wg.Go(func() {
-				defer c.Close()
-				r := resp.NewReader(c, replyBounds)
-				for {
-					words, _, err := r.Command(nil, nil)
-					if err != nil {
-						return
-					}
-					var args []string
-					for _, w := range words {
-						args = append(args, string(w))
-					}
-					k.mu.Lock()
-					k.seen = append(k.seen, args)
-					k.mu.Unlock()
-					w := resp.Writer{Version: 2}
-					if !answer(&w, args) {
-						return
-					}
-					c.Write(w.Buf)
-				}
-			})
+			var args []string
+			for _, w := range words {
+				args = append(args, string(w))
+			}
+			k.mu.Lock()
+			k.seen = append(k.seen, args)
+			k.mu.Unlock()
+			w := resp.Writer{Version: 2}
+			if !answer(&w, args) {
+				return
+			}
+			c.Write(w.Buf)
 		}
 	})
-	t.Cleanup(func() { l.Close(); wg.Wait() })
-	return l.Addr().String()
+	t.Cleanup(stop)
+	return address
 }
 
 // playTakes plays so many arrivals of one customer as limit commands.
