--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -24,7 +24,12 @@
 		f.Close()
 		return nil, fmt.Errorf("%s: another agent runs on this folder", dir)
 	}
-	return func() { f.Close() }, nil
+	// Danger: a child that has been forked and not yet executed its program shares the open
+	// file, and a close alone would leave the folder locked until then.
+	return func() {
+		syscall.Flock(int(f.Fd()), syscall.LOCK_UN)
+		f.Close()
+	}, nil
 }
 
 // listenLocal listens on the socket that the file permissions guard. The lock of
--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -123,7 +123,7 @@
 	joined := make(chan error, 1)
 	go func() {
 		wait.For(t.Context(), coldStart)
-		joined <- l.comeBack(join)()
+		joined <- l.restartNodes(join)()
 	}()
 	if err := l.Play(t.Context()); err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/records/repair_test.go
@@ -0,0 +1,226 @@
+package records
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// fetch takes one chunk over the wire's form.
+func fetch(t testing.TB, repair *Repair, store *Store, maxBytes int) {
+	t.Helper()
+	data, err := EncodeChunk(store.Chunk(ContentRequest{Ranges: repair.Pending(), MaxBytes: maxBytes}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	chunk, err := DecodeChunk(data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := repair.TakeChunk(chunk); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func compare(t testing.TB, repair *Repair, store *Store) {
+	t.Helper()
+	data, err := EncodeRangeDigests(store.RangeDigests())
+	if err != nil {
+		t.Fatal(err)
+	}
+	digests, err := DecodeRangeDigests(data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := repair.TakeDigests(digests); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestRepairOfAnEmptyReplica(t *testing.T) {
+	store := largeStore(t, 2000)
+	replica := &Replica{}
+	repair := NewRepair(replica)
+	chunks := 0
+	version := store.Version()
+	for repair.Next() == NeedContent {
+		fetch(t, repair, store, 16<<10)
+		chunks++
+		// The store goes on while the chunks are fetched.
+		version++
+		apply(t, store, version, change(
+			put(fmt.Sprintf("plan/new-%d", chunks), planValue),
+			remove(fmt.Sprintf("plan/new-%d", chunks-1)),
+			put("tenant/changing", fmt.Sprintf(`{"plan":"gold","burst":%d}`, chunks)),
+		), Accepted)
+		if replica.Len() != 0 {
+			t.Fatal("a part has come in force")
+		}
+	}
+	if chunks < 10 {
+		t.Errorf("%d chunks", chunks)
+	}
+	if err := repair.Finish(replica, since(t, store, repair.Since())); err != nil {
+		t.Fatal(err)
+	}
+	if replica.Version() != version || replica.Digest() != store.Digest() || replica.Len() != store.Len() {
+		t.Errorf("at %d with %d records", replica.Version(), replica.Len())
+	}
+}
+
+// Only the ranges that differ are fetched, also from a server whose log has been
+// compacted above the replica's version.
+func TestRepairFetchesWhatDiffers(t *testing.T) {
+	store := largeStore(t, 3000)
+	replica := &Replica{}
+	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
+		t.Fatal(err)
+	}
+	apply(t, store, 100, change(put("plan/a", planValue), put("plan/b", planValue), remove("plan/free"), put("plan/gold", `{"price_weight":3,"requests_per_second":1}`)), Accepted)
+	store.log.compact(len(store.log.entries))
+	if answer := store.Answer(ChangesRequest{Since: replica.Version()}); answer.Repair != RepairCompacted {
+		t.Fatalf("answer %+v", answer)
+	}
+	repair := NewRepair(replica)
+	if repair.Next() != NeedDigests {
+		t.Fatal("digests are not wanted")
+	}
+	compare(t, repair, store)
+	if pending := repair.Pending(); len(pending) != 4 {
+		t.Errorf("%d ranges differ", len(pending))
+	}
+	fetch(t, repair, store, MaxChunkBytes)
+	// The changes lead to where the server is already.
+	if err := repair.Finish(replica, Delta{From: 100, To: 100, Digest: store.Digest()}); err != nil {
+		t.Fatal(err)
+	}
+	if replica.Version() != 100 || replica.Digest() != store.Digest() {
+		t.Errorf("at %d", replica.Version())
+	}
+}
+
+// Chunks may come from servers at different versions, the later one behind the
+// first: the changes above the lowest version make them one.
+func TestRepairAcrossServers(t *testing.T) {
+	ahead := smallStore(t)
+	behind := smallStore(t)
+	for _, store := range []*Store{ahead, behind} {
+		store.log.compact(len(store.log.entries))
+	}
+	changed := key("plan/gold")
+	apply(t, ahead, 2, change(Operation{Key: changed, Value: []byte(`{"price_weight":2,"requests_per_second":2}`)}), Accepted)
+	apply(t, ahead, 3, change(remove("route/search")), Accepted)
+
+	replica := &Replica{}
+	repair := NewRepair(replica)
+	for repair.Next() == NeedContent {
+		from := ahead
+		if index := repair.Pending()[0]; index == RangeOf(changed) || index == RangeOf(key("route/search")) {
+			from = behind
+		}
+		fetch(t, repair, from, 1)
+	}
+	if since := repair.Since(); since != 1 {
+		t.Errorf("the changes since %d are wanted", since)
+	}
+	if err := repair.Finish(replica, Delta{From: 1, To: 1, Digest: behind.Digest()}); !errors.Is(err, ErrBehind) {
+		t.Errorf("finished by the server that is behind: %v", err)
+	}
+	if err := repair.Finish(replica, since(t, ahead, repair.Since())); err != nil {
+		t.Fatal(err)
+	}
+	if replica.Version() != 3 || replica.Digest() != ahead.Digest() {
+		t.Errorf("at version %d", replica.Version())
+	}
+}
+
+func TestRepairRefuses(t *testing.T) {
+	store := smallStore(t)
+	replica := &Replica{}
+	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
+		t.Fatal(err)
+	}
+	stale := smallStore(t)
+	apply(t, store, 2, change(put("plan/free", planValue)), Accepted)
+	if err := replica.ApplyDelta(since(t, store, 1)); err != nil {
+		t.Fatal(err)
+	}
+	apply(t, store, 3, change(put("plan/other", planValue), remove("plan/free")), Accepted)
+
+	repair := NewRepair(replica)
+	if err := repair.Finish(replica, since(t, store, 2)); err == nil {
+		t.Error("finished without a comparison")
+	}
+	if err := repair.TakeDigests(stale.RangeDigests()); !errors.Is(err, ErrBehind) {
+		t.Errorf("digests of a stale server: %v", err)
+	}
+	compare(t, repair, store)
+	wanted := repair.Pending()
+	if err := repair.TakeChunk(stale.Chunk(ContentRequest{Ranges: wanted})); !errors.Is(err, ErrBehind) {
+		t.Errorf("a chunk of a stale server: %v", err)
+	}
+	if err := repair.TakeChunk(Chunk{Version: 3, Digest: store.Digest()}); err == nil {
+		t.Error("took an empty chunk")
+	}
+	changed := store.Chunk(ContentRequest{Ranges: []int{RangeOf(key("plan/other"))}})
+	changed.Ranges[0].Records = slices.Clone(changed.Ranges[0].Records)
+	changed.Ranges[0].Records[0].Version = 2
+	if err := repair.TakeChunk(changed); !errors.Is(err, ErrDigest) {
+		t.Errorf("a changed chunk: %v", err)
+	}
+	if !slices.Equal(repair.Pending(), wanted) {
+		t.Error("a refused chunk has been staged")
+	}
+	for repair.Next() == NeedContent {
+		fetch(t, repair, store, 1)
+	}
+	apply(t, store, 4, change(put("plan/last", planValue)), Accepted)
+	delta := since(t, store, 3)
+	if err := repair.Finish(replica, Delta{From: 4, To: 5}); !errors.Is(err, ErrGap) {
+		t.Errorf("changes that begin too late: %v", err)
+	}
+	if err := repair.Finish(replica, Delta{From: 1, To: 2, Digest: replica.Digest()}); !errors.Is(err, ErrBehind) {
+		t.Errorf("changes that end too early: %v", err)
+	}
+	damaged := delta
+	damaged.Puts = slices.Clone(delta.Puts)
+	damaged.Puts[0].Value = []byte(tenantValue)
+	if err := repair.Finish(replica, damaged); !errors.Is(err, ErrDigest) || replica.Version() != 2 {
+		t.Errorf("damaged changes: %v, at version %d", err, replica.Version())
+	}
+	if repair.Next() != NeedDigests {
+		t.Error("the ranges are not to be compared again")
+	}
+	// The ranges that differ now are fetched again, and no more.
+	compare(t, repair, store)
+	if pending := repair.Pending(); len(pending) != 1 || pending[0] != RangeOf(key("plan/last")) {
+		t.Errorf("pending %v", pending)
+	}
+	fetch(t, repair, store, MaxChunkBytes)
+	if err := repair.Finish(replica, since(t, store, repair.Since())); err != nil || replica.Digest() != store.Digest() {
+		t.Errorf("%v, at version %d", err, replica.Version())
+	}
+}
+
+func TestDigestDoesNotDependOnTheOrder(t *testing.T) {
+	store := largeStore(t, 500)
+	sorted := store.current().sorted()
+	slices.Reverse(sorted)
+	if digestOf(sorted) != store.Digest() {
+		t.Error("another order gives another digest")
+	}
+	draft := store.current().edit()
+	record := sorted[7]
+	draft.put(Record{Key: record.Key, Version: 99, Value: record.Value})
+	if draft.state.clone().digest == store.Digest() {
+		t.Error("another version gives the same digest")
+	}
+	draft.put(record)
+	draft.remove(key("plan/none"))
+	if after := draft.finish(); after.digest != store.Digest() || after.bytes != store.current().bytes {
+		t.Error("there and back gives another digest")
+	}
+}
+
+func (s *state) clone() *state { return s.edit().finish() }
