--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -75,6 +75,11 @@
 	mu      sync.RWMutex
 	state   fleet.State
 	changed chan struct{} // closed at the next change
+	records chan struct{} // closed at the next change of the records
+}
+
+func newMachine() *machine {
+	return &machine{changed: make(chan struct{}), records: make(chan struct{})}
 }
 
 func (m *machine) Apply(log *raft.Log) any {
@@ -86,11 +91,15 @@
 		// All decode alike, so all leave it out.
 		return fmt.Errorf("entry %d: %w", log.Index, err)
 	}
-	outcome, err := m.state.Apply(entry)
+	before := m.state.Records().Version()
+	outcome, err := m.state.Apply(log.Index, entry)
 	if err != nil {
 		return fmt.Errorf("entry %d: %w", log.Index, err)
 	}
 	m.wake()
+	if m.state.Records().Version() != before {
+		m.wakeRecords()
+	}
 	return outcome
 }
 
@@ -119,6 +128,7 @@
 		return err
 	}
 	m.wake()
+	m.wakeRecords()
 	return nil
 }
 
@@ -221,7 +231,7 @@
 	config.SnapshotThreshold, config.TrailingLogs, config.MaxAppendEntries = snapshotEvery, trailingLogs, appendsAtOnce
 	config.ShutdownOnRemove = false
 
-	s = &Store{logs: logs, id: c.ID, fsm: &machine{changed: make(chan struct{})}, patience: 10 * c.Heartbeat}
+	s = &Store{logs: logs, id: c.ID, fsm: newMachine(), patience: 10 * c.Heartbeat}
 	s.watched = &watchedLogs{LogStore: logs, spoil: c.Spoil, broken: make(chan struct{}), release: make(chan struct{})}
 	// One call at a time to a voter, so that each goes through wire: a site's state changes once in seconds.
 	transport := newWire(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: c.Streams, MaxPool: connections,
@@ -241,7 +251,7 @@
 	case c.Recover && !known:
 		return nil, fmt.Errorf("%s holds nothing to recover", c.Dir)
 	case c.Recover:
-		if err := raft.RecoverCluster(config, &machine{changed: make(chan struct{})}, logs, logs, snapshots, s.transport, alone); err != nil {
+		if err := raft.RecoverCluster(config, newMachine(), logs, logs, snapshots, s.transport, alone); err != nil {
 			return nil, fmt.Errorf("recover: %w", err)
 		}
 	case c.Bootstrap && !known:
@@ -359,14 +369,16 @@
 // Leading tells whether this voter believes that it leads.
 func (s *Store) Leading() bool { return s.raft.State() == raft.Leader }
 
-// Member is one voter of the site.
+// Member is one store of the site: a voter, or a replica that follows the log
+// and has no vote.
 type Member struct {
-	Name    string `json:"name"`
-	Address string `json:"address"`
-	Leader  bool   `json:"leader"`
+	Name     string `json:"name"`
+	Address  string `json:"address"`
+	Leader   bool   `json:"leader"`
+	NonVoter bool   `json:"non_voter,omitempty"`
 }
 
-// Members returns the voters by name.
+// Members returns the voters and the replicas without a vote, by name.
 func (s *Store) Members() ([]Member, error) {
 	future := s.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -375,7 +387,8 @@
 	leader, _ := s.Leader()
 	var list []Member
 	for _, server := range future.Configuration().Servers {
-		list = append(list, Member{string(server.ID), string(server.Address), string(server.ID) == leader})
+		list = append(list, Member{Name: string(server.ID), Address: string(server.Address),
+			Leader: string(server.ID) == leader, NonVoter: server.Suffrage == raft.Nonvoter})
 	}
 	slices.SortFunc(list, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	return list, nil
@@ -389,7 +402,20 @@
 	return s.agreed(s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.patience))
 }
 
-// Remove takes a voter out. The leader alone can; it must not leave none.
+// AddNonVoter makes an agent a replica that follows the log and answers reads, and counts for no majority. The
+// leader alone can. A voter is not demoted by it: that is refused.
+func (s *Store) AddNonVoter(name, address string) (Change, error) {
+	list, err := s.Members()
+	if err != nil {
+		return Change{}, err
+	}
+	if slices.ContainsFunc(list, func(m Member) bool { return m.Name == name && !m.NonVoter }) {
+		return Change{}, fmt.Errorf("%s is a voter: remove it before it is added without a vote", name)
+	}
+	return s.agreed(s.raft.AddNonvoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.patience))
+}
+
+// Remove takes a voter or a replica without a vote out. The leader alone can; it must leave a voter.
 func (s *Store) Remove(name string) (Change, error) {
 	list, err := s.Members()
 	if err != nil {
@@ -398,7 +424,7 @@
 	if !slices.ContainsFunc(list, func(m Member) bool { return m.Name == name }) {
 		return Change{}, fmt.Errorf("%s is no voter", name)
 	}
-	if len(list) == 1 {
+	if !slices.ContainsFunc(list, func(m Member) bool { return m.Name != name && !m.NonVoter }) {
 		return Change{}, fmt.Errorf("%s is the only voter: a site needs one", name)
 	}
 	return s.agreed(s.raft.RemoveServer(raft.ServerID(name), 0, s.patience))
@@ -426,7 +452,7 @@
 	}
 	var others []raft.ServerID
 	for _, m := range members {
-		if m.Name != s.id {
+		if m.Name != s.id && !m.NonVoter { // one without a vote bears on no majority
 			others = append(others, raft.ServerID(m.Name))
 		}
 	}
@@ -436,15 +462,19 @@
 // Load has all voters take a saved state in place of theirs. The leader alone
 // can. A state that is damaged is refused before anybody is told.
 func (s *Store) Load(text []byte) error {
-	var probe fleet.State
-	if err := probe.Restore(text); err != nil {
+	var saved fleet.State
+	if err := saved.Restore(text); err != nil {
 		return err
 	}
 	members := s.raft.GetConfiguration()
 	if err := members.Error(); err != nil {
 		return fmt.Errorf("voters: %w", err)
 	}
-	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Index: s.raft.LastIndex(), Size: int64(len(text)),
+	last, text, err := s.advance(&saved, text)
+	if err != nil {
+		return err
+	}
+	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Index: last, Size: int64(len(text)),
 		Configuration: members.Configuration(), ConfigurationIndex: members.Index()}
 	return s.sort(s.raft.Restore(meta, bytes.NewReader(text), s.patience))
 }
