--- a/internal/scale/cluster_linux.go
+++ b/internal/scale/cluster_linux.go
@@ -24,6 +24,7 @@
 	Program   string // elderctl
 	Dir       string // folder of all processes; a short path, since that of a socket is bounded
 	Voters    int
+	Replicas  int            // further control machines without a vote
 	Heartbeat time.Duration  // 0: the agent's default
 	Settle    time.Duration  // 0: the agent's default
 	Extra     map[string]any // further keys of each agent's file
@@ -45,7 +46,7 @@
 			err = errors.Join(err, c.Stop())
 		}
 	}()
-	for i := range o.Voters {
+	for i := range o.Voters + o.Replicas {
 		p, err := c.add(o, i)
 		if err != nil {
 			return nil, fmt.Errorf("cluster: %w", err)
@@ -53,7 +54,7 @@
 		if err := p.Start(); err != nil {
 			return nil, fmt.Errorf("cluster: %w", err)
 		}
-		if err := c.join(ctx, p); err != nil {
+		if err := c.join(ctx, p, i < o.Voters); err != nil {
 			return nil, fmt.Errorf("cluster: %s joins: %w", p.Name, err)
 		}
 	}
@@ -93,14 +94,19 @@
 	return p, nil
 }
 
-// join makes a started process a voter, and waits until it answers.
-func (c *Cluster) join(ctx context.Context, p *ControlProcess) error {
+// join makes a started process a voter, or a replica without a vote, and waits
+// until all have noted it.
+func (c *Cluster) join(ctx context.Context, p *ControlProcess, votes bool) error {
 	founder := c.Processes[0]
 	if p == founder {
 		return c.AwaitLeader(ctx)
 	}
+	add := founder.Client.AddMember
+	if !votes {
+		add = founder.Client.AddNonVoter
+	}
 	return until(ctx, func() error {
-		change, err := founder.Client.AddMember(ctx, agent.Verb{Name: p.Name, Address: p.Address})
+		change, err := add(ctx, agent.Verb{Name: p.Name, Address: p.Address})
 		if err == nil && len(change.Lacking) > 0 {
 			err = fmt.Errorf("%v have yet to note it", change.Lacking)
 		}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -16,6 +16,8 @@
 	Size        int
 	Servers     []string // addresses of the control machines
 	ReportEvery time.Duration
+	RecordsDir  string // folder of the gateways' copies of the records; "": they keep none
+	RecordBytes int    // budget of a copy in bytes a second; 0: the default
 }
 
 // Fleet is many hollow gateways in this process.
@@ -39,6 +41,7 @@
 }
 
 // StartFleet starts the gateways. Their first reports spread over one interval.
+// Copies of the records are started by StartRecords.
 func StartFleet(o FleetOptions) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{options: o, fetches: make(chan struct{}, mostFetches), stop: cancel, inForce: map[uint64]*arrival{}}
@@ -52,12 +55,34 @@
 	return f
 }
 
+// StartRecords starts all copies of the records at once.
+func (f *Fleet) StartRecords() error {
+	for _, g := range f.Gateways {
+		if err := g.Records.Start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // Stop ends the gateways.
 func (f *Fleet) Stop() {
 	f.stop()
+	for _, g := range f.Gateways {
+		f.running.Go(g.Records.Stop)
+	}
 	f.running.Wait()
 }
 
+// Histories returns the lives of all copies of the records, by gateway.
+func (f *Fleet) Histories() map[string][]Life {
+	histories := map[string][]Life{}
+	for _, g := range f.Gateways {
+		histories[g.Name] = g.Records.Lives()
+	}
+	return histories
+}
+
 func (f *Fleet) arrivalOf(revision uint64) *arrival {
 	a := f.inForce[revision]
 	if a == nil {
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -7,7 +7,9 @@
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"net/http"
+	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -30,7 +32,9 @@
 // the methods may be called by others.
 type Gateway struct {
 	Name    string
-	Traffic Traffic
+	Link    Link    // of reports and records
+	Traffic Traffic // of reports
+	Records Copy
 
 	fleet    *Fleet
 	client   *http.Client
@@ -51,12 +55,17 @@
 		Agent:     fleet.Agent{Name: fmt.Sprintf("a%04d", i), Address: "127.0.0.1:1", Instances: []string{name}},
 		Instances: []agentapi.Observed{{Name: name, State: supervise.Down}},
 	}
-	d := &dialer{counters: []*Traffic{&g.Traffic}}
-	d.Timeout = dialWithin
-	g.client = &http.Client{Timeout: callWithin, Transport: &http.Transport{DialContext: d.dial, MaxIdleConnsPerHost: 1}}
+	g.client = &http.Client{Timeout: callWithin, Transport: &http.Transport{DialContext: g.dialer(&g.Traffic).dial, MaxIdleConnsPerHost: 1}}
+	g.Records.name = name
+	g.Records.dialer = g.dialer(&g.Records.Traffic)
+	g.Records.options = CopyOptions{Servers: f.options.Servers, Dir: filepath.Join(f.options.RecordsDir, name), BytesPerSecond: f.options.RecordBytes}
 	return g
 }
 
+func (g *Gateway) dialer(traffic *Traffic) *dialer {
+	return &dialer{Dialer: net.Dialer{Timeout: dialWithin}, link: &g.Link, traffic: traffic}
+}
+
 // Messages returns how many calls have been answered.
 func (g *Gateway) Messages() int64 { return g.messages.Load() }
 
@@ -89,6 +98,7 @@
 }
 
 func (g *Gateway) reportOnce(ctx context.Context) error {
+	g.report.Records = g.Records.reported()
 	body, err := json.Marshal(g.report)
 	if err != nil {
 		return err
@@ -98,6 +108,9 @@
 		return err
 	}
 	g.leader = orders.Address
+	if orders.Records != nil {
+		g.Records.tellHead(orders.Records.Version)
+	}
 	order, ordered := orders.Orders[g.Name]
 	observed := &g.report.Instances[0]
 	if !ordered || order.Revision == 0 || order.Revision == observed.Running && order.Checksum == observed.Content {
--- a/internal/scale/process_linux.go
+++ b/internal/scale/process_linux.go
@@ -27,6 +27,7 @@
 	program string
 	dir     string
 	command *exec.Cmd // nil: it does not run
+	stopped bool      // it is suspended
 }
 
 // Usage is what a process has used.
@@ -55,7 +56,7 @@
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
-	p.command = command
+	p.command, p.stopped = command, false
 	return nil
 }
 
@@ -89,10 +90,19 @@
 func (p *ControlProcess) Running() bool { return p.command != nil }
 
 // Suspend has the process stand still until Resume.
-func (p *ControlProcess) Suspend() error { return p.signal(syscall.SIGSTOP) }
+func (p *ControlProcess) Suspend() error {
+	p.stopped = true
+	return p.signal(syscall.SIGSTOP)
+}
 
 // Resume lets a suspended process go on.
-func (p *ControlProcess) Resume() error { return p.signal(syscall.SIGCONT) }
+func (p *ControlProcess) Resume() error {
+	p.stopped = false
+	return p.signal(syscall.SIGCONT)
+}
+
+// Suspended tells whether the process stands still.
+func (p *ControlProcess) Suspended() bool { return p.stopped }
 
 func (p *ControlProcess) signal(signal syscall.Signal) error {
 	if p.command == nil {
--- a/internal/scale/scale_linux_test.go
+++ b/internal/scale/scale_linux_test.go
@@ -70,14 +70,20 @@
 }
 
 func startSite(t testing.TB, voters, gateways int, reportEvery time.Duration) *site {
+	t.Helper()
+	// A busy machine must not cost the lead, which would be measured as well.
+	return startSiteWith(t, ClusterOptions{Voters: voters, Heartbeat: 5 * time.Second}, FleetOptions{Size: gateways, ReportEvery: reportEvery})
+}
+
+func startSiteWith(t testing.TB, c ClusterOptions, f FleetOptions) *site {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "scale") // short: a socket's path is bounded
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	// A busy machine must not cost the lead, which would be measured as well.
-	cluster, err := StartCluster(t.Context(), ClusterOptions{Program: program, Dir: dir, Voters: voters, Heartbeat: 5 * time.Second, Settle: 10 * time.Second})
+	c.Program, c.Dir = program, dir
+	cluster, err := StartCluster(t.Context(), c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,9 +92,10 @@
 			t.Error(err)
 		}
 	})
-	s := &site{t: t, cluster: cluster, fleet: StartFleet(FleetOptions{Size: gateways, Servers: cluster.Addresses(), ReportEvery: reportEvery})}
+	f.Servers = cluster.Addresses()
+	s := &site{t: t, cluster: cluster, fleet: StartFleet(f)}
 	t.Cleanup(s.fleet.Stop)
-	s.await("all gateways are heard", func(status agent.Status) bool { return len(heard(status)) == gateways })
+	s.await("all gateways are heard", func(status agent.Status) bool { return len(heard(status)) == f.Size })
 	return s
 }
 
--- a/internal/scale/traffic.go
+++ b/internal/scale/traffic.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"net"
+	"sync"
 	"sync/atomic"
 )
 
@@ -19,37 +21,100 @@
 // Total returns how many bytes have come in and gone out.
 func (t *Traffic) Total() int64 { return t.Received() + t.Sent() }
 
-// dialer opens connections that are counted by each of some counters.
+// Link is a gateway's way to the control machines. Its zero value lets all
+// through; it may be used by several goroutines.
+type Link struct {
+	mu      sync.Mutex
+	blocked map[string]bool // addresses that can't be reached
+}
+
+// Cut has an address answer no more, until Heal. What crosses an open connection
+// to it is lost without a word, and that connection stays dead.
+func (l *Link) Cut(addresses ...string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.blocked == nil {
+		l.blocked = map[string]bool{}
+	}
+	for _, address := range addresses {
+		l.blocked[address] = true
+	}
+}
+
+// Heal lets all through again.
+func (l *Link) Heal() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	clear(l.blocked)
+}
+
+func (l *Link) cut(address string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.blocked[address]
+}
+
+var errCut = errors.New("the address does not answer")
+
+// dialer opens connections over a link, and counts what crosses them.
 type dialer struct {
 	net.Dialer
-	counters []*Traffic
+	link    *Link
+	traffic *Traffic
 }
 
 func (d *dialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if d.link.cut(address) {
+		ctx, cancel := context.WithTimeout(ctx, d.Timeout)
+		defer cancel()
+		<-ctx.Done()
+		return nil, &net.OpError{Op: "dial", Net: network, Err: errCut}
+	}
 	connection, err := d.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConnection{connection, d.counters}, nil
+	return &countedConnection{Conn: connection, address: address, link: d.link, traffic: d.traffic, closed: make(chan struct{})}, nil
 }
 
 type countedConnection struct {
 	net.Conn
-	counters []*Traffic
+	address string
+	link    *Link
+	traffic *Traffic
+	dead    atomic.Bool // it has been used while the link was cut
+	once    sync.Once
+	closed  chan struct{}
+}
+
+// lost tells whether the connection has been cut.
+func (c *countedConnection) lost() bool {
+	if c.link.cut(c.address) {
+		c.dead.Store(true)
+	}
+	return c.dead.Load()
 }
 
 func (c *countedConnection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	for _, t := range c.counters {
-		t.received.Add(int64(n))
+	if c.lost() {
+		<-c.closed
+		return 0, net.ErrClosed
 	}
+	c.traffic.received.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConnection) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
-	for _, t := range c.counters {
-		t.sent.Add(int64(n))
+	if c.lost() {
+		return len(p), nil
 	}
+	n, err := c.Conn.Write(p)
+	c.traffic.sent.Add(int64(n))
 	return n, err
 }
+
+func (c *countedConnection) Close() error {
+	c.once.Do(func() { close(c.closed) })
+	return c.Conn.Close()
+}
