--- a/internal/scale/copy.go
+++ b/internal/scale/copy.go
@@ -32,11 +32,14 @@
 	options CopyOptions
 	dialer  *dialer
 
+	restarts sync.Mutex
+
 	mu       sync.Mutex
 	follower *recordsync.Follower // nil: it does not run
 	stop     context.CancelFunc
 	running  sync.WaitGroup
 	lives    []Life
+	damaged  bool // the next run may begin anew
 }
 
 var errRuns = errors.New("it runs already")
@@ -49,7 +52,8 @@
 		return fmt.Errorf("records of %s: %w", c.name, errRuns)
 	}
 	_, err := os.Stat(c.options.Dir)
-	life := Life{Empty: errors.Is(err, os.ErrNotExist), From: time.Now()}
+	life := Life{Empty: c.damaged || errors.Is(err, os.ErrNotExist), From: time.Now()}
+	c.damaged = false
 	follower, err := recordsync.Open(recordsync.Options{Name: c.name, Servers: c.options.Servers, Dir: c.options.Dir,
 		BytesPerSecond: c.options.BytesPerSecond, Dial: c.dialer.dial,
 		BaseURL: func(server string) string { return "http://" + server },
@@ -109,6 +113,28 @@
 	c.lives[len(c.lives)-1].To = time.Now()
 }
 
+// Restart ends a run and begins the next one, with its disk or without. Only one
+// restart is under way at a time.
+func (c *Copy) Restart(erase bool) error {
+	c.restarts.Lock()
+	defer c.restarts.Unlock()
+	c.Stop()
+	if erase {
+		if err := c.Erase(); err != nil {
+			return err
+		}
+	}
+	return c.Start()
+}
+
+// NoteDamage says that files of a stopped copy have been damaged: its next run may
+// begin with an older version, or with none.
+func (c *Copy) NoteDamage() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.damaged = true
+}
+
 // Erase takes a stopped copy off the disk, as the loss of a machine does.
 func (c *Copy) Erase() error { return os.RemoveAll(c.options.Dir) }
 
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"path/filepath"
 	"sync"
 	"time"
 )
@@ -55,6 +56,9 @@
 	return f
 }
 
+// copyDir is the folder of a gateway's copy of the records.
+func (f *Fleet) copyDir(g *Gateway) string { return filepath.Join(f.options.RecordsDir, g.Name) }
+
 // StartRecords starts all copies of the records at once.
 func (f *Fleet) StartRecords() error {
 	for _, g := range f.Gateways {
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -9,7 +9,6 @@
 	"io"
 	"net"
 	"net/http"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -58,7 +57,7 @@
 	g.client = &http.Client{Timeout: callWithin, Transport: &http.Transport{DialContext: g.dialer(&g.Traffic).dial, MaxIdleConnsPerHost: 1}}
 	g.Records.name = name
 	g.Records.dialer = g.dialer(&g.Records.Traffic)
-	g.Records.options = CopyOptions{Servers: f.options.Servers, Dir: filepath.Join(f.options.RecordsDir, name), BytesPerSecond: f.options.RecordBytes}
+	g.Records.options = CopyOptions{Servers: f.options.Servers, Dir: f.copyDir(g), BytesPerSecond: f.options.RecordBytes}
 	return g
 }
 
--- a/internal/scale/records_linux_test.go
+++ b/internal/scale/records_linux_test.go
@@ -6,6 +6,7 @@
 	"flag"
 	"fmt"
 	"os"
+	"sync"
 	"testing"
 	"time"
 
@@ -18,6 +19,8 @@
 	recordsCount = flag.Int("scale-records", 26_000, "routes and tenants, for -scale-long")
 	dayFor       = flag.Duration("scale-day", 3*time.Minute, "time that a day of 510 changes is pressed into, for -scale-long")
 	daySeed      = flag.Uint64("scale-seed", 1, "seed of the day and of random faults")
+	cutFor       = flag.Duration("scale-cut", 0, "time that a region is cut off for after the day, with a lost zone and a lost leader before; 0: none of them")
+	wholeToo     = flag.Bool("scale-whole", false, "measure whole files on the same site after the day")
 	copiesDir    = flag.String("scale-copies", "", "folder for the gateways' copies of the records; each real one would have a disk of its own")
 )
 
@@ -131,14 +134,8 @@
 // restart ends a gateway's copy and starts it again, with its disk or without.
 func (s *recordsSite) restart(g *Gateway, erase bool) {
 	s.t.Helper()
-	g.Records.Stop()
-	if erase {
-		if err := g.Records.Erase(); err != nil {
-			s.t.Fatal(err)
-		}
-	}
-	if err := g.Records.Start(); err != nil {
-		s.t.Fatal(err)
+	if err := g.Records.Restart(erase); err != nil {
+		s.t.Error(err)
 	}
 }
 
@@ -231,8 +228,15 @@
 
 	s.measureRecordsIdle(r)
 	s.playDay(r)
-	s.awaitHead()
 	s.audit()
+	if *cutFor > 0 {
+		s.loseZone()
+		s.loseLeader()
+		s.cutRegion()
+	}
+	if *wholeToo {
+		s.measureWholeFile(r)
+	}
 }
 
 // measureRecordsIdle measures followers without changes.
@@ -258,6 +262,7 @@
 	}
 	before, own := s.usages(), s.ownUsage()
 	recorder := StartRecorder(s.fleet)
+	var restarts sync.WaitGroup
 	began, late, counts := time.Now(), time.Duration(0), map[DayEventKind]int{}
 	for _, event := range Day(n, *dayFor, *daySeed) {
 		wait.For(s.t.Context(), time.Until(began.Add(event.At)))
@@ -267,9 +272,10 @@
 		case ChangeEvent:
 			s.change(s.catalog.Edit())
 		case FailureEvent, RestartEvent:
-			s.restart(s.fleet.Gateways[event.Gateway], event.Kind == FailureEvent)
+			restarts.Go(func() { s.restart(s.fleet.Gateways[event.Gateway], event.Kind == FailureEvent) })
 		}
 	}
+	restarts.Wait()
 	seconds := time.Since(began).Seconds()
 	mean, worst := recorder.Stop()
 	after, ownAfter := s.usages(), s.ownUsage()
