--- a/internal/scale/baseline_linux_test.go
+++ b/internal/scale/baseline_linux_test.go
@@ -88,9 +88,11 @@
 		took := s.apply(*entries)
 		after, counted := s.usages(), s.fleet.Counts().Minus(counts)
 
-		r.Add("file.bytes_per_change", "B", n, float64(counted.Received)/n)
+		// These two go with the file's entries.
+		r.Add("file.bytes_per_change", "B", float64(*entries), float64(counted.Received)/n)
+		r.Add("file.leader_peak_mb", "MB", float64(*entries), float64(after.leader.PeakBytes)/megabyte)
+		r.Add("file.leader_peak_mb_by_gateways", "MB", n, float64(after.leader.PeakBytes)/megabyte)
 		r.Add("file.in_force_seconds", "s", n, took.Seconds())
-		r.Add("file.leader_peak_mb", "MB", n, float64(after.leader.PeakBytes)/megabyte)
 		r.Add("file.leader_bytes_per_change", "B", n, float64(after.leader.IOBytes-before.leader.IOBytes))
 		r.Add("file.leader_cpu_seconds_per_change", "s", n, (after.leader.CPU - before.leader.CPU).Seconds())
 		r.Add("file.voter_peak_mb", "MB", n, float64(after.other.PeakBytes)/megabyte)
--- a/internal/scale/records_linux_test.go
+++ b/internal/scale/records_linux_test.go
@@ -222,11 +222,12 @@
 	for _, g := range s.fleet.Gateways {
 		received += g.Records.Traffic.Received()
 	}
-	r.Add("records.snapshot_bytes", "B", size, float64(received)/size)
+	r.Add("records.snapshot_bytes", "B", float64(*recordsCount), float64(received)/size)
 	t.Logf("%d gateways, all empty, %d records: all whole after %v; %.0f bytes received by each for records; worst minute of any %.0f B/s", n, *recordsCount, took.Round(time.Second), float64(received)/size, worst)
 	s.logUsages("all empty", began)
 
 	s.measureRecordsIdle(r)
+	s.measureRecordsChange(r)
 	s.playDay(r)
 	s.audit()
 	if *cutFor > 0 {
@@ -251,6 +252,26 @@
 	s.logUsages("at rest", before)
 }
 
+// measureRecordsChange measures single changes, with nothing beside them.
+func (s *recordsSite) measureRecordsChange(r *Results) {
+	s.t.Helper()
+	n := float64(len(s.fleet.Gateways))
+	received := func() (sum int64) {
+		for _, g := range s.fleet.Gateways {
+			sum += g.Records.Traffic.Received()
+		}
+		return sum
+	}
+	before := received()
+	for range *changes {
+		s.change(s.catalog.Edit())
+		s.awaitHead()
+	}
+	bytes := float64(received()-before) / n / float64(*changes)
+	r.Add("records.bytes_per_change", "B", float64(*recordsCount), bytes)
+	s.t.Logf("%d changes of one record, one by one: %.0f bytes received for records by each gateway for each", *changes, bytes)
+}
+
 // playDay plays the events of a pressed day.
 func (s *recordsSite) playDay(r *Results) {
 	s.t.Helper()
@@ -292,7 +313,7 @@
 	r.Add("records.server_memory_mb", "MB", size, float64(max(after.leader.PeakBytes, after.other.PeakBytes))/megabyte)
 	r.Add("records.server_bytes_per_second", "B/s", size, float64(max(after.leader.IOBytes-before.leader.IOBytes, after.other.IOBytes-before.other.IOBytes))/seconds)
 	r.Add("records.agent_cpu_cores", "cores", size, (ownAfter.CPU-own.CPU).Seconds()/seconds/size)
-	r.Add("records.agent_memory_mb", "MB", size, float64(ownAfter.ResidentBytes)/megabyte/size)
+	r.Add("records.agent_memory_mb", "MB", float64(*recordsCount), float64(ownAfter.ResidentBytes)/megabyte/size)
 	s.t.Logf("a day in %.0f s (the plan's %v, at most %v late): %v; in force everywhere median %v, 99th %v, most %v, missing %d; a gateway with reports mean %.0f B/s, worst minute of any %.0f B/s",
 		seconds, *dayFor, late.Round(time.Millisecond), counts, spread.Quantile(0.5), spread.Quantile(0.99), spread.Quantile(1), spread.Missing, mean, worst)
 	for _, empty := range []bool{false, true} {
