--- a/internal/scale/faults_linux_test.go
+++ b/internal/scale/faults_linux_test.go
@@ -197,7 +197,7 @@
 func (s *recordsSite) randomFault(random *rand.Rand) fault {
 	g := s.fleet.Gateways[random.IntN(len(s.fleet.Gateways))]
 	p := s.cluster.Processes[random.IntN(len(s.cluster.Processes))]
-	switch random.IntN(6) {
+	switch random.IntN(7) {
 	case 0:
 		return s.killProcess(p)
 	case 1:
@@ -205,6 +205,9 @@
 	case 2:
 		g.Link.Cut(s.cluster.Addresses()...)
 		return fault{"gateway cut off", g.Link.Heal}
+	case 6:
+		g.Link.Damage()
+		return fault{"gateway's answers damaged", g.Link.Heal}
 	case 3:
 		if _, runs := g.Records.Version(); !runs {
 			return fault{}
--- a/internal/scale/traffic.go
+++ b/internal/scale/traffic.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"math/rand/v2"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -26,6 +27,7 @@
 type Link struct {
 	mu      sync.Mutex
 	blocked map[string]bool // addresses that can't be reached
+	damaged bool            // a byte of whatever is read is changed
 }
 
 // Cut has an address answer no more, until Heal. What crosses an open connection
@@ -41,11 +43,28 @@
 	}
 }
 
+// Damage changes a byte of whatever is read at once, until Heal.
+func (l *Link) Damage() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.damaged = true
+}
+
+// damage changes a byte where that is wanted.
+func (l *Link) damage(read []byte) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.damaged && len(read) > 0 {
+		read[rand.IntN(len(read))] ^= 1 << rand.IntN(8)
+	}
+}
+
 // Heal lets all through again.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.blocked)
+	l.damaged = false
 }
 
 func (l *Link) cut(address string) bool {
@@ -102,6 +121,7 @@
 		return 0, net.ErrClosed
 	}
 	c.traffic.received.Add(int64(n))
+	c.link.damage(p[:n])
 	return n, err
 }
 
