--- a/internal/scale/faults_linux_test.go
+++ b/internal/scale/faults_linux_test.go
@@ -74,11 +74,11 @@
 	for _, p := range lost {
 		s.must(p.Start())
 	}
-	for _, g := range s.zone(0) {
-		s.must(g.Records.Start())
-	}
+	began := time.Now()
+	s.startCopies(s.zone(0))
+	s.awaitHead()
 	s.t.Logf("a zone lost (%d gateways, 2 control processes): the others had all of %d changes %v after the last; started again, all are one after %v",
-		len(s.zone(0)), changesInFault, others.Round(time.Millisecond), s.awaitHead().Round(time.Millisecond))
+		len(s.zone(0)), changesInFault, others.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
 	s.audit()
 }
 
@@ -90,6 +90,18 @@
 	stops.Wait()
 }
 
+func (s *recordsSite) startCopies(list []*Gateway) {
+	var starts sync.WaitGroup
+	for _, g := range list {
+		starts.Go(func() {
+			if err := g.Records.Start(); err != nil {
+				s.t.Error(err)
+			}
+		})
+	}
+	starts.Wait()
+}
+
 func (s *recordsSite) must(err error) {
 	s.t.Helper()
 	if err != nil {
--- a/internal/scale/members_linux_test.go
+++ b/internal/scale/members_linux_test.go
@@ -121,7 +121,9 @@
 	s.t.Helper()
 	gone := s.members[len(s.members)-1]
 	s.members = s.members[:len(s.members)-1]
-	gone.stop()
+	var stopping sync.WaitGroup
+	stopping.Go(gone.stop) // it waits until its last word has gone round
+	defer stopping.Wait()
 	return s.takes(gone.name+" has gone", func(p *members.Picture) bool {
 		for _, view := range p.Members {
 			if view.Name == gone.name {
