--- a/internal/recordsync/follower_test.go
+++ b/internal/recordsync/follower_test.go
@@ -100,7 +100,10 @@
 
 func TestFollowerReadsOutOfTime(t *testing.T) {
 	t.Parallel()
-	f, err := Open(options(t.TempDir()))
+	if _, err := Open(options(t.TempDir())); err == nil {
+		t.Fatal("opened without a server")
+	}
+	f, err := Open(options(t.TempDir(), "127.0.0.1:1"))
 	must(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -212,6 +215,9 @@
 		status = f.Status()
 		return status.Reason != "" && status.Head == source.version()
 	})
+	if strings.Contains(status.Reason, ChangesPath) || !strings.Contains(status.Reason, addressOf(server)) {
+		t.Fatalf("the reason names more than the server and the cause: %s", status.Reason)
+	}
 	if status.Version != before.Version || status.Digest != before.Digest || status.Head != before.Version+1 {
 		t.Fatalf("%+v, %+v before", status, before)
 	}
