--- a/internal/lab/wrong_test.go
+++ b/internal/lab/wrong_test.go
@@ -258,9 +258,9 @@
 	now := g.n.Add(1)%10 == 0
 	keyed := r.Header.Get("Idempotency-Key") != ""
 	switch {
-	case now && g.flaw == "hoard" && len(g.hoard) < 40:
+	case now && g.flaw == "hoard" && len(g.hoard) < 20:
 		g.mu.Lock()
-		g.hoard = append(g.hoard, bytes.Repeat([]byte{1}, 8<<20))
+		g.hoard = append(g.hoard, bytes.Repeat([]byte{1}, 16<<20))
 		g.mu.Unlock()
 	case g.flaw == "crash" && g.n.Load() > 50:
 		os.Exit(2)
