--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -55,7 +55,7 @@
 	left   float64     // seconds that the client waits from then
 
 	conn  *guard        // the client's; nil: not known
-	story *traces.Begin // nil where nothing is exported
+	trace *traces.Begin // nil where nothing is exported
 
 	// reply takes the one final answer; the loop sends it and never waits.
 	reply chan answer
@@ -230,7 +230,7 @@
 	}
 	x.header = passedOn(r.Header)
 	if f.loop.telemetry != nil {
-		x.story = f.storyOf(x)
+		x.trace = f.beginTrace(x)
 	}
 	return x, 0, nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -92,7 +92,7 @@
 
 // Run serves clients until ctx ends, then answers what it holds and returns. Fd is
 // the clients' listening socket where that came with the process, else below 0. Export
-// says where stories and metrics go; nil: nowhere. Fellows is nil where the gateway
+// says where traces and metrics go; nil: nowhere. Fellows is nil where the gateway
 // knows of none.
 func Run(ctx context.Context, c *config.Config, fd int, export *telemetry.Settings, fellows Fellows, reload Reload) error {
 	var listener net.Listener
@@ -156,19 +156,19 @@
 	gotList := sync.OnceFunc(func() { front.ready.Store(true); close(listed) })
 	front.loop = newLoop(c, pools, shared, gotList)
 
-	counts, err := openMoments(c.Site.Rollup, c.Name, pools)
+	counts, err := openRollupFile(c.Site.Rollup, c.Name, pools)
 	if err != nil {
 		return err
 	}
 	inner, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	if counts != nil {
-		front.loop.Rollup = counts.tally(time.Duration(c.Site.Rollup.Every))
+		front.loop.Rollup = counts.aggregator(time.Duration(c.Site.Rollup.Every))
 		written := make(chan struct{})
 		go func() { defer close(written); counts.run() }()
 		defer func() { // after the loop, which counts
 			front.loop.Rollup.Flush()
-			close(counts.spans)
+			close(counts.lines)
 			<-written
 		}()
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -100,7 +100,7 @@
 	onListed func()
 
 	telemetry *telemetry.Telemetry // nil: nothing is exported
-	share     float64              // of stories
+	share     float64              // of requests that are traced
 
 	attempts sync.WaitGroup // those that use sockets
 
@@ -140,7 +140,7 @@
 func (l *Loop) leave(x *exchange) {
 	if x.open {
 		x.open = false
-		l.tell(x, traces.Event{Kind: traces.ClientLeft})
+		l.recordEvent(x, traces.Event{Kind: traces.ClientLeft})
 		l.Handle(rules.ClientGone{Request: x.ask.ID})
 		x.withhold()
 		l.drop(x)
@@ -184,7 +184,7 @@
 	if m := l.RollupCounts(); m != nil {
 		m.Requests++
 	}
-	l.tell(x, traces.Event{Kind: traces.Began})
+	l.recordEvent(x, traces.Event{Kind: traces.Began})
 	l.Handle(x.ask)
 }
 
@@ -311,7 +311,7 @@
 	a.until, a.latest = l.Clock.At(a.deadline), l.latest(x)
 	x.attempts = append(x.attempts, a)
 	x.out++
-	l.tellSent(a, s.Paid)
+	l.recordAttempt(a, s.Paid)
 	if !x.open || a.number >= max(l.deploy.MaxAttempts, 1) || a.deadline <= now {
 		l.endAttempt(a, result{outcome: rules.Moot})
 		return
@@ -382,7 +382,7 @@
 	a.ended, a.neverRan = true, rules.NeverRan(res.outcome)
 	x := a.x
 	x.out--
-	l.tell(x, traces.Event{Kind: traces.Ended, Attempt: a.number, Outcome: res.outcome})
+	l.recordEvent(x, traces.Event{Kind: traces.Ended, Attempt: a.number, Outcome: res.outcome})
 	if res.outcome == rules.Served && x.open {
 		header := passedOn(res.header)
 		header.Del(loadHeader) // for gateways, not for clients
@@ -415,7 +415,7 @@
 		return
 	}
 	x.open = false
-	l.tell(x, answered(a))
+	l.recordEvent(x, answered(a))
 	x.reply <- a // it has room for one, and one is all it gets
 	x.withhold()
 	l.drop(x)
--- a/internal/gateway/moments.go
+++ b/internal/gateway/rollup.go
@@ -12,20 +12,20 @@
 	"elderyard/rollup"
 )
 
-// momentsWait is how many spans may wait for the disk; more are left out.
-const momentsWait = 256
+// rollupQueueLength is how many intervals may wait for the disk; more are left out.
+const rollupQueueLength = 256
 
-// momentFile takes the counts of short spans to a file, from a goroutine of its own: no request waits for the disk.
-type momentFile struct {
+// rollupFile writes the counts of short intervals to a file, from a goroutine of its own: no request waits for the disk.
+type rollupFile struct {
 	name  string
 	pools *pools
 	f     *os.File
 	left  int64 // bytes that the file may still grow
-	spans chan rollup.Line
+	lines chan rollup.Line
 }
 
-// openMoments opens the file, to go on where an earlier process ended; nil where the operator's file asks for none.
-func openMoments(s site.Rollup, name string, p *pools) (*momentFile, error) {
+// openRollupFile opens the file, to go on where an earlier process ended; nil where the operator's file asks for none.
+func openRollupFile(s site.Rollup, name string, p *pools) (*rollupFile, error) {
 	if s.Dir == "" {
 		return nil, nil
 	}
@@ -39,25 +39,25 @@
 		f.Close()
 		return nil, fmt.Errorf("operator's file: moments: %w", err)
 	}
-	return &momentFile{name: name, pools: p, f: f, left: int64(s.MB)<<20 - stat.Size(), spans: make(chan rollup.Line, momentsWait)}, nil
+	return &rollupFile{name: name, pools: p, f: f, left: int64(s.MB)<<20 - stat.Size(), lines: make(chan rollup.Line, rollupQueueLength)}, nil
 }
 
-// tally is what the owner counts with.
-func (m *momentFile) tally(every time.Duration) *rollup.Aggregator {
+// aggregator returns what the owner counts with.
+func (m *rollupFile) aggregator(every time.Duration) *rollup.Aggregator {
 	return rollup.NewAggregator(every, func(at float64, c rollup.Counts) {
 		c.Connects = int(m.pools.dials.Swap(0))
 		select {
-		case m.spans <- rollup.Line{At: at, Gateway: m.name, Counts: c}:
+		case m.lines <- rollup.Line{At: at, Gateway: m.name, Counts: c}:
 		default: // the disk is slow: what it misses is seen by the gap
 		}
 	})
 }
 
-// run writes until the spans end, then closes the file. A disk that fails, or a full share of it, ends the writing and
+// run writes until the lines end, then closes the file. A disk that fails, or a full share of it, ends the writing and
 // nothing else.
-func (m *momentFile) run() {
+func (m *rollupFile) run() {
 	defer m.f.Close()
-	for line := range m.spans {
+	for line := range m.lines {
 		if m.left < 0 {
 			continue
 		}
--- a/internal/gateway/moments_test.go
+++ b/internal/gateway/rollup_test.go
@@ -11,25 +11,25 @@
 	"elderyard/rollup"
 )
 
-func TestMomentsGoToAFileThatIsBounded(t *testing.T) {
+func TestRollupFileIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "n3.moments")
 	p := newPools(time.Second, time.Second, 10)
 	write := func(spans int) int64 {
-		m, err := openMoments(site.Rollup{Dir: dir, MB: 1}, "n3", p)
+		m, err := openRollupFile(site.Rollup{Dir: dir, MB: 1}, "n3", p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		tally := m.tally(100 * time.Millisecond)
+		tally := m.aggregator(100 * time.Millisecond)
 		done := make(chan struct{})
 		go func() { defer close(done); m.run() }()
 		for i := range spans {
 			p.dials.Add(2)
-			m.spans <- rollup.Line{At: 1000 + float64(i), Gateway: "n3", Counts: rollup.Counts{Sends: 1}}
+			m.lines <- rollup.Line{At: 1000 + float64(i), Gateway: "n3", Counts: rollup.Counts{Sends: 1}}
 		}
 		tally.Current(9000).Calls++
 		tally.Flush()
-		close(m.spans)
+		close(m.lines)
 		<-done
 		stat, err := os.Stat(path)
 		if err != nil {
@@ -53,10 +53,10 @@
 	if n := write(10); n > 1<<20 {
 		t.Fatalf("%d bytes after a third", n)
 	}
-	if m, err := openMoments(site.Rollup{}, "n3", p); m != nil || err != nil {
+	if m, err := openRollupFile(site.Rollup{}, "n3", p); m != nil || err != nil {
 		t.Fatalf("nobody asked for it: %v %v", m, err)
 	}
-	if _, err := openMoments(site.Rollup{Dir: filepath.Join(dir, "none"), MB: 1}, "n3", p); err == nil || !strings.Contains(err.Error(), "moments") {
+	if _, err := openRollupFile(site.Rollup{Dir: filepath.Join(dir, "none"), MB: 1}, "n3", p); err == nil || !strings.Contains(err.Error(), "moments") {
 		t.Fatalf("%v", err)
 	}
 }
--- a/internal/gateway/story.go
+++ b/internal/gateway/trace.go
@@ -15,10 +15,10 @@
 	stateHeader  = "Tracestate"
 )
 
-// storyOf begins the story of a request: its client's, where that sent a valid
-// context, else the one that its key stands for, else one of its own. The headers for the other side follow
-// it.
-func (f *frontend) storyOf(x *exchange) *traces.Begin {
+// beginTrace begins the trace of a request: it joins the client's where that sent a valid
+// context, else the one that the request's key stands for, else it starts a new one. The headers
+// for the backend follow it.
+func (f *frontend) beginTrace(x *exchange) *traces.Begin {
 	h := x.header
 	client, valid := traces.ParseContext(h[parentHeader], h[stateHeader])
 	key := h.Get(keyHeader)
@@ -42,28 +42,28 @@
 		Units: x.ask.Units, Method: x.method, Key: key != "", Repeated: x.ask.Repeat, Sent: x.ask.Sent}
 }
 
-// tell hands an event of a request over, if it has a story.
-func (l *Loop) tell(x *exchange, e traces.Event) {
-	if x.story == nil {
+// recordEvent records an event of a request that is traced.
+func (l *Loop) recordEvent(x *exchange, e traces.Event) {
+	if x.trace == nil {
 		return
 	}
-	e.Begin, e.At = x.story, l.Clock.Now()
+	e.Begin, e.At = x.trace, l.Clock.Now()
 	l.telemetry.Record(e)
 }
 
-// tellSent tells of an attempt, and gives it the context that goes with it.
-func (l *Loop) tellSent(a *attempt, paid float64) {
-	if a.x.story == nil {
+// recordAttempt records an attempt, and gives it the trace context that is sent with it.
+func (l *Loop) recordAttempt(a *attempt, paid float64) {
+	if a.x.trace == nil {
 		return
 	}
-	at := a.x.story.Self
+	at := a.x.trace.Self
 	binary.BigEndian.PutUint64(at.Span[:], max(rand.Uint64(), 1))
 	a.context = at.Parent()
 	b := l.names[a.backend]
-	l.tell(a.x, traces.Event{Kind: traces.Sent, Attempt: a.number, Span: at.Span, Backend: b.name, Zone: b.zone, Paid: paid})
+	l.recordEvent(a.x, traces.Event{Kind: traces.Sent, Attempt: a.number, Span: at.Span, Backend: b.name, Zone: b.zone, Paid: paid})
 }
 
-// figures tells the exporter of the module.
+// figures returns the module's figures for the exporter.
 func (l *Loop) figures(ctx context.Context) (f telemetry.Figures, err error) {
 	f.Figures, f.Calls, err = l.Figures(ctx)
 	return f, err
@@ -74,7 +74,7 @@
 	return traces.Event{Kind: traces.Answered, Status: a.status, Reason: a.why, Paid: a.paid, RetryAfter: a.retryAfter}
 }
 
-// deployed is what stories need of a deployment.
+// deployed sets what traces need to know of a deployment.
 func deployed(set *traces.Settings, classes []rules.Class, names, plans []string) {
 	set.Classes, set.Plans = names, plans
 	for _, c := range classes {
--- a/internal/gateway/story_test.go
+++ b/internal/gateway/trace_test.go
@@ -32,7 +32,7 @@
 	return c
 }
 
-// exporting are the settings of a gateway that exports all stories.
+// exporting are the settings of a gateway that exports all traces.
 func exporting(c *collector.Collector, name string) *telemetry.Settings {
 	return &telemetry.Settings{Endpoint: "http://" + c.Address(""), Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: patience,
 		Flush: patience, QueueBytes: 1 << 20, Tracing: traces.Settings{SampleRatio: 1},
@@ -58,8 +58,8 @@
 }
 
 // A client's context goes on to the backend, under the span of the attempt, and all of
-// the request is a part of its story.
-func TestAClientsStoryGoesOn(t *testing.T) {
+// the request is a part of its trace.
+func TestAClientsTraceGoesOn(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
 	r := newRigFor(t, exporting(c, "g0"), same, backend)
 	_, answers := r.client(t, ask("POST", "booking", "x", "Traceparent", clientParent, "Tracestate", "rojo=1"))
@@ -87,8 +87,8 @@
 }
 
 // A keyed request whose first gateway could not serve it and that goes through a
-// second one, marked by its key alone, is one story with both halves.
-func TestAKeyThroughTwoGatewaysIsOneStory(t *testing.T) {
+// second one, marked by its key alone, is one trace with both halves.
+func TestAKeyThroughTwoGatewaysIsOneTrace(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
 	one, two := newRigFor(t, exporting(c, "g0"), same, backend), newRigFor(t, exporting(c, "g1"), same, backend)
 	for i, r := range []*rig{one, two} {
@@ -119,7 +119,7 @@
 		}
 	}
 	if len(roots) != 2 || roots["g0"] != roots["g1"] {
-		t.Errorf("stories by gateway: %v", roots)
+		t.Errorf("traces by gateway: %v", roots)
 	}
 	if n := c.Sum("elderyard.request.ends", "elderyard.outcome=served"); n != 1 {
 		t.Errorf("%g were served", n)
@@ -143,7 +143,7 @@
 	}
 }
 
-// Hostile contexts are no reason to turn a request down, and begin a story of its own.
+// Hostile contexts are no reason to turn a request down, and begin a trace of their own.
 func TestHostileContexts(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
 	r := newRigFor(t, exporting(c, "g0"), same, backend)
