--- a/internal/recordsync/handler.go
+++ b/internal/recordsync/handler.go
@@ -16,6 +16,10 @@
 // are turned away, and go to another server.
 const MaxWaiting = 2048
 
+// maxContentsEncoded is how many answers with the content of ranges are made at once.
+// Each takes some hundreds of kB while it is made; further requests wait for their turn.
+const maxContentsEncoded = 4
+
 // writeWithin is how long the reader of an answer may take.
 const writeWithin = 30 * time.Second
 
@@ -31,13 +35,19 @@
 type Handler struct {
 	source  Source
 	waiting chan struct{}
+	content chan struct{} // holds an element for each content that is being made
 	encoded encodedAnswers
 	mux     *http.ServeMux
 }
 
 // NewHandler makes a handler of a source.
 func NewHandler(source Source) *Handler {
-	h := &Handler{source: source, waiting: make(chan struct{}, MaxWaiting), mux: http.NewServeMux()}
+	h := &Handler{
+		source:  source,
+		waiting: make(chan struct{}, MaxWaiting),
+		content: make(chan struct{}, maxContentsEncoded),
+		mux:     http.NewServeMux(),
+	}
 	h.mux.HandleFunc("GET "+ChangesPath, h.serveChanges)
 	h.mux.HandleFunc("GET "+RangesPath, h.serveRanges)
 	h.mux.HandleFunc("GET "+ContentPath, h.serveContent)
@@ -118,10 +128,21 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
+	select {
+	case h.content <- struct{}{}:
+	case <-r.Context().Done():
+		return // the follower has gone
+	}
+	data, err := h.encodeContent(request)
+	write(w, data, err)
+}
+
+// encodeContent makes the content of ranges, and gives its turn to the next request.
+func (h *Handler) encodeContent(request records.ContentRequest) ([]byte, error) {
+	defer func() { <-h.content }()
 	var chunk records.Chunk
 	h.source.ReadRecords(func(store *records.Store) { chunk = store.Chunk(request) })
-	data, err := records.EncodeChunk(chunk)
-	write(w, data, err)
+	return records.EncodeChunk(chunk)
 }
 
 func write(w http.ResponseWriter, data []byte, err error) {
--- a/internal/recordsync/handler_test.go
+++ b/internal/recordsync/handler_test.go
@@ -4,7 +4,10 @@
 	"context"
 	"io"
 	"net/http"
+	"net/http/httptest"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -166,3 +169,57 @@
 		t.Errorf("POST: %s", response.Status)
 	}
 }
+
+// heldSource holds every reading until it is released, and counts those under way.
+type heldSource struct {
+	*memorySource
+	release chan struct{}
+	reading atomic.Int64
+	most    atomic.Int64
+}
+
+func (s *heldSource) ReadRecords(read func(*records.Store)) {
+	now := s.reading.Add(1)
+	defer s.reading.Add(-1)
+	for most := s.most.Load(); now > most && !s.most.CompareAndSwap(most, now); most = s.most.Load() {
+	}
+	<-s.release
+	s.memorySource.ReadRecords(read)
+}
+
+// However many followers ask for the content of ranges at once, a few answers are made at
+// a time; the others wait for their turn, and all are answered.
+func TestHandlerMakesFewContentsAtOnce(t *testing.T) {
+	source := &heldSource{memorySource: newMemorySource(), release: make(chan struct{})}
+	source.apply(t, many(3)...)
+	server := httptest.NewServer(NewHandler(source))
+	defer server.Close()
+	release := sync.OnceFunc(func() { close(source.release) })
+	defer release() // also where the test fails: the server's end waits for its requests
+	const followers = 8 * maxContentsEncoded
+	statuses := make(chan int, followers)
+	query := contentQuery(records.ContentRequest{Ranges: []int{0, 1, 2}, MaxBytes: 1 << 16}).Encode()
+	for range followers {
+		go func() {
+			response, err := http.Get(server.URL + ContentPath + "?" + query)
+			if err != nil {
+				t.Error(err)
+				statuses <- 0
+				return
+			}
+			defer response.Body.Close()
+			_, _ = io.Copy(io.Discard, response.Body)
+			statuses <- response.StatusCode
+		}()
+	}
+	until(t, "as many as may be are made", func() bool { return source.reading.Load() == maxContentsEncoded })
+	release()
+	for range followers {
+		if status := <-statuses; status != http.StatusOK {
+			t.Errorf("status %d", status)
+		}
+	}
+	if most := source.most.Load(); most > maxContentsEncoded {
+		t.Errorf("%d were made at once, at most %d may be", most, maxContentsEncoded)
+	}
+}
