--- a/internal/agent/listen.go
+++ b/internal/agent/listen.go
@@ -48,8 +48,10 @@
 	free   func()
 }
 
+// Read reads what follows the bytes that identified the connection.
 func (c *identified) Read(p []byte) (int, error) { return c.read.Read(p) }
 
+// Close closes the connection and frees its place.
 func (c *identified) Close() error {
 	c.free()
 	return c.Conn.Close()
@@ -80,6 +82,7 @@
 	return &handover{conns: make(chan net.Conn, mostHandover), done: make(chan struct{}), addr: a}
 }
 
+// Accept waits for the next connection.
 func (h *handover) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.conns:
@@ -89,11 +92,13 @@
 	}
 }
 
+// Close ends the listener. It may be called more than once.
 func (h *handover) Close() error {
 	h.once.Do(func() { close(h.done) })
 	return nil
 }
 
+// Addr returns the address that the listener was made with.
 func (h *handover) Addr() net.Addr { return h.addr }
 
 func (h *handover) give(c net.Conn) {
@@ -131,7 +136,10 @@
 // advertised is an address as it is told to others.
 type advertised string
 
-func (advertised) Network() string  { return "tcp" }
+// Network returns "tcp".
+func (advertised) Network() string { return "tcp" }
+
+// String returns the address as host:port.
 func (a advertised) String() string { return string(a) }
 
 func (p *port) close() {
@@ -224,6 +232,7 @@
 	port *port
 }
 
+// Dial opens a connection to another voter.
 func (s streams) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -241,6 +250,7 @@
 // alone are the streams of a voter that has no port.
 type alone struct{ *handover }
 
+// Dial always fails: without a port no other voter can be reached.
 func (alone) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
 	return nil, fmt.Errorf("%s: this agent has no port", address)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,3 +1,8 @@
+// Package gateway is the HTTP front end of a gateway: it accepts clients, turns
+// their requests into events of the decision module, and carries out what the
+// module decides on pooled connections to the backends. It decides nothing
+// itself. One goroutine, that of owner.Owner, owns the Loop and the module's state;
+// connections and timers send it messages.
 package gateway
 
 import (
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -63,14 +63,28 @@
 	ending struct{ l *Loop } // the process will be killed soon
 )
 
-func (m arrival) Take()    { m.l.arrive(m.x) }
+// Take accepts a request that a client has sent.
+func (m arrival) Take() { m.l.arrive(m.x) }
+
+// Take cancels the requests of a client that has disconnected.
 func (m clientGone) Take() { m.l.leave(m.x) }
-func (m bodyWhole) Take()  { m.l.bodyWhole(m.a) }
-func (m news) Take()       { m.l.list(m.listing, m.kind) }
-func (m divided) Take()    { m.l.Handle(m.Fleet) }
-func (m ending) Take()     { m.l.endAll() }
-func (m handCall) Take()   { m.done <- m.l.takeByHand(m) }
 
+// Take records that the body of an attempt's request has been sent completely.
+func (m bodyWhole) Take() { m.l.bodyWhole(m.a) }
+
+// Take applies an endpoint list.
+func (m news) Take() { m.l.list(m.listing, m.kind) }
+
+// Take passes the number of gateways on to the module.
+func (m divided) Take() { m.l.Handle(m.Fleet) }
+
+// Take answers every open request, since the process ends soon.
+func (m ending) Take() { m.l.endAll() }
+
+// Take carries out an operator's call and sends its result to the caller.
+func (m handCall) Take() { m.done <- m.l.takeByHand(m) }
+
+// Take records the end of an attempt, or the beginning of a streamed response.
 func (m attemptDone) Take() {
 	if m.result.rest != nil {
 		m.l.begin(m.a, m.result)
@@ -79,6 +93,7 @@
 	}
 }
 
+// Take replaces the set of backends that operators have taken out of service.
 func (m outByHand) Take() {
 	for id := range m.l.out {
 		if _, still := m.ids[id]; !still {
--- a/internal/lab/counter.go
+++ b/internal/lab/counter.go
@@ -38,6 +38,11 @@
 	ways []*link.Link
 }
 
-func (s *store) Links() []*link.Link          { return s.ways }
+// Links returns the links that lead to the store.
+func (s *store) Links() []*link.Link { return s.ways }
+
+// SetTrouble sets the faults that the store injects into its answers.
 func (s *store) SetTrouble(t counter.Trouble) { s.Store.SetTrouble(respstore.Trouble(t)) }
-func (s *store) Forget()                      { s.Empty() }
+
+// Forget deletes all counters.
+func (s *store) Forget() { s.Empty() }
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -48,8 +48,10 @@
 	gateway string
 }
 
+// Cut blocks the link from the gateway to the node.
 func (k nodeLink) Cut() { k.node.Cut(k.gateway) }
 
+// Heal unblocks the link; with reset, connections that were open are reset.
 func (k nodeLink) Heal(reset bool) { k.node.Heal(reset, k.gateway) }
 
 // cuttable is a link that can be cut.
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -25,6 +25,7 @@
 	total   float64
 }
 
+// Take records the outcome of a counter call.
 func (m callDone) Take() { m.k.o.endCall(m.k, m.outcome, m.total) }
 
 func (o *Owner) count(c rules.Count) {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -107,6 +107,7 @@
 	calls *[rules.Moot + 1]uint64
 }
 
+// Take copies the figures for the caller.
 func (q figures) Take() {
 	*q.f, *q.calls = q.o.gateway.Figures(), q.o.ended
 	close(q.done)
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -82,6 +82,7 @@
 	return &machine{changed: make(chan struct{}), records: make(chan struct{})}
 }
 
+// Apply applies a committed entry. It returns a fleet.Outcome or an error.
 func (m *machine) Apply(log *raft.Log) any {
 	entry, err := fleet.Decode(log.Data)
 	m.mu.Lock()
@@ -109,6 +110,7 @@
 	m.changed = make(chan struct{})
 }
 
+// Snapshot encodes the state as of now.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -116,6 +118,7 @@
 	return frozen(text), err
 }
 
+// Restore replaces the state by that of a snapshot.
 func (m *machine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	text, err := io.ReadAll(from)
@@ -135,6 +138,7 @@
 // frozen is a state as it was at one moment.
 type frozen []byte
 
+// Persist writes the snapshot to the sink and closes it.
 func (f frozen) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(f); err != nil {
 		sink.Cancel()
@@ -143,6 +147,7 @@
 	return sink.Close()
 }
 
+// Release does nothing: the snapshot is memory alone.
 func (f frozen) Release() {}
 
 // watchedLogs remembers what the disk last said, and stops the voter where
@@ -164,6 +169,7 @@
 	release chan struct{} // closed when it is
 }
 
+// DeleteRange deletes entries, and records whether the log's end was cut off.
 func (w *watchedLogs) DeleteRange(from, to uint64) error {
 	last, err := w.LogStore.LastIndex()
 	if err != nil {
@@ -175,8 +181,11 @@
 	return w.LogStore.DeleteRange(from, to)
 }
 
+// StoreLog stores one entry, as StoreLogs does.
 func (w *watchedLogs) StoreLog(l *raft.Log) error { return w.StoreLogs([]*raft.Log{l}) }
 
+// StoreLogs stores entries. After a truncation that no entry followed yet, an error
+// stops the voter, and the call returns once the voter is closed.
 func (w *watchedLogs) StoreLogs(l []*raft.Log) (err error) {
 	if w.spoil != nil {
 		err = w.spoil()
--- a/internal/scale/traffic.go
+++ b/internal/scale/traffic.go
@@ -134,6 +134,7 @@
 	return n, err
 }
 
+// Close closes the connection; it may be called more than once.
 func (c *countedConnection) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
--- a/internal/sockets/trust.go
+++ b/internal/sockets/trust.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Limits of Trust, which learns for how long an idle connection stays usable.
 const (
 	IdleLeast  = 25 * time.Millisecond // a rest so short is always trusted
 	idleSteps  = 10                    // lengths of rest that are told apart, each twice the one before
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -78,7 +78,10 @@
 
 type address string
 
-func (address) Network() string  { return "tcp" }
+// Network returns "tcp".
+func (address) Network() string { return "tcp" }
+
+// String returns the address as host:port.
 func (a address) String() string { return string(a) }
 
 // Accept waits for the next connection. While the link is cut off or down it
--- a/rollout/types.go
+++ b/rollout/types.go
@@ -97,12 +97,14 @@
 // Tick says that time has passed.
 type Tick struct{}
 
-// Pause, Resume and Abort are commands of an operator. Abort rolls back.
-type (
-	Pause  struct{ By string }
-	Resume struct{ By string }
-	Abort  struct{ By string }
-)
+// Pause is an operator's command to begin no further instance.
+type Pause struct{ By string }
+
+// Resume is an operator's command that ends a pause.
+type Resume struct{ By string }
+
+// Abort is an operator's command to roll back.
+type Abort struct{ By string }
 
 func (Start) event() {}
 
