--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,216 @@
+// Package golden holds tests to the encoded forms that a program's earlier versions
+// stored and sent. A golden file is written once, by the version that the form
+// belongs to, and never again: a test that finds other bytes has found a change of
+// the form, which other programs on a site and files on disk do not follow.
+//
+// It is for tests alone and is linked into no program.
+package golden
+
+import (
+	"bytes"
+	"encoding"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// create writes golden files of new forms. It never overwrites: an existing file is
+// what earlier versions wrote, and no change of the code can make that another.
+var create = flag.Bool("golden-create", false, "write golden files that do not exist yet; existing ones are compared as always")
+
+// Creating reports whether the test run writes missing golden files.
+func Creating() bool { return *create }
+
+// File fails the test unless testdata/name holds these very bytes.
+func File(t testing.TB, name string, encoded []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	want, err := os.ReadFile(path)
+	if errors.Is(err, os.ErrNotExist) && Creating() {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("%s has changed:\n got %s\nwant %s", name, encoded, want)
+	}
+}
+
+// JSON fails the test unless the value is encoded as testdata/name has it, and that
+// file decodes to an equal value.
+func JSON[T any](t testing.TB, name string, value T) {
+	t.Helper()
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	File(t, name, encoded)
+	var decoded T
+	Decode(t, name, func(text []byte) error { return json.Unmarshal(text, &decoded) })
+	if !reflect.DeepEqual(decoded, value) {
+		t.Errorf("%s decodes to\n     %+v\nwant %+v", name, decoded, value)
+	}
+}
+
+// Decode passes the content of testdata/name to the function and fails the test if
+// that returns an error.
+func Decode(t testing.TB, name string, decode func(text []byte) error) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := decode(text); err != nil {
+		t.Errorf("%s: %v", name, err)
+	}
+}
+
+// Complete fails the test unless every exported field that is reachable from the
+// values is set in at least one of them. A field that is added to a stored form thus
+// has to be added to its golden file's value.
+func Complete(t testing.TB, values ...any) {
+	t.Helper()
+	if unset := unsetFields(values...); len(unset) > 0 {
+		t.Errorf("these fields are set in no value that is compared with a golden file: %v", unset)
+	}
+}
+
+func unsetFields(values ...any) (unset []string) {
+	set := map[string]bool{}
+	for _, value := range values {
+		v := reflect.ValueOf(value)
+		for v.Kind() == reflect.Pointer {
+			v = v.Elem()
+		}
+		collectFields(set, v.Type().String(), v)
+	}
+	for path, isSet := range set {
+		if !isSet {
+			unset = append(unset, path)
+		}
+	}
+	slices.Sort(unset)
+	return unset
+}
+
+// leafTypes encode themselves, so their fields are not a form's keys.
+var leafTypes = []reflect.Type{reflect.TypeFor[json.Marshaler](), reflect.TypeFor[encoding.TextMarshaler]()}
+
+// collectFields records for the path of each field below v whether it is set.
+func collectFields(set map[string]bool, path string, v reflect.Value) {
+	set[path] = set[path] || !v.IsZero()
+	if v.Kind() != reflect.Pointer && slices.ContainsFunc(leafTypes, v.Type().Implements) {
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		if !v.IsNil() {
+			collectFields(set, path, v.Elem())
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if field := v.Type().Field(i); field.IsExported() || field.Anonymous {
+				collectFields(set, path+"."+field.Name, v.Field(i))
+			}
+		}
+	case reflect.Slice, reflect.Array:
+		if v.Type().Elem().Kind() == reflect.Uint8 {
+			return
+		}
+		for i := range v.Len() {
+			collectFields(set, path+"[]", v.Index(i))
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			collectFields(set, path+"[]", v.MapIndex(key))
+		}
+	}
+}
+
+// Constants fails the test unless each constant still has its text and the list holds
+// all string constants with a type of their own that the test's package declares
+// outside its tests. The keys are the constants, the values the texts.
+func Constants(t testing.TB, texts map[string]string) {
+	t.Helper()
+	for constant, text := range texts {
+		if constant != text {
+			t.Errorf("the constant with the text %q is now %q", text, constant)
+		}
+	}
+	want := slices.Sorted(maps.Keys(texts))
+	if declared := declaredStrings(t); !slices.Equal(declared, want) {
+		t.Errorf("the package declares the texts\n     %q\nwant %q", declared, want)
+	}
+}
+
+// declaredStrings returns the texts of all typed string constants in the current
+// folder, in order.
+func declaredStrings(t testing.TB) (texts []string) {
+	t.Helper()
+	paths, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, declaration := range file.Decls {
+			list, err := typedStrings(declaration)
+			if err != nil {
+				t.Fatalf("%s: %v", path, err)
+			}
+			texts = append(texts, list...)
+		}
+	}
+	slices.Sort(texts)
+	return texts
+}
+
+func typedStrings(declaration ast.Decl) (texts []string, err error) {
+	group, ok := declaration.(*ast.GenDecl)
+	if !ok || group.Tok != token.CONST {
+		return nil, nil
+	}
+	for _, spec := range group.Specs {
+		values, ok := spec.(*ast.ValueSpec)
+		if !ok || values.Type == nil {
+			continue
+		}
+		for _, value := range values.Values {
+			literal, ok := value.(*ast.BasicLit)
+			if !ok || literal.Kind != token.STRING {
+				continue
+			}
+			text, err := strconv.Unquote(literal.Value)
+			if err != nil {
+				return nil, fmt.Errorf("constant %s: %w", literal.Value, err)
+			}
+			texts = append(texts, text)
+		}
+	}
+	return texts, nil
+}
--- /dev/null
+++ b/internal/replica/golden_test.go
@@ -0,0 +1,258 @@
+package replica
+
+import (
+	"encoding/json"
+	"errors"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+	raftbolt "github.com/hashicorp/raft-boltdb/v2"
+
+	"elderyard/fleet"
+	"elderyard/internal/golden"
+	"elderyard/internal/loopback"
+	"elderyard/members"
+	"elderyard/records"
+	"elderyard/revisions"
+	"elderyard/rollout"
+)
+
+// The golden files of this package are a voter's folder as existing sites have it, and
+// what the agents' interface answers about voters.
+
+func TestGoldenMember(t *testing.T) {
+	member := Member{Name: "v1", Address: "127.0.0.1:7400", Leader: true, NonVoter: true}
+	golden.Complete(t, member)
+	golden.JSON(t, "member.json", member)
+}
+
+// goldenFolder is the folder of the voter v0, whose site has a replica r0 without a
+// vote. It was ended after a snapshot and further entries.
+const goldenFolder = "voter"
+
+var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
+
+func goldenContent() *revisions.Content {
+	return &revisions.Content{File: "[site]\nname = \"<1> & \\t\"\n", Overlays: map[string]string{"g0": "a = 1\n"}, Turn: 3}
+}
+
+func goldenPlan(name string) *records.Change {
+	return &records.Change{Request: "c-" + name, Author: "ann", Message: "a plan", At: goldenTime, Operations: []records.Operation{
+		{Key: records.Key{Kind: records.Plan, Name: name}, Value: json.RawMessage(`{"price_weight":1.5,"requests_per_second":100}`)}}}
+}
+
+// goldenEntries returns the entries that the folder's voter took, before its snapshot
+// and after it.
+func goldenEntries() (before, after []fleet.Entry) {
+	before = []fleet.Entry{
+		{Command: &revisions.Command{Request: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
+		{Turn: &fleet.Turn{New: 1, State: rollout.Applied, Why: "all 2 instances have revision 1", At: goldenTime}},
+		{Enroll: &fleet.Enroll{Agent: fleet.Agent{Name: "a1", Address: "127.0.0.1:7400", Instances: []string{"g0", "g1"}}, At: goldenTime}},
+		{Drain: &fleet.Drain{Instance: "g1", On: true, By: "ann", At: goldenTime}},
+		{Belong: &fleet.Belong{Names: []string{"g0", "g1"}, At: goldenTime}},
+		{Records: goldenPlan("gold")},
+		{Noted: &fleet.Event{At: goldenTime, Who: "ann", What: "replica r0 was added"}},
+	}
+	after = []fleet.Entry{
+		{Command: &revisions.Command{Request: "r-2", Parent: 1, Content: goldenContent(), Author: "bob", Message: "second", At: goldenTime}},
+		{Turn: &fleet.Turn{New: 2, State: rollout.RollingBack, Why: "aborted by ann", By: "ann", At: goldenTime}},
+		{Turn: &fleet.Turn{New: 2, State: rollout.RolledBack, Why: "all are back", At: goldenTime}},
+		{Command: &revisions.Command{Request: "r-3", Parent: 2, Restore: 1, Author: "ann", Message: "third", At: goldenTime}},
+		{Enroll: &fleet.Enroll{Agent: fleet.Agent{Name: "a2", Address: "127.0.0.1:7401", Instances: []string{"g2"}}, At: goldenTime}},
+		{Enroll: &fleet.Enroll{Agent: fleet.Agent{Name: "a3", Address: "127.0.0.1:7402", Instances: []string{"g9"}}, At: goldenTime}},
+		{Remove: &fleet.Remove{Agent: "a3", By: "ann", At: goldenTime}},
+		{Belong: &fleet.Belong{Names: []string{"g0", "g1", "g2"}, At: goldenTime}},
+		{Records: goldenPlan("silver")},
+	}
+	return before, after
+}
+
+// createGoldenFolder writes the folder as the present program leaves it. It was used
+// once, before the first change of the code that reads it: a folder that later code
+// wrote would prove nothing.
+func createGoldenFolder(t *testing.T, path string) {
+	t.Helper()
+	v := newVoter(t, newNetwork(), "v0")
+	v.bootstrap = true
+	must(t, v.start(t))
+	until(t, "it leads", func() bool { return v.store.Confirm() == nil })
+	_, err := v.store.AddNonVoter("r0", loopback.Host()+":1")
+	must(t, err)
+	before, after := goldenEntries()
+	for _, e := range before {
+		propose(t, v.store, e)
+	}
+	must(t, v.store.raft.Snapshot().Error())
+	for _, e := range after {
+		propose(t, v.store, e)
+	}
+	must(t, v.store.Close())
+	v.store = nil
+	must(t, os.CopyFS(path, os.DirFS(v.dir)))
+}
+
+// copyGoldenFolder returns a copy of the folder, for a voter to start on.
+func copyGoldenFolder(t *testing.T) (dir string) {
+	t.Helper()
+	path := filepath.Join("testdata", goldenFolder)
+	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && golden.Creating() {
+		createGoldenFolder(t, path)
+	}
+	dir = filepath.Join(t.TempDir(), "voter")
+	must(t, os.CopyFS(dir, os.DirFS(path)))
+	return dir
+}
+
+// TestGoldenFolderFiles reads the folder's parts one by one: the names of its files,
+// the entries of its log and the state in its snapshot.
+func TestGoldenFolderFiles(t *testing.T) {
+	dir := copyGoldenFolder(t)
+	if _, err := os.Stat(filepath.Join(dir, "log.bolt")); err != nil || LogName != "log.bolt" {
+		t.Fatalf("the log's file is %s, %v", LogName, err)
+	}
+	logs, err := raftbolt.New(raftbolt.Options{Path: filepath.Join(dir, LogName), BoltOptions: boltOptions()})
+	must(t, err)
+	defer logs.Close()
+	before, after := goldenEntries()
+	entries := slices.Concat(before, after)
+	first, err := logs.FirstIndex()
+	must(t, err)
+	last, err := logs.LastIndex()
+	must(t, err)
+	for index := first; index <= last; index++ {
+		var stored raft.Log
+		must(t, logs.GetLog(index, &stored))
+		if stored.Type != raft.LogCommand {
+			continue
+		}
+		if len(entries) == 0 {
+			t.Fatalf("entry %d is one too many: %s", index, stored.Data)
+		}
+		encoded, err := entries[0].Encode()
+		must(t, err)
+		if string(encoded) != string(stored.Data) {
+			t.Errorf("entry %d is encoded as\n     %s\nwant %s", index, encoded, stored.Data)
+		}
+		if decoded, err := fleet.Decode(stored.Data); err != nil || !reflect.DeepEqual(decoded, entries[0]) {
+			t.Errorf("entry %d decodes to %+v, %v, want %+v", index, decoded, err, entries[0])
+		}
+		entries = entries[1:]
+	}
+	if len(entries) > 0 {
+		t.Errorf("%d entries are missing", len(entries))
+	}
+
+	snapshots, err := raft.NewFileSnapshotStore(dir, snapshotsKept, io.Discard)
+	must(t, err)
+	list, err := snapshots.List()
+	must(t, err)
+	if len(list) != 1 {
+		t.Fatalf("%d snapshots", len(list))
+	}
+	_, content, err := snapshots.Open(list[0].ID)
+	must(t, err)
+	defer content.Close()
+	text, err := io.ReadAll(content)
+	must(t, err)
+	var state fleet.State
+	must(t, state.Restore(text))
+	again, err := state.Snapshot()
+	must(t, err)
+	if got, want := withoutRecords(again), withoutRecords(text); got != want {
+		t.Errorf("the snapshot is encoded as\n     %s\nwant %s", got, want)
+	}
+	if head, _ := state.Head(); head.Number != 1 || !state.Drained("g1") || state.Roster().Epoch != 1 || state.Records().Len() != 1 {
+		t.Errorf("the snapshot holds %s", text)
+	}
+}
+
+// TestGoldenFolderOpens starts a voter on a folder that an earlier program left, and
+// finds everything that was stored; what it takes then stands behind that.
+func TestGoldenFolderOpens(t *testing.T) {
+	v := newVoter(t, newNetwork(), "v0")
+	v.dir = copyGoldenFolder(t)
+	snapshots, err := raft.NewFileSnapshotStore(v.dir, snapshotsKept, io.Discard)
+	must(t, err)
+	list, err := snapshots.List()
+	must(t, err)
+	must(t, v.start(t))
+	until(t, "it leads", func() bool { return v.store.Confirm() == nil })
+	if term := v.store.raft.CurrentTerm(); term <= list[0].Term {
+		t.Errorf("it leads in term %d, and was in term %d before", term, list[0].Term)
+	}
+	voters, err := v.store.Members()
+	if err != nil || len(voters) != 2 || voters[0].Name != "r0" || !voters[0].NonVoter || voters[1].Name != "v0" || voters[1].NonVoter {
+		t.Errorf("members %+v, %v", voters, err)
+	}
+	v.store.View(func(s *fleet.State) { checkGoldenState(t, s) })
+
+	// A repeat of a request that an earlier program took makes no second revision.
+	_, after := goldenEntries()
+	if out := propose(t, v.store, after[0]); out.Result.Answer != revisions.Accepted || out.Result.Revision.Number != 2 {
+		t.Errorf("a repeated command: %+v", out)
+	}
+	out := propose(t, v.store, fleet.Entry{Records: goldenPlan("silver")})
+	if version := standOf(v.store).version; out.Records == nil || out.Records.Status != records.Accepted || out.Records.Version != version {
+		t.Errorf("a repeated change of records at version %d: %+v", version, out.Records)
+	}
+	propose(t, v.store, fleet.Entry{Turn: &fleet.Turn{New: 3, State: rollout.Applied, Why: "all have it", At: goldenTime}})
+	propose(t, v.store, command("r-4", 3, "d"))
+	if r := head(v.store); r.Number != 4 || r.Parent != 3 {
+		t.Errorf("the head is %+v", r)
+	}
+}
+
+// withoutRecords returns a snapshot without its records, which are compressed: the
+// bytes of equal records may differ between versions of the compressor.
+func withoutRecords(snapshot []byte) string {
+	return storedRecords.ReplaceAllString(string(snapshot), `"records":"",`)
+}
+
+var storedRecords = regexp.MustCompile(`"records":"[^"]*",`)
+
+// checkGoldenState holds a state to all that the folder's entries say.
+func checkGoldenState(t *testing.T, s *fleet.State) {
+	t.Helper()
+	var contents []revisions.Content
+	for _, r := range s.Revisions() {
+		contents = append(contents, r.Content)
+		if r.Checksum != r.Content.Sum() || !r.At.Equal(goldenTime) {
+			t.Errorf("revision %+v", r)
+		}
+	}
+	if want := []revisions.Content{{File: "a"}, *goldenContent(), {File: "a"}}; !reflect.DeepEqual(contents, want) {
+		t.Errorf("contents %+v, want %+v", contents, want)
+	}
+	want := fleet.Rollout{New: 3, Before: 1, State: rollout.Advancing, Why: "it has been accepted", By: "ann", At: goldenTime}
+	if got := s.Rollout(); got != want || got.Begun() {
+		t.Errorf("rollout %+v, want %+v", got, want)
+	}
+	agents := []fleet.Agent{{Name: "a1", Address: "127.0.0.1:7400", Instances: []string{"g0", "g1"}}, {Name: "a2", Address: "127.0.0.1:7401", Instances: []string{"g2"}}}
+	if got := s.Agents(); !reflect.DeepEqual(got, agents) {
+		t.Errorf("agents %+v, want %+v", got, agents)
+	}
+	if !s.Drained("g1") || s.Drained("g0") || s.Drained("g2") {
+		t.Errorf("drained: g0 %v, g1 %v, g2 %v", s.Drained("g0"), s.Drained("g1"), s.Drained("g2"))
+	}
+	roster := members.Roster{Epoch: 2, Members: []members.Member{{Name: "g0"}, {Name: "g1"}, {Name: "g2", Since: 2}}}
+	if got := s.Roster(); !reflect.DeepEqual(got, roster) {
+		t.Errorf("roster %+v, want %+v", got, roster)
+	}
+	plans := s.Records().List(records.Plan, "", 0)
+	if len(plans) != 2 || plans[0].Key.Name != "gold" || plans[1].Key.Name != "silver" || string(plans[0].Value) != `{"price_weight":1.5,"requests_per_second":100}` {
+		t.Errorf("records %+v", plans)
+	}
+	if history := s.Records().History(0); len(history) != 2 || history[0].Message != "a plan" {
+		t.Errorf("changes of records %+v", history)
+	}
+	text, err := s.Snapshot()
+	must(t, err)
+	golden.File(t, "voter-state.json", []byte(withoutRecords(text)))
+}
