--- a/members/events.go
+++ b/members/events.go
@@ -57,8 +57,8 @@
 
 // Lived says that a life of a name existed; it may be over.
 type Lived struct {
-	Name string
-	Life Life
+	Name string `json:"Name"`
+	Life Life   `json:"Life"`
 }
 
 // RosterTold is a roster that was received.
--- /dev/null
+++ b/members/golden_test.go
@@ -0,0 +1,293 @@
+package members
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// The files in testdata are what gateways, agents and the operators' tool of all versions store, send and print. They were
+// written by the code that first had the value, and never change: -update writes only files that are missing, for a form
+// that is new. A field that is added gets a golden file of its own, beside the one that older versions write.
+var updateGolden = flag.Bool("update", false, "write the golden files that are missing; existing ones are never written")
+
+// requireGolden fails the test if got is not, byte for byte, the content of a golden file.
+func requireGolden(t *testing.T, file string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	want, err := os.ReadFile(path)
+	if os.IsNotExist(err) && *updateGolden {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Fatalf("%s has\n%s\nand the code writes\n%s", path, want, got)
+	}
+}
+
+// requireEveryField fails the test if any field in v is zero, or any slice or map is empty: a field that is added must be
+// added to the golden value too.
+func requireEveryField(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			requireEveryField(t, path+"."+v.Type().Field(i).Name, v.Field(i))
+		}
+	case reflect.Slice, reflect.Array:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty in the golden value", path)
+		}
+		for i := range v.Len() {
+			requireEveryField(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+		}
+	default:
+		if v.IsZero() {
+			t.Errorf("%s is not set in the golden value", path)
+		}
+	}
+}
+
+// requireJSON fails the test unless a value with every field set is encoded as its golden file has it, and the golden file
+// is decoded to an equal value, also with a key that only a later version knows.
+func requireJSON[T any](t *testing.T, file string, value T) {
+	t.Helper()
+	requireEveryField(t, reflect.TypeFor[T]().Name(), reflect.ValueOf(value))
+	text, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireGolden(t, file, append(text, '\n'))
+	golden, err := os.ReadFile(filepath.Join("testdata", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, text := range map[string][]byte{
+		"the golden file":                golden,
+		"the golden file with a new key": bytes.Replace(golden, []byte("{"), []byte(`{"added later":{"a":[1]},`), 1),
+	} {
+		var decoded T
+		if err := json.Unmarshal(text, &decoded); err != nil {
+			t.Errorf("%s: %s: %v", file, name, err)
+		}
+		if !reflect.DeepEqual(decoded, value) {
+			t.Errorf("%s: %s was decoded to\n%+v, want\n%+v", file, name, decoded, value)
+		}
+	}
+}
+
+func goldenRoster() Roster {
+	return Roster{Epoch: 7, Members: []Member{{Name: "g0", Since: 1}, {Name: "g-1_b.c", Since: 7}}}
+}
+
+func goldenPicture() Picture {
+	return Picture{
+		Number:     1 << 60,
+		At:         90 * time.Second,
+		Self:       "g0",
+		Life:       1<<60 + 3,
+		Verdict:    Majority,
+		Since:      80 * time.Second,
+		Why:        "2 of 3 are heard",
+		Epoch:      7,
+		Sum:        1<<64 - 1,
+		Belong:     3,
+		Safe:       4,
+		Likely:     2,
+		Share:      5,
+		Dropped:    6,
+		Superseded: 1<<60 + 4,
+		Joining:    "g2",
+		Heard:      89 * time.Second,
+		Members: []View{{
+			Name:    "g0",
+			Self:    true,
+			Belongs: true,
+			Life:    1<<60 + 3,
+			State:   Suspect,
+			Since:   time.Second,
+			Heard:   89 * time.Second,
+			Epoch:   6,
+			Older:   1,
+			Address: "127.0.0.2:7000",
+			Desk:    "127.0.0.2:8000",
+		}},
+	}
+}
+
+func TestGoldenForms(t *testing.T) {
+	t.Run("roster", func(t *testing.T) { requireJSON(t, "roster.json", goldenRoster()) })
+	t.Run("picture", func(t *testing.T) { requireJSON(t, "picture.json", goldenPicture()) })
+	t.Run("evidence", func(t *testing.T) {
+		requireJSON(t, "evidence.json", Evidence{At: 3 * time.Second, Name: "g1", Life: 1<<60 + 5, What: "did not answer a probe", By: "g0"})
+	})
+	t.Run("difference", func(t *testing.T) {
+		requireJSON(t, "difference.json", Difference{What: "g1", Groups: []Saying{{Says: "not there", By: []string{"g0", "g2"}}},
+			Belief: "a way between gateways is cut, or news of it is under way", Name: "g1"})
+	})
+	t.Run("life", func(t *testing.T) { requireJSON(t, "life.json", Lived{Name: "g1", Life: 1<<60 + 5}) })
+}
+
+// Keys with an omitempty option are left out of values that have none, and all others are there.
+func TestGoldenFormsOfZeroValues(t *testing.T) {
+	var text []byte
+	for _, v := range []any{Roster{}, Member{}, Picture{}, View{}, Evidence{}, Difference{}, Saying{}, Lived{}} {
+		line, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text = append(append(text, line...), '\n')
+	}
+	requireGolden(t, "zero.jsonl", text)
+}
+
+// An agent writes the roster's file for its gateways, and operators write it by hand.
+func TestGoldenRosterFile(t *testing.T) {
+	want := goldenRoster()
+	text, err := toml.Marshal(&want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireGolden(t, "roster.toml", text)
+	var got Roster
+	if err := toml.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded to %+v (%v), want %+v", got, err, want)
+	}
+}
+
+// Members compare sums that others computed.
+func TestGoldenRosterSum(t *testing.T) {
+	text := fmt.Appendf(nil, "%016x\n%016x\n", goldenRoster().Sum(), Roster{Epoch: 1, Members: []Member{{Name: "a"}}}.Sum())
+	requireGolden(t, "sums.txt", text)
+}
+
+// The names of states, verdicts and uses, and the reasons of the table, are keys and texts of operators' JSON.
+func TestGoldenNames(t *testing.T) {
+	var text []byte
+	for s := Unheard; s <= Ended; s++ {
+		encoded, err := s.MarshalText()
+		var decoded State
+		if err := decoded.UnmarshalText(encoded); err != nil || decoded != s {
+			t.Errorf("%s: decoded to %v: %v", encoded, decoded, err)
+		}
+		text = fmt.Appendf(text, "state %s %v %v\n", encoded, err, s.There())
+	}
+	for v := Unsure; v <= Whole; v++ {
+		encoded, err := v.MarshalText()
+		var decoded Verdict
+		if err := decoded.UnmarshalText(encoded); err != nil || decoded != v {
+			t.Errorf("%s: decoded to %v: %v", encoded, decoded, err)
+		}
+		text = fmt.Appendf(text, "verdict %s %v\n", encoded, err)
+	}
+	for _, u := range Uses() {
+		for v := Unsure; v <= Whole; v++ {
+			may, why := May(u, v)
+			text = fmt.Appendf(text, "use %v while %v: %v, %s\n", u, v, may, why)
+		}
+	}
+	for _, err := range []error{new(State).UnmarshalText([]byte("x")), new(Verdict).UnmarshalText([]byte("x"))} {
+		text = fmt.Appendf(text, "%v\n", err)
+	}
+	requireGolden(t, "names.txt", text)
+}
+
+// A machine's answers to a script of events that reaches every verdict, reason and text of evidence, step by step.
+func TestGoldenScript(t *testing.T) {
+	m := begin(t, roster(4))
+	var text []byte
+	step := func(what string, events ...Event) {
+		changed := false
+		for _, ev := range events {
+			changed = m.Handle(m.now, ev) || changed
+		}
+		p := m.Picture(m.now)
+		may, why := m.May(m.now, HoldDuty)
+		encoded, err := json.Marshal(struct {
+			Step    string  `json:"step"`
+			Changed bool    `json:"changed"`
+			Picture Picture `json:"picture"`
+			Line    string  `json:"line"`
+			May     bool    `json:"may"`
+			Why     string  `json:"why"`
+			Share   int     `json:"share"`
+			Senders int     `json:"senders"`
+			Lives   []Lived `json:"lives"`
+		}{what, changed, p, p.Line(m.now + s(1.234)), may, why, m.Share(), m.Senders(), m.Lives()})
+		if err != nil {
+			t.Fatal(err)
+		}
+		text = append(append(text, encoded...), '\n')
+	}
+	alive := func(name string, life Life, r Roster) Alive {
+		return Alive{Name: name, Life: life, Address: name + ":7000", Desk: name + ":8000", Epoch: r.Epoch, Sum: r.Sum()}
+	}
+	first := m.Roster()
+	step("start")
+	m.pass(s(15))
+	step("nobody has answered for long")
+	step("g1 is alive, g2 answers", alive("g1", 100, first), Heard{"g2", 100}, Heard{"g1", 100})
+	step("g3 is learned of", Lived{"g3", 90}, Lived{"g3", 89})
+	m.pass(s(3), "g1", "g2")
+	step("two of them answer for a while")
+	step("g3 answers", alive("g3", 100, first), Heard{"g3", 100})
+	m.pass(s(9), "g1", "g2", "g3")
+	step("all answer for a while")
+	step("g1 is suspected", Suspected{"g1", 100, "g2"})
+	step("g1 denies it", Contradicted{"g1", 100, "g2"})
+	m.pass(s(13), "g2", "g3")
+	step("nobody confirms the suspicion")
+	step("g1 has failed", Failed{"g1", 100})
+	step("g2 leaves", Left{"g2", 100}, alive("g2", 100, first), Heard{"g2", 100})
+	step("g3 has failed", Failed{"g3", 100})
+	m.now += s(20)
+	step("asleep", Tick{})
+	step("they answer again", Heard{"g1", 100}, Heard{"g3", 100}, alive("g2", 101, first), Heard{"g2", 101})
+	m.pass(s(30), "g1", "g2", "g3")
+	step("all answer for a while again")
+	step("own probes fail", Suspected{"g1", 100, "g0"}, Suspected{"g2", 101, "g0"}, Suspected{"g3", 100, "g0"}, Suspected{"g1", 100, "g0"}, Suspected{"g2", 101, "g0"})
+	m.pass(s(100), "g1", "g2", "g3")
+	step("all answer once more")
+	step("another roster of the epoch", RosterTold{Roster{}.Next([]string{"g0", "x1"}), "x1"})
+	step("a roster of the next epoch", RosterTold{first.Next(append(names(4), "g4")), "file"}, RosterTold{first, "g1"})
+	step("g1 starts again", alive("g1", 200, m.Roster()))
+	step("the earlier g1 goes on", alive("g1", 100, first))
+	step("the earlier g1 has failed", Failed{"g1", 100})
+	m.pass(s(100), "g1", "g2", "g3")
+	step("all but g4 answer for a while")
+	step("two more have failed", Failed{"g1", 200}, Failed{"g2", 101})
+	step("they answer after all", Heard{"g1", 200}, Heard{"g2", 101})
+	step("an earlier life of this one", alive("g0", 99, first))
+	step("that has failed", Failed{"g0", 99})
+	step("a roster without this one", RosterTold{m.Roster().Next([]string{"g1", "g2", "g3"}), "g3"})
+	step("a roster with it again", RosterTold{m.Roster().Next([]string{"g3", "g2", "g1", "g0"}), "g3"})
+	step("all know of it", alive("g1", 200, m.Roster()), alive("g2", 101, m.Roster()), alive("g3", 100, m.Roster()))
+	m.pass(s(200), "g1", "g2", "g3")
+	step("all answer after long")
+	before := m.Picture(m.now)
+	step("a later life of this one", Lived{"g0", 200})
+	for _, v := range []any{m.Evidence("g0"), m.Evidence("g1"), m.Evidence(""), Differences([]Picture{before, goldenPicture(), m.Picture(m.now)})} {
+		encoded, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text = append(append(text, encoded...), '\n')
+	}
+	requireGolden(t, "script.jsonl", text)
+}
