--- /dev/null
+++ b/records/golden_follower_test.go
@@ -0,0 +1,266 @@
+package records
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Time limits, bounds and sizes are part of how old and new programs work together.
+func TestGoldenConstants(t *testing.T) {
+	var text strings.Builder
+	for _, each := range []struct {
+		name  string
+		value any
+	}{
+		{"records of a state", MaxRecords}, {"bytes of a state", MaxStateBytes}, {"operations of a change", MaxOperations},
+		{"name bytes", MaxNameBytes}, {"value bytes", MaxValueBytes}, {"text bytes", MaxTextBytes},
+		{"log changes", MaxLogChanges}, {"log bytes", MaxLogBytes}, {"remembered results", MaxRequests},
+		{"delta bytes", MaxDeltaBytes}, {"chunk bytes", MaxChunkBytes}, {"message bytes", MaxMessageBytes},
+		{"journal bytes", MaxJournalBytes}, {"snapshot bytes", maxSnapshotBytes}, {"ranges", RangeCount},
+		{"problem bytes", maxProblemBytes}, {"record overhead", recordOverhead}, {"log entry overhead", entryOverhead},
+		{"list element bytes", minElementBytes}, {"compressed from", compressFrom}, {"encoder window", encoderWindow},
+		{"timeout_ms", MaxTimeoutMillis}, {"retries", MaxRetries}, {"requests_per_second", MaxRequestsPerSecond},
+		{"burst", MaxBurst}, {"price_weight", MaxPriceWeight}, {"zones", MaxZones}, {"path bytes", maxPathBytes}, {"host bytes", maxHostBytes},
+		{"longest wait of a server", MaxWait}, {"wait of a follower", PollWait}, {"request timeout", askTimeout}, {"head grace", headGrace},
+		{"poll interval", pollPause}, {"poll interval in a repair", repairPoll}, {"start spread", startSpread},
+		{"first retry", retryFirst}, {"longest retry", retryHighest}, {"cut off", CutOffAfter}, {"chunk requested", chunkBytes},
+		{"bytes per second", DefaultBytesPerSecond}, {"burst bytes", DefaultBurstBytes}, {"budget debt", maxDebt},
+		{"behind server avoided", avoidBehind}, {"failed server avoided", avoidFailed}, {"damaged server avoided", avoidDamaged},
+	} {
+		fmt.Fprintf(&text, "%s: %v\n", each.name, each.value)
+	}
+	requireGolden(t, "constants.txt", []byte(text.String()))
+}
+
+// traceServer answers a traced follower.
+type traceServer struct {
+	name    string
+	store   *Store
+	silent  bool
+	failing bool
+	damaged bool
+	behind  bool // gets no changes
+}
+
+// followerTrace plays one follower against servers on a clock of its own, and writes
+// down what it decides and when.
+type followerTrace struct {
+	t        *testing.T
+	text     strings.Builder
+	now      time.Time
+	servers  []*traceServer
+	replica  *Replica
+	follower *Follower
+	inFlight *Ask
+	arrival  time.Time // of the answer; zero: none is on its way
+	answer   Event
+	last     FollowerStatus
+}
+
+// reference returns the server that no fault but the last befalls.
+func (f *followerTrace) reference() *traceServer { return f.servers[len(f.servers)-1] }
+
+func (f *followerTrace) printf(format string, arguments ...any) {
+	fmt.Fprintf(&f.text, "%9.3f ", f.now.Sub(testTime).Seconds())
+	fmt.Fprintf(&f.text, format+"\n", arguments...)
+}
+
+func (f *followerTrace) start(replica *Replica, config FollowerConfig) {
+	f.inFlight, f.arrival = nil, time.Time{}
+	for _, server := range f.servers {
+		config.Servers = append(config.Servers, server.name)
+	}
+	f.replica = replica
+	f.follower = NewFollower(config, replica, f.now)
+	f.printf("start %s at version %d", config.Name, replica.Version())
+}
+
+// run lets time pass.
+func (f *followerTrace) run(duration time.Duration) {
+	for end := f.now.Add(duration); ; {
+		wake := f.follower.Wake()
+		arriving := !f.arrival.IsZero() && f.arrival.Before(wake)
+		if arriving {
+			wake = f.arrival
+		}
+		if wake.After(end) {
+			f.now = end
+			return
+		}
+		if wake.After(f.now) {
+			f.now = wake
+		}
+		event := Event(Tick{})
+		if arriving {
+			event = f.answer
+			f.inFlight, f.arrival = nil, time.Time{}
+		}
+		f.handle(event)
+	}
+}
+
+func (f *followerTrace) handle(event Event) {
+	f.t.Helper()
+	for _, action := range f.follower.Handle(f.now, event) {
+		switch action := action.(type) {
+		case Ask:
+			f.printf("request %d to %s: %s, timeout %v", action.ID, action.Server, describeRequest(action.Request), action.Timeout)
+			f.inFlight = &action
+			f.serve()
+		case Cancel:
+			f.printf("cancel %d", action.ID)
+			f.inFlight, f.arrival = nil, time.Time{}
+		case Save:
+			changes := "whole"
+			if action.Delta != nil {
+				changes = fmt.Sprintf("%d-%d, %d puts, %d deletes", action.Delta.From, action.Delta.To, len(action.Delta.Puts), len(action.Delta.Deletes))
+			}
+			f.printf("persist %d: %s", action.Version, changes)
+		}
+	}
+	status := f.follower.Status(f.now)
+	shown := status
+	shown.Contact, shown.Confirmed, shown.Server = f.last.Contact, f.last.Confirmed, f.last.Server
+	if shown != f.last {
+		f.printf("status %s, version %d, head %d, %d records, ranges %d of %d, confirmed %v, reason %q", status.State, status.Version, status.Head,
+			status.Records, status.RangesTaken, status.RangesTaken+status.RangesWanted, status.Confirmed.Sub(testTime).Round(time.Millisecond), status.Reason)
+	}
+	f.last = status
+}
+
+func describeRequest(request Request) string {
+	switch request := request.(type) {
+	case ChangesRequest:
+		return fmt.Sprintf("changes since %d, digest %t, wait %v", request.Since, request.Digest != nil, request.Wait)
+	case ContentRequest:
+		return fmt.Sprintf("content of %d ranges from %d, %d bytes", len(request.Ranges), request.Ranges[0], request.MaxBytes)
+	}
+	return "digests"
+}
+
+// serve answers the open request after 20 ms, or when the time to wait is over.
+func (f *followerTrace) serve() {
+	var server *traceServer
+	for _, each := range f.servers {
+		if each.name == f.inFlight.Server {
+			server = each
+		}
+	}
+	f.arrival = f.now.Add(latency)
+	if server.failing {
+		f.answer = Failed{ID: f.inFlight.ID, Reason: "connection refused", Bytes: 60}
+		return
+	}
+	var message any
+	switch request := f.inFlight.Request.(type) {
+	case ChangesRequest:
+		answer := server.store.Answer(request)
+		if answer.NothingNew() && request.Wait > 0 {
+			f.arrival = f.now.Add(request.Wait)
+		}
+		message = answer
+	case DigestsRequest:
+		message = server.store.RangeDigests()
+	case ContentRequest:
+		message = server.store.Chunk(request)
+	}
+	if server.silent {
+		f.arrival = time.Time{}
+	}
+	body, err := encode(message)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	text, err := expand(body, MaxMessageBytes) // its cost doesn't depend on the library
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	if server.damaged {
+		body = []byte("{")
+	}
+	f.answer = Answered{ID: f.inFlight.ID, Body: body, Bytes: len(text)/3 + 100}
+}
+
+// change has all servers but those that are behind accept a change; those that hold
+// a request for changes open answer.
+func (f *followerTrace) change(operations ...Operation) {
+	f.t.Helper()
+	for _, server := range f.servers {
+		if !server.behind {
+			apply(f.t, server.store, server.store.Applied()+1, change(operations...), Accepted)
+		}
+	}
+	f.printf("change %d", f.reference().store.Version())
+	if f.inFlight != nil && !f.arrival.IsZero() {
+		f.serve()
+	}
+}
+
+func (f *followerTrace) reportHead() {
+	f.t.Helper()
+	f.handle(ToldHead{Version: f.reference().store.Version()})
+}
+
+// What a follower decides, when, in which order and for which server, is the same as
+// in released programs, random draws included.
+func TestGoldenFollowerDecisions(t *testing.T) {
+	f := &followerTrace{t: t, now: testTime}
+	for i := range 3 {
+		f.servers = append(f.servers, &traceServer{name: fmt.Sprintf("control-%d", i), store: largeStore(t, 2000)})
+	}
+	f.start(&Replica{}, FollowerConfig{Name: "gateway-1", Confirmed: testTime.Add(-time.Hour)})
+	f.run(90 * time.Second)
+	f.change(urgent(1), remove("plan/free"))
+	f.run(5 * time.Second)
+	for i, set := range []func(*traceServer){
+		func(s *traceServer) { s.failing = true },
+		func(s *traceServer) { s.silent = true },
+		func(s *traceServer) { s.damaged = true },
+		func(s *traceServer) { s.behind = true },
+	} {
+		for _, faulty := range [][]*traceServer{f.servers[:2], f.servers[:1], f.servers[1:2]} {
+			f.printf("fault %d on %d servers", i, len(faulty))
+			for _, server := range faulty {
+				set(server)
+			}
+			f.change(urgent(10 + i))
+			f.reportHead()
+			f.run(4 * time.Second)
+			f.change(urgent(100 + i))
+			f.run(20 * time.Second)
+			for _, server := range faulty {
+				*server = traceServer{name: server.name, store: copyStore(t, f.reference().store)}
+			}
+		}
+	}
+	f.printf("all servers fail")
+	for _, server := range f.servers {
+		server.failing = true
+	}
+	f.change(urgent(1000), put("service/new", serviceValue))
+	f.run(40 * time.Second)
+	f.printf("all servers are back, with compacted logs")
+	for _, server := range f.servers {
+		server.failing = false
+		server.store.log.compact(len(server.store.log.entries))
+	}
+	f.run(30 * time.Second)
+	f.printf("a narrow budget and a copy with other content")
+	other := &Replica{}
+	if err := other.ApplyDelta(Difference(&Store{}, largeStore(t, 1500))); err != nil {
+		t.Fatal(err)
+	}
+	f.start(other, FollowerConfig{Name: "gateway-2", BytesPerSecond: 1500, BurstBytes: 3000})
+	for i := range 8 {
+		f.run(15 * time.Second)
+		f.change(urgent(2000 + i))
+		f.reportHead()
+	}
+	f.run(2 * time.Minute)
+	if f.replica.Version() != f.reference().store.Version() || f.replica.Digest() != f.reference().store.Digest() {
+		t.Errorf("at version %d of %d", f.replica.Version(), f.reference().store.Version())
+	}
+	requireGolden(t, "follower_decisions.txt", []byte(f.text.String()))
+}
--- /dev/null
+++ b/records/golden_test.go
@@ -0,0 +1,296 @@
+package records
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+var goldenTime = time.Date(2026, 12, 2, 5, 0, 1, 123456789, time.UTC)
+
+var goldenDigest = Digest{0x01, 0x23, 0x45, 0x67, 0x89, 0xab, 0xcd, 0xef, 0xfe, 0xdc, 0xba, 0x98, 0x76, 0x54, 0x32, 0x10}
+
+// goldenValues has a value of each kind with every field set.
+func goldenValues() map[Kind]Value {
+	return map[Kind]Value{
+		Route:   &RouteValue{Service: "search", Host: "shop.example.test", Prefix: "/v1/<search>&more", TimeoutMillis: 2000, Retries: 2},
+		Tenant:  &TenantValue{Plan: "gold", RequestsPerSecond: 50, Burst: 75},
+		Plan:    &PlanValue{PriceWeight: 1.5, RequestsPerSecond: 100, Burst: 150},
+		Service: &ServiceValue{Class: "interactive", Zones: []string{"zone-a", "zone-b"}},
+	}
+}
+
+func TestGoldenValues(t *testing.T) {
+	for _, kind := range Kinds() {
+		name := "value_" + string(kind) + ".json"
+		value := goldenValues()[kind]
+		requireEveryField(t, value)
+		text, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		requireGolden(t, name, text)
+		golden := readGolden(t, name, text)
+		parsed, canonical, problem := ParseValue(kind, golden)
+		if problem != nil || !reflect.DeepEqual(parsed, value) || !bytes.Equal(canonical, golden) {
+			t.Errorf("%s: read as %+v, %s, %v", kind, parsed, canonical, problem)
+		}
+		for _, text := range withUnknownFields(golden) {
+			if _, _, problem := ParseValue(kind, text); problem == nil || problem.Error() != "unknown_field: unknown field" {
+				t.Errorf("%s: with an unknown field: %v", kind, problem)
+			}
+		}
+	}
+}
+
+// goldenRecord is a record of a kind with every field set.
+func goldenRecord(t testing.TB, kind Kind, name string, version uint64) Record {
+	t.Helper()
+	value, err := json.Marshal(goldenValues()[kind])
+	if err != nil {
+		t.Fatal(err)
+	}
+	return Record{Key: Key{Kind: kind, Name: name}, Version: version, Value: value}
+}
+
+func goldenDelta(t testing.TB) Delta {
+	t.Helper()
+	return Delta{From: 41, To: 43, Digest: goldenDigest,
+		Puts: List[Record]{goldenRecord(t, Plan, "gold", 42), goldenRecord(t, Service, "search", 43),
+			goldenRecord(t, Route, "search-1", 43), goldenRecord(t, Tenant, "acme", 42)},
+		Deletes: List[Tombstone]{{Key: Key{Kind: Tenant, Name: "old_1.x-y:z"}, Version: 43}}}
+}
+
+func TestGoldenChange(t *testing.T) {
+	expected := uint64(7)
+	record := goldenRecord(t, Plan, "gold", 9)
+	operation := Operation{Key: record.Key, Delete: true, Value: record.Value, If: &expected}
+	problem := &Problem{Key: "tenant/acme", Field: "plan", Reason: "there is no plan/iron"}
+	pinJSON(t, "record.json", record)
+	pinJSON(t, "operation.json", operation)
+	pinJSON(t, "change.json", Change{Request: "deploy-17", Author: "anna", Message: "raise <gold> & more", At: goldenTime, Operations: []Operation{operation}})
+	pinJSON(t, "result.json", Result{Status: Conflict, Version: 12, Problem: problem})
+	pinJSON(t, "problem.json", *problem)
+	pinJSON(t, "change_info.json", ChangeInfo{Version: 12, Author: "anna", Message: "raise", At: goldenTime, Operations: 3})
+	pinJSON(t, "key_change.json", KeyChange{Key: record.Key, Version: 9, Record: &record, Later: 12})
+	pinJSON(t, "follower_status.json", FollowerStatus{State: Repairing, Version: 41, Digest: goldenDigest, Head: 43, Records: 5,
+		Confirmed: goldenTime, Contact: goldenTime.Add(time.Second), Server: "control-1", Reason: "repair: digest", RangesTaken: 3, RangesWanted: 2})
+}
+
+// Fields at their zero value are written or left out as other programs expect.
+func TestGoldenZeroFields(t *testing.T) {
+	never := uint64(0)
+	for _, test := range []struct {
+		value any
+		want  string
+	}{
+		{Operation{Key: key("plan/a"), If: &never}, `{"key":"plan/a","if":0}`},
+		{Change{}, `{"author":"","at":"0001-01-01T00:00:00Z","operations":null}`},
+		{Result{}, `{"status":"","version":0}`},
+		{Problem{}, `{"reason":""}`},
+		{ChangeInfo{}, `{"version":0,"author":"","at":"0001-01-01T00:00:00Z","operations":0}`},
+		{KeyChange{Key: key("plan/a")}, `{"key":"plan/a","version":0}`},
+		{FollowerStatus{}, `{"state":"","version":0,"digest":"00000000000000000000000000000000","head":0,"records":0,"contact":"0001-01-01T00:00:00Z"}`},
+		{Answer{}, `{"version":0,"digest":"00000000000000000000000000000000"}`},
+		{Delta{}, `{"from":0,"to":0,"digest":"00000000000000000000000000000000"}`},
+		{RangeDigests{}, `{"version":0,"digest":"00000000000000000000000000000000","ranges":null}`},
+		{Chunk{}, `{"version":0,"digest":"00000000000000000000000000000000","ranges":null}`},
+		{RangeContent{}, `{"range":0,"digest":0,"records":null}`},
+		{logEntry{}, `{"info":{"version":0,"author":"","at":"0001-01-01T00:00:00Z","operations":0},"digest":"00000000000000000000000000000000","keys":null}`},
+		{RouteValue{}, `{"service":"","prefix":""}`},
+		{TenantValue{}, `{"plan":""}`},
+		{PlanValue{}, `{"price_weight":0,"requests_per_second":0}`},
+		{ServiceValue{}, `{"class":""}`},
+	} {
+		if text, err := json.Marshal(test.value); err != nil || string(text) != test.want {
+			t.Errorf("%T: %s, %v; want %s", test.value, text, err, test.want)
+		}
+	}
+	texts := fmt.Sprint([]any{Accepted, Unchanged, Conflict, Invalid, RepairCompacted, RepairDigest, RepairTooLarge, Following, Repairing, CutOff, Kinds()})
+	if want := "[accepted unchanged conflict invalid compacted digest too_large following repairing cut_off [route tenant plan service]]"; texts != want {
+		t.Errorf("%s, want %s", texts, want)
+	}
+}
+
+func TestGoldenAnswers(t *testing.T) {
+	delta := goldenDelta(t)
+	requireEveryField(t, delta)
+	small := Delta{From: 42, To: 43, Digest: goldenDigest, Deletes: delta.Deletes}
+	for name, answer := range map[string]Answer{
+		"answer_delta.json":       {Version: 43, Digest: goldenDigest, Delta: &delta},
+		"answer_delta_small.json": {Version: 43, Digest: goldenDigest, Delta: &small},
+		"answer_repair.json":      {Version: 43, Digest: goldenDigest, Repair: RepairTooLarge},
+		"answer_behind.json":      {Version: 43, Digest: goldenDigest, Behind: true},
+		"answer_nothing_new.json": {Version: 43, Digest: goldenDigest},
+	} {
+		pinMessage(t, name, answer, EncodeAnswer, DecodeAnswer)
+	}
+	// No server sets all of these at once, and no follower accepts it.
+	every := Answer{Version: 43, Digest: goldenDigest, Delta: &delta, Repair: RepairDigest, Behind: true}
+	requireEveryField(t, every)
+	text, err := json.Marshal(every)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireGolden(t, "answer_every_field.json", text)
+	var decoded Answer
+	if err := decodeStrict(readGolden(t, "answer_every_field.json", text), &decoded); err != nil || !reflect.DeepEqual(decoded, every) {
+		t.Errorf("read as %+v, %v", decoded, err)
+	}
+	if _, err := DecodeAnswer(text); !errors.Is(err, ErrMessage) {
+		t.Errorf("accepted: %v", err)
+	}
+	// Fields of a value are the business of stores: a follower accepts those that it does not know.
+	newer := bytes.ReplaceAll(readGolden(t, "answer_delta.json", nil), []byte(`"value":{`), []byte(`"value":{"unknown_field":1,`))
+	answer, err := DecodeAnswer(newer)
+	if err != nil || !bytes.HasPrefix(answer.Delta.Puts[0].Value, []byte(`{"unknown_field":1,`)) {
+		t.Errorf("a value with an unknown field: %v", err)
+	}
+}
+
+// goldenStore has its log compacted once, a change of each result, and a change that
+// only advances its version.
+func goldenStore(t testing.TB) *Store {
+	t.Helper()
+	store := &Store{}
+	operation := func(kind Kind, name string) Operation {
+		record := goldenRecord(t, kind, name, 0)
+		return Operation{Key: record.Key, Value: record.Value}
+	}
+	first := change(operation(Plan, "gold"), operation(Service, "search"), operation(Tenant, "acme"), operation(Tenant, "old"))
+	first.At = goldenTime
+	apply(t, store, 2, first, Accepted)
+	store.log.compact(1)
+	second := Change{Request: "deploy-1", Author: "anna", Message: "raise <gold> & more", At: goldenTime.In(time.FixedZone("CET", 3600)),
+		Operations: []Operation{operation(Route, "search-1"), remove("tenant/old")}}
+	apply(t, store, 5, second, Accepted)
+	third := Change{Request: "deploy-2", Author: "bert", At: goldenTime, Operations: []Operation{put("tenant/x", `{"plan":"iron"}`)}}
+	apply(t, store, 6, third, Invalid)
+	if err := store.Advance(ChangeInfo{Version: 8, Author: "restore", Message: "restored", At: goldenTime}); err != nil {
+		t.Fatal(err)
+	}
+	apply(t, store, 9, change(operation(Plan, "gold")), Unchanged)
+	return store
+}
+
+func TestGoldenRanges(t *testing.T) {
+	store := goldenStore(t)
+	digests := store.RangeDigests()
+	requireEveryField(t, digests)
+	pinMessage(t, "range_digests.json", digests, EncodeRangeDigests, DecodeRangeDigests)
+	var ranges []int
+	for _, name := range []string{"route/search-1", "plan/gold", "service/search", "tenant/acme"} {
+		ranges = append(ranges, RangeOf(key(name)))
+	}
+	slices.Sort(ranges)
+	chunk := store.Chunk(ContentRequest{Ranges: ranges, MaxBytes: MaxChunkBytes})
+	requireEveryField(t, chunk)
+	pinMessage(t, "chunk.json", chunk, EncodeChunk, DecodeChunk)
+	pinMessage(t, "chunk_small.json", store.Chunk(ContentRequest{Ranges: ranges[:1]}), EncodeChunk, DecodeChunk)
+	if text := FormatRanges([]int{0, 1, 2, 9, 1022, 1023}); text != "0-2,9,1022-1023" {
+		t.Errorf("ranges are written as %s", text)
+	}
+}
+
+// Digests and ranges are computed by servers and followers of different versions.
+func TestGoldenDigests(t *testing.T) {
+	var text strings.Builder
+	fmt.Fprintf(&text, "empty %s\n", emptyState.digest)
+	for _, kind := range Kinds() {
+		record := goldenRecord(t, kind, "search-1", 42)
+		sum := hashRecord(record)
+		fmt.Fprintf(&text, "%s range %d hash %016x%016x state %s\n", record.Key, RangeOf(record.Key), sum.high, sum.low, digestOf([]Record{record}))
+	}
+	store := goldenStore(t)
+	fmt.Fprintf(&text, "store %s at 5 %s\n", store.Digest(), digestOf(store.current().sorted()))
+	expected := uint64(7)
+	hash := contentHash(Change{Author: "anna", Message: "raise", Operations: []Operation{put("plan/gold", planValue), {Key: key("plan/old"), Delete: true, If: &expected}}})
+	fmt.Fprintf(&text, "change %x\n", hash)
+	requireGolden(t, "digests.txt", []byte(text.String()))
+}
+
+func TestGoldenJournal(t *testing.T) {
+	store := goldenStore(t)
+	base := &Replica{state: emptyState, version: 1}
+	large := since(t, store, 2)
+	large.From = 1
+	large.Puts = store.current().sorted()
+	requireEveryField(t, large)
+	small := Delta{From: 8, To: 9, Digest: store.Digest(), Deletes: List[Tombstone]{{Key: key("tenant/old"), Version: 9}}}
+	for name, delta := range map[string]Delta{"journal_large": large, "journal_small": small} {
+		t.Run(name, func(t *testing.T) {
+			entry, err := EncodeJournalEntry(delta)
+			if err != nil {
+				t.Fatal(err)
+			}
+			text, err := expand(entry[12:], MaxMessageBytes)
+			if err != nil {
+				t.Fatal(err)
+			}
+			requireGolden(t, name+".json", text)
+			if name == "journal_small" { // not compressed: the same bytes with any library
+				requireGolden(t, name+".bin", entry)
+			}
+			for _, unknown := range withUnknownFields(text) {
+				if _, err := decode[Delta](unknown); !errors.Is(err, ErrMessage) {
+					t.Errorf("with an unknown field: %v", err)
+				}
+			}
+		})
+		entry, err := EncodeJournalEntry(delta)
+		if err != nil {
+			t.Fatal(err)
+		}
+		readGolden(t, name+".bin", entry)
+	}
+	journal := slices.Concat(readGolden(t, "journal_large.bin", nil), readGolden(t, "journal_small.bin", nil))
+	if count, err := base.Replay(journal); err != nil || count != len(journal) || base.Version() != 9 || base.Digest() != store.Digest() {
+		t.Errorf("replayed %d of %d bytes to version %d, %v", count, len(journal), base.Version(), err)
+	}
+}
+
+func TestGoldenSnapshots(t *testing.T) {
+	store := goldenStore(t)
+	var content storeSnapshot
+	data, err := store.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := unseal(storeHeader, data, &content); err != nil {
+		t.Fatal(err)
+	}
+	requireEveryField(t, content)
+	pinSnapshot(t, "snapshot_store", "elderyard records store 1\n", data, func(data []byte) ([]byte, error) {
+		restored := &Store{}
+		if err := restored.Restore(data); err != nil {
+			return nil, err
+		}
+		return restored.Snapshot()
+	})
+	restoreReplica := func(data []byte) ([]byte, error) {
+		restored := &Replica{}
+		if err := restored.Restore(data); err != nil {
+			return nil, err
+		}
+		return restored.Snapshot()
+	}
+	small := &Store{}
+	apply(t, small, 3, change(put("plan/gold", planValue)), Accepted)
+	for name, store := range map[string]*Store{"snapshot_replica": store, "snapshot_replica_small": small} {
+		replica := &Replica{}
+		delta := Difference(&Store{}, store)
+		if err := replica.ApplyDelta(delta); err != nil {
+			t.Fatal(err)
+		}
+		if data, err = replica.Snapshot(); err != nil {
+			t.Fatal(err)
+		}
+		pinSnapshot(t, name, "elderyard records replica 1\n", data, restoreReplica)
+	}
+}
