--- /dev/null
+++ b/internal/recordsync/golden_test.go
@@ -0,0 +1,309 @@
+package recordsync
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"elderyard/records"
+)
+
+// The files in testdata/golden are what released programs have sent and stored. They
+// may be written only for a form that has no file yet: a difference from an existing
+// file means that old and new programs do not understand each other. With
+// -update-golden, which never overwrites, missing files are written.
+var updateGolden = flag.Bool("update-golden", false, "write golden files that do not exist")
+
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
+
+// readGolden returns a golden file; missing is what it holds if it is written now.
+func readGolden(t testing.TB, name string, missing []byte) []byte {
+	t.Helper()
+	data, err := os.ReadFile(goldenPath(name))
+	if errors.Is(err, os.ErrNotExist) && *updateGolden {
+		must(t, os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755))
+		must(t, os.WriteFile(goldenPath(name), missing, 0o644))
+		return missing
+	}
+	must(t, err)
+	return data
+}
+
+// requireGolden requires that data is what the golden file holds, byte for byte.
+func requireGolden(t testing.TB, name string, data []byte) {
+	t.Helper()
+	if want := readGolden(t, name, data); !bytes.Equal(data, want) {
+		t.Errorf("%s differs:\n%q, want\n%q", name, data, want)
+	}
+}
+
+// goldenSource has few and short records: what is sent of them is not compressed, so
+// that its bytes do not depend on a library.
+func goldenSource(t testing.TB) *memorySource {
+	t.Helper()
+	source := newMemorySource()
+	source.apply(t, plan("gold", 7), plan("old", 1))
+	source.apply(t, records.Operation{Key: records.Key{Kind: records.Plan, Name: "old"}, Delete: true})
+	return source
+}
+
+// allRequests has one request of each kind with every field set, and one with none.
+func allRequests() map[string]records.Request {
+	digest := records.Digest{0x01, 0x23, 0x45, 0x67, 0x89, 0xab, 0xcd, 0xef, 0xfe, 0xdc, 0xba, 0x98, 0x76, 0x54, 0x32, 0x10}
+	return map[string]records.Request{
+		"changes":         records.ChangesRequest{Since: 3, Digest: &digest, Wait: 8 * time.Second},
+		"changes_minimal": records.ChangesRequest{},
+		"ranges":          records.DigestsRequest{},
+		"content":         records.ContentRequest{Ranges: []int{0, 1, 2, 9, 1023}, MaxBytes: 65536},
+	}
+}
+
+func TestGoldenRequests(t *testing.T) {
+	for name, request := range allRequests() {
+		t.Run(name, func(t *testing.T) {
+			value := reflect.ValueOf(request)
+			for i := range value.NumField() {
+				if value.Field(i).IsZero() && name != "changes_minimal" {
+					t.Errorf("%T.%s is not set in the pinned value", request, value.Type().Field(i).Name)
+				}
+			}
+			requireGolden(t, "request_"+name+".http", sentBytes(t, request))
+		})
+	}
+}
+
+// sentBytes returns a follower's request as it goes over the connection.
+func sentBytes(t *testing.T, request records.Request) []byte {
+	t.Helper()
+	client, server := net.Pipe()
+	o := options(t.TempDir(), "control-1:7000")
+	o.Dial = func(context.Context, string, string) (net.Conn, error) { return client, nil }
+	f, err := Open(o)
+	must(t, err)
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { // ends when the context does
+		defer close(done)
+		_, _ = f.client.ask(ctx, "control-1:7000", request)
+	}()
+	defer func() { cancel(); server.Close(); <-done }()
+	must(t, server.SetReadDeadline(time.Now().Add(patience)))
+	reader := bufio.NewReader(server)
+	var sent []byte
+	for !bytes.HasSuffix(sent, []byte("\r\n\r\n")) {
+		line, err := reader.ReadBytes('\n')
+		must(t, err)
+		sent = append(sent, line...)
+	}
+	return sent
+}
+
+// A server reads the requests of released followers.
+func TestGoldenRequestsAreRead(t *testing.T) {
+	for name, want := range allRequests() {
+		request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(readGolden(t, "request_"+name+".http", nil))))
+		must(t, err)
+		var got records.Request
+		switch want.(type) {
+		case records.ChangesRequest:
+			got, err = parseChanges(request.URL.Query())
+		case records.ContentRequest:
+			got, err = parseContent(request.URL.Query())
+		default:
+			got = records.DigestsRequest{}
+		}
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s is read as %+v, %v", name, got, err)
+		}
+	}
+	if ChangesPath != "/v1/records/changes" || RangesPath != "/v1/records/ranges" || ContentPath != "/v1/records/ranges/content" {
+		t.Errorf("the paths are %s, %s, %s", ChangesPath, RangesPath, ContentPath)
+	}
+}
+
+func TestGoldenResponses(t *testing.T) {
+	source := goldenSource(t)
+	handler := NewHandler(source)
+	address := serve(t, handler).Listener.Addr().String()
+	gold := records.RangeOf(records.Key{Kind: records.Plan, Name: "gold"})
+	present := fmt.Sprintf("/v1/records/changes?since=2&digest=%s", source.digest())
+	for _, test := range []struct{ name, method, target string }{
+		{"changes", "GET", "/v1/records/changes?since=1"},
+		{"changes_nothing_new", "GET", present + "&wait_ms=1"},
+		{"changes_behind", "GET", "/v1/records/changes?since=9"},
+		{"changes_repair", "GET", "/v1/records/changes?since=2&digest=0123456789abcdeffedcba9876543210"},
+		{"changes_unknown_parameter", "GET", "/v1/records/changes?since=1&other=7"},
+		{"content", "GET", fmt.Sprintf("/v1/records/ranges/content?ranges=%d&max_bytes=65536", gold)},
+		{"bad_since", "GET", "/v1/records/changes?since=x"},
+		{"bad_digest", "GET", "/v1/records/changes?since=1&digest=x"},
+		{"bad_wait", "GET", "/v1/records/changes?since=1&wait_ms=x"},
+		{"bad_ranges", "GET", "/v1/records/ranges/content?ranges=9-3&max_bytes=1"},
+		{"bad_max_bytes", "GET", "/v1/records/ranges/content?ranges=1&max_bytes=x"},
+		{"post", "POST", "/v1/records/changes?since=1"},
+		{"other_path", "GET", "/v1/records/other"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			requireGolden(t, "response_"+test.name+".http", receivedBytes(t, address, test.method, test.target))
+		})
+	}
+	for range MaxWaiting {
+		handler.waiting <- struct{}{}
+	}
+	requireGolden(t, "response_too_many_waiting.http", receivedBytes(t, address, "GET", present+"&wait_ms=1"))
+}
+
+// receivedBytes returns a server's response as it comes over the connection, without
+// its date.
+func receivedBytes(t *testing.T, address, method, target string) []byte {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	must(t, err)
+	defer conn.Close()
+	must(t, conn.SetDeadline(time.Now().Add(patience)))
+	_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: control-1:7000\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", method, target)
+	must(t, err)
+	data, err := io.ReadAll(conn)
+	must(t, err)
+	head, body, _ := strings.Cut(string(data), "\r\n\r\n")
+	var lines []string
+	for line := range strings.SplitSeq(head, "\r\n") {
+		if !strings.HasPrefix(line, "Date: ") {
+			lines = append(lines, line)
+		}
+	}
+	return []byte(strings.Join(lines, "\r\n") + "\r\n\r\n" + body)
+}
+
+// A change that is larger than what is sent uncompressed, and the digests of all
+// ranges, are compressed by a library: what a released server sent is read.
+func TestGoldenCompressedResponses(t *testing.T) {
+	source := goldenSource(t)
+	source.apply(t, many(50)...)
+	server := serve(t, NewHandler(source)).Listener.Addr().String()
+	client := newWireClient(t)
+	for name, request := range map[string]records.Request{
+		"changes.zst": records.ChangesRequest{},
+		"ranges.zst":  records.DigestsRequest{},
+	} {
+		body, err := client.ask(t.Context(), server, request)
+		must(t, err)
+		golden := readGolden(t, name, body)
+		if _, ok := request.(records.DigestsRequest); ok {
+			got, err := records.DecodeRangeDigests(body)
+			must(t, err)
+			if want, err := records.DecodeRangeDigests(golden); err != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("%s: %v", name, err)
+			}
+			continue
+		}
+		got, err := records.DecodeAnswer(body)
+		must(t, err)
+		if want, err := records.DecodeAnswer(golden); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+// The files of a follower: their names, their modes and, as they are short enough
+// not to be compressed, their bytes.
+func TestGoldenDisk(t *testing.T) {
+	source := newMemorySource()
+	source.apply(t, plan("gold", 7))
+	dir := filepath.Join(t.TempDir(), "copy")
+	f, replica := reopen(t, dir)
+	advance(t, f, replica, source)
+	source.apply(t, plan("gold", 8))
+	advance(t, f, replica, source)
+	source.apply(t, records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}, plan("silver", 1))
+	advance(t, f, replica, source)
+	must(t, f.confirm(3, time.Date(2026, 12, 2, 6, 0, 1, 123456789, time.FixedZone("CET", 3600))))
+	f.closeJournal()
+	requireModes(t, dir, map[string]os.FileMode{"": 0o700, "records": 0o600, "records.journal": 0o600, "records.confirmed": 0o600})
+	for _, name := range []string{"records", "records.journal", "records.confirmed"} {
+		data, err := os.ReadFile(filepath.Join(dir, name))
+		must(t, err)
+		requireGolden(t, "disk/"+name, data)
+	}
+	var stored confirmation
+	must(t, json.Unmarshal(readGolden(t, "disk/records.confirmed", nil), &stored))
+	if reflect.ValueOf(stored).NumField() != 2 || stored.Version == 0 || stored.At.IsZero() {
+		t.Errorf("a field of %+v is not set in the pinned value", stored)
+	}
+}
+
+// requireModes requires that a folder holds these files and no others.
+func requireModes(t *testing.T, dir string, want map[string]os.FileMode) {
+	t.Helper()
+	got := map[string]os.FileMode{}
+	must(t, filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
+		must(t, err)
+		info, err := entry.Info()
+		must(t, err)
+		got[strings.TrimPrefix(strings.TrimPrefix(path, dir), "/")] = info.Mode().Perm()
+		return nil
+	}))
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("the folder holds %v, want %v", got, want)
+	}
+}
+
+// What a released program has kept is read; what it can't use is set aside.
+func TestGoldenDiskIsRead(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "copy")
+	must(t, os.Mkdir(dir, 0o700))
+	for _, name := range []string{"records", "records.journal", "records.confirmed"} {
+		must(t, os.WriteFile(filepath.Join(dir, name), readGolden(t, "disk/"+name, nil), 0o600))
+	}
+	f, replica := reopen(t, dir)
+	if _, found := replica.Get(records.Key{Kind: records.Plan, Name: "silver"}); !found || replica.Version() != 3 || replica.Len() != 1 {
+		t.Errorf("version %d, %d records", replica.Version(), replica.Len())
+	}
+	if at := f.confirmed(3); !at.Equal(time.Date(2026, 12, 2, 5, 0, 1, 123456789, time.UTC)) {
+		t.Errorf("confirmed at %v", at)
+	}
+	f.closeJournal()
+	// A confirmation may have fields that this program does not know.
+	must(t, os.WriteFile(filepath.Join(dir, "records.confirmed"), []byte(`{"unknown_field":1,"version":3,"at":"2026-12-02T05:00:01Z"}`), 0o600))
+	if f.confirmed(3).IsZero() {
+		t.Error("a confirmation with an unknown field is not read")
+	}
+	must(t, os.WriteFile(filepath.Join(dir, "records"), []byte("damaged"), 0o600))
+	_, replica = reopen(t, dir)
+	requireModes(t, dir, map[string]os.FileMode{"": 0o700, "records.damaged": 0o600, "records.journal.damaged": 0o600, "records.confirmed": 0o600})
+	if replica.Version() != 0 {
+		t.Errorf("version %d of a damaged copy", replica.Version())
+	}
+}
+
+// A copy and a journal that a library has compressed are read.
+func TestGoldenCompressedDisk(t *testing.T) {
+	dir, source := keep(t)
+	for _, name := range []string{"records", "records.journal"} {
+		data, err := os.ReadFile(filepath.Join(dir, name))
+		must(t, err)
+		must(t, os.WriteFile(filepath.Join(dir, name), readGolden(t, "disk_compressed/"+name, data), 0o600))
+	}
+	if _, replica := reopen(t, dir); replica.Version() != 5 || replica.Digest() != source.digest() {
+		t.Errorf("version %d", replica.Version())
+	}
+}
+
+func TestGoldenConstants(t *testing.T) {
+	text := fmt.Sprintln(MaxWaiting, maxContentsEncoded, writeWithin, maxErrorText, maxFileBytes, confirmEvery, maxEncoded, leastWait, idleTimeout)
+	if want := "2048 4 30s 256 67108864 30s 4 1ms 1m0s\n"; text != want {
+		t.Errorf("%s, want %s", text, want)
+	}
+}
