--- /dev/null
+++ b/internal/agentapi/golden_test.go
@@ -0,0 +1,219 @@
+package agentapi
+
+import (
+	"bytes"
+	"encoding"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"elderyard/fleet"
+	"elderyard/members"
+	"elderyard/records"
+	"elderyard/revisions"
+	"elderyard/supervise"
+)
+
+// The files in testdata are the messages as the released program sends them. Agents
+// and voters of one site may run different releases, so an existing file is never
+// written anew: -update only adds files for messages that have none yet.
+var update = flag.Bool("update", false, "write golden files that do not exist yet; an existing one is never written")
+
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	want, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) && *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s:\n got %s\nwant %s", path, got, want)
+	}
+}
+
+// unsetFields lists the fields below v that have their zero value.
+func unsetFields(v reflect.Value, path string) (unset []string) {
+	if _, isText := v.Interface().(encoding.TextMarshaler); isText && v.Kind() != reflect.Pointer {
+		if v.IsZero() {
+			return []string{path}
+		}
+		return nil
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		if v.IsNil() {
+			return []string{path}
+		}
+		return unsetFields(v.Elem(), path)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			unset = append(unset, unsetFields(v.Field(i), path+"."+v.Type().Field(i).Name)...)
+		}
+	case reflect.Slice:
+		if v.Len() == 0 {
+			return []string{path}
+		}
+		for i := range v.Len() {
+			unset = append(unset, unsetFields(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+		}
+	case reflect.Map:
+		if v.Len() == 0 {
+			return []string{path}
+		}
+		for _, key := range v.MapKeys() {
+			unset = append(unset, unsetFields(v.MapIndex(key), fmt.Sprintf("%s[%v]", path, key))...)
+		}
+	default:
+		if v.IsZero() {
+			return []string{path}
+		}
+	}
+	return unset
+}
+
+// checkMessage compares the encoded message with its golden file, and that file decoded
+// with the message.
+func checkMessage[T any](t *testing.T, name string, message T) {
+	t.Helper()
+	encoded, err := json.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, name, encoded)
+	golden, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var decoded T
+	if err := revisions.Strictly(golden, &decoded); err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	if !reflect.DeepEqual(decoded, message) {
+		t.Errorf("%s decodes to %+v, want %+v", name, decoded, message)
+	}
+}
+
+func checkFullMessage[T any](t *testing.T, name string, message T) {
+	t.Helper()
+	if unset := unsetFields(reflect.ValueOf(message), reflect.TypeFor[T]().Name()); len(unset) > 0 {
+		t.Errorf("fields without a value in the golden message: %v", unset)
+	}
+	checkMessage(t, name, message)
+}
+
+var (
+	goldenTime   = time.Date(2026, 3, 4, 5, 6, 7, 800, time.UTC)
+	goldenDigest = records.Digest{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
+	goldenKey    = records.Key{Kind: records.Plan, Name: "gold"}
+	goldenValue  = json.RawMessage(`{"price_weight":1.5,"requests_per_second":100}`)
+)
+
+func ptr[T any](v T) *T { return &v }
+
+func goldenStatus() RecordsStatus {
+	return RecordsStatus{State: records.Following, Version: 7, Digest: goldenDigest, AgeSeconds: ptr(1.5), Why: "the disk is full"}
+}
+
+func goldenReport() Report {
+	status := goldenStatus()
+	return Report{
+		Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
+		Instances: []Observed{{Name: "g0", Running: 3, Content: "c3", Taking: 4, State: supervise.Ready, Why: "it ended", Crashes: 2, PID: 4711,
+			Refused: 5, Refusal: "revision 5: no such key", Believes: "3 of 4 there", Missing: []string{"g7"}}},
+		Belong: true, Epoch: 9, Records: &status,
+	}
+}
+
+func goldenOrders() Orders {
+	return Orders{Leader: "a2", Address: "10.0.0.2:7946", Wait: true,
+		Orders:  map[string]Order{"g0": {Revision: 4, Checksum: "c4", Drained: true}},
+		Roster:  &members.Roster{Epoch: 10, Members: []members.Member{{Name: "g0", Since: 2}}},
+		Records: &RecordsHead{Version: 8}}
+}
+
+func TestGoldenMessages(t *testing.T) {
+	checkFullMessage(t, "report.json", goldenReport())
+	checkFullMessage(t, "orders.json", goldenOrders())
+	checkFullMessage(t, "records-change.json", RecordsChange{Request: "r1", Message: "why",
+		Operations: []records.Operation{{Key: goldenKey, Delete: true, Value: goldenValue, If: ptr(uint64(6))}}})
+	checkFullMessage(t, "records-list.json", RecordsList{Version: 7, Digest: goldenDigest, Total: 12,
+		Records: []records.Record{{Key: goldenKey, Version: 5, Value: goldenValue}}})
+	checkFullMessage(t, "records-versions.json", RecordsVersions{Version: 7, Digest: goldenDigest,
+		Changes: []records.ChangeInfo{{Version: 7, Author: "ann", Message: "why", At: goldenTime, Operations: 2}}})
+	checkFullMessage(t, "records-diff.json", RecordsDiff{From: 5, To: 7,
+		Changes: []records.KeyChange{{Key: goldenKey, Version: 6, Record: &records.Record{Key: goldenKey, Version: 6, Value: goldenValue}, Later: 7}}})
+	checkFullMessage(t, "records-lag.json", RecordsLag{Stale: "no leader is known", Version: 8, Digest: goldenDigest, InForce: 3,
+		Agents: []AgentRecords{{Agent: "a1", State: RecordsBehind, Status: goldenStatus(), Since: ptr(goldenTime), Heard: ptr(goldenTime.Add(time.Second))}}})
+}
+
+// The messages of a site without gateways, records and rosters: what has no value is
+// left out where the key is optional and written where it is not.
+func TestGoldenMessagesWithoutOptionalFields(t *testing.T) {
+	checkMessage(t, "report-minimal.json", Report{Agent: fleet.Agent{Name: "a1", Instances: []string{}}})
+	checkMessage(t, "report-instance-minimal.json", Report{Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
+		Instances: []Observed{{Name: "g0", State: supervise.Down}}})
+	checkMessage(t, "orders-minimal.json", Orders{Leader: "a2", Address: "10.0.0.2:7946", Orders: map[string]Order{"g0": {}}})
+	checkMessage(t, "records-change-minimal.json", RecordsChange{Request: "r1"})
+	checkMessage(t, "records-list-minimal.json", RecordsList{Records: []records.Record{}})
+	checkMessage(t, "records-lag-minimal.json", RecordsLag{Agents: []AgentRecords{{Agent: "a1", State: RecordsSilent}}})
+}
+
+// A report of an agent from before rosters and records is accepted, and a key that the
+// leader does not know refuses the report as it always did.
+func TestReportOfOlderAgent(t *testing.T) {
+	old := []byte(`{"agent":{"name":"a1","address":"10.0.0.1:7946","instances":["g0"]},` +
+		`"instances":[{"name":"g0","running":3,"taking":4,"state":"starting","crashes":2}]}`)
+	var got Report
+	if err := revisions.Strictly(old, &got); err != nil {
+		t.Fatal(err)
+	}
+	want := Report{Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
+		Instances: []Observed{{Name: "g0", Running: 3, Taking: 4, State: supervise.Starting, Crashes: 2}}}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+	for _, unknown := range []string{`{"agent":{},"instances":[],"mood":1}`, `{"agent":{},"instances":[{"mood":1}]}`} {
+		if err := revisions.Strictly([]byte(unknown), &got); err == nil || err.Error() != `json: unknown field "mood"` {
+			t.Errorf("%s: %v", unknown, err)
+		}
+	}
+}
+
+// Orders of a leader from before rosters and records are accepted, and so are those of
+// a later one with keys that this agent does not know.
+func TestOrdersOfOlderAndNewerLeader(t *testing.T) {
+	want := Orders{Leader: "a2", Address: "10.0.0.2:7946", Orders: map[string]Order{"g0": {Revision: 4}}}
+	for name, text := range map[string]string{
+		"older": `{"leader":"a2","address":"10.0.0.2:7946","wait":false,"orders":{"g0":{"revision":4}}}`,
+		"newer": `{"leader":"a2","address":"10.0.0.2:7946","wait":false,"orders":{"g0":{"revision":4,"mood":1}},"mood":{"x":[1]}}`,
+	} {
+		var got Orders
+		if err := json.Unmarshal([]byte(text), &got); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %+v, %v, want %+v", name, got, err, want)
+		}
+	}
+}
+
+func TestGoldenNames(t *testing.T) {
+	if ReportPath != "/v1/report" || HopHeader != "X-Elderyard-Hop" || HopMay != "0" {
+		t.Errorf("%q %q %q", ReportPath, HopHeader, HopMay)
+	}
+	states := []RecordsState{RecordsInForce, RecordsBehind, RecordsDiffer, RecordsSilent, RecordsNoReports, RecordsUnknown}
+	if want := []RecordsState{"in force", "behind", "differs", "silent", "off", "unknown"}; !slices.Equal(states, want) {
+		t.Errorf("%q, want %q", states, want)
+	}
+}
