--- /dev/null
+++ b/internal/gateway/golden_test.go
@@ -0,0 +1,84 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"testing"
+
+	"elderyard/internal/golden"
+)
+
+// fellowsOf stands for the gateways that this one knows of.
+type fellowsOf struct{}
+
+func (fellowsOf) Run(context.Context, func(share, cold int)) {}
+func (fellowsOf) Believes() string                           { return "peers: whole for 3s" }
+func (fellowsOf) Desk() http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprintf(w, "what others know, %s\n", r.URL) })
+}
+
+// Every path on the operators' address with each of its answers. A number in an error of the JSON decoder stays.
+func TestGoldenOperatorsCalls(t *testing.T) {
+	t.Parallel()
+	backend := newPeer(t)
+	r := newRigWith(t, withDesk, backend)
+	var b strings.Builder
+	note := func(method, path, body string, status int, header http.Header, answer string) {
+		fmt.Fprintf(&b, "%s %s %s\n%d %s\n%s", method, path, body, status, header.Get("Content-Type"), answer)
+	}
+	id := fmt.Sprintf(`{"id":%q}`, backend.Address())
+	for _, c := range [][3]string{
+		{"GET", "/_ready", ""}, {"POST", "/_ready", ""}, {"GET", "/_peers", ""}, {"GET", "/_lameduck/on", ""}, {"POST", "/_lameduck", ""},
+		{"POST", "/_backends/detach", `{"id":"never listed"}`}, {"POST", "/_backends/attach", `{"id":"never listed"}`},
+		{"POST", "/_backends/detach", ""}, {"POST", "/_backends/detach", `{"id":""}`}, {"POST", "/_backends/detach", `{"id":7}`},
+		{"POST", "/_backends/detach", `{"name":"x"}`}, {"POST", "/_backends/detach", id + id},
+		{"POST", "/_backends/detach", id}, {"POST", "/_backends/attach", id},
+		{"POST", "/_lameduck/on", ""}, {"GET", "/_ready", ""}, {"POST", "/_lameduck/off", ""}, {"GET", "/_ready", ""}, {"GET", "/", ""},
+	} {
+		req, err := http.NewRequest(c[0], "http://"+r.desk+c[1], strings.NewReader(c[2]))
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp, err := http.DefaultTransport.RoundTrip(req)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text, err := io.ReadAll(resp.Body)
+		resp.Body.Close()
+		if err != nil {
+			t.Fatal(err)
+		}
+		note(c[0], c[1], strings.ReplaceAll(c[2], backend.Address(), "BACKEND"), resp.StatusCode, resp.Header, string(text))
+	}
+
+	// With others known, two paths more and a line more.
+	front := &frontend{}
+	front.ready.Store(true)
+	known := (&operator{front: front, book: newHandBook("", "g0"), fellows: fellowsOf{}}).handler()
+	for _, path := range []string{"/_ready", "/_peers", "/_peers/why?name=g1"} {
+		w := httptest.NewRecorder()
+		known.ServeHTTP(w, httptest.NewRequest("GET", path, nil))
+		note("GET", path, "", w.Code, w.Result().Header, w.Body.String())
+	}
+	golden.Compare(t, "operator.txt", b.String())
+}
+
+// The file that keeps which backends are out by hand, by name and form.
+func TestGoldenFileOfBackendsOutByHand(t *testing.T) {
+	book := newHandBook(t.TempDir(), "north/g 0")
+	for _, id := range []string{"n2", "n1"} {
+		if err := book.note(id, true); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(book.path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "out-by-hand.txt", book.path[strings.LastIndex(book.path, "/")+1:]+"\n"+string(text)+"\n")
+}
--- /dev/null
+++ b/internal/respfront/golden_test.go
@@ -0,0 +1,25 @@
+package respfront
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"elderyard/internal/golden"
+)
+
+// The commands and what tells of them. There are no HTTP paths here; TestCommands has the replies of each command.
+func TestGoldenCommands(t *testing.T) {
+	r := newRig(t, Settings{})
+	c := r.talk(t)
+	var b strings.Builder
+	for _, command := range []string{"COMMAND", "COMMAND DOCS", "HELLO 3", "INFO", "LIMIT.STATS", "LIMIT.PLAN " + gold, "LIMIT.PEEK " + free, "LIMIT.TAKE " + free + " 1"} {
+		got := c.say(command)[0]
+		got = strings.ReplaceAll(got, "\r\n", "\n")
+		if strings.HasPrefix(command, "COMMAND") { // one a line
+			got = strings.ReplaceAll(strings.ReplaceAll(got, "] [", "]\n["), "]] ", "]]\n")
+		}
+		fmt.Fprintf(&b, "=== %s\n%s\n", command, got)
+	}
+	golden.Compare(t, "commands.txt", b.String())
+}
--- /dev/null
+++ b/internal/site/golden_test.go
@@ -0,0 +1,56 @@
+package site
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"elderyard/internal/golden"
+)
+
+// The keys of the operator's file with what they mean, and the settings of a gateway without the file.
+func TestGoldenKeysAndDefaults(t *testing.T) {
+	var b strings.Builder
+	for _, k := range Keys() {
+		fmt.Fprintf(&b, "%s: %s\n", k[0], k[1])
+	}
+	golden.Compare(t, "keys.txt", b.String())
+	golden.Compare(t, "defaults.toml", encoded(t, Defaults()))
+}
+
+// A file that sets every key to another value than the default is read whole.
+func TestGoldenFileWithEveryKey(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	settings, err := Parse("every-key.toml", text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, field := range golden.UnsetFields(settings) {
+		if field != "site.Settings.Telemetry.Traces" && field != "site.Settings.Telemetry.Metrics" { // their defaults are true
+			t.Errorf("the file does not set %s", field)
+		}
+	}
+	for _, k := range Keys() {
+		name := k[0][strings.LastIndex(k[0], ".")+1:]
+		if !strings.Contains(string(text), name+" =") && !strings.Contains(string(text), k[0]+"]") {
+			t.Errorf("the file does not set %s", k[0])
+		}
+	}
+	golden.Compare(t, "every-key.toml", encoded(t, settings))
+}
+
+func encoded(t *testing.T, s Settings) string {
+	t.Helper()
+	text, err := toml.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
