--- a/cmd/elderctl/main.go
+++ b/cmd/elderctl/main.go
@@ -66,7 +66,8 @@
 	os.Exit(status)
 }
 
-func run(ctx context.Context, args []string) int {
+// rootCommand is the tool with all its verbs.
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "elderctl",
 		Short:         "Operate elderyard: change, watch and try out a site",
@@ -77,6 +78,11 @@
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
 	root.AddCommand(labCommand(), traceCommand(), siteCommand(), peersCommand(), reverseProxyCommand(), keeperCommand(), capacityCommand())
 	root.AddCommand(fleetCommands()...)
+	return root
+}
+
+func run(ctx context.Context, args []string) int {
+	root := rootCommand()
 	root.SetArgs(args)
 	err := root.ExecuteContext(ctx)
 	var exit *exitError
