--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -55,6 +55,31 @@
 	}
 }
 
+// Text fails the test unless testdata/golden/name holds this text, byte for byte. The
+// failure names the first line that differs.
+func Text(t testing.TB, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	want, err := os.ReadFile(path)
+	if err != nil {
+		File(t, filepath.Join("golden", name), []byte(got))
+		return
+	}
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range max(len(wantLines), len(gotLines)) {
+		if w, g := lineOf(wantLines, i), lineOf(gotLines, i); w != g {
+			t.Fatalf("%s:%d: the interface has changed\nwant %s\ngot  %s", path, i+1, w, g)
+		}
+	}
+}
+
+func lineOf(lines []string, i int) string {
+	if i < len(lines) {
+		return lines[i]
+	}
+	return "(end)"
+}
+
 // JSON fails the test unless the value is encoded as testdata/name has it, and that
 // file decodes to an equal value.
 func JSON[T any](t testing.TB, name string, value T) {
@@ -89,12 +114,14 @@
 // has to be added to its golden file's value.
 func Complete(t testing.TB, values ...any) {
 	t.Helper()
-	if unset := unsetFields(values...); len(unset) > 0 {
+	if unset := UnsetFields(values...); len(unset) > 0 {
 		t.Errorf("these fields are set in no value that is compared with a golden file: %v", unset)
 	}
 }
 
-func unsetFields(values ...any) (unset []string) {
+// UnsetFields returns the paths of the exported fields below the values that are zero in
+// all of them. A type that encodes itself is not looked into.
+func UnsetFields(values ...any) (unset []string) {
 	set := map[string]bool{}
 	for _, value := range values {
 		v := reflect.ValueOf(value)
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -36,7 +36,7 @@
 		{"two complete each other", []any{outer{Number: 1, At: now, Raw: []byte{0}},
 			outer{Inner: complete.Inner, List: complete.List, Map: complete.Map}}, nil},
 	} {
-		if got := unsetFields(test.values...); !reflect.DeepEqual(got, test.want) {
+		if got := UnsetFields(test.values...); !reflect.DeepEqual(got, test.want) {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
