--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -71,7 +71,7 @@
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
 		b.add(requirement{Membership, kind, item, swim, "", unit, value, budget, note})
 	}
-	add(State, "members that a gateway knows", "", arithmetic(float64(b.size.Site.Gateways)), members.MostNames, "the budget is the largest roster that is accepted today")
+	add(State, "members that a gateway knows", "", arithmetic(float64(b.size.Site.Gateways)), members.MaxRosterSize, "the budget is the largest roster that is accepted today")
 	add(Messages, "datagrams", "1/s", b.of(MembersMessages), 0, "")
 	add(Bytes, "sent", "B/s", b.of(MembersBytes), b.size.Budget.GatewayBytesPerSecond, "")
 	add(CPU, "an idle gateway with members", "cores", b.of(MembersCPU), b.size.Budget.GatewayCores, "the whole idle gateway")
@@ -132,7 +132,7 @@
 	budget := &b.size.Budget
 	change := b.of(FileBytesByRecords)
 	plain := arithmetic(float64(b.size.Entries()) * b.size.Assumptions.RecordBytes)
-	add(State, "all entries in one file", "B", plain, revisions.MostFile, "the budget is the largest file that is accepted today")
+	add(State, "all entries in one file", "B", plain, revisions.MaxFileBytes, "the budget is the largest file that is accepted today")
 	add(Bytes, "mean of the day's changes", "B/s", b.fileBytesPerSecond(), budget.GatewayBytesPerSecond, "")
 	add(Time, "one change at the budget's bytes a second", "s", change.times(1/budget.GatewayBytesPerSecond), budget.InForceSeconds, "")
 	add(Time, "one change by waves, no soak, all away at once", "s", b.of(FileInForce), budget.InForceSeconds, "")
@@ -176,7 +176,7 @@
 	if size.unknown != "" {
 		return size
 	}
-	changes := min(revisions.MostHistory/size.value, revisions.MostKept)
+	changes := min(revisions.MaxHistoryBytes/size.value, revisions.MaxRevisions)
 	size.value = changes * hoursPerDay / float64(b.size.Site.ChangesPerDay)
 	size.upper, size.least = size.value, size.value
 	return size
--- a/cmd/elderctl/apply.go
+++ b/cmd/elderctl/apply.go
@@ -15,41 +15,41 @@
 	"elderyard/rollout"
 )
 
-// change is how an apply is sent and followed.
-type change struct {
+// applyOptions is how an apply is sent and followed.
+type applyOptions struct {
 	parent  uint64
 	message string
 	noWait  bool
 }
 
-func (c *change) flags(cmd *cobra.Command) {
+func (c *applyOptions) flags(cmd *cobra.Command) {
 	cmd.Flags().Uint64Var(&c.parent, "parent", 0, "the revision that the change was made from; default: the newest")
 	cmd.Flags().StringVar(&c.message, "message", "", "what it is for")
 	cmd.Flags().BoolVar(&c.noWait, "no-wait", false, "do not follow the rollout to its end")
 }
 
 func applyCommand() *cobra.Command {
-	var c change
+	var c applyOptions
 	var overlays []string
 	var again bool
 	cmd := withJSON(verb("apply FILE", "Make a file the wanted revision and follow its rollout to the end",
 		"  elderctl apply site.toml --message 'more room on collection days'\n  elderctl apply site.toml --parent 12", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			now, _, err := head(cmd.Context(), client)
+			newest, _, err := newestRevision(cmd.Context(), client)
 			if err != nil {
 				return err
 			}
-			content, err := readContent(args[0], overlays, now.Content)
+			content, err := readContent(args[0], overlays, newest.Content)
 			if err != nil {
 				return err
 			}
 			if again {
-				content.Turn++
+				content.RestartGeneration++
 			}
 			if !cmd.Flags().Changed("parent") {
-				c.parent = now.Number
+				c.parent = newest.Number
 			}
-			return c.send(cmd, client, agent.Call{Parent: c.parent, Content: &content}, args[0])
+			return c.send(cmd, client, agent.ApplyRequest{Parent: c.parent, Content: &content}, args[0])
 		}))
 	c.flags(cmd)
 	cmd.Flags().StringArrayVar(&overlays, "overlay", nil, "an instance's overlay as NAME=FILE; NAME= takes it away, and others stay as they are")
@@ -58,20 +58,20 @@
 }
 
 func rollbackCommand() *cobra.Command {
-	var c change
+	var c applyOptions
 	cmd := withJSON(verb("rollback [REV]", "Make an old revision's content the wanted one again; default: that before the wanted one",
 		"  elderctl rollback\n  elderctl rollback 11", cobra.MaximumNArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			now, s, err := head(cmd.Context(), client)
+			newest, s, err := newestRevision(cmd.Context(), client)
 			if err != nil {
 				return err
 			}
-			to := s.Rollout.Before
-			if s.Wanted == s.Rollout.Before && s.Wanted > 1 {
+			to := s.Rollout.Previous
+			if s.Wanted == s.Rollout.Previous && s.Wanted > 1 {
 				to = s.Wanted - 1
 			}
 			if len(args) == 1 {
-				if to, err = number(args[0]); err != nil {
+				if to, err = parseRevisionNumber(args[0]); err != nil {
 					return err
 				}
 			}
@@ -79,26 +79,26 @@
 				return &exitError{exitRefused, errors.New("there is no revision before: name one")}
 			}
 			if !cmd.Flags().Changed("parent") {
-				c.parent = now.Number
+				c.parent = newest.Number
 			}
 			if c.message == "" {
 				c.message = fmt.Sprintf("back to revision %d", to)
 			}
-			return c.send(cmd, client, agent.Call{Parent: c.parent, Restore: to}, "")
+			return c.send(cmd, client, agent.ApplyRequest{Parent: c.parent, Restore: to}, "")
 		}))
 	c.flags(cmd)
 	return cmd
 }
 
 func restartCommand() *cobra.Command {
-	var c change
+	var c applyOptions
 	var rolling bool
 	cmd := withJSON(verb("restart --rolling", "Restart every instance, wave by wave, with what it runs", "  elderctl restart --rolling", cobra.NoArgs,
 		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
 			if !rolling {
-				return usage(errors.New("restart: say --rolling: all at once is not offered"))
+				return usageError(errors.New("restart: say --rolling: all at once is not offered"))
 			}
-			now, s, err := head(cmd.Context(), client)
+			newest, s, err := newestRevision(cmd.Context(), client)
 			if err != nil {
 				return err
 			}
@@ -109,14 +109,14 @@
 			if err != nil {
 				return err
 			}
-			wanted.Content.Turn = max(wanted.Content.Turn, now.Content.Turn) + 1
+			wanted.Content.RestartGeneration = max(wanted.Content.RestartGeneration, newest.Content.RestartGeneration) + 1
 			if c.message == "" {
 				c.message = "restart"
 			}
 			if !cmd.Flags().Changed("parent") {
-				c.parent = now.Number
+				c.parent = newest.Number
 			}
-			return c.send(cmd, client, agent.Call{Parent: c.parent, Content: &wanted.Content}, "")
+			return c.send(cmd, client, agent.ApplyRequest{Parent: c.parent, Content: &wanted.Content}, "")
 		}))
 	c.flags(cmd)
 	cmd.Flags().BoolVar(&rolling, "rolling", false, "wave by wave, as a change goes out")
@@ -124,23 +124,23 @@
 }
 
 // send applies and follows.
-func (c *change) send(cmd *cobra.Command, client *agent.Client, call agent.Call, file string) error {
+func (c *applyOptions) send(cmd *cobra.Command, client *agent.Client, call agent.ApplyRequest, file string) error {
 	ctx, out := cmd.Context(), cmd.OutOrStdout()
 	asJSON, _ := cmd.Flags().GetBool("json")
 	if asJSON {
 		out = io.Discard
 	}
 	var err error
-	if call.Request, err = request(); err != nil {
+	if call.Request, err = newRequestID(); err != nil {
 		return err
 	}
 	call.Message = c.message
-	limited, cancel := context.WithTimeout(ctx, applyLimit)
+	limited, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	answer, err := client.Apply(limited, call)
 	if err != nil {
 		var f *agent.Failure
-		if errors.As(err, &f) && f.InDoubt() {
+		if errors.As(err, &f) && f.OutcomeUnknown() {
 			return &exitError{exitUnreachable, fmt.Errorf("it is not known whether the change was taken (look with elderctl history): %w", err)}
 		}
 		return err
@@ -159,7 +159,7 @@
 	}
 	switch answer.Answer {
 	case revisions.Accepted:
-	case revisions.Same:
+	case revisions.Unchanged:
 		fmt.Fprintf(out, "revision %d says this already; nothing was changed\n", answer.Revision.Number)
 		s, err := client.Status(ctx)
 		if err == nil && s.Stale == "" && s.Wanted != answer.Revision.Number {
@@ -168,9 +168,9 @@
 		return finish(exitOK, nil)
 	case revisions.Conflict, fleet.Busy:
 		won := answer.Revision
-		fmt.Fprintf(out, "revision %d came first: by %s at %s: %s\n", won.Number, won.Author, won.At.Local().Format(time.DateTime), dash(won.Message))
+		fmt.Fprintf(out, "revision %d came first: by %s at %s: %s\n", won.Number, won.Author, won.At.Local().Format(time.DateTime), dashIfEmpty(won.Message))
 		if call.Content != nil {
-			difference := diff(fmt.Sprintf("revision %d", won.Number), file, won.Content, *call.Content)
+			difference := diffContents(fmt.Sprintf("revision %d", won.Number), file, won.Content, *call.Content)
 			final["diff"] = difference
 			printDiff(out, difference)
 		}
@@ -195,80 +195,80 @@
 	if s.Rollout.New != answer.Revision.Number {
 		return finish(exitOK, nil)
 	}
-	return finish(endStatus(s))
+	return finish(rolloutExitStatus(s))
 }
 
 const (
-	applyLimit  = 2 * time.Minute
-	followEvery = 300 * time.Millisecond
+	applyTimeout   = 2 * time.Minute
+	followInterval = 300 * time.Millisecond
 )
 
-func endStatus(s agent.Status) (int, error) {
+func rolloutExitStatus(s agent.Status) (int, error) {
 	switch s.Rollout.State {
 	case rollout.Applied:
 		return exitOK, nil
-	case rollout.Partly:
-		return exitPartly, errors.New(s.Rollout.Why)
+	case rollout.PartlyApplied:
+		return exitPartly, errors.New(s.Rollout.Reason)
 	}
-	return exitRefused, fmt.Errorf("%s: %s", s.Rollout.State, s.Rollout.Why)
+	return exitRefused, fmt.Errorf("%s: %s", s.Rollout.State, s.Rollout.Reason)
 }
 
 // follow shows a rollout until its end. A leader that can't be reached for a
 // while is waited for: the rollout goes on without the tool.
 func follow(ctx context.Context, client *agent.Client, out io.Writer, revision uint64) (agent.Status, error) {
-	began := time.Now()
-	said := map[string]string{}
-	say := func(key, format string, a ...any) {
+	start := time.Now()
+	lastPrinted := map[string]string{}
+	printOnce := func(key, format string, a ...any) {
 		text := fmt.Sprintf(format, a...)
-		if said[key] != text {
-			said[key] = text
-			fmt.Fprintf(out, "%6.1fs  %s\n", time.Since(began).Seconds(), text)
+		if lastPrinted[key] != text {
+			lastPrinted[key] = text
+			fmt.Fprintf(out, "%6.1fs  %s\n", time.Since(start).Seconds(), text)
 		}
 	}
-	lost := time.Time{}
+	leaderLostAt := time.Time{}
 	for {
 		s, err := client.Status(ctx)
 		switch {
 		case ctx.Err() != nil:
 			return s, fmt.Errorf("revision %d goes on without this tool: %w", revision, ctx.Err())
 		case err != nil || s.Stale != "":
-			if lost.IsZero() {
-				lost = time.Now()
+			if leaderLostAt.IsZero() {
+				leaderLostAt = time.Now()
 			}
-			say("leader", "no leader answers; waiting")
-			if time.Since(lost) > applyLimit {
-				return s, &exitError{exitUnreachable, fmt.Errorf("no leader has answered for %v; revision %d was accepted and goes on", applyLimit, revision)}
+			printOnce("leader", "no leader answers; waiting")
+			if time.Since(leaderLostAt) > applyTimeout {
+				return s, &exitError{exitUnreachable, fmt.Errorf("no leader has answered for %v; revision %d was accepted and goes on", applyTimeout, revision)}
 			}
 		default:
-			lost = time.Time{}
-			delete(said, "leader")
+			leaderLostAt = time.Time{}
+			delete(lastPrinted, "leader")
 			if s.Rollout.New != revision {
-				say("rollout", "another revision, %d, has taken its place", s.Rollout.New)
+				printOnce("rollout", "another revision, %d, has taken its place", s.Rollout.New)
 				return s, nil
 			}
-			took := 0
+			updated := 0
 			for _, i := range s.Instances {
-				if i.Phase != "" && i.Phase != rollout.Waiting {
-					say(i.Name, "%s: %s%s", i.Name, i.Phase, because(i.Why))
+				if i.Phase != "" && i.Phase != rollout.PhasePending {
+					printOnce(i.Name, "%s: %s%s", i.Name, i.Phase, parenthesized(i.Why))
 				}
 				if i.Running == s.Wanted && i.Ready {
-					took++
+					updated++
 				}
 			}
 			if s.Waves == 0 {
-				say("rollout", "%s; the leader hears what the agents have", s.Rollout.State)
+				printOnce("rollout", "%s; the leader hears what the agents have", s.Rollout.State)
 				break
 			}
-			say("rollout", "%s, wave %d of %d, %d of %d instances run revision %d: %s", s.Rollout.State, s.Wave, s.Waves, took, len(s.Instances), s.Wanted, s.Rollout.Why)
+			printOnce("rollout", "%s, wave %d of %d, %d of %d instances run revision %d: %s", s.Rollout.State, s.Wave, s.Waves, updated, len(s.Instances), s.Wanted, s.Rollout.Reason)
 			if s.Rollout.State.Ended() {
 				return s, nil
 			}
 		}
-		pause(ctx, followEvery)
+		pause(ctx, followInterval)
 	}
 }
 
-func because(why string) string {
+func parenthesized(why string) string {
 	if why == "" {
 		return ""
 	}
--- a/cmd/elderctl/bench.go
+++ b/cmd/elderctl/bench.go
@@ -36,7 +36,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			self, err := os.Executable()
 			if err != nil {
-				return began(err)
+				return operationError(err)
 			}
 			b.Proxy = func(listen string, backends []string) *exec.Cmd {
 				return exec.Command(self, "reverse-proxy", "--listen", listen, "--backends", strings.Join(backends, ","))
@@ -48,11 +48,11 @@
 			b.Log = func(format string, a ...any) { fmt.Fprintf(out, format+"\n", a...) }
 			result, err := b.Run(cmd.Context())
 			if err != nil {
-				return began(err)
+				return operationError(err)
 			}
 			printRatios(out, &result)
 			if path != "" {
-				return began(writeJSON(cmd.OutOrStdout(), path, result))
+				return operationError(writeJSON(cmd.OutOrStdout(), path, result))
 			}
 			return nil
 		},
@@ -105,7 +105,7 @@
 				urls = append(urls, &url.URL{Scheme: "http", Host: b})
 			}
 			if len(urls) == 0 {
-				return usage(fmt.Errorf("--backends names none"))
+				return usageError(fmt.Errorf("--backends names none"))
 			}
 			var next atomic.Uint64
 			transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
@@ -127,7 +127,7 @@
 				<-stop
 				return nil
 			}
-			return began(err)
+			return operationError(err)
 		},
 	}
 	cmd.Flags().StringVar(&listen, "listen", "", "address")
--- a/cmd/elderctl/ca.go
+++ b/cmd/elderctl/ca.go
@@ -21,30 +21,30 @@
 	init := &cobra.Command{Use: "init", Short: "Found an authority in a folder that has none", Args: noArgs, Example: "  elderctl ca init --dir ca",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := pki.Init(dir); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			done(cmd, "ca")
 			return nil
 		}}
-	issue := &cobra.Command{Use: "issue NAME", Short: "Issue a certificate", Args: exactly(1), Example: "  elderctl ca issue ann --role operator --days 90",
+	issue := &cobra.Command{Use: "issue NAME", Short: "Issue a certificate", Args: exactArgs(1), Example: "  elderctl ca issue ann --role operator --days 90",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := checkCertificateName(args[0]); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if err := pki.Issue(dir, args[0], pki.Role(role), days); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			done(cmd, args[0])
 			return nil
 		}}
-	renew := &cobra.Command{Use: "renew NAME", Short: "Make a new key and certificate for a name; running agents read it by themselves", Args: exactly(1),
+	renew := &cobra.Command{Use: "renew NAME", Short: "Make a new key and certificate for a name; running agents read it by themselves", Args: exactArgs(1),
 		Example: "  elderctl ca renew a1 --days 90",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := checkCertificateName(args[0]); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if err := pki.Renew(dir, args[0], days); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			done(cmd, args[0])
 			return nil
@@ -53,7 +53,7 @@
 	for _, c := range []*cobra.Command{issue, renew} {
 		c.Flags().IntVar(&days, "days", 90, "so long it is valid")
 	}
-	cmd := group("ca", "Found the site's authority, issue and renew its certificates", init, issue, renew)
+	cmd := commandGroup("ca", "Found the site's authority, issue and renew its certificates", init, issue, renew)
 	cmd.PersistentFlags().StringVar(&dir, "dir", "ca", "the authority's folder")
 	return cmd
 }
--- a/cmd/elderctl/capacity.go
+++ b/cmd/elderctl/capacity.go
@@ -34,11 +34,11 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			plan, err := readPlan(sizePath, slopesPath)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if curves != "" {
 				if err := files.Replace(curves, []byte(plan.Curves()), 0o644); err != nil {
-					return began(fmt.Errorf("curves: %w", err))
+					return operationError(fmt.Errorf("curves: %w", err))
 				}
 			}
 			switch {
@@ -47,7 +47,7 @@
 			case curves != "":
 				return nil
 			case asJSON:
-				return began(writeJSON(cmd.OutOrStdout(), "-", plan))
+				return operationError(writeJSON(cmd.OutOrStdout(), "-", plan))
 			}
 			printPlan(cmd.OutOrStdout(), plan, all)
 			return nil
@@ -90,13 +90,13 @@
 func fillPage(path string, plan *capacity.Plan) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return usage(fmt.Errorf("page: %w", err))
+		return usageError(fmt.Errorf("page: %w", err))
 	}
 	filled, err := plan.Fill(string(text))
 	if err != nil {
-		return usage(fmt.Errorf("%s: %w", path, err))
+		return usageError(fmt.Errorf("%s: %w", path, err))
 	}
-	return began(files.Replace(path, []byte(filled), 0o644))
+	return operationError(files.Replace(path, []byte(filled), 0o644))
 }
 
 // shownAlways are the tables that are printed without --all.
--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -18,20 +18,20 @@
 		Use: "check FILE", Short: "Read a revision's file and say what is wrong with it; nothing is taken",
 		Long:    "Read a revision's file with the gateway's own parsers, here, or with --all on every agent. Nothing is taken.\n" + fleetHelp,
 		Example: "  elderctl check site.toml\n  elderctl check site.toml --all",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !all {
 				if _, err := readContent(args[0], overlays, revisions.Content{}); err != nil {
 					return err
 				}
-				return show(cmd, map[string]string{"file": args[0], "state": "good"}, func(w io.Writer) { fmt.Fprintf(w, "%s: good\n", args[0]) })
+				return printResult(cmd, map[string]string{"file": args[0], "state": "good"}, func(w io.Writer) { fmt.Fprintf(w, "%s: good\n", args[0]) })
 			}
 			client, err := c.open()
 			if err != nil {
 				return err
 			}
 			defer client.Close()
-			return failed(probe(cmd, client, args[0], overlays, false))
+			return callError(probeContent(cmd, client, args[0], overlays, false))
 		},
 	}
 	cmd.Flags().BoolVar(&all, "all", false, "have every agent check it")
@@ -45,20 +45,20 @@
 	cmd := withJSON(verb("plan FILE", "Show what would change, and what each instance would have to do; nothing is taken",
 		"  elderctl plan site.toml\n  elderctl plan site.toml --overlay g1=g1.toml", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			return probe(cmd, client, args[0], overlays, true)
+			return probeContent(cmd, client, args[0], overlays, true)
 		}))
 	cmd.Flags().StringArrayVar(&overlays, "overlay", nil, "an instance's overlay as NAME=FILE; NAME= takes it away, and others stay as they are")
 	return cmd
 }
 
-// probe has all agents look at a content.
-func probe(cmd *cobra.Command, client *agent.Client, path string, overlays []string, withDiff bool) error {
+// probeContent has all agents look at a content.
+func probeContent(cmd *cobra.Command, client *agent.Client, path string, overlays []string, withDiff bool) error {
 	ctx := cmd.Context()
-	now, s, err := head(ctx, client)
+	newest, s, err := newestRevision(ctx, client)
 	if err != nil {
 		return err
 	}
-	content, err := readContent(path, overlays, now.Content)
+	content, err := readContent(path, overlays, newest.Content)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	difference := diff(fmt.Sprintf("revision %d", now.Number), path, now.Content, content)
+	difference := diffContents(fmt.Sprintf("revision %d", newest.Number), path, newest.Content, content)
 	bad, silent := 0, 0
 	for _, p := range list {
 		switch {
@@ -76,7 +76,7 @@
 			bad++
 		}
 	}
-	err = show(cmd, map[string]any{"parent": now.Number, "wanted": s.Wanted, "diff": difference, "instances": list}, func(out io.Writer) {
+	err = printResult(cmd, map[string]any{"parent": newest.Number, "wanted": s.Wanted, "diff": difference, "instances": list}, func(out io.Writer) {
 		if withDiff {
 			printDiff(out, difference)
 			fmt.Fprintln(out)
@@ -90,7 +90,7 @@
 				} else if p.Error != "" {
 					step = "refuse: " + p.Error
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\n", dash(p.Instance), p.Agent, step)
+				fmt.Fprintf(w, "%s\t%s\t%s\n", dashIfEmpty(p.Instance), p.Agent, step)
 			}
 		})
 	})
@@ -105,7 +105,7 @@
 	return nil
 }
 
-func dash(s string) string {
+func dashIfEmpty(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/cmd/elderctl/content.go
+++ b/cmd/elderctl/content.go
@@ -16,31 +16,31 @@
 // readContent reads a file, and overlays as NAME=FILE, over those of a parent;
 // NAME= takes one away.
 func readContent(path string, overlays []string, parent revisions.Content) (revisions.Content, error) {
-	c := revisions.Content{Overlays: map[string]string{}, Turn: parent.Turn}
+	c := revisions.Content{Overlays: map[string]string{}, RestartGeneration: parent.RestartGeneration}
 	for name, text := range parent.Overlays {
 		c.Overlays[name] = text
 	}
 	var err error
 	if c.File, err = readBounded(path); err != nil {
-		return c, usage(err)
+		return c, usageError(err)
 	}
 	for _, o := range overlays {
 		name, file, found := strings.Cut(o, "=")
 		if !found || name == "" {
-			return c, usage(fmt.Errorf("--overlay %q is not NAME=FILE", o))
+			return c, usageError(fmt.Errorf("--overlay %q is not NAME=FILE", o))
 		}
 		if file == "" {
 			delete(c.Overlays, name)
 			continue
 		}
 		if c.Overlays[name], err = readBounded(file); err != nil {
-			return c, usage(err)
+			return c, usageError(err)
 		}
 	}
 	if len(c.Overlays) == 0 {
 		c.Overlays = nil
 	}
-	return c, usage(document.Check(path, c))
+	return c, usageError(document.Check(path, c))
 }
 
 func readBounded(path string) (string, error) {
@@ -52,18 +52,18 @@
 	if info, err := f.Stat(); err == nil && info.IsDir() {
 		return "", fmt.Errorf("%s: is a folder", path)
 	}
-	text, err := io.ReadAll(io.LimitReader(f, revisions.MostFile+1))
+	text, err := io.ReadAll(io.LimitReader(f, revisions.MaxFileBytes+1))
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", path, err)
 	}
-	if len(text) > revisions.MostFile {
-		return "", fmt.Errorf("%s: more than %d bytes", path, revisions.MostFile)
+	if len(text) > revisions.MaxFileBytes {
+		return "", fmt.Errorf("%s: more than %d bytes", path, revisions.MaxFileBytes)
 	}
 	return string(text), nil
 }
 
-// diff is what separates two contents, as people read it.
-func diff(from, to string, a, b revisions.Content) string {
+// diffContents is what separates two contents, as people read it.
+func diffContents(from, to string, a, b revisions.Content) string {
 	text := udiff.Unified(from, to, a.File, b.File)
 	names := map[string]bool{}
 	for n := range a.Overlays {
@@ -75,8 +75,8 @@
 	for _, n := range sorted(names) {
 		text += udiff.Unified(from+" overlay "+n, to+" overlay "+n, a.Overlays[n], b.Overlays[n])
 	}
-	if a.Turn != b.Turn {
-		text += fmt.Sprintf("every instance starts anew (turn %d to %d)\n", a.Turn, b.Turn)
+	if a.RestartGeneration != b.RestartGeneration {
+		text += fmt.Sprintf("every instance starts anew (turn %d to %d)\n", a.RestartGeneration, b.RestartGeneration)
 	}
 	return text
 }
--- a/cmd/elderctl/fleet.go
+++ b/cmd/elderctl/fleet.go
@@ -52,7 +52,7 @@
 
 func (c *connection) open() (*agent.Client, error) {
 	if c.agent == "" {
-		return nil, usage(fmt.Errorf("no agent is named: set --agent or %s", agentVariable))
+		return nil, usageError(fmt.Errorf("no agent is named: set --agent or %s", agentVariable))
 	}
 	t := agent.Target{Socket: c.agent}
 	if !strings.Contains(c.agent, "/") && strings.Contains(c.agent, ":") {
@@ -60,22 +60,22 @@
 	}
 	client, err := agent.NewClient(t)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	return client, nil
 }
 
-// failed gives an error of a call its exit status.
-func failed(err error) error {
+// callError gives an error of a call its exit status.
+func callError(err error) error {
 	var f *agent.Failure
 	var exit *exitError
 	switch {
 	case err == nil, errors.As(err, &exit):
 		return err
 	case !errors.As(err, &f):
-		return began(err)
-	case f.Bad():
-		return usage(err)
+		return operationError(err)
+	case f.BadRequest():
+		return usageError(err)
 	case f.Refused():
 		return &exitError{exitRefused, err}
 	}
@@ -87,14 +87,14 @@
 	var c connection
 	cmd := &cobra.Command{
 		Use: use, Short: short, Example: example, Long: short + ".\n" + fleetHelp,
-		Args: func(cmd *cobra.Command, list []string) error { return usage(args(cmd, list)) },
+		Args: func(cmd *cobra.Command, list []string) error { return usageError(args(cmd, list)) },
 		RunE: func(cmd *cobra.Command, list []string) error {
 			client, err := c.open()
 			if err != nil {
 				return err
 			}
 			defer client.Close()
-			return failed(do(cmd, client, list))
+			return callError(do(cmd, client, list))
 		},
 	}
 	c.flags(cmd)
@@ -106,8 +106,8 @@
 	return cmd
 }
 
-// show writes a value for people or for programs.
-func show(cmd *cobra.Command, v any, table func(io.Writer)) error {
+// printResult writes a value for people or for programs.
+func printResult(cmd *cobra.Command, v any, table func(io.Writer)) error {
 	if as, err := cmd.Flags().GetBool("json"); err == nil && as {
 		return writeJSON(cmd.OutOrStdout(), "-", v)
 	}
@@ -121,7 +121,7 @@
 	w.Flush()
 }
 
-func stale(out io.Writer, why string) {
+func printStale(out io.Writer, why string) {
 	if why != "" {
 		fmt.Fprintf(out, "%s\n", paint(out, yellow, "STALE: no leader answers ("+why+"); this is what the asked agent knows"))
 	}
@@ -142,8 +142,8 @@
 	return "\x1b[" + colour + "m" + text + "\x1b[0m"
 }
 
-// head is the newest revision, whole; its number is 0 on a new site.
-func head(ctx context.Context, client *agent.Client) (revisions.Revision, agent.Status, error) {
+// newestRevision is the newest revision, whole; its number is 0 on a new site.
+func newestRevision(ctx context.Context, client *agent.Client) (revisions.Revision, agent.Status, error) {
 	s, err := client.Status(ctx)
 	if err != nil {
 		return revisions.Revision{}, s, err
@@ -158,8 +158,8 @@
 	return r, s, err
 }
 
-// request is a new name for a change.
-func request() (string, error) {
+// newRequestID is a new name for a change.
+func newRequestID() (string, error) {
 	b := make([]byte, 16)
 	if _, err := rand.Read(b); err != nil {
 		return "", err
--- a/cmd/elderctl/fleet_test.go
+++ b/cmd/elderctl/fleet_test.go
@@ -98,7 +98,7 @@
 
 func (s *fleetSite) until(what string, is func() bool) {
 	s.t.Helper()
-	for limit := time.Now().Add(patience); !is(); time.Sleep(50 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); !is(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(limit) {
 			s.t.Fatalf("never: %s\n%+v\n%s", what, s.status(0), s.AgentOutput(0))
 		}
@@ -171,7 +171,7 @@
 	// A machine dies in a push: its agent and its gateway.
 	last := s.n - 1
 	done := s.push(1, s.revision("second", 300))
-	s.some("one takes it", func(g agent.InstanceStatus) bool { return g.Told == 2 })
+	s.some("one takes it", func(g agent.InstanceStatus) bool { return g.Assigned == 2 })
 	if err := s.KillAgent(last); err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 	if status := <-done; status != exitPartly {
 		t.Fatalf("status %d", status)
 	}
-	s.agree(last, rollout.Partly, 2)
+	s.agree(last, rollout.PartlyApplied, 2)
 	if err := s.StartAgent(last); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/elderctl/golden_test.go
+++ b/cmd/elderctl/golden_test.go
@@ -151,7 +151,7 @@
 
 // waitForCalls waits until so many calls have come.
 func (s *fakeServer) waitForCalls(count int) {
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		s.mu.Lock()
 		came := s.count
 		s.mu.Unlock()
@@ -205,7 +205,7 @@
 
 func (s *session) run(about string, args ...string) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(s.t.Context(), testTimeout)
 	defer cancel()
 	s.finish(about, s.command(ctx, args...), nil)
 }
@@ -287,15 +287,15 @@
 		{&agent.Members{}, []string{"members.json"}},
 		{&agent.Audit{}, []string{"audit.json", "refused.json"}},
 		{&[]agent.Probe{}, []string{"probe.json", "probe-bad.json", "probe-silent.json"}},
-		{&agent.Applied{}, []string{"applied-busy.json", "applied-accepted.json", "applied-no-change.json", "applied-conflict.json", "applied-unknown.json"}},
+		{&agent.ApplyResult{}, []string{"applied-busy.json", "applied-accepted.json", "applied-no-change.json", "applied-conflict.json", "applied-unknown.json"}},
 		{&agent.MemberChange{}, []string{"change.json"}},
 		{&agentapi.RecordsList{}, []string{"records.json", "record.json", "record-none.json"}},
 		{&agentapi.RecordsVersions{}, []string{"records-versions.json"}},
 		{&agentapi.RecordsDiff{}, []string{"records-diff.json"}},
 		{&agentapi.RecordsLag{}, []string{"records-lag.json", "records-lag-behind.json", "records-lag-good.json"}},
 		{&records.Result{}, []string{"result-invalid.json", "result-accepted.json", "result-unchanged.json", "result-conflict.json"}},
-		{&peers.Answer{}, []string{"peer-g2.json", "peer-g0.json", "peer-g1.json", "peer-g2-joining.json"}},
-		{&peers.Why{}, []string{"why-g0.json", "why-g1.json"}},
+		{&peers.Status{}, []string{"peer-g2.json", "peer-g0.json", "peer-g1.json", "peer-g2-joining.json"}},
+		{&peers.EvidenceReport{}, []string{"why-g0.json", "why-g1.json"}},
 	} {
 		var values []any
 		for _, name := range k.files {
@@ -554,7 +554,7 @@
 	run("no address", nil, "list")
 	for _, flags := range [][]string{nil, {"--json"}} {
 		g0.forgetCalls()
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		s.finish("until interrupted", s.command(ctx, append([]string{"peers", "watch", "--at", g0.address}, flags...)...), func(cmd *exec.Cmd) {
 			g0.waitForCalls(2) // what the first showed has been printed
 			cmd.Process.Signal(syscall.SIGINT)
@@ -629,7 +629,7 @@
 	// What was accepted goes on when the tool is interrupted.
 	s.agent.prepare(map[string][]reply{"GET /v1/status": ok("@status-before.json", "@status-advancing.json"), "GET /v1/revisions/11": ok("@revision-11.json"),
 		"POST /v1/apply": ok("@applied-accepted.json")})
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	s.finish("interrupted", s.command(ctx, "apply", "testdata/site.toml"), func(cmd *exec.Cmd) {
 		s.agent.waitForCalls(5) // status, revision, apply, and the status twice: what the first showed has been printed
--- a/cmd/elderctl/import.go
+++ b/cmd/elderctl/import.go
@@ -25,23 +25,23 @@
 		Long: `Write DIR/site.toml from the first configuration, and DIR/NAME.toml for every
 gateway whose configuration differs from it. Nothing that is there is replaced.` + fleetHelp,
 		Example: "  elderctl import --out site /etc/elderyard/g0.json /etc/elderyard/g1.json",
-		Args:    func(cmd *cobra.Command, args []string) error { return usage(cobra.MinimumNArgs(1)(cmd, args)) },
+		Args:    func(cmd *cobra.Command, args []string) error { return usageError(cobra.MinimumNArgs(1)(cmd, args)) },
 		RunE: func(cmd *cobra.Command, args []string) error {
 			files, apply, err := importConfigs(dir, args)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if err := os.MkdirAll(dir, 0o700); err != nil {
-				return began(err)
+				return operationError(err)
 			}
 			for _, f := range files {
 				if _, err := os.Stat(f.path); !errors.Is(err, os.ErrNotExist) {
-					return usage(fmt.Errorf("%s: is there already", f.path))
+					return usageError(fmt.Errorf("%s: is there already", f.path))
 				}
 			}
 			for _, f := range files {
 				if err := os.WriteFile(f.path, f.text, 0o600); err != nil {
-					return began(err)
+					return operationError(err)
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "wrote %s\n", f.path)
 			}
--- a/cmd/elderctl/keeper.go
+++ b/cmd/elderctl/keeper.go
@@ -9,14 +9,14 @@
 	"elderyard/internal/lab"
 )
 
-// keeperCommand is the process that outlives a lab that was killed: when its
+// labSweepCommand is the process that outlives a lab that was killed: when its
 // input ends, it ends what the lab's agents have left running.
-func keeperCommand() *cobra.Command {
+func labSweepCommand() *cobra.Command {
 	return &cobra.Command{Use: "lab-keeper DIR", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, err := io.Copy(io.Discard, os.Stdin); err != nil {
-				return began(err)
+				return operationError(err)
 			}
-			return began(lab.Sweep(args[0]))
+			return operationError(lab.Sweep(args[0]))
 		}}
 }
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -97,18 +97,18 @@
 func runLab(cmd *cobra.Command, f *labFlags) error {
 	scenario, err := lab.FindScenario(f.scenario)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	site := f.merge(cmd, scenario.Site())
 	if err := site.Check(); err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	if f.moments != "" {
 		if site.RollupDir, err = filepath.Abs(f.moments); err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		if err := os.MkdirAll(site.RollupDir, 0o755); err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 	}
 	out := cmd.OutOrStdout()
@@ -121,7 +121,7 @@
 	defer cancel()
 	l, err := lab.Open(ctx, site)
 	if err != nil {
-		return began(err)
+		return operationError(err)
 	}
 	defer l.Close()
 	if c := l.Collector(); c != nil {
@@ -137,19 +137,19 @@
 	stopWatching()
 	<-shown
 	if err != nil {
-		return began(err)
+		return operationError(err)
 	}
 	v := l.Verdict()
 	done, cost := l.Site(), l.Cost()
 	printVerdict(out, &v, cost)
 	if f.trace != "" {
 		if err := writeStories(out, l, f.trace); err != nil {
-			return began(err)
+			return operationError(err)
 		}
 	}
 	if f.json != "" {
 		if err := writeJSON(cmd.OutOrStdout(), f.json, report{scenario.Name, done.Seed, done.Gateways, done.Nodes, done.Rate, done.For, v.State(), cost, v}); err != nil {
-			return began(err)
+			return operationError(err)
 		}
 	}
 	switch v.State() {
@@ -211,12 +211,12 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			lines, err := list()
 			if err != nil {
-				return began(err)
+				return operationError(err)
 			}
 			if asJSON {
-				return began(writeJSON(cmd.OutOrStdout(), "-", lines))
+				return operationError(writeJSON(cmd.OutOrStdout(), "-", lines))
 			}
-			return began(table(cmd.OutOrStdout(), lines))
+			return operationError(table(cmd.OutOrStdout(), lines))
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
--- a/cmd/elderctl/main.go
+++ b/cmd/elderctl/main.go
@@ -51,7 +51,7 @@
 
 func (e *exitError) Unwrap() error { return e.err }
 
-func usage(err error) error {
+func usageError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -75,8 +75,8 @@
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
-	root.AddCommand(labCommand(), traceCommand(), siteCommand(), peersCommand(), reverseProxyCommand(), keeperCommand(), capacityCommand())
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
+	root.AddCommand(labCommand(), traceCommand(), siteCommand(), peersCommand(), reverseProxyCommand(), labSweepCommand(), capacityCommand())
 	root.AddCommand(fleetCommands()...)
 	return root
 }
@@ -103,30 +103,30 @@
 	return exitUsage
 }
 
-// began marks an error of work that had been begun.
-func began(err error) error {
+// operationError marks an error of work that had been begun.
+func operationError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return &exitError{exitFailed, err}
 }
 
-func noArgs(cmd *cobra.Command, args []string) error { return usage(cobra.NoArgs(cmd, args)) }
+func noArgs(cmd *cobra.Command, args []string) error { return usageError(cobra.NoArgs(cmd, args)) }
 
-// exactly is the check of a command that takes so many arguments.
-func exactly(n int) cobra.PositionalArgs {
-	return func(cmd *cobra.Command, args []string) error { return usage(cobra.ExactArgs(n)(cmd, args)) }
+// exactArgs is the check of a command that takes so many arguments.
+func exactArgs(n int) cobra.PositionalArgs {
+	return func(cmd *cobra.Command, args []string) error { return usageError(cobra.ExactArgs(n)(cmd, args)) }
 }
 
-// group is a command that does nothing but hold others.
-func group(use, short string, parts ...*cobra.Command) *cobra.Command {
+// commandGroup is a command that does nothing but hold others.
+func commandGroup(use, short string, parts ...*cobra.Command) *cobra.Command {
 	var names []string
 	for _, p := range parts {
 		names = append(names, p.Name())
 	}
 	cmd := &cobra.Command{Use: use, Short: short,
 		RunE: func(*cobra.Command, []string) error {
-			return usage(fmt.Errorf("%s: name what to do: %s", use, strings.Join(names, ", ")))
+			return usageError(fmt.Errorf("%s: name what to do: %s", use, strings.Join(names, ", ")))
 		}}
 	cmd.AddCommand(parts...)
 	return cmd
--- a/cmd/elderctl/main_test.go
+++ b/cmd/elderctl/main_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	asTool   = "ELDERCTL_TEST_AS_TOOL" // this test binary is to be the tool
-	patience = 2 * time.Minute
+	asTool      = "ELDERCTL_TEST_AS_TOOL" // this test binary is to be the tool
+	testTimeout = 2 * time.Minute
 )
 
 func TestMain(m *testing.M) {
@@ -37,7 +37,7 @@
 // tool runs the tool as a process of its own.
 func tool(t *testing.T, args ...string) (status int, out, errs string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	cmd := command(ctx, args...)
 	var o, e bytes.Buffer
@@ -126,7 +126,7 @@
 // TestInterruptedLabLeavesNoProcessBehind interrupts the tool under load.
 func TestInterruptedLabLeavesNoProcessBehind(t *testing.T) {
 	for _, sig := range []os.Signal{os.Interrupt, os.Kill} {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		cmd := command(ctx, "lab", "--gateway", gateway(t), "--gateways", "2", "--for", "60s")
 		var e bytes.Buffer
@@ -158,7 +158,7 @@
 			t.Errorf("status %d: %s", cmd.ProcessState.ExitCode(), e.String())
 		}
 		for _, pid := range children {
-			for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+			for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 				if text, err := os.ReadFile("/proc/" + pid + "/stat"); err != nil || strings.Contains(string(text), ") Z ") {
 					break
 				}
--- a/cmd/elderctl/members.go
+++ b/cmd/elderctl/members.go
@@ -14,8 +14,8 @@
 	"elderyard/internal/files"
 )
 
-// do has the agent make one change, and says that it is done.
-func do(cmd *cobra.Command, client *agent.Client, call string, v agent.Verb) error {
+// makeChange has the agent make one change, and says that it is done.
+func makeChange(cmd *cobra.Command, client *agent.Client, call string, v agent.ChangeRequest) error {
 	if err := client.Do(cmd.Context(), call, v); err != nil {
 		return err
 	}
@@ -23,25 +23,25 @@
 	return nil
 }
 
-// noted says that a change of the voters is done, or which of them have yet to note it and what that risks.
-func noted(cmd *cobra.Command, change agent.MemberChange) error {
+// reportMemberChange says that a change of the voters is done, or which of them have yet to note it and what that risks.
+func reportMemberChange(cmd *cobra.Command, change agent.MemberChange) error {
 	fmt.Fprintln(cmd.OutOrStdout(), "done")
-	if len(change.Lacking) == 0 {
+	if len(change.Behind) == 0 {
 		return nil
 	}
 	return &exitError{exitPartly, fmt.Errorf("%s: not heard to have noted it; until then the site bears the loss of one voter fewer, so let no other voter end (see %q on the operators' page)",
-		strings.Join(change.Lacking, ", "), "Voters come and go")}
+		strings.Join(change.Behind, ", "), "Voters come and go")}
 }
 
 func changeCommand(use, short string) *cobra.Command {
 	return verb(use, short, "  elderctl "+use, cobra.NoArgs, func(cmd *cobra.Command, client *agent.Client, _ []string) error {
-		return do(cmd, client, use, agent.Verb{})
+		return makeChange(cmd, client, use, agent.ChangeRequest{})
 	})
 }
 
 func instanceCommand(use, short string) *cobra.Command {
 	return verb(use+" INSTANCE", short, "  elderctl "+use+" g1", cobra.ExactArgs(1), func(cmd *cobra.Command, client *agent.Client, args []string) error {
-		return do(cmd, client, use, agent.Verb{Name: args[0]})
+		return makeChange(cmd, client, use, agent.ChangeRequest{Name: args[0]})
 	})
 }
 
@@ -53,8 +53,8 @@
 			if err != nil {
 				return err
 			}
-			return show(cmd, m, func(out io.Writer) {
-				stale(out, m.Stale)
+			return printResult(cmd, m, func(out io.Writer) {
+				printStale(out, m.Stale)
 				voters := map[string]string{}
 				for _, v := range m.Voters {
 					voters[v.Name] = "voter"
@@ -68,7 +68,7 @@
 				table(out, func(w io.Writer) {
 					fmt.Fprintln(w, "agent\taddress\tvoter\tinstances")
 					for _, a := range m.Agents {
-						fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", a.Name, dash(a.Address), dash(voters[a.Name]), len(a.Instances))
+						fmt.Fprintf(w, "%s\t%s\t%s\t%d\n", a.Name, dashIfEmpty(a.Address), dashIfEmpty(voters[a.Name]), len(a.Instances))
 						delete(voters, a.Name)
 					}
 					for _, v := range m.Voters {
@@ -87,14 +87,14 @@
 			if nonVoter {
 				call = client.AddNonVoter
 			}
-			change, err := call(cmd.Context(), agent.Verb{Name: args[0], Address: args[1]})
+			change, err := call(cmd.Context(), agent.ChangeRequest{Name: args[0], Address: args[1]})
 			if err != nil {
 				return err
 			}
-			return noted(cmd, change)
+			return reportMemberChange(cmd, change)
 		})
 	add.Flags().BoolVar(&nonVoter, "non-voter", false, "the agent follows the log and counts for no majority")
-	var whole bool
+	var forgetAgent bool
 	remove := verb("remove NAME", "Take a voter out; with --agent-too, forget the agent and its instances", "  elderctl members remove a2", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			m, err := client.Members(cmd.Context())
@@ -105,22 +105,22 @@
 			for _, v := range m.Voters {
 				voter = voter || v.Name == args[0]
 			}
-			v := agent.Verb{Name: args[0]}
+			v := agent.ChangeRequest{Name: args[0]}
 			var change agent.MemberChange
-			if voter || !whole {
+			if voter || !forgetAgent {
 				if change, err = client.RemoveMember(cmd.Context(), v); err != nil {
 					return err
 				}
 			}
-			if whole {
+			if forgetAgent {
 				if err := client.Do(cmd.Context(), "agents/remove", v); err != nil {
 					return err
 				}
 			}
-			return noted(cmd, change)
+			return reportMemberChange(cmd, change)
 		})
-	remove.Flags().BoolVar(&whole, "agent-too", false, "forget the agent with its instances as well; one that still runs joins again")
-	return group("members", "List, add and remove voters and agents", list, add, remove)
+	remove.Flags().BoolVar(&forgetAgent, "agent-too", false, "forget the agent with its instances as well; one that still runs joins again")
+	return commandGroup("members", "List, add and remove voters and agents", list, add, remove)
 }
 
 func snapshotCommand() *cobra.Command {
@@ -141,11 +141,11 @@
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			var probe fleet.State
 			if err := probe.Restore(text); err != nil {
-				return usage(fmt.Errorf("%s: %w", args[0], err))
+				return usageError(fmt.Errorf("%s: %w", args[0], err))
 			}
 			if err := client.Restore(cmd.Context(), text); err != nil {
 				return err
@@ -153,7 +153,7 @@
 			fmt.Fprintln(cmd.OutOrStdout(), "restored")
 			return nil
 		})
-	return group("snapshot", "Save and restore the site's state", save, restore)
+	return commandGroup("snapshot", "Save and restore the site's state", save, restore)
 }
 
 func auditCommand() *cobra.Command {
@@ -163,8 +163,8 @@
 			if err != nil {
 				return err
 			}
-			return show(cmd, l, func(out io.Writer) {
-				stale(out, l.Stale)
+			return printResult(cmd, l, func(out io.Writer) {
+				printStale(out, l.Stale)
 				table(out, func(w io.Writer) {
 					for _, e := range l.Changes {
 						fmt.Fprintf(w, "%s\t%s\t%s\n", e.At.Local().Format(time.DateTime), e.Who, e.What)
--- a/cmd/elderctl/peers_test.go
+++ b/cmd/elderctl/peers_test.go
@@ -23,7 +23,7 @@
 		t.Helper()
 		var status int
 		var errs string
-		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 			if status, out, errs = tool(t, append([]string{"peers", "--at", at}, args...)...); status == want && strings.Contains(out, what) {
 				return out
 			}
@@ -38,8 +38,8 @@
 	if out := until("g1 of site lab", exitOK, "view", "g1"); !strings.Contains(out, "3 of 3 are heard") || strings.Contains(out, "may not") {
 		t.Errorf("%s", out)
 	}
-	var all []peers.Asked
-	if err := json.Unmarshal([]byte(until("", exitOK, "list", "--json")), &all); err != nil || len(all) != 3 || all[2].Answer.Picture.Verdict != members.Whole {
+	var all []peers.QueryResult
+	if err := json.Unmarshal([]byte(until("", exitOK, "list", "--json")), &all); err != nil || len(all) != 3 || all[2].Status.View.Verdict != members.Complete {
 		t.Errorf("%v: %+v", err, all)
 	}
 	if err := l.Fault(lab.Fault{Kind: "peers-cut", Targets: []string{"g2"}, For: 15 * time.Second}); err != nil {
--- a/cmd/elderctl/read.go
+++ b/cmd/elderctl/read.go
@@ -40,7 +40,7 @@
 line for each span.
 ` + exitHelp,
 		Example: "  elderctl lab --gateways 12 --moments counts && elderctl lab read counts --every 1s",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE:    func(cmd *cobra.Command, args []string) error { return runRead(cmd, args[0], &f) },
 	}
 	fl := cmd.Flags()
@@ -53,20 +53,20 @@
 
 func runRead(cmd *cobra.Command, dir string, f *readFlags) error {
 	if f.every < 10*time.Millisecond {
-		return usage(fmt.Errorf("--every %v is under 10ms", f.every))
+		return usageError(fmt.Errorf("--every %v is under 10ms", f.every))
 	}
 	lines, err := readMoments(dir)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	site, err := rollup.Sum(cut(lines, f.from.Seconds(), f.until.Seconds()), f.every.Seconds())
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	if f.json {
-		return began(writeJSON(cmd.OutOrStdout(), "-", site))
+		return operationError(writeJSON(cmd.OutOrStdout(), "-", site))
 	}
-	return began(printMoments(cmd.OutOrStdout(), &site))
+	return operationError(printMoments(cmd.OutOrStdout(), &site))
 }
 
 // cut leaves out what lies before from and, unless that is 0, from until on: seconds after the first line.
--- a/cmd/elderctl/records.go
+++ b/cmd/elderctl/records.go
@@ -22,14 +22,14 @@
 const (
 	// defaultVersions is how many changes 'records versions' lists unless it is told.
 	defaultVersions = 20
-	lagEvery        = 200 * time.Millisecond
-	// sendWithin is for how long a change whose answer is lost is repeated.
-	sendWithin     = 30 * time.Second
-	maxNamedAgents = 5 // of those that lack a change, in an error
+	lagPollInterval = 200 * time.Millisecond
+	// recordsChangeTimeout is for how long a change whose answer is lost is repeated.
+	recordsChangeTimeout = 30 * time.Second
+	maxNamedAgents       = 5 // of those that lack a change, in an error
 )
 
 func recordsCommand() *cobra.Command {
-	return group("records", "Change and read the site's records: routes, tenants, plans and services",
+	return commandGroup("records", "Change and read the site's records: routes, tenants, plans and services",
 		putRecordsCommand(), deleteRecordsCommand(), getRecordCommand(), listRecordsCommand(), diffRecordsCommand(), recordsVersionsCommand(), recordsLagCommand())
 }
 
@@ -61,17 +61,17 @@
 func (c *recordsChange) send(cmd *cobra.Command, client *agent.Client, operations []records.Operation) error {
 	if c.request == "" {
 		var err error
-		if c.request, err = request(); err != nil {
+		if c.request, err = newRequestID(); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(cmd.Context(), sendWithin)
+	ctx, cancel := context.WithTimeout(cmd.Context(), recordsChangeTimeout)
 	defer cancel()
 	result, err := client.ChangeRecords(ctx, agentapi.RecordsChange{Request: c.request, Message: c.message, Operations: operations})
 	if err != nil {
 		return err
 	}
-	if err := show(cmd, result, func(out io.Writer) { printRecordsResult(out, result) }); err != nil {
+	if err := printResult(cmd, result, func(out io.Writer) { printRecordsResult(out, result) }); err != nil {
 		return err
 	}
 	switch result.Status {
@@ -101,11 +101,11 @@
 	defer cancel()
 	for {
 		lag, err := client.RecordsLag(ctx)
-		lacking := agentsLacking(lag, version)
+		lacking := agentsBehind(lag, version)
 		if err == nil && len(lacking) == 0 {
 			return nil
 		}
-		if !pause(ctx, lagEvery) {
+		if !pause(ctx, lagPollInterval) {
 			if err != nil {
 				return err
 			}
@@ -114,8 +114,8 @@
 	}
 }
 
-// agentsLacking names agents that are not known to have a version, the first few.
-func agentsLacking(lag agentapi.RecordsLag, version uint64) (names []string) {
+// agentsBehind names agents that are not known to have a version, the first few.
+func agentsBehind(lag agentapi.RecordsLag, version uint64) (names []string) {
 	more := 0
 	for _, a := range lag.Agents {
 		has := a.Status.Version >= version && (a.State == agentapi.RecordsInForce || a.State == agentapi.RecordsBehind)
@@ -142,7 +142,7 @@
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			operations, err := readPut(cmd, args, &change, value, file, from)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			return change.send(cmd, client, operations)
 		}))
@@ -178,7 +178,7 @@
 	if err := checkJSON(text); err != nil {
 		return nil, fmt.Errorf("%s: %w", place, err)
 	}
-	return []records.Operation{{Key: key, Value: text, If: change.conditionOf(cmd)}}, nil
+	return []records.Operation{{Key: key, Value: text, IfVersion: change.conditionOf(cmd)}}, nil
 }
 
 // checkJSON finds what keeps a text from being one JSON value.
@@ -213,15 +213,15 @@
 	cmd := withJSON(verb("delete KIND/NAME...", "Delete records in one change that is taken whole or not at all", "  elderctl records delete tenant/acme", cobra.MinimumNArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			if len(args) > 1 && cmd.Flags().Changed("if") {
-				return usage(errors.New("delete: --if is of one record: name one, or use put --from"))
+				return usageError(errors.New("delete: --if is of one record: name one, or use put --from"))
 			}
 			var operations []records.Operation
 			for _, text := range args {
 				key, err := records.ParseKey(text)
 				if err != nil {
-					return usage(err)
+					return usageError(err)
 				}
-				operations = append(operations, records.Operation{Key: key, Delete: true, If: change.conditionOf(cmd)})
+				operations = append(operations, records.Operation{Key: key, Delete: true, IfVersion: change.conditionOf(cmd)})
 			}
 			return change.send(cmd, client, operations)
 		}))
@@ -234,7 +234,7 @@
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			key, err := records.ParseKey(args[0])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			list, err := client.Record(cmd.Context(), key)
 			if err != nil {
@@ -243,7 +243,7 @@
 			if len(list.Records) == 0 {
 				return &exitError{exitRefused, fmt.Errorf("there is no record %s at version %d", key, list.Version)}
 			}
-			return show(cmd, list.Records[0], func(out io.Writer) { printRecords(out, list.Records) })
+			return printResult(cmd, list.Records[0], func(out io.Writer) { printRecords(out, list.Records) })
 		}))
 }
 
@@ -253,10 +253,10 @@
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			kind, err := records.ParseKind(args[0])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if limit < 0 {
-				return usage(errors.New("list: --limit is below 0"))
+				return usageError(errors.New("list: --limit is below 0"))
 			}
 			prefix := ""
 			if len(args) == 2 {
@@ -266,7 +266,7 @@
 			if err != nil {
 				return err
 			}
-			return show(cmd, list, func(out io.Writer) {
+			return printResult(cmd, list, func(out io.Writer) {
 				printRecords(out, list.Records)
 				fmt.Fprintf(out, "%d shown; version %d has %d records of all kinds\n", len(list.Records), list.Version, list.Total)
 			})
@@ -284,11 +284,11 @@
 	})
 }
 
-// recordsVersion reads a version's number; 0 is that before the first change.
-func recordsVersion(text string) (uint64, error) {
+// parseRecordsVersion reads a version's number; 0 is that before the first change.
+func parseRecordsVersion(text string) (uint64, error) {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, usage(fmt.Errorf("%q is no version of the records", text))
+		return 0, usageError(fmt.Errorf("%q is no version of the records", text))
 	}
 	return n, nil
 }
@@ -299,7 +299,7 @@
 			var versions [2]uint64
 			for i, text := range args {
 				var err error
-				if versions[i], err = recordsVersion(text); err != nil {
+				if versions[i], err = parseRecordsVersion(text); err != nil {
 					return err
 				}
 			}
@@ -307,7 +307,7 @@
 			if err != nil {
 				return err
 			}
-			return show(cmd, diff, func(out io.Writer) { printRecordsDiff(out, diff) })
+			return printResult(cmd, diff, func(out io.Writer) { printRecordsDiff(out, diff) })
 		}))
 }
 
@@ -316,8 +316,8 @@
 		switch {
 		case c.Record != nil:
 			fmt.Fprintf(out, "%s\n", paint(out, green, fmt.Sprintf("+ %d %s %s", c.Version, c.Key, c.Record.Value)))
-		case c.Later > 0:
-			fmt.Fprintf(out, "~ %d %s (written anew at version %d)\n", c.Version, c.Key, c.Later)
+		case c.SupersededBy > 0:
+			fmt.Fprintf(out, "~ %d %s (written anew at version %d)\n", c.Version, c.Key, c.SupersededBy)
 		default:
 			fmt.Fprintf(out, "%s\n", paint(out, red, fmt.Sprintf("- %d %s", c.Version, c.Key)))
 		}
@@ -330,13 +330,13 @@
 	cmd := withJSON(verb("versions", "List the newest changes of the records, the newest first", "  elderctl records versions --limit 5", cobra.NoArgs,
 		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
 			if limit < 0 {
-				return usage(errors.New("versions: --limit is below 0"))
+				return usageError(errors.New("versions: --limit is below 0"))
 			}
 			versions, err := client.RecordsVersions(cmd.Context(), limit)
 			if err != nil {
 				return err
 			}
-			return show(cmd, versions, func(out io.Writer) {
+			return printResult(cmd, versions, func(out io.Writer) {
 				table(out, func(w io.Writer) {
 					fmt.Fprintln(w, "version\tat\tauthor\trecords\tmessage")
 					for _, v := range versions.Changes {
@@ -357,7 +357,7 @@
 			if err != nil {
 				return err
 			}
-			if err := show(cmd, lag, func(out io.Writer) { printRecordsLag(out, lag, time.Now()) }); err != nil {
+			if err := printResult(cmd, lag, func(out io.Writer) { printRecordsLag(out, lag, time.Now()) }); err != nil {
 				return err
 			}
 			if lag.Stale != "" {
@@ -371,7 +371,7 @@
 }
 
 func printRecordsLag(out io.Writer, lag agentapi.RecordsLag, now time.Time) {
-	stale(out, lag.Stale)
+	printStale(out, lag.Stale)
 	table(out, func(w io.Writer) {
 		fmt.Fprintln(w, "agent\tstate\tversion\tbehind for\tconfirmed\twhy")
 		for _, a := range lag.Agents {
@@ -380,11 +380,11 @@
 				behind = now.Sub(*a.Since).Round(time.Second).String()
 			}
 			confirmed := ""
-			if a.Heard != nil && a.Status.AgeSeconds != nil {
-				age := now.Sub(*a.Heard) + time.Duration(*a.Status.AgeSeconds*float64(time.Second))
+			if a.ReportedAt != nil && a.Status.AgeSeconds != nil {
+				age := now.Sub(*a.ReportedAt) + time.Duration(*a.Status.AgeSeconds*float64(time.Second))
 				confirmed = max(0, age).Round(time.Second).String() + " ago"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", a.Agent, a.State, a.Status.Version, dash(behind), dash(confirmed), dash(a.Status.Why))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", a.Agent, a.State, a.Status.Version, dashIfEmpty(behind), dashIfEmpty(confirmed), dashIfEmpty(a.Status.Why))
 		}
 	})
 	fmt.Fprintf(out, "version %d, digest %s: in force at %d of %d agents\n", lag.Version, lag.Digest, lag.InForce, len(lag.Agents))
--- a/cmd/elderctl/records_test.go
+++ b/cmd/elderctl/records_test.go
@@ -43,7 +43,7 @@
 		os.RemoveAll(dir)
 	})
 	socket := filepath.Join(dir, "agent.sock")
-	for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(50 * time.Millisecond) {
 		if status, _, errs := tool(t, "records", "lag", "--agent", socket); status == exitOK || status == exitPartly {
 			return socket
 		} else if time.Now().After(end) {
--- a/cmd/elderctl/revisions.go
+++ b/cmd/elderctl/revisions.go
@@ -12,10 +12,10 @@
 	"elderyard/revisions"
 )
 
-func number(text string) (uint64, error) {
+func parseRevisionNumber(text string) (uint64, error) {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || n == 0 {
-		return 0, usage(fmt.Errorf("%q is no revision's number", text))
+		return 0, usageError(fmt.Errorf("%q is no revision's number", text))
 	}
 	return n, nil
 }
@@ -27,8 +27,8 @@
 			if err != nil {
 				return err
 			}
-			return show(cmd, l, func(out io.Writer) {
-				stale(out, l.Stale)
+			return printResult(cmd, l, func(out io.Writer) {
+				printStale(out, l.Stale)
 				table(out, func(w io.Writer) {
 					fmt.Fprintln(w, "revision\tparent\tat\tauthor\tchecksum\tmessage")
 					for _, r := range l.Revisions {
@@ -46,7 +46,7 @@
 func showCommand() *cobra.Command {
 	return withJSON(verb("show REV", "Print a revision", "  elderctl show 12", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			n, err := number(args[0])
+			n, err := parseRevisionNumber(args[0])
 			if err != nil {
 				return err
 			}
@@ -54,8 +54,8 @@
 			if err != nil {
 				return err
 			}
-			return show(cmd, r, func(out io.Writer) {
-				fmt.Fprintf(out, "# revision %d on %d, by %s at %s: %s\n%s", r.Number, r.Parent, r.Author, r.At.Local().Format(time.DateTime), dash(r.Message), r.Content.File)
+			return printResult(cmd, r, func(out io.Writer) {
+				fmt.Fprintf(out, "# revision %d on %d, by %s at %s: %s\n%s", r.Number, r.Parent, r.Author, r.At.Local().Format(time.DateTime), dashIfEmpty(r.Message), r.Content.File)
 				for name := range r.Content.Overlays {
 					fmt.Fprintf(out, "\n# overlay of %s\n%s", name, r.Content.Overlays[name])
 				}
@@ -69,7 +69,7 @@
 			var list [2]revisions.Revision
 			for i, a := range args {
 				var err error
-				if list[i].Number, err = number(a); err != nil {
+				if list[i].Number, err = parseRevisionNumber(a); err != nil {
 					return err
 				}
 			}
@@ -79,7 +79,7 @@
 					return err
 				}
 			}
-			text := diff("revision "+args[0], "revision "+args[1], list[0].Content, list[1].Content)
-			return show(cmd, map[string]string{"diff": text}, func(out io.Writer) { printDiff(out, text) })
+			text := diffContents("revision "+args[0], "revision "+args[1], list[0].Content, list[1].Content)
+			return printResult(cmd, map[string]string{"diff": text}, func(out io.Writer) { printDiff(out, text) })
 		}))
 }
--- a/cmd/elderctl/roster_test.go
+++ b/cmd/elderctl/roster_test.go
@@ -33,14 +33,14 @@
 	defer l.Close()
 	until := func(what string, is func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !is(); time.Sleep(100 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !is(); time.Sleep(100 * time.Millisecond) {
 			if time.Now().After(end) {
 				out, _ := l.Tool(t.Context(), 0, "instances")
-				t.Fatalf("not within %v: %s\n%s", patience, what, out)
+				t.Fatalf("not within %v: %s\n%s", testTimeout, what, out)
 			}
 		}
 	}
-	believes := func(name string, is func(*peers.Answer) bool) func() bool {
+	believes := func(name string, is func(*peers.Status) bool) func() bool {
 		return func() bool {
 			a, err := l.Answer(t.Context(), name)
 			return err == nil && is(&a)
@@ -55,14 +55,14 @@
 	}
 	var epoch uint64
 	for _, name := range []string{"g0", "g1", "g2"} {
-		until(name+" is whole with all three", believes(name, func(a *peers.Answer) bool {
-			epoch = a.Picture.Epoch
-			return a.Picture.Verdict == members.Whole && a.Picture.Belong == 3 && a.Picture.Share == 3
+		until(name+" is whole with all three", believes(name, func(a *peers.Status) bool {
+			epoch = a.View.Epoch
+			return a.View.Verdict == members.Complete && a.View.RosterSize == 3 && a.View.QuotaDivisor == 3
 		}))
 	}
 	until("instances tells what each believes", func() bool {
 		list := instances()
-		return len(list) == 3 && !slices.ContainsFunc(list, func(i agent.InstanceStatus) bool { return !strings.HasPrefix(i.Believes, "whole for") })
+		return len(list) == 3 && !slices.ContainsFunc(list, func(i agent.InstanceStatus) bool { return !strings.HasPrefix(i.MembershipView, "whole for") })
 	})
 	if err := l.KillAgent(2); err != nil {
 		t.Fatal(err)
@@ -72,25 +72,25 @@
 	}
 	until("g2 is doubted by those that do not hear it", func() bool {
 		list := instances()
-		return len(list) == 3 && slices.Equal(list[2].DoubtedBy, []string{"g0", "g1"})
+		return len(list) == 3 && slices.Equal(list[2].UnreachableFrom, []string{"g0", "g1"})
 	})
 	for _, name := range []string{"g0", "g1"} {
-		if a, err := l.Answer(t.Context(), name); err != nil || a.Picture.Belong != 3 || a.Picture.Safe != 3 {
-			t.Errorf("%s counts %d of %d: nobody has agreed that g2 left (%v)", name, a.Picture.Safe, a.Picture.Belong, err)
+		if a, err := l.Answer(t.Context(), name); err != nil || a.View.RosterSize != 3 || a.View.SafeCount != 3 {
+			t.Errorf("%s counts %d of %d: nobody has agreed that g2 left (%v)", name, a.View.SafeCount, a.View.RosterSize, err)
 		}
 	}
 	if out, status := l.Tool(t.Context(), 0, "members", "remove", l.AgentName(2), "--agent-too"); status != 0 {
 		t.Fatalf("status %d: %s", status, out)
 	}
 	for _, name := range []string{"g0", "g1"} {
-		until(name+" has the next epoch", believes(name, func(a *peers.Answer) bool {
-			return a.Picture.Epoch > epoch && a.Picture.Belong == 2 && a.Picture.Share == 2 && a.Picture.Verdict == members.Whole
+		until(name+" has the next epoch", believes(name, func(a *peers.Status) bool {
+			return a.View.Epoch > epoch && a.View.RosterSize == 2 && a.View.QuotaDivisor == 2 && a.View.Verdict == members.Complete
 		}))
 	}
 	if err := l.KillGateway(1); err != nil {
 		t.Fatal(err)
 	}
-	until("g1 is back with the roster that it had", believes("g1", func(a *peers.Answer) bool {
-		return a.Picture.Epoch > epoch && a.Picture.Belong == 2 && a.Picture.Verdict == members.Whole
+	until("g1 is back with the roster that it had", believes("g1", func(a *peers.Status) bool {
+		return a.View.Epoch > epoch && a.View.RosterSize == 2 && a.View.Verdict == members.Complete
 	}))
 }
--- a/cmd/elderctl/site.go
+++ b/cmd/elderctl/site.go
@@ -21,20 +21,20 @@
 	check := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Read an operator's file and say what is wrong with it",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return usage(err) // here, unlike for a gateway, the file must be there
+				return usageError(err) // here, unlike for a gateway, the file must be there
 			}
 			if _, err := site.Parse(args[0], text); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: good\n", args[0])
 			return nil
 		},
 	}
-	return group("site", "Read the operator's file and its keys", keys, check)
+	return commandGroup("site", "Read the operator's file and its keys", keys, check)
 }
 
 // keysCommand lists the keys of a file.
--- a/cmd/elderctl/status.go
+++ b/cmd/elderctl/status.go
@@ -27,11 +27,11 @@
 						fmt.Fprint(f, "\x1b[H\x1b[2J")
 					}
 				}
-				if err := show(cmd, s, func(out io.Writer) { printStatus(out, s) }); err != nil {
+				if err := printResult(cmd, s, func(out io.Writer) { printStatus(out, s) }); err != nil {
 					return err
 				}
 				if !watch {
-					return statusOf(s)
+					return siteStatusError(s)
 				}
 				if !pause(cmd.Context(), time.Second) {
 					return nil
@@ -42,8 +42,8 @@
 	return cmd
 }
 
-// statusOf is the exit status that a site's state deserves.
-func statusOf(s agent.Status) error {
+// siteStatusError is the exit status that a site's state deserves.
+func siteStatusError(s agent.Status) error {
 	if s.Stale != "" {
 		return &exitError{exitUnreachable, errors.New("no leader answers; what was shown may be old")}
 	}
@@ -60,17 +60,17 @@
 }
 
 func printStatus(out io.Writer, s agent.Status) {
-	stale(out, s.Stale)
+	printStale(out, s.Stale)
 	if s.Store != "" {
 		fmt.Fprintln(out, paint(out, red, "the asked voter can't write its store: "+s.Store))
 	}
-	fmt.Fprintf(out, "wanted revision %d, newest %d, leader %s\n", s.Wanted, s.Head, dash(s.Leader))
+	fmt.Fprintf(out, "wanted revision %d, newest %d, leader %s\n", s.Wanted, s.Head, dashIfEmpty(s.Leader))
 	if s.Rollout.New != 0 {
 		fmt.Fprintf(out, "rollout of revision %d by %s: %s", s.Rollout.New, s.Rollout.By, s.Rollout.State)
 		if s.Waves > 0 && !s.Rollout.Ended() {
 			fmt.Fprintf(out, ", wave %d of %d", s.Wave, s.Waves)
 		}
-		fmt.Fprintf(out, ": %s\n", s.Rollout.Why)
+		fmt.Fprintf(out, ": %s\n", s.Rollout.Reason)
 	}
 	printInstances(out, s)
 }
@@ -86,20 +86,20 @@
 			case i.Drained:
 				state += ", drained"
 			}
-			heard := "never"
-			if !i.Heard.IsZero() {
-				heard = s.At.Sub(i.Heard).Round(time.Second).String() + " ago"
+			lastReport := "never"
+			if !i.ReportedAt.IsZero() {
+				lastReport = s.At.Sub(i.ReportedAt).Round(time.Second).String() + " ago"
 			}
 			why := []string{}
-			for _, part := range []string{i.Why, i.Believes} {
+			for _, part := range []string{i.Why, i.MembershipView} {
 				if part != "" {
 					why = append(why, part)
 				}
 			}
-			if len(i.DoubtedBy) > 0 {
-				why = append(why, "not heard by "+strings.Join(i.DoubtedBy, " "))
+			if len(i.UnreachableFrom) > 0 {
+				why = append(why, "not heard by "+strings.Join(i.UnreachableFrom, " "))
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\n", i.Name, i.Agent, i.Running, dash(state), dash(string(i.Phase)), i.Crashes, heard, strings.Join(why, "; "))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\n", i.Name, i.Agent, i.Running, dashIfEmpty(state), dashIfEmpty(string(i.Phase)), i.Crashes, lastReport, strings.Join(why, "; "))
 		}
 	})
 }
@@ -111,8 +111,8 @@
 			if err != nil {
 				return err
 			}
-			return show(cmd, s.Instances, func(out io.Writer) {
-				stale(out, s.Stale)
+			return printResult(cmd, s.Instances, func(out io.Writer) {
+				printStale(out, s.Stale)
 				printInstances(out, s)
 			})
 		}))
--- a/cmd/elderctl/trace.go
+++ b/cmd/elderctl/trace.go
@@ -47,7 +47,7 @@
 			if asJSON {
 				for _, rs := range list {
 					if err := otlpfile.Write(cmd.OutOrStdout(), []*trace.ResourceSpans{rs}); err != nil {
-						return began(err)
+						return operationError(err)
 					}
 				}
 				return nil
@@ -67,12 +67,12 @@
 		most = 1
 	}
 	if len(args) > most || from == "" && len(args) == 0 {
-		return nil, "", usage(errors.New("name a file, or an address with --from, and at most one id"))
+		return nil, "", usageError(errors.New("name a file, or an address with --from, and at most one id"))
 	}
 	if len(args) == most {
 		id = strings.ToLower(args[most-1])
 		if strings.Trim(id, "0123456789abcdef") != "" || len(id) > 32 {
-			return nil, "", usage(fmt.Errorf("%q is no beginning of a trace id, which is 32 hexadecimal digits", args[most-1]))
+			return nil, "", usageError(fmt.Errorf("%q is no beginning of a trace id, which is 32 hexadecimal digits", args[most-1]))
 		}
 	}
 	if from != "" {
@@ -81,11 +81,11 @@
 	}
 	f, err := os.Open(args[0])
 	if err != nil {
-		return nil, "", usage(err)
+		return nil, "", usageError(err)
 	}
 	defer f.Close()
 	if list, err = otlpfile.Read(f); err != nil {
-		return nil, "", usage(fmt.Errorf("%s: %w", args[0], err))
+		return nil, "", usageError(fmt.Errorf("%s: %w", args[0], err))
 	}
 	return only(list, id), id, nil
 }
@@ -96,7 +96,7 @@
 	at := "http://" + strings.TrimPrefix(from, "http://") + "/stories?id=" + url.QueryEscape(id)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -104,11 +104,11 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, began(fmt.Errorf("%s: %s", from, resp.Status))
+		return nil, operationError(fmt.Errorf("%s: %s", from, resp.Status))
 	}
 	list, err := otlpfile.Read(io.LimitReader(resp.Body, mostFetch))
 	if err != nil {
-		return nil, began(fmt.Errorf("%s: %w", from, err))
+		return nil, operationError(fmt.Errorf("%s: %w", from, err))
 	}
 	return list, nil
 }
@@ -228,12 +228,12 @@
 func printStories(out io.Writer, all []*oneStory, id string) error {
 	if len(all) == 0 {
 		if id == "" {
-			return began(errors.New("there are no stories"))
+			return operationError(errors.New("there are no stories"))
 		}
-		return began(fmt.Errorf("there is no story whose id begins with %s", id))
+		return operationError(fmt.Errorf("there is no story whose id begins with %s", id))
 	}
 	if id != "" && len(all) == 1 {
-		return began(printStory(out, all[0]))
+		return operationError(printStory(out, all[0]))
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "trace\ttook\tspans\tprocesses\trequest\tended")
@@ -244,7 +244,7 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", s.id, took(s.from, s.to), s.spans, strings.Join(s.processes, " "), plainText(s.what), s.last)
 	}
-	return began(w.Flush())
+	return operationError(w.Flush())
 }
 
 func took(from, to uint64) string {
--- a/cmd/elderctl/who_linux_test.go
+++ b/cmd/elderctl/who_linux_test.go
@@ -46,7 +46,7 @@
 		return path
 	}
 	file := write("agent.toml", fmt.Sprintf("name = \"a1\"\ndir = \"state\"\nsocket = \"s\"\nlisten = %q\nvoter = true\n[tls]\nca = \"ca/ca.pem\"\ncert = \"ca/a1.pem\"\nkey = \"ca/a1-key.pem\"\n", address))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	agent := command(ctx, "agent", "run", file)
 	agent.Cancel = func() error { return agent.Process.Signal(syscall.SIGTERM) }
@@ -59,7 +59,7 @@
 		t.Helper()
 		return tool(t, append(args, "--agent", address, "--ca", filepath.Join(site, "ca.pem"), "--cert", filepath.Join(site, name+".pem"), "--key", filepath.Join(site, name+"-key.pem"))...)
 	}
-	for limit := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); ; time.Sleep(50 * time.Millisecond) {
 		if status, _, errs := as(ca, "ann", "status"); status == exitOK {
 			break
 		} else if time.Now().After(limit) {
--- a/cmd/elderyard-peers/main.go
+++ b/cmd/elderyard-peers/main.go
@@ -19,7 +19,7 @@
 		if set == nil || err != nil {
 			return nil, err
 		}
-		set.Patient = c.Inherited
+		set.WaitForAddress = c.Inherited
 		p, err := peers.Open(*set)
 		if err != nil {
 			return nil, err // not a nil of another type
--- a/fleet/belong.go
+++ b/fleet/belong.go
@@ -8,18 +8,18 @@
 	"elderyard/members"
 )
 
-// Belong says which instances belong to the site from now on. It is an entry of its
+// RosterChange says which instances belong to the site from now on. It is an entry of its
 // own, and not what follows from agents that come and go: voters that began from
 // snapshots of different ages must come to the same epochs.
-type Belong struct {
+type RosterChange struct {
 	Names []string  `json:"names"` // in order
 	At    time.Time `json:"at"`
 }
 
 // Check finds what no roster can have.
-func (b *Belong) Check() error {
-	if len(b.Names) == 0 || len(b.Names) > members.MostNames {
-		return fmt.Errorf("roster: %d names, and 1 to %d may be", len(b.Names), members.MostNames)
+func (b *RosterChange) Check() error {
+	if len(b.Names) == 0 || len(b.Names) > members.MaxRosterSize {
+		return fmt.Errorf("roster: %d names, and 1 to %d may be", len(b.Names), members.MaxRosterSize)
 	}
 	for i, name := range b.Names {
 		if err := members.CheckName(name); err != nil {
@@ -36,7 +36,7 @@
 // agreed on none.
 func (s *State) Roster() members.Roster { return s.roster }
 
-func (s *State) belong(b *Belong) Outcome {
+func (s *State) applyRosterChange(b *RosterChange) Outcome {
 	now := make([]string, len(s.roster.Members))
 	for i, m := range s.roster.Members {
 		now[i] = m.Name
@@ -45,6 +45,6 @@
 		return Outcome{}
 	}
 	s.roster = s.roster.Next(b.Names)
-	s.log(b.At, "roster", fmt.Sprintf("the roster of epoch %d has %d members: %v", s.roster.Epoch, len(b.Names), b.Names))
+	s.logEvent(b.At, "roster", fmt.Sprintf("the roster of epoch %d has %d members: %v", s.roster.Epoch, len(b.Names), b.Names))
 	return Outcome{}
 }
--- a/fleet/belong_test.go
+++ b/fleet/belong_test.go
@@ -9,7 +9,7 @@
 	var s State
 	apply := func(names ...string) {
 		t.Helper()
-		if _, err := s.Apply(1, Entry{Belong: &Belong{Names: names}}); err != nil {
+		if _, err := s.Apply(1, Entry{RosterChange: &RosterChange{Names: names}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -33,7 +33,7 @@
 		t.Errorf("after a snapshot: %+v, %v", other.Roster(), err)
 	}
 	for _, bad := range [][]string{{}, {"b", "a"}, {"a", "a"}, {"a b"}} {
-		if _, err := s.Apply(1, Entry{Belong: &Belong{Names: bad}}); err == nil {
+		if _, err := s.Apply(1, Entry{RosterChange: &RosterChange{Names: bad}}); err == nil {
 			t.Errorf("%v was taken", bad)
 		}
 	}
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -18,7 +18,7 @@
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
 func goldenContent() *revisions.Content {
-	return &revisions.Content{File: "[site]\nname = \"<1> & \\t\"\n", Overlays: map[string]string{"g0": "a = 1\n"}, Turn: 3}
+	return &revisions.Content{File: "[site]\nname = \"<1> & \\t\"\n", Overlays: map[string]string{"g0": "a = 1\n"}, RestartGeneration: 3}
 }
 
 // goldenEntries returns an entry of each kind by the name of its file.
@@ -27,16 +27,16 @@
 	return map[string]Entry{
 		"command": {Command: &revisions.Command{Request: "r-1", Parent: 4, Content: goldenContent(), Author: "ann", Message: "why", At: goldenTime}},
 		"restore": {Command: &revisions.Command{Request: "r-2", Parent: 5, Restore: 2, Author: "bob", Message: "back", At: goldenTime}},
-		"turn":    {Turn: &Turn{New: 5, State: rollout.Paused, Why: "paused by ann", By: "ann", At: goldenTime}},
+		"turn":    {RolloutChange: &RolloutChange{New: 5, State: rollout.Paused, Reason: "paused by ann", By: "ann", At: goldenTime}},
 		"enroll":  {Enroll: &Enroll{Agent: Agent{Name: "a1", Address: "127.0.0.1:7400", Instances: []string{"g0", "g1"}}, At: goldenTime}},
 		"remove":  {Remove: &Remove{Agent: "a1", By: "ann", At: goldenTime}},
 		"drain":   {Drain: &Drain{Instance: "g1", On: true, By: "ann", At: goldenTime}},
 		"undrain": {Drain: &Drain{Instance: "g1", By: "ann", At: goldenTime}},
-		"belong":  {Belong: &Belong{Names: []string{"g0", "g1"}, At: goldenTime}},
-		"records": {Records: &records.Change{Request: "c-1", Author: "ann", Message: "plans", At: goldenTime, Operations: []records.Operation{
-			{Key: records.Key{Kind: records.Plan, Name: "gold"}, Value: json.RawMessage(`{"price_weight":1.5,"requests_per_second":100}`), If: &version},
+		"belong":  {RosterChange: &RosterChange{Names: []string{"g0", "g1"}, At: goldenTime}},
+		"records": {Records: &records.Change{IdempotencyKey: "c-1", Author: "ann", Message: "plans", At: goldenTime, Operations: []records.Operation{
+			{Key: records.Key{Kind: records.Plan, Name: "gold"}, Value: json.RawMessage(`{"price_weight":1.5,"requests_per_second":100}`), IfVersion: &version},
 			{Key: records.Key{Kind: records.Plan, Name: "old"}, Delete: true}}}},
-		"noted": {Noted: &Event{At: goldenTime, Who: "ann", What: "voter v1 was added"}},
+		"noted": {Audit: &Event{At: goldenTime, Who: "ann", What: "voter v1 was added"}},
 	}
 }
 
@@ -77,17 +77,17 @@
 func TestGoldenOutcome(t *testing.T) {
 	content := goldenContent()
 	outcome := Outcome{
-		Result: revisions.Result{Answer: Busy, Revision: revisions.Revision{Number: 5, Parent: 4, Content: *content, Checksum: content.Sum(),
+		Result: revisions.Result{Status: Busy, Revision: revisions.Revision{Number: 5, Parent: 4, Content: *content, Checksum: content.Sum(),
 			Author: "ann", Message: "why", At: goldenTime}},
-		Refused: "there is no agent a9",
-		Records: &records.Result{Status: records.Invalid, Version: 12, Problem: &records.Problem{Key: "plan/gold", Field: "price_weight", Reason: "is missing"}},
+		Rejected: "there is no agent a9",
+		Records:  &records.Result{Status: records.Invalid, Version: 12, Problem: &records.Problem{Key: "plan/gold", Field: "price_weight", Reason: "is missing"}},
 	}
 	golden.Complete(t, outcome)
 	golden.JSON(t, "outcome.json", outcome)
 }
 
 func TestGoldenRollout(t *testing.T) {
-	present := Rollout{New: 5, Before: 3, State: rollout.RollingBack, Why: "g0 was not ready", By: "ann", At: goldenTime}
+	present := Rollout{New: 5, Previous: 3, State: rollout.RollingBack, Reason: "g0 was not ready", By: "ann", At: goldenTime}
 	golden.Complete(t, present)
 	golden.JSON(t, "rollout.json", present)
 }
@@ -106,8 +106,8 @@
 
 func TestGoldenTexts(t *testing.T) {
 	golden.Constants(t, map[string]string{string(Busy): "busy"})
-	if accepted != "it has been accepted" { // by it a leader finds that nobody has begun a rollout
-		t.Errorf("an accepted rollout's reason is %q", accepted)
+	if acceptedReason != "it has been accepted" { // by it a leader finds that nobody has begun a rollout
+		t.Errorf("an accepted rollout's reason is %q", acceptedReason)
 	}
 }
 
@@ -118,11 +118,11 @@
 	names := []string{"g0", "g1", "g2"}
 	for i, entry := range []Entry{
 		{Command: &revisions.Command{Request: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
-		{Turn: &Turn{New: 1, State: rollout.Applied, Why: "all 2 instances have revision 1", At: goldenTime}},
+		{RolloutChange: &RolloutChange{New: 1, State: rollout.Applied, Reason: "all 2 instances have revision 1", At: goldenTime}},
 		{Command: &revisions.Command{Request: "r-2", Parent: 1, Content: goldenContent(), Author: "bob", Message: "second", At: goldenTime}},
-		{Turn: &Turn{New: 2, State: rollout.Applied, Why: "all 2 instances have revision 2", At: goldenTime}},
+		{RolloutChange: &RolloutChange{New: 2, State: rollout.Applied, Reason: "all 2 instances have revision 2", At: goldenTime}},
 		{Command: &revisions.Command{Request: "r-3", Parent: 2, Restore: 1, Author: "ann", Message: "third", At: goldenTime}},
-		{Turn: &Turn{New: 3, State: rollout.Paused, Why: "paused by ann", By: "ann", At: goldenTime}},
+		{RolloutChange: &RolloutChange{New: 3, State: rollout.Paused, Reason: "paused by ann", By: "ann", At: goldenTime}},
 		{Command: &revisions.Command{Request: "r-4", Parent: 3, Content: &revisions.Content{File: "d"}, Author: "ann", At: goldenTime}}, // busy
 		{Enroll: &Enroll{Agent: Agent{Name: "a1", Address: "127.0.0.1:7400", Instances: names[:2]}, At: goldenTime}},
 		{Enroll: &Enroll{Agent: Agent{Name: "a2", Address: "127.0.0.1:7401", Instances: names[2:]}, At: goldenTime}},
@@ -131,11 +131,11 @@
 		{Drain: &Drain{Instance: "g0", On: true, By: "ann", At: goldenTime}},
 		{Drain: &Drain{Instance: "g1", On: true, By: "ann", At: goldenTime}},
 		{Drain: &Drain{Instance: "g0", By: "ann", At: goldenTime}},
-		{Belong: &Belong{Names: names[:2], At: goldenTime}},
-		{Belong: &Belong{Names: names, At: goldenTime}},
+		{RosterChange: &RosterChange{Names: names[:2], At: goldenTime}},
+		{RosterChange: &RosterChange{Names: names, At: goldenTime}},
 		{Records: &records.Change{Author: "ann", At: goldenTime, Operations: []records.Operation{
 			{Key: records.Key{Kind: records.Plan, Name: "p"}, Value: json.RawMessage(`{"price_weight":1,"requests_per_second":9}`)}}}},
-		{Noted: &Event{At: goldenTime, Who: "ann", What: "voter v1 was added"}},
+		{Audit: &Event{At: goldenTime, Who: "ann", What: "voter v1 was added"}},
 	} {
 		if _, err := state.Apply(uint64(i+1), entry); err != nil {
 			t.Fatalf("entry %d: %v", i+1, err)
@@ -152,7 +152,7 @@
 	}
 	golden.File(t, "state.json", encoded)
 	var form snapshot
-	golden.Decode(t, "state.json", func(text []byte) error { return revisions.Strictly(text, &form) })
+	golden.Decode(t, "state.json", func(text []byte) error { return revisions.DecodeStrict(text, &form) })
 	golden.Complete(t, form)
 	var restored State
 	golden.Decode(t, "state.json", restored.Restore)
--- a/fleet/records.go
+++ b/fleet/records.go
@@ -13,9 +13,9 @@
 // operationOverhead is what an operation counts for beside its name and value, in bytes.
 const operationOverhead = 48
 
-// checkChange holds a change to the bounds of an entry. What it would do to the
+// checkRecordsChange holds a change to the bounds of an entry. What it would do to the
 // records is for the state to judge.
-func checkChange(change *records.Change) error {
+func checkRecordsChange(change *records.Change) error {
 	if len(change.Operations) > records.MaxOperations {
 		return fmt.Errorf("records change: %d operations, at most %d are allowed", len(change.Operations), records.MaxOperations)
 	}
@@ -32,15 +32,15 @@
 // Records returns the site's records. They must be read only, and not be kept.
 func (s *State) Records() *records.Store { return &s.records }
 
-// changeRecords applies a change whole or not at all, and notes an accepted one in
+// applyRecordsChange applies a change whole or not at all, and notes an accepted one in
 // the audit log.
-func (s *State) changeRecords(index uint64, change records.Change) (Outcome, error) {
+func (s *State) applyRecordsChange(index uint64, change records.Change) (Outcome, error) {
 	result, err := s.records.Apply(index, change)
 	if err != nil {
 		return Outcome{}, fmt.Errorf("records change: %w", err)
 	}
 	if result.Status == records.Accepted && result.Version == index { // else it is the answer to a repeat
-		s.log(change.At, change.Author, describeChange(index, change))
+		s.logEvent(change.At, change.Author, describeChange(index, change))
 	}
 	return Outcome{Records: &result}, nil
 }
--- a/fleet/records_test.go
+++ b/fleet/records_test.go
@@ -25,7 +25,7 @@
 
 func recordsEntry(request string, operations ...records.Operation) Entry {
 	at := time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC)
-	return Entry{Records: &records.Change{Request: request, Author: "ann", Message: "why", At: at, Operations: operations}}
+	return Entry{Records: &records.Change{IdempotencyKey: request, Author: "ann", Message: "why", At: at, Operations: operations}}
 }
 
 func applyRecords(t *testing.T, s *State, index uint64, e Entry, want records.Status) records.Result {
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -37,58 +37,58 @@
 }
 
 func turn(n uint64, s rollout.State, why string) Entry {
-	return Entry{Turn: &Turn{New: n, State: s, Why: why, At: at}}
+	return Entry{RolloutChange: &RolloutChange{New: n, State: s, Reason: why, At: at}}
 }
 
 func TestARolloutFollowsAnApply(t *testing.T) {
 	var s State
-	if out := apply(t, &s, command("1", 0, "a")); out.Result.Answer != revisions.Accepted {
+	if out := apply(t, &s, command("1", 0, "a")); out.Result.Status != revisions.Accepted {
 		t.Fatalf("%+v", out)
 	}
-	if r := s.Rollout(); r.New != 1 || r.Before != 0 || r.State != rollout.Advancing || r.By != "ann" {
+	if r := s.Rollout(); r.New != 1 || r.Previous != 0 || r.State != rollout.Advancing || r.By != "ann" {
 		t.Fatalf("%+v", r)
 	}
-	if out := apply(t, &s, command("2", 1, "b")); out.Result.Answer != Busy || out.Result.Revision.Number != 1 {
+	if out := apply(t, &s, command("2", 1, "b")); out.Result.Status != Busy || out.Result.Revision.Number != 1 {
 		t.Fatalf("a second rollout beside the first: %+v", out)
 	}
 	// A repeat of what has its answer gets it, busy or not.
-	if out := apply(t, &s, command("1", 0, "a")); out.Result.Answer != revisions.Accepted || out.Result.Revision.Number != 1 {
+	if out := apply(t, &s, command("1", 0, "a")); out.Result.Status != revisions.Accepted || out.Result.Revision.Number != 1 {
 		t.Fatalf("%+v", out)
 	}
 	apply(t, &s, turn(1, rollout.Applied, "all have it"))
-	if out := apply(t, &s, command("2", 1, "b")); out.Result.Answer != revisions.Accepted {
+	if out := apply(t, &s, command("2", 1, "b")); out.Result.Status != revisions.Accepted {
 		t.Fatalf("%+v", out)
 	}
 	apply(t, &s, turn(2, rollout.RollingBack, "it broke"))
 	apply(t, &s, turn(2, rollout.RolledBack, "all are back"))
 	r := s.Rollout()
-	if r.Wanted() != 1 || r.Why != "all are back" {
+	if r.Wanted() != 1 || r.Reason != "all are back" {
 		t.Fatalf("%+v", r)
 	}
 	// The next one goes from what runs, not from the head.
 	apply(t, &s, command("3", 2, "c"))
-	if r := s.Rollout(); r.New != 3 || r.Before != 1 {
+	if r := s.Rollout(); r.New != 3 || r.Previous != 1 {
 		t.Fatalf("%+v", r)
 	}
 }
 
 func TestALeaderThatLostItsLeadTurnsNothingBack(t *testing.T) {
 	for _, c := range []struct{ now, then rollout.State }{
-		{rollout.RollingBack, rollout.Advancing}, {rollout.RollingBack, rollout.Applied}, {rollout.RolledBack, rollout.Partly},
-		{rollout.Applied, rollout.Advancing}, {rollout.BackPartly, rollout.RollingBack},
+		{rollout.RollingBack, rollout.Advancing}, {rollout.RollingBack, rollout.Applied}, {rollout.RolledBack, rollout.PartlyApplied},
+		{rollout.Applied, rollout.Advancing}, {rollout.PartlyRolledBack, rollout.RollingBack},
 	} {
 		var s State
 		apply(t, &s, command("1", 0, "a"))
 		apply(t, &s, turn(1, rollout.Applied, ""))
 		apply(t, &s, command("2", 1, "b"))
 		apply(t, &s, turn(2, c.now, "now"))
-		if out := apply(t, &s, turn(2, c.then, "then")); out.Refused == "" || s.Rollout().State != c.now {
+		if out := apply(t, &s, turn(2, c.then, "then")); out.Rejected == "" || s.Rollout().State != c.now {
 			t.Errorf("%s after %s: %+v", c.then, c.now, s.Rollout())
 		}
 	}
 	var s State
 	apply(t, &s, command("1", 0, "a"))
-	if out := apply(t, &s, turn(7, rollout.Applied, "")); out.Refused == "" || s.Rollout().State != rollout.Advancing {
+	if out := apply(t, &s, turn(7, rollout.Applied, "")); out.Rejected == "" || s.Rollout().State != rollout.Advancing {
 		t.Error("a turn of another rollout was taken")
 	}
 }
@@ -97,7 +97,7 @@
 	var s State
 	apply(t, &s, command("0", 0, "good"))
 	apply(t, &s, turn(1, rollout.Applied, ""))
-	for i := range uint64(revisions.MostKept + 5) {
+	for i := range uint64(revisions.MaxRevisions + 5) {
 		apply(t, &s, command(fmt.Sprint("x", i), i+1, fmt.Sprint("bad", i)))
 		apply(t, &s, turn(i+2, rollout.RolledBack, ""))
 	}
@@ -126,10 +126,10 @@
 		return apply(t, &s, Entry{Drain: &Drain{name, on, "ann", at}})
 	}
 	enroll("a1", "g0", "g1")
-	if out := enroll("a2", "g1", "g2"); !strings.Contains(out.Refused, "instance g1 is agent a1's") {
+	if out := enroll("a2", "g1", "g2"); !strings.Contains(out.Rejected, "instance g1 is agent a1's") {
 		t.Fatalf("%+v", out)
 	}
-	if out := drain("g2", true); !strings.Contains(out.Refused, "there is no instance g2") {
+	if out := drain("g2", true); !strings.Contains(out.Rejected, "there is no instance g2") {
 		t.Fatalf("%+v", out)
 	}
 	drain("g1", true)
@@ -145,17 +145,17 @@
 	if s.Drained("g1") {
 		t.Fatal("one that is gone is still drained")
 	}
-	if out := apply(t, &s, Entry{Remove: &Remove{"a3", "ann", at}}); out.Refused == "" {
+	if out := apply(t, &s, Entry{Remove: &Remove{"a3", "ann", at}}); out.Rejected == "" {
 		t.Fatal("an unknown agent was removed")
 	}
 	apply(t, &s, Entry{Remove: &Remove{"a1", "ann", at}})
 	if len(s.Agents()) != 0 {
 		t.Fatal(s.Agents())
 	}
-	for range MostEvents {
-		apply(t, &s, Entry{Noted: &Event{at, "ann", "something"}})
+	for range MaxEvents {
+		apply(t, &s, Entry{Audit: &Event{at, "ann", "something"}})
 	}
-	if len(s.Events()) != MostEvents {
+	if len(s.Events()) != MaxEvents {
 		t.Fatal(len(s.Events()))
 	}
 }
@@ -177,7 +177,7 @@
 
 func TestShort(t *testing.T) {
 	for _, c := range [][2]string{{"", ""}, {"12345678", "12345678"}, {"123456789", "1234 ..."}, {"123é56789", "123 ..."}} {
-		if got := Short(c[0], 8); got != c[1] {
+		if got := Truncate(c[0], 8); got != c[1] {
 			t.Errorf("%q: %q", c[0], got)
 		}
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,50 +21,50 @@
 
 // Options are what an agent is started with beside its file.
 type Options struct {
-	Recover  bool // become the only voter
-	TakeDown bool // end the gateways when the agent is asked to end
-	Log      *slog.Logger
+	Recover      bool // become the only voter
+	StopGateways bool // end the gateways when the agent is asked to end
+	Log          *slog.Logger
 	// Started, where it is set, is told the port's address.
 	Started func(address string)
 }
 
 // Agent is one agent.
 type Agent struct {
-	config    Config
-	log       *slog.Logger
-	processes map[string]*process
-	self      fleet.Agent
-	store     *replica.Store // nil: no voter
-	lead      *lead          // nil: no voter
-	port      *port          // nil: the local socket alone
-	peers     *http.Client
-	own       *handover            // connections of this agent to itself
-	pulls     http.Handler         // answers followers of the records; nil: records are off
-	records   *recordsync.Follower // this agent's copy; nil: records are off
-	refusals  *refusals
-	checks    chan struct{} // bounds what is parsed at once
+	config         Config
+	log            *slog.Logger
+	processes      map[string]*process
+	self           fleet.Agent
+	store          *replica.Store // nil: no voter
+	leader         *leader        // nil: no voter
+	port           *port          // nil: the local socket alone
+	peerClient     *http.Client
+	loopback       *connListener        // connections of this agent to itself
+	recordsHandler http.Handler         // answers followers of the records; nil: records are off
+	records        *recordsync.Follower // this agent's copy; nil: records are off
+	refusals       *refusals
+	checkSlots     chan struct{} // bounds what is parsed at once
 
-	epoch uint64 // of the roster that is kept for the gateways, 0: none is; of the goroutine that reports
+	rosterEpoch uint64 // of the roster that is kept for the gateways, 0: none is; of the goroutine that reports
 
-	mu      sync.Mutex
-	leader  string                        // its address, as last heard
-	cutOff  string                        // why this agent has no leader; "": it has
-	refused map[string]refusedRevision    // by instance
-	kept    map[uint64]revisions.Revision // contents that instances here are told
+	mu              sync.Mutex
+	leaderAddress   string                        // its address, as last heard
+	leaderError     string                        // why this agent has no leader; "": it has
+	rejected        map[string]rejectedRevision   // by instance
+	cachedRevisions map[uint64]revisions.Revision // contents that instances here are told
 }
 
-type refusedRevision struct {
+type rejectedRevision struct {
 	revision uint64
 	why      string
 }
 
 const (
-	reportLimit   = 10 * time.Second // over all voters
-	voterLimit    = 2 * time.Second  // of one
-	mostKept      = 8                // contents
-	checksAtOnce  = 2
-	takeDownLimit = time.Minute
-	lastFile      = "revision.json"
+	reportTimeout       = 10 * time.Second // over all voters
+	voterTimeout        = 2 * time.Second  // of one
+	maxCachedRevisions  = 8                // contents
+	maxConcurrentChecks = 2
+	stopTimeout         = time.Minute
+	revisionsFile       = "revision.json"
 )
 
 // Run runs an agent until ctx ends. Its gateways stay, unless Options say
@@ -81,13 +81,13 @@
 	if info, err := os.Stat(c.Gateway); len(c.Instances) > 0 && (err != nil || info.IsDir()) {
 		return fmt.Errorf("gateway's program: %s is not there", c.Gateway)
 	}
-	a := &Agent{config: c, log: o.Log, processes: map[string]*process{}, refused: map[string]refusedRevision{}, kept: map[uint64]revisions.Revision{},
-		checks: make(chan struct{}, checksAtOnce)}
+	a := &Agent{config: c, log: o.Log, processes: map[string]*process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
+		checkSlots: make(chan struct{}, maxConcurrentChecks)}
 	if a.refusals, err = openRefusals(filepath.Join(c.Dir, "refused.log")); err != nil {
 		return err
 	}
 	defer a.refusals.close()
-	a.loadKept()
+	a.loadCachedRevisions()
 	if c.Listen != "" {
 		if a.port, err = openPort(&c, a.refusals.add); err != nil {
 			return err
@@ -98,7 +98,7 @@
 		}
 		if _, port, _ := net.SplitHostPort(c.Advertise); port == "0" {
 			c.Advertise = a.port.listener.Addr().String()
-			a.port.raft.addr = advertised(c.Advertise)
+			a.port.raft.addr = advertisedAddr(c.Advertise)
 		}
 	}
 	a.self = fleet.Agent{Name: c.Name, Address: c.Advertise, Instances: []string{}}
@@ -108,8 +108,8 @@
 			return err
 		}
 	}
-	a.peers = &http.Client{Transport: a.transport()}
-	defer a.peers.CloseIdleConnections()
+	a.peerClient = &http.Client{Transport: a.transport()}
+	defer a.peerClient.CloseIdleConnections()
 
 	inner, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -122,15 +122,15 @@
 		defer a.store.Close()
 		defer wg.Wait() // the lead uses the store
 		defer stop()
-		a.lead = newLead(c.Name, c.Advertise, a.store, time.Duration(c.Timing.Settle), c.Roster, o.Log)
-		wg.Go(func() { a.lead.run(inner) })
+		a.leader = newLeader(c.Name, c.Advertise, a.store, time.Duration(c.Timing.Settle), c.Roster, o.Log)
+		wg.Go(func() { a.leader.run(inner) })
 		if c.ServiceFrom != "" {
 			wg.Go(func() { a.watchService(inner) })
 		}
 	}
-	a.own = newHandover(advertised(localServer))
+	a.loopback = newConnListener(advertisedAddr(localServer))
 	if c.Records {
-		a.pulls = a.newPulls()
+		a.recordsHandler = a.newRecordsHandler()
 		if a.records, err = a.openRecords(); err != nil {
 			return err
 		}
@@ -151,14 +151,14 @@
 		wg.Go(func() { <-inner.Done(); s.Close() })
 	}
 	serve(local)
-	serve(a.own)
+	serve(a.loopback)
 	if a.port != nil {
 		serve(a.port.http)
 	}
 	for _, p := range a.processes {
 		wg.Go(func() { p.run(inner) })
 	}
-	wg.Go(func() { a.report(inner) })
+	wg.Go(func() { a.runReports(inner) })
 	if c.RESP.Listen != "" {
 		limits := &limitFront{a: a, instance: c.Instances[0].Name}
 		wg.Go(func() { limits.run(inner) })
@@ -166,7 +166,7 @@
 	o.Log.Info("agent", "name", c.Name, "listen", c.Advertise, "socket", c.Socket, "voter", c.Voter, "instances", len(a.processes))
 	var broken <-chan struct{}
 	if a.store != nil {
-		broken = a.store.Broken()
+		broken = a.store.Failed()
 	}
 	select {
 	case err = <-failed:
@@ -174,33 +174,33 @@
 		err = fmt.Errorf("voter's store in %s: %w: the voter has stopped, and the agent must be started anew; gateways go on", c.Dir, a.store.DiskError())
 	case <-ctx.Done():
 	}
-	if o.TakeDown && err == nil {
-		a.takeDown(inner)
+	if o.StopGateways && err == nil {
+		a.stopGateways(inner)
 	}
 	return err
 }
 
 func (a *Agent) openStore(recover bool) (*replica.Store, error) {
 	c := replica.Config{Dir: filepath.Join(a.config.Dir, "voter"), ID: a.config.Name, Bootstrap: len(a.config.Voters) == 0, Recover: recover,
-		Heartbeat: time.Duration(a.config.Timing.Heartbeat), Log: newQuiet(a.log)}
+		HeartbeatTimeout: time.Duration(a.config.Timing.Heartbeat), Log: newRaftLogFilter(a.log)}
 	if a.port != nil {
-		c.Streams = streams{a.port.raft, a.port}
+		c.Streams = raftStreams{a.port.raft, a.port}
 	} else {
-		c.Streams = alone{newHandover(advertised(a.config.Name))}
+		c.Streams = noStreams{newConnListener(advertisedAddr(a.config.Name))}
 	}
 	return replica.Open(c)
 }
 
-// takeDown ends the gateways.
-func (a *Agent) takeDown(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, takeDownLimit)
+// stopGateways ends the gateways.
+func (a *Agent) stopGateways(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	for _, p := range a.processes {
-		p.set(ctx, nil)
+		p.setDesired(ctx, nil)
 	}
 	for _, p := range a.processes {
 		for ctx.Err() == nil {
-			if s := p.peek(); s.pid == 0 {
+			if s := p.state(); s.pid == 0 {
 				break
 			}
 			wait.For(ctx, 10*time.Millisecond)
--- a/internal/agent/agent_linux_test.go
+++ b/internal/agent/agent_linux_test.go
@@ -31,8 +31,8 @@
 )
 
 const (
-	asGateway = "AGENT_TEST_AS_GATEWAY"
-	patience  = time.Minute
+	asGateway   = "AGENT_TEST_AS_GATEWAY"
+	testTimeout = time.Minute
 	// What the gateway that stands in does is told by its discovery's address.
 	fine    = "127.0.0.1:1"
 	crashes = "127.0.0.1:2" // soon after it was ready
@@ -168,14 +168,14 @@
 	at := loopback.Host() + ":0"
 	c.Name, c.Dir, c.Listen, c.Advertise, c.Plain, c.Voter, c.Voters, c.Gateway, c.Instances = name, dir, at, at, true, voter, others, os.Args[0], list
 	c.Socket = filepath.Join(dir, "agent.sock")
-	c.Timing.Report, c.Timing.Heartbeat, c.Timing.Settle, c.Timing.FetchWithin = d(50*time.Millisecond), d(500*time.Millisecond), d(2*time.Second), d(3*time.Second)
-	c.Timing.FirstPause = d(100 * time.Millisecond)
+	c.Timing.Report, c.Timing.Heartbeat, c.Timing.Settle, c.Timing.FetchTimeout = d(50*time.Millisecond), d(500*time.Millisecond), d(2*time.Second), d(3*time.Second)
+	c.Timing.InitialBackoff = d(100 * time.Millisecond)
 	m := &machine{t: t, config: c}
 	t.Cleanup(func() {
 		m.end()
 		for _, e := range list { // what the agent left, this test ends
 			p := process{dir: filepath.Join(dir, "instances", e.Name)}
-			if k, err := p.load(); err == nil && k.PID != 0 && startTime(k.PID) == k.Started {
+			if k, err := p.loadState(); err == nil && k.PID != 0 && startTime(k.PID) == k.Started {
 				syscall.Kill(k.PID, syscall.SIGKILL)
 			}
 		}
@@ -224,7 +224,7 @@
 
 func until(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(patience); !is(); time.Sleep(10 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); !is(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("never: %s", what)
 		}
@@ -242,11 +242,11 @@
 	return s
 }
 
-func (m *machine) apply(request string, parent uint64, text string) Applied {
+func (m *machine) apply(request string, parent uint64, text string) ApplyResult {
 	m.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	a, err := m.client.Apply(ctx, Call{Request: request, Parent: parent, Content: &revisions.Content{File: text}, Message: "test"})
+	a, err := m.client.Apply(ctx, ApplyRequest{Request: request, Parent: parent, Content: &revisions.Content{File: text}, Message: "test"})
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -267,7 +267,7 @@
 func (m *machine) is(s Status, want rollout.State, running uint64) {
 	m.t.Helper()
 	if s.Rollout.State != want {
-		m.t.Fatalf("%s (%s), want %s: %+v", s.Rollout.State, s.Rollout.Why, want, s.Instances)
+		m.t.Fatalf("%s (%s), want %s: %+v", s.Rollout.State, s.Rollout.Reason, want, s.Instances)
 	}
 	for _, i := range s.Instances {
 		if i.Running != running || !i.Ready {
@@ -315,24 +315,24 @@
 	if a := m.apply("3", 2, file(fine, "gold")); a.Answer != revisions.Accepted || a.Revision.Number != 3 {
 		t.Fatalf("a repeat: %+v", a)
 	}
-	_, err := m.client.Apply(context.Background(), Call{Request: "5", Parent: 3, Content: &revisions.Content{File: "[gatewya]"}})
+	_, err := m.client.Apply(context.Background(), ApplyRequest{Request: "5", Parent: 3, Content: &revisions.Content{File: "[gatewya]"}})
 	var f *Failure
-	if !errors.As(err, &f) || !f.Bad() || !strings.Contains(err.Error(), "file:1: gatewya") {
+	if !errors.As(err, &f) || !f.BadRequest() || !strings.Contains(err.Error(), "file:1: gatewya") {
 		t.Fatalf("a file that makes no sense: %v", err)
 	}
 
 	ctx := context.Background()
-	if err := m.client.Do(ctx, "drain", Verb{Name: "g1"}); err != nil {
+	if err := m.client.Do(ctx, "drain", ChangeRequest{Name: "g1"}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "g1 is down", func() bool { s = m.status(); return s.Instances[1].State == supervise.Down && s.Instances[1].Drained })
-	if err := m.client.Do(ctx, "undrain", Verb{Name: "g1"}); err != nil {
+	if err := m.client.Do(ctx, "undrain", ChangeRequest{Name: "g1"}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "g1 is back", func() bool { s = m.status(); return s.Instances[1].Ready && s.Instances[1].Running == 3 })
 
 	probes, err := m.client.Probe(ctx, revisions.Content{File: file(fine, "silver")})
-	if err != nil || len(probes) != 2 || probes[0].Step != supervise.Restart {
+	if err != nil || len(probes) != 2 || probes[0].Step != supervise.StepRestart {
 		t.Fatalf("%v %+v", err, probes)
 	}
 	log, err := m.client.Audit(ctx)
@@ -341,7 +341,7 @@
 	}
 }
 
-func TestARevisionThatCrashesGoesBack(t *testing.T) {
+func TestCrashingRevisionRollsBack(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0", "g1", "g2")...).start()
 	m.apply("1", 0, file(fine, "basic"))
@@ -354,7 +354,7 @@
 		}
 		s := m.ended(number)
 		m.is(s, rollout.RolledBack, 1)
-		if s.Wanted != 1 || s.Head != number || !strings.Contains(s.Rollout.Why, "revision 1") {
+		if s.Wanted != 1 || s.Head != number || !strings.Contains(s.Rollout.Reason, "revision 1") {
 			t.Fatalf("%+v", s)
 		}
 		if s.Instances[2].Crashes != 0 {
@@ -363,7 +363,7 @@
 	}
 }
 
-func TestARolloutThatCostsServiceGoesBack(t *testing.T) {
+func TestServiceFallRollsBack(t *testing.T) {
 	t.Parallel()
 	var level atomic.Value
 	level.Store("0.95\n")
@@ -378,20 +378,20 @@
 	m.apply("1", 0, file(fine, "basic"))
 	m.is(m.ended(1), rollout.Applied, 1)
 	level.Store("nonsense") // says nothing
-	time.Sleep(2 * serviceEvery)
+	time.Sleep(2 * servicePollInterval)
 	level.Store("0.94")
-	time.Sleep(2 * serviceEvery)
+	time.Sleep(2 * servicePollInterval)
 	m.apply("2", 1, text("gold"))
 	until(t, "the canary has it", func() bool { return m.status().Instances[0].Running == 2 })
 	level.Store("0.7")
 	s := m.ended(2)
 	m.is(s, rollout.RolledBack, 1)
-	if !strings.Contains(s.Rollout.Why, "the service is at 0.700") {
-		t.Fatal(s.Rollout.Why)
+	if !strings.Contains(s.Rollout.Reason, "the service is at 0.700") {
+		t.Fatal(s.Rollout.Reason)
 	}
 }
 
-func TestAnAgentsDeathCostsNoGateway(t *testing.T) {
+func TestGatewaysSurviveAgentRestart(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0", "g1")...).start()
 	m.apply("1", 0, file(fine, "basic"))
@@ -427,7 +427,7 @@
 		m := newMachine(t, fmt.Sprint("a", i), i < 3, []string{first.config.Listen}, instances(t, fmt.Sprint("g", i))...).start()
 		list = append(list, m)
 		if i < 3 {
-			if m, err := first.client.AddMember(context.Background(), Verb{m.config.Name, m.config.Listen}); err != nil || m.Lacking != nil {
+			if m, err := first.client.AddMember(context.Background(), ChangeRequest{m.config.Name, m.config.Listen}); err != nil || m.Behind != nil {
 				t.Fatal(m, err)
 			}
 		}
@@ -440,19 +440,19 @@
 	return list
 }
 
-func leaderOf(list []*machine) (leader *machine, rest []*machine) {
+func leaderOf(list []*machine) (leader *machine, others []*machine) {
 	name := list[3].status().Leader
 	for _, m := range list {
 		if m.config.Name == name {
 			leader = m
 		} else {
-			rest = append(rest, m)
+			others = append(others, m)
 		}
 	}
-	return leader, rest
+	return leader, others
 }
 
-func TestTheLeaderDiesInARollout(t *testing.T) {
+func TestLeaderStopsDuringRollout(t *testing.T) {
 	t.Parallel()
 	list := newSite(t)
 	list[3].apply("1", 0, file(fine, "basic"))
@@ -472,7 +472,7 @@
 	if s.Leader == leader.config.Name {
 		t.Fatal("the dead one leads")
 	}
-	if s.Rollout.State != rollout.Partly && s.Rollout.State != rollout.Applied {
+	if s.Rollout.State != rollout.PartlyApplied && s.Rollout.State != rollout.Applied {
 		t.Fatalf("%+v", s.Rollout)
 	}
 	for _, m := range rest {
@@ -498,41 +498,41 @@
 	m.is(m.ended(1), rollout.Applied, 1)
 	ctx := context.Background()
 	var f *Failure
-	if err := m.client.Do(ctx, "pause", Verb{}); !errors.As(err, &f) || !f.Refused() || !strings.Contains(err.Error(), "it is applied, and can't be paused") {
+	if err := m.client.Do(ctx, "pause", ChangeRequest{}); !errors.As(err, &f) || !f.Refused() || !strings.Contains(err.Error(), "it is applied, and can't be paused") {
 		t.Fatal(err)
 	}
 	m.apply("2", 1, file(fine, "gold"))
-	if err := m.client.Do(ctx, "pause", Verb{}); err != nil {
+	if err := m.client.Do(ctx, "pause", ChangeRequest{}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the canary has it", func() bool { return m.status().Instances[0].Phase == rollout.Took })
+	until(t, "the canary has it", func() bool { return m.status().Instances[0].Phase == rollout.PhaseUpdated })
 	time.Sleep(10 * time.Duration(m.config.Timing.Report)) // others would be told by now
-	if s := m.status(); s.Rollout.State != rollout.Paused || s.Instances[1].Running != 1 || !strings.Contains(s.Rollout.Why, "paused by") {
+	if s := m.status(); s.Rollout.State != rollout.Paused || s.Instances[1].Running != 1 || !strings.Contains(s.Rollout.Reason, "paused by") {
 		t.Fatalf("%+v", s)
 	}
 	// A new start of the leader forgets neither.
 	m.end()
 	m.start()
 	until(t, "it is still paused", func() bool { s := m.status(); return s.Wave > 0 && s.Rollout.State == rollout.Paused })
-	if err := m.client.Do(ctx, "resume", Verb{}); err != nil {
+	if err := m.client.Do(ctx, "resume", ChangeRequest{}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the next has it", func() bool { return m.status().Instances[1].Running == 2 })
-	if err := m.client.Do(ctx, "abort", Verb{}); err != nil {
+	if err := m.client.Do(ctx, "abort", ChangeRequest{}); err != nil {
 		t.Fatal(err)
 	}
 	s := m.ended(2)
 	m.is(s, rollout.RolledBack, 1)
-	if !strings.Contains(s.Rollout.Why, "aborted by") {
-		t.Fatal(s.Rollout.Why)
+	if !strings.Contains(s.Rollout.Reason, "aborted by") {
+		t.Fatal(s.Rollout.Reason)
 	}
 }
 
-func TestAnOperatorsMachineDiesInAnApply(t *testing.T) {
+func TestApplyRepeatedAfterLostConnection(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0")...).start()
 	// The call is sent and nobody waits for its answer.
-	text, err := json.Marshal(Call{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}})
+	text, err := json.Marshal(ApplyRequest{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -549,13 +549,13 @@
 	m.is(m.ended(1), rollout.Applied, 1)
 }
 
-func TestADamagedVoterSaysSoAndItsGatewayGoesOn(t *testing.T) {
+func TestDamagedVoterReportsItAndGatewayRuns(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0")...).start()
 	m.apply("1", 0, file(fine, "basic"))
 	pid := pids(m.ended(1))["g0"]
 	m.end()
-	path := filepath.Join(m.config.Dir, "voter", replica.LogName)
+	path := filepath.Join(m.config.Dir, "voter", replica.LogFileName)
 	if err := os.Truncate(path, 20000); err != nil {
 		t.Fatal(err)
 	}
@@ -568,15 +568,15 @@
 	}
 }
 
-func TestTwoOperatorsThroughTwoAgents(t *testing.T) {
+func TestConcurrentAppliesOneAccepted(t *testing.T) {
 	t.Parallel()
 	list := newSite(t)
 	list[0].apply("1", 0, file(fine, "basic"))
 	list[0].ended(1)
-	answers := make(chan Applied, 2)
+	answers := make(chan ApplyResult, 2)
 	for i, m := range []*machine{list[1], list[3]} {
 		go func() {
-			a, _ := m.client.Apply(context.Background(), Call{Request: fmt.Sprint("both", i), Parent: 1, Content: &revisions.Content{File: file(fine, fmt.Sprint("plan", i))}})
+			a, _ := m.client.Apply(context.Background(), ApplyRequest{Request: fmt.Sprint("both", i), Parent: 1, Content: &revisions.Content{File: file(fine, fmt.Sprint("plan", i))}})
 			answers <- a
 		}()
 	}
@@ -590,7 +590,7 @@
 	list[2].is(list[2].ended(2), rollout.Applied, 2)
 }
 
-func TestCutOffAgentsServeAndSaySo(t *testing.T) {
+func TestPartitionedAgentsServeStaleStatus(t *testing.T) {
 	t.Parallel()
 	list := newSite(t)
 	list[0].apply("1", 0, file(fine, "basic"))
@@ -614,10 +614,10 @@
 	var f *Failure
 	short, cancelShort := context.WithTimeout(context.Background(), time.Second)
 	defer cancelShort()
-	if _, err := m.client.Apply(short, Call{Request: "1b", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
+	if _, err := m.client.Apply(short, ApplyRequest{Request: "1b", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
 		t.Fatal("a minority took a change")
 	}
-	if err := m.client.Do(context.Background(), "drain", Verb{Name: "g0"}); !errors.As(err, &f) || f.Refused() {
+	if err := m.client.Do(context.Background(), "drain", ChangeRequest{Name: "g0"}); !errors.As(err, &f) || f.Refused() {
 		t.Fatalf("a minority drained: %v", err)
 	}
 	m.end()
@@ -627,7 +627,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := m.client.Apply(ctx, Call{Request: "2", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
+	if _, err := m.client.Apply(ctx, ApplyRequest{Request: "2", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
 		t.Fatal("a site without voters took a change")
 	}
 	// Its machine goes down and up: without a leader, what ran last runs again.
@@ -641,9 +641,9 @@
 	})
 }
 
-// TestASiteFoundedAnewStopsNothing: voters lost all they had, and the gateways of
+// TestNewSiteKeepsRunningGateways: voters lost all they had, and the gateways of
 // the site before still run.
-func TestASiteFoundedAnewStopsNothing(t *testing.T) {
+func TestNewSiteKeepsRunningGateways(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0", "g1")...).start()
 	m.apply("1", 0, file(fine, "basic"))
@@ -670,9 +670,9 @@
 	})
 }
 
-// TestASiteGrowsFromOneMachine: a voter that had no port gets one, and others
+// TestSiteGrowsFromOneMachine: a voter that had no port gets one, and others
 // join.
-func TestASiteGrowsFromOneMachine(t *testing.T) {
+func TestSiteGrowsFromOneMachine(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0")...)
 	m.config.Listen, m.config.Advertise, m.config.Plain = "", "", false
@@ -683,7 +683,7 @@
 	m.config.Listen, m.config.Advertise, m.config.Plain = "127.0.0.1:0", "127.0.0.1:0", true
 	m.start()
 	other := newMachine(t, "a2", true, []string{m.config.Listen}, instances(t, "g1")...).start()
-	if m, err := m.client.AddMember(context.Background(), Verb{"a2", other.config.Listen}); err != nil || m.Lacking != nil {
+	if m, err := m.client.AddMember(context.Background(), ChangeRequest{"a2", other.config.Listen}); err != nil || m.Behind != nil {
 		t.Fatal(m, err)
 	}
 	list, err := other.client.Members(context.Background())
@@ -696,7 +696,7 @@
 	})
 }
 
-func TestWhoMay(t *testing.T) {
+func TestRolesAllowOnlyTheirCalls(t *testing.T) {
 	t.Parallel()
 	ca := filepath.Join(t.TempDir(), "ca")
 	if err := pki.Init(ca); err != nil {
@@ -717,7 +717,7 @@
 	}
 	m := secure(newMachine(t, "a1", true, nil, instances(t, "g0")...)).start()
 	other := secure(newMachine(t, "a2", true, []string{m.config.Listen}, instances(t, "g1")...)).start()
-	if m, err := m.client.AddMember(context.Background(), Verb{"a2", other.config.Listen}); err != nil || m.Lacking != nil {
+	if m, err := m.client.AddMember(context.Background(), ChangeRequest{"a2", other.config.Listen}); err != nil || m.Behind != nil {
 		t.Fatal(m, err)
 	}
 	as := func(name string, at *machine) *Client {
@@ -729,7 +729,7 @@
 		return c
 	}
 	ctx := context.Background()
-	call := Call{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}}
+	call := ApplyRequest{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}}
 	_, err := as("vic", other).Apply(ctx, call)
 	var f *Failure
 	if !errors.As(err, &f) || !f.Forbidden() {
@@ -753,7 +753,7 @@
 		t.Fatalf("one agent reported as another: %v", err)
 	}
 	// A stranger speaks for nobody.
-	resp, err := (&http.Client{Timeout: patience}).Get("http://" + m.config.Listen + "/v1/status")
+	resp, err := (&http.Client{Timeout: testTimeout}).Get("http://" + m.config.Listen + "/v1/status")
 	if err == nil {
 		resp.Body.Close()
 		t.Fatalf("one without a certificate was answered: %s", resp.Status)
@@ -775,7 +775,7 @@
 		return ""
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(conn, "%s\r\nQUIT\r\n", line)
 	text, _ := io.ReadAll(conn)
 	return string(text)
@@ -825,7 +825,7 @@
 
 // An add stands although a voter has died, and whoever asks another agent than the leader must hear that, with the name
 // of the dead one, before that agent gives the call up as in doubt.
-func TestAnAddWithADeadVoterIsNotInDoubt(t *testing.T) {
+func TestAddMemberWithDeadVoterHasKnownOutcome(t *testing.T) {
 	t.Parallel()
 	var list []*machine
 	for i := range 4 {
@@ -834,17 +834,17 @@
 			others = []string{list[0].config.Listen}
 		}
 		m := newMachine(t, fmt.Sprint("a", i), true, others, instances(t, fmt.Sprint("g", i))...)
-		m.config.Timing.Heartbeat = strict.Duration(leadLimit/10 + 200*time.Millisecond) // a call between voters may outlast leadLimit
+		m.config.Timing.Heartbeat = strict.Duration(leaderTimeout/10 + 200*time.Millisecond) // a call between voters may outlast leaderTimeout
 		list = append(list, m.start())
 		if i == 1 || i == 2 {
-			if c, err := list[0].client.AddMember(context.Background(), Verb{m.config.Name, m.config.Listen}); err != nil || c.Lacking != nil {
+			if c, err := list[0].client.AddMember(context.Background(), ChangeRequest{m.config.Name, m.config.Listen}); err != nil || c.Behind != nil {
 				t.Fatal(c, err)
 			}
 		}
 	}
 	list[2].end()
-	c, err := list[1].client.AddMember(context.Background(), Verb{"a3", list[3].config.Listen})
-	if err != nil || len(c.Lacking) != 1 || c.Lacking[0] != "a2" {
+	c, err := list[1].client.AddMember(context.Background(), ChangeRequest{"a3", list[3].config.Listen})
+	if err != nil || len(c.Behind) != 1 || c.Behind[0] != "a2" {
 		t.Fatalf("%+v, %v", c, err)
 	}
 }
--- a/internal/agent/belong.go
+++ b/internal/agent/belong.go
@@ -20,69 +20,69 @@
 )
 
 const (
-	rosterFile  = "roster.toml"
-	belongAfter = time.Second // the instances have been the same for so long before they are agreed on
-	mostBelief  = 256         // bytes of what a gateway believes, in a report
-	mostMissing = 64          // names that it does not hear
+	rosterFile             = "roster.toml"
+	rosterDelay            = time.Second // the instances have been the same for so long before they are agreed on
+	maxMembershipViewBytes = 256         // bytes of what a gateway believes, in a report
+	maxUnreachable         = 64          // names that it does not hear
 )
 
 // ---- at the leader
 
-// belong has the voters agree on who belongs, where that has changed and the
+// updateRoster has the voters agree on who belongs, where that has changed and the
 // instances of the site have been the same for a moment: agents come one by one.
-func (t *term) belong(ctx context.Context) error {
-	if !t.roster {
+func (t *term) updateRoster(ctx context.Context) error {
+	if !t.rosterEnabled {
 		return nil
 	}
 	names := slices.Sorted(maps.Keys(t.drained))
-	if !slices.Equal(names, t.belonging) {
-		t.belonging, t.belongingAt = names, time.Now()
+	if !slices.Equal(names, t.rosterCandidates) {
+		t.rosterCandidates, t.candidatesSince = names, time.Now()
 	}
-	if len(names) == 0 || time.Since(t.belongingAt) < belongAfter {
+	if len(names) == 0 || time.Since(t.candidatesSince) < rosterDelay {
 		return nil
 	}
-	b := fleet.Belong{Names: names, At: time.Now().UTC()}
+	b := fleet.RosterChange{Names: names, At: time.Now().UTC()}
 	if err := b.Check(); err != nil {
 		// Danger: it must not cost the lead, which would go round among the voters.
-		if t.misfit != err.Error() {
-			t.misfit = err.Error()
+		if t.rosterError != err.Error() {
+			t.rosterError = err.Error()
 			t.log.Error("the voters can't agree on who belongs; the roster stays", "error", err)
 		}
 		return nil
 	}
-	now := t.agreed()
+	now := t.agreedRoster()
 	if slices.EqualFunc(names, now.Members, func(name string, m members.Member) bool { return name == m.Name }) {
 		return nil
 	}
-	_, err := t.store.Propose(ctx, fleet.Entry{Belong: &b})
+	_, err := t.store.Propose(ctx, fleet.Entry{RosterChange: &b})
 	return err
 }
 
-func (t *term) agreed() (r members.Roster) {
+func (t *term) agreedRoster() (r members.Roster) {
 	t.store.View(func(s *fleet.State) { r = s.Roster() })
 	return r
 }
 
-// rosterFor is what an agent is told of who belongs; nil: it knows, or does not ask.
-func (t *term) rosterFor(r *agentapi.Report) *members.Roster {
-	if !r.Belong {
+// newerRoster is what an agent is told of who belongs; nil: it knows, or does not ask.
+func (t *term) newerRoster(r *agentapi.Report) *members.Roster {
+	if !r.WantsRoster {
 		return nil
 	}
-	if now := t.agreed(); now.Epoch > r.Epoch {
+	if now := t.agreedRoster(); now.Epoch > r.RosterEpoch {
 		return &now
 	}
 	return nil
 }
 
-// doubts tells which instances others do not hear, and whom. It is evidence that
+// unreachable tells which instances others do not hear, and whom. It is evidence that
 // one has failed, and no proof: nothing is decided by it.
-func (t *term) doubts() map[string][]string {
+func (t *term) unreachable() map[string][]string {
 	by := map[string][]string{}
-	for name, h := range t.heard {
-		if time.Since(h.at) >= idleSilence {
+	for name, h := range t.lastReports {
+		if time.Since(h.receivedAt) >= silentAfter {
 			continue
 		}
-		for _, missing := range h.Missing {
+		for _, missing := range h.Unreachable {
 			by[missing] = append(by[missing], name)
 		}
 	}
@@ -97,8 +97,8 @@
 // rosterPath is the file that this agent's gateways read.
 func (c *Config) rosterPath() string { return filepath.Join(c.Dir, rosterFile) }
 
-// keptRoster reads the epoch of the roster that an earlier run kept; 0: none is.
-func (a *Agent) keptRoster() uint64 {
+// cachedRosterEpoch reads the epoch of the roster that an earlier run kept; 0: none is.
+func (a *Agent) cachedRosterEpoch() uint64 {
 	text, err := os.ReadFile(a.config.rosterPath())
 	if err != nil {
 		return 0
@@ -111,38 +111,38 @@
 	return r.Epoch
 }
 
-// keepRoster writes a roster down for the gateways.
-func (a *Agent) keepRoster(r *members.Roster) {
-	key, err := r.Check()
+// cacheRoster writes a roster down for the gateways.
+func (a *Agent) cacheRoster(roster *members.Roster) {
+	key, err := roster.Check()
 	if err != nil {
 		err = fmt.Errorf("%s: %w", key, err)
 	}
 	var text []byte
 	if err == nil {
-		text, err = toml.Marshal(r)
+		text, err = toml.Marshal(roster)
 	}
 	if err == nil {
 		err = files.Replace(a.config.rosterPath(), text, 0o600)
 	}
 	if err != nil {
-		a.log.Error("a roster can't be kept", "epoch", r.Epoch, "error", err)
+		a.log.Error("a roster can't be kept", "epoch", roster.Epoch, "error", err)
 		return
 	}
-	a.epoch = r.Epoch
-	a.log.Info("a roster is kept for the gateways", "epoch", r.Epoch, "members", len(r.Members))
+	a.rosterEpoch = roster.Epoch
+	a.log.Info("a roster is kept for the gateways", "epoch", roster.Epoch, "members", len(roster.Members))
 }
 
 // awaitsRoster tells whether gateways can't start for want of a roster.
-func (a *Agent) awaitsRoster() bool { return a.config.Roster && a.epoch == 0 }
+func (a *Agent) awaitsRoster() bool { return a.config.Roster && a.rosterEpoch == 0 }
 
-// belief is what a gateway says of the others.
-type belief struct {
-	line    string
-	missing []string
+// membershipView is what a gateway says of the others.
+type membershipView struct {
+	line        string
+	unreachable []string
 }
 
-// desk is where an instance's operators call, by its environment; "": nowhere.
-func (e *InstanceEntry) desk() string {
+// adminAddress is where an instance's operators call, by its environment; "": nowhere.
+func (e *InstanceEntry) adminAddress() string {
 	for _, v := range slices.Backward(e.Env) {
 		if at, is := strings.CutPrefix(v, "EDGE_OPERATOR="); is {
 			return at
@@ -151,24 +151,24 @@
 	return ""
 }
 
-// believes asks a gateway what it knows of the others. It is asked beside its
+// queryMembership asks a gateway what it knows of the others. It is asked beside its
 // readiness, and may know nothing.
-func (p *process) believes(ctx context.Context) (b belief) {
-	at := p.entry.desk()
+func (p *process) queryMembership(ctx context.Context) (view membershipView) {
+	at := p.entry.adminAddress()
 	if !p.config.Roster || at == "" {
-		return belief{}
+		return membershipView{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookLimit)
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	a, err := peers.Ask(ctx, at)
+	a, err := peers.QueryStatus(ctx, at)
 	if err != nil {
-		return belief{}
+		return membershipView{}
 	}
-	for _, v := range a.Picture.Members {
-		if v.Belongs && !v.State.There() && len(b.missing) < mostMissing {
-			b.missing = append(b.missing, v.Name)
+	for _, v := range a.View.Members {
+		if v.IsMember && !v.State.Alive() && len(view.unreachable) < maxUnreachable {
+			view.unreachable = append(view.unreachable, v.Name)
 		}
 	}
-	b.line = fleet.Short(a.Picture.Line(a.Picture.At), mostBelief)
-	return b
+	view.line = fleet.Truncate(a.View.Line(a.View.At), maxMembershipViewBytes)
+	return view
 }
--- a/internal/agent/belong_test.go
+++ b/internal/agent/belong_test.go
@@ -10,17 +10,17 @@
 
 // An instance whose name no roster can have, enrolled by an agent that does not ask
 // for one, must not cost the leader its lead: it is said once, and the roster stays.
-func TestANameThatNoRosterHasCostsNoLead(t *testing.T) {
-	var said bytes.Buffer
+func TestNameInvalidForRosterKeepsLeadership(t *testing.T) {
+	var logged bytes.Buffer
 	long := strings.Repeat("g", 65)
-	lead := &lead{roster: true, log: slog.New(slog.NewTextHandler(&said, nil))}
-	now := &term{lead: lead, drained: map[string]bool{long: false}, belonging: []string{long}, belongingAt: time.Now().Add(-time.Minute)}
+	lead := &leader{rosterEnabled: true, log: slog.New(slog.NewTextHandler(&logged, nil))}
+	now := &term{leader: lead, drained: map[string]bool{long: false}, rosterCandidates: []string{long}, candidatesSince: time.Now().Add(-time.Minute)}
 	for range 3 {
-		if err := now.belong(t.Context()); err != nil {
+		if err := now.updateRoster(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if strings.Count(said.String(), "the roster stays") != 1 {
-		t.Errorf("it says %q", said.String())
+	if strings.Count(logged.String(), "the roster stays") != 1 {
+		t.Errorf("it says %q", logged.String())
 	}
 }
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -16,8 +16,8 @@
 	"elderyard/rollout"
 )
 
-// Call is an apply as the tool sends it.
-type Call struct {
+// ApplyRequest is an apply as the tool sends it.
+type ApplyRequest struct {
 	Request string             `json:"request"`
 	Parent  uint64             `json:"parent"`
 	Restore uint64             `json:"restore,omitempty"`
@@ -25,14 +25,14 @@
 	Message string             `json:"message,omitempty"`
 }
 
-func (a *Agent) takeReport(ctx context.Context, c *call) (any, error) {
+func (a *Agent) handleReport(ctx context.Context, request *call) (any, error) {
 	var r agentapi.Report
-	if err := c.read(&r); err != nil {
+	if err := request.read(&r); err != nil {
 		return nil, err
 	}
 	// Danger: an agent could speak for the instances of another.
-	if c.name != r.Agent.Name && !a.config.Plain {
-		return nil, &Failure{codeForbidden, fmt.Sprintf("%s reports as %s", c.name, r.Agent.Name)}
+	if request.name != r.Agent.Name && !a.config.Plain {
+		return nil, &Failure{codeForbidden, fmt.Sprintf("%s reports as %s", request.name, r.Agent.Name)}
 	}
 	var got *agentapi.Orders
 	err := a.inTerm(ctx, func(t *term) (err error) {
@@ -42,8 +42,8 @@
 	return got, err
 }
 
-func (a *Agent) tellStatus(ctx context.Context, c *call) (any, error) {
-	if err := a.store.Confirm(); err != nil {
+func (a *Agent) handleStatus(ctx context.Context, c *call) (any, error) {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
 	var s Status
@@ -54,8 +54,8 @@
 	return s, err
 }
 
-// oldStatus is what this agent knows by itself.
-func (a *Agent) oldStatus(why string) any {
+// staleStatus is what this agent knows by itself.
+func (a *Agent) staleStatus(why string) any {
 	s := Status{Agent: a.self.Name, Stale: why, At: time.Now().UTC(), Instances: []InstanceStatus{}}
 	if a.store != nil {
 		a.store.View(func(f *fleet.State) { fill(&s, f) })
@@ -64,31 +64,31 @@
 		}
 	}
 	// Of its own instances it knows all.
-	for _, o := range a.observe().Instances {
+	for _, o := range a.buildReport().Instances {
 		n := slices.IndexFunc(s.Instances, func(i InstanceStatus) bool { return i.Name == o.Name })
 		if n < 0 {
 			n = len(s.Instances)
 			s.Instances = append(s.Instances, InstanceStatus{Name: o.Name, Agent: a.self.Name})
 		}
-		s.Instances[n].show(&o, s.At)
-		s.Instances[n].Told = o.Taking
+		s.Instances[n].setReport(&o, s.At)
+		s.Instances[n].Assigned = o.Target
 	}
 	return s
 }
 
-func (a *Agent) tellRevisions(_ context.Context, c *call) (any, error) {
-	if err := a.store.Confirm(); err != nil {
+func (a *Agent) handleRevisions(_ context.Context, c *call) (any, error) {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	return a.oldRevisions(""), nil
+	return a.staleRevisions(""), nil
 }
 
-func (a *Agent) oldRevisions(why string) any {
+func (a *Agent) staleRevisions(why string) any {
 	list := Revisions{Stale: why, Revisions: []revisions.Revision{}}
 	if a.store == nil {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		for _, r := range a.kept {
+		for _, r := range a.cachedRevisions {
 			r.Content = revisions.Content{}
 			list.Revisions = append(list.Revisions, r)
 		}
@@ -104,10 +104,10 @@
 	return list
 }
 
-func (a *Agent) tellRevision(_ context.Context, c *call) (any, error) {
-	n, err := strconv.ParseUint(c.r.PathValue("n"), 10, 64)
+func (a *Agent) handleRevision(_ context.Context, request *call) (any, error) {
+	n, err := strconv.ParseUint(request.r.PathValue("n"), 10, 64)
 	if err != nil || n == 0 {
-		return nil, &Failure{codeBad, fmt.Sprintf("%q is no revision's number", c.r.PathValue("n"))}
+		return nil, &Failure{codeBadRequest, fmt.Sprintf("%q is no revision's number", request.r.PathValue("n"))}
 	}
 	// A revision never changes: one that is here is as good as the leader's.
 	var r revisions.Revision
@@ -116,21 +116,21 @@
 	if found {
 		return r, nil
 	}
-	if err := a.store.Confirm(); err != nil {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	return nil, &Failure{codeUnknown, fmt.Sprintf("revision %d is not in the history", n)}
+	return nil, &Failure{codeNotFound, fmt.Sprintf("revision %d is not in the history", n)}
 }
 
-func (a *Agent) tellMembers(_ context.Context, c *call) (any, error) {
-	if err := a.store.Confirm(); err != nil {
+func (a *Agent) handleMembers(_ context.Context, c *call) (any, error) {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	m := a.oldMembers("").(Members)
+	m := a.staleMembers("").(Members)
 	return m, nil
 }
 
-func (a *Agent) oldMembers(why string) any {
+func (a *Agent) staleMembers(why string) any {
 	m := Members{Stale: why, Voters: []replica.Member{}, Agents: []fleet.Agent{}}
 	if a.store == nil {
 		m.Agents = append(m.Agents, a.self)
@@ -143,14 +143,14 @@
 	return m
 }
 
-func (a *Agent) tellAudit(_ context.Context, c *call) (any, error) {
-	if err := a.store.Confirm(); err != nil {
+func (a *Agent) handleAudit(_ context.Context, c *call) (any, error) {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	return a.oldAudit(""), nil
+	return a.staleAudit(""), nil
 }
 
-func (a *Agent) oldAudit(why string) any {
+func (a *Agent) staleAudit(why string) any {
 	l := Audit{Stale: why, Changes: []fleet.Event{}, Refused: []fleet.Event{}}
 	if a.store != nil {
 		a.store.View(func(s *fleet.State) { l.Changes = append(l.Changes, s.Events()...) })
@@ -158,13 +158,13 @@
 	return l
 }
 
-func (a *Agent) tellRefused(context.Context, *call) (any, error) {
+func (a *Agent) handleRefused(context.Context, *call) (any, error) {
 	list, err := a.refusals.list()
 	return Audit{Changes: []fleet.Event{}, Refused: list}, err
 }
 
-func (a *Agent) saveSnapshot(context.Context, *call) (any, error) {
-	if err := a.store.Confirm(); err != nil {
+func (a *Agent) handleSaveSnapshot(context.Context, *call) (any, error) {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
 	var text []byte
@@ -173,59 +173,59 @@
 	return json.RawMessage(text), err
 }
 
-func (a *Agent) loadSnapshot(ctx context.Context, c *call) (any, error) {
+func (a *Agent) handleRestoreSnapshot(ctx context.Context, c *call) (any, error) {
 	var probe fleet.State
 	if err := probe.Restore(c.body); err != nil {
-		return nil, &Failure{codeBad, err.Error()}
+		return nil, &Failure{codeBadRequest, err.Error()}
 	}
-	if err := a.store.Confirm(); err != nil {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	if err := a.store.Load(c.body); err != nil {
+	if err := a.store.RestoreState(c.body); err != nil {
 		return nil, err
 	}
-	_, err := a.propose(ctx, fleet.Entry{Noted: &fleet.Event{At: time.Now().UTC(), Who: c.name, What: "a saved state was restored"}})
+	_, err := a.propose(ctx, fleet.Entry{Audit: &fleet.Event{At: time.Now().UTC(), Who: c.name, What: "a saved state was restored"}})
 	return struct{}{}, err
 }
 
 func (a *Agent) propose(ctx context.Context, e fleet.Entry) (fleet.Outcome, error) {
 	out, err := a.store.Propose(ctx, e)
-	if err == nil && out.Refused != "" {
-		err = &refusal{out.Refused}
+	if err == nil && out.Rejected != "" {
+		err = &refusedError{out.Rejected}
 	}
 	return out, err
 }
 
-func (a *Agent) apply(ctx context.Context, c *call) (any, error) {
-	var got Call
-	if err := c.read(&got); err != nil {
+func (a *Agent) handleApply(ctx context.Context, request *call) (any, error) {
+	var got ApplyRequest
+	if err := request.read(&got); err != nil {
 		return nil, err
 	}
-	command := revisions.Command{Request: got.Request, Parent: got.Parent, Restore: got.Restore, Content: got.Content, Author: c.name,
+	command := revisions.Command{Request: got.Request, Parent: got.Parent, Restore: got.Restore, Content: got.Content, Author: request.name,
 		Message: got.Message, At: time.Now().UTC()}
 	if err := command.Check(); err != nil {
-		return nil, &Failure{codeBad, err.Error()}
+		return nil, &Failure{codeBadRequest, err.Error()}
 	}
-	if !a.store.Leading() {
+	if !a.store.IsLeader() {
 		return nil, errNotLeading
 	}
 	if got.Content != nil {
 		if err := a.parse(ctx, "file", *got.Content); err != nil {
-			return nil, &Failure{codeBad, err.Error()}
+			return nil, &Failure{codeBadRequest, err.Error()}
 		}
 	}
 	out, err := a.propose(ctx, fleet.Entry{Command: &command})
 	if err != nil {
 		return nil, err
 	}
-	answer := Applied{Answer: out.Result.Answer, Revision: out.Result.Revision}
+	answer := ApplyResult{Answer: out.Result.Status, Revision: out.Result.Revision}
 	if answer.Answer == fleet.Busy {
 		var now fleet.Rollout
 		a.store.View(func(s *fleet.State) { now = s.Rollout() })
 		answer.Why = fmt.Sprintf("the rollout of revision %d, which %s began, is %s", now.New, now.By, now.State)
 	}
 	if answer.Answer != revisions.Accepted {
-		a.refusals.add(c.name, fmt.Sprintf("apply on revision %d: %s", got.Parent, answer.Answer))
+		a.refusals.add(request.name, fmt.Sprintf("apply on revision %d: %s", got.Parent, answer.Answer))
 	}
 	return answer, nil
 }
@@ -233,29 +233,29 @@
 // parse checks a content, a few at a time: it costs more than the call did.
 func (a *Agent) parse(ctx context.Context, name string, c revisions.Content) error {
 	select {
-	case a.checks <- struct{}{}:
-		defer func() { <-a.checks }()
+	case a.checkSlots <- struct{}{}:
+		defer func() { <-a.checkSlots }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	return document.Check(name, c)
 }
 
-func (a *Agent) turn(ev func(by string) rollout.Event) func(context.Context, *call) (any, error) {
+func (a *Agent) handleRolloutEvent(ev func(by string) rollout.Event) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
 		err := a.inTerm(ctx, func(t *term) error {
 			if t.machine == nil {
-				return &refusal{"no rollout is on its way, or the leader has yet to hear from the agents"}
+				return &refusedError{"no rollout is on its way, or the leader has yet to hear from the agents"}
 			}
-			return t.event(ctx, ev(c.name), c.name)
+			return t.step(ctx, ev(c.name), c.name)
 		})
 		return struct{}{}, err
 	}
 }
 
-func (a *Agent) drain(on bool) func(context.Context, *call) (any, error) {
+func (a *Agent) handleDrain(on bool) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
-		var v Verb
+		var v ChangeRequest
 		if err := c.read(&v); err != nil {
 			return nil, err
 		}
@@ -272,22 +272,22 @@
 	nonVoter suffrage = "replica without a vote"
 )
 
-func (a *Agent) addMember(as suffrage) func(context.Context, *call) (any, error) {
+func (a *Agent) handleAddMember(as suffrage) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
-		var v Verb
+		var v ChangeRequest
 		if err := c.read(&v); err != nil {
 			return nil, err
 		}
 		if err := fleet.CheckName("agent", v.Name); err != nil {
-			return nil, &Failure{codeBad, err.Error()}
+			return nil, &Failure{codeBadRequest, err.Error()}
 		}
-		if err := a.store.Confirm(); err != nil {
+		if err := a.store.VerifyLeader(); err != nil {
 			return nil, err
 		}
 		if a.port == nil {
 			return nil, &Failure{codeRefused, "this voter has no port: set listen in its file before others join"}
 		}
-		add := a.store.Add
+		add := a.store.AddVoter
 		if as == nonVoter {
 			add = a.store.AddNonVoter
 		}
@@ -295,44 +295,44 @@
 		if err != nil {
 			return nil, err
 		}
-		_, err = a.propose(ctx, fleet.Entry{Noted: &fleet.Event{At: time.Now().UTC(), Who: c.name, What: fmt.Sprintf("%s %s at %s was added", as, v.Name, v.Address)}})
+		_, err = a.propose(ctx, fleet.Entry{Audit: &fleet.Event{At: time.Now().UTC(), Who: c.name, What: fmt.Sprintf("%s %s at %s was added", as, v.Name, v.Address)}})
 		if err != nil {
 			return nil, err
 		}
-		return a.noted(ctx, change)
+		return a.memberChange(ctx, change)
 	}
 }
 
-// noted tells which voters have yet to note a change of the voters. Danger: the agent that sent the call on waits
-// leadLimit for the whole of it, and would call a change that stands in doubt.
-func (a *Agent) noted(ctx context.Context, change replica.Change) (any, error) {
-	ctx, cancel := context.WithTimeout(ctx, leadLimit/2)
+// memberChange tells which voters have yet to note a change of the voters. Danger: the agent that sent the call on waits
+// leaderTimeout for the whole of it, and would call a change that stands in doubt.
+func (a *Agent) memberChange(ctx context.Context, change replica.Change) (any, error) {
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout/2)
 	defer cancel()
-	lacking, err := a.store.Lacking(ctx, change)
-	return MemberChange{lacking}, err
+	behind, err := a.store.LaggingVoters(ctx, change)
+	return MemberChange{behind}, err
 }
 
-func (a *Agent) removeMember(ctx context.Context, c *call) (any, error) {
-	var v Verb
-	if err := c.read(&v); err != nil {
+func (a *Agent) handleRemoveMember(ctx context.Context, request *call) (any, error) {
+	var v ChangeRequest
+	if err := request.read(&v); err != nil {
 		return nil, err
 	}
-	if err := a.store.Confirm(); err != nil {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
 	// The word comes first: a leader that removes itself can say nothing after.
-	if _, err := a.propose(ctx, fleet.Entry{Noted: &fleet.Event{At: time.Now().UTC(), Who: c.name, What: fmt.Sprintf("voter %s is to be removed", v.Name)}}); err != nil {
+	if _, err := a.propose(ctx, fleet.Entry{Audit: &fleet.Event{At: time.Now().UTC(), Who: request.name, What: fmt.Sprintf("voter %s is to be removed", v.Name)}}); err != nil {
 		return nil, err
 	}
 	change, err := a.store.Remove(v.Name)
 	if err != nil {
 		return nil, err
 	}
-	return a.noted(ctx, change)
+	return a.memberChange(ctx, change)
 }
 
-func (a *Agent) removeAgent(ctx context.Context, c *call) (any, error) {
-	var v Verb
+func (a *Agent) handleRemoveAgent(ctx context.Context, c *call) (any, error) {
+	var v ChangeRequest
 	if err := c.read(&v); err != nil {
 		return nil, err
 	}
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -25,17 +25,17 @@
 
 // Refused tells whether nothing was changed, and asking again would not help.
 func (f *Failure) Refused() bool {
-	return f.Code == codeRefused || f.Code == codeForbidden || f.Code == codeUnknown
+	return f.Code == codeRefused || f.Code == codeForbidden || f.Code == codeNotFound
 }
 
-// Bad tells whether the call itself was wrong.
-func (f *Failure) Bad() bool { return f.Code == codeBad }
+// BadRequest tells whether the call itself was wrong.
+func (f *Failure) BadRequest() bool { return f.Code == codeBadRequest }
 
 // Forbidden tells whether the caller's role does not allow it.
 func (f *Failure) Forbidden() bool { return f.Code == codeForbidden }
 
-// InDoubt tells whether a change may yet be carried out.
-func (f *Failure) InDoubt() bool { return f.Code == codeDoubt }
+// OutcomeUnknown tells whether a change may yet be carried out.
+func (f *Failure) OutcomeUnknown() bool { return f.Code == codeOutcomeUnknown }
 
 // Target is the agent that a Client asks: a local socket, or an address.
 type Target struct {
@@ -53,26 +53,28 @@
 }
 
 // NewClient makes a client of one agent. It does not connect yet.
-func NewClient(t Target) (*Client, error) {
-	d := net.Dialer{Timeout: dialWithin}
-	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleLimit}
-	c := &Client{http: &http.Client{Transport: transport, Timeout: callLimit + dialWithin}, base: "http://agent", name: t.Address}
+func NewClient(target Target) (*Client, error) {
+	d := net.Dialer{Timeout: dialTimeout}
+	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout}
+	c := &Client{http: &http.Client{Transport: transport, Timeout: callTimeout + dialTimeout}, base: "http://agent", name: target.Address}
 	switch {
-	case t.Address == "":
-		c.name = t.Socket
-		transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return d.DialContext(ctx, "unix", t.Socket) }
-	case t.Plain:
-		host, _, err := net.SplitHostPort(t.Address)
+	case target.Address == "":
+		c.name = target.Socket
+		transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return d.DialContext(ctx, "unix", target.Socket)
+		}
+	case target.Plain:
+		host, _, err := net.SplitHostPort(target.Address)
 		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-			return nil, fmt.Errorf("%s: without TLS a loopback address alone is called", t.Address)
+			return nil, fmt.Errorf("%s: without TLS a loopback address alone is called", target.Address)
 		}
-		c.base = "http://" + t.Address
+		c.base = "http://" + target.Address
 	default:
-		config, err := t.Files.Client()
+		config, err := target.Files.Client()
 		if err != nil {
 			return nil, err
 		}
-		c.base, transport.TLSClientConfig = "https://"+t.Address, config
+		c.base, transport.TLSClientConfig = "https://"+target.Address, config
 	}
 	return c, nil
 }
@@ -103,18 +105,18 @@
 			return &Failure{codeUnreachable, fmt.Sprintf("agent %s can't be reached: %v", c.name, inner.Err)}
 		}
 		if method != http.MethodGet {
-			return &Failure{codeDoubt, fmt.Sprintf("agent %s did not answer: %v", c.name, err)}
+			return &Failure{codeOutcomeUnknown, fmt.Sprintf("agent %s did not answer: %v", c.name, err)}
 		}
 		return &Failure{codeUnreachable, fmt.Sprintf("agent %s did not answer: %v", c.name, err)}
 	}
 	defer resp.Body.Close()
-	return readAnswer(resp, answer)
+	return readResponse(resp, answer)
 }
 
-func readAnswer(resp *http.Response, answer any) error {
+func readResponse(resp *http.Response, answer any) error {
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<30))
 	if err != nil {
-		return &Failure{codeDoubt, fmt.Sprintf("the answer was cut short: %v", err)}
+		return &Failure{codeOutcomeUnknown, fmt.Sprintf("the answer was cut short: %v", err)}
 	}
 	if resp.StatusCode != http.StatusOK {
 		var f Failure
@@ -162,22 +164,22 @@
 
 // Apply applies a content or an old revision. A call whose answer is lost is
 // repeated under its request's name for as long as ctx holds.
-func (c *Client) Apply(ctx context.Context, a Call) (out Applied, err error) {
+func (c *Client) Apply(ctx context.Context, a ApplyRequest) (out ApplyResult, err error) {
 	for {
 		err = c.call(ctx, http.MethodPost, "/v1/apply", a, &out)
 		var f *Failure
-		if err == nil || !errors.As(err, &f) || f.Code != codeDoubt && f.Code != codeUnreachable {
+		if err == nil || !errors.As(err, &f) || f.Code != codeOutcomeUnknown && f.Code != codeUnreachable {
 			return out, err
 		}
 		select {
 		case <-ctx.Done():
 			return out, err
-		case <-time.After(applyPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-const applyPause = 200 * time.Millisecond
+const retryDelay = 200 * time.Millisecond
 
 // Probe asks all agents what they would make of a content.
 func (c *Client) Probe(ctx context.Context, content revisions.Content) (l []Probe, err error) {
@@ -185,22 +187,22 @@
 }
 
 // Do makes one change: pause, resume, abort, drain, undrain or agents/remove.
-func (c *Client) Do(ctx context.Context, verb string, v Verb) error {
+func (c *Client) Do(ctx context.Context, verb string, v ChangeRequest) error {
 	return c.call(ctx, http.MethodPost, "/v1/"+verb, v, &struct{}{})
 }
 
 // AddMember makes an agent a voter, and tells which voters have yet to note it.
-func (c *Client) AddMember(ctx context.Context, v Verb) (m MemberChange, err error) {
+func (c *Client) AddMember(ctx context.Context, v ChangeRequest) (m MemberChange, err error) {
 	return m, c.call(ctx, http.MethodPost, "/v1/members/add", v, &m)
 }
 
 // AddNonVoter makes an agent a replica that answers reads and has no vote, and tells which stores have yet to note it.
-func (c *Client) AddNonVoter(ctx context.Context, v Verb) (m MemberChange, err error) {
+func (c *Client) AddNonVoter(ctx context.Context, v ChangeRequest) (m MemberChange, err error) {
 	return m, c.call(ctx, http.MethodPost, "/v1/replicas/add", v, &m)
 }
 
 // RemoveMember takes a voter out, and tells the same.
-func (c *Client) RemoveMember(ctx context.Context, v Verb) (m MemberChange, err error) {
+func (c *Client) RemoveMember(ctx context.Context, v ChangeRequest) (m MemberChange, err error) {
 	return m, c.call(ctx, http.MethodPost, "/v1/members/remove", v, &m)
 }
 
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -54,14 +54,14 @@
 
 // Timing is how often and how long.
 type Timing struct {
-	Report      strict.Duration `toml:"report" doc:"between two reports to the leader; default 2s"`
-	FetchWithin strict.Duration `toml:"fetch_within" doc:"a start waits so long for the committed revision before it takes the last one known; default 15s"`
-	Heartbeat   strict.Duration `toml:"heartbeat" doc:"a leader that is not heard of for so long is replaced; default 1s"`
-	Settle      strict.Duration `toml:"settle" doc:"a new leader hears reports for so long before it goes on; default 10s"`
-	FirstPause  strict.Duration `toml:"first_pause" doc:"before a start after a crash; it doubles; default 500ms"`
-	MostPause   strict.Duration `toml:"most_pause" doc:"the longest such pause; default 30s"`
-	CalmAfter   strict.Duration `toml:"calm_after" doc:"a gateway that ran for so long begins with the first pause again; default 1m"`
-	KillMargin  strict.Duration `toml:"kill_margin" doc:"a gateway that was asked to end has its longest deadline and so long; default 2s"`
+	Report            strict.Duration `toml:"report" doc:"between two reports to the leader; default 2s"`
+	FetchTimeout      strict.Duration `toml:"fetch_within" doc:"a start waits so long for the committed revision before it takes the last one known; default 15s"`
+	Heartbeat         strict.Duration `toml:"heartbeat" doc:"a leader that is not heard of for so long is replaced; default 1s"`
+	Settle            strict.Duration `toml:"settle" doc:"a new leader hears reports for so long before it goes on; default 10s"`
+	InitialBackoff    strict.Duration `toml:"first_pause" doc:"before a start after a crash; it doubles; default 500ms"`
+	MaxBackoff        strict.Duration `toml:"most_pause" doc:"the longest such pause; default 30s"`
+	BackoffResetAfter strict.Duration `toml:"calm_after" doc:"a gateway that ran for so long begins with the first pause again; default 1m"`
+	KillMargin        strict.Duration `toml:"kill_margin" doc:"a gateway that was asked to end has its longest deadline and so long; default 2s"`
 }
 
 // InstanceEntry is one gateway.
@@ -79,8 +79,8 @@
 
 func defaults() Config {
 	d := func(d time.Duration) strict.Duration { return strict.Duration(d) }
-	return Config{RecordBytes: records.DefaultBytesPerSecond, RESP: site.Defaults().RESP, Timing: Timing{Report: d(2 * time.Second), FetchWithin: d(15 * time.Second), Heartbeat: d(time.Second), Settle: d(10 * time.Second),
-		FirstPause: d(500 * time.Millisecond), MostPause: d(30 * time.Second), CalmAfter: d(time.Minute), KillMargin: d(2 * time.Second)}}
+	return Config{RecordBytes: records.DefaultBytesPerSecond, RESP: site.Defaults().RESP, Timing: Timing{Report: d(2 * time.Second), FetchTimeout: d(15 * time.Second), Heartbeat: d(time.Second), Settle: d(10 * time.Second),
+		InitialBackoff: d(500 * time.Millisecond), MaxBackoff: d(30 * time.Second), BackoffResetAfter: d(time.Minute), KillMargin: d(2 * time.Second)}}
 }
 
 // ReadConfig reads an agent's file. Relative paths in it are from its folder.
@@ -126,8 +126,8 @@
 	return c, nil
 }
 
-// hostOf returns the host of an address with a port.
-func hostOf(address string) (string, error) {
+// splitHost returns the host of an address with a port.
+func splitHost(address string) (string, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || port == "" {
 		return "", fmt.Errorf("%q is not an address with a port", address)
@@ -144,7 +144,7 @@
 		return "dir", errors.New("is missing")
 	}
 	if c.Listen != "" {
-		host, err := hostOf(c.Listen)
+		host, err := splitHost(c.Listen)
 		if err != nil {
 			return "listen", err
 		}
@@ -159,7 +159,7 @@
 		}
 	}
 	if c.Advertise != "" {
-		if _, err := hostOf(c.Advertise); err != nil {
+		if _, err := splitHost(c.Advertise); err != nil {
 			return "advertise", err
 		}
 	}
@@ -170,7 +170,7 @@
 		return "records_bytes", fmt.Errorf("%d is below %d", c.RecordBytes, minRecordBytes)
 	}
 	for i, address := range c.Voters {
-		if _, err := hostOf(address); err != nil {
+		if _, err := splitHost(address); err != nil {
 			return "voters", fmt.Errorf("number %d, %q, is not an address with a port", i+1, address)
 		}
 	}
@@ -186,7 +186,7 @@
 		if err := fleet.CheckName("instance", e.Name); err != nil {
 			return at + ".name", err
 		}
-		if _, err := hostOf(e.Listen); err != nil {
+		if _, err := splitHost(e.Listen); err != nil {
 			return at + ".listen", err
 		}
 		if err := members.CheckName(e.Name); c.Roster && err != nil {
@@ -212,7 +212,7 @@
 	if err := p.Validate(); err != nil {
 		return "timing", err
 	}
-	if t := c.Timing; t.Report <= 0 || t.FetchWithin <= 0 || time.Duration(t.Heartbeat) < 50*time.Millisecond || t.Settle <= 0 {
+	if t := c.Timing; t.Report <= 0 || t.FetchTimeout <= 0 || time.Duration(t.Heartbeat) < 50*time.Millisecond || t.Settle <= 0 {
 		return "timing", errors.New("report, fetch_within and settle must be above 0, heartbeat at least 50ms")
 	}
 	return "", nil
@@ -220,8 +220,8 @@
 
 func (c *Config) supervision() supervise.Policy {
 	t := &c.Timing
-	return supervise.Policy{FirstPause: time.Duration(t.FirstPause), MostPause: time.Duration(t.MostPause),
-		CalmAfter: time.Duration(t.CalmAfter), KillAfter: time.Duration(t.KillMargin)}
+	return supervise.Policy{InitialBackoff: time.Duration(t.InitialBackoff), MaxBackoff: time.Duration(t.MaxBackoff),
+		BackoffResetUptime: time.Duration(t.BackoffResetAfter), KillDelay: time.Duration(t.KillMargin)}
 }
 
 func (c *Config) files() pki.Files { return pki.Files{CA: c.TLS.CA, Cert: c.TLS.Cert, Key: c.TLS.Key} }
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestAFileIsReadStrictly(t *testing.T) {
+func TestConfigStrict(t *testing.T) {
 	good := "name = 'a1'\ndir = 'd'\nvoter = true\nlisten = '127.0.0.1:7946'\nplain = true\n[[instance]]\nname = 'g1'\nlisten = ':8081'\n[[instance]]\nname = 'g0'\nlisten = ':8080'\n"
 	c, err := parseConfig("/etc/agent.toml", []byte(good))
 	if err != nil || c.Dir != "/etc/d" || c.Socket != "/etc/d/agent.sock" || c.Advertise != c.Listen || c.Instances[0].Name != "g0" {
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -128,14 +128,14 @@
 func checkAnswerOf[T any](t *testing.T, name string, answer T) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
-	answerWith(recorder, http.StatusOK, answer)
+	writeJSON(recorder, http.StatusOK, answer)
 	checkGolden(t, name, recorder.Body.Bytes())
 	if got := recorder.Header().Get("Content-Type"); got != "application/json" || recorder.Code != http.StatusOK {
 		t.Errorf("%s: %d, %q", name, recorder.Code, got)
 	}
 	var decoded T
 	response := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(readGolden(t, name)))}
-	if err := readAnswer(response, &decoded); err != nil {
+	if err := readResponse(response, &decoded); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(decoded, answer) {
@@ -165,27 +165,27 @@
 
 func goldenRevision() revisions.Revision {
 	r := revisions.Revision{Number: 4, Parent: 3, Author: "ann", Message: "raise <limits>", At: goldenTime,
-		Content: revisions.Content{File: "[gateway]\n", Overlays: map[string]string{"g0": "[site]\n"}, Turn: 2}}
+		Content: revisions.Content{File: "[gateway]\n", Overlays: map[string]string{"g0": "[site]\n"}, RestartGeneration: 2}}
 	r.Checksum = r.Content.Sum()
 	return r
 }
 
 func TestGoldenAnswers(t *testing.T) {
 	checkAnswer(t, "status.json", Status{Agent: "a1", Leader: "a2", Stale: "no leader is known", At: goldenTime, Head: 5, Wanted: 4,
-		Rollout: fleet.Rollout{New: 5, Before: 4, State: rollout.Advancing, Why: "wave 2", By: "ann", At: goldenTime}, Wave: 2, Waves: 3,
-		Instances: []InstanceStatus{{Name: "g0", Agent: "a1", Running: 4, Told: 5, State: supervise.Ready, Ready: true, Phase: rollout.Soaking,
-			Why: "it ended", Crashes: 2, PID: 4711, Drained: true, Silent: true, Heard: goldenTime, Believes: "3 of 4 there", DoubtedBy: []string{"g7"}}},
+		Rollout: fleet.Rollout{New: 5, Previous: 4, State: rollout.Advancing, Reason: "wave 2", By: "ann", At: goldenTime}, Wave: 2, Waves: 3,
+		Instances: []InstanceStatus{{Name: "g0", Agent: "a1", Running: 4, Assigned: 5, State: supervise.Ready, Ready: true, Phase: rollout.PhaseSoaking,
+			Why: "it ended", Crashes: 2, PID: 4711, Drained: true, Silent: true, ReportedAt: goldenTime, MembershipView: "3 of 4 there", UnreachableFrom: []string{"g7"}}},
 		Store: "the disk is full"})
 	checkAnswerOf(t, "status-minimal.json", Status{Agent: "a1", Instances: []InstanceStatus{{Name: "g0"}}})
-	checkAnswer(t, "applied.json", Applied{Answer: revisions.Conflict, Revision: goldenRevision(), Why: "the rollout of revision 4 is advancing"})
-	checkAnswer(t, "probes.json", []Probe{{Agent: "a1", Instance: "g0", Step: supervise.Restart, Error: "no such key", Silent: true}})
+	checkAnswer(t, "applied.json", ApplyResult{Answer: revisions.Conflict, Revision: goldenRevision(), Why: "the rollout of revision 4 is advancing"})
+	checkAnswer(t, "probes.json", []Probe{{Agent: "a1", Instance: "g0", Step: supervise.StepRestart, Error: "no such key", Silent: true}})
 	checkAnswerOf(t, "probes-minimal.json", []Probe{{Agent: "a1"}})
 	checkAnswer(t, "revisions.json", Revisions{Stale: "no leader is known", Wanted: 4, Revisions: []revisions.Revision{goldenRevision()}})
 	checkAnswer(t, "revision.json", goldenRevision())
 	checkAnswer(t, "members.json", Members{Stale: "no leader is known", Voters: []replica.Member{{Name: "a1", Address: "10.0.0.1:7946", Leader: true, NonVoter: true}},
 		Agents: []fleet.Agent{{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}}}})
 	checkAnswerOf(t, "members-minimal.json", Members{Voters: []replica.Member{{}}, Agents: []fleet.Agent{}})
-	checkAnswer(t, "member-change.json", MemberChange{Lacking: []string{"a3"}})
+	checkAnswer(t, "member-change.json", MemberChange{Behind: []string{"a3"}})
 	checkAnswerOf(t, "member-change-minimal.json", MemberChange{})
 	checkAnswer(t, "audit.json", Audit{Stale: "no leader is known", Changes: []fleet.Event{{At: goldenTime, Who: "ann", What: "drained g0"}},
 		Refused: []fleet.Event{{At: goldenTime, Who: "vic", What: "POST /v1/apply, which the role \"viewer\" may not"}}})
@@ -196,21 +196,21 @@
 
 func TestGoldenRequests(t *testing.T) {
 	content := goldenRevision().Content
-	checkRequest(t, "apply.json", Call{Request: "r1", Parent: 4, Restore: 3, Content: &content, Message: "why"})
-	checkRequest(t, "verb.json", Verb{Name: "g0", Address: "10.0.0.1:7946"})
+	checkRequest(t, "apply.json", ApplyRequest{Request: "r1", Parent: 4, Restore: 3, Content: &content, Message: "why"})
+	checkRequest(t, "verb.json", ChangeRequest{Name: "g0", Address: "10.0.0.1:7946"})
 	checkRequest(t, "probe-content.json", content)
 
 	// Calls of older tools lack the optional keys; an unknown key refuses the call.
 	for text, want := range map[string]any{
-		`{"request":"r1","parent":0}`: Call{Request: "r1"},
-		`{}`:                          Verb{},
+		`{"request":"r1","parent":0}`: ApplyRequest{Request: "r1"},
+		`{}`:                          ChangeRequest{},
 	} {
 		got := reflect.New(reflect.TypeOf(want))
 		if err := (&call{body: []byte(text)}).read(got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%s: %v, %v", text, got, err)
 		}
 	}
-	err := (&call{body: []byte(`{"name":"g0","mood":1}`)}).read(&Verb{})
+	err := (&call{body: []byte(`{"name":"g0","mood":1}`)}).read(&ChangeRequest{})
 	var f *Failure
 	if !errors.As(err, &f) || f.Code != "bad request" || f.Text != `json: unknown field "mood"` {
 		t.Errorf("an unknown key: %v", err)
@@ -222,13 +222,13 @@
 func TestAnswersOfOtherReleases(t *testing.T) {
 	for text, want := range map[string]any{
 		`{"agent":"a1","leader":"a1","at":"2026-03-04T05:06:07.0000008Z","head":1,"wanted":1,"rollout":{"new":1,"before":0,"state":"applied","why":"","by":"ann","at":"2026-03-04T05:06:07.0000008Z"},"wave":1,"waves":1,"instances":[{"name":"g0","agent":"a1","running":1,"told":1,"state":"ready","ready":true,"crashes":0,"heard":"2026-03-04T05:06:07.0000008Z"}]}`: Status{Agent: "a1", Leader: "a1", At: goldenTime, Head: 1, Wanted: 1, Wave: 1, Waves: 1, Rollout: fleet.Rollout{New: 1, State: rollout.Applied, By: "ann", At: goldenTime},
-			Instances: []InstanceStatus{{Name: "g0", Agent: "a1", Running: 1, Told: 1, State: supervise.Ready, Ready: true, Heard: goldenTime}}},
+			Instances: []InstanceStatus{{Name: "g0", Agent: "a1", Running: 1, Assigned: 1, State: supervise.Ready, Ready: true, ReportedAt: goldenTime}}},
 		`{"voters":[{"name":"a1","address":"","leader":true}],"agents":[],"mood":{"x":1}}`: Members{Voters: []replica.Member{{Name: "a1", Leader: true}}, Agents: []fleet.Agent{}},
 		`{}`: MemberChange{},
 	} {
 		got := reflect.New(reflect.TypeOf(want))
 		response := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}
-		if err := readAnswer(response, got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
+		if err := readResponse(response, got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%s: %+v, %v", text, got, err)
 		}
 	}
@@ -242,16 +242,16 @@
 		name string
 		err  error
 	}{
-		{"bad request", &Failure{Code: codeBad, Text: "it is bad"}},
+		{"bad request", &Failure{Code: codeBadRequest, Text: "it is bad"}},
 		{"refused", &Failure{Code: codeRefused, Text: "it is refused"}},
 		{"forbidden", &Failure{Code: codeForbidden, Text: "it is forbidden"}},
-		{"not found", &Failure{Code: codeUnknown, Text: "it is not there"}},
+		{"not found", &Failure{Code: codeNotFound, Text: "it is not there"}},
 		{"unreachable", &Failure{Code: codeUnreachable, Text: "it can't be reached"}},
-		{"in doubt", &Failure{Code: codeDoubt, Text: "it is in doubt"}},
+		{"in doubt", &Failure{Code: codeOutcomeUnknown, Text: "it is in doubt"}},
 		{"wrapped failure", fmt.Errorf("first: %w", &Failure{Code: codeRefused, Text: "it is refused"})},
 		{"failure of a later release", &Failure{Code: "moody", Text: "it is moody"}},
-		{"refused by the site's state", &refusal{"it fits no more"}},
-		{"refused by the machine", fmt.Errorf("first: %w", &refusal{"it fits no more"})},
+		{"refused by the site's state", &refusedError{"it fits no more"}},
+		{"refused by the machine", fmt.Errorf("first: %w", &refusedError{"it fits no more"})},
 		{"store does not know", fmt.Errorf("first: %w", replica.ErrUnknown)},
 		{"time limit", context.DeadlineExceeded},
 		{"does not lead", errNotLeading},
@@ -260,13 +260,13 @@
 	} {
 		f, status := asFailure(one.err)
 		recorder := httptest.NewRecorder()
-		answerWith(recorder, status, f)
+		writeJSON(recorder, status, f)
 		fmt.Fprintf(&lines, "%s: %d %s", one.name, status, recorder.Body)
 		var read *Failure
-		if err := readAnswer(recorder.Result(), &struct{}{}); !errors.As(err, &read) || *read != *f {
+		if err := readResponse(recorder.Result(), &struct{}{}); !errors.As(err, &read) || *read != *f {
 			t.Errorf("%s is read as %v", one.name, err)
 		}
-		fmt.Fprintf(&lines, "    refused %v, bad %v, forbidden %v, in doubt %v\n", read.Refused(), read.Bad(), read.Forbidden(), read.InDoubt())
+		fmt.Fprintf(&lines, "    refused %v, bad %v, forbidden %v, in doubt %v\n", read.Refused(), read.BadRequest(), read.Forbidden(), read.OutcomeUnknown())
 	}
 	for _, one := range []struct {
 		status int
@@ -276,7 +276,7 @@
 		recorder.WriteHeader(one.status)
 		recorder.WriteString(one.body)
 		var read *Failure
-		if err := readAnswer(recorder.Result(), &struct{}{}); !errors.As(err, &read) {
+		if err := readResponse(recorder.Result(), &struct{}{}); !errors.As(err, &read) {
 			t.Fatal(err)
 		}
 		text, _, _ := strings.Cut(read.Text, ":") // what follows is the decoder's
@@ -296,9 +296,9 @@
 	}
 	t.Cleanup(log.close)
 	a := &Agent{config: Config{Name: "a1", Dir: dir, Plain: true, Records: withRecords}, self: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{}},
-		log: slog.New(slog.DiscardHandler), refusals: log, checks: make(chan struct{}, checksAtOnce), kept: map[uint64]revisions.Revision{}}
+		log: slog.New(slog.DiscardHandler), refusals: log, checkSlots: make(chan struct{}, maxConcurrentChecks), cachedRevisions: map[uint64]revisions.Revision{}}
 	if withRecords {
-		a.pulls = a.newPulls()
+		a.recordsHandler = a.newRecordsHandler()
 	}
 	return a
 }
@@ -410,7 +410,7 @@
 	}
 	defer c.Close()
 	ctx, content := t.Context(), goldenRevision().Content
-	verb := Verb{Name: "a3", Address: "10.0.0.3:7946"}
+	verb := ChangeRequest{Name: "a3", Address: "10.0.0.3:7946"}
 	check := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -423,14 +423,14 @@
 	call(c.Revision(ctx, 4))
 	call(c.Members(ctx))
 	call(c.Audit(ctx))
-	call(c.Apply(ctx, Call{Request: "r1", Parent: 4, Content: &content, Message: "why"}))
+	call(c.Apply(ctx, ApplyRequest{Request: "r1", Parent: 4, Content: &content, Message: "why"}))
 	call(c.Probe(ctx, content))
 	for _, name := range []string{"pause", "resume", "abort", "drain", "undrain", "agents/remove"} {
-		check(c.Do(ctx, name, Verb{Name: "g0"}))
+		check(c.Do(ctx, name, ChangeRequest{Name: "g0"}))
 	}
 	call(c.AddMember(ctx, verb))
 	call(c.AddNonVoter(ctx, verb))
-	call(c.RemoveMember(ctx, Verb{Name: "a3"}))
+	call(c.RemoveMember(ctx, ChangeRequest{Name: "a3"}))
 	call(c.Snapshot(ctx))
 	check(c.Restore(ctx, []byte(`{"form":1}`)))
 	call(c.ChangeRecords(ctx, agentapi.RecordsChange{Request: "r1", Message: "why"}))
@@ -452,7 +452,7 @@
 	defer server.Close()
 	address := server.Listener.Addr().String()
 	a := goldenAgent(t, false)
-	a.config.Voters, a.peers = []string{address}, http.DefaultClient
+	a.config.Voters, a.peerClient = []string{address}, http.DefaultClient
 	send := func(c caller, method, path string, hop string) {
 		t.Helper()
 		header := http.Header{}
@@ -468,7 +468,7 @@
 	if _, err := a.reportOnce(t.Context()); err != nil {
 		t.Error(err)
 	}
-	a.leader = address // one that is known to lead may not forward the call
+	a.leaderAddress = address // one that is known to lead may not forward the call
 	send(caller{"ann", pki.Operator}, http.MethodPost, "/v1/pause", "")
 	if _, err := a.reportOnce(t.Context()); err != nil {
 		t.Error(err)
@@ -479,8 +479,8 @@
 // TestGoldenProcessState pins the file by which a new agent finds the gateways of the
 // one before it.
 func TestGoldenProcessState(t *testing.T) {
-	spec := supervise.Spec{Revision: 4, Content: "c4", Files: "f4", Fixed: "x4", Longest: 3 * time.Second}
-	for name, state := range map[string]kept{
+	spec := supervise.Spec{Revision: 4, Content: "c4", Files: "f4", Fixed: "x4", MaxRequestDuration: 3 * time.Second}
+	for name, state := range map[string]savedState{
 		"state.json":      {PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2},
 		"state-down.json": {},
 	} {
@@ -496,18 +496,18 @@
 		if err := os.WriteFile(filepath.Join(p.dir, "state.json"), readGolden(t, name), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := p.load(); err != nil || !reflect.DeepEqual(got, state) {
+		if got, err := p.loadState(); err != nil || !reflect.DeepEqual(got, state) {
 			t.Errorf("%s decodes to %+v, %v, want %+v", name, got, err, state)
 		}
 	}
 	// A state of before revisions had checksums.
 	p := process{dir: t.TempDir()}
-	old := `{"pid":4711,"started":"12345 0d9c","spec":{"revision":4,"files":"f4","fixed":"x4","longest_ns":3000000000},"crashes":2}`
-	if err := os.WriteFile(filepath.Join(p.dir, "state.json"), []byte(old), 0o600); err != nil {
+	oldState := `{"pid":4711,"started":"12345 0d9c","spec":{"revision":4,"files":"f4","fixed":"x4","longest_ns":3000000000},"crashes":2}`
+	if err := os.WriteFile(filepath.Join(p.dir, "state.json"), []byte(oldState), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	spec.Content = ""
-	if got, err := p.load(); err != nil || !reflect.DeepEqual(got, kept{PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2}) {
+	if got, err := p.loadState(); err != nil || !reflect.DeepEqual(got, savedState{PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2}) {
 		t.Errorf("an old state decodes to %+v, %v", got, err)
 	}
 }
@@ -520,12 +520,12 @@
 		if r.RequestURI != "/v1/revisions/4" {
 			t.Errorf("%s is asked for", r.RequestURI)
 		}
-		answerWith(w, http.StatusOK, revision)
+		writeJSON(w, http.StatusOK, revision)
 	}))
 	defer server.Close()
 	a := goldenAgent(t, false)
-	a.config.Voters, a.peers = []string{server.Listener.Addr().String()}, http.DefaultClient
-	if got, err := a.fetch(t.Context(), agentapi.Order{Revision: 4, Checksum: revision.Checksum}); err != nil || !reflect.DeepEqual(got, revision) {
+	a.config.Voters, a.peerClient = []string{server.Listener.Addr().String()}, http.DefaultClient
+	if got, err := a.fetchRevision(t.Context(), agentapi.Order{Revision: 4, Checksum: revision.Checksum}); err != nil || !reflect.DeepEqual(got, revision) {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	path := filepath.Join(a.config.Dir, "revision.json")
@@ -541,9 +541,9 @@
 	if err := os.WriteFile(filepath.Join(next.config.Dir, "revision.json"), readGolden(t, "cached-revisions.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	next.loadKept()
-	if want := map[uint64]revisions.Revision{4: revision}; !reflect.DeepEqual(next.kept, want) {
-		t.Errorf("%+v is read, want %+v", next.kept, want)
+	next.loadCachedRevisions()
+	if want := map[uint64]revisions.Revision{4: revision}; !reflect.DeepEqual(next.cachedRevisions, want) {
+		t.Errorf("%+v is read, want %+v", next.cachedRevisions, want)
 	}
 }
 
@@ -579,13 +579,13 @@
 	a := goldenAgent(t, false)
 	r := &members.Roster{Epoch: 10, Members: []members.Member{{Name: "g0", Since: 2}}}
 	checkAllSet(t, *r)
-	a.keepRoster(r)
+	a.cacheRoster(r)
 	text, err := os.ReadFile(filepath.Join(a.config.Dir, "roster.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkGolden(t, "roster.toml", text)
-	if epoch := a.keptRoster(); epoch != 10 {
+	if epoch := a.cachedRosterEpoch(); epoch != 10 {
 		t.Errorf("epoch %d is read", epoch)
 	}
 }
@@ -611,7 +611,7 @@
 	config := Config{Name: "a1", Dir: "/d", Listen: "127.0.0.1:7946", Advertise: "127.0.0.1:7947", Socket: "/d/s", Plain: true, Voter: true,
 		Voters: []string{"10.0.0.2:7946"}, Roster: true, Records: true, RecordBytes: 7000, Gateway: "/bin/elderyard", ServiceFrom: "http://10.0.0.9/level",
 		TLS:    TLS{CA: "/ca.pem", Cert: "/a1.pem", Key: "/a1-key.pem"},
-		Timing: Timing{Report: d(1001), FetchWithin: d(1002), Heartbeat: d(1003), Settle: d(1004), FirstPause: d(1005), MostPause: d(1006), CalmAfter: d(1007), KillMargin: d(1008)},
+		Timing: Timing{Report: d(1001), FetchTimeout: d(1002), Heartbeat: d(1003), Settle: d(1004), InitialBackoff: d(1005), MaxBackoff: d(1006), BackoffResetAfter: d(1007), KillMargin: d(1008)},
 		RESP: site.RESP{Listen: "127.0.0.1:6379", Most: 8, Idle: d(60000), Cert: "/r.pem", Key: "/r-key.pem", CA: "/r-ca.pem", Plan: "gold",
 			Account: []site.RESPAccount{{ID: "0000000000000001", Plan: "gold"}},
 			User:    []site.RESPUser{{Name: "ann", Password: strings.Repeat("0", 64), Accounts: []string{"*"}, Commands: []string{"*"}}}},
@@ -626,7 +626,7 @@
 	if err != nil || !reflect.DeepEqual(got, config) {
 		t.Errorf("%+v, %v, want %+v", got, err, config)
 	}
-	if at := got.Instances[0].desk(); at != "127.0.0.1:9080" {
+	if at := got.Instances[0].adminAddress(); at != "127.0.0.1:9080" {
 		t.Errorf("the instance's operators call %q", at)
 	}
 }
@@ -638,7 +638,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	outgoing, err := streams{port: &port{}}.Dial(raft.ServerAddress(listener.Addr().String()), time.Second)
+	outgoing, err := raftStreams{port: &port{}}.Dial(raft.ServerAddress(listener.Addr().String()), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -657,22 +657,22 @@
 // A gateway is asked for its readiness by one path, and only 200 says that it is ready.
 func TestGoldenHealthCheck(t *testing.T) {
 	status := http.StatusOK
-	var asked []string
+	var requests []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked = append(asked, r.Method+" "+r.RequestURI)
+		requests = append(requests, r.Method+" "+r.RequestURI)
 		w.WriteHeader(status)
 	}))
 	defer server.Close()
 	p := process{entry: InstanceEntry{Listen: server.Listener.Addr().String()}, client: http.DefaultClient}
-	if !p.look(t.Context()) {
+	if !p.checkReady(t.Context()) {
 		t.Error("200 is not ready")
 	}
 	for _, status = range []int{http.StatusNoContent, http.StatusServiceUnavailable} {
-		if p.look(t.Context()) {
+		if p.checkReady(t.Context()) {
 			t.Errorf("%d is ready", status)
 		}
 	}
-	if want := "GET /health/ready"; len(asked) != 3 || asked[0] != want || asked[1] != want || asked[2] != want {
-		t.Errorf("%q", asked)
+	if want := "GET /health/ready"; len(requests) != 3 || requests[0] != want || requests[1] != want || requests[2] != want {
+		t.Errorf("%q", requests)
 	}
 }
--- a/internal/agent/kept.go
+++ b/internal/agent/kept.go
@@ -16,59 +16,59 @@
 	"elderyard/supervise"
 )
 
-// fetch gets a revision, and keeps it on disk for a day without a leader.
-func (a *Agent) fetch(ctx context.Context, o agentapi.Order) (r revisions.Revision, err error) {
-	number := o.Revision
+// fetchRevision gets a revision, and keeps it on disk for a day without a leader.
+func (a *Agent) fetchRevision(ctx context.Context, order agentapi.Order) (revision revisions.Revision, err error) {
+	number := order.Revision
 	a.mu.Lock()
-	r, found := a.kept[number]
+	revision, found := a.cachedRevisions[number]
 	a.mu.Unlock()
-	if found && r.Checksum == o.Checksum {
-		return r, nil
+	if found && revision.Checksum == order.Checksum {
+		return revision, nil
 	}
 	found = false
 	if a.store != nil {
-		a.store.View(func(s *fleet.State) { r, found = s.Revision(number) })
+		a.store.View(func(s *fleet.State) { revision, found = s.Revision(number) })
 	}
 	if !found {
-		ctx, cancel := context.WithTimeout(ctx, reportLimit)
+		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
-		if err := a.callLeader(ctx, http.MethodGet, fmt.Sprintf("/v1/revisions/%d", number), nil, &r); err != nil {
-			return r, err
+		if err := a.callLeader(ctx, http.MethodGet, fmt.Sprintf("/v1/revisions/%d", number), nil, &revision); err != nil {
+			return revision, err
 		}
 	}
-	if r.Number != number || r.Checksum != r.Content.Sum() || r.Checksum != o.Checksum {
-		return r, fmt.Errorf("revision %d came damaged", number)
+	if revision.Number != number || revision.Checksum != revision.Content.Sum() || revision.Checksum != order.Checksum {
+		return revision, fmt.Errorf("revision %d came damaged", number)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.kept[number] = r
-	for len(a.kept) > mostKept {
-		least := number
-		for n := range a.kept {
-			if n < least && !a.used(n) {
-				least = n
+	a.cachedRevisions[number] = revision
+	for len(a.cachedRevisions) > maxCachedRevisions {
+		oldest := number
+		for n := range a.cachedRevisions {
+			if n < oldest && !a.revisionInUse(n) {
+				oldest = n
 			}
 		}
-		if least == number {
+		if oldest == number {
 			break
 		}
-		delete(a.kept, least)
+		delete(a.cachedRevisions, oldest)
 	}
-	text, err := json.Marshal(a.kept)
+	text, err := json.Marshal(a.cachedRevisions)
 	if err == nil {
-		err = files.Replace(filepath.Join(a.config.Dir, lastFile), text, 0o600)
+		err = files.Replace(filepath.Join(a.config.Dir, revisionsFile), text, 0o600)
 	}
 	if err != nil {
 		a.log.Error("revisions can't be kept for a start without a leader", "error", err)
 	}
-	return r, nil
+	return revision, nil
 }
 
-// used tells whether an instance here runs a revision.
-func (a *Agent) used(number uint64) bool {
+// revisionInUse tells whether an instance here runs a revision.
+func (a *Agent) revisionInUse(number uint64) bool {
 	for _, p := range a.processes {
-		s := p.peek().status
-		for _, spec := range []*supervise.Spec{s.Running, s.Wanted} {
+		s := p.state().status
+		for _, spec := range []*supervise.Spec{s.Running, s.Desired} {
 			if spec != nil && spec.Revision == number {
 				return true
 			}
@@ -77,25 +77,25 @@
 	return false
 }
 
-func (a *Agent) loadKept() {
-	path := filepath.Join(a.config.Dir, lastFile)
+func (a *Agent) loadCachedRevisions() {
+	path := filepath.Join(a.config.Dir, revisionsFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
 	if err == nil {
-		err = json.Unmarshal(text, &a.kept)
+		err = json.Unmarshal(text, &a.cachedRevisions)
 	}
-	for n, r := range a.kept {
+	for n, r := range a.cachedRevisions {
 		if r.Number != n || r.Checksum != r.Content.Sum() {
-			delete(a.kept, n)
+			delete(a.cachedRevisions, n)
 			err = fmt.Errorf("revision %d does not fit its checksum", n)
 		}
 	}
 	if err != nil {
 		a.log.Warn("kept revisions can't all be read; they are fetched again", "file", path, "error", err)
 	}
-	if a.kept == nil {
-		a.kept = map[uint64]revisions.Revision{}
+	if a.cachedRevisions == nil {
+		a.cachedRevisions = map[uint64]revisions.Revision{}
 	}
 }
--- a/internal/agent/lead.go
+++ b/internal/agent/lead.go
@@ -19,71 +19,71 @@
 )
 
 const (
-	leadTick  = 250 * time.Millisecond
-	leadRetry = 100 * time.Millisecond
-	// idleSilence is after how long an agent is silent while no rollout says so.
-	idleSilence = 10 * time.Second
-	mostSums    = 32
+	tickInterval            = 250 * time.Millisecond
+	leadershipRetryInterval = 100 * time.Millisecond
+	// silentAfter is after how long an agent is silent while no rollout says so.
+	silentAfter        = 10 * time.Second
+	maxCachedChecksums = 32
 )
 
 // errNotLeading says that another agent must be asked.
 var errNotLeading = errors.New("this agent does not lead")
 
-// lead drives the rollout while this voter leads. Its goroutine owns the
+// leader drives the rollout while this voter leads. Its goroutine owns the
 // machine; calls come to it as functions, one at a time.
-type lead struct {
-	name    string
-	address string
-	store   *replica.Store
-	settle  time.Duration
-	roster  bool // who belongs is to be agreed on
-	log     *slog.Logger
-	calls   chan leadCall
+type leader struct {
+	name          string
+	address       string
+	store         *replica.Store
+	settleTime    time.Duration
+	rosterEnabled bool // who belongs is to be agreed on
+	log           *slog.Logger
+	calls         chan termCall
 }
 
-type leadCall struct {
+type termCall struct {
 	do   func(*term) error
 	done chan error
 }
 
 // term is one time of leading.
 type term struct {
-	*lead
-	began   time.Time
-	machine *rollout.Machine // nil: nothing has been applied, or agents are still being heard
-	rollout uint64           // the machine's
-	heard   map[string]*heardOf
-	level   float64 // of the service, as last read; 0: not known
+	*leader
+	startedAt       time.Time
+	machine         *rollout.Machine // nil: nothing has been applied, or agents are still being heard
+	machineRevision uint64           // the machine's
+	lastReports     map[string]*instanceReport
+	serviceLevel    float64 // of the service, as last read; 0: not known
 
 	// What the state says, as it was when seen was its next change.
-	seen     <-chan struct{}
-	followed <-chan struct{}   // the same, of what the machine has been told
-	sums     map[uint64]string // checksums of the revisions that are ordered
-	present  fleet.Rollout
+	stateChanged   <-chan struct{}
+	machineChanged <-chan struct{}   // the same, of what the machine has been told
+	checksums      map[uint64]string // checksums of the revisions that are ordered
+	currentRollout fleet.Rollout
 
 	// Who is to belong, and since when that has been the same.
-	belonging   []string
-	belongingAt time.Time
-	misfit      string // why they can't be agreed on, as last said
+	rosterCandidates []string
+	candidatesSince  time.Time
+	rosterError      string // why they can't be agreed on, as last said
 
-	records map[string]heardRecords // by agent
-	agents  map[string]fleet.Agent
-	drained map[string]bool // every instance of the site, and whether it is
+	recordsReports map[string]recordsReport // by agent
+	agents         map[string]fleet.Agent
+	drained        map[string]bool // every instance of the site, and whether it is
 }
 
-// heardOf is what the leader knows of an instance.
-type heardOf struct {
+// instanceReport is what the leader knows of an instance.
+type instanceReport struct {
 	agentapi.Observed
-	at time.Time
+	receivedAt time.Time
 }
 
-func newLead(name, address string, s *replica.Store, settle time.Duration, roster bool, log *slog.Logger) *lead {
-	return &lead{name: name, address: address, store: s, settle: settle, roster: roster, log: log, calls: make(chan leadCall)}
+func newLeader(name, address string, s *replica.Store, settle time.Duration, roster bool, log *slog.Logger) *leader {
+	return &leader{name: name, address: address, store: s, settleTime: settle, rosterEnabled: roster, log: log, calls: make(chan termCall)}
 }
 
-// ask has the term do something, and fails where this voter does not lead.
-func (l *lead) ask(ctx context.Context, do func(*term) error) error {
-	c := leadCall{do, make(chan error, 1)}
+// do has the term do something, and fails where this voter does not lead.
+func (l *leader) do(ctx context.Context, do func(*term) error) error {
+	c := termCall{do, make(chan error, 1)}
 	select {
 	case l.calls <- c:
 	case <-ctx.Done():
@@ -95,40 +95,40 @@
 }
 
 // run leads whenever the voters want it to, until ctx ends.
-func (l *lead) run(ctx context.Context) {
+func (l *leader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if l.store.Leading() && l.store.Confirm() == nil {
+		if l.store.IsLeader() && l.store.VerifyLeader() == nil {
 			l.log.Info("this agent leads")
-			err := l.serve(ctx)
+			err := l.serveTerm(ctx)
 			l.log.Info("this agent leads no more", "why", err)
-			wait.For(ctx, leadRetry)
+			wait.For(ctx, leadershipRetryInterval)
 			continue
 		}
-		pause := time.NewTimer(leadRetry)
+		pause := time.NewTimer(leadershipRetryInterval)
 		select {
 		case <-ctx.Done():
 		case c := <-l.calls:
 			c.done <- errNotLeading
-		case <-l.store.Leads():
+		case <-l.store.LeadershipChanged():
 		case <-pause.C:
 		}
 		pause.Stop()
 	}
 }
 
-func (l *lead) serve(ctx context.Context) error {
-	t := &term{lead: l, began: time.Now(), heard: map[string]*heardOf{}, sums: map[uint64]string{}}
-	if err := l.settleAddress(); err != nil {
+func (l *leader) serveTerm(ctx context.Context) error {
+	t := &term{leader: l, startedAt: time.Now(), lastReports: map[string]*instanceReport{}, checksums: map[uint64]string{}}
+	if err := l.publishAddress(); err != nil {
 		return err
 	}
-	tick := time.NewTicker(leadTick)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		if !l.store.Leading() {
+		if !l.store.IsLeader() {
 			return errNotLeading
 		}
 		changed := l.store.Changed()
-		if err := t.follow(ctx); err != nil {
+		if err := t.followState(ctx); err != nil {
 			return err
 		}
 		select {
@@ -142,52 +142,52 @@
 				return err
 			}
 		case <-tick.C:
-			if err := t.event(ctx, rollout.Tick{}, ""); err != nil {
+			if err := t.step(ctx, rollout.Tick{}, ""); err != nil {
 				return err
 			}
-			if err := t.belong(ctx); err != nil {
+			if err := t.updateRoster(ctx); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// settleAddress has the voters know this one by the address that its file names
+// publishAddress has the voters know this one by the address that its file names
 // now: a site that began on one machine had none.
-func (l *lead) settleAddress() error {
+func (l *leader) publishAddress() error {
 	members, err := l.store.Members()
 	if err != nil {
 		return err
 	}
 	for _, m := range members {
 		if m.Name == l.name && m.Address != l.address && l.address != "" {
-			_, err := l.store.Add(l.name, l.address)
+			_, err := l.store.AddVoter(l.name, l.address)
 			return err
 		}
 	}
 	return nil
 }
 
-// follow begins the rollout that the voters have come to, if the machine is not
+// followState begins the rollout that the voters have come to, if the machine is not
 // at it, and takes out what no longer belongs to the site.
-func (t *term) follow(ctx context.Context) error {
-	t.look()
-	if t.followed == t.seen && (t.machine != nil || t.present.New == 0) {
+func (t *term) followState(ctx context.Context) error {
+	t.refresh()
+	if t.machineChanged == t.stateChanged && (t.machine != nil || t.currentRollout.New == 0) {
 		return nil
 	}
-	t.followed = t.seen
-	now, drained := t.present, t.drained
-	for name := range t.heard {
-		if _, belongs := drained[name]; !belongs {
-			delete(t.heard, name)
+	t.machineChanged = t.stateChanged
+	now, drained := t.currentRollout, t.drained
+	for name := range t.lastReports {
+		if _, inSite := drained[name]; !inSite {
+			delete(t.lastReports, name)
 		}
 	}
-	t.forgetRecords()
-	if t.machine != nil && t.rollout == now.New {
+	t.dropRecords()
+	if t.machine != nil && t.machineRevision == now.New {
 		for _, i := range t.machine.Status().Instances {
 			// One that was taken out of service on purpose says nothing of a revision.
-			if out, belongs := drained[i.Name]; !belongs || out {
-				if err := t.event(ctx, rollout.Removed{Instance: i.Name}, ""); err != nil {
+			if out, inSite := drained[i.Name]; !inSite || out {
+				if err := t.step(ctx, rollout.InstanceRemoved{Instance: i.Name}, ""); err != nil {
 					return err
 				}
 			}
@@ -197,14 +197,14 @@
 	if now.New == 0 || !t.settled() {
 		return nil
 	}
-	instances := map[string]rollout.Known{}
+	instances := map[string]rollout.InitialInstance{}
 	for name, out := range drained {
 		if out {
 			continue
 		}
-		k := rollout.Known{Away: true}
-		if h := t.heard[name]; h != nil && time.Since(h.at) < idleSilence {
-			k = rollout.Known{Observed: t.observed(&h.Observed), Told: rollout.Revision(h.Taking)}
+		k := rollout.InitialInstance{Unreachable: true}
+		if h := t.lastReports[name]; h != nil && time.Since(h.receivedAt) < silentAfter {
+			k = rollout.InitialInstance{Observed: t.observed(&h.Observed), Assigned: rollout.Revision(h.Target)}
 		}
 		instances[name] = k
 	}
@@ -212,26 +212,26 @@
 	if err != nil {
 		return fmt.Errorf("policy of revision %d: %w", now.New, err)
 	}
-	start := rollout.Start{New: rollout.Revision(now.New), Before: rollout.Revision(now.Before), Instances: instances, Service: t.level}
-	if now.Begun() {
-		start.State, start.Why = now.State, now.Why
+	start := rollout.Start{New: rollout.Revision(now.New), Previous: rollout.Revision(now.Previous), Instances: instances, ServiceLevel: t.serviceLevel}
+	if now.Started() {
+		start.State, start.Reason = now.State, now.Reason
 	}
-	t.machine, t.rollout = m, now.New
-	clear(t.sums)
-	t.log.Info("rollout", "revision", now.New, "before", now.Before, "state", now.State, "instances", len(instances))
-	return t.event(ctx, start, now.By)
+	t.machine, t.machineRevision = m, now.New
+	clear(t.checksums)
+	t.log.Info("rollout", "revision", now.New, "before", now.Previous, "state", now.State, "instances", len(instances))
+	return t.step(ctx, start, now.By)
 }
 
-// look reads the state anew if it has changed since the last look.
-func (t *term) look() {
+// refresh reads the state anew if it has changed since the last look.
+func (t *term) refresh() {
 	next := t.store.Changed()
-	if next == t.seen {
+	if next == t.stateChanged {
 		return
 	}
-	t.seen = next
+	t.stateChanged = next
 	t.agents, t.drained = map[string]fleet.Agent{}, map[string]bool{}
 	t.store.View(func(s *fleet.State) {
-		t.present = s.Rollout()
+		t.currentRollout = s.Rollout()
 		for _, a := range s.Agents() {
 			t.agents[a.Name] = a
 			for _, i := range a.Instances {
@@ -244,11 +244,11 @@
 // settled tells whether the leader has heard of all, or waited long enough.
 // Danger: a new leader that went on at once would take everybody to be away.
 func (t *term) settled() bool {
-	if time.Since(t.began) >= t.settle {
+	if time.Since(t.startedAt) >= t.settleTime {
 		return true
 	}
 	for name := range t.drained {
-		if t.heard[name] == nil {
+		if t.lastReports[name] == nil {
 			return false
 		}
 	}
@@ -274,22 +274,22 @@
 // observed is what an instance's report means for a rollout. One that runs what
 // another site called by the same number runs none of this one's.
 func (t *term) observed(o *agentapi.Observed) rollout.Observed {
-	seen := rollout.Observed{Revision: rollout.Revision(o.Running), Ready: o.State == supervise.Ready, Crashes: o.Crashes}
-	if o.Content != t.sum(o.Running) {
-		seen.Revision = 0
+	observed := rollout.Observed{Revision: rollout.Revision(o.Running), Ready: o.State == supervise.Ready, Crashes: o.Crashes}
+	if o.Content != t.checksum(o.Running) {
+		observed.Revision = 0
 	}
-	return seen
+	return observed
 }
 
-// event gives the machine an event. What it decides about the rollout is
+// step gives the machine an event. What it decides about the rollout is
 // committed before anybody is told.
-func (t *term) event(ctx context.Context, ev rollout.Event, by string) error {
+func (t *term) step(ctx context.Context, ev rollout.Event, by string) error {
 	if t.machine == nil {
 		return nil
 	}
 	actions, err := t.machine.Handle(time.Now(), ev)
 	if err != nil {
-		return &refusal{err.Error()}
+		return &refusedError{err.Error()}
 	}
 	for _, a := range slices.Clone(actions) {
 		c, is := a.(rollout.Changed)
@@ -297,14 +297,14 @@
 			continue
 		}
 		if c.Instance != "" {
-			t.log.Info("instance", "instance", c.Instance, "revision", t.rollout, "phase", c.To, "why", c.Why)
+			t.log.Info("instance", "instance", c.Instance, "revision", t.machineRevision, "phase", c.To, "why", c.Reason)
 			continue
 		}
-		t.log.Info("rollout", "revision", t.rollout, "state", c.To, "why", c.Why)
-		why := fleet.Short(c.Why, fleet.MostText)
-		out, err := t.store.Propose(ctx, fleet.Entry{Turn: &fleet.Turn{New: t.rollout, State: rollout.State(c.To), Why: why, By: by, At: time.Now().UTC()}})
-		if err == nil && out.Refused != "" {
-			err = fmt.Errorf("%w: %s", replica.ErrNoLeader, out.Refused)
+		t.log.Info("rollout", "revision", t.machineRevision, "state", c.To, "why", c.Reason)
+		why := fleet.Truncate(c.Reason, fleet.MaxTextBytes)
+		out, err := t.store.Propose(ctx, fleet.Entry{RolloutChange: &fleet.RolloutChange{New: t.machineRevision, State: rollout.State(c.To), Reason: why, By: by, At: time.Now().UTC()}})
+		if err == nil && out.Rejected != "" {
+			err = fmt.Errorf("%w: %s", replica.ErrNoLeader, out.Rejected)
 		}
 		if err != nil {
 			t.machine = nil // what it decided does not hold
@@ -314,51 +314,51 @@
 	return nil
 }
 
-// refusal is an error of a call that fits no more, or not here.
-type refusal struct{ text string }
+// refusedError is an error of a call that fits no more, or not here.
+type refusedError struct{ text string }
 
-func (r *refusal) Error() string { return r.text }
+func (r *refusedError) Error() string { return r.text }
 
 // report takes an agent's report and answers with its orders.
-func (t *term) report(ctx context.Context, r *agentapi.Report) (*agentapi.Orders, error) {
-	t.look()
-	known := t.agents[r.Agent.Name]
-	if known.Name == "" || known.Address != r.Agent.Address || !slices.Equal(known.Instances, r.Agent.Instances) {
-		out, err := t.store.Propose(ctx, fleet.Entry{Enroll: &fleet.Enroll{Agent: r.Agent, At: time.Now().UTC()}})
+func (t *term) report(ctx context.Context, report *agentapi.Report) (*agentapi.Orders, error) {
+	t.refresh()
+	known := t.agents[report.Agent.Name]
+	if known.Name == "" || known.Address != report.Agent.Address || !slices.Equal(known.Instances, report.Agent.Instances) {
+		out, err := t.store.Propose(ctx, fleet.Entry{Enroll: &fleet.Enroll{Agent: report.Agent, At: time.Now().UTC()}})
 		if err != nil {
 			return nil, err
 		}
-		if out.Refused != "" {
-			return nil, &refusal{out.Refused}
+		if out.Rejected != "" {
+			return nil, &refusedError{out.Rejected}
 		}
 	}
-	answer := &agentapi.Orders{Leader: t.name, Address: t.address, Orders: map[string]agentapi.Order{}, Roster: t.rosterFor(r), Records: t.hearRecords(r.Agent.Name, r.Records)}
-	for _, o := range r.Instances {
-		if _, found := slices.BinarySearch(r.Agent.Instances, o.Name); !found {
-			return nil, &refusal{fmt.Sprintf("agent %s has no instance %s", r.Agent.Name, o.Name)}
+	answer := &agentapi.Orders{Leader: t.name, Address: t.address, Orders: map[string]agentapi.Order{}, Roster: t.newerRoster(report), Records: t.receiveRecords(report.Agent.Name, report.Records)}
+	for _, o := range report.Instances {
+		if _, found := slices.BinarySearch(report.Agent.Instances, o.Name); !found {
+			return nil, &refusedError{fmt.Sprintf("agent %s has no instance %s", report.Agent.Name, o.Name)}
 		}
-		t.heard[o.Name] = &heardOf{o, time.Now()}
+		t.lastReports[o.Name] = &instanceReport{o, time.Now()}
 	}
-	if err := t.follow(ctx); err != nil {
+	if err := t.followState(ctx); err != nil {
 		return nil, err
 	}
-	for _, o := range r.Instances {
+	for _, o := range report.Instances {
 		if t.machine != nil && !t.drained[o.Name] {
-			if err := t.event(ctx, rollout.Heard{Instance: o.Name, Observed: t.observed(&o)}, ""); err != nil {
+			if err := t.step(ctx, rollout.InstanceReported{Instance: o.Name, Observed: t.observed(&o)}, ""); err != nil {
 				return nil, err
 			}
 			if o.Refused != 0 {
-				if err := t.event(ctx, rollout.Refuses{Instance: o.Name, Revision: rollout.Revision(o.Refused), Why: o.Refusal}, ""); err != nil {
+				if err := t.step(ctx, rollout.Rejected{Instance: o.Name, Revision: rollout.Revision(o.Refused), Reason: o.Refusal}, ""); err != nil {
 					return nil, err
 				}
 			}
 		}
 	}
 	if t.machine == nil {
-		answer.Wait = t.present.New != 0
+		answer.Wait = t.currentRollout.New != 0
 		return answer, nil
 	}
-	for _, o := range r.Instances {
+	for _, o := range report.Instances {
 		if w, is := t.order(o); is {
 			answer.Orders[o.Name] = w
 		}
@@ -370,25 +370,25 @@
 // rollout of a site has yet to tell: it keeps what it has. Danger: gateways that
 // ran before the site was founded anew would all be stopped at once.
 func (t *term) order(o agentapi.Observed) (agentapi.Order, bool) {
-	w := agentapi.Order{Revision: uint64(t.machine.Order(o.Name)), Drained: t.drained[o.Name]}
+	w := agentapi.Order{Revision: uint64(t.machine.InstanceRevision(o.Name)), Drained: t.drained[o.Name]}
 	if w.Revision == 0 {
-		back := t.machine.Status().State == rollout.RolledBack && o.Taking == t.rollout
+		back := t.machine.Status().State == rollout.RolledBack && o.Target == t.machineRevision
 		return w, back || w.Drained
 	}
-	w.Checksum = t.sum(w.Revision)
+	w.Checksum = t.checksum(w.Revision)
 	return w, true
 }
 
-// sum is the checksum of a revision; "": it is not known.
-func (t *term) sum(revision uint64) string {
-	sum, found := t.sums[revision]
+// checksum is the checksum of a revision; "": it is not known.
+func (t *term) checksum(revision uint64) string {
+	sum, found := t.checksums[revision]
 	if !found {
 		t.store.View(func(s *fleet.State) {
 			r, _ := s.Revision(revision)
 			sum = r.Checksum
 		})
-		if len(t.sums) < mostSums {
-			t.sums[revision] = sum
+		if len(t.checksums) < maxCachedChecksums {
+			t.checksums[revision] = sum
 		}
 	}
 	return sum
@@ -406,17 +406,17 @@
 			phases[i.Name] = i
 		}
 	}
-	doubts := t.doubts()
+	doubts := t.unreachable()
 	for n := range s.Instances {
 		i := &s.Instances[n]
-		i.DoubtedBy = doubts[i.Name]
-		if h := t.heard[i.Name]; h != nil {
-			i.show(&h.Observed, h.at)
+		i.UnreachableFrom = doubts[i.Name]
+		if h := t.lastReports[i.Name]; h != nil {
+			i.setReport(&h.Observed, h.receivedAt)
 		}
 		if p, found := phases[i.Name]; found {
-			i.Phase, i.Told, i.Silent = p.Phase, uint64(p.Told), p.Silent
+			i.Phase, i.Assigned, i.Silent = p.Phase, uint64(p.Assigned), p.Silent
 		} else {
-			i.Silent = time.Since(i.Heard) > idleSilence
+			i.Silent = time.Since(i.ReportedAt) > silentAfter
 		}
 	}
 	return s
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -21,7 +21,7 @@
 	"elderyard/internal/wait"
 )
 
-const limitsLook = 250 * time.Millisecond // between looks for other files of the instance
+const limitsPollInterval = 250 * time.Millisecond // between looks for other files of the instance
 
 // errNotCounted tells of a site whose gateways would give away the local shares
 // that this front needs.
@@ -31,18 +31,18 @@
 // machine runs with: the same plans, the same counter. It follows that instance's files, so
 // that it knows them after its own restart as well, and when no leader can be asked.
 type limitFront struct {
-	a        *Agent
-	instance string
-	seen     [][]byte // the files that the running front was made of
-	stop     func()   // ends the running front; nil: none runs
+	a           *Agent
+	instance    string
+	servedFiles [][]byte // the files that the running front was made of
+	stop        func()   // ends the running front; nil: none runs
 }
 
 // run follows the files until ctx ends.
 func (f *limitFront) run(ctx context.Context) {
 	defer f.end()
 	for {
-		f.look(ctx)
-		if !wait.For(ctx, limitsLook) {
+		f.poll(ctx)
+		if !wait.For(ctx, limitsPollInterval) {
 			return
 		}
 	}
@@ -55,21 +55,21 @@
 	}
 }
 
-// look starts the front anew if the files are others. Danger: both are replaced one
+// poll starts the front anew if the files are others. Danger: both are replaced one
 // after the other; two looks must agree before they count.
-func (f *limitFront) look(ctx context.Context) {
+func (f *limitFront) poll(ctx context.Context) {
 	files, err := f.read()
 	if err != nil {
 		return // nothing has been applied yet
 	}
-	if same(files, f.seen) || !wait.For(ctx, limitsLook) {
+	if sameFiles(files, f.servedFiles) || !wait.For(ctx, limitsPollInterval) {
 		return
 	}
-	if again, err := f.read(); err != nil || !same(files, again) {
+	if again, err := f.read(); err != nil || !sameFiles(files, again) {
 		return
 	}
 	f.end()
-	f.seen = files
+	f.servedFiles = files
 	stop, err := f.start(files[0], files[1])
 	if err != nil {
 		f.a.log.Error("limit commands are not served", "instance", f.instance, "error", err)
@@ -90,7 +90,7 @@
 	return list, nil
 }
 
-func same(a, b [][]byte) bool {
+func sameFiles(a, b [][]byte) bool {
 	if len(a) != len(b) {
 		return false
 	}
