--- a/internal/agent/listen.go
+++ b/internal/agent/listen.go
@@ -18,12 +18,12 @@
 // One port serves both the voters' streams and HTTP: a stream of voters begins
 // with a byte that no HTTP request begins with.
 const (
-	raftByte     = 0
-	firstWithin  = 10 * time.Second // for the handshake and the first byte
-	mostOpen     = 4096             // connections at once
-	acceptPause  = 50 * time.Millisecond
-	dialWithin   = 3 * time.Second
-	mostHandover = 16
+	raftStreamByte   = 0
+	handshakeTimeout = 10 * time.Second // for the handshake and the first byte
+	maxOpenConns     = 4096             // connections at once
+	acceptRetryDelay = 50 * time.Millisecond
+	dialTimeout      = 3 * time.Second
+	maxPendingConns  = 16
 )
 
 // caller is who is at the other end.
@@ -40,20 +40,20 @@
 	return c
 }
 
-// identified is a connection of a known caller, with its first byte read ahead.
-type identified struct {
+// identifiedConn is a connection of a known caller, with its first byte read ahead.
+type identifiedConn struct {
 	net.Conn
-	read   *bufio.Reader
-	caller caller
-	free   func()
+	read    *bufio.Reader
+	caller  caller
+	release func()
 }
 
 // Read reads what follows the bytes that identified the connection.
-func (c *identified) Read(p []byte) (int, error) { return c.read.Read(p) }
+func (c *identifiedConn) Read(p []byte) (int, error) { return c.read.Read(p) }
 
 // Close closes the connection and frees its place.
-func (c *identified) Close() error {
-	c.free()
+func (c *identifiedConn) Close() error {
+	c.release()
 	return c.Conn.Close()
 }
 
@@ -63,27 +63,27 @@
 	server   *tls.Config // nil: plain
 	client   *tls.Config
 	refused  func(who, what string)
-	http     *handover
-	raft     *handover
+	http     *connListener
+	raft     *connListener
 	slots    chan struct{}
 	wg       sync.WaitGroup
 	stop     context.CancelFunc
 }
 
-// handover is a listener of connections that something else has accepted.
-type handover struct {
+// connListener is a listener of connections that something else has accepted.
+type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 	addr  net.Addr
 }
 
-func newHandover(a net.Addr) *handover {
-	return &handover{conns: make(chan net.Conn, mostHandover), done: make(chan struct{}), addr: a}
+func newConnListener(a net.Addr) *connListener {
+	return &connListener{conns: make(chan net.Conn, maxPendingConns), done: make(chan struct{}), addr: a}
 }
 
 // Accept waits for the next connection.
-func (h *handover) Accept() (net.Conn, error) {
+func (h *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-h.conns:
 		return c, nil
@@ -93,15 +93,15 @@
 }
 
 // Close ends the listener. It may be called more than once.
-func (h *handover) Close() error {
+func (h *connListener) Close() error {
 	h.once.Do(func() { close(h.done) })
 	return nil
 }
 
 // Addr returns the address that the listener was made with.
-func (h *handover) Addr() net.Addr { return h.addr }
+func (h *connListener) Addr() net.Addr { return h.addr }
 
-func (h *handover) give(c net.Conn) {
+func (h *connListener) handOver(c net.Conn) {
 	select {
 	case h.conns <- c:
 	case <-h.done:
@@ -111,7 +111,7 @@
 
 // openPort listens. The advertised address is what voters call each other by.
 func openPort(c *Config, refused func(who, what string)) (*port, error) {
-	p := &port{refused: refused, slots: make(chan struct{}, mostOpen)}
+	p := &port{refused: refused, slots: make(chan struct{}, maxOpenConns)}
 	if !c.Plain {
 		var err error
 		if p.server, err = c.files().Server(); err != nil {
@@ -126,21 +126,21 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	p.listener = l
-	p.http, p.raft = newHandover(l.Addr()), newHandover(advertised(c.Advertise))
+	p.http, p.raft = newConnListener(l.Addr()), newConnListener(advertisedAddr(c.Advertise))
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
 	p.wg.Go(func() { p.accept(ctx) })
 	return p, nil
 }
 
-// advertised is an address as it is told to others.
-type advertised string
+// advertisedAddr is an address as it is told to others.
+type advertisedAddr string
 
 // Network returns "tcp".
-func (advertised) Network() string { return "tcp" }
+func (advertisedAddr) Network() string { return "tcp" }
 
 // String returns the address as host:port.
-func (a advertised) String() string { return string(a) }
+func (a advertisedAddr) String() string { return string(a) }
 
 func (p *port) close() {
 	p.stop()
@@ -160,7 +160,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 			}
 			continue
 		}
@@ -170,16 +170,16 @@
 			c.Close()
 			continue
 		}
-		p.wg.Go(func() { p.sort(ctx, c) })
+		p.wg.Go(func() { p.identify(ctx, c) })
 	}
 }
 
-// sort finds out who calls and for what, and hands the connection over.
-func (p *port) sort(ctx context.Context, raw net.Conn) {
+// identify finds out who calls and for what, and hands the connection over.
+func (p *port) identify(ctx context.Context, raw net.Conn) {
 	var once sync.Once
 	free := func() { once.Do(func() { <-p.slots }) }
 	defer context.AfterFunc(ctx, func() { raw.Close() })()
-	raw.SetDeadline(time.Now().Add(firstWithin))
+	raw.SetDeadline(time.Now().Add(handshakeTimeout))
 	who := caller{"loopback", pki.Agent}
 	conn := raw
 	if p.server != nil {
@@ -196,15 +196,15 @@
 		}
 		conn = t
 	}
-	c := &identified{conn, bufio.NewReader(conn), who, free}
+	c := &identifiedConn{conn, bufio.NewReader(conn), who, free}
 	first, err := c.read.Peek(1)
 	if err != nil {
 		c.Close()
 		return
 	}
 	raw.SetDeadline(time.Time{})
-	if first[0] != raftByte {
-		p.http.give(c)
+	if first[0] != raftStreamByte {
+		p.http.handOver(c)
 		return
 	}
 	c.read.Discard(1)
@@ -213,12 +213,12 @@
 		c.Close()
 		return
 	}
-	p.raft.give(c)
+	p.raft.handOver(c)
 }
 
 // dial reaches another agent.
 func (p *port) dial(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialWithin}
+	d := net.Dialer{Timeout: dialTimeout}
 	if p.client == nil {
 		return d.DialContext(ctx, "tcp", address)
 	}
@@ -226,31 +226,31 @@
 	return t.DialContext(ctx, "tcp", address)
 }
 
-// streams are the voters' part of the port.
-type streams struct {
-	*handover
+// raftStreams are the voters' part of the port.
+type raftStreams struct {
+	*connListener
 	port *port
 }
 
 // Dial opens a connection to another voter.
-func (s streams) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (s raftStreams) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	c, err := s.port.dial(ctx, string(address))
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.Write([]byte{raftByte}); err != nil {
+	if _, err := c.Write([]byte{raftStreamByte}); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-// alone are the streams of a voter that has no port.
-type alone struct{ *handover }
+// noStreams are the streams of a voter that has no port.
+type noStreams struct{ *connListener }
 
 // Dial always fails: without a port no other voter can be reached.
-func (alone) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
+func (noStreams) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
 	return nil, fmt.Errorf("%s: this agent has no port", address)
 }
--- a/internal/agent/local.go
+++ b/internal/agent/local.go
@@ -38,19 +38,19 @@
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("local socket: %w", err)
 	}
-	old := syscall.Umask(0o177)
+	previous := syscall.Umask(0o177)
 	l, err := net.Listen("unix", path)
-	syscall.Umask(old)
+	syscall.Umask(previous)
 	if err != nil {
 		return nil, fmt.Errorf("local socket: %w (its path may be too long: set socket in the agent's file)", err)
 	}
 	return l, nil
 }
 
-// identify tells a server who a connection belongs to.
-func identify(ctx context.Context, c net.Conn) context.Context {
+// withCaller tells a server who a connection belongs to.
+func withCaller(ctx context.Context, c net.Conn) context.Context {
 	switch c := c.(type) {
-	case *identified:
+	case *identifiedConn:
 		return context.WithValue(ctx, callerKey{}, c.caller)
 	case *net.UnixConn:
 		return context.WithValue(ctx, callerKey{}, caller{localUser(c), pki.Operator})
@@ -59,6 +59,6 @@
 }
 
 func (a *Agent) server() *http.Server {
-	return &http.Server{Handler: a.routes(), ReadHeaderTimeout: firstWithin, ReadTimeout: callLimit, IdleTimeout: idleLimit,
-		MaxHeaderBytes: 16 << 10, ConnContext: identify}
+	return &http.Server{Handler: a.routes(), ReadHeaderTimeout: handshakeTimeout, ReadTimeout: callTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: 16 << 10, ConnContext: withCaller}
 }
--- a/internal/agent/peer_linux.go
+++ b/internal/agent/peer_linux.go
@@ -8,9 +8,9 @@
 )
 
 // localUser is the user at the other end of a local socket.
-func localUser(c *net.UnixConn) string {
+func localUser(conn *net.UnixConn) string {
 	name := "local"
-	raw, err := c.SyscallConn()
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return name
 	}
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -13,25 +13,25 @@
 	"elderyard/internal/agentapi"
 )
 
-// errand is a call to another agent.
-type errand struct {
+// peerCall is a call to another agent.
+type peerCall struct {
 	method, path string
 	body         []byte
 	hop          string  // see agentapi.HopHeader
-	whose        *caller // for whom this agent speaks; nil: itself
-	limit        time.Duration
+	onBehalfOf   *caller // for whom this agent speaks; nil: itself
+	timeout      time.Duration
 }
 
 // callLeader has the leader answer, by way of any voter that knows it.
 func (a *Agent) callLeader(ctx context.Context, method, path string, body []byte, answer any) error {
 	var first error
-	for _, address := range a.voters() {
-		e := errand{method: method, path: path, body: body, limit: voterLimit}
+	for _, address := range a.voterAddresses() {
+		e := peerCall{method: method, path: path, body: body, timeout: voterTimeout}
 		if address != a.knownLeader() {
-			e.hop = agentapi.HopMay // it may send this on
+			e.hop = agentapi.HopMayForward // it may send this on
 		}
-		err := a.callOne(ctx, address, e, answer)
-		if err == nil || answered(err) {
+		err := a.callAgent(ctx, address, e, answer)
+		if err == nil || isAnswer(err) {
 			return err
 		}
 		if first == nil {
@@ -44,17 +44,17 @@
 	return first
 }
 
-// answered tells whether an error is an agent's answer, and no other need be
+// isAnswer tells whether an error is an agent's answer, and no other need be
 // asked.
-func answered(err error) bool {
+func isAnswer(err error) bool {
 	var f *Failure
 	return errors.As(err, &f) && f.Code != codeUnreachable
 }
 
-// callOne asks one agent. Danger: one that is there and does nothing, as a
+// callAgent asks one agent. Danger: one that is there and does nothing, as a
 // stopped one, would take all the time that is meant for the others.
-func (a *Agent) callOne(ctx context.Context, address string, e errand, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, e.limit)
+func (a *Agent) callAgent(ctx context.Context, address string, e peerCall, answer any) error {
+	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, e.method, a.url(address, e.path), bytes.NewReader(e.body))
 	if err != nil {
@@ -63,21 +63,21 @@
 	if e.hop != "" {
 		req.Header.Set(agentapi.HopHeader, e.hop)
 	}
-	if e.whose != nil {
-		req.Header.Set(forHeader, e.whose.name+";"+string(e.whose.role))
+	if e.onBehalfOf != nil {
+		req.Header.Set(onBehalfHeader, e.onBehalfOf.name+";"+string(e.onBehalfOf.role))
 	}
-	if err = a.exchange(req, answer); err != nil && !answered(err) {
-		a.forget(address)
+	if err = a.doPeer(req, answer); err != nil && !isAnswer(err) {
+		a.forgetLeader(address)
 	}
 	return err
 }
 
-// forget gives up a leader that did not answer.
-func (a *Agent) forget(address string) {
+// forgetLeader gives up a leader that did not answer.
+func (a *Agent) forgetLeader(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.leader == address {
-		a.leader = ""
+	if a.leaderAddress == address {
+		a.leaderAddress = ""
 	}
 }
 
@@ -88,11 +88,11 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.leader
+	return a.leaderAddress
 }
 
-// voters are the addresses to ask, the likeliest first.
-func (a *Agent) voters() (list []string) {
+// voterAddresses are the addresses to ask, the likeliest first.
+func (a *Agent) voterAddresses() (list []string) {
 	add := func(address string) {
 		if address != "" && address != a.self.Address && !slices.Contains(list, address) {
 			list = append(list, address)
@@ -128,12 +128,12 @@
 	return t
 }
 
-func (a *Agent) exchange(req *http.Request, answer any) error {
+func (a *Agent) doPeer(req *http.Request, answer any) error {
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := a.peers.Do(req)
+	resp, err := a.peerClient.Do(req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	return readAnswer(resp, answer)
+	return readResponse(resp, answer)
 }
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -11,21 +11,21 @@
 	"elderyard/supervise"
 )
 
-// probe asks every agent what it would make of a content. Nothing is taken.
-func (a *Agent) probe(ctx context.Context, c *call) (any, error) {
+// handleProbe asks every agent what it would make of a content. Nothing is taken.
+func (a *Agent) handleProbe(ctx context.Context, request *call) (any, error) {
 	var content revisions.Content
-	if err := c.read(&content); err != nil {
+	if err := request.read(&content); err != nil {
 		return nil, err
 	}
-	if err := a.store.Confirm(); err != nil {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
 	var agents []fleet.Agent
 	a.store.View(func(s *fleet.State) { agents = s.Agents() })
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	answers := make([][]Probe, len(agents))
-	slots := make(chan struct{}, probesOpen)
+	slots := make(chan struct{}, maxConcurrentProbes)
 	var wg sync.WaitGroup
 	for n, g := range agents {
 		slots <- struct{}{}
@@ -35,7 +35,7 @@
 			if g.Name == a.self.Name {
 				answers[n], err = a.probeAll(ctx, content)
 			} else {
-				err = a.callOne(ctx, g.Address, errand{method: http.MethodPost, path: "/v1/probe-here", body: c.body, limit: probeLimit}, &answers[n])
+				err = a.callAgent(ctx, g.Address, peerCall{method: http.MethodPost, path: "/v1/probe-here", body: request.body, timeout: probeTimeout}, &answers[n])
 			}
 			if err != nil {
 				answers[n] = []Probe{{Agent: g.Name, Error: err.Error(), Silent: true}}
@@ -44,13 +44,13 @@
 	}
 	wg.Wait()
 	list := []Probe{}
-	for _, part := range answers {
-		list = append(list, part...)
+	for _, probes := range answers {
+		list = append(list, probes...)
 	}
 	return list, nil
 }
 
-func (a *Agent) probeHere(ctx context.Context, c *call) (any, error) {
+func (a *Agent) handleProbeHere(ctx context.Context, c *call) (any, error) {
 	var content revisions.Content
 	if err := c.read(&content); err != nil {
 		return nil, err
@@ -74,12 +74,12 @@
 		if r, err := d.Render(0, document.Instance{Name: name, Listen: p.entry.Listen}); err != nil {
 			one.Error = err.Error()
 		} else {
-			s := p.peek()
+			s := p.state()
 			from := s.status.Running
 			if s.pid == 0 {
 				from = nil
 			}
-			one.Step = supervise.Between(from, &r.Spec)
+			one.Step = supervise.StepBetween(from, &r.Spec)
 		}
 		list = append(list, one)
 	}
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -24,16 +24,16 @@
 )
 
 const (
-	readyPath    = "/health/ready"
-	lookStarting = 50 * time.Millisecond
-	lookReady    = 500 * time.Millisecond
-	lookLimit    = time.Second
-	lookAdopted  = 100 * time.Millisecond // whether a process that is no child still runs
-	mostLog      = 1 << 20                // bytes of a gateway's output before the file is set aside
-	stateFile    = "state.json"
-	configFile   = "config.json"
-	siteFile     = "site.toml"
-	logFile      = "log"
+	readyPath             = "/health/ready"
+	startingCheckInterval = 50 * time.Millisecond
+	readyCheckInterval    = 500 * time.Millisecond
+	healthCheckTimeout    = time.Second
+	adoptedPollInterval   = 100 * time.Millisecond // whether a process that is no child still runs
+	maxLogBytes           = 1 << 20                // bytes of a gateway's output before the file is set aside
+	stateFile             = "state.json"
+	configFile            = "config.json"
+	siteFile              = "site.toml"
+	logFile               = "log"
 )
 
 // process is one gateway of this machine. Its goroutine owns the machine; others
@@ -45,87 +45,87 @@
 	config *Config
 	client *http.Client
 
-	wants  chan want
-	events chan supervise.Event
+	desired chan desiredState
+	events  chan supervise.Event
 
-	mu    sync.Mutex
-	shown shown
+	mu        sync.Mutex
+	published processState
 
 	// of the goroutine
 	machine  *supervise.Machine
 	rendered *document.Rendered // of what is wanted
 	pid      int
-	looking  bool
+	checking bool
 }
 
-// want is what an instance is to run; nil: nothing.
-type want struct {
+// desiredState is what an instance is to run; nil: nothing.
+type desiredState struct {
 	rendered *document.Rendered
 	done     chan struct{} // closed when it has been taken in
 }
 
-type shown struct {
-	status supervise.Status
-	pid    int
-	belief belief // of the others, at the last look
+type processState struct {
+	status         supervise.Status
+	pid            int
+	membershipView membershipView // of the others, at the last look
 }
 
-// kept is what an agent must know of a gateway after its own death.
-type kept struct {
+// savedState is what an agent must know of a gateway after its own death.
+type savedState struct {
 	PID     int             `json:"pid"`
 	Started string          `json:"started"` // as the system counts it: a number that another process of that id has not
 	Spec    *supervise.Spec `json:"spec"`
 	Crashes int             `json:"crashes"`
 }
 
-func newProcess(c *Config, e InstanceEntry, log *slog.Logger) (*process, error) {
-	p := &process{entry: e, dir: filepath.Join(c.Dir, "instances", e.Name), log: log.With("instance", e.Name), config: c,
-		client: &http.Client{Timeout: lookLimit, Transport: &http.Transport{DisableKeepAlives: true}},
-		wants:  make(chan want), events: make(chan supervise.Event, 16)}
+func newProcess(config *Config, entry InstanceEntry, log *slog.Logger) (*process, error) {
+	p := &process{entry: entry, dir: filepath.Join(config.Dir, "instances", entry.Name), log: log.With("instance", entry.Name), config: config,
+		client:  &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		desired: make(chan desiredState), events: make(chan supervise.Event, 16)}
 	if err := os.MkdirAll(p.dir, 0o700); err != nil {
-		return nil, fmt.Errorf("instance %s: %w", e.Name, err)
+		return nil, fmt.Errorf("instance %s: %w", entry.Name, err)
 	}
-	k, err := p.load()
+	k, err := p.loadState()
 	if err != nil {
-		return nil, fmt.Errorf("instance %s: %w", e.Name, err)
+		return nil, fmt.Errorf("instance %s: %w", entry.Name, err)
 	}
-	if p.machine, err = supervise.New(c.supervision(), k.Crashes); err != nil {
+	if p.machine, err = supervise.New(config.supervision(), k.Crashes); err != nil {
 		return nil, err
 	}
 	if k.Spec != nil && k.PID != 0 && startTime(k.PID) == k.Started && k.Started != "" {
 		p.pid = k.PID
 		p.machine.Handle(time.Now(), supervise.Adopted{Spec: *k.Spec})
 	}
-	p.show()
+	p.publish()
 	return p, nil
 }
 
-// last is what the instance ran last; nil: nothing ever.
-func (p *process) last() *supervise.Spec {
-	k, err := p.load()
+// lastSpec is what the instance ran last; nil: nothing ever.
+func (p *process) lastSpec() *supervise.Spec {
+	k, err := p.loadState()
 	if err != nil {
 		return nil
 	}
 	return k.Spec
 }
 
-func (p *process) load() (k kept, err error) {
+func (p *process) loadState() (k savedState, err error) {
 	text, err := os.ReadFile(filepath.Join(p.dir, stateFile))
 	if errors.Is(err, os.ErrNotExist) {
-		return kept{}, nil
+		return savedState{}, nil
 	}
 	if err == nil {
 		err = json.Unmarshal(text, &k)
 	}
 	if err != nil {
-		return kept{}, fmt.Errorf("%s: %w; end the gateway that it speaks of, if there is one, and remove it", filepath.Join(p.dir, stateFile), err)
+		return savedState{}, fmt.Errorf("%s: %w; end the gateway that it speaks of, if there is one, and remove it", filepath.Join(p.dir, stateFile), err)
 	}
 	return k, nil
 }
 
-func (p *process) keep() {
+func (p *process) saveState() {
 	s := p.machine.Status()
-	k := kept{Spec: s.Running, Crashes: s.Crashes, PID: p.pid}
+	k := savedState{Spec: s.Running, Crashes: s.Crashes, PID: p.pid}
 	if p.pid != 0 {
 		k.Started = startTime(p.pid)
 	}
@@ -150,15 +150,15 @@
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	looked := time.Time{}
+	checkedAt := time.Time{}
 	for {
 		var ev supervise.Event
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-p.wants:
+		case w := <-p.desired:
 			p.rendered = w.rendered
-			wanted := supervise.Want{}
+			wanted := supervise.DesiredState{}
 			if w.rendered != nil {
 				spec := w.rendered.Spec
 				wanted.Spec = &spec
@@ -168,7 +168,7 @@
 			continue
 		case ev = <-p.events:
 			if _, is := ev.(supervise.Health); is {
-				p.looking = false
+				p.checking = false
 			}
 		case <-timer.C:
 			ev = supervise.Tick{}
@@ -177,24 +177,24 @@
 		// The next look, and the next moment at which time alone makes something due.
 		now := time.Now()
 		s := p.machine.Status().State
-		every := lookReady
+		every := readyCheckInterval
 		if s == supervise.Starting {
-			every = lookStarting
+			every = startingCheckInterval
 		}
-		if p.pid != 0 && (s == supervise.Starting || s == supervise.Ready) && !p.looking && now.Sub(looked) >= every {
-			looked, p.looking = now, true
+		if p.pid != 0 && (s == supervise.Starting || s == supervise.Ready) && !p.checking && now.Sub(checkedAt) >= every {
+			checkedAt, p.checking = now, true
 			watch.Go(func() {
-				p.send(ctx, supervise.Health{Ready: p.look(ctx)})
-				if b := p.believes(ctx); b.line != "" {
+				p.send(ctx, supervise.Health{Ready: p.checkReady(ctx)})
+				if b := p.queryMembership(ctx); b.line != "" {
 					p.mu.Lock()
-					p.shown.belief = b
+					p.published.membershipView = b
 					p.mu.Unlock()
 				}
 			})
 		}
 		next := every
 		if due := p.machine.Due(); !due.IsZero() {
-			next = min(max(due.Sub(now), time.Millisecond), lookReady)
+			next = min(max(due.Sub(now), time.Millisecond), readyCheckInterval)
 		}
 		timer.Reset(next)
 	}
@@ -221,21 +221,21 @@
 			case supervise.Spawn:
 				if err := p.spawn(ctx, watch); err != nil {
 					p.log.Error("the gateway could not be started", "error", err)
-					next = supervise.NotStarted{Why: err.Error()}
+					next = supervise.StartFailed{Reason: err.Error()}
 				} else {
 					next = supervise.Started{}
 				}
-			case supervise.Hup:
-				if err := p.write(); err != nil {
+			case supervise.Reload:
+				if err := p.writeFiles(); err != nil {
 					p.log.Error("the gateway's files could not be written; it keeps the old ones", "error", err)
-					next = supervise.NotReloaded{Old: a.Old, Why: err.Error()}
+					next = supervise.ReloadFailed{Previous: a.Previous, Reason: err.Error()}
 					break
 				}
 				p.log.Info("the gateway is told to read its configuration again", "revision", a.Spec.Revision)
 				p.signal(syscall.SIGHUP)
-			case supervise.Renumber:
+			case supervise.SetRevision:
 				p.log.Info("nothing changes for the gateway", "revision", a.Spec.Revision)
-			case supervise.Term:
+			case supervise.Terminate:
 				p.signal(syscall.SIGTERM)
 			case supervise.Kill:
 				p.log.Warn("the gateway did not end in time and is killed")
@@ -248,23 +248,23 @@
 		ev = next
 	}
 	if after := p.machine.Status(); after.State != before.State || after.Crashes != before.Crashes || after.Running != before.Running {
-		p.log.Info("gateway", "state", after.State, "why", after.Why, "pid", p.pid, "crashes", after.Crashes)
-		p.keep()
+		p.log.Info("gateway", "state", after.State, "why", after.Reason, "pid", p.pid, "crashes", after.Crashes)
+		p.saveState()
 	}
-	p.show()
+	p.publish()
 }
 
-func (p *process) show() {
+func (p *process) publish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := shown{status: p.machine.Status(), pid: p.pid}
+	s := processState{status: p.machine.Status(), pid: p.pid}
 	if p.pid != 0 {
-		s.belief = p.shown.belief
+		s.membershipView = p.published.membershipView
 	}
-	p.shown = s
+	p.published = s
 }
 
-func (p *process) look(ctx context.Context) bool {
+func (p *process) checkReady(ctx context.Context) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.entry.Listen+readyPath, nil)
 	if err != nil {
 		return false
@@ -277,7 +277,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (p *process) write() error {
+func (p *process) writeFiles() error {
 	if p.rendered == nil {
 		return nil // the files of what ran before stand as they were
 	}
@@ -288,11 +288,11 @@
 }
 
 func (p *process) spawn(ctx context.Context, watch *sync.WaitGroup) error {
-	if err := p.write(); err != nil {
+	if err := p.writeFiles(); err != nil {
 		return err
 	}
 	path := filepath.Join(p.dir, logFile)
-	if info, err := os.Stat(path); err == nil && info.Size() > mostLog {
+	if info, err := os.Stat(path); err == nil && info.Size() > maxLogBytes {
 		if err := os.Rename(path, path+".1"); err != nil {
 			return err
 		}
@@ -317,7 +317,7 @@
 		return err
 	}
 	p.pid = cmd.Process.Pid
-	p.looking = false
+	p.checking = false
 	go func() { // ends with the gateway; the agent may end before it
 		err := cmd.Wait()
 		why := "it ended"
@@ -325,7 +325,7 @@
 			why = err.Error()
 		}
 		select {
-		case p.events <- supervise.Exited{Why: why + lastLine(path)}:
+		case p.events <- supervise.Exited{Reason: why + lastLine(path)}:
 		case <-ctx.Done():
 		}
 	}()
@@ -339,11 +339,11 @@
 		return ""
 	}
 	defer f.Close()
-	const most = 4 << 10
-	if info, err := f.Stat(); err == nil && info.Size() > most {
-		f.Seek(-most, 2)
+	const maxTailBytes = 4 << 10
+	if info, err := f.Stat(); err == nil && info.Size() > maxTailBytes {
+		f.Seek(-maxTailBytes, 2)
 	}
-	text := make([]byte, most)
+	text := make([]byte, maxTailBytes)
 	n, _ := f.Read(text)
 	if line := output.Telling(string(text[:n])); line != "" {
 		return ": " + line
@@ -362,7 +362,7 @@
 
 // watchAdopted finds the end of a process that is not this agent's child.
 func (p *process) watchAdopted(ctx context.Context, pid int, started string) {
-	tick := time.NewTicker(lookAdopted)
+	tick := time.NewTicker(adoptedPollInterval)
 	defer tick.Stop()
 	for startTime(pid) == started {
 		select {
@@ -371,7 +371,7 @@
 		case <-tick.C:
 		}
 	}
-	p.send(ctx, supervise.Exited{Why: "it ended" + lastLine(filepath.Join(p.dir, logFile))})
+	p.send(ctx, supervise.Exited{Reason: "it ended" + lastLine(filepath.Join(p.dir, logFile))})
 }
 
 // startTime tells when a process was started, in the system's own count and
@@ -395,11 +395,11 @@
 	return fields[19] + " " + strings.TrimSpace(string(boot))
 }
 
-// set has an instance run something else; nil: nothing.
-func (p *process) set(ctx context.Context, r *document.Rendered) {
-	w := want{r, make(chan struct{})}
+// setDesired has an instance run something else; nil: nothing.
+func (p *process) setDesired(ctx context.Context, r *document.Rendered) {
+	w := desiredState{r, make(chan struct{})}
 	select {
-	case p.wants <- w:
+	case p.desired <- w:
 		select {
 		case <-w.done:
 		case <-ctx.Done():
@@ -408,8 +408,8 @@
 	}
 }
 
-func (p *process) peek() shown {
+func (p *process) state() processState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.shown
+	return p.published
 }
--- a/internal/agent/quiet.go
+++ b/internal/agent/quiet.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	quietLines = 20
-	quietFor   = 10 * time.Second
+	maxRaftLogLines = 20
+	raftLogWindow   = 10 * time.Second
 )
 
-// quiet passes a bounded number of raft's lines on. A voter that is away for days must
+// raftLogFilter passes a bounded number of raft's lines on. A voter that is away for days must
 // not fill the log.
-type quiet struct {
+type raftLogFilter struct {
 	log *slog.Logger
 
 	mu    sync.Mutex
@@ -22,18 +22,18 @@
 	lines int
 }
 
-func newQuiet(log *slog.Logger) *quiet { return &quiet{log: log} }
+func newRaftLogFilter(log *slog.Logger) *raftLogFilter { return &raftLogFilter{log: log} }
 
-func (q *quiet) Write(p []byte) (int, error) {
+func (q *raftLogFilter) Write(p []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now := time.Now(); now.Sub(q.since) >= quietFor {
-		if left := q.lines - quietLines; left > 0 {
+	if now := time.Now(); now.Sub(q.since) >= raftLogWindow {
+		if left := q.lines - maxRaftLogLines; left > 0 {
 			q.log.Warn("raft said more", "lines left out", left)
 		}
 		q.since, q.lines = now, 0
 	}
-	if q.lines++; q.lines > quietLines {
+	if q.lines++; q.lines > maxRaftLogLines {
 		return len(p), nil
 	}
 	q.log.Warn("raft", "says", strings.TrimSpace(string(p)))
--- a/internal/agent/records.go
+++ b/internal/agent/records.go
@@ -28,27 +28,27 @@
 )
 
 const (
-	mostRecordsChange = 2 * fleet.MaxRecordsChangeBytes // bytes of a call's body
-	mostRecordsListed = 5000
+	maxRecordsChangeBytes = 2 * fleet.MaxRecordsChangeBytes // bytes of a call's body
+	maxRecordsListed      = 5000
 )
 
 // recordsEndpoints are the calls of operators on the records.
 func (a *Agent) recordsEndpoints() map[string]endpoint {
 	return map[string]endpoint{
-		"POST " + recordsChangePath:  {need: pki.Operator, most: mostRecordsChange, do: a.changeRecords},
-		"GET " + recordsGetPath:      {need: pki.Viewer, do: a.confirmed(a.getRecord)},
-		"GET " + recordsListPath:     {need: pki.Viewer, do: a.confirmed(a.listRecords)},
-		"GET " + recordsVersionsPath: {need: pki.Viewer, do: a.confirmed(a.listRecordsVersions)},
-		"GET " + recordsDiffPath:     {need: pki.Viewer, do: a.confirmed(a.diffRecords)},
-		"GET " + recordsLagPath:      {need: pki.Viewer, do: a.tellRecordsLag, old: a.oldRecordsLag},
+		"POST " + recordsChangePath:  {minRole: pki.Operator, maxBody: maxRecordsChangeBytes, handle: a.handleChangeRecords},
+		"GET " + recordsGetPath:      {minRole: pki.Viewer, handle: a.confirmed(a.getRecord)},
+		"GET " + recordsListPath:     {minRole: pki.Viewer, handle: a.confirmed(a.listRecords)},
+		"GET " + recordsVersionsPath: {minRole: pki.Viewer, handle: a.confirmed(a.listRecordsVersions)},
+		"GET " + recordsDiffPath:     {minRole: pki.Viewer, handle: a.confirmed(a.diffRecords)},
+		"GET " + recordsLagPath:      {minRole: pki.Viewer, handle: a.handleRecordsLag, stale: a.staleRecordsLag},
 	}
 }
 
-// handleRecords adds the calls of the records, where this agent's file has them on.
-func (a *Agent) handleRecords(mux *http.ServeMux, add func(pattern string, e endpoint)) {
+// addRecordsEndpoints adds the calls of the records, where this agent's file has them on.
+func (a *Agent) addRecordsEndpoints(mux *http.ServeMux, add func(pattern string, e endpoint)) {
 	if !a.config.Records {
 		mux.HandleFunc(recordsPrefix, func(w http.ResponseWriter, _ *http.Request) {
-			answerWith(w, http.StatusNotFound, Failure{codeUnknown, fmt.Sprintf("agent %s keeps no records: set records = true in its file", a.self.Name)})
+			writeJSON(w, http.StatusNotFound, Failure{codeNotFound, fmt.Sprintf("agent %s keeps no records: set records = true in its file", a.self.Name)})
 		})
 		return
 	}
@@ -56,17 +56,17 @@
 		add(pattern, e)
 	}
 	for _, path := range []string{recordsync.ChangesPath, recordsync.RangesPath, recordsync.ContentPath} {
-		mux.Handle("GET "+path, a.onlyAgents(a.pulls))
+		mux.Handle("GET "+path, a.onlyAgents(a.recordsHandler))
 	}
 }
 
-// newPulls answers followers from this voter's store, or says that this agent has none.
-func (a *Agent) newPulls() http.Handler {
+// newRecordsHandler answers followers from this voter's store, or says that this agent has none.
+func (a *Agent) newRecordsHandler() http.Handler {
 	if a.store != nil {
 		return recordsync.NewHandler(a.store)
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		answerWith(w, http.StatusServiceUnavailable, Failure{codeUnreachable, fmt.Sprintf("agent %s is no voter and answers no follower", a.self.Name)})
+		writeJSON(w, http.StatusServiceUnavailable, Failure{codeUnreachable, fmt.Sprintf("agent %s is no voter and answers no follower", a.self.Name)})
 	})
 }
 
@@ -76,28 +76,28 @@
 		c := callerOf(r.Context())
 		if !c.role.Covers(pki.Agent) {
 			a.refusals.add(c.name, fmt.Sprintf("%s %s, which the role %q may not", r.Method, r.URL.Path, c.role))
-			answerWith(w, http.StatusForbidden, Failure{codeForbidden, fmt.Sprintf("%s has the role %q, and %s is needed", c.name, c.role, pki.Agent)})
+			writeJSON(w, http.StatusForbidden, Failure{codeForbidden, fmt.Sprintf("%s has the role %q, and %s is needed", c.name, c.role, pki.Agent)})
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// changeRecords has the voters agree on a change. What they make of it is the
+// handleChangeRecords has the voters agree on a change. What they make of it is the
 // answer, also where it is refused.
-func (a *Agent) changeRecords(ctx context.Context, c *call) (any, error) {
+func (a *Agent) handleChangeRecords(ctx context.Context, request *call) (any, error) {
 	var got agentapi.RecordsChange
-	if err := c.read(&got); err != nil {
+	if err := request.read(&got); err != nil {
 		return nil, err
 	}
 	if got.Request == "" {
-		return nil, &Failure{codeBad, "request: a change needs a key, so that a repeat is known for one"}
+		return nil, &Failure{codeBadRequest, "request: a change needs a key, so that a repeat is known for one"}
 	}
-	change := &records.Change{Request: got.Request, Author: fleet.Short(c.name, records.MaxNameBytes), Message: got.Message,
+	change := &records.Change{IdempotencyKey: got.Request, Author: fleet.Truncate(request.name, records.MaxNameBytes), Message: got.Message,
 		At: time.Now().UTC(), Operations: got.Operations}
 	entry := fleet.Entry{Records: change}
 	if _, err := entry.Encode(); err != nil {
-		return nil, &Failure{codeBad, err.Error()}
+		return nil, &Failure{codeBadRequest, err.Error()}
 	}
 	out, err := a.propose(ctx, entry)
 	if err != nil {
@@ -107,7 +107,7 @@
 		return nil, errors.New("the voters did not judge the change of records")
 	}
 	if problem := out.Records.Problem; problem != nil {
-		a.refusals.add(c.name, fmt.Sprintf("records change: %s: %v", out.Records.Status, problem))
+		a.refusals.add(request.name, fmt.Sprintf("records change: %s: %v", out.Records.Status, problem))
 	}
 	return *out.Records, nil
 }
@@ -116,7 +116,7 @@
 // hold all that was committed before.
 func (a *Agent) confirmed(read func(url.Values, *records.Store) (any, error)) func(context.Context, *call) (any, error) {
 	return func(_ context.Context, c *call) (answer any, err error) {
-		if err := a.store.Confirm(); err != nil {
+		if err := a.store.VerifyLeader(); err != nil {
 			return nil, err
 		}
 		a.store.ReadRecords(func(store *records.Store) { answer, err = read(c.r.URL.Query(), store) })
@@ -131,7 +131,7 @@
 func (a *Agent) getRecord(query url.Values, store *records.Store) (any, error) {
 	key, err := records.ParseKey(query.Get("key"))
 	if err != nil {
-		return nil, &Failure{codeBad, err.Error()}
+		return nil, &Failure{codeBadRequest, err.Error()}
 	}
 	list := newRecordsList(store)
 	if record, found := store.Get(key); found {
@@ -143,14 +143,14 @@
 func (a *Agent) listRecords(query url.Values, store *records.Store) (any, error) {
 	kind, err := records.ParseKind(query.Get("kind"))
 	if err != nil {
-		return nil, &Failure{codeBad, err.Error()}
+		return nil, &Failure{codeBadRequest, err.Error()}
 	}
-	limit, err := numberOf(query, "limit")
+	limit, err := queryNumber(query, "limit")
 	if err != nil {
 		return nil, err
 	}
-	if limit == 0 || limit > mostRecordsListed {
-		limit = mostRecordsListed
+	if limit == 0 || limit > maxRecordsListed {
+		limit = maxRecordsListed
 	}
 	list := newRecordsList(store)
 	list.Records = append(list.Records, store.List(kind, query.Get("prefix"), int(limit))...)
@@ -158,7 +158,7 @@
 }
 
 func (a *Agent) listRecordsVersions(query url.Values, store *records.Store) (any, error) {
-	limit, err := numberOf(query, "limit")
+	limit, err := queryNumber(query, "limit")
 	if err != nil {
 		return nil, err
 	}
@@ -167,11 +167,11 @@
 }
 
 func (a *Agent) diffRecords(query url.Values, store *records.Store) (any, error) {
-	from, err := numberOf(query, "from")
+	from, err := queryNumber(query, "from")
 	if err != nil {
 		return nil, err
 	}
-	to, err := numberOf(query, "to")
+	to, err := queryNumber(query, "to")
 	if err != nil {
 		return nil, err
 	}
@@ -180,20 +180,20 @@
 	}
 	changes, err := store.KeysChanged(from, to)
 	if err != nil {
-		return nil, &Failure{codeUnknown, err.Error()}
+		return nil, &Failure{codeNotFound, err.Error()}
 	}
 	return agentapi.RecordsDiff{From: from, To: to, Changes: changes}, nil
 }
 
-// numberOf reads a number of a query; a missing one is 0.
-func numberOf(query url.Values, name string) (uint64, error) {
+// queryNumber reads a number of a query; a missing one is 0.
+func queryNumber(query url.Values, name string) (uint64, error) {
 	text := query.Get(name)
 	if text == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, &Failure{codeBad, fmt.Sprintf("%s: %.32q is no number", name, text)}
+		return 0, &Failure{codeBadRequest, fmt.Sprintf("%s: %.32q is no number", name, text)}
 	}
 	return n, nil
 }
--- a/internal/agent/records_client.go
+++ b/internal/agent/records_client.go
@@ -18,13 +18,13 @@
 	for {
 		err = c.call(ctx, http.MethodPost, recordsChangePath, change, &result)
 		var f *Failure
-		if err == nil || !errors.As(err, &f) || f.Code != codeDoubt && f.Code != codeUnreachable {
+		if err == nil || !errors.As(err, &f) || f.Code != codeOutcomeUnknown && f.Code != codeUnreachable {
 			return result, err
 		}
 		select {
 		case <-ctx.Done():
 			return result, err
-		case <-time.After(applyPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
--- a/internal/agent/records_copy.go
+++ b/internal/agent/records_copy.go
@@ -18,10 +18,10 @@
 	recordsFolder = "records"
 	burstSeconds  = 4 // of the budget that may be saved up
 	// localServer is the name by which a voter's copy asks the voter itself.
-	localServer  = "local"
-	localAddress = localServer + ":80" // as an HTTP client dials it
-	maxWhy       = 512                 // bytes of the reason in a report
-	ageUnit      = 100 * time.Millisecond
+	localServer    = "local"
+	localAddress   = localServer + ":80" // as an HTTP client dials it
+	maxReasonBytes = 512                 // bytes of the reason in a report
+	ageResolution  = 100 * time.Millisecond
 )
 
 // openRecords opens this agent's copy of the records.
@@ -71,7 +71,7 @@
 		return a.port.dial(ctx, address)
 	}
 	near, far := net.Pipe()
-	a.own.give(&identified{far, bufio.NewReader(far), caller{a.config.Name, pki.Agent}, func() {}})
+	a.loopback.handOver(&identifiedConn{far, bufio.NewReader(far), caller{a.config.Name, pki.Agent}, func() {}})
 	return near, nil
 }
 
@@ -83,30 +83,30 @@
 	now := a.records.Status()
 	status := &agentapi.RecordsStatus{State: now.State, Version: now.Version, Digest: now.Digest, Why: now.Reason}
 	if age, known := now.Age(time.Now()); known {
-		seconds := age.Round(ageUnit).Seconds()
+		seconds := age.Round(ageResolution).Seconds()
 		status.AgeSeconds = &seconds
 	}
 	if status.Why == "" {
 		status.Why = a.records.DiskError()
 	}
-	status.Why = fleet.Short(status.Why, maxWhy)
+	status.Why = fleet.Truncate(status.Why, maxReasonBytes)
 	return status
 }
 
-// hearHead takes in what the leader tells of the site's records.
-func (a *Agent) hearHead(head *agentapi.RecordsHead) {
+// receiveRecordsHead takes in what the leader tells of the site's records.
+func (a *Agent) receiveRecordsHead(head *agentapi.RecordsHead) {
 	if a.records != nil && head != nil {
-		a.records.TellHead(head.Version)
+		a.records.NotifyHead(head.Version)
 	}
 }
 
-// oldRecordsLag is what this agent knows by itself.
-func (a *Agent) oldRecordsLag(why string) any {
+// staleRecordsLag is what this agent knows by itself.
+func (a *Agent) staleRecordsLag(why string) any {
 	lag := agentapi.RecordsLag{Stale: why, Agents: []agentapi.AgentRecords{}}
 	if status := a.recordsStatus(); status != nil {
 		at := time.Now().UTC()
 		lag.Version, lag.Digest = status.Version, status.Digest
-		lag.Agents = append(lag.Agents, agentapi.AgentRecords{Agent: a.self.Name, State: agentapi.RecordsUnknown, Status: *status, Heard: &at})
+		lag.Agents = append(lag.Agents, agentapi.AgentRecords{Agent: a.self.Name, State: agentapi.RecordsUnknown, Status: *status, ReportedAt: &at})
 	}
 	return lag
 }
--- a/internal/agent/records_lag.go
+++ b/internal/agent/records_lag.go
@@ -10,19 +10,19 @@
 	"elderyard/records"
 )
 
-// heardRecords is what the leader knows of an agent's copy of the records.
-type heardRecords struct {
-	status *agentapi.RecordsStatus // nil: the agent keeps none
-	at     time.Time
+// recordsReport is what the leader knows of an agent's copy of the records.
+type recordsReport struct {
+	status     *agentapi.RecordsStatus // nil: the agent keeps none
+	receivedAt time.Time
 }
 
-// hearRecords notes what a report says of an agent's copy, and returns what the
+// receiveRecords notes what a report says of an agent's copy, and returns what the
 // agent is told of the site's records; nil: it keeps none.
-func (t *term) hearRecords(agent string, status *agentapi.RecordsStatus) *agentapi.RecordsHead {
-	if t.records == nil {
-		t.records = map[string]heardRecords{}
+func (t *term) receiveRecords(agent string, status *agentapi.RecordsStatus) *agentapi.RecordsHead {
+	if t.recordsReports == nil {
+		t.recordsReports = map[string]recordsReport{}
 	}
-	t.records[agent] = heardRecords{status: status, at: time.Now()}
+	t.recordsReports[agent] = recordsReport{status: status, receivedAt: time.Now()}
 	if status == nil {
 		return nil
 	}
@@ -33,15 +33,15 @@
 
 // recordsLag compares what the agents have reported with the site's records.
 func (t *term) recordsLag() (lag agentapi.RecordsLag) {
-	t.look()
+	t.refresh()
 	lag.Agents = []agentapi.AgentRecords{}
 	t.store.ReadRecords(func(store *records.Store) {
 		lag.Version, lag.Digest = store.Version(), store.Digest()
 		history := store.History(0)
 		for _, name := range slices.Sorted(maps.Keys(t.agents)) {
 			one := agentapi.AgentRecords{Agent: name}
-			if heard, found := t.records[name]; found {
-				one = compareRecords(name, heard, store, history)
+			if report, found := t.recordsReports[name]; found {
+				one = compareRecords(name, report, store, history)
 			} else {
 				one.State = agentapi.RecordsSilent
 			}
@@ -55,17 +55,17 @@
 }
 
 // compareRecords finds how one agent's copy stands to the store's content.
-func compareRecords(name string, heard heardRecords, store *records.Store, history []records.ChangeInfo) agentapi.AgentRecords {
-	at := heard.at.UTC()
-	one := agentapi.AgentRecords{Agent: name, Heard: &at}
-	if heard.status == nil {
+func compareRecords(name string, report recordsReport, store *records.Store, history []records.ChangeInfo) agentapi.AgentRecords {
+	at := report.receivedAt.UTC()
+	one := agentapi.AgentRecords{Agent: name, ReportedAt: &at}
+	if report.status == nil {
 		one.State = agentapi.RecordsNoReports
 		return one
 	}
-	one.Status = *heard.status
+	one.Status = *report.status
 	digest, known := store.DigestAt(one.Status.Version)
 	switch {
-	case time.Since(heard.at) > idleSilence:
+	case time.Since(report.receivedAt) > silentAfter:
 		one.State = agentapi.RecordsSilent
 	case one.Status.Version > store.Version(), known && digest != one.Status.Digest:
 		one.State = agentapi.RecordsDiffer
@@ -74,13 +74,13 @@
 	default:
 		one.State = agentapi.RecordsInForce
 	}
-	one.Since = firstLacking(one.Status.Version, history)
+	one.Since = firstMissingAt(one.Status.Version, history)
 	return one
 }
 
-// firstLacking tells when the first change above a version was accepted, as far as
+// firstMissingAt tells when the first change above a version was accepted, as far as
 // the history, newest first, goes back.
-func firstLacking(version uint64, history []records.ChangeInfo) *time.Time {
+func firstMissingAt(version uint64, history []records.ChangeInfo) *time.Time {
 	n, _ := slices.BinarySearchFunc(history, version, func(info records.ChangeInfo, version uint64) int {
 		if info.Version > version {
 			return -1
@@ -94,8 +94,8 @@
 	return &at
 }
 
-func (a *Agent) tellRecordsLag(ctx context.Context, _ *call) (any, error) {
-	if err := a.store.Confirm(); err != nil {
+func (a *Agent) handleRecordsLag(ctx context.Context, _ *call) (any, error) {
+	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
 	var lag agentapi.RecordsLag
@@ -103,11 +103,11 @@
 	return lag, err
 }
 
-// forgetRecords drops what was heard of agents that no longer belong to the site.
-func (t *term) forgetRecords() {
-	for name := range t.records {
-		if _, belongs := t.agents[name]; !belongs {
-			delete(t.records, name)
+// dropRecords drops what was heard of agents that no longer belong to the site.
+func (t *term) dropRecords() {
+	for name := range t.recordsReports {
+		if _, inSite := t.agents[name]; !inSite {
+			delete(t.recordsReports, name)
 		}
 	}
 }
--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -47,7 +47,7 @@
 }
 
 func sendChange(c *Client, request string, operations ...records.Operation) (records.Result, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return c.ChangeRecords(ctx, agentapi.RecordsChange{Request: request, Message: "test", Operations: operations})
 }
@@ -65,7 +65,7 @@
 		m.config.Records, m.config.RecordBytes = true, testBudget
 		m.start()
 		if i > 0 && i < voters {
-			if c, err := list[0].client.AddMember(context.Background(), Verb{m.config.Name, m.config.Listen}); err != nil || c.Lacking != nil {
+			if c, err := list[0].client.AddMember(context.Background(), ChangeRequest{m.config.Name, m.config.Listen}); err != nil || c.Behind != nil {
 				t.Fatal(c, err)
 			}
 		}
@@ -129,7 +129,7 @@
 	var results [2]records.Result
 	for i := range results {
 		operation := putOf(t, "tenant/acme", fmt.Sprintf(`{"plan":"gold","burst":%d}`, i+1))
-		operation.If = &first.Version
+		operation.IfVersion = &first.Version
 		wg.Go(func() { results[i] = list[i+2].change(fmt.Sprint("cas", i), operation) })
 	}
 	wg.Wait()
@@ -157,8 +157,8 @@
 		t.Fatalf("%+v, %v", tenants, err)
 	}
 	// Undo is a new change, and a record that is needed can't be deleted.
-	if kept := list[0].change("3", records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}); kept.Status != records.Invalid || kept.Problem.Key != "plan/gold" {
-		t.Fatalf("%+v", kept)
+	if deletion := list[0].change("3", records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}); deletion.Status != records.Invalid || deletion.Problem.Key != "plan/gold" {
+		t.Fatalf("%+v", deletion)
 	}
 	undo := list[0].change("4", putOf(t, "tenant/acme", `{"plan":"gold"}`))
 	if undo.Status != records.Accepted || undo.Version <= second {
@@ -206,9 +206,9 @@
 	inForce(t, m.client, result.Version, 1)
 }
 
-// TestRecordsOfAFollowerCutOff has all voters gone: the follower goes on with what
+// TestRecordsOfPartitionedFollower has all voters gone: the follower goes on with what
 // it has, also across a restart, and says how old that is.
-func TestRecordsOfAFollowerCutOff(t *testing.T) {
+func TestRecordsOfPartitionedFollower(t *testing.T) {
 	t.Parallel()
 	list := recordsSite(t, 1, 1)
 	result := list[0].change("1", putOf(t, "plan/gold", goldPlan))
@@ -258,8 +258,8 @@
 		if err != nil || lag.InForce != 2 || len(lag.Agents) != 3 || lag.Everywhere() {
 			return false
 		}
-		gone := lag.Agents[2]
-		return gone.State == agentapi.RecordsSilent && gone.Status.Version == first.Version && gone.Since != nil && gone.Since.Equal(versions.Changes[1].At)
+		silentAgent := lag.Agents[2]
+		return silentAgent.State == agentapi.RecordsSilent && silentAgent.Status.Version == first.Version && silentAgent.Since != nil && silentAgent.Since.Equal(versions.Changes[1].At)
 	})
 	list[2].start()
 	inForce(t, list[0].client, third.Version, 3)
@@ -365,8 +365,8 @@
 		v := newVoterProcess(t, fmt.Sprint("v", i), addresses)
 		if i > 0 {
 			until(t, v.name+" is a voter", func() bool {
-				c, err := voters[0].client.AddMember(context.Background(), Verb{v.name, v.at})
-				return err == nil && c.Lacking == nil
+				c, err := voters[0].client.AddMember(context.Background(), ChangeRequest{v.name, v.at})
+				return err == nil && c.Behind == nil
 			})
 		}
 		voters, addresses = append(voters, v), append(addresses, v.at)
@@ -383,8 +383,8 @@
 func roles(t testing.TB, list []*voterProcess) (leader, other *voterProcess) {
 	t.Helper()
 	until(t, "a leader", func() bool {
-		for _, asked := range list {
-			s, err := asked.client.Status(context.Background())
+		for _, queried := range list {
+			s, err := queried.client.Status(context.Background())
 			for _, v := range list {
 				switch {
 				case err != nil || s.Stale != "":
@@ -468,7 +468,7 @@
 	replica := newMachine(t, "r0", true, []string{list[0].config.Listen})
 	replica.config.Records, replica.config.RecordBytes = true, testBudget
 	replica.start()
-	if c, err := list[0].client.AddNonVoter(t.Context(), Verb{replica.config.Name, replica.config.Listen}); err != nil || c.Lacking != nil {
+	if c, err := list[0].client.AddNonVoter(t.Context(), ChangeRequest{replica.config.Name, replica.config.Listen}); err != nil || c.Behind != nil {
 		t.Fatal(c, err)
 	}
 	follower := newMachine(t, "a1", false, []string{replica.config.Listen})
@@ -486,10 +486,10 @@
 	}
 }
 
-// TestRecordsLeaderStandsStill stops the leader's process and wakes it: others come
+// TestRecordsLeaderStopped stops the leader's process and wakes it: others come
 // to a change without it, copies that asked it go to another voter, and it comes to
 // what was agreed on without it.
-func TestRecordsLeaderStandsStill(t *testing.T) {
+func TestRecordsLeaderStopped(t *testing.T) {
 	t.Parallel()
 	list, followers := processSite(t, 3)
 	first := followers[0].change("1", putOf(t, "plan/gold", goldPlan))
@@ -547,8 +547,8 @@
 	inForce(t, list[0].client, third.Version, 2)
 }
 
-// TestRecordsWhoMay has a copy follow over TLS, and roles keep to what they may.
-func TestRecordsWhoMay(t *testing.T) {
+// TestRecordsRolesAllowOnlyTheirCalls has a copy follow over TLS, and roles keep to what they may.
+func TestRecordsRolesAllowOnlyTheirCalls(t *testing.T) {
 	t.Parallel()
 	ca := filepath.Join(t.TempDir(), "ca")
 	if err := pki.Init(ca); err != nil {
--- a/internal/agent/refusals.go
+++ b/internal/agent/refusals.go
@@ -18,18 +18,18 @@
 type refusals struct {
 	path string
 
-	mu    sync.Mutex
-	file  *os.File
-	size  int64
-	left  int // lines that were left out in this second
-	lines int
-	since time.Time
+	mu      sync.Mutex
+	file    *os.File
+	size    int64
+	dropped int // lines that were left out in this second
+	lines   int
+	since   time.Time
 }
 
 const (
-	mostRefusals    = 1 << 20 // bytes; then the file is set aside, in place of the one before
-	refusalsASecond = 50
-	mostWho         = 200
+	maxRefusalsBytes     = 1 << 20 // bytes; then the file is set aside, in place of the one before
+	maxRefusalsPerSecond = 50
+	maxRefusalTextBytes  = 200
 )
 
 func openRefusals(path string) (*refusals, error) {
@@ -56,20 +56,20 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	if now.Sub(r.since) >= time.Second {
-		if r.left > 0 {
-			r.write(fleet.Event{At: now.UTC(), Who: "agent", What: fmt.Sprintf("%d more refusals were not written down", r.left)})
+		if r.dropped > 0 {
+			r.write(fleet.Event{At: now.UTC(), Who: "agent", What: fmt.Sprintf("%d more refusals were not written down", r.dropped)})
 		}
-		r.since, r.lines, r.left = now, 0, 0
+		r.since, r.lines, r.dropped = now, 0, 0
 	}
-	if r.lines++; r.lines > refusalsASecond {
-		r.left++
+	if r.lines++; r.lines > maxRefusalsPerSecond {
+		r.dropped++
 		return
 	}
-	r.write(fleet.Event{At: now.UTC(), Who: fleet.Short(who, mostWho), What: fleet.Short(what, mostWho)})
+	r.write(fleet.Event{At: now.UTC(), Who: fleet.Truncate(who, maxRefusalTextBytes), What: fleet.Truncate(what, maxRefusalTextBytes)})
 }
 
-func (r *refusals) write(e fleet.Event) {
-	if r.size > mostRefusals {
+func (r *refusals) write(event fleet.Event) {
+	if r.size > maxRefusalsBytes {
 		r.file.Close()
 		os.Rename(r.path, r.path+".1")
 		r.size = 0
@@ -77,7 +77,7 @@
 			return
 		}
 	}
-	text, err := json.Marshal(e)
+	text, err := json.Marshal(event)
 	if err != nil {
 		return
 	}
@@ -107,7 +107,7 @@
 		}
 		f.Close()
 	}
-	return list[max(0, len(list)-fleet.MostEvents):], nil
+	return list[max(0, len(list)-fleet.MaxEvents):], nil
 }
 
 func (r *refusals) close() {
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -15,24 +15,24 @@
 	"elderyard/revisions"
 )
 
-// observe is this agent's report.
-func (a *Agent) observe() agentapi.Report {
+// buildReport is this agent's report.
+func (a *Agent) buildReport() agentapi.Report {
 	r := agentapi.Report{Agent: a.self, Records: a.recordsStatus()}
 	if a.config.Roster {
-		r.Belong, r.Epoch = true, a.epoch
+		r.WantsRoster, r.RosterEpoch = true, a.rosterEpoch
 	}
 	for _, name := range a.self.Instances {
-		s := a.processes[name].peek()
-		o := agentapi.Observed{Name: name, State: s.status.State, Why: s.status.Why, Crashes: s.status.Crashes, PID: s.pid}
+		s := a.processes[name].state()
+		o := agentapi.Observed{Name: name, State: s.status.State, Why: s.status.Reason, Crashes: s.status.Crashes, PID: s.pid}
 		if s.status.Running != nil && s.pid != 0 {
 			o.Running, o.Content = s.status.Running.Revision, s.status.Running.Content
 		}
-		o.Believes, o.Missing = s.belief.line, s.belief.missing
-		if s.status.Wanted != nil {
-			o.Taking = s.status.Wanted.Revision
+		o.MembershipView, o.Unreachable = s.membershipView.line, s.membershipView.unreachable
+		if s.status.Desired != nil {
+			o.Target = s.status.Desired.Revision
 		}
 		a.mu.Lock()
-		if f, found := a.refused[name]; found {
+		if f, found := a.rejected[name]; found {
 			o.Refused, o.Refusal = f.revision, f.why
 		}
 		a.mu.Unlock()
@@ -41,11 +41,11 @@
 	return r
 }
 
-// report tells the leader what runs here and does what it orders, until ctx
+// runReports tells the leader what runs here and does what it orders, until ctx
 // ends.
-func (a *Agent) report(ctx context.Context) {
+func (a *Agent) runReports(ctx context.Context) {
 	if a.config.Roster {
-		a.epoch = a.keptRoster()
+		a.rosterEpoch = a.cachedRosterEpoch()
 	}
 	began := time.Now()
 	started := false // the instances that did not run have been told to
@@ -53,46 +53,46 @@
 		got, err := a.reportOnce(ctx)
 		switch {
 		case err == nil && !got.Wait:
-			a.obey(ctx, got)
+			a.applyOrders(ctx, got)
 			started = true
-		case !started && time.Since(began) >= time.Duration(a.config.Timing.FetchWithin):
+		case !started && time.Since(began) >= time.Duration(a.config.Timing.FetchTimeout):
 			// Cut off, or the leader knows no more than this agent: what ran last serves.
-			a.resume(ctx)
+			a.startLastRevisions(ctx)
 			started = true
 		}
-		a.note(got, err)
+		a.recordLeader(got, err)
 		if err == nil {
-			a.hearHead(got.Records)
+			a.receiveRecordsHead(got.Records)
 		}
 		wait.For(ctx, time.Duration(a.config.Timing.Report))
 	}
 }
 
-// note remembers who leads, or why nobody could be asked.
-func (a *Agent) note(got *agentapi.Orders, err error) {
+// recordLeader remembers who leads, or why nobody could be asked.
+func (a *Agent) recordLeader(got *agentapi.Orders, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	before := a.cutOff
+	before := a.leaderError
 	if err != nil {
-		a.cutOff = err.Error()
+		a.leaderError = err.Error()
 		if before == "" {
 			a.log.Warn("no leader can be reached; gateways go on with the last committed revision", "error", err)
 		}
 		return
 	}
-	a.cutOff, a.leader = "", got.Address
+	a.leaderError, a.leaderAddress = "", got.Address
 	if before != "" {
 		a.log.Info("a leader is reached again", "leader", got.Leader)
 	}
 }
 
 func (a *Agent) reportOnce(ctx context.Context) (*agentapi.Orders, error) {
-	ctx, cancel := context.WithTimeout(ctx, reportLimit)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	r := a.observe()
-	if a.lead != nil {
+	r := a.buildReport()
+	if a.leader != nil {
 		var got *agentapi.Orders
-		err := a.lead.ask(ctx, func(t *term) (err error) {
+		err := a.leader.do(ctx, func(t *term) (err error) {
 			got, err = t.report(ctx, &r)
 			return err
 		})
@@ -111,10 +111,10 @@
 	return &got, nil
 }
 
-// obey does what the leader ordered.
-func (a *Agent) obey(ctx context.Context, got *agentapi.Orders) {
+// applyOrders does what the leader ordered.
+func (a *Agent) applyOrders(ctx context.Context, got *agentapi.Orders) {
 	if got.Roster != nil {
-		a.keepRoster(got.Roster)
+		a.cacheRoster(got.Roster)
 	}
 	if a.awaitsRoster() {
 		return // the next report brings it, and the orders again
@@ -124,50 +124,50 @@
 		if p == nil {
 			continue
 		}
-		now := p.peek().status.Wanted
+		now := p.state().status.Desired
 		switch {
 		case o.Drained || o.Revision == 0:
 			if now != nil {
-				p.set(ctx, nil)
+				p.setDesired(ctx, nil)
 			}
 		case now == nil || now.Revision != o.Revision || now.Content != o.Checksum:
-			a.take(ctx, p, o)
+			a.applyOrder(ctx, p, o)
 		default:
-			a.forgive(name) // what was refused is not ordered any more
+			a.clearRejection(name) // what was refused is not ordered any more
 		}
 	}
 }
 
-// take has an instance go to a revision, if its gateway's parsers take it.
-func (a *Agent) take(ctx context.Context, p *process, o agentapi.Order) {
-	name, number := p.entry.Name, o.Revision
+// applyOrder has an instance go to a revision, if its gateway's parsers take it.
+func (a *Agent) applyOrder(ctx context.Context, proc *process, order agentapi.Order) {
+	name, number := proc.entry.Name, order.Revision
 	a.mu.Lock()
-	again := a.refused[name].revision == number
+	again := a.rejected[name].revision == number
 	a.mu.Unlock()
 	if again {
 		return // it has been refused, and does not change
 	}
-	r, err := a.fetch(ctx, o)
+	r, err := a.fetchRevision(ctx, order)
 	if err != nil {
 		a.log.Warn("a revision can't be fetched", "revision", number, "error", err)
 		return // the next report brings the order again
 	}
-	rendered, err := a.render(r, p)
+	rendered, err := a.render(r, proc)
 	if err != nil {
 		a.log.Error("a revision is refused", "instance", name, "revision", number, "error", err)
 		a.mu.Lock()
-		a.refused[name] = refusedRevision{number, fleet.Short(err.Error(), fleet.MostText/2)}
+		a.rejected[name] = rejectedRevision{number, fleet.Truncate(err.Error(), fleet.MaxTextBytes/2)}
 		a.mu.Unlock()
 		return
 	}
-	a.forgive(name)
-	p.set(ctx, rendered)
+	a.clearRejection(name)
+	proc.setDesired(ctx, rendered)
 }
 
-func (a *Agent) forgive(instance string) {
+func (a *Agent) clearRejection(instance string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.refused, instance)
+	delete(a.rejected, instance)
 }
 
 func (a *Agent) render(r revisions.Revision, p *process) (*document.Rendered, error) {
@@ -178,15 +178,15 @@
 	return d.Render(r.Number, document.Instance{Name: p.entry.Name, Listen: p.entry.Listen})
 }
 
-// resume starts what ran last.
-func (a *Agent) resume(ctx context.Context) {
+// startLastRevisions starts what ran last.
+func (a *Agent) startLastRevisions(ctx context.Context) {
 	for _, p := range a.processes {
-		last := p.last()
-		if p.peek().status.Wanted != nil || last == nil {
+		last := p.lastSpec()
+		if p.state().status.Desired != nil || last == nil {
 			continue
 		}
 		a.mu.Lock()
-		r, found := a.kept[last.Revision]
+		r, found := a.cachedRevisions[last.Revision]
 		a.mu.Unlock()
 		if !found {
 			a.log.Warn("what ran last is not known any more; the gateway waits for a leader", "instance", p.entry.Name, "revision", last.Revision)
@@ -198,6 +198,6 @@
 			continue
 		}
 		a.log.Warn("no leader says what to run; what ran last is started", "instance", p.entry.Name, "revision", last.Revision)
-		p.set(ctx, rendered)
+		p.setDesired(ctx, rendered)
 	}
 }
--- a/internal/agent/scale_linux_test.go
+++ b/internal/agent/scale_linux_test.go
@@ -124,7 +124,7 @@
 			text = strings.Replace(text, change[0], change[1], 1)
 		}
 		began := time.Now()
-		if a, err := client.Apply(ctx, Call{Request: plan, Parent: n - 1, Content: &revisions.Content{File: text}}); err != nil || a.Answer != revisions.Accepted {
+		if a, err := client.Apply(ctx, ApplyRequest{Request: plan, Parent: n - 1, Content: &revisions.Content{File: text}}); err != nil || a.Answer != revisions.Accepted {
 			t.Fatalf("%v %+v", err, a)
 		}
 		until(t, "the end", func() bool {
@@ -146,8 +146,8 @@
 
 // simulate is an agent of one instance that takes at once what it is told.
 func simulate(ctx context.Context, i int, address string, calls, sent *atomic.Int64) {
-	d := net.Dialer{Timeout: patience}
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: func(ctx context.Context, network, to string) (net.Conn, error) {
+	d := net.Dialer{Timeout: testTimeout}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: func(ctx context.Context, network, to string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, to)
 		return counted{c, sent}, err
 	}}}
@@ -167,10 +167,10 @@
 		}
 		if resp, err := client.Do(req); err == nil {
 			var got agentapi.Orders
-			if readAnswer(resp, &got) == nil {
+			if readResponse(resp, &got) == nil {
 				calls.Add(1)
 				if o := got.Orders[name]; o.Revision != 0 {
-					r.Instances[0].Running, r.Instances[0].Taking, r.Instances[0].State = o.Revision, o.Revision, supervise.Ready
+					r.Instances[0].Running, r.Instances[0].Target, r.Instances[0].State = o.Revision, o.Revision, supervise.Ready
 					r.Instances[0].Content = o.Checksum
 				}
 			}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	callLimit  = time.Minute
-	idleLimit  = 2 * time.Minute
-	mostBody   = 32 << 20
-	mostReport = 4 << 20
-	mostSaved  = 256 << 20
-	leadLimit  = 10 * time.Second
-	readLimit  = 3 * time.Second // of one agent that a reading call is sent on to
-	probeLimit = 10 * time.Second
-	probesOpen = 32
+	callTimeout         = time.Minute
+	idleTimeout         = 2 * time.Minute
+	maxBodyBytes        = 32 << 20
+	maxReportBytes      = 4 << 20
+	maxSnapshotBytes    = 256 << 20
+	leaderTimeout       = 10 * time.Second
+	readTimeout         = 3 * time.Second // of one agent that a reading call is sent on to
+	probeTimeout        = 10 * time.Second
+	maxConcurrentProbes = 32
 
-	electWithin = 5 * time.Second // an election is over by then, or there is no majority
-	electLook   = 50 * time.Millisecond
+	electionTimeout      = 5 * time.Second // an election is over by then, or there is no majority
+	electionPollInterval = 50 * time.Millisecond
 
-	forHeader = "X-Elderyard-For" // for whom an agent speaks
+	onBehalfHeader = "X-Elderyard-For" // for whom an agent speaks
 )
 
 // endpoint is one call of the agents' interface.
 type endpoint struct {
-	need pki.Role
-	here bool // this agent answers itself, whoever leads
-	most int64
-	do   func(context.Context, *call) (any, error)
-	old  func(why string) any // what this agent can tell without the leader; nil: nothing
+	minRole pki.Role
+	local   bool // this agent answers itself, whoever leads
+	maxBody int64
+	handle  func(context.Context, *call) (any, error)
+	stale   func(why string) any // what this agent can tell without the leader; nil: nothing
 }
 
 // call is one call on its way.
@@ -52,8 +52,8 @@
 }
 
 func (c *call) read(v any) error {
-	if err := revisions.Strictly(c.body, v); err != nil {
-		return &Failure{codeBad, err.Error()}
+	if err := revisions.DecodeStrict(c.body, v); err != nil {
+		return &Failure{codeBadRequest, err.Error()}
 	}
 	return nil
 }
@@ -61,99 +61,99 @@
 func (a *Agent) routes() http.Handler {
 	mux := http.NewServeMux()
 	add := func(pattern string, e endpoint) {
-		if e.most == 0 {
-			e.most = mostBody
+		if e.maxBody == 0 {
+			e.maxBody = maxBodyBytes
 		}
-		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { a.serve(w, r, &e) })
+		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { a.serveCall(w, r, &e) })
 	}
 	for pattern, e := range map[string]endpoint{
-		"POST " + agentapi.ReportPath: {need: pki.Agent, most: mostReport, do: a.takeReport},
-		"GET /v1/status":              {need: pki.Viewer, do: a.tellStatus, old: a.oldStatus},
-		"GET /v1/revisions":           {need: pki.Viewer, do: a.tellRevisions, old: a.oldRevisions},
-		"GET /v1/revisions/{n}":       {need: pki.Viewer, do: a.tellRevision},
-		"GET /v1/members":             {need: pki.Viewer, do: a.tellMembers, old: a.oldMembers},
-		"GET /v1/audit":               {need: pki.Viewer, do: a.tellAudit, old: a.oldAudit},
-		"GET /v1/refused":             {need: pki.Viewer, here: true, do: a.tellRefused},
-		"GET /v1/snapshot":            {need: pki.Operator, do: a.saveSnapshot},
-		"POST /v1/snapshot":           {need: pki.Operator, most: mostSaved, do: a.loadSnapshot},
-		"POST /v1/apply":              {need: pki.Operator, do: a.apply},
-		"POST /v1/probe":              {need: pki.Viewer, do: a.probe},
-		"POST /v1/probe-here":         {need: pki.Agent, here: true, do: a.probeHere},
-		"POST /v1/pause":              {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Pause{By: by} })},
-		"POST /v1/resume":             {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Resume{By: by} })},
-		"POST /v1/abort":              {need: pki.Operator, do: a.turn(func(by string) rollout.Event { return rollout.Abort{By: by} })},
-		"POST /v1/drain":              {need: pki.Operator, do: a.drain(true)},
-		"POST /v1/undrain":            {need: pki.Operator, do: a.drain(false)},
-		"POST /v1/members/add":        {need: pki.Operator, do: a.addMember(voter)},
-		"POST /v1/replicas/add":       {need: pki.Operator, do: a.addMember(nonVoter)},
-		"POST /v1/members/remove":     {need: pki.Operator, do: a.removeMember},
-		"POST /v1/agents/remove":      {need: pki.Operator, do: a.removeAgent},
+		"POST " + agentapi.ReportPath: {minRole: pki.Agent, maxBody: maxReportBytes, handle: a.handleReport},
+		"GET /v1/status":              {minRole: pki.Viewer, handle: a.handleStatus, stale: a.staleStatus},
+		"GET /v1/revisions":           {minRole: pki.Viewer, handle: a.handleRevisions, stale: a.staleRevisions},
+		"GET /v1/revisions/{n}":       {minRole: pki.Viewer, handle: a.handleRevision},
+		"GET /v1/members":             {minRole: pki.Viewer, handle: a.handleMembers, stale: a.staleMembers},
+		"GET /v1/audit":               {minRole: pki.Viewer, handle: a.handleAudit, stale: a.staleAudit},
+		"GET /v1/refused":             {minRole: pki.Viewer, local: true, handle: a.handleRefused},
+		"GET /v1/snapshot":            {minRole: pki.Operator, handle: a.handleSaveSnapshot},
+		"POST /v1/snapshot":           {minRole: pki.Operator, maxBody: maxSnapshotBytes, handle: a.handleRestoreSnapshot},
+		"POST /v1/apply":              {minRole: pki.Operator, handle: a.handleApply},
+		"POST /v1/probe":              {minRole: pki.Viewer, handle: a.handleProbe},
+		"POST /v1/probe-here":         {minRole: pki.Agent, local: true, handle: a.handleProbeHere},
+		"POST /v1/pause":              {minRole: pki.Operator, handle: a.handleRolloutEvent(func(by string) rollout.Event { return rollout.Pause{By: by} })},
+		"POST /v1/resume":             {minRole: pki.Operator, handle: a.handleRolloutEvent(func(by string) rollout.Event { return rollout.Resume{By: by} })},
+		"POST /v1/abort":              {minRole: pki.Operator, handle: a.handleRolloutEvent(func(by string) rollout.Event { return rollout.Abort{By: by} })},
+		"POST /v1/drain":              {minRole: pki.Operator, handle: a.handleDrain(true)},
+		"POST /v1/undrain":            {minRole: pki.Operator, handle: a.handleDrain(false)},
+		"POST /v1/members/add":        {minRole: pki.Operator, handle: a.handleAddMember(voter)},
+		"POST /v1/replicas/add":       {minRole: pki.Operator, handle: a.handleAddMember(nonVoter)},
+		"POST /v1/members/remove":     {minRole: pki.Operator, handle: a.handleRemoveMember},
+		"POST /v1/agents/remove":      {minRole: pki.Operator, handle: a.handleRemoveAgent},
 	} {
 		add(pattern, e)
 	}
-	a.handleRecords(mux, add)
+	a.addRecordsEndpoints(mux, add)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		answerWith(w, http.StatusNotFound, Failure{codeUnknown, "there is no such call: " + r.Method + " " + r.URL.Path})
+		writeJSON(w, http.StatusNotFound, Failure{codeNotFound, "there is no such call: " + r.Method + " " + r.URL.Path})
 	})
 	return mux
 }
 
-// serve finds out who calls and who answers.
-func (a *Agent) serve(w http.ResponseWriter, r *http.Request, e *endpoint) {
-	c := &call{caller: callerOf(r.Context()), r: r}
+// serveCall finds out who calls and who answers.
+func (a *Agent) serveCall(response http.ResponseWriter, request *http.Request, target *endpoint) {
+	c := &call{caller: callerOf(request.Context()), r: request}
 	// An agent speaks for those whose calls it sends on, never for more than they may.
-	if name, role, found := strings.Cut(r.Header.Get(forHeader), ";"); found && c.role.Covers(pki.Agent) {
+	if name, role, found := strings.Cut(request.Header.Get(onBehalfHeader), ";"); found && c.role.Covers(pki.Agent) {
 		c.caller = caller{name, pki.Role(role)}
 	}
-	if !c.role.Covers(e.need) {
-		a.refusals.add(c.name, fmt.Sprintf("%s %s, which the role %q may not", r.Method, r.URL.Path, c.role))
-		answerWith(w, http.StatusForbidden, Failure{codeForbidden, fmt.Sprintf("%s has the role %q, and %s is needed", c.name, c.role, e.need)})
+	if !c.role.Covers(target.minRole) {
+		a.refusals.add(c.name, fmt.Sprintf("%s %s, which the role %q may not", request.Method, request.URL.Path, c.role))
+		writeJSON(response, http.StatusForbidden, Failure{codeForbidden, fmt.Sprintf("%s has the role %q, and %s is needed", c.name, c.role, target.minRole)})
 		return
 	}
 	var err error
-	if c.body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, e.most)); err != nil {
-		answerWith(w, http.StatusRequestEntityTooLarge, Failure{codeBad, fmt.Sprintf("the call's body: %v", err)})
+	if c.body, err = io.ReadAll(http.MaxBytesReader(response, request.Body, target.maxBody)); err != nil {
+		writeJSON(response, http.StatusRequestEntityTooLarge, Failure{codeBadRequest, fmt.Sprintf("the call's body: %v", err)})
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), callLimit)
+	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
 	defer cancel()
 	var answer any
 	switch {
-	case e.here:
-		answer, err = e.do(ctx, c)
+	case target.local:
+		answer, err = target.handle(ctx, c)
 	case a.store != nil:
-		answer, err = a.whenLeading(ctx, e, c)
+		answer, err = a.whenLeading(ctx, target, c)
 	default:
 		err = errNotLeading
 	}
 	if errors.Is(err, errNotLeading) || errors.Is(err, replica.ErrNoLeader) {
-		text, sent := a.sendOn(ctx, c)
+		text, sent := a.forward(ctx, c)
 		if sent == nil {
-			w.Header().Set("Content-Type", "application/json")
-			w.Write(text)
+			response.Header().Set("Content-Type", "application/json")
+			response.Write(text)
 			return
 		}
 		err = sent
-		if e.old != nil && !answered(sent) {
-			answer, err = e.old(sent.Error()), nil
+		if target.stale != nil && !isAnswer(sent) {
+			answer, err = target.stale(sent.Error()), nil
 		}
 	}
 	if err == nil {
-		answerWith(w, http.StatusOK, answer)
+		writeJSON(response, http.StatusOK, answer)
 		return
 	}
 	f, status := asFailure(err)
-	if f.Code == codeBad || f.Code == codeRefused || f.Code == codeForbidden {
-		a.refusals.add(c.name, r.Method+" "+r.URL.Path+": "+f.Text)
+	if f.Code == codeBadRequest || f.Code == codeRefused || f.Code == codeForbidden {
+		a.refusals.add(c.name, request.Method+" "+request.URL.Path+": "+f.Text)
 	}
-	answerWith(w, status, f)
+	writeJSON(response, status, f)
 }
 
 // whenLeading does a call if this voter leads. Where it is only about to, as
 // after a start or an election, that is waited for.
 func (a *Agent) whenLeading(ctx context.Context, e *endpoint, c *call) (answer any, err error) {
-	for limit := time.Now().Add(electWithin); ; wait.For(ctx, electLook) {
-		answer, err = e.do(ctx, c)
+	for limit := time.Now().Add(electionTimeout); ; wait.For(ctx, electionPollInterval) {
+		answer, err = e.handle(ctx, c)
 		if !errors.Is(err, errNotLeading) && !errors.Is(err, replica.ErrNoLeader) || ctx.Err() != nil || time.Now().After(limit) {
 			return answer, err
 		}
@@ -165,11 +165,11 @@
 
 func asFailure(err error) (*Failure, int) {
 	var f *Failure
-	var r *refusal
+	var r *refusedError
 	switch {
 	case errors.As(err, &f):
-		status := map[string]int{codeBad: http.StatusBadRequest, codeRefused: http.StatusConflict, codeForbidden: http.StatusForbidden,
-			codeUnknown: http.StatusNotFound, codeDoubt: http.StatusGatewayTimeout}[f.Code]
+		status := map[string]int{codeBadRequest: http.StatusBadRequest, codeRefused: http.StatusConflict, codeForbidden: http.StatusForbidden,
+			codeNotFound: http.StatusNotFound, codeOutcomeUnknown: http.StatusGatewayTimeout}[f.Code]
 		if status == 0 {
 			status = http.StatusServiceUnavailable
 		}
@@ -177,26 +177,26 @@
 	case errors.As(err, &r):
 		return &Failure{codeRefused, r.text}, http.StatusConflict
 	case errors.Is(err, replica.ErrUnknown), errors.Is(err, context.DeadlineExceeded):
-		return &Failure{codeDoubt, err.Error()}, http.StatusGatewayTimeout
+		return &Failure{codeOutcomeUnknown, err.Error()}, http.StatusGatewayTimeout
 	case errors.Is(err, errNotLeading), errors.Is(err, replica.ErrNoLeader):
 		return &Failure{codeUnreachable, err.Error()}, http.StatusServiceUnavailable
 	}
 	return &Failure{codeRefused, err.Error()}, http.StatusConflict
 }
 
-func answerWith(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-// sendOn has the leader answer a call in this agent's place.
-func (a *Agent) sendOn(ctx context.Context, c *call) ([]byte, error) {
-	hop := c.r.Header.Get(agentapi.HopHeader)
-	if hop != "" && hop != agentapi.HopMay || hop == agentapi.HopMay && a.store == nil {
+// forward has the leader answer a call in this agent's place.
+func (a *Agent) forward(ctx context.Context, request *call) ([]byte, error) {
+	hop := request.r.Header.Get(agentapi.HopHeader)
+	if hop != "" && hop != agentapi.HopMayForward || hop == agentapi.HopMayForward && a.store == nil {
 		return nil, &Failure{codeUnreachable, "this agent does not lead either"}
 	}
-	addresses := a.voters()
+	addresses := a.voterAddresses()
 	if a.store != nil { // a voter knows the leader, or nobody does
 		_, address := a.store.Leader()
 		addresses = nil
@@ -206,20 +206,20 @@
 	}
 	err := error(&Failure{codeUnreachable, "no leader is known"})
 	for _, address := range addresses {
-		e := errand{method: c.r.Method, path: c.r.URL.RequestURI(), body: c.body, hop: agentapi.HopMay, whose: &c.caller, limit: leadLimit}
-		if c.r.Method == http.MethodGet {
-			e.limit = readLimit
+		e := peerCall{method: request.r.Method, path: request.r.URL.RequestURI(), body: request.body, hop: agentapi.HopMayForward, onBehalfOf: &request.caller, timeout: leaderTimeout}
+		if request.r.Method == http.MethodGet {
+			e.timeout = readTimeout
 		}
 		if a.store != nil || address == a.knownLeader() {
 			e.hop = "1"
 		}
 		var text json.RawMessage
-		if err = a.callOne(ctx, address, e, &text); err == nil || answered(err) {
+		if err = a.callAgent(ctx, address, e, &text); err == nil || isAnswer(err) {
 			return text, err
 		}
-		var lost interface{ Timeout() bool }
-		if c.r.Method != http.MethodGet && errors.As(err, &lost) && lost.Timeout() {
-			return nil, &Failure{codeDoubt, fmt.Sprintf("%s did not answer: %v", address, err)}
+		var netError interface{ Timeout() bool }
+		if request.r.Method != http.MethodGet && errors.As(err, &netError) && netError.Timeout() {
+			return nil, &Failure{codeOutcomeUnknown, fmt.Sprintf("%s did not answer: %v", address, err)}
 		}
 	}
 	if f := (*Failure)(nil); !errors.As(err, &f) {
@@ -230,7 +230,7 @@
 
 // inTerm does something where this voter leads.
 func (a *Agent) inTerm(ctx context.Context, do func(*term) error) error {
-	ctx, cancel := context.WithTimeout(ctx, leadLimit)
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
-	return a.lead.ask(ctx, do)
+	return a.leader.do(ctx, do)
 }
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	serviceEvery = time.Second
-	serviceLimit = 2 * time.Second
-	mostService  = 64 // bytes of an answer
+	servicePollInterval = time.Second
+	serviceTimeout      = 2 * time.Second
+	maxServiceBytes     = 64 // bytes of an answer
 )
 
 // watchService reads the site's level of service while this voter leads, until
 // ctx ends. What can't be read says nothing: a rollout is not held up, nor
 // turned back, by a monitor that is away.
 func (a *Agent) watchService(ctx context.Context) {
-	client := &http.Client{Timeout: serviceLimit}
+	client := &http.Client{Timeout: serviceTimeout}
 	defer client.CloseIdleConnections()
 	silent := false
-	for wait.For(ctx, serviceEvery) {
-		if !a.store.Leading() {
+	for wait.For(ctx, servicePollInterval) {
+		if !a.store.IsLeader() {
 			continue
 		}
 		level, err := readService(ctx, client, a.config.ServiceFrom)
@@ -38,8 +38,8 @@
 		if err == nil {
 			// A refusal is of a voter that leads no more, or has no rollout.
 			_ = a.inTerm(ctx, func(t *term) error {
-				t.level = level
-				return t.event(ctx, rollout.Service{Level: level}, "")
+				t.serviceLevel = level
+				return t.step(ctx, rollout.ServiceReported{Level: level}, "")
 			})
 		}
 	}
@@ -56,7 +56,7 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostService))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceBytes))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -29,36 +29,36 @@
 
 // InstanceStatus is one instance of a Status.
 type InstanceStatus struct {
-	Name    string          `json:"name"`
-	Agent   string          `json:"agent"`
-	Running uint64          `json:"running"` // the revision; 0: none
-	Told    uint64          `json:"told"`
-	State   supervise.State `json:"state"`
-	Ready   bool            `json:"ready"`
-	Phase   rollout.Phase   `json:"phase,omitempty"`
-	Why     string          `json:"why,omitempty"`
-	Crashes int             `json:"crashes"`
-	PID     int             `json:"pid,omitempty"`
-	Drained bool            `json:"drained,omitempty"`
-	Silent  bool            `json:"silent,omitempty"`
-	Heard   time.Time       `json:"heard"` // zero: never by this leader
+	Name       string          `json:"name"`
+	Agent      string          `json:"agent"`
+	Running    uint64          `json:"running"` // the revision; 0: none
+	Assigned   uint64          `json:"told"`
+	State      supervise.State `json:"state"`
+	Ready      bool            `json:"ready"`
+	Phase      rollout.Phase   `json:"phase,omitempty"`
+	Why        string          `json:"why,omitempty"`
+	Crashes    int             `json:"crashes"`
+	PID        int             `json:"pid,omitempty"`
+	Drained    bool            `json:"drained,omitempty"`
+	Silent     bool            `json:"silent,omitempty"`
+	ReportedAt time.Time       `json:"heard"` // zero: never by this leader
 
-	Believes  string   `json:"believes,omitempty"`   // what it says of the others, where gateways know each other
-	DoubtedBy []string `json:"doubted_by,omitempty"` // instances that do not hear it: evidence, no proof
+	MembershipView  string   `json:"believes,omitempty"`   // what it says of the others, where gateways know each other
+	UnreachableFrom []string `json:"doubted_by,omitempty"` // instances that do not hear it: evidence, no proof
 }
 
-// show puts into a status what a report says.
-func (i *InstanceStatus) show(o *agentapi.Observed, at time.Time) {
-	i.Running, i.State, i.Ready, i.Why, i.Crashes, i.PID, i.Heard = o.Running, o.State, o.State == supervise.Ready, o.Why, o.Crashes, o.PID, at.UTC()
-	i.Believes = o.Believes
+// setReport puts into a status what a report says.
+func (i *InstanceStatus) setReport(o *agentapi.Observed, at time.Time) {
+	i.Running, i.State, i.Ready, i.Why, i.Crashes, i.PID, i.ReportedAt = o.Running, o.State, o.State == supervise.Ready, o.Why, o.Crashes, o.PID, at.UTC()
+	i.MembershipView = o.MembershipView
 	if o.Refused != 0 {
 		i.Why = o.Refusal
 	}
 }
 
-// Applied answers an apply.
-type Applied struct {
-	Answer   revisions.Answer   `json:"answer"`
+// ApplyResult answers an apply.
+type ApplyResult struct {
+	Answer   revisions.Status   `json:"answer"`
 	Revision revisions.Revision `json:"revision"`
 	Why      string             `json:"why,omitempty"`
 }
@@ -88,7 +88,7 @@
 
 // MemberChange is what a change of the voters has come to: a majority has agreed.
 type MemberChange struct {
-	Lacking []string `json:"lacking,omitempty"` // voters that have yet to note it, by name
+	Behind []string `json:"lacking,omitempty"` // voters that have yet to note it, by name
 }
 
 // Audit is the log of changes, and of what this agent refused.
@@ -98,18 +98,18 @@
 	Refused []fleet.Event `json:"refused"` // by the agent that was asked
 }
 
-// Verb is a call that changes one thing.
-type Verb struct {
+// ChangeRequest is a call that changes one thing.
+type ChangeRequest struct {
 	Name    string `json:"name,omitempty"`
 	Address string `json:"address,omitempty"`
 }
 
 // The codes of failures.
 const (
-	codeBad         = "bad request"
-	codeRefused     = "refused"
-	codeForbidden   = "forbidden"
-	codeUnknown     = "not found"
-	codeUnreachable = "unreachable"
-	codeDoubt       = "in doubt"
+	codeBadRequest     = "bad request"
+	codeRefused        = "refused"
+	codeForbidden      = "forbidden"
+	codeNotFound       = "not found"
+	codeUnreachable    = "unreachable"
+	codeOutcomeUnknown = "in doubt"
 )
--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -13,19 +13,19 @@
 const ReportPath = "/v1/report"
 
 // HopHeader tells how often a call has been forwarded. A call that carries
-// HopMay may be forwarded by a voter that does not lead; one without the
+// HopMayForward may be forwarded by a voter that does not lead; one without the
 // header, or with another value, is answered where it arrives.
 const (
-	HopHeader = "X-Elderyard-Hop"
-	HopMay    = "0"
+	HopHeader     = "X-Elderyard-Hop"
+	HopMayForward = "0"
 )
 
 // Report is what an agent tells the leader.
 type Report struct {
-	Agent     fleet.Agent `json:"agent"`
-	Instances []Observed  `json:"instances"`
-	Belong    bool        `json:"belong,omitempty"` // the agent keeps the members' roster, as of Epoch
-	Epoch     uint64      `json:"epoch,omitempty"`
+	Agent       fleet.Agent `json:"agent"`
+	Instances   []Observed  `json:"instances"`
+	WantsRoster bool        `json:"belong,omitempty"` // the agent keeps the members' roster, as of Epoch
+	RosterEpoch uint64      `json:"epoch,omitempty"`
 
 	Records *RecordsStatus `json:"records,omitempty"` // nil: the agent keeps no copy of the records
 }
@@ -35,7 +35,7 @@
 	Name    string          `json:"name"`
 	Running uint64          `json:"running"`           // the revision; 0: none
 	Content string          `json:"content,omitempty"` // checksum of the revision that runs
-	Taking  uint64          `json:"taking"`            // the revision that it is on its way to
+	Target  uint64          `json:"taking"`            // the revision that it is on its way to
 	State   supervise.State `json:"state"`
 	Why     string          `json:"why,omitempty"`
 	Crashes int             `json:"crashes"`
@@ -43,8 +43,8 @@
 	Refused uint64          `json:"refused,omitempty"` // a revision that the agent refuses to take; 0: none
 	Refusal string          `json:"refusal,omitempty"` // why
 
-	Believes string   `json:"believes,omitempty"` // what the instance says of the other members
-	Missing  []string `json:"missing,omitempty"`  // instances that it does not hear
+	MembershipView string   `json:"believes,omitempty"` // what the instance says of the other members
+	Unreachable    []string `json:"missing,omitempty"`  // instances that it does not hear
 }
 
 // Orders answer a Report.
--- a/internal/agentapi/golden_test.go
+++ b/internal/agentapi/golden_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	var decoded T
-	if err := revisions.Strictly(golden, &decoded); err != nil {
+	if err := revisions.DecodeStrict(golden, &decoded); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(decoded, message) {
@@ -132,9 +132,9 @@
 	status := goldenStatus()
 	return Report{
 		Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
-		Instances: []Observed{{Name: "g0", Running: 3, Content: "c3", Taking: 4, State: supervise.Ready, Why: "it ended", Crashes: 2, PID: 4711,
-			Refused: 5, Refusal: "revision 5: no such key", Believes: "3 of 4 there", Missing: []string{"g7"}}},
-		Belong: true, Epoch: 9, Records: &status,
+		Instances: []Observed{{Name: "g0", Running: 3, Content: "c3", Target: 4, State: supervise.Ready, Why: "it ended", Crashes: 2, PID: 4711,
+			Refused: 5, Refusal: "revision 5: no such key", MembershipView: "3 of 4 there", Unreachable: []string{"g7"}}},
+		WantsRoster: true, RosterEpoch: 9, Records: &status,
 	}
 }
 
@@ -149,15 +149,15 @@
 	checkFullMessage(t, "report.json", goldenReport())
 	checkFullMessage(t, "orders.json", goldenOrders())
 	checkFullMessage(t, "records-change.json", RecordsChange{Request: "r1", Message: "why",
-		Operations: []records.Operation{{Key: goldenKey, Delete: true, Value: goldenValue, If: ptr(uint64(6))}}})
+		Operations: []records.Operation{{Key: goldenKey, Delete: true, Value: goldenValue, IfVersion: ptr(uint64(6))}}})
 	checkFullMessage(t, "records-list.json", RecordsList{Version: 7, Digest: goldenDigest, Total: 12,
 		Records: []records.Record{{Key: goldenKey, Version: 5, Value: goldenValue}}})
 	checkFullMessage(t, "records-versions.json", RecordsVersions{Version: 7, Digest: goldenDigest,
 		Changes: []records.ChangeInfo{{Version: 7, Author: "ann", Message: "why", At: goldenTime, Operations: 2}}})
 	checkFullMessage(t, "records-diff.json", RecordsDiff{From: 5, To: 7,
-		Changes: []records.KeyChange{{Key: goldenKey, Version: 6, Record: &records.Record{Key: goldenKey, Version: 6, Value: goldenValue}, Later: 7}}})
+		Changes: []records.KeyChange{{Key: goldenKey, Version: 6, Record: &records.Record{Key: goldenKey, Version: 6, Value: goldenValue}, SupersededBy: 7}}})
 	checkFullMessage(t, "records-lag.json", RecordsLag{Stale: "no leader is known", Version: 8, Digest: goldenDigest, InForce: 3,
-		Agents: []AgentRecords{{Agent: "a1", State: RecordsBehind, Status: goldenStatus(), Since: ptr(goldenTime), Heard: ptr(goldenTime.Add(time.Second))}}})
+		Agents: []AgentRecords{{Agent: "a1", State: RecordsBehind, Status: goldenStatus(), Since: ptr(goldenTime), ReportedAt: ptr(goldenTime.Add(time.Second))}}})
 }
 
 // The messages of a site without gateways, records and rosters: what has no value is
@@ -175,19 +175,19 @@
 // A report of an agent from before rosters and records is accepted, and a key that the
 // leader does not know refuses the report as it always did.
 func TestReportOfOlderAgent(t *testing.T) {
-	old := []byte(`{"agent":{"name":"a1","address":"10.0.0.1:7946","instances":["g0"]},` +
+	oldReport := []byte(`{"agent":{"name":"a1","address":"10.0.0.1:7946","instances":["g0"]},` +
 		`"instances":[{"name":"g0","running":3,"taking":4,"state":"starting","crashes":2}]}`)
 	var got Report
-	if err := revisions.Strictly(old, &got); err != nil {
+	if err := revisions.DecodeStrict(oldReport, &got); err != nil {
 		t.Fatal(err)
 	}
 	want := Report{Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
-		Instances: []Observed{{Name: "g0", Running: 3, Taking: 4, State: supervise.Starting, Crashes: 2}}}
+		Instances: []Observed{{Name: "g0", Running: 3, Target: 4, State: supervise.Starting, Crashes: 2}}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	for _, unknown := range []string{`{"agent":{},"instances":[],"mood":1}`, `{"agent":{},"instances":[{"mood":1}]}`} {
-		if err := revisions.Strictly([]byte(unknown), &got); err == nil || err.Error() != `json: unknown field "mood"` {
+		if err := revisions.DecodeStrict([]byte(unknown), &got); err == nil || err.Error() != `json: unknown field "mood"` {
 			t.Errorf("%s: %v", unknown, err)
 		}
 	}
@@ -209,8 +209,8 @@
 }
 
 func TestGoldenNames(t *testing.T) {
-	if ReportPath != "/v1/report" || HopHeader != "X-Elderyard-Hop" || HopMay != "0" {
-		t.Errorf("%q %q %q", ReportPath, HopHeader, HopMay)
+	if ReportPath != "/v1/report" || HopHeader != "X-Elderyard-Hop" || HopMayForward != "0" {
+		t.Errorf("%q %q %q", ReportPath, HopHeader, HopMayForward)
 	}
 	states := []RecordsState{RecordsInForce, RecordsBehind, RecordsDiffer, RecordsSilent, RecordsNoReports, RecordsUnknown}
 	if want := []RecordsState{"in force", "behind", "differs", "silent", "off", "unknown"}; !slices.Equal(states, want) {
--- a/internal/agentapi/records.go
+++ b/internal/agentapi/records.go
@@ -86,9 +86,9 @@
 
 // AgentRecords is one agent of a RecordsLag.
 type AgentRecords struct {
-	Agent  string        `json:"agent"`
-	State  RecordsState  `json:"state"`
-	Status RecordsStatus `json:"status"`          // as last reported
-	Since  *time.Time    `json:"since,omitempty"` // when the first change was accepted that it lacks; nil: none, or it is not known any more
-	Heard  *time.Time    `json:"heard,omitempty"` // nil: never by this leader
+	Agent      string        `json:"agent"`
+	State      RecordsState  `json:"state"`
+	Status     RecordsStatus `json:"status"`          // as last reported
+	Since      *time.Time    `json:"since,omitempty"` // when the first change was accepted that it lacks; nil: none, or it is not known any more
+	ReportedAt *time.Time    `json:"heard,omitempty"` // nil: never by this leader
 }
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -75,14 +75,14 @@
 	if err != nil || s.Clients.SocketShare != 0.6 || s.Clients.MemoryShare != 0.1 {
 		t.Fatalf("%v %+v", err, s)
 	}
-	if r.Spec.Longest != 1010*time.Millisecond || r.Spec.Revision != 1 {
+	if r.Spec.MaxRequestDuration != 1010*time.Millisecond || r.Spec.Revision != 1 {
 		t.Fatalf("%+v", r)
 	}
 	if other := render(t, c, "g0"); other.Spec.Files == r.Spec.Files {
 		t.Fatal("two instances have one checksum")
 	}
 	d, _ := Parse("site.toml", c)
-	if p := d.Policy(); p.Canaries != 2 || p.SoakFor != 3*time.Second || p.MostAway != 1 {
+	if p := d.Policy(); p.Canaries != 2 || p.SoakDuration != 3*time.Second || p.MaxUnavailable != 1 {
 		t.Fatalf("%+v", p)
 	}
 	if again := render(t, c, "g1"); again.Spec != r.Spec || r.Spec.Content != c.Sum() {
@@ -93,22 +93,22 @@
 func TestWhatAChangeTakes(t *testing.T) {
 	from := render(t, content(good), "g0").Spec
 	again := content(good)
-	again.Turn = 1
+	again.RestartGeneration = 1
 	for what, c := range map[string]struct {
 		content revisions.Content
 		step    supervise.Step
 	}{
-		"the rollout's own":  {content(strings.Replace(good, "canaries = 2", "canaries = 3", 1)), supervise.Nothing},
-		"a comment":          {content("# new\n" + good), supervise.Nothing},
-		"discovery":          {content(strings.Replace(good, "7001", "7003", 1)), supervise.Reload},
-		"the counter":        {content(strings.Replace(good, "7002", "7003", 1)), supervise.Reload},
-		"a plan":             {content(strings.Replace(good, "depth = 20.0", "depth = 30.0", 1)), supervise.Restart},
-		"an operator's key":  {content(strings.Replace(good, "0.6", "0.5", 1)), supervise.Restart},
-		"another turn":       {again, supervise.Restart},
-		"two of the changes": {content(strings.Replace(strings.Replace(good, "7001", "7003", 1), "0.6", "0.5", 1)), supervise.Restart},
+		"the rollout's own":  {content(strings.Replace(good, "canaries = 2", "canaries = 3", 1)), supervise.StepNone},
+		"a comment":          {content("# new\n" + good), supervise.StepNone},
+		"discovery":          {content(strings.Replace(good, "7001", "7003", 1)), supervise.StepReload},
+		"the counter":        {content(strings.Replace(good, "7002", "7003", 1)), supervise.StepReload},
+		"a plan":             {content(strings.Replace(good, "depth = 20.0", "depth = 30.0", 1)), supervise.StepRestart},
+		"an operator's key":  {content(strings.Replace(good, "0.6", "0.5", 1)), supervise.StepRestart},
+		"another turn":       {again, supervise.StepRestart},
+		"two of the changes": {content(strings.Replace(strings.Replace(good, "7001", "7003", 1), "0.6", "0.5", 1)), supervise.StepRestart},
 	} {
 		to := render(t, c.content, "g0").Spec
-		if step := supervise.Between(&from, &to); step != c.step {
+		if step := supervise.StepBetween(&from, &to); step != c.step {
 			t.Errorf("%s: %s, want %s", what, step, c.step)
 		}
 	}
--- a/internal/document/golden_test.go
+++ b/internal/document/golden_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	content := revisions.Content{File: string(text), Turn: 3, Overlays: map[string]string{
+	content := revisions.Content{File: string(text), RestartGeneration: 3, Overlays: map[string]string{
 		"g1": "[gateway]\nseed = \"0a\"\n[gateway.settings]\nrank = 1\n[site.clients]\nmemory_share = 0.1\n"}}
 	d, err := Parse("revision.toml", content)
 	if err != nil {
@@ -56,7 +56,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "=== %s\n%s\n--- site\n%s--- revision %d, longest %v\ncontent %s\nfiles %s\nfixed %s\n",
-			instance.Name, r.Config, r.Site, r.Spec.Revision, r.Spec.Longest, r.Spec.Content, r.Spec.Files, r.Spec.Fixed)
+			instance.Name, r.Config, r.Site, r.Spec.Revision, r.Spec.MaxRequestDuration, r.Spec.Content, r.Spec.Files, r.Spec.Fixed)
 	}
 	golden.Text(t, "rendered.txt", b.String())
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,8 +56,8 @@
 	// Run takes part until ctx ends. Told is called with each new number that what
 	// all have together is divided by, and that of the senders to a cold backend.
 	Run(ctx context.Context, told func(share, cold int))
-	Desk() http.Handler // answers operators, below fellowsPath
-	Believes() string   // one line for them
+	AdminHandler() http.Handler // answers operators, below fellowsPath
+	Summary() string            // one line for them
 }
 
 const (
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -17,8 +17,8 @@
 type fellowsOf struct{}
 
 func (fellowsOf) Run(context.Context, func(share, cold int)) {}
-func (fellowsOf) Believes() string                           { return "peers: whole for 3s" }
-func (fellowsOf) Desk() http.Handler {
+func (fellowsOf) Summary() string                            { return "peers: whole for 3s" }
+func (fellowsOf) AdminHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprintf(w, "what others know, %s\n", r.URL) })
 }
 
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -41,12 +41,12 @@
 		}
 		io.WriteString(w, "ready\n")
 		if o.fellows != nil {
-			fmt.Fprintln(w, o.fellows.Believes())
+			fmt.Fprintln(w, o.fellows.Summary())
 		}
 	})
 	if o.fellows != nil {
-		mux.Handle(fellowsPath, o.fellows.Desk())
-		mux.Handle(fellowsPath+"/", o.fellows.Desk())
+		mux.Handle(fellowsPath, o.fellows.AdminHandler())
+		mux.Handle(fellowsPath+"/", o.fellows.AdminHandler())
 	}
 	mux.HandleFunc("POST /_backends/detach", func(w http.ResponseWriter, r *http.Request) { o.byHand(w, r, true) })
 	mux.HandleFunc("POST /_backends/attach", func(w http.ResponseWriter, r *http.Request) { o.byHand(w, r, false) })
--- a/internal/lab/audit/members.go
+++ b/internal/lab/audit/members.go
@@ -36,27 +36,27 @@
 type Picture struct {
 	At      time.Time // of the question; the answer is not older
 	Name    string
-	Life    members.Life
+	Life    members.Incarnation
 	Verdict string
 	Epoch   uint64
 	Safe    int
 	Share   int
 	MayHold bool
-	There   map[string]members.Life // whom it counts as living, itself among them
+	There   map[string]members.Incarnation // whom it counts as living, itself among them
 }
 
 // PictureOf reads an answer.
-func PictureOf(asked time.Time, a peers.Answer) Picture {
-	p := Picture{At: asked, Name: a.Picture.Self, Life: a.Picture.Life, Verdict: a.Picture.Verdict.String(), Epoch: a.Picture.Epoch,
-		Safe: a.Picture.Safe, Share: a.Picture.Share, There: map[string]members.Life{}}
-	for _, v := range a.Picture.Members {
-		if v.State.There() {
-			p.There[v.Name] = v.Life
+func PictureOf(asked time.Time, a peers.Status) Picture {
+	p := Picture{At: asked, Name: a.View.Self, Life: a.View.Incarnation, Verdict: a.View.Verdict.String(), Epoch: a.View.Epoch,
+		Safe: a.View.SafeCount, Share: a.View.QuotaDivisor, There: map[string]members.Incarnation{}}
+	for _, v := range a.View.Members {
+		if v.State.Alive() {
+			p.There[v.Name] = v.Incarnation
 		}
 	}
-	for _, u := range a.May {
-		if u.Use == members.HoldDuty.String() {
-			p.MayHold = u.May
+	for _, u := range a.Permissions {
+		if u.Operation == members.ExerciseLease.String() {
+			p.MayHold = u.Allowed
 		}
 	}
 	return p
@@ -269,7 +269,7 @@
 	}
 }
 
-func sameNames(there map[string]members.Life, want map[string]int) bool {
+func sameNames(there map[string]members.Incarnation, want map[string]int) bool {
 	if len(there) != len(want) {
 		return false
 	}
@@ -315,7 +315,7 @@
 				delete(share, h.Name)
 			}
 		}
-		share[p.Name] = p.Share != members.NoShare
+		share[p.Name] = p.Share != members.NoQuota
 		serving := 0
 		for name, has := range share {
 			if has && up[name] > 0 {
@@ -323,7 +323,7 @@
 			}
 		}
 		v.Judged[RuleSafe]++
-		if p.Share != members.NoShare && p.Safe < serving {
+		if p.Share != members.NoQuota && p.Safe < serving {
 			v.breach(RuleSafe, p.Name, "it counts %d, and %d serve", p.Safe, serving)
 			return
 		}
--- a/internal/lab/audit/members_test.go
+++ b/internal/lab/audit/members_test.go
@@ -23,11 +23,11 @@
 }
 
 // pass records pictures of those that run for a while.
-func (c *clean) pass(d time.Duration, there map[string]members.Life, change func(*Picture)) {
+func (c *clean) pass(d time.Duration, there map[string]members.Incarnation, change func(*Picture)) {
 	for end := c.at.Add(d); c.at.Before(end); {
 		c.at = c.at.Add(100 * time.Millisecond)
 		for name, life := range there {
-			p := Picture{At: c.at, Name: name, Life: life, Verdict: "whole", Epoch: 1, Safe: 3, Share: 3, MayHold: true, There: map[string]members.Life{}}
+			p := Picture{At: c.at, Name: name, Life: life, Verdict: "whole", Epoch: 1, Safe: 3, Share: 3, MayHold: true, There: map[string]members.Incarnation{}}
 			for other, l := range there {
 				p.There[other] = l
 			}
@@ -41,25 +41,25 @@
 
 func record(spoil func(c *clean, step int)) MembersLog {
 	c := &clean{at: time.Unix(1e9, 0)}
-	all := map[string]members.Life{"g0": 10, "g1": 11, "g2": 12}
+	all := map[string]members.Incarnation{"g0": 10, "g1": 11, "g2": 12}
 	for _, name := range []string{"g0", "g1", "g2"} {
 		c.happen(Started, name)
 	}
 	c.pass(2*time.Second, all, nil)
 	c.happen(Ended, "g2")
-	two := map[string]members.Life{"g0": 10, "g1": 11}
+	two := map[string]members.Incarnation{"g0": 10, "g1": 11}
 	c.pass(2*time.Second, two, func(p *Picture) { p.There["g2"] = 12 }) // not given up yet
 	spoil(c, 0)
 	c.pass(6*time.Second, two, nil)
 	spoil(c, 1)
 	c.happen(Started, "g2")
-	again := map[string]members.Life{"g0": 10, "g1": 11, "g2": 20}
+	again := map[string]members.Incarnation{"g0": 10, "g1": 11, "g2": 20}
 	c.pass(3*time.Second, again, nil)
 	spoil(c, 2)
 	c.happen(Troubled, "peers-cut")
 	c.pass(3*time.Second, again, func(p *Picture) {
 		if p.Name == "g2" {
-			p.There, p.MayHold = map[string]members.Life{"g2": 20}, false
+			p.There, p.MayHold = map[string]members.Incarnation{"g2": 20}, false
 		}
 	})
 	c.happen(Healed, "peers-cut")
@@ -85,7 +85,7 @@
 
 // Each flaw breaks its own rule and no other.
 func TestEachFlawOfPicturesIsCaught(t *testing.T) {
-	two, three := map[string]members.Life{"g0": 10, "g1": 11}, map[string]members.Life{"g0": 10, "g1": 11, "g2": 20}
+	two, three := map[string]members.Incarnation{"g0": 10, "g1": 11}, map[string]members.Incarnation{"g0": 10, "g1": 11, "g2": 20}
 	for _, c := range []struct {
 		rule string
 		step int
@@ -107,7 +107,7 @@
 			})
 		}},
 		{RuleTwoMay, 2, func(c *clean) {
-			c.pass(time.Second, map[string]members.Life{"g2": 12}, func(p *Picture) { p.There = map[string]members.Life{"g0": 1, "g1": 1, "g2": 1} })
+			c.pass(time.Second, map[string]members.Incarnation{"g2": 12}, func(p *Picture) { p.There = map[string]members.Incarnation{"g0": 1, "g1": 1, "g2": 1} })
 		}},
 		{RuleSafe, 2, func(c *clean) {
 			c.pass(time.Second, three, func(p *Picture) { p.Safe = 2 })
@@ -135,7 +135,7 @@
 	v := JudgeMembers(memberBounds, record(func(c *clean, step int) {
 		if step == 3 {
 			c.at = c.at.Add(time.Minute) // the last trouble is long over
-			three := map[string]members.Life{"g0": 10, "g1": 11, "g2": 20}
+			three := map[string]members.Incarnation{"g0": 10, "g1": 11, "g2": 20}
 			c.pass(time.Second, three, nil)
 			c.pass(time.Second, three, func(p *Picture) {
 				if p.Name == "g0" {
--- a/internal/lab/members_measure_test.go
+++ b/internal/lab/members_measure_test.go
@@ -35,7 +35,7 @@
 }
 
 // answers are what all gateways but some believe.
-func (c *club) answers(but ...string) (list []peers.Answer) {
+func (c *club) answers(but ...string) (list []peers.Status) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for _, name := range c.names() {
@@ -55,12 +55,12 @@
 }
 
 // takes waits until all but some believe something, and returns how long that took.
-func (c *club) takes(what string, but []string, is func(*peers.Answer) bool) time.Duration {
+func (c *club) takes(what string, but []string, is func(*peers.Status) bool) time.Duration {
 	c.t.Helper()
 	began := time.Now()
 	for time.Since(began) < 5*time.Minute {
 		list := c.answers(but...)
-		if len(list) == len(c.names())-len(but) && !slices.ContainsFunc(list, func(a peers.Answer) bool { return !is(&a) }) {
+		if len(list) == len(c.names())-len(but) && !slices.ContainsFunc(list, func(a peers.Status) bool { return !is(&a) }) {
 			return time.Since(began)
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -85,7 +85,7 @@
 func measure(t *testing.T, n int) {
 	began := time.Now()
 	c := bare(t, n, *measureEvery, time.Hour)
-	whole := func(a *peers.Answer) bool { return a.Picture.Verdict == members.Whole }
+	whole := func(a *peers.Status) bool { return a.View.Verdict == members.Complete }
 	c.takes("all are whole", nil, whole)
 	started := time.Since(began)
 
@@ -110,12 +110,12 @@
 		n, *measureEvery, started.Round(100*time.Millisecond), float64(after.PacketsOut-before.PacketsOut)/each, float64(after.BytesOut-before.BytesOut)/each,
 		float64((cpuAfter-cpuBefore).Microseconds())/1000/each, mb)
 
-	all := func(a *peers.Answer) bool { return a.Picture.Likely == n }
+	all := func(a *peers.Status) bool { return a.View.LikelyCount == n }
 	var failed, back []time.Duration
 	for i := range 5 {
 		name := fmt.Sprint("g", (i*7+1)%n)
 		c.must(c.Kill(name))
-		failed = append(failed, c.takes(name+" is given up", []string{name}, func(a *peers.Answer) bool { return !state(a, name).There() }))
+		failed = append(failed, c.takes(name+" is given up", []string{name}, func(a *peers.Status) bool { return !state(a, name).Alive() }))
 		c.must(c.Start(t.Context(), name))
 		back = append(back, c.takes("all hear all", nil, all))
 	}
@@ -125,7 +125,7 @@
 	t.Logf("%d members: started again, all hear all after %v, %v, %v", n, least.Round(10*time.Millisecond), middle.Round(10*time.Millisecond), most.Round(10*time.Millisecond))
 
 	heal := c.part(c.names()[:n/2])
-	cut := c.takes("no picture has more than its half", nil, func(a *peers.Answer) bool { return a.Picture.Likely <= (n+1)/2 })
+	cut := c.takes("no picture has more than its half", nil, func(a *peers.Status) bool { return a.View.LikelyCount <= (n+1)/2 })
 	c.must(heal())
 	t.Logf("%d members: halves know it %v after the cut, all hear all %v after the heal", n, cut.Round(10*time.Millisecond), c.takes("all hear all", nil, all).Round(10*time.Millisecond))
 
@@ -151,7 +151,7 @@
 	}
 	t.Parallel()
 	c := bare(t, 5, *measureEvery, 0)
-	c.takes("all are whole", nil, func(a *peers.Answer) bool { return a.Picture.Verdict == members.Whole })
+	c.takes("all are whole", nil, func(a *peers.Status) bool { return a.View.Verdict == members.Complete })
 	undo, err := peersFlap(t.Context(), c.Lab, &Fault{Kind: "peers-flap"}, []int{2})
 	c.must(err)
 	time.Sleep(*flapFor)
@@ -179,7 +179,7 @@
 	}
 	t.Parallel()
 	c := bare(t, *calmCount, *measureEvery, 0)
-	c.takes("all are whole", nil, func(a *peers.Answer) bool { return a.Picture.Verdict == members.Whole })
+	c.takes("all are whole", nil, func(a *peers.Status) bool { return a.View.Verdict == members.Complete })
 	for _, from := range c.names() {
 		for _, to := range c.names() {
 			c.PeerProxy().SetFault(from, to, faultproxy.Fault{Loss: 0.05})
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -40,7 +40,7 @@
 	t.Parallel()
 	c := &club{Start(t, Site{Gateways: n, Absent: absent, Nodes: 1, Peers: true, Every: memberEvery, Seed: 1, For: time.Hour / 4}), t}
 	for _, name := range c.names()[:n-absent] {
-		c.becomes(members.Whole, name)
+		c.becomes(members.Complete, name)
 	}
 	return c
 }
@@ -48,36 +48,38 @@
 func (c *club) names() []string { return c.gatewayNames() }
 
 // until waits for something that a gateway believes.
-func (c *club) until(name, what string, is func(*peers.Answer) bool) {
+func (c *club) until(name, what string, is func(*peers.Status) bool) {
 	c.t.Helper()
-	var a peers.Answer
+	var a peers.Status
 	var err error
 	for end := time.Now().Add(memberPatience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if a, err = c.Answer(c.t.Context(), name); err == nil && is(&a) {
 			return
 		}
 	}
-	c.t.Fatalf("%s: not within %v: %s; it believes %+v (%v)", name, memberPatience, what, a.Picture, err)
+	c.t.Fatalf("%s: not within %v: %s; it believes %+v (%v)", name, memberPatience, what, a.View, err)
 }
 
 func (c *club) becomes(v members.Verdict, names ...string) {
 	c.t.Helper()
 	for _, name := range names {
-		c.until(name, "it is "+v.String(), func(a *peers.Answer) bool { return a.Picture.Verdict == v })
+		c.until(name, "it is "+v.String(), func(a *peers.Status) bool { return a.View.Verdict == v })
 	}
 }
 
-func state(a *peers.Answer, name string) members.State {
-	for _, v := range a.Picture.Members {
+func state(a *peers.Status, name string) members.State {
+	for _, v := range a.View.Members {
 		if v.Name == name {
 			return v.State
 		}
 	}
-	return members.Unheard
+	return members.StateUnknown
 }
 
-func mayHold(a *peers.Answer) bool {
-	return slices.ContainsFunc(a.May, func(p peers.Permitted) bool { return p.Use == members.HoldDuty.String() && p.May })
+func mayHold(a *peers.Status) bool {
+	return slices.ContainsFunc(a.Permissions, func(p peers.OperationPermission) bool {
+		return p.Operation == members.ExerciseLease.String() && p.Allowed
+	})
 }
 
 func (c *club) must(err error) {
@@ -125,15 +127,15 @@
 	c := newClub(t, 5, 0)
 	c.must(c.Kill("g1"))
 	for _, name := range []string{"g0", "g2", "g3", "g4"} {
-		c.until(name, "g1 is given up", func(a *peers.Answer) bool { return !state(a, "g1").There() })
+		c.until(name, "g1 is given up", func(a *peers.Status) bool { return !state(a, "g1").Alive() })
 		c.becomes(members.Majority, name)
-		c.until(name, "it still counts five", func(a *peers.Answer) bool { return a.Picture.Safe == 5 && a.Picture.Likely == 4 })
+		c.until(name, "it still counts five", func(a *peers.Status) bool { return a.View.SafeCount == 5 && a.View.LikelyCount == 4 })
 	}
 	// The bound of the rule is passed, so that the records can be ruled on.
 	time.Sleep(30*memberEvery + time.Second)
 	c.kept(audit.RuleFailed)
 	c.must(c.Start(t.Context(), "g1"))
-	c.becomes(members.Whole, c.names()...)
+	c.becomes(members.Complete, c.names()...)
 	c.kept(audit.RuleFailed, audit.RuleSafe)
 	desk, err := c.Desk("g0")
 	c.must(err)
@@ -155,11 +157,11 @@
 		a, err := c.Answer(t.Context(), name)
 		c.must(err)
 		if mayHold(&a) != (i < 3) {
-			t.Errorf("%s, %v, may hold a duty: %v", name, a.Picture.Verdict, mayHold(&a))
+			t.Errorf("%s, %v, may hold a duty: %v", name, a.View.Verdict, mayHold(&a))
 		}
 	}
 	c.must(heal())
-	c.becomes(members.Whole, c.names()...)
+	c.becomes(members.Complete, c.names()...)
 	c.kept(audit.RuleSafe)
 }
 
@@ -173,7 +175,7 @@
 		}
 	}
 	c.must(heal())
-	c.becomes(members.Whole, c.names()...)
+	c.becomes(members.Complete, c.names()...)
 	c.kept()
 }
 
@@ -200,7 +202,7 @@
 				continue
 			}
 			for _, other := range c.names() {
-				if !state(&a, other).There() {
+				if !state(&a, other).Alive() {
 					c.t.Errorf("%s has given up %s", name, other)
 					return
 				}
@@ -215,12 +217,12 @@
 	c := newClub(t, 5, 0)
 	for _, kind := range []string{"peers-deaf", "peers-mute"} {
 		heal, _ := faultKindNamed(kind).apply(t.Context(), c.Lab, &Fault{Kind: kind}, []int{4})
-		c.until("g4", kind+": it holds nothing", func(a *peers.Answer) bool { return !mayHold(a) })
+		c.until("g4", kind+": it holds nothing", func(a *peers.Status) bool { return !mayHold(a) })
 		for _, name := range []string{"g0", "g1", "g2", "g3"} {
-			c.until(name, kind+": it goes on without g4", func(a *peers.Answer) bool { return mayHold(a) && !state(a, "g4").There() })
+			c.until(name, kind+": it goes on without g4", func(a *peers.Status) bool { return mayHold(a) && !state(a, "g4").Alive() })
 		}
 		c.must(heal())
-		c.becomes(members.Whole, c.names()...)
+		c.becomes(members.Complete, c.names()...)
 	}
 	c.kept()
 }
@@ -235,13 +237,13 @@
 		c.must(c.Pause("g2", true))
 		time.Sleep(d)
 		c.must(c.Pause("g2", false))
-		c.until("g2", "it knows that it slept", func(a *peers.Answer) bool {
-			if a.Picture.Verdict == members.Unsure && mayHold(a) {
+		c.until("g2", "it knows that it slept", func(a *peers.Status) bool {
+			if a.View.Verdict == members.Unsure && mayHold(a) {
 				t.Error("it slept, is unsure and may hold a duty")
 			}
-			return strings.Contains(a.Picture.Why, "slept") || a.Picture.Number > before.Picture.Number && a.Picture.Verdict == members.Unsure
+			return strings.Contains(a.View.Reason, "slept") || a.View.Version > before.View.Version && a.View.Verdict == members.Unsure
 		})
-		c.becomes(members.Whole, c.names()...)
+		c.becomes(members.Complete, c.names()...)
 	}
 	c.kept()
 }
@@ -257,14 +259,14 @@
 		for _, name := range []string{"g0", "g1", "g2", "g4"} {
 			a, err := c.Answer(ctx, name)
 			for _, other := range []string{"g0", "g1", "g2", "g4"} {
-				if err == nil && !state(&a, other).There() {
+				if err == nil && !state(&a, other).Alive() {
 					t.Fatalf("%s has given up %s while g3 starves", name, other)
 				}
 			}
 		}
 	}
 	c.must(undo())
-	c.becomes(members.Whole, c.names()...)
+	c.becomes(members.Complete, c.names()...)
 	c.kept()
 }
 
@@ -280,27 +282,27 @@
 			if sleeps {
 				c.must(c.Pause("g2", true))
 				for _, name := range []string{"g0", "g1", "g3", "g4"} {
-					c.until(name, "the sleeper is given up", func(a *peers.Answer) bool { return !state(a, "g2").There() })
+					c.until(name, "the sleeper is given up", func(a *peers.Status) bool { return !state(a, "g2").Alive() })
 				}
 			}
 			c.must(c.Twin(t.Context(), "g2"))
 			twin := c.twins[0]
-			var later members.Life
+			var later members.Incarnation
 			for later == 0 {
-				if a, err := c.ask(t.Context(), twin); err == nil && a.Picture.Verdict == members.Whole {
-					later = a.Picture.Life
+				if a, err := c.ask(t.Context(), twin); err == nil && a.View.Verdict == members.Complete {
+					later = a.View.Incarnation
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
 			if sleeps {
 				c.must(c.Pause("g2", false))
 			}
-			c.until("g2", "it has given way", func(a *peers.Answer) bool {
-				return a.Picture.Superseded >= later && !mayHold(a) && a.Picture.Share == members.NoShare
+			c.until("g2", "it has given way", func(a *peers.Status) bool {
+				return a.View.SupersededBy >= later && !mayHold(a) && a.View.QuotaDivisor == members.NoQuota
 			})
 			for _, name := range []string{"g0", "g1", "g3", "g4"} {
-				c.until(name, "it knows the later life", func(a *peers.Answer) bool {
-					return slices.ContainsFunc(a.Picture.Members, func(v members.View) bool { return v.Name == "g2" && v.Life == later && v.State.There() })
+				c.until(name, "it knows the later life", func(a *peers.Status) bool {
+					return slices.ContainsFunc(a.View.Members, func(v members.MemberView) bool { return v.Name == "g2" && v.Incarnation == later && v.State.Alive() })
 				})
 			}
 			for end := time.Now().Add(memberPatience); c.Members().Judged[audit.RuleTwoMay] == 0 && time.Now().Before(end); {
@@ -324,7 +326,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		c.must(undoAll(undo)())
-		c.becomes(members.Whole, c.names()...)
+		c.becomes(members.Complete, c.names()...)
 	}
 	c.kept()
 }
@@ -336,26 +338,26 @@
 	c := newClub(t, 5, 1)
 	old := []string{"g0", "g1", "g2", "g3"}
 	heal := c.part([]string{"g3"})
-	c.until("g3", "it is cut off", func(a *peers.Answer) bool { return !mayHold(a) })
+	c.until("g3", "it is cut off", func(a *peers.Status) bool { return !mayHold(a) })
 	c.must(c.Roster("g0", "g1", "g2", "g3", "g4"))
 	c.must(c.Start(t.Context(), "g4"))
 	// All read one file here: the one beyond the cut has its own way to it, and knows.
-	c.until("g4", "all know of it", func(a *peers.Answer) bool { return a.Picture.Epoch == 2 })
+	c.until("g4", "all know of it", func(a *peers.Status) bool { return a.View.Epoch == 2 })
 	c.must(heal())
-	c.becomes(members.Whole, c.names()...)
+	c.becomes(members.Complete, c.names()...)
 	for _, name := range c.names() {
-		c.until(name, "it divides by five", func(a *peers.Answer) bool { return a.Picture.Share == 5 })
+		c.until(name, "it divides by five", func(a *peers.Status) bool { return a.View.QuotaDivisor == 5 })
 	}
 	c.must(c.Roster(old...))
 	for _, name := range old {
-		c.until(name, "g4 is out and goes on talking", func(a *peers.Answer) bool {
-			return a.Picture.Epoch == 3 && a.Picture.Belong == 4 && a.Picture.Safe == 5 && state(a, "g4").There()
+		c.until(name, "g4 is out and goes on talking", func(a *peers.Status) bool {
+			return a.View.Epoch == 3 && a.View.RosterSize == 4 && a.View.SafeCount == 5 && state(a, "g4").Alive()
 		})
 	}
-	c.until("g4", "it holds nothing", func(a *peers.Answer) bool { return !mayHold(a) && a.Picture.Share == members.NoShare })
+	c.until("g4", "it holds nothing", func(a *peers.Status) bool { return !mayHold(a) && a.View.QuotaDivisor == members.NoQuota })
 	c.must(c.Kill("g4"))
 	for _, name := range old {
-		c.until(name, "it divides by four", func(a *peers.Answer) bool { return a.Picture.Share == 4 })
+		c.until(name, "it divides by four", func(a *peers.Status) bool { return a.View.QuotaDivisor == 4 })
 	}
 	c.kept(audit.RuleEpoch)
 }
@@ -368,7 +370,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := newClub(t, *memberCount, 0)
 			c.schedule(seed)
-			c.becomes(members.Whole, c.names()...)
+			c.becomes(members.Complete, c.names()...)
 			for end := time.Now().Add(memberPatience); c.Members().Judged[audit.RuleAgree] == 0 && time.Now().Before(end); {
 				time.Sleep(pictureInterval) // until the bound has passed in the records
 			}
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -147,7 +147,7 @@
 }
 
 // Answer asks a gateway for its picture of the others.
-func (l *Lab) Answer(ctx context.Context, name string) (a peers.Answer, err error) {
+func (l *Lab) Answer(ctx context.Context, name string) (a peers.Status, err error) {
 	g, err := l.gateway(name)
 	if err != nil {
 		return a, err
@@ -155,10 +155,10 @@
 	return l.ask(ctx, g)
 }
 
-func (l *Lab) ask(ctx context.Context, g *gatewayProcess) (peers.Answer, error) {
+func (l *Lab) ask(ctx context.Context, g *gatewayProcess) (peers.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, pictureTimeout)
 	defer cancel()
-	return peers.Ask(ctx, g.desk)
+	return peers.QueryStatus(ctx, g.desk)
 }
 
 // watchPictures records a gateway's picture of the others until ctx ends.
--- a/internal/peers/ask.go
+++ b/internal/peers/ask.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	mostAnswer = 4 << 20
-	askWithin  = 2 * time.Second
-	askAtOnce  = 16
+	maxResponseBytes     = 4 << 20
+	queryTimeout         = 2 * time.Second
+	maxConcurrentQueries = 16
 )
 
-// Asked is what one process told, or why it did not.
-type Asked struct {
-	Name    string  `json:"name,omitempty"` // of the member; "" where nobody has named it
-	At      string  `json:"at"`             // its operators' address
-	Answer  *Answer `json:"answer,omitempty"`
-	Why     *Why    `json:"why,omitempty"`
-	Trouble string  `json:"trouble,omitempty"`
+// QueryResult is what one process told, or why it did not.
+type QueryResult struct {
+	Name     string          `json:"name,omitempty"` // of the member; "" where nobody has named it
+	Address  string          `json:"at"`             // its operators' address
+	Status   *Status         `json:"answer,omitempty"`
+	Evidence *EvidenceReport `json:"why,omitempty"`
+	Error    string          `json:"trouble,omitempty"`
 }
 
-// Ask asks one process what it believes.
-func Ask(ctx context.Context, at string) (a Answer, err error) {
-	err = get(ctx, at, DeskPath, &a)
+// QueryStatus asks one process what it believes.
+func QueryStatus(ctx context.Context, at string) (a Status, err error) {
+	err = getJSON(ctx, at, StatusPath, &a)
 	return a, err
 }
 
-// AskWhy asks one process what it learned of a member; of all for "".
-func AskWhy(ctx context.Context, at, name string) (w Why, err error) {
-	err = get(ctx, at, WhyPath+"?name="+url.QueryEscape(name), &w)
+// QueryEvidence asks one process what it learned of a member; of all for "".
+func QueryEvidence(ctx context.Context, at, name string) (w EvidenceReport, err error) {
+	err = getJSON(ctx, at, EvidencePath+"?name="+url.QueryEscape(name), &w)
 	return w, err
 }
 
-func get(ctx context.Context, at, path string, v any) error {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+func getJSON(ctx context.Context, at, path string, v any) error {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+path, nil)
 	if err != nil {
@@ -55,7 +55,7 @@
 		return fmt.Errorf("%s: %w", at, err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	switch {
 	case err != nil:
 		return fmt.Errorf("%s: %w", at, err)
@@ -70,28 +70,28 @@
 	return nil
 }
 
-// Gather asks processes at some addresses, and all others that these know of.
-func Gather(ctx context.Context, first []string) []Asked {
-	var list []Asked
-	seen := map[string]bool{}
+// QueryAllStatus asks processes at some addresses, and all others that these know of.
+func QueryAllStatus(ctx context.Context, first []string) []QueryResult {
+	var list []QueryResult
+	queried := map[string]bool{}
 	names := map[string]string{} // by address
-	for next := first; len(next) > 0 && len(list) <= members.MostNames; {
-		next = slices.DeleteFunc(slices.Clone(next), func(at string) bool { was := seen[at]; seen[at] = true; return was })
-		round := inParallel(next, func(at string) Asked {
-			a, err := Ask(ctx, at)
+	for next := first; len(next) > 0 && len(list) <= members.MaxRosterSize; {
+		next = slices.DeleteFunc(slices.Clone(next), func(at string) bool { was := queried[at]; queried[at] = true; return was })
+		round := inParallel(next, func(at string) QueryResult {
+			a, err := QueryStatus(ctx, at)
 			if err != nil {
-				return Asked{Name: names[at], At: at, Trouble: err.Error()}
+				return QueryResult{Name: names[at], Address: at, Error: err.Error()}
 			}
-			return Asked{Name: a.Picture.Self, At: at, Answer: &a}
+			return QueryResult{Name: a.View.Self, Address: at, Status: &a}
 		})
 		list = append(list, round...)
 		next = nil
 		for _, r := range round {
-			if r.Answer == nil {
+			if r.Status == nil {
 				continue
 			}
-			for _, v := range r.Answer.Picture.Members {
-				if at := deskOf(v); at != "" && !v.Self && !seen[at] {
+			for _, v := range r.Status.View.Members {
+				if at := adminAddressOf(v); at != "" && !v.Self && !queried[at] {
 					names[at] = v.Name
 					next = append(next, at)
 				}
@@ -100,14 +100,14 @@
 		slices.Sort(next)
 		next = slices.Compact(next)
 	}
-	slices.SortFunc(list, func(a, b Asked) int { return strings.Compare(a.Name+" "+a.At, b.Name+" "+b.At) })
+	slices.SortFunc(list, func(a, b QueryResult) int { return strings.Compare(a.Name+" "+a.Address, b.Name+" "+b.Address) })
 	return list
 }
 
-// deskOf is where a member's operators call. One that listens on all addresses is
+// adminAddressOf is where a member's operators call. One that listens on all addresses is
 // found at that which others reach it at.
-func deskOf(v members.View) string {
-	host, port, err := net.SplitHostPort(v.Desk)
+func adminAddressOf(v members.MemberView) string {
+	host, port, err := net.SplitHostPort(v.AdminAddress)
 	if err != nil {
 		return ""
 	}
@@ -121,7 +121,7 @@
 
 func inParallel[T any](list []string, do func(string) T) []T {
 	results := make([]T, len(list))
-	slots := make(chan struct{}, askAtOnce)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	var wg sync.WaitGroup
 	for i, at := range list {
 		slots <- struct{}{}
@@ -134,25 +134,25 @@
 	return results
 }
 
-// GatherWhy asks all that Gather finds what they learned of a member.
-func GatherWhy(ctx context.Context, first []string, name string) []Asked {
-	all := Gather(ctx, first)
+// QueryAllEvidence asks all that Gather finds what they learned of a member.
+func QueryAllEvidence(ctx context.Context, first []string, name string) []QueryResult {
+	all := QueryAllStatus(ctx, first)
 	by := map[string]int{}
 	var at []string
 	for i, a := range all {
-		if a.Answer != nil {
-			by[a.At] = i
-			at = append(at, a.At)
+		if a.Status != nil {
+			by[a.Address] = i
+			at = append(at, a.Address)
 		}
 	}
-	for _, told := range inParallel(at, func(at string) Asked {
-		w, err := AskWhy(ctx, at, name)
+	for _, result := range inParallel(at, func(at string) QueryResult {
+		w, err := QueryEvidence(ctx, at, name)
 		if err != nil {
-			return Asked{At: at, Trouble: err.Error()}
+			return QueryResult{Address: at, Error: err.Error()}
 		}
-		return Asked{At: at, Why: &w}
+		return QueryResult{Address: at, Evidence: &w}
 	}) {
-		all[by[told.At]].Why, all[by[told.At]].Trouble = told.Why, told.Trouble
+		all[by[result.Address]].Evidence, all[by[result.Address]].Error = result.Evidence, result.Error
 	}
 	return all
 }
--- a/internal/peers/desk.go
+++ b/internal/peers/desk.go
@@ -8,58 +8,58 @@
 	"elderyard/members"
 )
 
-// DeskPath is where a process's operators ask what it believes; WhyPath, with name,
+// StatusPath is where a process's operators ask what it believes; EvidencePath, with name,
 // what it learned of a member.
 const (
-	DeskPath = "/_peers"
-	WhyPath  = "/_peers/why"
+	StatusPath   = "/_peers"
+	EvidencePath = "/_peers/why"
 )
 
-// Answer is what one process tells its operators.
-type Answer struct {
-	Version int             `json:"version"`
-	Site    string          `json:"site"`
-	Clock   time.Time       `json:"clock"` // of the process, wall clock
-	Picture members.Picture `json:"picture"`
-	May     []Permitted     `json:"may"`
-	Traffic Traffic         `json:"traffic"`
+// Status is what one process tells its operators.
+type Status struct {
+	Version     int                   `json:"version"`
+	Site        string                `json:"site"`
+	Clock       time.Time             `json:"clock"` // of the process, wall clock
+	View        members.View          `json:"picture"`
+	Permissions []OperationPermission `json:"may"`
+	Traffic     Traffic               `json:"traffic"`
 }
 
-// Permitted is one use and whether it may be made of the picture.
-type Permitted struct {
-	Use string `json:"use"`
-	May bool   `json:"may"`
-	Why string `json:"why"`
+// OperationPermission is one use and whether it may be made of the picture.
+type OperationPermission struct {
+	Operation string `json:"use"`
+	Allowed   bool   `json:"may"`
+	Reason    string `json:"why"`
 }
 
-// Why is what one process learned of a member.
-type Why struct {
+// EvidenceReport is what one process learned of a member.
+type EvidenceReport struct {
 	Self     string             `json:"self"`
 	At       members.Time       `json:"at_ns"`
 	Evidence []members.Evidence `json:"evidence"`
 }
 
-// Answer is what this process tells at this moment.
-func (p *Peers) Answer() Answer {
-	a := Answer{Version: version, Site: p.set.Site, Clock: time.Now().UTC(), Picture: p.Picture(), Traffic: p.Traffic()}
-	for _, u := range members.Uses() {
-		may, why := p.May(u)
-		a.May = append(a.May, Permitted{u.String(), may, why})
+// Status is what this process tells at this moment.
+func (p *Peers) Status() Status {
+	a := Status{Version: protocolVersion, Site: p.settings.Site, Clock: time.Now().UTC(), View: p.View(), Traffic: p.Traffic()}
+	for _, u := range members.Operations() {
+		allowed, reason := p.Allows(u)
+		a.Permissions = append(a.Permissions, OperationPermission{u.String(), allowed, reason})
 	}
 	return a
 }
 
-// Believes is one line of what this process believes, and how old that is.
-func (p *Peers) Believes() string {
-	picture := p.Picture()
-	return "peers: " + picture.Line(p.clock.now())
+// Summary is one line of what this process believes, and how old that is.
+func (p *Peers) Summary() string {
+	view := p.View()
+	return "peers: " + view.Line(p.clock.now())
 }
 
-// Desk answers this process's operators.
-func (p *Peers) Desk() http.Handler {
+// AdminHandler answers this process's operators.
+func (p *Peers) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+DeskPath, func(w http.ResponseWriter, r *http.Request) { tell(w, p.Answer()) })
-	mux.HandleFunc("GET "+WhyPath, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+StatusPath, func(w http.ResponseWriter, r *http.Request) { writeJSON(w, p.Status()) })
+	mux.HandleFunc("GET "+EvidencePath, func(w http.ResponseWriter, r *http.Request) {
 		name := r.URL.Query().Get("name")
 		if name != "" && members.CheckName(name) != nil {
 			http.Error(w, "name: it is none of a member", http.StatusBadRequest)
@@ -70,12 +70,12 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		tell(w, Why{p.set.Self, p.clock.now(), list})
+		writeJSON(w, EvidenceReport{p.settings.Self, p.clock.now(), list})
 	})
 	return mux
 }
 
-func tell(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/peers/detector.go
+++ b/internal/peers/detector.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	eventsWait = 1024
-	inboxDepth = 256 // datagrams that the library holds
-	leaveFor   = 500 * time.Millisecond
+	eventQueueSize   = 1024
+	handoffQueueSize = 256 // datagrams that the library holds
+	leaveTimeout     = 500 * time.Millisecond
 )
 
 // detector runs the library for one life and turns what it hears into events.
 type detector struct {
-	list   *memberlist.Memberlist
-	self   string
-	life   members.Life
-	events chan members.Event
-	lost   atomic.Bool // an event found no room: the list must be read whole
-
-	mu    sync.Mutex
-	meta  meta
-	says  message
-	nodes map[string]members.Alive // whom the library counts as living, by its names
-}
-
-// detect starts the library on a transport. The detector has the transport from then on.
-func detect(s *Settings, t *transport, ring *memberlist.Keyring, life members.Life, first meta, says message) (*detector, error) {
-	d := &detector{self: s.Self, life: life, events: make(chan members.Event, eventsWait), meta: first, says: says,
-		nodes: map[string]members.Alive{}}
+	list          *memberlist.Memberlist
+	self          string
+	incarnation   members.Incarnation
+	events        chan members.Event
+	eventsDropped atomic.Bool // an event found no room: the list must be read whole
+
+	mu            sync.Mutex
+	meta          meta
+	pushPullState message
+	aliveNodes    map[string]members.Alive // whom the library counts as living, by its names
+}
+
+// startDetector starts the library on a transport. The detector has the transport from then on.
+func startDetector(s *Settings, t *transport, ring *memberlist.Keyring, incarnation members.Incarnation, initialMeta meta, state message) (*detector, error) {
+	d := &detector{self: s.Self, incarnation: incarnation, events: make(chan members.Event, eventQueueSize), meta: initialMeta, pushPullState: state,
+		aliveNodes: map[string]members.Alive{}}
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label = nodeName(s.Self, life), string(t.label[2:])
+	c.Name, c.Label = nodeName(s.Self, incarnation), string(t.label[2:])
 	c.Transport, c.Keyring = t, ring
-	c.ProbeInterval, c.ProbeTimeout = s.Every, s.Every/2
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMost
-	c.GossipInterval, c.GossipToTheDeadTime = s.Every/5, toTheDead*s.Every
-	c.PushPullInterval, c.TCPTimeout = pushPullEvery*s.Every, min(streamFor, 10*s.Every)
-	c.EnableCompression, c.UDPBufferSize, c.HandoffQueueDepth = false, mostPacket, inboxDepth
+	c.ProbeInterval, c.ProbeTimeout = s.ProbeInterval, s.ProbeInterval/2
+	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxMult
+	c.GossipInterval, c.GossipToTheDeadTime = s.ProbeInterval/5, gossipToDeadIntervals*s.ProbeInterval
+	c.PushPullInterval, c.TCPTimeout = pushPullIntervals*s.ProbeInterval, min(streamTimeout, 10*s.ProbeInterval)
+	c.EnableCompression, c.UDPBufferSize, c.HandoffQueueDepth = false, maxPacketBytes, handoffQueueSize
 	c.Delegate, c.Events, c.Ping, c.Alive = d, d, d, d
 	c.DelegateProtocolMin, c.DelegateProtocolMax, c.DelegateProtocolVersion = libraryVersion, libraryVersion, libraryVersion
-	c.Logger = log.New(&told{detector: d, counts: t.counts}, "", 0)
+	c.Logger = log.New(&memberlistLog{detector: d, counts: t.counts}, "", 0)
 	list, err := memberlist.Create(c)
 	if err != nil {
 		t.Shutdown()
@@ -67,8 +67,8 @@
 		d.mu.Lock()
 		d.meta.Leaving = true
 		d.mu.Unlock()
-		d.list.UpdateNode(leaveFor) // the library tells nobody who left and who was given up: this does
-		d.list.Leave(leaveFor)      // whoever hears neither finds out by silence
+		d.list.UpdateNode(leaveTimeout) // the library tells nobody who left and who was given up: this does
+		d.list.Leave(leaveTimeout)      // whoever hears neither finds out by silence
 	}
 	d.list.Shutdown()
 }
@@ -78,15 +78,15 @@
 	select {
 	case d.events <- ev:
 	default:
-		d.lost.Store(true)
+		d.eventsDropped.Store(true)
 	}
 }
 
-// tell changes what this member says of itself.
-func (d *detector) tell(m meta, says message) {
+// announce changes what this member says of itself.
+func (d *detector) announce(m meta, state message) {
 	d.mu.Lock()
 	changed := d.meta != m
-	d.meta, d.says = m, says
+	d.meta, d.pushPullState = m, state
 	d.mu.Unlock()
 	if changed {
 		d.list.UpdateNode(time.Millisecond) // it goes round by itself, whether or not this sees it
@@ -104,11 +104,11 @@
 	}
 }
 
-// living are the members that the library counts as living.
-func (d *detector) living() []members.Alive {
+// alive are the members that the library counts as living.
+func (d *detector) alive() []members.Alive {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Collect(maps.Values(d.nodes))
+	return slices.Collect(maps.Values(d.aliveNodes))
 }
 
 // send gives a member a message whole.
@@ -117,12 +117,12 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", to.Name, err)
 	}
-	return d.list.SendReliable(&memberlist.Node{Name: nodeName(to.Name, to.Life), Addr: at.IP, Port: uint16(at.Port)}, m.encode())
+	return d.list.SendReliable(&memberlist.Node{Name: nodeName(to.Name, to.Incarnation), Addr: at.IP, Port: uint16(at.Port)}, m.encode())
 }
 
-// aliveOf reads what the library knows of a member. The library holds its lock.
-func (d *detector) aliveOf(n *memberlist.Node) (alive members.Alive, leaving, ok bool) {
-	name, life, ok := splitName(n.Name)
+// parseNode reads what the library knows of a member. The library holds its lock.
+func (d *detector) parseNode(n *memberlist.Node) (alive members.Alive, leaving, ok bool) {
+	name, incarnation, ok := splitName(n.Name)
 	if !ok {
 		return members.Alive{}, false, false
 	}
@@ -130,14 +130,14 @@
 	if err != nil {
 		return members.Alive{}, false, false
 	}
-	return members.Alive{Name: name, Life: life, Address: net.JoinHostPort(n.Addr.String(), fmt.Sprint(n.Port)), Desk: m.Desk, Epoch: m.Epoch, Sum: sum}, m.Leaving, true
+	return members.Alive{Name: name, Incarnation: incarnation, Address: net.JoinHostPort(n.Addr.String(), fmt.Sprint(n.Port)), AdminAddress: m.AdminAddress, Epoch: m.Epoch, Sum: sum}, m.Leaving, true
 }
 
 var errUnreadable = errors.New("its name or what it says of itself can't be read")
 
 // NotifyAlive keeps out what can't be read. The library calls it.
 func (d *detector) NotifyAlive(n *memberlist.Node) error {
-	if _, _, ok := d.aliveOf(n); !ok {
+	if _, _, ok := d.parseNode(n); !ok {
 		return errUnreadable
 	}
 	return nil
@@ -145,18 +145,18 @@
 
 // NotifyJoin hears of a member. The library calls it.
 func (d *detector) NotifyJoin(n *memberlist.Node) {
-	ev, leaving, ok := d.aliveOf(n)
-	if !ok || ev.Name == d.self && ev.Life == d.life {
+	ev, leaving, ok := d.parseNode(n)
+	if !ok || ev.Name == d.self && ev.Incarnation == d.incarnation {
 		return
 	}
 	d.mu.Lock()
-	delete(d.nodes, n.Name)
+	delete(d.aliveNodes, n.Name)
 	if !leaving {
-		d.nodes[n.Name] = ev
+		d.aliveNodes[n.Name] = ev
 	}
 	d.mu.Unlock()
 	if leaving {
-		d.post(members.Left{Name: ev.Name, Life: ev.Life})
+		d.post(members.Left{Name: ev.Name, Incarnation: ev.Incarnation})
 		return
 	}
 	d.post(ev)
@@ -167,20 +167,20 @@
 
 // NotifyLeave hears that a member has gone. The library calls it.
 func (d *detector) NotifyLeave(n *memberlist.Node) {
-	name, life, ok := splitName(n.Name)
-	if !ok || name == d.self && life == d.life {
+	name, incarnation, ok := splitName(n.Name)
+	if !ok || name == d.self && incarnation == d.incarnation {
 		return
 	}
 	d.mu.Lock()
-	delete(d.nodes, n.Name)
+	delete(d.aliveNodes, n.Name)
 	d.mu.Unlock()
-	d.post(members.Failed{Name: name, Life: life})
+	d.post(members.Failed{Name: name, Incarnation: incarnation})
 }
 
 // NotifyPingComplete hears an answer. The library calls it.
 func (d *detector) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	if name, life, ok := splitName(n.Name); ok {
-		d.post(members.Heard{Name: name, Life: life})
+	if name, incarnation, ok := splitName(n.Name); ok {
+		d.post(members.Answered{Name: name, Incarnation: incarnation})
 	}
 }
 
@@ -195,7 +195,7 @@
 }
 
 // NotifyMsg takes a message. The library calls it.
-func (d *detector) NotifyMsg(text []byte) { d.take(text) }
+func (d *detector) NotifyMsg(text []byte) { d.receive(text) }
 
 // GetBroadcasts are none. The library calls it.
 func (d *detector) GetBroadcasts(int, int) [][]byte { return nil }
@@ -204,19 +204,19 @@
 func (d *detector) LocalState(bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.says.encode()
+	return d.pushPullState.encode()
 }
 
 // MergeRemoteState takes what another member tells. The library calls it.
-func (d *detector) MergeRemoteState(text []byte, _ bool) { d.take(text) }
+func (d *detector) MergeRemoteState(text []byte, _ bool) { d.receive(text) }
 
-func (d *detector) take(text []byte) {
+func (d *detector) receive(text []byte) {
 	m, err := decodeMessage(text)
 	if err != nil {
 		return // whoever has the key and yet says that is of another program's making
 	}
-	for _, l := range m.Lives {
+	for _, l := range m.Incarnations {
 		d.post(l)
 	}
-	d.post(members.RosterTold{Roster: m.Roster, By: m.From})
+	d.post(members.RosterReceived{Roster: m.Roster, By: m.From})
 }
--- a/internal/peers/disk.go
+++ b/internal/peers/disk.go
@@ -10,35 +10,35 @@
 	"elderyard/members"
 )
 
-// kept is what must outlive a start: without the life, one that starts again with
+// savedState is what must outlive a start: without the life, one that starts again with
 // its clock set back could take itself for an earlier one; without the roster, it
 // could go back to who belonged long ago; without the addresses, one whose seeds
 // are all dead would find nobody.
-type kept struct {
-	Life      members.Life      `json:"life"`
-	Roster    members.Roster    `json:"roster"`
-	Addresses map[string]string `json:"addresses"` // of members, as last heard
+type savedState struct {
+	Incarnation members.Incarnation `json:"life"`
+	Roster      members.Roster      `json:"roster"`
+	Addresses   map[string]string   `json:"addresses"` // of members, as last heard
 }
 
-func (s *Settings) load() (k kept, err error) {
+func (s *Settings) load() (k savedState, err error) {
 	text, err := readFile(s.path("peers.json"))
 	if errors.Is(err, os.ErrNotExist) {
-		return kept{}, nil
+		return savedState{}, nil
 	}
 	if err == nil {
 		err = json.Unmarshal(text, &k)
 	}
 	if err != nil {
-		return kept{}, fmt.Errorf("%s: %w; what it knew is lost if it is removed: the life goes on by the clock, the roster comes from its file or from the others", s.path("peers.json"), err)
+		return savedState{}, fmt.Errorf("%s: %w; what it knew is lost if it is removed: the life goes on by the clock, the roster comes from its file or from the others", s.path("peers.json"), err)
 	}
 	return k, nil
 }
 
 // store writes it down. Danger: in an upgrade two processes share the folder, and
 // the one that ends must not put its lower number in the place of the other's.
-func (s *Settings) store(k kept) error {
-	if old, err := s.load(); err == nil {
-		k.Life = max(k.Life, old.Life)
+func (s *Settings) store(k savedState) error {
+	if previous, err := s.load(); err == nil {
+		k.Incarnation = max(k.Incarnation, previous.Incarnation)
 	}
 	text, err := json.Marshal(k)
 	if err != nil {
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -121,41 +121,41 @@
 	return members.Roster{Epoch: 7, Members: []members.Member{{Name: "g0", Since: 1}, {Name: "g1", Since: 7}}}
 }
 
-func goldenAnswer() Answer {
-	return Answer{
+func goldenAnswer() Status {
+	return Status{
 		Version: 1,
 		Site:    "north",
 		Clock:   time.Date(2026, 2, 3, 4, 5, 6, 789, time.UTC),
-		Picture: members.Picture{
-			Number: 9, At: 90 * time.Second, Self: "g0", Life: 1<<60 + 3, Verdict: members.Majority, Since: 80 * time.Second,
-			Why: "2 of 3 are heard", Epoch: 7, Sum: 1<<64 - 1, Belong: 3, Safe: 4, Likely: 2, Share: 5, Dropped: 6,
-			Superseded: 1<<60 + 4, Joining: "g2", Heard: 89 * time.Second,
-			Members: []members.View{{
-				Name: "g0", Self: true, Belongs: true, Life: 1<<60 + 3, State: members.Suspect, Since: time.Second,
-				Heard: 89 * time.Second, Epoch: 6, Older: 1, Address: "127.0.0.2:7000", Desk: "127.0.0.2:8000",
+		View: members.View{
+			Version: 9, At: 90 * time.Second, Self: "g0", Incarnation: 1<<60 + 3, Verdict: members.Majority, Since: 80 * time.Second,
+			Reason: "2 of 3 are heard", Epoch: 7, Sum: 1<<64 - 1, RosterSize: 3, SafeCount: 4, LikelyCount: 2, QuotaDivisor: 5, Dropped: 6,
+			SupersededBy: 1<<60 + 4, UnawareMember: "g2", LastAnswer: 89 * time.Second,
+			Members: []members.MemberView{{
+				Name: "g0", Self: true, IsMember: true, Incarnation: 1<<60 + 3, State: members.StateSuspect, Since: time.Second,
+				LastAnswer: 89 * time.Second, Epoch: 6, EarlierIncarnations: 1, Address: "127.0.0.2:7000", AdminAddress: "127.0.0.2:8000",
 			}},
 		},
-		May: []Permitted{{Use: "hold a duty", May: true, Why: "all are heard; the lease decides"}},
+		Permissions: []OperationPermission{{Operation: "hold a duty", Allowed: true, Reason: "all are heard; the lease decides"}},
 		Traffic: Traffic{PacketsIn: 1, PacketsOut: 2, BytesIn: 3, BytesOut: 4, StreamsIn: 5, StreamsOut: 6,
-			Foreign: 7, Oversized: 8, Unsealed: 9, Crowded: 10, Over: 11},
+			Foreign: 7, Oversized: 8, Unsealed: 9, QueueFull: 10, RateLimited: 11},
 	}
 }
 
-func goldenWhy() Why {
-	return Why{Self: "g0", At: 90 * time.Second, Evidence: []members.Evidence{
-		{At: 3 * time.Second, Name: "g1", Life: 1<<60 + 5, What: "did not answer a probe", By: "g0"}}}
+func goldenWhy() EvidenceReport {
+	return EvidenceReport{Self: "g0", At: 90 * time.Second, Evidence: []members.Evidence{
+		{At: 3 * time.Second, Name: "g1", Incarnation: 1<<60 + 5, What: "did not answer a probe", By: "g0"}}}
 }
 
 func goldenMeta() meta {
-	return meta{Version: 1, Epoch: 7, Sum: "00ff00000000000a", Desk: "127.0.0.2:8000", Leaving: true}
+	return meta{Version: 1, Epoch: 7, Sum: "00ff00000000000a", AdminAddress: "127.0.0.2:8000", Leaving: true}
 }
 
 func goldenMessage() message {
-	return message{Version: 1, From: "g0", Roster: goldenRoster(), Lives: []members.Lived{{Name: "g0", Life: 1<<60 + 3}, {Name: "g1", Life: 5}}}
+	return message{Version: 1, From: "g0", Roster: goldenRoster(), Incarnations: []members.IncarnationLearned{{Name: "g0", Incarnation: 1<<60 + 3}, {Name: "g1", Incarnation: 5}}}
 }
 
-func goldenKept() kept {
-	return kept{Life: 1<<60 + 3, Roster: goldenRoster(), Addresses: map[string]string{"g1": "127.0.0.3:7000", "g2": "[::1]:7000"}}
+func goldenKept() savedState {
+	return savedState{Incarnation: 1<<60 + 3, Roster: goldenRoster(), Addresses: map[string]string{"g1": "127.0.0.3:7000", "g2": "[::1]:7000"}}
 }
 
 func TestGoldenForms(t *testing.T) {
@@ -166,14 +166,14 @@
 	t.Run("why", func(t *testing.T) { requireJSON(t, "why.json", goldenWhy()) })
 	t.Run("asked", func(t *testing.T) {
 		answer, why := goldenAnswer(), goldenWhy()
-		requireJSON(t, "asked.json", Asked{Name: "g0", At: "127.0.0.2:8000", Answer: &answer, Why: &why, Trouble: "127.0.0.2:8000: EOF"})
+		requireJSON(t, "asked.json", QueryResult{Name: "g0", Address: "127.0.0.2:8000", Status: &answer, Evidence: &why, Error: "127.0.0.2:8000: EOF"})
 	})
 }
 
 // Keys with an omitempty option are left out of values that have none, and all others are there.
 func TestGoldenFormsOfZeroValues(t *testing.T) {
 	var text []byte
-	for _, v := range []any{meta{}, message{}, kept{}, Answer{}, Permitted{}, Why{}, Asked{}, Traffic{}} {
+	for _, v := range []any{meta{}, message{}, savedState{}, Status{}, OperationPermission{}, EvidenceReport{}, QueryResult{}, Traffic{}} {
 		line, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
@@ -226,17 +226,17 @@
 
 // Names, labels and versions that members of all versions agree on.
 func TestGoldenWire(t *testing.T) {
-	text := fmt.Appendf(nil, "label of north: %x\n", labelOf("north"))
-	for _, life := range []members.Life{1, 35, 36, 1<<60 + 3, 1<<64 - 1} {
+	text := fmt.Appendf(nil, "label of north: %x\n", clusterLabel("north"))
+	for _, life := range []members.Incarnation{1, 35, 36, 1<<60 + 3, 1<<64 - 1} {
 		node := nodeName("g-1_b.c", life)
 		if name, back, ok := splitName(node); !ok || name != "g-1_b.c" || back != life {
 			t.Errorf("%q is read as %q, %d, %v", node, name, back, ok)
 		}
 		text = fmt.Appendf(text, "node: %s\n", node)
 	}
-	text = fmt.Appendf(text, "version %d, at least %d, of the library %d\n", version, leastVersion, libraryVersion)
+	text = fmt.Appendf(text, "version %d, at least %d, of the library %d\n", protocolVersion, minProtocolVersion, libraryVersion)
 	text = fmt.Appendf(text, "variable: %s\n", RosterVariable)
-	text = fmt.Appendf(text, "paths: %s %s\n", DeskPath, WhyPath)
+	text = fmt.Appendf(text, "paths: %s %s\n", StatusPath, EvidencePath)
 	for _, m := range []meta{{Version: 0, Sum: "1"}, {Version: 1, Sum: "x"}} {
 		_, _, err := decodeMeta(m.encode())
 		text = fmt.Appendf(text, "error: %v\n", err)
@@ -291,8 +291,8 @@
 	p := site.Peers{Listen: "127.0.0.2:7000", Advertise: "127.0.0.3:7000", Site: "north", KeyFile: "keys", Roster: "roster.toml", Dir: "dir",
 		Seeds: []string{"g1"}, Every: strict.Duration(time.Second), MostKB: 3, Reach: []site.PeerReach{{Name: "g1", Address: "127.0.0.4:7000"}}}
 	requireEveryField(t, "site.Peers", reflect.ValueOf(p))
-	want := Settings{Self: "g0", Site: "north", Listen: "127.0.0.2:7000", Advertise: "127.0.0.3:7000", Desk: "127.0.0.2:8000", Dir: "dir", KeyFile: "keys",
-		Roster: "roster.toml", Seeds: []string{"g1"}, Reach: map[string]string{"g1": "127.0.0.4:7000"}, Every: time.Second, Rate: 3072}
+	want := Settings{Self: "g0", Site: "north", Listen: "127.0.0.2:7000", Advertise: "127.0.0.3:7000", AdminAddress: "127.0.0.2:8000", Dir: "dir", KeyFile: "keys",
+		RosterFile: "roster.toml", Seeds: []string{"g1"}, AddressOverrides: map[string]string{"g1": "127.0.0.4:7000"}, ProbeInterval: time.Second, MaxBytesPerSecond: 3072}
 	env := map[string]string{}
 	read := func() *Settings {
 		t.Helper()
@@ -306,12 +306,12 @@
 		t.Errorf("%+v, want %+v", *got, want)
 	}
 	env["ELDERYARD_ROSTER"] = "agent.toml"
-	if got := read(); got.Roster != "agent.toml" {
-		t.Errorf("roster %q", got.Roster)
+	if got := read(); got.RosterFile != "agent.toml" {
+		t.Errorf("roster %q", got.RosterFile)
 	}
-	machine := members.Settings{Self: "g0", Life: 9, Tick: 250 * time.Millisecond, StallAfter: 1500 * time.Millisecond, Settle: 2 * time.Second,
-		SettleMost: time.Minute, Blind: 12 * time.Second}
-	if got := want.machine(9); got != machine {
+	machine := members.Settings{Self: "g0", Incarnation: 9, TickInterval: 250 * time.Millisecond, StallThreshold: 1500 * time.Millisecond, MinSettleTime: 2 * time.Second,
+		MaxSettleTime: time.Minute, SilenceTimeout: 12 * time.Second}
+	if got := want.machineSettings(9); got != machine {
 		t.Errorf("%+v, want %+v", got, machine)
 	}
 }
@@ -321,7 +321,7 @@
 	t.Helper()
 	s := newSite(t, "north", 2)
 	set := s.settings("g0")
-	set.Patient = true
+	set.WaitForAddress = true
 	p, err := Open(set)
 	if err != nil {
 		t.Fatal(err)
@@ -335,12 +335,12 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for a := range p.asks {
+		for a := range p.evidenceQueries {
 			a.done <- p.machine.Evidence(a.name)
 		}
 	}()
-	t.Cleanup(func() { close(p.asks); <-done })
-	desk := p.Desk()
+	t.Cleanup(func() { close(p.evidenceQueries); <-done })
+	desk := p.AdminHandler()
 	call := func(ctx context.Context, method, target string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		desk.ServeHTTP(w, httptest.NewRequestWithContext(ctx, method, target, nil))
@@ -365,22 +365,22 @@
 	}
 	requireGolden(t, "calls.txt", text)
 
-	var a Answer
+	var a Status
 	decodeStrictly(t, call(t.Context(), "GET", "/_peers").Body.Bytes(), &a)
-	if a.Version != 1 || a.Site != "north" || a.Clock.Location() != time.UTC || a.Picture.Self != "g0" || len(a.May) != len(members.Uses()) {
+	if a.Version != 1 || a.Site != "north" || a.Clock.Location() != time.UTC || a.View.Self != "g0" || len(a.Permissions) != len(members.Operations()) {
 		t.Errorf("%+v", a)
 	}
-	for i, u := range members.Uses() {
-		if a.May[i].Use != u.String() {
-			t.Errorf("%v is in the place of %v", a.May[i].Use, u)
+	for i, u := range members.Operations() {
+		if a.Permissions[i].Operation != u.String() {
+			t.Errorf("%v is in the place of %v", a.Permissions[i].Operation, u)
 		}
 	}
-	var why Why
+	var why EvidenceReport
 	decodeStrictly(t, call(t.Context(), "GET", "/_peers/why?name=g0").Body.Bytes(), &why)
 	if why.Self != "g0" || !reflect.DeepEqual(why.Evidence, p.machine.Evidence("g0")) {
 		t.Errorf("%+v", why)
 	}
-	if line := p.Believes(); !strings.HasPrefix(line, "peers: unsure for ") || !strings.HasSuffix(line, " (it has just begun, and nobody has answered yet), epoch 1, nobody has answered yet") {
+	if line := p.Summary(); !strings.HasPrefix(line, "peers: unsure for ") || !strings.HasSuffix(line, " (it has just begun, and nobody has answered yet), epoch 1, nobody has answered yet") {
 		t.Errorf("%q", line)
 	}
 }
@@ -415,13 +415,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	w := httptest.NewRecorder()
-	p.Desk().ServeHTTP(w, httptest.NewRequestWithContext(ctx, "GET", "/_peers/why", nil))
+	p.AdminHandler().ServeHTTP(w, httptest.NewRequestWithContext(ctx, "GET", "/_peers/why", nil))
 	if w.Code != http.StatusServiceUnavailable || w.Body.String() != "context canceled\n" {
 		t.Errorf("%d %q", w.Code, w.Body)
 	}
-	close(p.ended)
+	close(p.done)
 	w = httptest.NewRecorder()
-	p.Desk().ServeHTTP(w, httptest.NewRequest("GET", "/_peers/why", nil))
+	p.AdminHandler().ServeHTTP(w, httptest.NewRequest("GET", "/_peers/why", nil))
 	if w.Code != http.StatusServiceUnavailable || w.Body.String() != "peers have stopped\n" {
 		t.Errorf("%d %q", w.Code, w.Body)
 	}
@@ -447,12 +447,12 @@
 		body = text
 	}
 	answerWith("answer.json")
-	if a, err := Ask(t.Context(), at); err != nil || !reflect.DeepEqual(a, goldenAnswer()) {
+	if a, err := QueryStatus(t.Context(), at); err != nil || !reflect.DeepEqual(a, goldenAnswer()) {
 		t.Errorf("%+v, %v", a, err)
 	}
 	answerWith("why.json")
 	for _, name := range []string{"", "g1", "g 1&x"} {
-		if w, err := AskWhy(t.Context(), at, name); err != nil || !reflect.DeepEqual(w, goldenWhy()) {
+		if w, err := QueryEvidence(t.Context(), at, name); err != nil || !reflect.DeepEqual(w, goldenWhy()) {
 			t.Errorf("%+v, %v", w, err)
 		}
 	}
@@ -465,7 +465,7 @@
 		body   string
 	}{{http.StatusNotFound, "404"}, {http.StatusServiceUnavailable, " peers have stopped\n"}, {http.StatusOK, "{"}} {
 		status, body = c.status, []byte(c.body)
-		_, err := Ask(t.Context(), at)
+		_, err := QueryStatus(t.Context(), at)
 		text = fmt.Appendf(text, "%s\n", strings.ReplaceAll(fmt.Sprint(err), at, "AT"))
 	}
 	requireGolden(t, "query_errors.txt", text)
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-const mostKeys = 8
+const maxKeys = 8
 
 // readKeys reads a file of keys: one a line, as base64 of 16, 24 or 32 bytes. The
 // first seals what is sent; what any of them sealed is taken, so that a key can be
@@ -35,8 +35,8 @@
 		if err := memberlist.ValidateKey(key); err != nil {
 			return nil, fmt.Errorf("%s:%d: the key has %d bytes, not 16, 24 or 32", path, n, len(key))
 		}
-		if keys = append(keys, key); len(keys) > mostKeys {
-			return nil, fmt.Errorf("%s:%d: more than %d keys", path, n, mostKeys)
+		if keys = append(keys, key); len(keys) > maxKeys {
+			return nil, fmt.Errorf("%s:%d: more than %d keys", path, n, maxKeys)
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -48,8 +48,8 @@
 	return keys, nil
 }
 
-// turnKeys brings a ring to the keys of the file.
-func turnKeys(ring *memberlist.Keyring, keys [][]byte) error {
+// updateKeyring brings a ring to the keys of the file.
+func updateKeyring(ring *memberlist.Keyring, keys [][]byte) error {
 	for _, k := range keys {
 		if err := ring.AddKey(k); err != nil {
 			return fmt.Errorf("key: %w", err)
@@ -58,9 +58,9 @@
 	if err := ring.UseKey(keys[0]); err != nil {
 		return fmt.Errorf("key: %w", err)
 	}
-	for _, old := range ring.GetKeys() {
-		if !containsKey(keys, old) {
-			if err := ring.RemoveKey(old); err != nil {
+	for _, current := range ring.GetKeys() {
+		if !containsKey(keys, current) {
+			if err := ring.RemoveKey(current); err != nil {
 				return fmt.Errorf("key: %w", err)
 			}
 		}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -79,7 +79,7 @@
 		s.hosts[name] = at
 	}
 	set := Settings{Self: name, Site: s.name, Listen: s.hosts[name], Advertise: s.hosts[name], Dir: s.dir, KeyFile: filepath.Join(s.dir, "keys"),
-		Roster: filepath.Join(s.dir, "roster.toml"), Reach: map[string]string{}, Every: 200 * time.Millisecond, Rate: 1 << 20, Log: s.t.Logf}
+		RosterFile: filepath.Join(s.dir, "roster.toml"), AddressOverrides: map[string]string{}, ProbeInterval: 200 * time.Millisecond, MaxBytesPerSecond: 1 << 20, Log: s.t.Logf}
 	for _, seed := range seeds {
 		set.Seeds = append(set.Seeds, s.hosts[seed])
 	}
@@ -113,7 +113,7 @@
 	b = s.run(s.settings("g1", "g0"))
 	c = s.run(s.settings("g2", "g0"))
 	for _, r := range []*running{a, b, c} {
-		r.becomes(s.t, members.Whole)
+		r.becomes(s.t, members.Complete)
 	}
 	return a, b, c
 }
@@ -129,36 +129,36 @@
 
 func (r *running) becomes(t *testing.T, v members.Verdict) {
 	t.Helper()
-	until(t, fmt.Sprintf("%s is %v", r.set.Self, v), func() bool { return r.Picture().Verdict == v })
+	until(t, fmt.Sprintf("%s is %v", r.settings.Self, v), func() bool { return r.View().Verdict == v })
 }
 
 func TestThreeBecomeWholeAndMissOne(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, "north", 3)
 	a, b, c := s.three()
-	if may, why := a.May(members.HoldDuty); !may {
-		t.Errorf("whole, and may not hold a duty: %s", why)
+	if allowed, reason := a.Allows(members.ExerciseLease); !allowed {
+		t.Errorf("whole, and may not hold a duty: %s", reason)
 	}
 	c.stop() // with a good-bye
 	for _, r := range []*running{a, b} {
 		r.becomes(t, members.Majority)
-		until(t, "the good-bye is heard as one", func() bool { return r.Picture().Members[2].State == members.Ended })
-		if p := r.Picture(); p.Safe != 3 || p.Share != 3 {
-			t.Errorf("safe %d and share by %d, want 3: its going is not agreed", p.Safe, p.Share)
+		until(t, "the good-bye is heard as one", func() bool { return r.View().Members[2].State == members.StateLeft })
+		if p := r.View(); p.SafeCount != 3 || p.QuotaDivisor != 3 {
+			t.Errorf("safe %d and share by %d, want 3: its going is not agreed", p.SafeCount, p.QuotaDivisor)
 		}
 	}
 	c = s.run(s.settings("g2", "g0"))
 	for _, r := range []*running{a, b, c} {
-		r.becomes(t, members.Whole)
+		r.becomes(t, members.Complete)
 	}
 	s.roster(2, "g0", "g1", "g2", "g3")
 	for _, r := range []*running{a, b, c} {
 		r.becomes(t, members.Majority)
-		if p := r.Picture(); p.Epoch != 2 || p.Share != 4 {
-			t.Errorf("epoch %d and share by %d, want 2 and 4", p.Epoch, p.Share)
+		if p := r.View(); p.Epoch != 2 || p.QuotaDivisor != 4 {
+			t.Errorf("epoch %d and share by %d, want 2 and 4", p.Epoch, p.QuotaDivisor)
 		}
 	}
-	if line := a.Believes(); !strings.Contains(line, "majority") || !strings.Contains(line, "epoch 2") {
+	if line := a.Summary(); !strings.Contains(line, "majority") || !strings.Contains(line, "epoch 2") {
 		t.Errorf("it says %q", line)
 	}
 }
@@ -169,16 +169,16 @@
 	s := newSite(t, "north", 2)
 	a := s.run(s.settings("g0"))
 	set := s.settings("g1", "g0")
-	set.Roster = filepath.Join(s.dir, "old.toml")
+	set.RosterFile = filepath.Join(s.dir, "old.toml")
 	s.write("old.toml", "epoch = 1\n[[member]]\nname = \"g0\"\n[[member]]\nname = \"g1\"\n")
 	b := s.run(set)
-	b.becomes(t, members.Whole)
+	b.becomes(t, members.Complete)
 	s.roster(7, "g0", "g1", "g2")
-	until(t, "g1 has epoch 7", func() bool { return b.Picture().Epoch == 7 })
+	until(t, "g1 has epoch 7", func() bool { return b.View().Epoch == 7 })
 	a.stop()
 	b.stop()
 	b = s.run(set)
-	if p := b.Picture(); p.Epoch != 7 {
+	if p := b.View(); p.Epoch != 7 {
 		t.Errorf("after a start it has epoch %d, want 7", p.Epoch)
 	}
 }
@@ -192,18 +192,18 @@
 	a := s.run(s.settings("g0"))
 	b := s.run(s.settings("g1", "g0"))
 	c := s.run(s.settings("g2", "g0"))
-	a.becomes(t, members.Whole)
+	a.becomes(t, members.Complete)
 	s.hosts["g2"] = ""
 	set := s.settings("g2", "g0")
 	set.Dir = other
 	d := s.run(set)
-	until(t, "the first g2 has given way", func() bool { return c.Picture().Superseded != 0 })
-	if may, _ := c.May(members.HoldDuty); may || c.Picture().Share != members.NoShare {
+	until(t, "the first g2 has given way", func() bool { return c.View().SupersededBy != 0 })
+	if allowed, _ := c.Allows(members.ExerciseLease); allowed || c.View().QuotaDivisor != members.NoQuota {
 		t.Error("the first g2 goes on")
 	}
 	for _, r := range []*running{a, b, d} {
-		r.becomes(t, members.Whole)
-		until(t, "all know the second g2", func() bool { return r.Picture().Members[2].Life == d.Picture().Life })
+		r.becomes(t, members.Complete)
+		until(t, "all know the second g2", func() bool { return r.View().Members[2].Incarnation == d.View().Incarnation })
 	}
 }
 
@@ -214,19 +214,19 @@
 	s := newSite(t, "north", 2)
 	first := s.settings("g0")
 	set := s.settings("g1", "g0")
-	if err := set.store(kept{Life: members.Life(time.Now().Add(time.Hour).UnixMilli()) * members.LifeChances}); err != nil {
+	if err := set.store(savedState{Incarnation: members.Incarnation(time.Now().Add(time.Hour).UnixMilli()) * members.IncarnationRandomValues}); err != nil {
 		t.Fatal(err)
 	}
 	a, b := s.run(first), s.run(set)
-	a.becomes(t, members.Whole)
-	ahead := b.Picture().Life
+	a.becomes(t, members.Complete)
+	ahead := b.View().Incarnation
 	b.stop()
 	set.Dir = t.TempDir() // another machine, with another clock
 	c := s.run(set)
-	until(t, "the new g1 is above the old", func() bool { return c.Picture().Life > ahead })
-	a.becomes(t, members.Whole)
-	c.becomes(t, members.Whole)
-	if c.Picture().Superseded != 0 {
+	until(t, "the new g1 is above the old", func() bool { return c.View().Incarnation > ahead })
+	a.becomes(t, members.Complete)
+	c.becomes(t, members.Complete)
+	if c.View().SupersededBy != 0 {
 		t.Error("it takes itself for an earlier one")
 	}
 }
@@ -235,16 +235,16 @@
 func TestLifeOnDiskOnlyGrows(t *testing.T) {
 	s := newSite(t, "north", 1)
 	set := s.settings("g0")
-	for _, life := range []members.Life{5, 9, 7} {
-		if err := set.store(kept{Life: life}); err != nil {
+	for _, incarnation := range []members.Incarnation{5, 9, 7} {
+		if err := set.store(savedState{Incarnation: incarnation}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if k, err := set.load(); err != nil || k.Life != 9 {
-		t.Errorf("%d is kept (%v), want 9", k.Life, err)
+	if k, err := set.load(); err != nil || k.Incarnation != 9 {
+		t.Errorf("%d is kept (%v), want 9", k.Incarnation, err)
 	}
-	if life := members.NextLife(1<<60, time.Now(), 3); life != 1<<60+1 {
-		t.Errorf("the next life is %d", life)
+	if incarnation := members.NextIncarnation(1<<60, time.Now(), 3); incarnation != 1<<60+1 {
+		t.Errorf("the next life is %d", incarnation)
 	}
 }
 
@@ -268,10 +268,10 @@
 		before := c.count(a.Traffic())
 		b := s.run(s.settings("g1", "g0"))
 		until(t, c.what+" is counted", func() bool { return c.count(a.Traffic()) >= before+3 })
-		if p := a.Picture(); p.Members[1].State != members.Unheard {
+		if p := a.View(); p.Members[1].State != members.StateUnknown {
 			t.Errorf("%s: g0 takes it for %v", c.what, p.Members[1].State)
 		}
-		if p := b.Picture(); p.Members[0].State != members.Unheard {
+		if p := b.View(); p.Members[0].State != members.StateUnknown {
 			t.Errorf("%s: it takes g0 for %v", c.what, p.Members[0].State)
 		}
 		b.stop()
@@ -285,21 +285,23 @@
 	s := newSite(t, "north", 2)
 	a := s.run(s.settings("g0"))
 	b := s.run(s.settings("g1", "g0"))
-	a.becomes(t, members.Whole)
-	b.becomes(t, members.Whole)
+	a.becomes(t, members.Complete)
+	b.becomes(t, members.Complete)
 	for _, keys := range [][]byte{{1, 2}, {2, 1}, {2}} {
 		s.key(keys...)
 		primary := strings.Repeat(string(rune('a'+keys[0])), 32)
 		for _, r := range []*running{a, b} {
-			until(t, "the keys are taken", func() bool { return string(r.ring.GetPrimaryKey()) == primary && len(r.ring.GetKeys()) == len(keys) })
+			until(t, "the keys are taken", func() bool {
+				return string(r.keyring.GetPrimaryKey()) == primary && len(r.keyring.GetKeys()) == len(keys)
+			})
 		}
 	}
 	s.write("keys", "not a key\n") // a mistake changes nothing
-	heard := a.Picture().Heard
-	until(t, "g0 hears g1 under the new key", func() bool { return a.Picture().Heard > heard+time.Second })
+	heard := a.View().LastAnswer
+	until(t, "g0 hears g1 under the new key", func() bool { return a.View().LastAnswer > heard+time.Second })
 	for _, r := range []*running{a, b} {
-		if p := r.Picture(); p.Verdict != members.Whole {
-			t.Errorf("%s is %v: %s", p.Self, p.Verdict, p.Why)
+		if p := r.View(); p.Verdict != members.Complete {
+			t.Errorf("%s is %v: %s", p.Self, p.Verdict, p.Reason)
 		}
 		list, err := r.Evidence(t.Context(), "")
 		if err != nil {
@@ -307,7 +309,7 @@
 		}
 		for _, e := range list {
 			if strings.Contains(e.What, "silence") {
-				t.Errorf("%s: %+v", r.set.Self, e)
+				t.Errorf("%s: %+v", r.settings.Self, e)
 			}
 		}
 	}
@@ -319,15 +321,15 @@
 	s := newSite(t, "north", 3)
 	first := s.settings("g0")
 	next := s.settings("g1", "g0")
-	next.speaks = version + 1
+	next.protocolVersion = protocolVersion + 1
 	a, b := s.run(first), s.run(next)
 	c := s.run(s.settings("g2", "g1"))
 	for _, r := range []*running{a, b, c} {
-		r.becomes(t, members.Whole)
+		r.becomes(t, members.Complete)
 	}
 	s.roster(2, "g0", "g1", "g2", "g3")
 	for _, r := range []*running{a, b, c} {
-		until(t, r.set.Self+" has epoch 2", func() bool { return r.Picture().Epoch == 2 })
+		until(t, r.settings.Self+" has epoch 2", func() bool { return r.View().Epoch == 2 })
 	}
 }
 
@@ -349,7 +351,7 @@
 	s := newSite(t, "north", 3)
 	base := s.settings("g0")
 	for _, c := range []struct {
-		file, text, says string
+		file, text, wantError string
 	}{
 		{"keys", "aGVsbG8=\n", "keys:1: the key has 5 bytes, not 16, 24 or 32"},
 		{"keys", "# one\n\nnot base64!\n", "keys:3: the key is not base64"},
@@ -361,33 +363,33 @@
 		{"roster.toml", "epoch = 1\n[[member]]\nnam = \"a\"\n", "did you mean \"name\"?"},
 		{"g0.peers.json", "{", "what it knew is lost if it is removed"},
 	} {
-		old, err := os.ReadFile(filepath.Join(s.dir, c.file))
+		previous, err := os.ReadFile(filepath.Join(s.dir, c.file))
 		if err != nil && !os.IsNotExist(err) {
 			t.Fatal(err)
 		}
 		s.write(c.file, c.text)
-		if p, err := Open(base); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, want ...%s...", c.file, err, c.says)
+		if p, err := Open(base); err == nil || !strings.Contains(err.Error(), c.wantError) {
+			t.Errorf("%s: %v, want ...%s...", c.file, err, c.wantError)
 			if err == nil {
-				p.part(false)
+				p.stopDetector(false)
 			}
 		}
-		if old == nil {
+		if previous == nil {
 			os.Remove(filepath.Join(s.dir, c.file))
 		} else {
-			s.write(c.file, string(old))
+			s.write(c.file, string(previous))
 		}
 	}
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.Self = "a b" }, func(s *Settings) { s.Listen = "nowhere" }, func(s *Settings) { s.Listen = "localhost:1" },
 		func(s *Settings) { s.Advertise = "127.0.0.1:0" }, func(s *Settings) { s.Dir = filepath.Join(s.Dir, "none") }, func(s *Settings) { s.KeyFile = "none" },
-		func(s *Settings) { s.Roster = "none" },
+		func(s *Settings) { s.RosterFile = "none" },
 	} {
 		bad := base
 		change(&bad)
 		if p, err := Open(bad); err == nil {
 			t.Errorf("taken: %+v", bad)
-			p.part(false)
+			p.stopDetector(false)
 		}
 	}
 }
@@ -398,7 +400,7 @@
 	s := newSite(t, "north", 2)
 	a := s.run(s.settings("g0"))
 	b := s.run(s.settings("g1", "g0"))
-	a.becomes(t, members.Whole)
+	a.becomes(t, members.Complete)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -410,14 +412,14 @@
 		c := a.Traffic()
 		return c.Foreign > 1000 && c.Oversized > 100 && c.Unsealed > 1000
 	})
-	for range 2 * mostStreams {
+	for range 2 * maxInboundStreams {
 		if c, err := net.Dial("tcp", s.hosts["g0"]); err == nil {
 			defer c.Close()
 		}
 	}
-	until(t, "connections over the bound are closed", func() bool { return a.Traffic().Crowded > 0 })
-	b.becomes(t, members.Whole)
-	a.becomes(t, members.Whole)
+	until(t, "connections over the bound are closed", func() bool { return a.Traffic().QueueFull > 0 })
+	b.becomes(t, members.Complete)
+	a.becomes(t, members.Complete)
 }
 
 // throwGarbage sends datagrams that are no member's, at a rate that loopback takes.
@@ -428,7 +430,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	label := labelOf(site)
+	label := clusterLabel(site)
 	rng := newGarbage(1)
 	for i := range n {
 		conn.Write(rng.next(label))
--- a/internal/peers/settings.go
+++ b/internal/peers/settings.go
@@ -18,22 +18,22 @@
 
 // Settings are those of one process.
 type Settings struct {
-	Self      string
-	Site      string
-	Listen    string
-	Advertise string
-	Desk      string // where this process's operators call; "": nowhere
-	Dir       string
-	KeyFile   string
-	Roster    string // the file
-	Seeds     []string
-	Reach     map[string]string // by name: at which address a member is reached from here
-	Every     time.Duration     // between probes
-	Rate      float64           // bytes a second that may be sent
-	Patient   bool              // another process may have the address for a while, as in an upgrade
-	Log       func(format string, a ...any)
+	Self              string
+	Site              string
+	Listen            string
+	Advertise         string
+	AdminAddress      string // where this process's operators call; "": nowhere
+	Dir               string
+	KeyFile           string
+	RosterFile        string // the file
+	Seeds             []string
+	AddressOverrides  map[string]string // by name: at which address a member is reached from here
+	ProbeInterval     time.Duration     // between probes
+	MaxBytesPerSecond float64           // bytes a second that may be sent
+	WaitForAddress    bool              // another process may have the address for a while, as in an upgrade
+	Log               func(format string, a ...any)
 
-	speaks int // version; 0: this program's
+	protocolVersion int // version; 0: this program's
 }
 
 // RosterVariable names the roster's file in the environment, where an agent keeps
@@ -42,20 +42,20 @@
 
 // FromSite reads the operator's settings. It returns nil where the process is to
 // take no part. Desk is its operators' address.
-func FromSite(p site.Peers, self, desk string, env func(string) string, log func(string, ...any)) (*Settings, error) {
+func FromSite(p site.Peers, self, adminAddress string, env func(string) string, log func(string, ...any)) (*Settings, error) {
 	if p.Listen == "" {
 		return nil, nil
 	}
-	s := &Settings{Self: self, Site: p.Site, Listen: p.Listen, Advertise: p.Advertise, Desk: desk, Dir: p.Dir, KeyFile: p.KeyFile,
-		Roster: p.Roster, Seeds: p.Seeds, Reach: map[string]string{}, Every: time.Duration(p.Every), Rate: float64(p.MostKB) * 1024, Log: log}
+	s := &Settings{Self: self, Site: p.Site, Listen: p.Listen, Advertise: p.Advertise, AdminAddress: adminAddress, Dir: p.Dir, KeyFile: p.KeyFile,
+		RosterFile: p.Roster, Seeds: p.Seeds, AddressOverrides: map[string]string{}, ProbeInterval: time.Duration(p.Every), MaxBytesPerSecond: float64(p.MostKB) * 1024, Log: log}
 	if file := env(RosterVariable); file != "" {
-		s.Roster = file
+		s.RosterFile = file
 	}
-	if s.Roster == "" {
+	if s.RosterFile == "" {
 		return nil, errors.New("peers.roster: it is missing, and no agent keeps one")
 	}
 	for _, r := range p.Reach {
-		s.Reach[r.Name] = r.Address
+		s.AddressOverrides[r.Name] = r.Address
 	}
 	if s.Advertise == "" {
 		s.Advertise = p.Listen
@@ -63,22 +63,22 @@
 	return s, nil
 }
 
-// machine are the settings of the pure half. The detector's own times are beside
+// machineSettings are the settings of the pure half. The detector's own times are beside
 // them, so that all of them rest on Every.
-func (s *Settings) machine(life members.Life) members.Settings {
-	return members.Settings{Self: s.Self, Life: life, Tick: s.Every / 4, StallAfter: 3 * s.Every / 2, Settle: 2 * s.Every,
-		SettleMost: 60 * s.Every, Blind: suspicionMult * suspicionMost * s.Every}
+func (s *Settings) machineSettings(incarnation members.Incarnation) members.Settings {
+	return members.Settings{Self: s.Self, Incarnation: incarnation, TickInterval: s.ProbeInterval / 4, StallThreshold: 3 * s.ProbeInterval / 2, MinSettleTime: 2 * s.ProbeInterval,
+		MaxSettleTime: 60 * s.ProbeInterval, SilenceTimeout: suspicionMult * suspicionMaxMult * s.ProbeInterval}
 }
 
 // The detector's times, in intervals between probes.
 const (
-	suspicionMult = 4 // a suspicion lasts so many intervals, times log10 of the members, where others confirm it
-	suspicionMost = 3 // so many times as long where nobody does
-	pushPullEvery = 20
-	toTheDead     = 60 // who has gone is still told so, and may deny it
+	suspicionMult         = 4 // a suspicion lasts so many intervals, times log10 of the members, where others confirm it
+	suspicionMaxMult      = 3 // so many times as long where nobody does
+	pushPullIntervals     = 20
+	gossipToDeadIntervals = 60 // who has gone is still told so, and may deny it
 )
 
-const mostFile = 1 << 20 // bytes of a file that is read
+const maxFileBytes = 1 << 20 // bytes of a file that is read
 
 // readRoster reads a roster's file. An error names file, line and key.
 func readRoster(path string) (members.Roster, error) {
@@ -105,8 +105,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > mostFile {
-		return nil, fmt.Errorf("%s: %d bytes, and %d may be", path, info.Size(), mostFile)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: %d bytes, and %d may be", path, info.Size(), maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
--- a/internal/peers/told.go
+++ b/internal/peers/told.go
@@ -7,18 +7,18 @@
 	"elderyard/members"
 )
 
-// told reads the library's log. The library tells of some things nowhere else: whom
+// memberlistLog reads the library's log. The library tells of some things nowhere else: whom
 // it has suspected and why, who has suspected this process, what could not be
 // opened. The lines are those of the version in go.mod; a test provokes each.
-type told struct {
+type memberlistLog struct {
 	detector *detector
-	counts   *traffic
+	counts   *trafficCounters
 }
 
 var (
-	suspectLine = regexp.MustCompile(`^\[INFO\] memberlist: Suspect (\S+) has failed, no acks received`)
-	refuteLine  = regexp.MustCompile(`^\[WARN\] memberlist: Refuting a (?:suspect|dead) message \(from: (\S+)\)`)
-	sealLines   = []string{
+	suspectLine      = regexp.MustCompile(`^\[INFO\] memberlist: Suspect (\S+) has failed, no acks received`)
+	refuteLine       = regexp.MustCompile(`^\[WARN\] memberlist: Refuting a (?:suspect|dead) message \(from: (\S+)\)`)
+	decryptionErrors = []string{
 		"[ERR] memberlist: Decrypt packet failed",
 		"[ERR] memberlist: failed to receive and remove the stream label header",
 		"[ERR] memberlist: failed to read stream",
@@ -30,21 +30,21 @@
 )
 
 // Write takes a line.
-func (t *told) Write(line []byte) (int, error) {
+func (t *memberlistLog) Write(line []byte) (int, error) {
 	text := string(line)
 	if found := suspectLine.FindStringSubmatch(text); found != nil {
-		if name, life, ok := splitName(found[1]); ok {
-			t.detector.post(members.Suspected{Name: name, Life: life, By: t.detector.self})
+		if name, incarnation, ok := splitName(found[1]); ok {
+			t.detector.post(members.Suspected{Name: name, Incarnation: incarnation, By: t.detector.self})
 		}
 		return len(line), nil
 	}
 	if found := refuteLine.FindStringSubmatch(text); found != nil {
 		if by, _, ok := splitName(found[1]); ok {
-			t.detector.post(members.Contradicted{Name: t.detector.self, Life: t.detector.life, By: by})
+			t.detector.post(members.Refuted{Name: t.detector.self, Incarnation: t.detector.incarnation, By: by})
 		}
 		return len(line), nil
 	}
-	for _, start := range sealLines {
+	for _, start := range decryptionErrors {
 		if strings.HasPrefix(text, start) {
 			t.counts.unsealed.Add(1)
 			break
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -16,69 +16,69 @@
 )
 
 const (
-	mostPacket    = 1400 // bytes that the library puts in a datagram
-	packetRoom    = 512  // and what sealing and label may add
-	packetsWait   = 256
-	mostStreams   = 8       // connections that others have made and that are open
-	mostStream    = 1 << 20 // bytes of one connection, each way
-	streamFor     = 10 * time.Second
-	labelMark     = 244 // begins what carries a label
-	leastSealed   = 1 + 12 + 16
-	acceptPause   = 20 * time.Millisecond
-	burstSeconds  = 2.0 // of the rate that may go out at once
-	readBufferMin = 256 << 10
+	maxPacketBytes         = 1400 // bytes that the library puts in a datagram
+	maxPacketOverheadBytes = 512  // and what sealing and label may add
+	packetQueueSize        = 256
+	maxInboundStreams      = 8       // connections that others have made and that are open
+	maxStreamBytes         = 1 << 20 // bytes of one connection, each way
+	streamTimeout          = 10 * time.Second
+	labelMagic             = 244 // begins what carries a label
+	minSealedBytes         = 1 + 12 + 16
+	acceptRetryDelay       = 20 * time.Millisecond
+	burstSeconds           = 2.0 // of the rate that may go out at once
+	readBufferBytes        = 256 << 10
 )
 
-var errEnded = errors.New("peers have ended")
+var errShutDown = errors.New("peers have ended")
 
 // Traffic counts what went over the sockets, and what was dropped and why.
 type Traffic struct {
-	PacketsIn  uint64 `json:"packets_in"`
-	PacketsOut uint64 `json:"packets_out"`
-	BytesIn    uint64 `json:"bytes_in"`  // of datagrams and connections
-	BytesOut   uint64 `json:"bytes_out"` // of datagrams and connections
-	StreamsIn  uint64 `json:"streams_in"`
-	StreamsOut uint64 `json:"streams_out"`
-	Foreign    uint64 `json:"foreign"`   // datagrams of another site, or of none
-	Oversized  uint64 `json:"oversized"` // datagrams longer than any of ours
-	Unsealed   uint64 `json:"unsealed"`  // datagrams and connections of another key, or spoilt
-	Crowded    uint64 `json:"crowded"`   // datagrams and connections that there was no room for
-	Over       uint64 `json:"over"`      // datagrams not sent, over the bytes a second
+	PacketsIn   uint64 `json:"packets_in"`
+	PacketsOut  uint64 `json:"packets_out"`
+	BytesIn     uint64 `json:"bytes_in"`  // of datagrams and connections
+	BytesOut    uint64 `json:"bytes_out"` // of datagrams and connections
+	StreamsIn   uint64 `json:"streams_in"`
+	StreamsOut  uint64 `json:"streams_out"`
+	Foreign     uint64 `json:"foreign"`   // datagrams of another site, or of none
+	Oversized   uint64 `json:"oversized"` // datagrams longer than any of ours
+	Unsealed    uint64 `json:"unsealed"`  // datagrams and connections of another key, or spoilt
+	QueueFull   uint64 `json:"crowded"`   // datagrams and connections that there was no room for
+	RateLimited uint64 `json:"over"`      // datagrams not sent, over the bytes a second
 }
 
-type traffic struct {
+type trafficCounters struct {
 	packetsIn, packetsOut, bytesIn, bytesOut, streamsIn, streamsOut atomic.Uint64
-	foreign, oversized, unsealed, crowded, over                     atomic.Uint64
+	foreign, oversized, unsealed, queueFull, rateLimited            atomic.Uint64
 }
 
-func (t *traffic) read() Traffic {
+func (t *trafficCounters) snapshot() Traffic {
 	return Traffic{t.packetsIn.Load(), t.packetsOut.Load(), t.bytesIn.Load(), t.bytesOut.Load(), t.streamsIn.Load(), t.streamsOut.Load(),
-		t.foreign.Load(), t.oversized.Load(), t.unsealed.Load(), t.crowded.Load(), t.over.Load()}
+		t.foreign.Load(), t.oversized.Load(), t.unsealed.Load(), t.queueFull.Load(), t.rateLimited.Load()}
 }
 
 // transport carries the library's datagrams and connections on one address, in
 // bounds: descriptors, bytes waiting, bytes a second. It knows by name at which
 // address a member is reached from here.
 type transport struct {
-	label   []byte
-	reach   map[string]string
-	advert  *net.UDPAddr
-	udp     *net.UDPConn
-	tcp     *net.TCPListener
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	counts  *traffic
-	budget  *rate.Limiter
-
-	wg     sync.WaitGroup
-	ctx    context.Context // until Shutdown: nothing that is under way outlives it
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	open   map[*stream]struct{}
-	came   int // of those that are open, how many others have made
+	label            []byte
+	addressOverrides map[string]string
+	advertised       *net.UDPAddr
+	udp              *net.UDPConn
+	tcp              *net.TCPListener
+	packets          chan *memberlist.Packet
+	streams          chan net.Conn
+	counts           *trafficCounters
+	limiter          *rate.Limiter
+
+	wg             sync.WaitGroup
+	ctx            context.Context // until Shutdown: nothing that is under way outlives it
+	cancel         context.CancelFunc
+	mu             sync.Mutex
+	openStreams    map[*stream]struct{}
+	inboundStreams int // of those that are open, how many others have made
 }
 
-func listen(s *Settings, counts *traffic) (*transport, error) {
+func listen(s *Settings, counts *trafficCounters) (*transport, error) {
 	advert, err := net.ResolveUDPAddr("udp", s.Advertise)
 	if err != nil {
 		return nil, fmt.Errorf("peers.advertise: %w", err)
@@ -96,26 +96,28 @@
 		udp.Close()
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	udp.SetReadBuffer(readBufferMin) // less will do: what is lost is sent again
-	t := &transport{label: labelOf(s.Site), reach: s.Reach, advert: advert, udp: udp, tcp: tcp, packets: make(chan *memberlist.Packet, packetsWait),
-		streams: make(chan net.Conn), counts: counts, budget: rate.NewLimiter(rate.Limit(s.Rate), burst(s.Rate)), open: map[*stream]struct{}{}}
+	udp.SetReadBuffer(readBufferBytes) // less will do: what is lost is sent again
+	t := &transport{label: clusterLabel(s.Site), addressOverrides: s.AddressOverrides, advertised: advert, udp: udp, tcp: tcp, packets: make(chan *memberlist.Packet, packetQueueSize),
+		streams: make(chan net.Conn), counts: counts, limiter: rate.NewLimiter(rate.Limit(s.MaxBytesPerSecond), burstBytes(s.MaxBytesPerSecond)), openStreams: map[*stream]struct{}{}}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	t.wg.Go(t.readPackets)
 	t.wg.Go(t.accept)
 	return t, nil
 }
 
-// burst is what may go out at once, at the least one datagram.
-func burst(perSecond float64) int { return max(int(perSecond*burstSeconds), mostPacket+packetRoom) }
+// burstBytes is what may go out at once, at the least one datagram.
+func burstBytes(perSecond float64) int {
+	return max(int(perSecond*burstSeconds), maxPacketBytes+maxPacketOverheadBytes)
+}
 
-// labelOf is what every datagram and connection of a site begins with.
-func labelOf(site string) []byte {
+// clusterLabel is what every datagram and connection of a site begins with.
+func clusterLabel(site string) []byte {
 	label := "elderyard/" + site
-	return append([]byte{labelMark, byte(len(label))}, label...)
+	return append([]byte{labelMagic, byte(len(label))}, label...)
 }
 
 func (t *transport) readPackets() {
-	buf := make([]byte, mostPacket+packetRoom+1)
+	buf := make([]byte, maxPacketBytes+maxPacketOverheadBytes+1)
 	for {
 		n, from, err := t.udp.ReadFromUDP(buf)
 		now := time.Now()
@@ -136,14 +138,14 @@
 		case !bytes.HasPrefix(buf[:n], t.label):
 			t.counts.foreign.Add(1)
 			continue
-		case n < len(t.label)+leastSealed:
+		case n < len(t.label)+minSealedBytes:
 			t.counts.unsealed.Add(1)
 			continue
 		}
 		select {
 		case t.packets <- &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: from, Timestamp: now}:
 		default:
-			t.counts.crowded.Add(1)
+			t.counts.queueFull.Add(1)
 		}
 	}
 }
@@ -155,12 +157,12 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptPause) // out of descriptors, which others hold
+			time.Sleep(acceptRetryDelay) // out of descriptors, which others hold
 			continue
 		}
-		s := t.admit(conn, true)
+		s := t.register(conn, true)
 		if s == nil {
-			t.counts.crowded.Add(1)
+			t.counts.queueFull.Add(1)
 			conn.SetLinger(0)
 			conn.Close()
 			continue
@@ -175,25 +177,25 @@
 	}
 }
 
-// admit takes note of a connection, and bounds those that others make; nil: it is
+// register takes note of a connection, and bounds those that others make; nil: it is
 // one too many, or all has ended.
-func (t *transport) admit(conn *net.TCPConn, came bool) *stream {
+func (t *transport) register(conn *net.TCPConn, inbound bool) *stream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ctx.Err() != nil || came && t.came >= mostStreams {
+	if t.ctx.Err() != nil || inbound && t.inboundStreams >= maxInboundStreams {
 		return nil
 	}
-	s := newStream(conn, t, came)
-	t.open[s] = struct{}{}
-	if came {
-		t.came++
+	s := newStream(conn, t, inbound)
+	t.openStreams[s] = struct{}{}
+	if inbound {
+		t.inboundStreams++
 	}
 	return s
 }
 
 // FinalAdvertiseAddr is what members are told of this one's address.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	return t.advert.IP, t.advert.Port, nil
+	return t.advertised.IP, t.advertised.Port, nil
 }
 
 // WriteTo sends a datagram.
@@ -209,8 +211,8 @@
 		return time.Time{}, fmt.Errorf("peer: %w", err)
 	}
 	now := time.Now()
-	if !t.budget.AllowN(now, len(b)) {
-		t.counts.over.Add(1)
+	if !t.limiter.AllowN(now, len(b)) {
+		t.counts.rateLimited.Add(1)
 		return now, nil
 	}
 	n, err := t.udp.WriteToUDP(b, to)
@@ -225,7 +227,7 @@
 // address is where a member is reached from here.
 func (t *transport) address(a memberlist.Address) string {
 	if name, _, ok := splitName(a.Name); ok {
-		if to, set := t.reach[name]; set {
+		if to, set := t.addressOverrides[name]; set {
 			return to
 		}
 	}
@@ -246,16 +248,16 @@
 // DialAddressTimeout opens a connection to a member.
 func (t *transport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
 	// From the address of its own, as datagrams go: others may tell members by that.
-	from := net.Dialer{Timeout: min(within, streamFor), LocalAddr: &net.TCPAddr{IP: t.tcp.Addr().(*net.TCPAddr).IP}}
+	from := net.Dialer{Timeout: min(within, streamTimeout), LocalAddr: &net.TCPAddr{IP: t.tcp.Addr().(*net.TCPAddr).IP}}
 	conn, err := from.DialContext(t.ctx, "tcp", t.address(a))
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
 	t.counts.streamsOut.Add(1)
-	s := t.admit(conn.(*net.TCPConn), false)
+	s := t.register(conn.(*net.TCPConn), false)
 	if s == nil {
 		conn.Close()
-		return nil, errEnded
+		return nil, errShutDown
 	}
 	return s, nil
 }
@@ -266,7 +268,7 @@
 	t.udp.Close()
 	t.tcp.Close()
 	t.mu.Lock()
-	for s := range t.open {
+	for s := range t.openStreams {
 		s.TCPConn.Close()
 	}
 	t.mu.Unlock()
@@ -277,47 +279,51 @@
 // stream is a connection in bounds of bytes and time.
 type stream struct {
 	*net.TCPConn
-	t         *transport
-	came      bool // others have made it
-	until     time.Time
-	in, out   int // bytes that may still come and go
-	inMu      sync.Mutex
-	outMu     sync.Mutex
-	closeOnce sync.Once
+	t                       *transport
+	inbound                 bool // others have made it
+	deadline                time.Time
+	readBudget, writeBudget int // bytes that may still come and go
+	inMu                    sync.Mutex
+	outMu                   sync.Mutex
+	closeOnce               sync.Once
 }
 
-func newStream(conn *net.TCPConn, t *transport, came bool) *stream {
-	s := &stream{TCPConn: conn, t: t, came: came, until: time.Now().Add(streamFor), in: mostStream, out: mostStream}
-	s.TCPConn.SetDeadline(s.until)
+func newStream(conn *net.TCPConn, t *transport, inbound bool) *stream {
+	s := &stream{TCPConn: conn, t: t, inbound: inbound, deadline: time.Now().Add(streamTimeout), readBudget: maxStreamBytes, writeBudget: maxStreamBytes}
+	s.TCPConn.SetDeadline(s.deadline)
 	return s
 }
 
 // The library's own deadlines hold, but none beyond the connection's time.
-func (s *stream) bound(at time.Time) time.Time {
-	if at.IsZero() || at.After(s.until) {
-		return s.until
+func (s *stream) clampDeadline(at time.Time) time.Time {
+	if at.IsZero() || at.After(s.deadline) {
+		return s.deadline
 	}
 	return at
 }
 
 // SetDeadline bounds both ways.
-func (s *stream) SetDeadline(at time.Time) error { return s.TCPConn.SetDeadline(s.bound(at)) }
+func (s *stream) SetDeadline(at time.Time) error { return s.TCPConn.SetDeadline(s.clampDeadline(at)) }
 
 // SetReadDeadline bounds what comes.
-func (s *stream) SetReadDeadline(at time.Time) error { return s.TCPConn.SetReadDeadline(s.bound(at)) }
+func (s *stream) SetReadDeadline(at time.Time) error {
+	return s.TCPConn.SetReadDeadline(s.clampDeadline(at))
+}
 
 // SetWriteDeadline bounds what goes.
-func (s *stream) SetWriteDeadline(at time.Time) error { return s.TCPConn.SetWriteDeadline(s.bound(at)) }
+func (s *stream) SetWriteDeadline(at time.Time) error {
+	return s.TCPConn.SetWriteDeadline(s.clampDeadline(at))
+}
 
 // Read reads within the connection's bytes.
 func (s *stream) Read(b []byte) (int, error) {
 	s.inMu.Lock()
 	defer s.inMu.Unlock()
-	if s.in == 0 {
+	if s.readBudget == 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
-	n, err := s.TCPConn.Read(b[:min(len(b), s.in)])
-	s.in -= n
+	n, err := s.TCPConn.Read(b[:min(len(b), s.readBudget)])
+	s.readBudget -= n
 	s.t.counts.bytesIn.Add(uint64(n))
 	return n, err
 }
@@ -327,20 +333,20 @@
 func (s *stream) Write(b []byte) (int, error) {
 	s.outMu.Lock()
 	defer s.outMu.Unlock()
-	if len(b) > s.out {
+	if len(b) > s.writeBudget {
 		return 0, io.ErrShortWrite
 	}
-	ctx, cancel := context.WithDeadline(s.t.ctx, s.until)
+	ctx, cancel := context.WithDeadline(s.t.ctx, s.deadline)
 	defer cancel()
 	for left := len(b); left > 0; {
-		piece := min(left, s.t.budget.Burst())
-		if err := s.t.budget.WaitN(ctx, piece); err != nil {
+		piece := min(left, s.t.limiter.Burst())
+		if err := s.t.limiter.WaitN(ctx, piece); err != nil {
 			return 0, fmt.Errorf("over the bytes a second that peers may send: %w", err)
 		}
 		left -= piece
 	}
 	n, err := s.TCPConn.Write(b)
-	s.out -= n
+	s.writeBudget -= n
 	s.t.counts.bytesOut.Add(uint64(n))
 	return n, err
 }
@@ -350,9 +356,9 @@
 	s.closeOnce.Do(func() {
 		err = s.TCPConn.Close()
 		s.t.mu.Lock()
-		delete(s.t.open, s)
-		if s.came {
-			s.t.came--
+		delete(s.t.openStreams, s)
+		if s.inbound {
+			s.t.inboundStreams--
 		}
 		s.t.mu.Unlock()
 	})
--- a/internal/peers/wire_test.go
+++ b/internal/peers/wire_test.go
@@ -37,9 +37,9 @@
 func TestNodeNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-zA-Z0-9._-]{1,64}`).Draw(t, "name")
-		life := members.Life(rapid.Uint64Min(1).Draw(t, "life"))
-		if n, l, ok := splitName(nodeName(name, life)); !ok || n != name || l != life {
-			t.Fatalf("%q %d: %q %d %v", name, life, n, l, ok)
+		incarnation := members.Incarnation(rapid.Uint64Min(1).Draw(t, "life"))
+		if n, l, ok := splitName(nodeName(name, incarnation)); !ok || n != name || l != incarnation {
+			t.Fatalf("%q %d: %q %d %v", name, incarnation, n, l, ok)
 		}
 	})
 	for _, bad := range []string{"", "g0", "g0#", "#1", "g0#0", "g0#-1", "g0#zz zz", "g 0#1", "g0#1#2"} {
@@ -66,7 +66,7 @@
 		}
 	}
 	for _, bad := range []string{"", "{", `{"v":0}`, `{"v":1,"roster":{"epoch":0}}`, `{"v":1,"roster":{"epoch":1,"members":[{"name":"a"},{"name":"a"}]}}`,
-		`{"v":1,"from":"` + strings.Repeat("x", mostMessage) + `"}`} {
+		`{"v":1,"from":"` + strings.Repeat("x", maxMessageBytes) + `"}`} {
 		if _, err := decodeMessage([]byte(bad)); err == nil {
 			t.Errorf("message %.40q was read", bad)
 		}
@@ -74,10 +74,10 @@
 }
 
 func TestMetaFits(t *testing.T) {
-	for _, desk := range []string{"", "127.0.0.1:1", strings.Repeat("h", 600) + ":1"} {
-		m := meta{Version: version, Epoch: 1 << 60, Sum: "ffffffffffffffff", Desk: desk, Leaving: true}
+	for _, adminAddress := range []string{"", "127.0.0.1:1", strings.Repeat("h", 600) + ":1"} {
+		m := meta{Version: protocolVersion, Epoch: 1 << 60, Sum: "ffffffffffffffff", AdminAddress: adminAddress, Leaving: true}
 		text := m.encode()
-		if len(text) > mostMeta {
+		if len(text) > maxMetaBytes {
 			t.Errorf("%d bytes", len(text))
 		}
 		if _, _, err := decodeMeta(text); err != nil {
@@ -90,7 +90,7 @@
 	f.Add([]byte(`{"v":1,"from":"g1","roster":{"epoch":3,"members":[{"name":"g1"}]},"lives":[{"Name":"g1","Life":3}]}`))
 	f.Add([]byte(`{"v":1,"e":9,"s":"00000000000000ff","d":"127.0.0.1:1","l":true}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if m, err := decodeMessage(text); err == nil && len(text) < mostMessage/8 {
+		if m, err := decodeMessage(text); err == nil && len(text) < maxMessageBytes/8 {
 			if _, err := decodeMessage(m.encode()); err != nil {
 				t.Errorf("%s: %v", text, err)
 			}
--- a/internal/recordsync/client.go
+++ b/internal/recordsync/client.go
@@ -14,8 +14,8 @@
 	"elderyard/records"
 )
 
-// maxErrorText bounds what is read of a server's error, in bytes.
-const maxErrorText = 256
+// maxErrorTextBytes bounds what is read of a server's error, in bytes.
+const maxErrorTextBytes = 256
 
 // Traffic counts the bytes of connections, heads included. Its zero value is ready;
 // it may be used by several goroutines.
@@ -58,16 +58,16 @@
 	return n, err
 }
 
-// wireClient asks servers.
-type wireClient struct {
+// serverClient asks servers.
+type serverClient struct {
 	http *http.Client
 	base func(server string) string // the URL of a server, without a path
 }
 
-// ask sends a request to a server and returns the answer's body as it came. The
+// do sends a request to a server and returns the answer's body as it came. The
 // body is bounded; whether it makes sense is for the follower to judge.
-func (c *wireClient) ask(ctx context.Context, server string, asked records.Request) ([]byte, error) {
-	target, err := targetOf(asked)
+func (c *serverClient) do(ctx context.Context, server string, query records.Request) ([]byte, error) {
+	target, err := requestTarget(query)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorText))
+		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorTextBytes))
 		return nil, fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(text)))
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, records.MaxMessageBytes+1))
@@ -100,15 +100,15 @@
 	return err
 }
 
-// targetOf returns the path and query of a request.
-func targetOf(asked records.Request) (string, error) {
-	switch asked := asked.(type) {
+// requestTarget returns the path and query of a request.
+func requestTarget(query records.Request) (string, error) {
+	switch asked := query.(type) {
 	case records.ChangesRequest:
-		return ChangesPath + "?" + changesQuery(asked).Encode(), nil
+		return ChangesPath + "?" + formatChangesQuery(asked).Encode(), nil
 	case records.DigestsRequest:
 		return RangesPath, nil
 	case records.ContentRequest:
-		return ContentPath + "?" + contentQuery(asked).Encode(), nil
+		return ContentPath + "?" + formatContentQuery(asked).Encode(), nil
 	}
-	return "", fmt.Errorf("a request of type %T is not known", asked)
+	return "", fmt.Errorf("a request of type %T is not known", query)
 }
--- a/internal/recordsync/disk.go
+++ b/internal/recordsync/disk.go
@@ -18,7 +18,7 @@
 // has the changes that came after it, so that a change costs its own size; the
 // third says when the copy was last known to be the newest.
 const (
-	copyName      = "records"
+	snapshotName  = "records"
 	journalName   = "records.journal"
 	confirmedName = "records.confirmed"
 	// damagedSuffix is added to the name of a file that can't be used.
@@ -26,16 +26,16 @@
 )
 
 const (
-	folderMode = 0o700
-	fileMode   = 0o600
+	dirMode  = 0o700
+	fileMode = 0o600
 
 	maxFileBytes = 64 << 20 // a larger file is none of ours
-	// confirmEvery is how often the time of the last confirmation is written.
-	confirmEvery = 30 * time.Second
+	// confirmInterval is how often the time of the last confirmation is written.
+	confirmInterval = 30 * time.Second
 )
 
-// folder keeps a follower's copy across restarts. It belongs to one goroutine.
-type folder struct {
+// diskStore keeps a follower's copy across restarts. It belongs to one goroutine.
+type diskStore struct {
 	dir string
 	log *slog.Logger
 
@@ -51,41 +51,41 @@
 	At      time.Time `json:"at"`
 }
 
-func (f *folder) path(name string) string { return filepath.Join(f.dir, name) }
+func (f *diskStore) path(name string) string { return filepath.Join(f.dir, name) }
 
-// openFolder reads the copy that an earlier run kept. Files that are damaged or cut
+// openDiskStore reads the copy that an earlier run kept. Files that are damaged or cut
 // off are set aside for a look: without a usable copy the replica is empty, and of
 // the journal all that comes before the damage is used.
-func openFolder(dir string, log *slog.Logger) (*folder, *records.Replica, error) {
-	if err := os.MkdirAll(dir, folderMode); err != nil {
+func openDiskStore(dir string, log *slog.Logger) (*diskStore, *records.Replica, error) {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, nil, fmt.Errorf("records: %w", err)
 	}
-	f := &folder{dir: dir, log: log}
+	f := &diskStore{dir: dir, log: log}
 	replica := &records.Replica{}
-	data, err := f.read(copyName)
+	data, err := f.readFile(snapshotName)
 	if err == nil && data != nil {
 		err = replica.Restore(data)
 	}
 	if err != nil {
 		replica = &records.Replica{}
-		return f, replica, errors.Join(f.setAside(copyName, err), f.setAside(journalName, errNoCopy))
+		return f, replica, errors.Join(f.quarantine(snapshotName, err), f.quarantine(journalName, errNoSnapshot))
 	}
-	if err := f.replay(replica); err != nil {
-		if err := f.setAside(journalName, err); err != nil {
+	if err := f.replayJournal(replica); err != nil {
+		if err := f.quarantine(journalName, err); err != nil {
 			return nil, nil, err
 		}
 		// What was whole of the journal is in force: the next start must not go back behind it.
-		if err := f.saveWhole(replica); err != nil {
+		if err := f.writeSnapshot(replica); err != nil {
 			return nil, nil, fmt.Errorf("records: %w", err)
 		}
 	}
 	return f, replica, nil
 }
 
-var errNoCopy = errors.New("there is no copy that it follows")
+var errNoSnapshot = errors.New("there is no copy that it follows")
 
-// read returns a file's content; nil: there is no file.
-func (f *folder) read(name string) ([]byte, error) {
+// readFile returns a file's content; nil: there is no file.
+func (f *diskStore) readFile(name string) ([]byte, error) {
 	file, err := os.Open(f.path(name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -101,9 +101,9 @@
 	return data, err
 }
 
-// setAside renames a file that can't be used. The error is of a file that can't be
+// quarantine renames a file that can't be used. The error is of a file that can't be
 // moved either.
-func (f *folder) setAside(name string, cause error) error {
+func (f *diskStore) quarantine(name string, cause error) error {
 	aside := f.path(name) + damagedSuffix
 	err := os.Rename(f.path(name), aside)
 	if errors.Is(err, os.ErrNotExist) {
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// replay applies the journal's changes that the copy lacks, and opens the journal.
-func (f *folder) replay(replica *records.Replica) error {
-	data, err := f.read(journalName)
+// replayJournal applies the journal's changes that the copy lacks, and opens the journal.
+func (f *diskStore) replayJournal(replica *records.Replica) error {
+	data, err := f.readFile(journalName)
 	if err != nil {
 		return err
 	}
@@ -133,10 +133,10 @@
 	return err
 }
 
-// save writes down that the replica has come to a version.
-func (f *folder) save(replica *records.Replica, saved records.Save) error {
+// persist writes down that the replica has come to a version.
+func (f *diskStore) persist(replica *records.Replica, saved records.Persist) error {
 	if saved.Delta == nil || f.journal == nil || f.journalBytes > records.MaxJournalBytes {
-		return f.saveWhole(replica)
+		return f.writeSnapshot(replica)
 	}
 	entry, err := records.EncodeJournalEntry(*saved.Delta)
 	if err != nil {
@@ -154,14 +154,14 @@
 	return nil
 }
 
-// saveWhole writes the copy, and begins a new journal.
-func (f *folder) saveWhole(replica *records.Replica) error {
+// writeSnapshot writes the copy, and begins a new journal.
+func (f *diskStore) writeSnapshot(replica *records.Replica) error {
 	f.closeJournal()
 	data, err := replica.Snapshot()
 	if err != nil {
 		return err
 	}
-	if err := files.Replace(f.path(copyName), data, fileMode); err != nil {
+	if err := files.Replace(f.path(snapshotName), data, fileMode); err != nil {
 		return err
 	}
 	f.journalBytes = 0
@@ -169,7 +169,7 @@
 	if err != nil {
 		return err
 	}
-	if err := syncFolder(f.dir); err != nil {
+	if err := syncDir(f.dir); err != nil {
 		journal.Close()
 		return err
 	}
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// syncFolder makes the names of a folder's files last.
-func syncFolder(dir string) error {
+// syncDir makes the names of a folder's files last.
+func syncDir(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -186,17 +186,17 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-func (f *folder) closeJournal() {
+func (f *diskStore) closeJournal() {
 	if f.journal != nil {
 		f.journal.Close()
 		f.journal = nil
 	}
 }
 
-// confirmed returns when a version was last known to be the newest; zero: that is
+// loadConfirmation returns when a version was last known to be the newest; zero: that is
 // not known.
-func (f *folder) confirmed(version uint64) time.Time {
-	data, err := f.read(confirmedName)
+func (f *diskStore) loadConfirmation(version uint64) time.Time {
+	data, err := f.readFile(confirmedName)
 	var c confirmation
 	if err != nil || json.Unmarshal(data, &c) != nil || c.Version != version {
 		return time.Time{}
@@ -205,13 +205,13 @@
 }
 
 // confirmDue tells whether a confirmation is to be written down: each would cost a
-// write where one in confirmEvery does.
-func (f *folder) confirmDue(at time.Time) bool {
-	return !at.IsZero() && at.Sub(f.confirmedAt) >= confirmEvery
+// write where one in confirmInterval does.
+func (f *diskStore) confirmDue(at time.Time) bool {
+	return !at.IsZero() && at.Sub(f.confirmedAt) >= confirmInterval
 }
 
-// confirm writes down that a version is the newest.
-func (f *folder) confirm(version uint64, at time.Time) error {
+// writeConfirmation writes down that a version is the newest.
+func (f *diskStore) writeConfirmation(version uint64, at time.Time) error {
 	text, err := json.Marshal(confirmation{Version: version, At: at.UTC()})
 	if err != nil {
 		return err
