--- a/internal/recordsync/disk_test.go
+++ b/internal/recordsync/disk_test.go
@@ -15,29 +15,29 @@
 func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // advance brings a replica to the source's version, and writes that down.
-func advance(t testing.TB, f *folder, replica *records.Replica, source *memorySource) {
+func advance(t testing.TB, f *diskStore, replica *records.Replica, source *memorySource) {
 	t.Helper()
 	source.ReadRecords(func(store *records.Store) {
 		delta, err := store.ChangesSince(replica.Version())
 		must(t, err)
 		must(t, replica.ApplyDelta(delta))
-		must(t, f.save(replica, records.Save{Version: delta.To, Delta: &delta}))
+		must(t, f.persist(replica, records.Persist{Version: delta.To, Delta: &delta}))
 	})
 }
 
-func reopen(t testing.TB, dir string) (*folder, *records.Replica) {
+func reopen(t testing.TB, dir string) (*diskStore, *records.Replica) {
 	t.Helper()
-	f, replica, err := openFolder(dir, discard())
+	f, replica, err := openDiskStore(dir, discard())
 	must(t, err)
 	t.Cleanup(f.closeJournal)
 	return f, replica
 }
 
-// keep makes a folder with a copy at version 1 and a journal up to version 5.
-func keep(t testing.TB) (dir string, source *memorySource) {
+// writeTestFolder makes a folder with a copy at version 1 and a journal up to version 5.
+func writeTestFolder(t testing.TB) (dir string, source *memorySource) {
 	t.Helper()
 	source = newMemorySource()
-	source.apply(t, many(100)...)
+	source.apply(t, manyPlans(100)...)
 	dir = t.TempDir()
 	f, replica := reopen(t, dir)
 	if replica.Version() != 0 {
@@ -53,8 +53,8 @@
 	return dir, source
 }
 
-func TestFolderKeepsACopy(t *testing.T) {
-	dir, source := keep(t)
+func TestDiskStorePersistsTheCopy(t *testing.T) {
+	dir, source := writeTestFolder(t)
 	f, replica := reopen(t, dir)
 	if replica.Version() != 5 || replica.Digest() != source.digest() {
 		t.Fatalf("version %d", replica.Version())
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestFolderWritesTheCopyAnew begins a new journal when the old one has grown.
-func TestFolderWritesTheCopyAnew(t *testing.T) {
-	dir, source := keep(t)
+// TestDiskStoreRewritesTheSnapshot begins a new journal when the old one has grown.
+func TestDiskStoreRewritesTheSnapshot(t *testing.T) {
+	dir, source := writeTestFolder(t)
 	f, replica := reopen(t, dir)
 	f.journalBytes = records.MaxJournalBytes + 1
 	source.apply(t, plan("more", 1))
@@ -83,13 +83,13 @@
 	}
 }
 
-// TestFolderStaleJournal passes over what a copy that was just written has already.
-func TestFolderStaleJournal(t *testing.T) {
-	dir, source := keep(t)
+// TestDiskStoreStaleJournal passes over what a copy that was just written has already.
+func TestDiskStoreStaleJournal(t *testing.T) {
+	dir, source := writeTestFolder(t)
 	journal, err := os.ReadFile(filepath.Join(dir, journalName))
 	must(t, err)
 	f, replica := reopen(t, dir)
-	must(t, f.saveWhole(replica))
+	must(t, f.writeSnapshot(replica))
 	f.closeJournal()
 	must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
 	if _, replica = reopen(t, dir); replica.Version() != 5 || replica.Digest() != source.digest() {
@@ -97,26 +97,26 @@
 	}
 }
 
-// TestFolderDamagedCopy sets a copy aside that is damaged anywhere, or cut off.
-func TestFolderDamagedCopy(t *testing.T) {
-	from, _ := keep(t)
-	whole, err := os.ReadFile(filepath.Join(from, copyName))
+// TestDiskStoreDamagedSnapshot sets a copy aside that is damaged anywhere, or cut off.
+func TestDiskStoreDamagedSnapshot(t *testing.T) {
+	from, _ := writeTestFolder(t)
+	whole, err := os.ReadFile(filepath.Join(from, snapshotName))
 	must(t, err)
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
 	must(t, err)
 	for _, data := range damaged(whole) {
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, copyName), data, fileMode))
+		must(t, os.WriteFile(filepath.Join(dir, snapshotName), data, fileMode))
 		must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
 		_, replica := reopen(t, dir)
 		if replica.Version() != 0 || replica.Len() != 0 {
 			t.Fatalf("version %d of a damaged copy", replica.Version())
 		}
-		aside, err := os.ReadFile(filepath.Join(dir, copyName+damagedSuffix))
+		aside, err := os.ReadFile(filepath.Join(dir, snapshotName+damagedSuffix))
 		if err != nil || string(aside) != string(data) {
 			t.Fatalf("set aside %d bytes of %d, %v", len(aside), len(data), err)
 		}
-		for _, name := range []string{copyName, journalName} {
+		for _, name := range []string{snapshotName, journalName} {
 			if _, err := os.Stat(filepath.Join(dir, name)); !os.IsNotExist(err) {
 				t.Fatalf("%s is still there: %v", name, err)
 			}
@@ -125,26 +125,26 @@
 }
 
 // damaged returns a file's content cut off, or changed, in many places.
-func damaged(whole []byte) (list [][]byte) {
-	for i := 0; i < len(whole); i += max(1, len(whole)/40) {
-		changed := append([]byte(nil), whole...)
+func damaged(content []byte) (list [][]byte) {
+	for i := 0; i < len(content); i += max(1, len(content)/40) {
+		changed := append([]byte(nil), content...)
 		changed[i] ^= 1
-		list = append(list, changed, whole[:i])
+		list = append(list, changed, content[:i])
 	}
 	return list
 }
 
-// TestFolderDamagedJournal uses what comes before the damage, and writes it down
+// TestDiskStoreDamagedJournal uses what comes before the damage, and writes it down
 // for good.
-func TestFolderDamagedJournal(t *testing.T) {
-	from, source := keep(t)
-	whole, err := os.ReadFile(filepath.Join(from, copyName))
+func TestDiskStoreDamagedJournal(t *testing.T) {
+	from, source := writeTestFolder(t)
+	whole, err := os.ReadFile(filepath.Join(from, snapshotName))
 	must(t, err)
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
 	must(t, err)
 	for _, data := range damaged(journal) {
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, copyName), whole, fileMode))
+		must(t, os.WriteFile(filepath.Join(dir, snapshotName), whole, fileMode))
 		must(t, os.WriteFile(filepath.Join(dir, journalName), data, fileMode))
 		_, replica := reopen(t, dir)
 		first := replica.Version()
@@ -159,21 +159,21 @@
 	}
 }
 
-func TestFolderRemembersWhenItWasConfirmed(t *testing.T) {
-	dir, _ := keep(t)
+func TestDiskStoreLoadsItsConfirmation(t *testing.T) {
+	dir, _ := writeTestFolder(t)
 	f, _ := reopen(t, dir)
-	if at := f.confirmed(5); !at.IsZero() {
+	if at := f.loadConfirmation(5); !at.IsZero() {
 		t.Fatalf("confirmed at %v", at)
 	}
-	must(t, f.confirm(5, testTime))
-	if f.confirmDue(testTime.Add(confirmEvery-time.Second)) || !f.confirmDue(testTime.Add(confirmEvery)) {
+	must(t, f.writeConfirmation(5, testTime))
+	if f.confirmDue(testTime.Add(confirmInterval-time.Second)) || !f.confirmDue(testTime.Add(confirmInterval)) {
 		t.Fatal("a confirmation is due at the wrong time")
 	}
 	f, _ = reopen(t, dir)
-	if at := f.confirmed(5); !at.Equal(testTime) {
+	if at := f.loadConfirmation(5); !at.Equal(testTime) {
 		t.Fatalf("confirmed at %v", at)
 	}
-	if at := f.confirmed(6); !at.IsZero() {
+	if at := f.loadConfirmation(6); !at.IsZero() {
 		t.Fatalf("another version was confirmed at %v", at)
 	}
 }
--- a/internal/recordsync/follower.go
+++ b/internal/recordsync/follower.go
@@ -28,25 +28,25 @@
 // Run, owns the machine which decides, the copy and the files; the methods may be
 // called by others.
 type Follower struct {
-	options Options
-	log     *slog.Logger
-	folder  *folder
-	replica *records.Replica
-	machine *records.Follower
-	client  *wireClient
-	idle    func() // closes the connections that are not in use
-	traffic Traffic
-	counted int64 // bytes of the traffic that the machine has been told of
-	cancel  context.CancelFunc
-	openID  uint64 // of the request on its way
-	answers chan records.Event
-	heads   chan uint64
-	views   chan view
+	options       Options
+	log           *slog.Logger
+	store         *diskStore
+	replica       *records.Replica
+	machine       *records.Follower
+	client        *serverClient
+	closeIdle     func() // closes the connections that are not in use
+	traffic       Traffic
+	countedBytes  int64 // bytes of the traffic that the machine has been told of
+	cancelRequest context.CancelFunc
+	inFlightID    uint64 // of the request on its way
+	responses     chan records.Event
+	heads         chan uint64
+	views         chan view
 
-	mu      sync.Mutex
-	status  records.FollowerStatus
-	disk    string        // what the disk said to the last write; "": it was written
-	changed chan struct{} // closed when the copy changes next
+	mu        sync.Mutex
+	status    records.FollowerStatus
+	diskError string        // what the disk said to the last write; "": it was written
+	changed   chan struct{} // closed when the copy changes next
 }
 
 // view is a look at the copy by another goroutine.
@@ -55,8 +55,8 @@
 	done chan struct{}
 }
 
-// leastWait is the shortest time between two ticks.
-const leastWait = time.Millisecond
+// minTickInterval is the shortest time between two ticks.
+const minTickInterval = time.Millisecond
 
 // idleTimeout is after how long a connection that is not in use is closed.
 const idleTimeout = time.Minute
@@ -67,44 +67,44 @@
 	if len(o.Servers) == 0 {
 		return nil, errors.New("records: no server is named that a copy could follow")
 	}
-	folder, replica, err := openFolder(o.Dir, o.Log)
+	folder, replica, err := openDiskStore(o.Dir, o.Log)
 	if err != nil {
 		return nil, err
 	}
-	f := &Follower{options: o, log: o.Log, folder: folder, replica: replica,
-		answers: make(chan records.Event), heads: make(chan uint64, 1), views: make(chan view), changed: make(chan struct{})}
+	f := &Follower{options: o, log: o.Log, store: folder, replica: replica,
+		responses: make(chan records.Event), heads: make(chan uint64, 1), views: make(chan view), changed: make(chan struct{})}
 	dial := f.traffic.Count(o.Dial)
 	transport := &http.Transport{DialContext: dial, DialTLSContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout}
-	f.client = &wireClient{http: &http.Client{Transport: transport}, base: o.BaseURL}
-	f.idle = transport.CloseIdleConnections
+	f.client = &serverClient{http: &http.Client{Transport: transport}, base: o.BaseURL}
+	f.closeIdle = transport.CloseIdleConnections
 	now := time.Now()
 	f.machine = records.NewFollower(records.FollowerConfig{Name: o.Name, Servers: o.Servers, BytesPerSecond: o.BytesPerSecond,
-		BurstBytes: o.BurstBytes, Confirmed: folder.confirmed(replica.Version())}, replica, now)
+		BurstBytes: o.BurstBytes, ConfirmedAt: folder.loadConfirmation(replica.Version())}, replica, now)
 	f.status = f.machine.Status(now)
 	return f, nil
 }
 
 // Run follows the servers until ctx ends. It is called once.
 func (f *Follower) Run(ctx context.Context) {
-	var asks sync.WaitGroup
-	defer f.idle()
+	var requests sync.WaitGroup
+	defer f.closeIdle()
 	defer f.close()
-	defer asks.Wait()
+	defer requests.Wait()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(max(leastWait, time.Until(f.machine.Wake())))
+		timer.Reset(max(minTickInterval, time.Until(f.machine.Wake())))
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			f.handle(ctx, &asks, records.Tick{})
-		case event := <-f.answers:
-			f.handle(ctx, &asks, f.price(event))
+			f.handle(ctx, &requests, records.Tick{})
+		case event := <-f.responses:
+			f.handle(ctx, &requests, f.addCost(event))
 		case head := <-f.heads:
-			f.handle(ctx, &asks, records.ToldHead{Version: head})
+			f.handle(ctx, &requests, records.HeadReceived{Version: head})
 		case v := <-f.views:
 			v.read(f.replica)
 			close(v.done)
@@ -113,46 +113,46 @@
 }
 
 func (f *Follower) close() {
-	if status := f.Status(); !status.Confirmed.IsZero() {
-		f.note(f.folder.confirm(status.Version, status.Confirmed))
+	if status := f.Status(); !status.ConfirmedAt.IsZero() {
+		f.recordDiskResult(f.store.writeConfirmation(status.Version, status.ConfirmedAt))
 	}
-	f.folder.closeJournal()
+	f.store.closeJournal()
 }
 
 // handle gives the machine an event and does what it decides.
-func (f *Follower) handle(ctx context.Context, asks *sync.WaitGroup, event records.Event) {
+func (f *Follower) handle(ctx context.Context, requests *sync.WaitGroup, event records.Event) {
 	now := time.Now()
 	saved := false
 	for _, action := range f.machine.Handle(now, event) {
 		switch action := action.(type) {
-		case records.Ask:
-			f.ask(ctx, asks, action)
+		case records.Send:
+			f.send(ctx, requests, action)
 		case records.Cancel:
-			if action.ID == f.openID {
-				f.cancel()
+			if action.ID == f.inFlightID {
+				f.cancelRequest()
 			}
-		case records.Save:
+		case records.Persist:
 			// Before anybody is told of the version: a restart must not go back behind it.
-			f.note(f.folder.save(f.replica, action))
+			f.recordDiskResult(f.store.persist(f.replica, action))
 			saved = true
 		}
 	}
 	status := f.machine.Status(now)
-	if f.folder.confirmDue(status.Confirmed) {
-		f.note(f.folder.confirm(status.Version, status.Confirmed))
+	if f.store.confirmDue(status.ConfirmedAt) {
+		f.recordDiskResult(f.store.writeConfirmation(status.Version, status.ConfirmedAt))
 	}
 	f.publish(status, saved)
 }
 
-// note logs what the disk says, once.
-func (f *Follower) note(err error) {
+// recordDiskResult logs what the disk says, once.
+func (f *Follower) recordDiskResult(err error) {
 	text := ""
 	if err != nil {
 		text = err.Error()
 	}
 	f.mu.Lock()
-	before := f.disk
-	f.disk = text
+	before := f.diskError
+	f.diskError = text
 	f.mu.Unlock()
 	if text != "" && text != before {
 		f.log.Error("records can't be kept across a restart", "error", err)
@@ -172,42 +172,42 @@
 	}
 }
 
-// ask sends a request. Its answer comes as an event, unless it is given up before.
-func (f *Follower) ask(ctx context.Context, asks *sync.WaitGroup, ask records.Ask) {
+// send sends a request. Its answer comes as an event, unless it is given up before.
+func (f *Follower) send(ctx context.Context, requests *sync.WaitGroup, action records.Send) {
 	asking, cancel := context.WithCancel(ctx)
-	f.cancel, f.openID = cancel, ask.ID
-	asks.Go(func() {
+	f.cancelRequest, f.inFlightID = cancel, action.ID
+	requests.Go(func() {
 		defer cancel()
-		body, err := f.client.ask(asking, ask.Server, ask.Request)
-		event := records.Event(records.Answered{ID: ask.ID, Body: body})
+		body, err := f.client.do(asking, action.Server, action.Request)
+		event := records.Event(records.ResponseReceived{ID: action.ID, Body: body})
 		if err != nil {
-			event = records.Failed{ID: ask.ID, Reason: err.Error()}
+			event = records.RequestFailed{ID: action.ID, Reason: err.Error()}
 		}
 		select {
-		case f.answers <- event:
+		case f.responses <- event:
 		case <-ctx.Done():
 		}
 	})
 }
 
-// price adds what an answer has cost: all bytes of the connections since the last one.
-func (f *Follower) price(event records.Event) records.Event {
+// addCost adds what an answer has cost: all bytes of the connections since the last one.
+func (f *Follower) addCost(event records.Event) records.Event {
 	total := f.traffic.Read() + f.traffic.Written()
-	bytes := int(total - f.counted)
-	f.counted = total
+	bytes := int(total - f.countedBytes)
+	f.countedBytes = total
 	switch event := event.(type) {
-	case records.Answered:
+	case records.ResponseReceived:
 		event.Bytes = bytes
 		return event
-	case records.Failed:
+	case records.RequestFailed:
 		event.Bytes = bytes
 		return event
 	}
 	return event
 }
 
-// TellHead tells the follower of a version that has been accepted. It does not wait.
-func (f *Follower) TellHead(version uint64) {
+// NotifyHead tells the follower of a version that has been accepted. It does not wait.
+func (f *Follower) NotifyHead(version uint64) {
 	for {
 		select {
 		case f.heads <- version:
@@ -233,7 +233,7 @@
 func (f *Follower) DiskError() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.disk
+	return f.diskError
 }
 
 // Changed returns a channel that is closed when the copy comes to its next version.
--- a/internal/recordsync/follower_test.go
+++ b/internal/recordsync/follower_test.go
@@ -42,8 +42,8 @@
 	return &running{f, t, stop}
 }
 
-// has waits until the follower has what the source has.
-func (r *running) has(source *memorySource) records.FollowerStatus {
+// awaitVersionOf waits until the follower has what the source has.
+func (r *running) awaitVersionOf(source *memorySource) records.FollowerStatus {
 	r.t.Helper()
 	var status records.FollowerStatus
 	until(r.t, fmt.Sprintf("version %d is in force", source.version()), func() bool {
@@ -55,22 +55,22 @@
 
 func addressOf(server *httptest.Server) string { return server.Listener.Addr().String() }
 
-func TestFollowerTakesChanges(t *testing.T) {
+func TestFollowerAppliesChanges(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
-	source.apply(t, many(100)...)
+	source.apply(t, manyPlans(100)...)
 	var servers []string
 	for range 3 {
 		servers = append(servers, addressOf(serve(t, NewHandler(source))))
 	}
 	dir := t.TempDir()
 	first := start(t, options(dir, servers...))
-	first.has(source)
+	first.awaitVersionOf(source)
 	for i := range 5 {
 		changed := first.Changed()
 		source.apply(t, plan(fmt.Sprint("later", i), 1))
 		<-changed
-		first.has(source)
+		first.awaitVersionOf(source)
 	}
 	var names int
 	must(t, first.View(t.Context(), func(replica *records.Replica) { names = replica.Len() }))
@@ -87,18 +87,18 @@
 	source.apply(t, plan("while-it-was-away", 1), plan("another", 1))
 	again, err := Open(options(dir, servers...))
 	must(t, err)
-	if now := again.Status(); now.Version != status.Version || now.Digest != status.Digest || now.Confirmed.IsZero() {
+	if now := again.Status(); now.Version != status.Version || now.Digest != status.Digest || now.ConfirmedAt.IsZero() {
 		t.Fatalf("%+v after the restart, %+v before", now, status)
 	}
-	again.folder.closeJournal()
+	again.store.closeJournal()
 	second := start(t, options(dir, servers...))
-	second.has(source)
+	second.awaitVersionOf(source)
 	if second.Status().Version <= status.Version {
 		t.Fatal("it did not go on")
 	}
 }
 
-func TestFollowerReadsOutOfTime(t *testing.T) {
+func TestFollowerViewAfterCancel(t *testing.T) {
 	t.Parallel()
 	if _, err := Open(options(t.TempDir())); err == nil {
 		t.Fatal("opened without a server")
@@ -111,16 +111,16 @@
 		t.Fatal("a view without an owner ended well")
 	}
 	for v := range uint64(5) {
-		f.TellHead(v)
+		f.NotifyHead(v)
 	}
 	if head := <-f.heads; head != 4 {
 		t.Fatalf("head %d", head)
 	}
 }
 
-// TestFollowerLeavesABadServer has one server of two do wrong, for followers whose
+// TestFollowerEjectsAFaultyServer has one server of two do wrong, for followers whose
 // names spread them over both.
-func TestFollowerLeavesABadServer(t *testing.T) {
+func TestFollowerEjectsAFaultyServer(t *testing.T) {
 	t.Parallel()
 	const followers = 24 // who asks which server first goes by a hash of name and address: one in 2^24 runs spares the bad one
 	stale := newMemorySource()
@@ -159,11 +159,11 @@
 			t.Parallel()
 			source := newMemorySource()
 			source.apply(t, plan("old", 1))
-			source.apply(t, many(50)...)
-			var asked atomic.Int64
+			source.apply(t, manyPlans(50)...)
+			var requests atomic.Int64
 			inner := handler(source)
 			wrong := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				asked.Add(1)
+				requests.Add(1)
 				inner.ServeHTTP(w, r)
 			}))
 			good := serve(t, NewHandler(source))
@@ -172,18 +172,18 @@
 				o := options(t.TempDir(), addressOf(wrong), addressOf(good))
 				o.Name = fmt.Sprint("g", i)
 				f := start(t, o)
-				f.TellHead(source.version())
+				f.NotifyHead(source.version())
 				list = append(list, f)
 			}
 			for _, f := range list {
-				f.has(source)
+				f.awaitVersionOf(source)
 			}
 			source.apply(t, plan("later", 1))
 			for _, f := range list {
-				f.TellHead(source.version())
-				f.has(source)
+				f.NotifyHead(source.version())
+				f.awaitVersionOf(source)
 			}
-			if asked.Load() == 0 {
+			if requests.Load() == 0 {
 				t.Fatal("nobody asked the server that does wrong")
 			}
 		})
@@ -195,7 +195,7 @@
 func TestFollowerCutOff(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
-	source.apply(t, many(10)...)
+	source.apply(t, manyPlans(10)...)
 	var cut atomic.Bool
 	inner := NewHandler(source)
 	server := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -205,11 +205,11 @@
 		inner.ServeHTTP(w, r)
 	}))
 	f := start(t, options(t.TempDir(), addressOf(server)))
-	before := f.has(source)
+	before := f.awaitVersionOf(source)
 	cut.Store(true)
 	server.CloseClientConnections()
 	source.apply(t, plan("later", 1))
-	f.TellHead(source.version())
+	f.NotifyHead(source.version())
 	var status records.FollowerStatus
 	until(t, "it says why it is behind", func() bool {
 		status = f.Status()
@@ -221,14 +221,16 @@
 	if status.Version != before.Version || status.Digest != before.Digest || status.Head != before.Version+1 {
 		t.Fatalf("%+v, %+v before", status, before)
 	}
-	older := status.Confirmed
-	until(t, "more failures", func() bool { return f.Status().Contact.Equal(status.Contact) && time.Since(older) > time.Second })
-	if now := f.Status(); !now.Confirmed.Equal(older) {
-		t.Fatalf("confirmed at %v, %v before: it got younger without a server", now.Confirmed, older)
+	older := status.ConfirmedAt
+	until(t, "more failures", func() bool {
+		return f.Status().LastContact.Equal(status.LastContact) && time.Since(older) > time.Second
+	})
+	if now := f.Status(); !now.ConfirmedAt.Equal(older) {
+		t.Fatalf("confirmed at %v, %v before: it got younger without a server", now.ConfirmedAt, older)
 	}
 	cut.Store(false)
-	if status = f.has(source); !status.Confirmed.After(older) {
-		t.Fatalf("confirmed at %v still", status.Confirmed)
+	if status = f.awaitVersionOf(source); !status.ConfirmedAt.After(older) {
+		t.Fatalf("confirmed at %v still", status.ConfirmedAt)
 	}
 }
 
@@ -241,14 +243,14 @@
 	server := addressOf(serve(t, NewHandler(source)))
 	dir := t.TempDir()
 	first := start(t, options(dir, server))
-	first.has(source)
+	first.awaitVersionOf(source)
 	first.stop()
 	whole := first.Traffic().Read()
 	for i := range records.MaxLogChanges + 1 {
 		source.apply(t, plan("changing", 1+i))
 	}
-	var answer records.Answer
-	source.ReadRecords(func(store *records.Store) { answer = store.Answer(records.ChangesRequest{Since: 1}) })
+	var answer records.ChangesResponse
+	source.ReadRecords(func(store *records.Store) { answer = store.HandleChanges(records.ChangesRequest{Since: 1}) })
 	if answer.Repair != records.RepairCompacted {
 		t.Fatalf("%+v", answer)
 	}
@@ -256,28 +258,28 @@
 	if second.Status().Version != 1 {
 		t.Fatalf("%+v", second.Status())
 	}
-	second.has(source)
+	second.awaitVersionOf(source)
 	if part := second.Traffic().Read(); part >= whole/2 {
 		t.Fatalf("%d bytes for one record, %d for all", part, whole)
 	}
 }
 
-// TestFollowerBeginsAnewOnDamagedFiles fetches what the disk has lost.
-func TestFollowerBeginsAnewOnDamagedFiles(t *testing.T) {
+// TestFollowerRefetchesAfterFileDamage fetches what the disk has lost.
+func TestFollowerRefetchesAfterFileDamage(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
-	source.apply(t, many(200)...)
+	source.apply(t, manyPlans(200)...)
 	server := addressOf(serve(t, NewHandler(source)))
 	dir := t.TempDir()
 	first := start(t, options(dir, server))
-	first.has(source)
+	first.awaitVersionOf(source)
 	first.stop()
-	path := filepath.Join(dir, copyName)
+	path := filepath.Join(dir, snapshotName)
 	data, err := os.ReadFile(path)
 	must(t, err)
 	must(t, os.WriteFile(path, data[:len(data)/2], fileMode))
 	second := start(t, options(dir, server))
-	second.has(source)
+	second.awaitVersionOf(source)
 	if _, err := os.Stat(path + damagedSuffix); err != nil {
 		t.Fatal(err)
 	}
@@ -287,11 +289,11 @@
 	}
 }
 
-// TestFollowerWithoutADisk goes on with a folder that can't be written, and says so.
-func TestFollowerWithoutADisk(t *testing.T) {
+// TestFollowerWithAnUnwritableFolder goes on with a folder that can't be written, and says so.
+func TestFollowerWithAnUnwritableFolder(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
-	source.apply(t, many(20)...)
+	source.apply(t, manyPlans(20)...)
 	dir := filepath.Join(t.TempDir(), "records")
 	f, err := Open(options(dir, addressOf(serve(t, NewHandler(source)))))
 	must(t, err)
@@ -300,7 +302,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
 	r := &running{f, t, nil}
-	r.has(source)
+	r.awaitVersionOf(source)
 	if !strings.Contains(f.DiskError(), dir) {
 		t.Fatalf("the disk said %q", f.DiskError())
 	}
@@ -317,25 +319,25 @@
 	return operations
 }
 
-// TestFollowerKeepsItsBudget fills an empty copy while changes go on, and never
+// TestFollowerStaysWithinItsBudget fills an empty copy while changes go on, and never
 // takes more bytes than its budget, but for one answer.
-func TestFollowerKeepsItsBudget(t *testing.T) {
+func TestFollowerStaysWithinItsBudget(t *testing.T) {
 	t.Parallel()
 	const (
-		perSecond = 20_000
-		burst     = 20_000
-		oneAnswer = 64 << 10 // a chunk before compression, and its heads
+		bytesPerSecond   = 20_000
+		burst            = 20_000
+		maxResponseBytes = 64 << 10 // a chunk before compression, and its heads
 	)
 	source := newMemorySource()
 	source.apply(t, noise(3000)...)
 	server := serve(t, NewHandler(source))
 	o := options(t.TempDir(), addressOf(server))
-	o.BytesPerSecond, o.BurstBytes = perSecond, burst
+	o.BytesPerSecond, o.BurstBytes = bytesPerSecond, burst
 	began := time.Now()
 	f := start(t, o)
 	held := func() bool {
 		taken := f.Traffic().Read() + f.Traffic().Written()
-		most := burst + oneAnswer + int64(perSecond*time.Since(began).Seconds())
+		most := burst + maxResponseBytes + int64(bytesPerSecond*time.Since(began).Seconds())
 		if taken > most {
 			t.Fatalf("%d bytes, %d may be", taken, most)
 		}
@@ -354,6 +356,6 @@
 	}
 	// What is urgent from here on comes by itself, though the budget is spent.
 	source.apply(t, plan("last", 1))
-	f.has(source)
+	f.awaitVersionOf(source)
 	held()
 }
--- a/internal/recordsync/golden_test.go
+++ b/internal/recordsync/golden_test.go
@@ -97,10 +97,10 @@
 	done := make(chan struct{})
 	go func() { // ends when the context does
 		defer close(done)
-		_, _ = f.client.ask(ctx, "control-1:7000", request)
+		_, _ = f.client.do(ctx, "control-1:7000", request)
 	}()
 	defer func() { cancel(); server.Close(); <-done }()
-	must(t, server.SetReadDeadline(time.Now().Add(patience)))
+	must(t, server.SetReadDeadline(time.Now().Add(testTimeout)))
 	reader := bufio.NewReader(server)
 	var sent []byte
 	for !bytes.HasSuffix(sent, []byte("\r\n\r\n")) {
@@ -119,9 +119,9 @@
 		var got records.Request
 		switch want.(type) {
 		case records.ChangesRequest:
-			got, err = parseChanges(request.URL.Query())
+			got, err = parseChangesQuery(request.URL.Query())
 		case records.ContentRequest:
-			got, err = parseContent(request.URL.Query())
+			got, err = parseContentQuery(request.URL.Query())
 		default:
 			got = records.DigestsRequest{}
 		}
@@ -160,7 +160,7 @@
 		})
 	}
 	for range MaxWaiting {
-		handler.waiting <- struct{}{}
+		handler.waitingSlots <- struct{}{}
 	}
 	requireGolden(t, "response_too_many_waiting.http", receivedBytes(t, address, "GET", present+"&wait_ms=1"))
 }
@@ -172,7 +172,7 @@
 	conn, err := net.Dial("tcp", address)
 	must(t, err)
 	defer conn.Close()
-	must(t, conn.SetDeadline(time.Now().Add(patience)))
+	must(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: control-1:7000\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", method, target)
 	must(t, err)
 	data, err := io.ReadAll(conn)
@@ -191,14 +191,14 @@
 // ranges, are compressed by a library: what a released server sent is read.
 func TestGoldenCompressedResponses(t *testing.T) {
 	source := goldenSource(t)
-	source.apply(t, many(50)...)
+	source.apply(t, manyPlans(50)...)
 	server := serve(t, NewHandler(source)).Listener.Addr().String()
 	client := newWireClient(t)
 	for name, request := range map[string]records.Request{
 		"changes.zst": records.ChangesRequest{},
 		"ranges.zst":  records.DigestsRequest{},
 	} {
-		body, err := client.ask(t.Context(), server, request)
+		body, err := client.do(t.Context(), server, request)
 		must(t, err)
 		golden := readGolden(t, name, body)
 		if _, ok := request.(records.DigestsRequest); ok {
@@ -209,9 +209,9 @@
 			}
 			continue
 		}
-		got, err := records.DecodeAnswer(body)
+		got, err := records.DecodeChangesResponse(body)
 		must(t, err)
-		if want, err := records.DecodeAnswer(golden); err != nil || !reflect.DeepEqual(got, want) {
+		if want, err := records.DecodeChangesResponse(golden); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -229,7 +229,7 @@
 	advance(t, f, replica, source)
 	source.apply(t, records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}, plan("silver", 1))
 	advance(t, f, replica, source)
-	must(t, f.confirm(3, time.Date(2026, 12, 2, 6, 0, 1, 123456789, time.FixedZone("CET", 3600))))
+	must(t, f.writeConfirmation(3, time.Date(2026, 12, 2, 6, 0, 1, 123456789, time.FixedZone("CET", 3600))))
 	f.closeJournal()
 	requireModes(t, dir, map[string]os.FileMode{"": 0o700, "records": 0o600, "records.journal": 0o600, "records.confirmed": 0o600})
 	for _, name := range []string{"records", "records.journal", "records.confirmed"} {
@@ -271,13 +271,13 @@
 	if _, found := replica.Get(records.Key{Kind: records.Plan, Name: "silver"}); !found || replica.Version() != 3 || replica.Len() != 1 {
 		t.Errorf("version %d, %d records", replica.Version(), replica.Len())
 	}
-	if at := f.confirmed(3); !at.Equal(time.Date(2026, 12, 2, 5, 0, 1, 123456789, time.UTC)) {
+	if at := f.loadConfirmation(3); !at.Equal(time.Date(2026, 12, 2, 5, 0, 1, 123456789, time.UTC)) {
 		t.Errorf("confirmed at %v", at)
 	}
 	f.closeJournal()
 	// A confirmation may have fields that this program does not know.
 	must(t, os.WriteFile(filepath.Join(dir, "records.confirmed"), []byte(`{"unknown_field":1,"version":3,"at":"2026-12-02T05:00:01Z"}`), 0o600))
-	if f.confirmed(3).IsZero() {
+	if f.loadConfirmation(3).IsZero() {
 		t.Error("a confirmation with an unknown field is not read")
 	}
 	must(t, os.WriteFile(filepath.Join(dir, "records"), []byte("damaged"), 0o600))
@@ -290,7 +290,7 @@
 
 // A copy and a journal that a library has compressed are read.
 func TestGoldenCompressedDisk(t *testing.T) {
-	dir, source := keep(t)
+	dir, source := writeTestFolder(t)
 	for _, name := range []string{"records", "records.journal"} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
 		must(t, err)
@@ -302,7 +302,7 @@
 }
 
 func TestGoldenConstants(t *testing.T) {
-	text := fmt.Sprintln(MaxWaiting, maxContentsEncoded, writeWithin, maxErrorText, maxFileBytes, confirmEvery, maxEncoded, leastWait, idleTimeout)
+	text := fmt.Sprintln(MaxWaiting, maxConcurrentContents, writeTimeout, maxErrorTextBytes, maxFileBytes, confirmInterval, maxCachedResponses, minTickInterval, idleTimeout)
 	if want := "2048 4 30s 256 67108864 30s 4 1ms 1m0s\n"; text != want {
 		t.Errorf("%s, want %s", text, want)
 	}
--- a/internal/recordsync/handler.go
+++ b/internal/recordsync/handler.go
@@ -16,12 +16,12 @@
 // are turned away, and go to another server.
 const MaxWaiting = 2048
 
-// maxContentsEncoded is how many answers with the content of ranges are made at once.
+// maxConcurrentContents is how many answers with the content of ranges are made at once.
 // Each takes some hundreds of kB while it is made; further requests wait for their turn.
-const maxContentsEncoded = 4
+const maxConcurrentContents = 4
 
-// writeWithin is how long the reader of an answer may take.
-const writeWithin = 30 * time.Second
+// writeTimeout is how long the reader of an answer may take.
+const writeTimeout = 30 * time.Second
 
 // Source is where a handler reads the records. It is used by several goroutines.
 type Source interface {
@@ -33,20 +33,20 @@
 
 // Handler answers followers from one source, whether that leads or not.
 type Handler struct {
-	source  Source
-	waiting chan struct{}
-	content chan struct{} // holds an element for each content that is being made
-	encoded encodedAnswers
-	mux     *http.ServeMux
+	source       Source
+	waitingSlots chan struct{}
+	contentSlots chan struct{} // holds an element for each content that is being made
+	responses    responseCache
+	mux          *http.ServeMux
 }
 
 // NewHandler makes a handler of a source.
 func NewHandler(source Source) *Handler {
 	h := &Handler{
-		source:  source,
-		waiting: make(chan struct{}, MaxWaiting),
-		content: make(chan struct{}, maxContentsEncoded),
-		mux:     http.NewServeMux(),
+		source:       source,
+		waitingSlots: make(chan struct{}, MaxWaiting),
+		contentSlots: make(chan struct{}, maxConcurrentContents),
+		mux:          http.NewServeMux(),
 	}
 	h.mux.HandleFunc("GET "+ChangesPath, h.serveChanges)
 	h.mux.HandleFunc("GET "+RangesPath, h.serveRanges)
@@ -58,47 +58,47 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
 // Waiting returns how many requests for changes are held open.
-func (h *Handler) Waiting() int { return len(h.waiting) }
+func (h *Handler) Waiting() int { return len(h.waitingSlots) }
 
 func (h *Handler) serveChanges(w http.ResponseWriter, r *http.Request) {
-	request, err := parseChanges(r.URL.Query())
+	request, err := parseChangesQuery(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer, err := h.answer(r.Context(), request)
-	if errors.Is(err, errBusy) {
+	answer, err := h.awaitChanges(r.Context(), request)
+	if errors.Is(err, errTooManyWaiting) {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	if err != nil {
 		return // the follower has gone
 	}
-	data, err := h.encoded.encode(request, answer)
-	write(w, data, err)
+	data, err := h.responses.encode(request, answer)
+	writeResponse(w, data, err)
 }
 
-var errBusy = fmt.Errorf("%d requests for changes are waiting, and no more may", MaxWaiting)
+var errTooManyWaiting = fmt.Errorf("%d requests for changes are waiting, and no more may", MaxWaiting)
 
-// answer answers at once if there is something to tell, and else when there is, or
+// awaitChanges answers at once if there is something to tell, and else when there is, or
 // when the time that the follower gives is over.
-func (h *Handler) answer(ctx context.Context, request records.ChangesRequest) (records.Answer, error) {
-	answer, changed := h.look(request)
+func (h *Handler) awaitChanges(ctx context.Context, request records.ChangesRequest) (records.ChangesResponse, error) {
+	answer, changed := h.currentResponse(request)
 	if !answer.NothingNew() || request.Wait <= 0 {
 		return answer, nil
 	}
 	select {
-	case h.waiting <- struct{}{}:
-		defer func() { <-h.waiting }()
+	case h.waitingSlots <- struct{}{}:
+		defer func() { <-h.waitingSlots }()
 	default:
-		return answer, errBusy
+		return answer, errTooManyWaiting
 	}
 	timer := time.NewTimer(request.Wait)
 	defer timer.Stop()
 	for answer.NothingNew() {
 		select {
 		case <-changed:
-			answer, changed = h.look(request)
+			answer, changed = h.currentResponse(request)
 		case <-timer.C:
 			return answer, nil
 		case <-ctx.Done():
@@ -108,10 +108,10 @@
 	return answer, nil
 }
 
-// look answers from the present state, and returns what is closed when that changes.
-func (h *Handler) look(request records.ChangesRequest) (answer records.Answer, changed <-chan struct{}) {
+// currentResponse answers from the present state, and returns what is closed when that changes.
+func (h *Handler) currentResponse(request records.ChangesRequest) (answer records.ChangesResponse, changed <-chan struct{}) {
 	changed = h.source.RecordsChanged() // first: a change in between is seen twice, and not missed
-	h.source.ReadRecords(func(store *records.Store) { answer = store.Answer(request) })
+	h.source.ReadRecords(func(store *records.Store) { answer = store.HandleChanges(request) })
 	return answer, changed
 }
 
@@ -119,39 +119,39 @@
 	var digests records.RangeDigests
 	h.source.ReadRecords(func(store *records.Store) { digests = store.RangeDigests() })
 	data, err := records.EncodeRangeDigests(digests)
-	write(w, data, err)
+	writeResponse(w, data, err)
 }
 
 func (h *Handler) serveContent(w http.ResponseWriter, r *http.Request) {
-	request, err := parseContent(r.URL.Query())
+	request, err := parseContentQuery(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	select {
-	case h.content <- struct{}{}:
+	case h.contentSlots <- struct{}{}:
 	case <-r.Context().Done():
 		return // the follower has gone
 	}
 	data, err := h.encodeContent(request)
-	write(w, data, err)
+	writeResponse(w, data, err)
 }
 
 // encodeContent makes the content of ranges, and gives its turn to the next request.
 func (h *Handler) encodeContent(request records.ContentRequest) ([]byte, error) {
-	defer func() { <-h.content }()
+	defer func() { <-h.contentSlots }()
 	var chunk records.Chunk
 	h.source.ReadRecords(func(store *records.Store) { chunk = store.Chunk(request) })
 	return records.EncodeChunk(chunk)
 }
 
-func write(w http.ResponseWriter, data []byte, err error) {
+func writeResponse(w http.ResponseWriter, data []byte, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	// A connection that knows no deadlines has none.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	_, _ = w.Write(data) // the follower notices what is cut short
@@ -159,7 +159,7 @@
 
 // ---- requests as queries, both ways
 
-func parseChanges(query url.Values) (records.ChangesRequest, error) {
+func parseChangesQuery(query url.Values) (records.ChangesRequest, error) {
 	since, err := strconv.ParseUint(query.Get("since"), 10, 64)
 	if err != nil {
 		return records.ChangesRequest{}, fmt.Errorf("since=%.32q is no version", query.Get("since"))
@@ -182,7 +182,7 @@
 	return request, nil
 }
 
-func changesQuery(request records.ChangesRequest) url.Values {
+func formatChangesQuery(request records.ChangesRequest) url.Values {
 	query := url.Values{"since": {strconv.FormatUint(request.Since, 10)}}
 	if request.Digest != nil {
 		query.Set("digest", request.Digest.String())
@@ -193,7 +193,7 @@
 	return query
 }
 
-func parseContent(query url.Values) (records.ContentRequest, error) {
+func parseContentQuery(query url.Values) (records.ContentRequest, error) {
 	ranges, err := records.ParseRanges(query.Get("ranges"))
 	if err != nil {
 		return records.ContentRequest{}, err
@@ -205,6 +205,6 @@
 	return records.ContentRequest{Ranges: ranges, MaxBytes: int(maxBytes)}, nil
 }
 
-func contentQuery(request records.ContentRequest) url.Values {
+func formatContentQuery(request records.ContentRequest) url.Values {
 	return url.Values{"ranges": {records.FormatRanges(request.Ranges)}, "max_bytes": {strconv.Itoa(request.MaxBytes)}}
 }
--- a/internal/recordsync/handler_test.go
+++ b/internal/recordsync/handler_test.go
@@ -14,32 +14,32 @@
 	"elderyard/records"
 )
 
-func TestHandlerTellsChanges(t *testing.T) {
+func TestHandlerServesChanges(t *testing.T) {
 	source := newMemorySource()
-	source.apply(t, many(3)...)
+	source.apply(t, manyPlans(3)...)
 	server := serve(t, NewHandler(source)).Listener.Addr().String()
 	client := newWireClient(t)
 
 	empty := (&records.Store{}).Digest()
-	answer, err := askChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
+	answer, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
 	must(t, err)
 	if answer.Version != 1 || answer.Delta == nil || len(answer.Delta.Puts) != 3 {
 		t.Fatalf("%+v", answer)
 	}
 	// The same again is answered from what was encoded before.
-	again, err := askChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
+	again, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
 	must(t, err)
 	if again.Delta == nil || again.Delta.Digest != answer.Delta.Digest {
 		t.Fatalf("%+v", again)
 	}
-	if answer, err = askChanges(t.Context(), client, server, records.ChangesRequest{Since: 5}); err != nil || !answer.Behind || answer.Version != 1 {
+	if answer, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 5}); err != nil || !answer.Behind || answer.Version != 1 {
 		t.Fatalf("%+v, %v", answer, err)
 	}
-	if answer, err = askChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &records.Digest{1}}); err != nil || answer.Repair != records.RepairDigest {
+	if answer, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &records.Digest{1}}); err != nil || answer.Repair != records.RepairDigest {
 		t.Fatalf("%+v, %v", answer, err)
 	}
 	digest := source.digest()
-	if answer, err = askChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &digest}); err != nil || !answer.NothingNew() {
+	if answer, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &digest}); err != nil || !answer.NothingNew() {
 		t.Fatalf("%+v, %v", answer, err)
 	}
 }
@@ -53,9 +53,9 @@
 	digest := source.digest()
 	request := records.ChangesRequest{Since: 1, Digest: &digest, Wait: records.MaxWait}
 
-	answers := make(chan records.Answer, 1)
+	answers := make(chan records.ChangesResponse, 1)
 	go func() {
-		answer, err := askChanges(t.Context(), client, server, request)
+		answer, err := requestChanges(t.Context(), client, server, request)
 		if err != nil {
 			t.Error(err)
 		}
@@ -73,7 +73,7 @@
 	gone := make(chan error, 1)
 	digest = source.digest()
 	go func() {
-		_, err := askChanges(ctx, client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: records.MaxWait})
+		_, err := requestChanges(ctx, client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: records.MaxWait})
 		gone <- err
 	}()
 	until(t, "the request waits", func() bool { return handler.Waiting() == 1 })
@@ -84,7 +84,7 @@
 	until(t, "its place is free", func() bool { return handler.Waiting() == 0 })
 
 	// With nothing new the wait ends by itself.
-	answer, err := askChanges(t.Context(), client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: time.Millisecond})
+	answer, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: time.Millisecond})
 	if err != nil || !answer.NothingNew() {
 		t.Fatalf("%+v, %v", answer, err)
 	}
@@ -94,25 +94,25 @@
 	source := newMemorySource()
 	handler := NewHandler(source)
 	for range MaxWaiting {
-		handler.waiting <- struct{}{}
+		handler.waitingSlots <- struct{}{}
 	}
 	server := serve(t, handler).Listener.Addr().String()
 	client := newWireClient(t)
-	_, err := askChanges(t.Context(), client, server, records.ChangesRequest{Wait: records.MaxWait})
+	_, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Wait: records.MaxWait})
 	if err == nil || !strings.Contains(err.Error(), "503") {
 		t.Fatalf("one more than may wait: %v", err)
 	}
-	if answer, err := askChanges(t.Context(), client, server, records.ChangesRequest{}); err != nil || !answer.NothingNew() {
+	if answer, err := requestChanges(t.Context(), client, server, records.ChangesRequest{}); err != nil || !answer.NothingNew() {
 		t.Fatalf("one that does not wait: %+v, %v", answer, err)
 	}
 }
 
-func TestHandlerTellsRanges(t *testing.T) {
+func TestHandlerServesRanges(t *testing.T) {
 	source := newMemorySource()
-	source.apply(t, many(500)...)
+	source.apply(t, manyPlans(500)...)
 	server := serve(t, NewHandler(source)).Listener.Addr().String()
 	client := newWireClient(t)
-	body, err := client.ask(t.Context(), server, records.DigestsRequest{})
+	body, err := client.do(t.Context(), server, records.DigestsRequest{})
 	must(t, err)
 	digests, err := records.DecodeRangeDigests(body)
 	must(t, err)
@@ -123,14 +123,14 @@
 	repair := records.NewRepair(replica)
 	chunks := 0
 	for repair.Next() == records.NeedContent {
-		body, err := client.ask(t.Context(), server, records.ContentRequest{Ranges: repair.Pending(), MaxBytes: 10_000})
+		body, err := client.do(t.Context(), server, records.ContentRequest{Ranges: repair.Pending(), MaxBytes: 10_000})
 		must(t, err)
 		chunk, err := records.DecodeChunk(body)
 		must(t, err)
-		must(t, repair.TakeChunk(chunk))
+		must(t, repair.StageChunk(chunk))
 		chunks++
 	}
-	answer, err := askChanges(t.Context(), client, server, records.ChangesRequest{Since: repair.Since()})
+	answer, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: repair.Since()})
 	must(t, err)
 	delta := records.Delta{From: answer.Version, To: answer.Version, Digest: answer.Digest}
 	must(t, repair.Finish(replica, delta))
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestHandlerRefusesWhatMakesNoSense(t *testing.T) {
+func TestHandlerRejectsInvalidQueries(t *testing.T) {
 	source := newMemorySource()
 	url := serve(t, NewHandler(source)).URL
 	for path, want := range map[string]string{
@@ -170,18 +170,18 @@
 	}
 }
 
-// heldSource holds every reading until it is released, and counts those under way.
-type heldSource struct {
+// blockedSource holds every reading until it is released, and counts those under way.
+type blockedSource struct {
 	*memorySource
-	release chan struct{}
-	reading atomic.Int64
-	most    atomic.Int64
+	release    chan struct{}
+	reading    atomic.Int64
+	maxReading atomic.Int64
 }
 
-func (s *heldSource) ReadRecords(read func(*records.Store)) {
+func (s *blockedSource) ReadRecords(read func(*records.Store)) {
 	now := s.reading.Add(1)
 	defer s.reading.Add(-1)
-	for most := s.most.Load(); now > most && !s.most.CompareAndSwap(most, now); most = s.most.Load() {
+	for most := s.maxReading.Load(); now > most && !s.maxReading.CompareAndSwap(most, now); most = s.maxReading.Load() {
 	}
 	<-s.release
 	s.memorySource.ReadRecords(read)
@@ -189,16 +189,16 @@
 
 // However many followers ask for the content of ranges at once, a few answers are made at
 // a time; the others wait for their turn, and all are answered.
-func TestHandlerMakesFewContentsAtOnce(t *testing.T) {
-	source := &heldSource{memorySource: newMemorySource(), release: make(chan struct{})}
-	source.apply(t, many(3)...)
+func TestHandlerLimitsConcurrentContents(t *testing.T) {
+	source := &blockedSource{memorySource: newMemorySource(), release: make(chan struct{})}
+	source.apply(t, manyPlans(3)...)
 	server := httptest.NewServer(NewHandler(source))
 	defer server.Close()
 	release := sync.OnceFunc(func() { close(source.release) })
 	defer release() // also where the test fails: the server's end waits for its requests
-	const followers = 8 * maxContentsEncoded
+	const followers = 8 * maxConcurrentContents
 	statuses := make(chan int, followers)
-	query := contentQuery(records.ContentRequest{Ranges: []int{0, 1, 2}, MaxBytes: 1 << 16}).Encode()
+	query := formatContentQuery(records.ContentRequest{Ranges: []int{0, 1, 2}, MaxBytes: 1 << 16}).Encode()
 	for range followers {
 		go func() {
 			response, err := http.Get(server.URL + ContentPath + "?" + query)
@@ -212,14 +212,14 @@
 			statuses <- response.StatusCode
 		}()
 	}
-	until(t, "as many as may be are made", func() bool { return source.reading.Load() == maxContentsEncoded })
+	until(t, "as many as may be are made", func() bool { return source.reading.Load() == maxConcurrentContents })
 	release()
 	for range followers {
 		if status := <-statuses; status != http.StatusOK {
 			t.Errorf("status %d", status)
 		}
 	}
-	if most := source.most.Load(); most > maxContentsEncoded {
-		t.Errorf("%d were made at once, at most %d may be", most, maxContentsEncoded)
+	if most := source.maxReading.Load(); most > maxConcurrentContents {
+		t.Errorf("%d were made at once, at most %d may be", most, maxConcurrentContents)
 	}
 }
--- a/internal/recordsync/helpers_test.go
+++ b/internal/recordsync/helpers_test.go
@@ -13,7 +13,7 @@
 	"elderyard/records"
 )
 
-const patience = time.Minute
+const testTimeout = time.Minute
 
 var testTime = time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC)
 
@@ -74,7 +74,7 @@
 
 func until(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("never: %s", what)
 		}
@@ -86,8 +86,8 @@
 	return records.Operation{Key: records.Key{Kind: records.Plan, Name: name}, Value: json.RawMessage(value)}
 }
 
-// many returns so many plans whose values differ.
-func many(count int) (operations []records.Operation) {
+// manyPlans returns so many plans whose values differ.
+func manyPlans(count int) (operations []records.Operation) {
 	for i := range count {
 		operations = append(operations, plan(fmt.Sprintf("p%05d", i), 1+i))
 	}
@@ -101,17 +101,17 @@
 	return server
 }
 
-func newWireClient(t testing.TB) *wireClient {
+func newWireClient(t testing.TB) *serverClient {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(client.CloseIdleConnections)
-	return &wireClient{http: client, base: func(server string) string { return "http://" + server }}
+	return &serverClient{http: client, base: func(server string) string { return "http://" + server }}
 }
 
-func askChanges(ctx context.Context, client *wireClient, server string, request records.ChangesRequest) (records.Answer, error) {
-	body, err := client.ask(ctx, server, request)
+func requestChanges(ctx context.Context, client *serverClient, server string, request records.ChangesRequest) (records.ChangesResponse, error) {
+	body, err := client.do(ctx, server, request)
 	if err != nil {
-		return records.Answer{}, err
+		return records.ChangesResponse{}, err
 	}
-	return records.DecodeAnswer(body)
+	return records.DecodeChangesResponse(body)
 }
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -63,7 +63,7 @@
 
 type answer struct {
 	unknown bool
-	answer  revisions.Answer
+	answer  revisions.Status
 	number  uint64
 	file    string
 }
@@ -132,7 +132,7 @@
 	defer tr.mu.Unlock()
 	for _, v := range tr.list {
 		select {
-		case <-v.store.Broken():
+		case <-v.store.Failed():
 			t.Logf("%s stopped: %v", v.name, v.store.DiskError())
 			v.stop()
 			must(t, v.start(t))
@@ -193,7 +193,7 @@
 		return got, ErrNoLeader
 	}
 	if a.show {
-		if err := s.Confirm(); err != nil {
+		if err := s.VerifyLeader(); err != nil {
 			return got, err
 		}
 		h := head(s)
@@ -203,14 +203,14 @@
 	if err != nil {
 		return got, err
 	}
-	if out.Result.Answer == fleet.Busy {
+	if out.Result.Status == fleet.Busy {
 		// Ends the rollout, which is no part of this history.
 		if _, err := s.Propose(ctx, turn(out.Result.Revision.Number)); err != nil {
 			return got, err
 		}
 		return got, errors.New("again")
 	}
-	return answer{answer: out.Result.Answer, number: out.Result.Revision.Number, file: out.Result.Revision.Content.File}, nil
+	return answer{answer: out.Result.Status, number: out.Result.Revision.Number, file: out.Result.Revision.Content.File}, nil
 }
 
 // register is the model: the head, and the answers that were given, which a
@@ -240,8 +240,8 @@
 
 func (tr *trial) judge(t *testing.T) {
 	l := leader(t, tr.list)
-	propose(t, l.store, fleet.Entry{Noted: &fleet.Event{At: at, Who: "ann", What: "the end"}})
-	must(t, l.store.Confirm())
+	propose(t, l.store, fleet.Entry{Audit: &fleet.Event{At: at, Who: "ann", What: "the end"}})
+	must(t, l.store.VerifyLeader())
 	shots := make([]string, len(tr.list))
 	for i, v := range tr.list {
 		until(t, v.name+" has all", func() bool {
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -40,11 +40,11 @@
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
 func goldenContent() *revisions.Content {
-	return &revisions.Content{File: "[site]\nname = \"<1> & \\t\"\n", Overlays: map[string]string{"g0": "a = 1\n"}, Turn: 3}
+	return &revisions.Content{File: "[site]\nname = \"<1> & \\t\"\n", Overlays: map[string]string{"g0": "a = 1\n"}, RestartGeneration: 3}
 }
 
 func goldenPlan(name string) *records.Change {
-	return &records.Change{Request: "c-" + name, Author: "ann", Message: "a plan", At: goldenTime, Operations: []records.Operation{
+	return &records.Change{IdempotencyKey: "c-" + name, Author: "ann", Message: "a plan", At: goldenTime, Operations: []records.Operation{
 		{Key: records.Key{Kind: records.Plan, Name: name}, Value: json.RawMessage(`{"price_weight":1.5,"requests_per_second":100}`)}}}
 }
 
@@ -53,22 +53,22 @@
 func goldenEntries() (before, after []fleet.Entry) {
 	before = []fleet.Entry{
 		{Command: &revisions.Command{Request: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
-		{Turn: &fleet.Turn{New: 1, State: rollout.Applied, Why: "all 2 instances have revision 1", At: goldenTime}},
+		{RolloutChange: &fleet.RolloutChange{New: 1, State: rollout.Applied, Reason: "all 2 instances have revision 1", At: goldenTime}},
 		{Enroll: &fleet.Enroll{Agent: fleet.Agent{Name: "a1", Address: "127.0.0.1:7400", Instances: []string{"g0", "g1"}}, At: goldenTime}},
 		{Drain: &fleet.Drain{Instance: "g1", On: true, By: "ann", At: goldenTime}},
-		{Belong: &fleet.Belong{Names: []string{"g0", "g1"}, At: goldenTime}},
+		{RosterChange: &fleet.RosterChange{Names: []string{"g0", "g1"}, At: goldenTime}},
 		{Records: goldenPlan("gold")},
-		{Noted: &fleet.Event{At: goldenTime, Who: "ann", What: "replica r0 was added"}},
+		{Audit: &fleet.Event{At: goldenTime, Who: "ann", What: "replica r0 was added"}},
 	}
 	after = []fleet.Entry{
 		{Command: &revisions.Command{Request: "r-2", Parent: 1, Content: goldenContent(), Author: "bob", Message: "second", At: goldenTime}},
-		{Turn: &fleet.Turn{New: 2, State: rollout.RollingBack, Why: "aborted by ann", By: "ann", At: goldenTime}},
-		{Turn: &fleet.Turn{New: 2, State: rollout.RolledBack, Why: "all are back", At: goldenTime}},
+		{RolloutChange: &fleet.RolloutChange{New: 2, State: rollout.RollingBack, Reason: "aborted by ann", By: "ann", At: goldenTime}},
+		{RolloutChange: &fleet.RolloutChange{New: 2, State: rollout.RolledBack, Reason: "all are back", At: goldenTime}},
 		{Command: &revisions.Command{Request: "r-3", Parent: 2, Restore: 1, Author: "ann", Message: "third", At: goldenTime}},
 		{Enroll: &fleet.Enroll{Agent: fleet.Agent{Name: "a2", Address: "127.0.0.1:7401", Instances: []string{"g2"}}, At: goldenTime}},
 		{Enroll: &fleet.Enroll{Agent: fleet.Agent{Name: "a3", Address: "127.0.0.1:7402", Instances: []string{"g9"}}, At: goldenTime}},
 		{Remove: &fleet.Remove{Agent: "a3", By: "ann", At: goldenTime}},
-		{Belong: &fleet.Belong{Names: []string{"g0", "g1", "g2"}, At: goldenTime}},
+		{RosterChange: &fleet.RosterChange{Names: []string{"g0", "g1", "g2"}, At: goldenTime}},
 		{Records: goldenPlan("silver")},
 	}
 	return before, after
@@ -82,7 +82,7 @@
 	v := newVoter(t, newNetwork(), "v0")
 	v.bootstrap = true
 	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.Confirm() == nil })
+	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	_, err := v.store.AddNonVoter("r0", loopback.Host()+":1")
 	must(t, err)
 	before, after := goldenEntries()
@@ -114,10 +114,10 @@
 // the entries of its log and the state in its snapshot.
 func TestGoldenFolderFiles(t *testing.T) {
 	dir := copyGoldenFolder(t)
-	if _, err := os.Stat(filepath.Join(dir, "log.bolt")); err != nil || LogName != "log.bolt" {
-		t.Fatalf("the log's file is %s, %v", LogName, err)
+	if _, err := os.Stat(filepath.Join(dir, "log.bolt")); err != nil || LogFileName != "log.bolt" {
+		t.Fatalf("the log's file is %s, %v", LogFileName, err)
 	}
-	logs, err := raftbolt.New(raftbolt.Options{Path: filepath.Join(dir, LogName), BoltOptions: boltOptions()})
+	logs, err := raftbolt.New(raftbolt.Options{Path: filepath.Join(dir, LogFileName), BoltOptions: boltOptions()})
 	must(t, err)
 	defer logs.Close()
 	before, after := goldenEntries()
@@ -149,7 +149,7 @@
 		t.Errorf("%d entries are missing", len(entries))
 	}
 
-	snapshots, err := raft.NewFileSnapshotStore(dir, snapshotsKept, io.Discard)
+	snapshots, err := raft.NewFileSnapshotStore(dir, retainedSnapshots, io.Discard)
 	must(t, err)
 	list, err := snapshots.List()
 	must(t, err)
@@ -178,12 +178,12 @@
 func TestGoldenFolderOpens(t *testing.T) {
 	v := newVoter(t, newNetwork(), "v0")
 	v.dir = copyGoldenFolder(t)
-	snapshots, err := raft.NewFileSnapshotStore(v.dir, snapshotsKept, io.Discard)
+	snapshots, err := raft.NewFileSnapshotStore(v.dir, retainedSnapshots, io.Discard)
 	must(t, err)
 	list, err := snapshots.List()
 	must(t, err)
 	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.Confirm() == nil })
+	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	if term := v.store.raft.CurrentTerm(); term <= list[0].Term {
 		t.Errorf("it leads in term %d, and was in term %d before", term, list[0].Term)
 	}
@@ -195,14 +195,14 @@
 
 	// A repeat of a request that an earlier program took makes no second revision.
 	_, after := goldenEntries()
-	if out := propose(t, v.store, after[0]); out.Result.Answer != revisions.Accepted || out.Result.Revision.Number != 2 {
+	if out := propose(t, v.store, after[0]); out.Result.Status != revisions.Accepted || out.Result.Revision.Number != 2 {
 		t.Errorf("a repeated command: %+v", out)
 	}
 	out := propose(t, v.store, fleet.Entry{Records: goldenPlan("silver")})
 	if version := standOf(v.store).version; out.Records == nil || out.Records.Status != records.Accepted || out.Records.Version != version {
 		t.Errorf("a repeated change of records at version %d: %+v", version, out.Records)
 	}
-	propose(t, v.store, fleet.Entry{Turn: &fleet.Turn{New: 3, State: rollout.Applied, Why: "all have it", At: goldenTime}})
+	propose(t, v.store, fleet.Entry{RolloutChange: &fleet.RolloutChange{New: 3, State: rollout.Applied, Reason: "all have it", At: goldenTime}})
 	propose(t, v.store, command("r-4", 3, "d"))
 	if r := head(v.store); r.Number != 4 || r.Parent != 3 {
 		t.Errorf("the head is %+v", r)
@@ -230,8 +230,8 @@
 	if want := []revisions.Content{{File: "a"}, *goldenContent(), {File: "a"}}; !reflect.DeepEqual(contents, want) {
 		t.Errorf("contents %+v, want %+v", contents, want)
 	}
-	want := fleet.Rollout{New: 3, Before: 1, State: rollout.Advancing, Why: "it has been accepted", By: "ann", At: goldenTime}
-	if got := s.Rollout(); got != want || got.Begun() {
+	want := fleet.Rollout{New: 3, Previous: 1, State: rollout.Advancing, Reason: "it has been accepted", By: "ann", At: goldenTime}
+	if got := s.Rollout(); got != want || got.Started() {
 		t.Errorf("rollout %+v, want %+v", got, want)
 	}
 	agents := []fleet.Agent{{Name: "a1", Address: "127.0.0.1:7400", Instances: []string{"g0", "g1"}}, {Name: "a2", Address: "127.0.0.1:7401", Instances: []string{"g2"}}}
--- a/internal/replica/nonvoter_test.go
+++ b/internal/replica/nonvoter_test.go
@@ -42,8 +42,8 @@
 		}
 		v.stop()
 	}
-	until(t, "no leader", func() bool { return !left.store.Leading() && left.store.Confirm() != nil })
-	if replica.store.Leading() {
+	until(t, "no leader", func() bool { return !left.store.IsLeader() && left.store.VerifyLeader() != nil })
+	if replica.store.IsLeader() {
 		t.Fatal("a replica without a vote leads")
 	}
 }
@@ -56,7 +56,7 @@
 	must(t, replica.start(t))
 	change, err := list[0].store.AddNonVoter(replica.name, replica.address)
 	must(t, err)
-	if lacking, err := list[0].store.Lacking(context.Background(), change); err != nil || lacking != nil {
+	if lacking, err := list[0].store.LaggingVoters(context.Background(), change); err != nil || lacking != nil {
 		t.Fatalf("%v lack it, %v", lacking, err)
 	}
 	if _, err := list[0].store.Remove(list[0].name); err == nil || !strings.Contains(err.Error(), "only voter") {
--- a/internal/replica/records.go
+++ b/internal/replica/records.go
@@ -20,22 +20,22 @@
 func (s *Store) RecordsChanged() <-chan struct{} {
 	s.fsm.mu.RLock()
 	defer s.fsm.mu.RUnlock()
-	return s.fsm.records
+	return s.fsm.recordsChanged
 }
 
-// wakeRecords tells those that wait for a change of the records. The lock is held.
-func (m *machine) wakeRecords() {
-	close(m.records)
-	m.records = make(chan struct{})
+// notifyRecordsChanged tells those that wait for a change of the records. The lock is held.
+func (m *stateMachine) notifyRecordsChanged() {
+	close(m.recordsChanged)
+	m.recordsChanged = make(chan struct{})
 }
 
-// advance prepares a saved state for its restore. It returns the index behind
+// prepareRestore prepares a saved state for its restore. It returns the index behind
 // which raft is to place it, and the state's text.
 //
 // Danger: the records' versions are indices of the log. Behind a restore the log
 // must go on above all versions of the saved state, and the restored records need
 // a version above all that replicas may have taken since the state was saved.
-func (s *Store) advance(saved *fleet.State, text []byte) (last uint64, advanced []byte, err error) {
+func (s *Store) prepareRestore(saved *fleet.State, text []byte) (last uint64, advanced []byte, err error) {
 	var present uint64
 	s.ReadRecords(func(store *records.Store) { present = store.Applied() })
 	last = max(s.raft.LastIndex(), saved.Records().Applied())
--- a/internal/replica/records_test.go
+++ b/internal/replica/records_test.go
@@ -17,7 +17,7 @@
 )
 
 func plans(request string, names ...string) fleet.Entry {
-	change := &records.Change{Request: request, Author: "ann", At: at}
+	change := &records.Change{IdempotencyKey: request, Author: "ann", At: at}
 	for _, name := range names {
 		change.Operations = append(change.Operations, records.Operation{Key: records.Key{Kind: records.Plan, Name: name},
 			Value: json.RawMessage(`{"price_weight":1,"requests_per_second":10}`)})
@@ -69,7 +69,7 @@
 	}
 	var stored raft.Log
 	must(t, first.store.logs.GetLog(out.Records.Version, &stored))
-	if e, err := fleet.Decode(stored.Data); err != nil || e.Records == nil || e.Records.Request != "r1" {
+	if e, err := fleet.Decode(stored.Data); err != nil || e.Records == nil || e.Records.IdempotencyKey != "r1" {
 		t.Fatalf("entry %d is %+v, %v", out.Records.Version, e, err)
 	}
 	next := agree(t, list, plans("r2", "copper"))
@@ -87,7 +87,7 @@
 // load has a saved state restored by whoever leads.
 func load(t testing.TB, list []*voter, text []byte) {
 	t.Helper()
-	until(t, "a state is restored", func() bool { return leader(t, list).store.Load(text) == nil })
+	until(t, "a state is restored", func() bool { return leader(t, list).store.RestoreState(text) == nil })
 }
 
 // save returns the state as one has it that leads.
@@ -160,7 +160,7 @@
 		t.Fatalf("a minority took a change: %v", err)
 	}
 	const (
-		changes = snapshotEvery + 2*trailingLogs
+		changes = snapshotThreshold + 2*trailingLogs
 		atOnce  = 16
 	)
 	numbers := make(chan int)
@@ -205,7 +205,7 @@
 				continue
 			}
 			if out.Records != nil && out.Records.Status != records.Accepted {
-				return out, fmt.Errorf("%s: %+v", e.Records.Request, out.Records)
+				return out, fmt.Errorf("%s: %+v", e.Records.IdempotencyKey, out.Records)
 			}
 			return out, nil
 		}
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -36,54 +36,54 @@
 
 // Config is what a voter is started with.
 type Config struct {
-	Dir       string // of logs and snapshots
-	ID        string // the voter's name, for good
-	Streams   raft.StreamLayer
-	Bootstrap bool          // found a site of one voter where the folder is empty
-	Recover   bool          // become the only voter, with what the folder holds; for when the others are lost for good
-	Heartbeat time.Duration // a leader that is not heard of for so long is replaced
-	Log       io.Writer
-	// Spoil, where a test sets it, is asked before each write to the log.
-	Spoil func() error
+	Dir              string // of logs and snapshots
+	ID               string // the voter's name, for good
+	Streams          raft.StreamLayer
+	Bootstrap        bool          // found a site of one voter where the folder is empty
+	Recover          bool          // become the only voter, with what the folder holds; for when the others are lost for good
+	HeartbeatTimeout time.Duration // a leader that is not heard of for so long is replaced
+	Log              io.Writer
+	// InjectWriteError, where a test sets it, is asked before each write to the log.
+	InjectWriteError func() error
 }
 
 const (
-	snapshotsKept  = 2
-	snapshotEvery  = 1024 // entries
-	trailingLogs   = 256
-	appendsAtOnce  = 16
-	connections    = 3
-	boltOpenWithin = 5 * time.Second
-	// LogName is the file of the log in the voter's folder.
-	LogName = "log.bolt"
+	retainedSnapshots = 2
+	snapshotThreshold = 1024 // entries
+	trailingLogs      = 256
+	maxAppendEntries  = 16
+	maxPooledConns    = 3
+	boltOpenTimeout   = 5 * time.Second
+	// LogFileName is the file of the log in the voter's folder.
+	LogFileName = "log.bolt"
 )
 
 // Store is one voter.
 type Store struct {
-	raft      *raft.Raft
-	transport *wire
-	logs      *raftbolt.BoltStore
-	watched   *watchedLogs
-	fsm       *machine
-	id        string
-	patience  time.Duration
+	raft        *raft.Raft
+	transport   *transport
+	logs        *raftbolt.BoltStore
+	log         *monitoredLog
+	fsm         *stateMachine
+	id          string
+	callTimeout time.Duration
 }
 
-// machine is the state that raft drives. Raft calls it from one goroutine;
+// stateMachine is the state that raft drives. Raft calls it from one goroutine;
 // readers come from others.
-type machine struct {
-	mu      sync.RWMutex
-	state   fleet.State
-	changed chan struct{} // closed at the next change
-	records chan struct{} // closed at the next change of the records
+type stateMachine struct {
+	mu             sync.RWMutex
+	state          fleet.State
+	changed        chan struct{} // closed at the next change
+	recordsChanged chan struct{} // closed at the next change of the records
 }
 
-func newMachine() *machine {
-	return &machine{changed: make(chan struct{}), records: make(chan struct{})}
+func newMachine() *stateMachine {
+	return &stateMachine{changed: make(chan struct{}), recordsChanged: make(chan struct{})}
 }
 
 // Apply applies a committed entry. It returns a fleet.Outcome or an error.
-func (m *machine) Apply(log *raft.Log) any {
+func (m *stateMachine) Apply(log *raft.Log) any {
 	entry, err := fleet.Decode(log.Data)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,29 +97,29 @@
 	if err != nil {
 		return fmt.Errorf("entry %d: %w", log.Index, err)
 	}
-	m.wake()
+	m.notifyChanged()
 	if m.state.Records().Version() != before {
-		m.wakeRecords()
+		m.notifyRecordsChanged()
 	}
 	return outcome
 }
 
-// wake tells those that wait for a change. The lock is held.
-func (m *machine) wake() {
+// notifyChanged tells those that wait for a change. The lock is held.
+func (m *stateMachine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // Snapshot encodes the state as of now.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	text, err := m.state.Snapshot()
-	return frozen(text), err
+	return snapshot(text), err
 }
 
 // Restore replaces the state by that of a snapshot.
-func (m *machine) Restore(from io.ReadCloser) error {
+func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	text, err := io.ReadAll(from)
 	if err != nil {
@@ -130,16 +130,16 @@
 	if err := m.state.Restore(text); err != nil {
 		return err
 	}
-	m.wake()
-	m.wakeRecords()
+	m.notifyChanged()
+	m.notifyRecordsChanged()
 	return nil
 }
 
-// frozen is a state as it was at one moment.
-type frozen []byte
+// snapshot is a state as it was at one moment.
+type snapshot []byte
 
 // Persist writes the snapshot to the sink and closes it.
-func (f frozen) Persist(sink raft.SnapshotSink) error {
+func (f snapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(f); err != nil {
 		sink.Cancel()
 		return fmt.Errorf("snapshot: %w", err)
@@ -148,9 +148,9 @@
 }
 
 // Release does nothing: the snapshot is memory alone.
-func (f frozen) Release() {}
+func (f snapshot) Release() {}
 
-// watchedLogs remembers what the disk last said, and stops the voter where
+// monitoredLog remembers what the disk last said, and stops the voter where
 // going on would be a guess.
 //
 // Danger: when a follower's log is cut back, to take other entries in place of
@@ -159,49 +159,49 @@
 // or panic at an entry that is committed and missing. So the call that failed
 // does not return: the voter says nothing any more, to nobody, until it is closed.
 // What is on its disk is whole, and the next start reads it anew.
-type watchedLogs struct {
+type monitoredLog struct {
 	raft.LogStore
-	spoil func() error
-	err   atomic.Pointer[error]
+	injectWriteError func() error
+	err              atomic.Pointer[error]
 
-	cut     atomic.Bool   // the log was cut back, and nothing has been written since
-	broken  chan struct{} // closed when the voter must be closed
-	release chan struct{} // closed when it is
+	truncated atomic.Bool   // the log was cut back, and nothing has been written since
+	failed    chan struct{} // closed when the voter must be closed
+	released  chan struct{} // closed when it is
 }
 
 // DeleteRange deletes entries, and records whether the log's end was cut off.
-func (w *watchedLogs) DeleteRange(from, to uint64) error {
+func (w *monitoredLog) DeleteRange(from, to uint64) error {
 	last, err := w.LogStore.LastIndex()
 	if err != nil {
 		return err
 	}
 	if to >= last { // not of the front, as after a snapshot
-		w.cut.Store(true)
+		w.truncated.Store(true)
 	}
 	return w.LogStore.DeleteRange(from, to)
 }
 
 // StoreLog stores one entry, as StoreLogs does.
-func (w *watchedLogs) StoreLog(l *raft.Log) error { return w.StoreLogs([]*raft.Log{l}) }
+func (w *monitoredLog) StoreLog(l *raft.Log) error { return w.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs stores entries. After a truncation that no entry followed yet, an error
 // stops the voter, and the call returns once the voter is closed.
-func (w *watchedLogs) StoreLogs(l []*raft.Log) (err error) {
-	if w.spoil != nil {
-		err = w.spoil()
+func (w *monitoredLog) StoreLogs(l []*raft.Log) (err error) {
+	if w.injectWriteError != nil {
+		err = w.injectWriteError()
 	}
 	if err == nil {
 		err = w.LogStore.StoreLogs(l)
 	}
 	if err == nil {
 		w.err.Store(nil)
-		w.cut.Store(false)
+		w.truncated.Store(false)
 		return nil
 	}
 	w.err.Store(&err)
-	if w.cut.Load() {
-		close(w.broken) // raft writes from one goroutine, which stays here
-		<-w.release
+	if w.truncated.Load() {
+		close(w.failed) // raft writes from one goroutine, which stays here
+		<-w.released
 	}
 	return err
 }
@@ -212,8 +212,8 @@
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("voter's folder: %w", err)
 	}
-	path := filepath.Join(c.Dir, LogName)
-	if err := checkFile(path); err != nil {
+	path := filepath.Join(c.Dir, LogFileName)
+	if err := verifyLogFile(path); err != nil {
 		return nil, fmt.Errorf("%s is damaged: %w; see \"A voter's store is damaged\" on the operators' page", path, err)
 	}
 	options := raftbolt.Options{Path: path}
@@ -228,23 +228,23 @@
 		}
 	}()
 	logger := hclog.New(&hclog.LoggerOptions{Name: "voter", Level: hclog.Warn, Output: c.Log, DisableTime: true})
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Dir, snapshotsKept, logger)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Dir, retainedSnapshots, logger)
 	if err != nil {
 		return nil, fmt.Errorf("voter's snapshots: %w", err)
 	}
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(c.ID)
 	config.Logger = logger
-	config.HeartbeatTimeout, config.ElectionTimeout, config.LeaderLeaseTimeout = c.Heartbeat, c.Heartbeat, c.Heartbeat/2
-	config.CommitTimeout = c.Heartbeat / 20
-	config.SnapshotThreshold, config.TrailingLogs, config.MaxAppendEntries = snapshotEvery, trailingLogs, appendsAtOnce
+	config.HeartbeatTimeout, config.ElectionTimeout, config.LeaderLeaseTimeout = c.HeartbeatTimeout, c.HeartbeatTimeout, c.HeartbeatTimeout/2
+	config.CommitTimeout = c.HeartbeatTimeout / 20
+	config.SnapshotThreshold, config.TrailingLogs, config.MaxAppendEntries = snapshotThreshold, trailingLogs, maxAppendEntries
 	config.ShutdownOnRemove = false
 
-	s = &Store{logs: logs, id: c.ID, fsm: newMachine(), patience: 10 * c.Heartbeat}
-	s.watched = &watchedLogs{LogStore: logs, spoil: c.Spoil, broken: make(chan struct{}), release: make(chan struct{})}
+	s = &Store{logs: logs, id: c.ID, fsm: newMachine(), callTimeout: 10 * c.HeartbeatTimeout}
+	s.log = &monitoredLog{LogStore: logs, injectWriteError: c.InjectWriteError, failed: make(chan struct{}), released: make(chan struct{})}
 	// One call at a time to a voter, so that each goes through wire: a site's state changes once in seconds.
-	transport := newWire(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: c.Streams, MaxPool: connections,
-		MaxRPCsInFlight: 1, Timeout: s.patience, Logger: logger}))
+	transport := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: c.Streams, MaxPool: maxPooledConns,
+		MaxRPCsInFlight: 1, Timeout: s.callTimeout, Logger: logger}))
 	defer func() {
 		if err != nil {
 			transport.Close()
@@ -268,7 +268,7 @@
 			return nil, fmt.Errorf("found a site: %w", err)
 		}
 	}
-	if s.raft, err = raft.NewRaft(config, s.fsm, s.watched, logs, snapshots, s.transport); err != nil {
+	if s.raft, err = raft.NewRaft(config, s.fsm, s.log, logs, snapshots, s.transport); err != nil {
 		return nil, fmt.Errorf("voter's store in %s: %w; see \"A voter's store is damaged\" on the operators' page", c.Dir, err)
 	}
 	return s, nil
@@ -277,7 +277,7 @@
 // Close ends the voter. What was committed stays on its disk.
 func (s *Store) Close() error {
 	ended := s.raft.Shutdown() // first: what is released finds that it has ended
-	close(s.watched.release)
+	close(s.log.released)
 	err := ended.Error()
 	return errors.Join(err, s.transport.Close(), s.logs.Close())
 }
@@ -288,7 +288,7 @@
 	if err != nil {
 		return fleet.Outcome{}, err
 	}
-	future := s.raft.Apply(text, s.patience)
+	future := s.raft.Apply(text, s.callTimeout)
 	done := make(chan error, 1)
 	go func() { done <- future.Error() }() // ends with the future, which raft ends at its shutdown
 	select {
@@ -296,7 +296,7 @@
 		return fleet.Outcome{}, fmt.Errorf("%w: %w", ErrUnknown, ctx.Err())
 	case err := <-done:
 		if err != nil {
-			return fleet.Outcome{}, s.sort(err)
+			return fleet.Outcome{}, s.classifyError(err)
 		}
 	}
 	switch r := future.Response().(type) {
@@ -308,8 +308,8 @@
 	return fleet.Outcome{}, fmt.Errorf("the voters answered %T", future.Response())
 }
 
-// sort tells errors by what they mean for the caller.
-func (s *Store) sort(err error) error {
+// classifyError tells errors by what they mean for the caller.
+func (s *Store) classifyError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -325,26 +325,26 @@
 	return err
 }
 
-// Broken is closed when the voter has stopped for good, because its disk failed
+// Failed is closed when the voter has stopped for good, because its disk failed
 // where going on would be a guess: see DiskError. It must be closed, and opened
 // anew.
-func (s *Store) Broken() <-chan struct{} { return s.watched.broken }
+func (s *Store) Failed() <-chan struct{} { return s.log.failed }
 
 // DiskError is what the disk said to the last write; nil: it was written.
 func (s *Store) DiskError() error {
-	if e := s.watched.err.Load(); e != nil {
+	if e := s.log.err.Load(); e != nil {
 		return *e
 	}
 	return nil
 }
 
-// Confirm returns once this voter leads, by word of a majority, and its state
+// VerifyLeader returns once this voter leads, by word of a majority, and its state
 // holds all that was committed before.
-func (s *Store) Confirm() error {
+func (s *Store) VerifyLeader() error {
 	if s.raft.State() != raft.Leader {
 		return ErrNoLeader
 	}
-	if err := s.raft.Barrier(s.patience).Error(); err != nil {
+	if err := s.raft.Barrier(s.callTimeout).Error(); err != nil {
 		// Nothing was asked to change, so nothing is in doubt.
 		return fmt.Errorf("%w (%w)", ErrNoLeader, err)
 	}
@@ -366,8 +366,8 @@
 	return s.fsm.changed
 }
 
-// Leads tells of each time that this voter gains or loses the lead.
-func (s *Store) Leads() <-chan bool { return s.raft.LeaderCh() }
+// LeadershipChanged tells of each time that this voter gains or loses the lead.
+func (s *Store) LeadershipChanged() <-chan bool { return s.raft.LeaderCh() }
 
 // Leader returns the voter that leads, as far as this one knows.
 func (s *Store) Leader() (id, address string) {
@@ -375,8 +375,8 @@
 	return string(i), string(a)
 }
 
-// Leading tells whether this voter believes that it leads.
-func (s *Store) Leading() bool { return s.raft.State() == raft.Leader }
+// IsLeader tells whether this voter believes that it leads.
+func (s *Store) IsLeader() bool { return s.raft.State() == raft.Leader }
 
 // Member is one store of the site: a voter, or a replica that follows the log
 // and has no vote.
@@ -406,9 +406,9 @@
 // Change is a change of the voters that a majority has agreed on.
 type Change struct{ at position }
 
-// Add makes an agent a voter. The leader alone can. A majority has agreed when it returns; see Lacking for the rest.
-func (s *Store) Add(name, address string) (Change, error) {
-	return s.agreed(s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.patience))
+// AddVoter makes an agent a voter. The leader alone can. A majority has agreed when it returns; see Lacking for the rest.
+func (s *Store) AddVoter(name, address string) (Change, error) {
+	return s.awaitChange(s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.callTimeout))
 }
 
 // AddNonVoter makes an agent a replica that follows the log and answers reads, and counts for no majority. The
@@ -421,7 +421,7 @@
 	if slices.ContainsFunc(list, func(m Member) bool { return m.Name == name && !m.NonVoter }) {
 		return Change{}, fmt.Errorf("%s is a voter: remove it before it is added without a vote", name)
 	}
-	return s.agreed(s.raft.AddNonvoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.patience))
+	return s.awaitChange(s.raft.AddNonvoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.callTimeout))
 }
 
 // Remove takes a voter or a replica without a vote out. The leader alone can; it must leave a voter.
@@ -436,25 +436,25 @@
 	if !slices.ContainsFunc(list, func(m Member) bool { return m.Name != name && !m.NonVoter }) {
 		return Change{}, fmt.Errorf("%s is the only voter: a site needs one", name)
 	}
-	return s.agreed(s.raft.RemoveServer(raft.ServerID(name), 0, s.patience))
+	return s.awaitChange(s.raft.RemoveServer(raft.ServerID(name), 0, s.callTimeout))
 }
 
-// agreed waits for a majority to agree on a change.
-func (s *Store) agreed(change raft.IndexFuture) (Change, error) {
+// awaitChange waits for a majority to agree on a change.
+func (s *Store) awaitChange(change raft.IndexFuture) (Change, error) {
 	if err := change.Error(); err != nil {
-		return Change{}, s.sort(err)
+		return Change{}, s.classifyError(err)
 	}
 	return Change{position{s.raft.CurrentTerm(), change.Index()}}, nil
 }
 
-// Lacking waits until every voter has noted a change, as long as one call to a voter may take, and returns those
+// LaggingVoters waits until every voter has noted a change, as long as one call to a voter may take, and returns those
 // that have not, or are not heard of. A leader that has taken itself out tells what it last heard.
-func (s *Store) Lacking(ctx context.Context, c Change) ([]string, error) {
+func (s *Store) LaggingVoters(ctx context.Context, c Change) ([]string, error) {
 	members, err := s.Members()
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.patience)
+	ctx, cancel := context.WithTimeout(ctx, s.callTimeout)
 	defer cancel()
 	if !slices.ContainsFunc(members, func(m Member) bool { return m.Name == s.id }) {
 		cancel()
@@ -465,12 +465,12 @@
 			others = append(others, raft.ServerID(m.Name))
 		}
 	}
-	return s.transport.settled(ctx, others, c.at), nil
+	return s.transport.awaitPosition(ctx, others, c.at), nil
 }
 
-// Load has all voters take a saved state in place of theirs. The leader alone
+// RestoreState has all voters take a saved state in place of theirs. The leader alone
 // can. A state that is damaged is refused before anybody is told.
-func (s *Store) Load(text []byte) error {
+func (s *Store) RestoreState(text []byte) error {
 	var saved fleet.State
 	if err := saved.Restore(text); err != nil {
 		return err
@@ -479,11 +479,11 @@
 	if err := members.Error(); err != nil {
 		return fmt.Errorf("voters: %w", err)
 	}
-	last, text, err := s.advance(&saved, text)
+	last, text, err := s.prepareRestore(&saved, text)
 	if err != nil {
 		return err
 	}
 	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Index: last, Size: int64(len(text)),
 		Configuration: members.Configuration(), ConfigurationIndex: members.Index()}
-	return s.sort(s.raft.Restore(meta, bytes.NewReader(text), s.patience))
+	return s.classifyError(s.raft.Restore(meta, bytes.NewReader(text), s.callTimeout))
 }
--- a/internal/replica/store_test.go
+++ b/internal/replica/store_test.go
@@ -49,8 +49,8 @@
 		return err
 	}
 	v.address = s.Addr().String()
-	v.store, err = Open(Config{Dir: v.dir, ID: v.name, Streams: s, Bootstrap: v.bootstrap, Recover: v.recover, Heartbeat: heartbeat,
-		Log: io.Discard, Spoil: v.spoil})
+	v.store, err = Open(Config{Dir: v.dir, ID: v.name, Streams: s, Bootstrap: v.bootstrap, Recover: v.recover, HeartbeatTimeout: heartbeat,
+		Log: io.Discard, InjectWriteError: v.spoil})
 	if err != nil {
 		s.Close()
 	}
@@ -91,7 +91,7 @@
 		must(t, v.start(t))
 		list = append(list, v)
 	}
-	until(t, "the first leads", func() bool { return list[0].store.Confirm() == nil })
+	until(t, "the first leads", func() bool { return list[0].store.VerifyLeader() == nil })
 	return n, list
 }
 
@@ -108,9 +108,9 @@
 // add makes one a voter, and waits until all have noted it.
 func add(t testing.TB, l, fresh *voter) {
 	t.Helper()
-	change, err := l.store.Add(fresh.name, fresh.address)
+	change, err := l.store.AddVoter(fresh.name, fresh.address)
 	must(t, err)
-	if lacking, err := l.store.Lacking(context.Background(), change); err != nil || lacking != nil {
+	if lacking, err := l.store.LaggingVoters(context.Background(), change); err != nil || lacking != nil {
 		t.Fatalf("%v lack it, %v", lacking, err)
 	}
 }
@@ -120,7 +120,7 @@
 	var found *voter
 	until(t, "one leads", func() bool {
 		for _, v := range list {
-			if v.store != nil && v.store.Confirm() == nil {
+			if v.store != nil && v.store.VerifyLeader() == nil {
 				found = v
 				return true
 			}
@@ -135,7 +135,7 @@
 }
 
 func turn(n uint64) fleet.Entry {
-	return fleet.Entry{Turn: &fleet.Turn{New: n, State: rollout.Applied, Why: "all have it", At: at}}
+	return fleet.Entry{RolloutChange: &fleet.RolloutChange{New: n, State: rollout.Applied, Reason: "all have it", At: at}}
 }
 
 func propose(t testing.TB, s *Store, e fleet.Entry) fleet.Outcome {
@@ -154,7 +154,7 @@
 	v := newVoter(t, newNetwork(), "v0")
 	v.bootstrap = true
 	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.Confirm() == nil })
+	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	changed := v.store.Changed()
 	propose(t, v.store, command("1", 0, "a"))
 	<-changed
@@ -164,7 +164,7 @@
 	for range 2 {
 		v.stop()
 		must(t, v.start(t)) // Bootstrap means nothing to a folder that is not empty
-		until(t, "it leads again", func() bool { return v.store.Confirm() == nil })
+		until(t, "it leads again", func() bool { return v.store.VerifyLeader() == nil })
 		if r := head(v.store); r.Number != 2 || r.Content.File != "b" {
 			t.Fatalf("%+v", r)
 		}
@@ -184,7 +184,7 @@
 		t.Fatalf("%+v", r)
 	}
 	// The answer was lost: the same request makes no second revision.
-	if out := propose(t, next.store, command("1", 0, "a")); out.Result.Answer != revisions.Accepted || out.Result.Revision.Number != 1 {
+	if out := propose(t, next.store, command("1", 0, "a")); out.Result.Status != revisions.Accepted || out.Result.Revision.Number != 1 {
 		t.Fatalf("%+v", out)
 	}
 	propose(t, next.store, turn(1))
@@ -202,9 +202,9 @@
 	propose(t, list[0].store, turn(1))
 	// Calls from the leader to the second vanish; it is not heard of, and it must not be elected meanwhile.
 	n.set("v0", "v1", true)
-	change, err := list[0].store.Add("v2", list[2].address)
+	change, err := list[0].store.AddVoter("v2", list[2].address)
 	must(t, err)
-	lacking, err := list[0].store.Lacking(context.Background(), change)
+	lacking, err := list[0].store.LaggingVoters(context.Background(), change)
 	if err != nil || !slices.Equal(lacking, []string{"v1"}) {
 		t.Fatalf("%v lack it, %v", lacking, err)
 	}
@@ -215,7 +215,7 @@
 	if l := leader(t, list[1:]); l != list[2] {
 		t.Fatalf("%s leads", l.name)
 	}
-	if out := propose(t, list[2].store, command("2", 1, "b")); out.Result.Answer != revisions.Accepted {
+	if out := propose(t, list[2].store, command("2", 1, "b")); out.Result.Status != revisions.Accepted {
 		t.Fatalf("%+v", out)
 	}
 	until(t, "the second has it all", func() bool {
@@ -241,7 +241,7 @@
 	n.set(l.name, gone.name, true) // the word of it vanishes
 	change, err := l.store.Remove(gone.name)
 	must(t, err)
-	if lacking, err := l.store.Lacking(context.Background(), change); err != nil || lacking != nil {
+	if lacking, err := l.store.LaggingVoters(context.Background(), change); err != nil || lacking != nil {
 		t.Fatalf("%v lack it, %v", lacking, err)
 	}
 	term := l.store.raft.CurrentTerm()
@@ -249,10 +249,10 @@
 	n.set(l.name, gone.name, false)
 	for range 10 {
 		time.Sleep(heartbeat)
-		must(t, l.store.Confirm())
+		must(t, l.store.VerifyLeader())
 	}
-	if now := l.store.raft.CurrentTerm(); now != term || !l.store.Leading() {
-		t.Fatalf("term %d, %d before; leading: %v", now, term, l.store.Leading())
+	if now := l.store.raft.CurrentTerm(); now != term || !l.store.IsLeader() {
+		t.Fatalf("term %d, %d before; leading: %v", now, term, l.store.IsLeader())
 	}
 	if id, _ := other.store.Leader(); id != l.name {
 		t.Fatalf("the other follows %q", id)
@@ -271,7 +271,7 @@
 	if _, err := old.store.Propose(context.Background(), turn(1)); !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrNoLeader) {
 		t.Fatalf("a minority took a change: %v", err)
 	}
-	if err := old.store.Confirm(); !errors.Is(err, ErrNoLeader) {
+	if err := old.store.VerifyLeader(); !errors.Is(err, ErrNoLeader) {
 		t.Fatalf("a minority confirms: %v", err)
 	}
 	if head(old.store).Number != 1 {
@@ -302,7 +302,7 @@
 	}
 	change, err := l.store.Remove(gone.name)
 	must(t, err)
-	if lacking, err := l.store.Lacking(context.Background(), change); err != nil || lacking != nil {
+	if lacking, err := l.store.LaggingVoters(context.Background(), change); err != nil || lacking != nil {
 		t.Fatalf("%v lack it, %v", lacking, err)
 	}
 	if _, err := l.store.Remove(gone.name); err == nil {
@@ -317,7 +317,7 @@
 		t.Fatalf("%v %+v", err, members)
 	}
 	for _, v := range list {
-		if _, err := fresh.store.Add("x", "y"); v != l && err == nil {
+		if _, err := fresh.store.AddVoter("x", "y"); v != l && err == nil {
 			t.Fatal("a follower added a voter")
 		}
 	}
@@ -337,7 +337,7 @@
 		return nil
 	}
 	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.Confirm() == nil })
+	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	propose(t, v.store, command("1", 0, "a"))
 	<-full
 	full <- true
@@ -347,7 +347,7 @@
 	}
 	<-full
 	full <- false
-	until(t, "it leads again", func() bool { return v.store.Confirm() == nil })
+	until(t, "it leads again", func() bool { return v.store.VerifyLeader() == nil })
 	if head(v.store).Number != 1 || v.store.DiskError() != nil {
 		t.Fatal("the revision is gone, or the error stays")
 	}
@@ -361,10 +361,10 @@
 	l.store.View(func(s *fleet.State) { saved, _ = s.Snapshot() })
 	propose(t, l.store, turn(1))
 	propose(t, l.store, command("2", 1, "b"))
-	if err := l.store.Load(saved[:len(saved)-3]); err == nil || head(l.store).Number != 2 {
+	if err := l.store.RestoreState(saved[:len(saved)-3]); err == nil || head(l.store).Number != 2 {
 		t.Fatalf("a state that is cut short: %v", err)
 	}
-	must(t, l.store.Load(saved))
+	must(t, l.store.RestoreState(saved))
 	for _, v := range list {
 		until(t, v.name+" has the saved state", func() bool { return head(v.store).Number == 1 })
 	}
@@ -382,7 +382,7 @@
 	left := list[2]
 	left.recover = true
 	must(t, left.start(t))
-	until(t, "it leads alone", func() bool { return left.store.Confirm() == nil })
+	until(t, "it leads alone", func() bool { return left.store.VerifyLeader() == nil })
 	if head(left.store).Number != 1 {
 		t.Fatal("what was committed is gone")
 	}
@@ -398,13 +398,13 @@
 	v := newVoter(t, newNetwork(), "v0")
 	v.bootstrap = true
 	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.Confirm() == nil })
+	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	for i := range uint64(20) {
 		propose(t, v.store, command(fmt.Sprint(i), i, strings.Repeat("x", 20000)+fmt.Sprint(i)))
 		propose(t, v.store, turn(i+1))
 	}
 	v.stop()
-	path := filepath.Join(v.dir, LogName)
+	path := filepath.Join(v.dir, LogFileName)
 	good, err := os.ReadFile(path)
 	must(t, err)
 	scrambled := append([]byte(nil), good...)
@@ -423,7 +423,7 @@
 	}
 	must(t, os.WriteFile(path, good, 0o600))
 	must(t, v.start(t))
-	until(t, "it leads again", func() bool { return v.store.Confirm() == nil })
+	until(t, "it leads again", func() bool { return v.store.VerifyLeader() == nil })
 	if head(v.store).Number != 20 {
 		t.Fatal(head(v.store).Number)
 	}
@@ -433,8 +433,8 @@
 // is not what it believes.
 func TestAVoterStopsWhereItsDiskFailsInACut(t *testing.T) {
 	full := false
-	w := &watchedLogs{LogStore: raft.NewInmemStore(), broken: make(chan struct{}), release: make(chan struct{}),
-		spoil: func() error {
+	w := &monitoredLog{LogStore: raft.NewInmemStore(), failed: make(chan struct{}), released: make(chan struct{}),
+		injectWriteError: func() error {
 			if full {
 				return errors.New("no space left on device")
 			}
@@ -456,7 +456,7 @@
 	done := make(chan error, 1)
 	go func() { done <- w.StoreLog(&raft.Log{Index: 4, Term: 3}) }()
 	select {
-	case <-w.broken:
+	case <-w.failed:
 	case err := <-done:
 		t.Fatalf("raft goes on: %v", err)
 	}
@@ -465,7 +465,7 @@
 		t.Fatalf("raft goes on: %v", err)
 	default:
 	}
-	close(w.release)
+	close(w.released)
 	if err := <-done; err == nil {
 		t.Fatal("it was written")
 	}
--- a/internal/scale/cluster_linux.go
+++ b/internal/scale/cluster_linux.go
@@ -106,9 +106,9 @@
 		add = founder.Client.AddNonVoter
 	}
 	return until(ctx, func() error {
-		change, err := add(ctx, agent.Verb{Name: p.Name, Address: p.Address})
-		if err == nil && len(change.Lacking) > 0 {
-			err = fmt.Errorf("%v have yet to note it", change.Lacking)
+		change, err := add(ctx, agent.ChangeRequest{Name: p.Name, Address: p.Address})
+		if err == nil && len(change.Behind) > 0 {
+			err = fmt.Errorf("%v have yet to note it", change.Behind)
 		}
 		return err
 	})
--- a/internal/scale/copy.go
+++ b/internal/scale/copy.go
@@ -181,6 +181,6 @@
 
 func (c *Copy) tellHead(version uint64) {
 	if follower := c.current(); follower != nil {
-		follower.TellHead(version)
+		follower.NotifyHead(version)
 	}
 }
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -129,7 +129,7 @@
 		return err
 	}
 	observed := &g.report.Instances[0]
-	observed.Running, observed.Taking, observed.Content = order.Revision, order.Revision, order.Checksum
+	observed.Running, observed.Target, observed.Content = order.Revision, order.Revision, order.Checksum
 	observed.State = supervise.Ready
 	g.mu.Lock()
 	g.revision = order.Revision
@@ -171,7 +171,7 @@
 	servers := g.fleet.options.Servers
 	for range servers {
 		server := servers[g.next%len(servers)]
-		if last = g.callOne(ctx, within, method, server, path, agentapi.HopMay, body, answer); last == nil {
+		if last = g.callOne(ctx, within, method, server, path, agentapi.HopMayForward, body, answer); last == nil {
 			return nil
 		}
 		g.next++
--- a/internal/scale/history_test.go
+++ b/internal/scale/history_test.go
@@ -80,7 +80,7 @@
 		}
 	}
 	conflict := uint64(1000)
-	operations[0].If = &conflict
+	operations[0].IfVersion = &conflict
 	if err := ledger.Accept(Accepted{Version: 4}, records.Change{Author: "test", Operations: operations}); err == nil {
 		t.Error("a conflict is taken for accepted")
 	}
--- a/internal/scale/members_linux_test.go
+++ b/internal/scale/members_linux_test.go
@@ -68,7 +68,7 @@
 			t.Fatal(err)
 		}
 		s.start(peers.Settings{Self: memberName(i), Site: "scale", Listen: address, Advertise: address, Dir: own, KeyFile: filepath.Join(dir, "keys"),
-			Roster: filepath.Join(dir, "roster.toml"), Seeds: seedsOf(addresses, i), Reach: map[string]string{}, Every: every, Rate: memberRate,
+			RosterFile: filepath.Join(dir, "roster.toml"), Seeds: seedsOf(addresses, i), AddressOverrides: map[string]string{}, ProbeInterval: every, MaxBytesPerSecond: memberRate,
 			Log: func(string, ...any) {}})
 	}
 	return s
@@ -100,7 +100,7 @@
 }
 
 // takes waits until all members satisfy a condition, and returns how long that took.
-func (s *membersSite) takes(what string, satisfies func(*members.Picture) bool) time.Duration {
+func (s *membersSite) takes(what string, satisfies func(*members.View) bool) time.Duration {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
 	defer cancel()
@@ -108,7 +108,7 @@
 	err := until(ctx, func() error {
 		not := 0
 		for _, m := range s.members {
-			if picture := m.Picture(); !satisfies(&picture) {
+			if picture := m.View(); !satisfies(&picture) {
 				not++
 			}
 		}
@@ -123,7 +123,7 @@
 	return time.Since(began)
 }
 
-func whole(p *members.Picture) bool { return p.Verdict == members.Whole }
+func whole(p *members.View) bool { return p.Verdict == members.Complete }
 
 // stopLast ends the last member, and returns how long all others took to know.
 func (s *membersSite) stopLast() time.Duration {
@@ -133,10 +133,10 @@
 	var stopping sync.WaitGroup
 	stopping.Go(gone.stop) // it waits until its last word has gone round
 	defer stopping.Wait()
-	return s.takes(gone.name+" has gone", func(p *members.Picture) bool {
+	return s.takes(gone.name+" has gone", func(p *members.View) bool {
 		for _, view := range p.Members {
 			if view.Name == gone.name {
-				return !view.State.There()
+				return !view.State.Alive()
 			}
 		}
 		return true
--- a/internal/scale/records_linux_test.go
+++ b/internal/scale/records_linux_test.go
@@ -60,7 +60,7 @@
 		s.t.Fatalf("change %d: %v, %+v", s.edits, err, result)
 	}
 	accepted := Accepted{Asked: asked, At: time.Now(), Version: result.Version}
-	if err := s.ledger.Accept(accepted, records.Change{Request: change.Request, Author: ledgerAuthor, Operations: operations}); err != nil {
+	if err := s.ledger.Accept(accepted, records.Change{IdempotencyKey: change.Request, Author: ledgerAuthor, Operations: operations}); err != nil {
 		s.t.Fatal(err)
 	}
 	return accepted
--- a/internal/scale/scale_linux_test.go
+++ b/internal/scale/scale_linux_test.go
@@ -101,7 +101,7 @@
 // heard lists the instances that the leader has heard of.
 func heard(status agent.Status) (names []string) {
 	for _, i := range status.Instances {
-		if !i.Heard.IsZero() && !i.Silent {
+		if !i.ReportedAt.IsZero() && !i.Silent {
 			names = append(names, i.Name)
 		}
 	}
@@ -135,7 +135,7 @@
 	defer cancel()
 	s.edits++
 	file := WholeFile(len(s.fleet.Gateways), entries, s.edits)
-	call := agent.Call{Request: fmt.Sprintf("edit-%d", s.edits), Parent: s.head, Content: &revisions.Content{File: file}}
+	call := agent.ApplyRequest{Request: fmt.Sprintf("edit-%d", s.edits), Parent: s.head, Content: &revisions.Content{File: file}}
 	leader, _, err := s.cluster.Leader(ctx)
 	if err != nil {
 		s.t.Fatal(err)
--- a/lease/granter.go
+++ b/lease/granter.go
@@ -7,18 +7,18 @@
 // may have granted (Recover). It belongs to one goroutine.
 type Granter struct {
 	terms    Terms
-	sessions map[Session]*granted
+	sessions map[Session]*grant
 	last     Session // the highest that was ever opened
 }
 
-type granted struct{ until Time }
+type grant struct{ until Time }
 
 // NewGranter makes a granter without sessions.
 func NewGranter(terms Terms) (*Granter, error) {
 	if err := terms.Check(); err != nil {
 		return nil, err
 	}
-	return &Granter{terms: terms, sessions: map[Session]*granted{}}, nil
+	return &Granter{terms: terms, sessions: map[Session]*grant{}}, nil
 }
 
 // Open begins a session under a number above all before it.
@@ -27,7 +27,7 @@
 		return fmt.Errorf("session %d is not above %d", s, g.last)
 	}
 	g.last = s
-	g.sessions[s] = &granted{until: now + g.terms.For}
+	g.sessions[s] = &grant{until: now + g.terms.Duration}
 	return nil
 }
 
@@ -37,33 +37,33 @@
 	g.last = max(g.last, last)
 	for _, s := range open {
 		g.last = max(g.last, s)
-		g.sessions[s] = &granted{until: now + g.terms.For}
+		g.sessions[s] = &grant{until: now + g.terms.Duration}
 	}
 }
 
-// Asked answers a holder. A session that has ended stays ended, whatever comes late
+// Handle answers a holder. A session that has ended stays ended, whatever comes late
 // or twice.
-func (g *Granter) Asked(now Time, a Ask) Answer {
+func (g *Granter) Handle(now Time, a Request) Response {
 	s := g.sessions[a.Session]
 	if s == nil || now >= s.until {
 		delete(g.sessions, a.Session)
-		return Answer{Session: a.Session, Number: a.Number}
+		return Response{Session: a.Session, Number: a.Number}
 	}
 	if a.Release {
 		delete(g.sessions, a.Session)
-		return Answer{Session: a.Session, Number: a.Number}
+		return Response{Session: a.Session, Number: a.Number}
 	}
 	// An ask that comes late or twice is granted like any other: its holder counts
 	// from when it sent it, and so stops before this.
-	s.until = max(s.until, now+g.terms.For)
-	return Answer{a.Session, a.Number, true}
+	s.until = max(s.until, now+g.terms.Duration)
+	return Response{a.Session, a.Number, true}
 }
 
-// Ended takes out the sessions that have run out, and returns them: what they held
+// Expire takes out the sessions that have run out, and returns them: what they held
 // may be given to others.
-func (g *Granter) Ended(now Time) (list []Session) {
-	for s, held := range g.sessions {
-		if now >= held.until {
+func (g *Granter) Expire(now Time) (list []Session) {
+	for s, grant := range g.sessions {
+		if now >= grant.until {
 			delete(g.sessions, s)
 			list = append(list, s)
 		}
@@ -71,10 +71,10 @@
 	return list
 }
 
-// Held tells whether a session may still be acting.
-func (g *Granter) Held(now Time, s Session) bool {
-	held := g.sessions[s]
-	return held != nil && now < held.until
+// Active tells whether a session may still be acting.
+func (g *Granter) Active(now Time, s Session) bool {
+	grant := g.sessions[s]
+	return grant != nil && now < grant.until
 }
 
 // Last is the highest number that was ever opened.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var terms = Terms{For: 10 * time.Second, Drift: 0.05, Margin: 200 * time.Millisecond, Renew: 2 * time.Second, Stall: time.Second}
+var terms = Terms{Duration: 10 * time.Second, Drift: 0.05, Margin: 200 * time.Millisecond, RenewInterval: 2 * time.Second, MaxTickGap: time.Second}
 
 // side is a clock that runs at a rate of its own, from an offset of its own.
 type side struct {
@@ -24,8 +24,8 @@
 // message is under way: it may come late, twice, in another order, or never.
 type message struct {
 	due    time.Duration
-	ask    *Ask
-	answer *Answer
+	ask    *Request
+	answer *Response
 }
 
 // Whatever the network does, and however clocks run within the drift: while the
@@ -33,7 +33,7 @@
 // sleep of the holder change nothing of that.
 func TestHolderStopsBeforeGranterGivesAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if broke := play(t, terms, func(h *Holder, now Time) bool { may, _ := h.May(now); return may }); broke != "" {
+		if broke := play(t, terms, func(h *Holder, now Time) bool { may, _ := h.Valid(now); return may }); broke != "" {
 			t.Fatal(broke)
 		}
 	})
@@ -83,10 +83,10 @@
 			net = net[1:]
 			switch {
 			case m.ask != nil:
-				a := g.Asked(here.at(real), *m.ask)
+				a := g.Handle(here.at(real), *m.ask)
 				send(message{answer: &a})
 			case !asleep:
-				h.Answered(*m.answer)
+				h.HandleResponse(*m.answer)
 			}
 		}
 		switch rapid.IntRange(0, 79).Draw(t, "change") {
@@ -104,10 +104,10 @@
 			a := h.Release(there.at(real))
 			send(message{ask: &a})
 		}
-		g.Ended(here.at(real))
+		g.Expire(here.at(real))
 		// Acting takes up to the margin.
 		end := real + terms.Margin/2
-		if may(h, there.at(real)) && !g.Held(here.at(end), 7) {
+		if may(h, there.at(real)) && !g.Active(here.at(end), 7) {
 			return "the holder may act, and the granter would give it to another"
 		}
 	}
@@ -119,7 +119,7 @@
 func TestEndIsNeeded(t *testing.T) {
 	for seed := range 4000 {
 		if rapid.Custom(func(t *rapid.T) string {
-			return play(t, terms, func(h *Holder, now Time) bool { return !h.over && now-h.told < h.terms.Stall })
+			return play(t, terms, func(h *Holder, now Time) bool { return !h.ended && now-h.lastTick < h.terms.MaxTickGap })
 		}).Example(seed) != "" {
 			return
 		}
@@ -148,8 +148,8 @@
 		broke := false
 		for real := time.Duration(0); real < 15*time.Second; real += 10 * time.Millisecond {
 			h.Tick(there.at(real))
-			may, _ := h.May(there.at(real))
-			broke = broke || may && !g.Held(here.at(real+terms.Margin/2), 7)
+			may, _ := h.Valid(there.at(real))
+			broke = broke || may && !g.Active(here.at(real+terms.Margin/2), 7)
 		}
 		if broke != c.breaks {
 			t.Errorf("a drift of %g allowed for: breaks %v, want %v", c.agreed.Drift, broke, c.breaks)
@@ -168,16 +168,16 @@
 
 func TestHolderCountsFromBeforeItAsked(t *testing.T) {
 	h := holder(t)
-	if want := terms.hold(); h.Until() != want || want >= terms.For {
-		t.Errorf("until %v, want %v, less than %v", h.Until(), want, terms.For)
+	if want := terms.holderDuration(); h.Until() != want || want >= terms.Duration {
+		t.Errorf("until %v, want %v, less than %v", h.Until(), want, terms.Duration)
 	}
 	a, due := h.Tick(3 * time.Second)
 	if !due {
 		t.Fatal("no ask is due after the time between asks")
 	}
 	h.Tick(4 * time.Second)
-	h.Answered(Answer{7, a.Number, true})
-	if want := 3*time.Second + terms.hold(); h.Until() != want {
+	h.HandleResponse(Response{7, a.Number, true})
+	if want := 3*time.Second + terms.holderDuration(); h.Until() != want {
 		t.Errorf("until %v, want %v, from when it asked", h.Until(), want)
 	}
 }
@@ -186,29 +186,29 @@
 	h := holder(t)
 	first, _ := h.Tick(2 * time.Second)
 	second, _ := h.Tick(4 * time.Second)
-	h.Answered(Answer{7, second.Number, true})
+	h.HandleResponse(Response{7, second.Number, true})
 	until := h.Until()
-	for _, a := range []Answer{{7, first.Number, true}, {7, second.Number, true}, {7, 99, true}, {8, second.Number, true}, {8, second.Number, false}} {
-		h.Answered(a)
+	for _, a := range []Response{{7, first.Number, true}, {7, second.Number, true}, {7, 99, true}, {8, second.Number, true}, {8, second.Number, false}} {
+		h.HandleResponse(a)
 		if h.Until() != until {
 			t.Errorf("%+v moved the end from %v to %v", a, until, h.Until())
 		}
 	}
-	if may, why := h.May(4 * time.Second); !may {
+	if may, why := h.Valid(4 * time.Second); !may {
 		t.Errorf("it may not act: %s", why)
 	}
-	h.Answered(Answer{Session: 7})
-	if may, _ := h.May(4 * time.Second); may {
+	h.HandleResponse(Response{Session: 7})
+	if may, _ := h.Valid(4 * time.Second); may {
 		t.Error("it acts after its session has ended")
 	}
 }
 
 func TestSleepIsNoticedBeforeTheEffect(t *testing.T) {
 	h := holder(t)
-	if may, why := h.May(1500 * time.Millisecond); !may {
+	if may, why := h.Valid(1500 * time.Millisecond); !may {
 		t.Errorf("%s", why)
 	}
-	if may, why := h.May(3 * time.Second); may || why != "this process slept" {
+	if may, why := h.Valid(3 * time.Second); may || why != "this process slept" {
 		t.Errorf("may %v: %s", may, why)
 	}
 }
@@ -218,11 +218,11 @@
 	if err := g.Open(0, 7); err != nil {
 		t.Fatal(err)
 	}
-	if !g.Asked(5*time.Second, Ask{Session: 7, Number: 1}).Granted {
+	if !g.Handle(5*time.Second, Request{Session: 7, Number: 1}).Granted {
 		t.Fatal("refused in time")
 	}
-	g.Asked(6*time.Second, Ask{Session: 7, Number: 3, Release: true})
-	if g.Asked(6*time.Second, Ask{Session: 7, Number: 2}).Granted {
+	g.Handle(6*time.Second, Request{Session: 7, Number: 3, Release: true})
+	if g.Handle(6*time.Second, Request{Session: 7, Number: 2}).Granted {
 		t.Error("an ask that came after the release brought the session back")
 	}
 	if err := g.Open(7*time.Second, 7); err == nil {
@@ -235,15 +235,15 @@
 	if err := g.Open(7*time.Second, 13); err != nil {
 		t.Error(err)
 	}
-	if ended := g.Ended(17 * time.Second); len(ended) != 1 || ended[0] != 13 {
+	if ended := g.Expire(17 * time.Second); len(ended) != 1 || ended[0] != 13 {
 		t.Errorf("ended: %v", ended)
 	}
 }
 
 func TestTermsCheck(t *testing.T) {
 	for _, bad := range []func(*Terms){
-		func(t *Terms) { t.Drift = -1 }, func(t *Terms) { t.Drift = math.NaN() }, func(t *Terms) { t.For = 0 }, func(t *Terms) { t.Renew = 4 * time.Second },
-		func(t *Terms) { t.Margin = 9 * time.Second }, func(t *Terms) { t.Stall = 0 },
+		func(t *Terms) { t.Drift = -1 }, func(t *Terms) { t.Drift = math.NaN() }, func(t *Terms) { t.Duration = 0 }, func(t *Terms) { t.RenewInterval = 4 * time.Second },
+		func(t *Terms) { t.Margin = 9 * time.Second }, func(t *Terms) { t.MaxTickGap = 0 },
 	} {
 		b := terms
 		bad(&b)
--- a/members/contacts_test.go
+++ b/members/contacts_test.go
@@ -15,8 +15,8 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	at := func(name string) string { return "at-" + name }
 	ask := func(seeds ...string) []string {
-		p := m.Picture(m.now)
-		return c.Ask(m.now, &p, at, seeds, rng)
+		p := m.View(m.now)
+		return c.JoinTargets(m.now, &p, at, seeds, rng)
 	}
 	if got := ask("seed"); len(got) != 0 {
 		t.Errorf("%v are asked, and all are heard", got)
@@ -42,8 +42,8 @@
 	m.lose("g3", "g4", "g5", "g6", "g7", "g8")
 	m.pass(s(40))
 	got := ask("at-g1", "seed")
-	if len(got) != maxAsked || len(slices.Compact(slices.Sorted(slices.Values(got)))) != maxAsked {
-		t.Errorf("%v are asked, want %d different ones", got, maxAsked)
+	if len(got) != maxJoinTargets || len(slices.Compact(slices.Sorted(slices.Values(got)))) != maxJoinTargets {
+		t.Errorf("%v are asked, want %d different ones", got, maxJoinTargets)
 	}
 }
 
@@ -58,7 +58,7 @@
 		a    Alive
 		want bool
 	}{{0, same, false}, {0, newer, false}, {0, older, true}, {s(1), older, false}, {s(1), rival, true}, {s(6), older, true}} {
-		if got := c.Tell(step.at, mine, step.a); got != step.want {
+		if got := c.ShouldSendRoster(step.at, mine, step.a); got != step.want {
 			t.Errorf("at %v %+v: %v, want %v", step.at, step.a, got, step.want)
 		}
 	}
@@ -67,18 +67,20 @@
 func TestCompare(t *testing.T) {
 	m := whole(t, 4)
 	sum := m.roster.Sum()
-	alive := func(name string, life Life) Alive { return Alive{Name: name, Life: life, Epoch: 1, Sum: sum} }
+	alive := func(name string, incarnation Incarnation) Alive {
+		return Alive{Name: name, Incarnation: incarnation, Epoch: 1, Sum: sum}
+	}
 	list := []Alive{alive("g1", 100), alive("g2", 100), alive("g3", 100)}
-	if got := m.Compare(list, true); len(got) != 0 {
+	if got := m.Reconcile(list, true); len(got) != 0 {
 		t.Errorf("of the same list: %+v", got)
 	}
-	if got := m.Compare(list[:2], false); len(got) != 0 {
+	if got := m.Reconcile(list[:2], false); len(got) != 0 {
 		t.Errorf("of a list without one whose end may be on its way: %+v", got)
 	}
-	if got := m.Compare(list[:2], true); len(got) != 1 || got[0] != Event(Failed{"g3", 100}) {
+	if got := m.Reconcile(list[:2], true); len(got) != 1 || got[0] != Event(Failed{"g3", 100}) {
 		t.Errorf("after an event was lost: %+v", got)
 	}
-	if got := m.Compare(append([]Alive{alive("g3", 101)}, list...), false); len(got) != 1 || got[0] != Event(alive("g3", 101)) {
+	if got := m.Reconcile(append([]Alive{alive("g3", 101)}, list...), false); len(got) != 1 || got[0] != Event(alive("g3", 101)) {
 		t.Errorf("of two lives: %+v", got)
 	}
 }
--- a/members/counts.go
+++ b/members/counts.go
@@ -4,8 +4,8 @@
 	"math"
 )
 
-// NoShare is the quota divisor of a process that has no share.
-const NoShare = math.MaxInt32
+// NoQuota is the quota divisor of a process that has no share.
+const NoQuota = math.MaxInt32
 
 // unawareMember returns a member that may not know yet that this process is a member, "" if there is none.
 //
@@ -39,33 +39,33 @@
 	}
 	count := len(names)
 	for name, p := range m.peers {
-		count += p.countEarlierLives()
-		if !names[name] && p.state.There() {
+		count += p.countEarlierIncarnations()
+		if !names[name] && p.state.Alive() {
 			count++
 		}
 	}
 	return count
 }
 
-// Share returns the number by which this process divides what all members share, such as a quota while the counter is
+// QuotaDivisor returns the number by which this process divides what all members share, such as a quota while the counter is
 // unreachable: the safe count, or an earlier, higher one while the verdict does not allow a larger share.
-func (m *Machine) Share() int { return m.share }
+func (m *Machine) QuotaDivisor() int { return m.divisor }
 
 // Senders returns how many processes send to a cold backend: those that seem to be alive if the verdict allows that
 // estimate, else the safe count.
 func (m *Machine) Senders() int {
-	if may, _ := m.May(m.now, ShareCold); may {
+	if allowed, _ := m.Allows(m.now, DivideWarmUpCapacity); allowed {
 		return m.likely
 	}
 	return m.safeCount()
 }
 
-// quotaDivisor returns what Share would be if a larger share were allowed. It is NoShare for a newcomer that not all
+// targetQuotaDivisor returns what Share would be if a larger share were allowed. It is NoQuota for a newcomer that not all
 // members know of, for a superseded process, and for one whose earlier life still runs.
-func (m *Machine) quotaDivisor() int {
+func (m *Machine) targetQuotaDivisor() int {
 	self := m.peers[m.settings.Self]
-	if m.superseded != 0 || m.unawareMember() != "" || !m.roster.Has(m.settings.Self) || self != nil && self.hasEarlierLife() {
-		return NoShare
+	if m.superseded != 0 || m.unawareMember() != "" || !m.roster.Has(m.settings.Self) || self != nil && self.hasEarlierIncarnation() {
+		return NoQuota
 	}
 	return m.safeCount()
 }
@@ -74,7 +74,7 @@
 func (m *Machine) likelyCount() int {
 	n := 1
 	for name, p := range m.peers {
-		if name != m.settings.Self && p.state.There() {
+		if name != m.settings.Self && p.state.Alive() {
 			n++
 		}
 	}
--- a/members/diff.go
+++ b/members/diff.go
@@ -9,28 +9,28 @@
 
 // Difference is something on which pictures disagree.
 type Difference struct {
-	What   string   `json:"what"`           // such as "epoch", or "g3"
-	Groups []Saying `json:"groups"`         // who says what, the largest group first
-	Belief string   `json:"belief"`         // the most likely cause
-	Name   string   `json:"name,omitempty"` // member concerned
+	What        string      `json:"what"`           // such as "epoch", or "g3"
+	Groups      []ViewGroup `json:"groups"`         // who says what, the largest group first
+	LikelyCause string      `json:"belief"`         // the most likely cause
+	Name        string      `json:"name,omitempty"` // member concerned
 }
 
-// Saying is what a group of pictures says.
-type Saying struct {
-	Says string   `json:"says"`
-	By   []string `json:"by"`
+// ViewGroup is what a group of pictures says.
+type ViewGroup struct {
+	Value string   `json:"says"`
+	By    []string `json:"by"`
 }
 
 // Differences returns the differences between pictures of a site, except for times.
-func Differences(pictures []Picture) (list []Difference) {
-	compare := func(what, name, belief string, say func(*Picture) string) {
-		var groups []Saying
-		for i := range pictures {
-			p := &pictures[i]
-			text := say(p)
-			k := slices.IndexFunc(groups, func(g Saying) bool { return g.Says == text })
+func Differences(views []View) (list []Difference) {
+	compare := func(what, name, likelyCause string, value func(*View) string) {
+		var groups []ViewGroup
+		for i := range views {
+			p := &views[i]
+			text := value(p)
+			k := slices.IndexFunc(groups, func(g ViewGroup) bool { return g.Value == text })
 			if k < 0 {
-				groups = append(groups, Saying{Says: text})
+				groups = append(groups, ViewGroup{Value: text})
 				k = len(groups) - 1
 			}
 			groups[k].By = append(groups[k].By, p.Self)
@@ -41,37 +41,37 @@
 		for i := range groups {
 			slices.Sort(groups[i].By)
 		}
-		slices.SortStableFunc(groups, func(a, b Saying) int {
+		slices.SortStableFunc(groups, func(a, b ViewGroup) int {
 			if d := len(b.By) - len(a.By); d != 0 {
 				return d
 			}
-			return strings.Compare(a.Says, b.Says)
+			return strings.Compare(a.Value, b.Value)
 		})
-		list = append(list, Difference{what, groups, belief, name})
+		list = append(list, Difference{what, groups, likelyCause, name})
 	}
 	compare("roster", "", "one has not heard of the newest roster yet; two sums of one epoch are two rosters, and need a higher epoch",
-		func(p *Picture) string {
-			return fmt.Sprintf("epoch %d, sum %016x, %d members", p.Epoch, p.Sum, p.Belong)
+		func(p *View) string {
+			return fmt.Sprintf("epoch %d, sum %016x, %d members", p.Epoch, p.Sum, p.RosterSize)
 		})
 	names := map[string]bool{}
-	for _, p := range pictures {
+	for _, p := range views {
 		for _, v := range p.Members {
 			names[v.Name] = true
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		compare(name, name, "a way between gateways is cut, or news of it is under way", func(p *Picture) string {
-			i := slices.IndexFunc(p.Members, func(v View) bool { return v.Name == name })
+		compare(name, name, "a way between gateways is cut, or news of it is under way", func(p *View) string {
+			i := slices.IndexFunc(p.Members, func(v MemberView) bool { return v.Name == name })
 			if i < 0 {
 				return "not known"
 			}
 			v := &p.Members[i]
-			if !v.State.There() {
+			if !v.State.Alive() {
 				return "not there"
 			}
-			return fmt.Sprintf("there, life %d", v.Life)
+			return fmt.Sprintf("there, life %d", v.Incarnation)
 		})
 	}
-	compare("verdict", "", "each part of a cut site has its own; one that slept or has just started is unsure", func(p *Picture) string { return p.Verdict.String() })
+	compare("verdict", "", "each part of a cut site has its own; one that slept or has just started is unsure", func(p *View) string { return p.Verdict.String() })
 	return list
 }
--- a/members/events.go
+++ b/members/events.go
@@ -13,66 +13,66 @@
 // suspended.
 type Tick struct{}
 
-// Heard says that a member answered this process directly.
-type Heard struct {
-	Name string
-	Life Life
+// Answered says that a member answered this process directly.
+type Answered struct {
+	Name        string
+	Incarnation Incarnation
 }
 
 // Alive says that a life of a name is alive, from whatever source, and what it reports of itself.
 type Alive struct {
-	Name    string
-	Life    Life
-	Address string // where others reach it
-	Desk    string // address of its operator interface; "": none
-	Epoch   uint64 // of its roster
-	Sum     uint64 // of its roster
+	Name         string
+	Incarnation  Incarnation
+	Address      string // where others reach it
+	AdminAddress string // address of its operator interface; "": none
+	Epoch        uint64 // of its roster
+	Sum          uint64 // of its roster
 }
 
 // Suspected says that a probe of a member by By was not answered.
 type Suspected struct {
-	Name string
-	Life Life
-	By   string
+	Name        string
+	Incarnation Incarnation
+	By          string
 }
 
-// Contradicted says that a member denied By's report that it is gone.
-type Contradicted struct {
-	Name string
-	Life Life
-	By   string
+// Refuted says that a member denied By's report that it is gone.
+type Refuted struct {
+	Name        string
+	Incarnation Incarnation
+	By          string
 }
 
 // Failed says that the failure detector counts a member as gone.
 type Failed struct {
-	Name string
-	Life Life
+	Name        string
+	Incarnation Incarnation
 }
 
 // Left says that a member announced its own end.
 type Left struct {
-	Name string
-	Life Life
+	Name        string
+	Incarnation Incarnation
 }
 
-// Lived says that a life of a name existed; it may be over.
-type Lived struct {
-	Name string `json:"Name"`
-	Life Life   `json:"Life"`
+// IncarnationLearned says that a life of a name existed; it may be over.
+type IncarnationLearned struct {
+	Name        string      `json:"Name"`
+	Incarnation Incarnation `json:"Life"`
 }
 
-// RosterTold is a roster that was received.
-type RosterTold struct {
+// RosterReceived is a roster that was received.
+type RosterReceived struct {
 	Roster Roster
 	By     string // the sender: a member, or another source
 }
 
-func (Tick) event()         {}
-func (Heard) event()        {}
-func (Alive) event()        {}
-func (Suspected) event()    {}
-func (Contradicted) event() {}
-func (Failed) event()       {}
-func (Left) event()         {}
-func (Lived) event()        {}
-func (RosterTold) event()   {}
+func (Tick) event()               {}
+func (Answered) event()           {}
+func (Alive) event()              {}
+func (Suspected) event()          {}
+func (Refuted) event()            {}
+func (Failed) event()             {}
+func (Left) event()               {}
+func (IncarnationLearned) event() {}
+func (RosterReceived) event()     {}
--- a/members/golden_test.go
+++ b/members/golden_test.go
@@ -96,37 +96,37 @@
 	return Roster{Epoch: 7, Members: []Member{{Name: "g0", Since: 1}, {Name: "g-1_b.c", Since: 7}}}
 }
 
-func goldenPicture() Picture {
-	return Picture{
-		Number:     1 << 60,
-		At:         90 * time.Second,
-		Self:       "g0",
-		Life:       1<<60 + 3,
-		Verdict:    Majority,
-		Since:      80 * time.Second,
-		Why:        "2 of 3 are heard",
-		Epoch:      7,
-		Sum:        1<<64 - 1,
-		Belong:     3,
-		Safe:       4,
-		Likely:     2,
-		Share:      5,
-		Dropped:    6,
-		Superseded: 1<<60 + 4,
-		Joining:    "g2",
-		Heard:      89 * time.Second,
-		Members: []View{{
-			Name:    "g0",
-			Self:    true,
-			Belongs: true,
-			Life:    1<<60 + 3,
-			State:   Suspect,
-			Since:   time.Second,
-			Heard:   89 * time.Second,
-			Epoch:   6,
-			Older:   1,
-			Address: "127.0.0.2:7000",
-			Desk:    "127.0.0.2:8000",
+func goldenPicture() View {
+	return View{
+		Version:       1 << 60,
+		At:            90 * time.Second,
+		Self:          "g0",
+		Incarnation:   1<<60 + 3,
+		Verdict:       Majority,
+		Since:         80 * time.Second,
+		Reason:        "2 of 3 are heard",
+		Epoch:         7,
+		Sum:           1<<64 - 1,
+		RosterSize:    3,
+		SafeCount:     4,
+		LikelyCount:   2,
+		QuotaDivisor:  5,
+		Dropped:       6,
+		SupersededBy:  1<<60 + 4,
+		UnawareMember: "g2",
+		LastAnswer:    89 * time.Second,
+		Members: []MemberView{{
+			Name:                "g0",
+			Self:                true,
+			IsMember:            true,
+			Incarnation:         1<<60 + 3,
+			State:               StateSuspect,
+			Since:               time.Second,
+			LastAnswer:          89 * time.Second,
+			Epoch:               6,
+			EarlierIncarnations: 1,
+			Address:             "127.0.0.2:7000",
+			AdminAddress:        "127.0.0.2:8000",
 		}},
 	}
 }
@@ -135,19 +135,21 @@
 	t.Run("roster", func(t *testing.T) { requireJSON(t, "roster.json", goldenRoster()) })
 	t.Run("picture", func(t *testing.T) { requireJSON(t, "picture.json", goldenPicture()) })
 	t.Run("evidence", func(t *testing.T) {
-		requireJSON(t, "evidence.json", Evidence{At: 3 * time.Second, Name: "g1", Life: 1<<60 + 5, What: "did not answer a probe", By: "g0"})
+		requireJSON(t, "evidence.json", Evidence{At: 3 * time.Second, Name: "g1", Incarnation: 1<<60 + 5, What: "did not answer a probe", By: "g0"})
 	})
 	t.Run("difference", func(t *testing.T) {
-		requireJSON(t, "difference.json", Difference{What: "g1", Groups: []Saying{{Says: "not there", By: []string{"g0", "g2"}}},
-			Belief: "a way between gateways is cut, or news of it is under way", Name: "g1"})
+		requireJSON(t, "difference.json", Difference{What: "g1", Groups: []ViewGroup{{Value: "not there", By: []string{"g0", "g2"}}},
+			LikelyCause: "a way between gateways is cut, or news of it is under way", Name: "g1"})
+	})
+	t.Run("life", func(t *testing.T) {
+		requireJSON(t, "life.json", IncarnationLearned{Name: "g1", Incarnation: 1<<60 + 5})
 	})
-	t.Run("life", func(t *testing.T) { requireJSON(t, "life.json", Lived{Name: "g1", Life: 1<<60 + 5}) })
 }
 
 // Keys with an omitempty option are left out of values that have none, and all others are there.
 func TestGoldenFormsOfZeroValues(t *testing.T) {
 	var text []byte
-	for _, v := range []any{Roster{}, Member{}, Picture{}, View{}, Evidence{}, Difference{}, Saying{}, Lived{}} {
+	for _, v := range []any{Roster{}, Member{}, View{}, MemberView{}, Evidence{}, Difference{}, ViewGroup{}, IncarnationLearned{}} {
 		line, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
@@ -180,15 +182,15 @@
 // The names of states, verdicts and uses, and the reasons of the table, are keys and texts of operators' JSON.
 func TestGoldenNames(t *testing.T) {
 	var text []byte
-	for s := Unheard; s <= Ended; s++ {
+	for s := StateUnknown; s <= StateLeft; s++ {
 		encoded, err := s.MarshalText()
 		var decoded State
 		if err := decoded.UnmarshalText(encoded); err != nil || decoded != s {
 			t.Errorf("%s: decoded to %v: %v", encoded, decoded, err)
 		}
-		text = fmt.Appendf(text, "state %s %v %v\n", encoded, err, s.There())
+		text = fmt.Appendf(text, "state %s %v %v\n", encoded, err, s.Alive())
 	}
-	for v := Unsure; v <= Whole; v++ {
+	for v := Unsure; v <= Complete; v++ {
 		encoded, err := v.MarshalText()
 		var decoded Verdict
 		if err := decoded.UnmarshalText(encoded); err != nil || decoded != v {
@@ -196,9 +198,9 @@
 		}
 		text = fmt.Appendf(text, "verdict %s %v\n", encoded, err)
 	}
-	for _, u := range Uses() {
-		for v := Unsure; v <= Whole; v++ {
-			may, why := May(u, v)
+	for _, u := range Operations() {
+		for v := Unsure; v <= Complete; v++ {
+			may, why := Allows(u, v)
 			text = fmt.Appendf(text, "use %v while %v: %v, %s\n", u, v, may, why)
 		}
 	}
@@ -217,72 +219,72 @@
 		for _, ev := range events {
 			changed = m.Handle(m.now, ev) || changed
 		}
-		p := m.Picture(m.now)
-		may, why := m.May(m.now, HoldDuty)
+		p := m.View(m.now)
+		may, why := m.Allows(m.now, ExerciseLease)
 		encoded, err := json.Marshal(struct {
-			Step    string  `json:"step"`
-			Changed bool    `json:"changed"`
-			Picture Picture `json:"picture"`
-			Line    string  `json:"line"`
-			May     bool    `json:"may"`
-			Why     string  `json:"why"`
-			Share   int     `json:"share"`
-			Senders int     `json:"senders"`
-			Lives   []Lived `json:"lives"`
-		}{what, changed, p, p.Line(m.now + s(1.234)), may, why, m.Share(), m.Senders(), m.Lives()})
+			Step    string               `json:"step"`
+			Changed bool                 `json:"changed"`
+			Picture View                 `json:"picture"`
+			Line    string               `json:"line"`
+			May     bool                 `json:"may"`
+			Why     string               `json:"why"`
+			Share   int                  `json:"share"`
+			Senders int                  `json:"senders"`
+			Lives   []IncarnationLearned `json:"lives"`
+		}{what, changed, p, p.Line(m.now + s(1.234)), may, why, m.QuotaDivisor(), m.Senders(), m.Incarnations()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		text = append(append(text, encoded...), '\n')
 	}
-	alive := func(name string, life Life, r Roster) Alive {
-		return Alive{Name: name, Life: life, Address: name + ":7000", Desk: name + ":8000", Epoch: r.Epoch, Sum: r.Sum()}
+	alive := func(name string, life Incarnation, r Roster) Alive {
+		return Alive{Name: name, Incarnation: life, Address: name + ":7000", AdminAddress: name + ":8000", Epoch: r.Epoch, Sum: r.Sum()}
 	}
 	first := m.Roster()
 	step("start")
 	m.pass(s(15))
 	step("nobody has answered for long")
-	step("g1 is alive, g2 answers", alive("g1", 100, first), Heard{"g2", 100}, Heard{"g1", 100})
-	step("g3 is learned of", Lived{"g3", 90}, Lived{"g3", 89})
+	step("g1 is alive, g2 answers", alive("g1", 100, first), Answered{"g2", 100}, Answered{"g1", 100})
+	step("g3 is learned of", IncarnationLearned{"g3", 90}, IncarnationLearned{"g3", 89})
 	m.pass(s(3), "g1", "g2")
 	step("two of them answer for a while")
-	step("g3 answers", alive("g3", 100, first), Heard{"g3", 100})
+	step("g3 answers", alive("g3", 100, first), Answered{"g3", 100})
 	m.pass(s(9), "g1", "g2", "g3")
 	step("all answer for a while")
 	step("g1 is suspected", Suspected{"g1", 100, "g2"})
-	step("g1 denies it", Contradicted{"g1", 100, "g2"})
+	step("g1 denies it", Refuted{"g1", 100, "g2"})
 	m.pass(s(13), "g2", "g3")
 	step("nobody confirms the suspicion")
 	step("g1 has failed", Failed{"g1", 100})
-	step("g2 leaves", Left{"g2", 100}, alive("g2", 100, first), Heard{"g2", 100})
+	step("g2 leaves", Left{"g2", 100}, alive("g2", 100, first), Answered{"g2", 100})
 	step("g3 has failed", Failed{"g3", 100})
 	m.now += s(20)
 	step("asleep", Tick{})
-	step("they answer again", Heard{"g1", 100}, Heard{"g3", 100}, alive("g2", 101, first), Heard{"g2", 101})
+	step("they answer again", Answered{"g1", 100}, Answered{"g3", 100}, alive("g2", 101, first), Answered{"g2", 101})
 	m.pass(s(30), "g1", "g2", "g3")
 	step("all answer for a while again")
 	step("own probes fail", Suspected{"g1", 100, "g0"}, Suspected{"g2", 101, "g0"}, Suspected{"g3", 100, "g0"}, Suspected{"g1", 100, "g0"}, Suspected{"g2", 101, "g0"})
 	m.pass(s(100), "g1", "g2", "g3")
 	step("all answer once more")
-	step("another roster of the epoch", RosterTold{Roster{}.Next([]string{"g0", "x1"}), "x1"})
-	step("a roster of the next epoch", RosterTold{first.Next(append(names(4), "g4")), "file"}, RosterTold{first, "g1"})
+	step("another roster of the epoch", RosterReceived{Roster{}.Next([]string{"g0", "x1"}), "x1"})
+	step("a roster of the next epoch", RosterReceived{first.Next(append(names(4), "g4")), "file"}, RosterReceived{first, "g1"})
 	step("g1 starts again", alive("g1", 200, m.Roster()))
 	step("the earlier g1 goes on", alive("g1", 100, first))
 	step("the earlier g1 has failed", Failed{"g1", 100})
 	m.pass(s(100), "g1", "g2", "g3")
 	step("all but g4 answer for a while")
 	step("two more have failed", Failed{"g1", 200}, Failed{"g2", 101})
-	step("they answer after all", Heard{"g1", 200}, Heard{"g2", 101})
+	step("they answer after all", Answered{"g1", 200}, Answered{"g2", 101})
 	step("an earlier life of this one", alive("g0", 99, first))
 	step("that has failed", Failed{"g0", 99})
-	step("a roster without this one", RosterTold{m.Roster().Next([]string{"g1", "g2", "g3"}), "g3"})
-	step("a roster with it again", RosterTold{m.Roster().Next([]string{"g3", "g2", "g1", "g0"}), "g3"})
+	step("a roster without this one", RosterReceived{m.Roster().Next([]string{"g1", "g2", "g3"}), "g3"})
+	step("a roster with it again", RosterReceived{m.Roster().Next([]string{"g3", "g2", "g1", "g0"}), "g3"})
 	step("all know of it", alive("g1", 200, m.Roster()), alive("g2", 101, m.Roster()), alive("g3", 100, m.Roster()))
 	m.pass(s(200), "g1", "g2", "g3")
 	step("all answer after long")
-	before := m.Picture(m.now)
-	step("a later life of this one", Lived{"g0", 200})
-	for _, v := range []any{m.Evidence("g0"), m.Evidence("g1"), m.Evidence(""), Differences([]Picture{before, goldenPicture(), m.Picture(m.now)})} {
+	before := m.View(m.now)
+	step("a later life of this one", IncarnationLearned{"g0", 200})
+	for _, v := range []any{m.Evidence("g0"), m.Evidence("g1"), m.Evidence(""), Differences([]View{before, goldenPicture(), m.View(m.now)})} {
 		encoded, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
--- a/members/handle.go
+++ b/members/handle.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// handleHeard handles an answer to this process.
-func (m *Machine) handleHeard(e Heard) {
+// handleAnswered handles an answer to this process.
+func (m *Machine) handleAnswered(e Answered) {
 	if e.Name == m.settings.Self {
 		return
 	}
 	p := m.peerNamed(e.Name)
-	if p == nil || !m.advanceLife(p, e.Life) {
+	if p == nil || !m.advanceIncarnation(p, e.Incarnation) {
 		return
 	}
 	p.lastAnswer, m.lastAnswer = m.now, m.now
-	m.noteProbe(e.Name, true)
+	m.recordProbe(e.Name, true)
 	// A delayed answer may arrive after its sender's Left.
-	if p.state != Ended {
-		m.setState(p, Living, "answered", m.settings.Self)
+	if p.state != StateLeft {
+		m.setState(p, StateAlive, "answered", m.settings.Self)
 	}
 }
 
 // handleAlive handles what a life says of itself.
 func (m *Machine) handleAlive(e Alive) {
 	if e.Name == m.settings.Self {
-		if e.Life < m.settings.Life {
+		if e.Incarnation < m.settings.Incarnation {
 			// An earlier life of this name still runs; it will learn that it is superseded.
 			if p := m.peerNamed(e.Name); p != nil {
-				m.noteEarlierLife(p, e.Life, true)
+				m.recordEarlierIncarnation(p, e.Incarnation, true)
 			}
 		}
-		m.supersede(e.Life)
+		m.supersede(e.Incarnation)
 		return
 	}
 	p := m.peerNamed(e.Name)
@@ -39,43 +39,43 @@
 		return
 	}
 	p.highestEpoch = max(p.highestEpoch, e.Epoch)
-	if !m.advanceLife(p, e.Life) {
-		m.noteEarlierLife(p, e.Life, true)
+	if !m.advanceIncarnation(p, e.Incarnation) {
+		m.recordEarlierIncarnation(p, e.Incarnation, true)
 		return
 	}
-	if p.state == Ended {
+	if p.state == StateLeft {
 		return // it has left: this news of it is old
 	}
-	if p.epoch != e.Epoch || p.sum != e.Sum || p.address != e.Address || p.desk != e.Desk {
-		p.epoch, p.sum, p.address, p.desk = e.Epoch, e.Sum, e.Address, e.Desk
-		m.number++
+	if p.epoch != e.Epoch || p.sum != e.Sum || p.address != e.Address || p.adminAddress != e.AdminAddress {
+		p.epoch, p.sum, p.address, p.adminAddress = e.Epoch, e.Sum, e.Address, e.AdminAddress
+		m.version++
 	}
-	m.setState(p, Living, "is there", "")
+	m.setState(p, StateAlive, "is there", "")
 }
 
 // supersede notes a life of this process's own name.
-func (m *Machine) supersede(life Life) {
-	if life > m.settings.Life && life > m.superseded {
-		m.superseded = life
-		m.number++
-		m.addEvidence(m.settings.Self, life, "a later life of this name is there; this one holds nothing any more", "")
+func (m *Machine) supersede(incarnation Incarnation) {
+	if incarnation > m.settings.Incarnation && incarnation > m.superseded {
+		m.superseded = incarnation
+		m.version++
+		m.addEvidence(m.settings.Self, incarnation, "a later life of this name is there; this one holds nothing any more", "")
 	}
 }
 
 // handleSuspected handles an unanswered probe.
 func (m *Machine) handleSuspected(e Suspected) {
 	if e.By == m.settings.Self {
-		m.noteProbe(e.Name, false)
+		m.recordProbe(e.Name, false)
 	}
 	p := m.peers[e.Name]
-	if p == nil || e.Life != p.life || !p.state.There() {
+	if p == nil || e.Incarnation != p.incarnation || !p.state.Alive() {
 		return
 	}
-	m.setState(p, Suspect, "did not answer a probe", e.By)
+	m.setState(p, StateSuspect, "did not answer a probe", e.By)
 }
 
-// noteProbe notes the result of a probe by this process.
-func (m *Machine) noteProbe(name string, answered bool) {
+// recordProbe notes the result of a probe by this process.
+func (m *Machine) recordProbe(name string, answered bool) {
 	if len(m.probes) >= maxProbes {
 		m.probes = slices.Delete(m.probes, 0, 1)
 	}
@@ -83,41 +83,41 @@
 }
 
 // markEnded sets the state of a life that is gone or has ended.
-func (m *Machine) markEnded(name string, life Life, to State, what string) {
+func (m *Machine) markEnded(name string, incarnation Incarnation, to State, what string) {
 	p := m.peers[name]
 	if p == nil {
 		return
 	}
-	if life != p.life {
-		m.noteEarlierLife(p, life, false)
+	if incarnation != p.incarnation {
+		m.recordEarlierIncarnation(p, incarnation, false)
 		return
 	}
-	if p.state == Ended || p.state == Unheard && to == Gone {
+	if p.state == StateLeft || p.state == StateUnknown && to == StateFailed {
 		return
 	}
 	m.setState(p, to, what, "")
 }
 
-// handleLived notes a life, which may be over.
-func (m *Machine) handleLived(e Lived) {
+// handleIncarnationLearned notes a life, which may be over.
+func (m *Machine) handleIncarnationLearned(e IncarnationLearned) {
 	if e.Name == m.settings.Self {
-		m.supersede(e.Life)
+		m.supersede(e.Incarnation)
 		return
 	}
-	if p := m.peerNamed(e.Name); p != nil && e.Life > p.life {
-		m.advanceLife(p, e.Life)
-		m.number++
+	if p := m.peerNamed(e.Name); p != nil && e.Incarnation > p.incarnation {
+		m.advanceIncarnation(p, e.Incarnation)
+		m.version++
 	}
 }
 
 // handleRoster adopts a roster of a higher epoch. A different roster of the same epoch is a mistake of the operators,
 // which is noted.
-func (m *Machine) handleRoster(e RosterTold) {
+func (m *Machine) handleRoster(e RosterReceived) {
 	if _, err := e.Roster.Check(); err != nil || e.Roster.Epoch < m.roster.Epoch {
 		return
 	}
 	if e.Roster.Epoch == m.roster.Epoch {
-		m.noteConflict(e)
+		m.recordConflict(e)
 		return
 	}
 	self := m.settings.Self
@@ -126,29 +126,29 @@
 	}
 	m.roster = e.Roster.Sorted()
 	clear(m.conflictingRosters)
-	m.number++
-	m.addEvidence(self, m.settings.Life, fmt.Sprintf("has the roster of epoch %d: %d members", m.roster.Epoch, len(m.roster.Members)), e.By)
+	m.version++
+	m.addEvidence(self, m.settings.Incarnation, fmt.Sprintf("has the roster of epoch %d: %d members", m.roster.Epoch, len(m.roster.Members)), e.By)
 	m.forgetRemoved()
 }
 
-// noteConflict notes a roster of the present epoch that differs from this process's.
-func (m *Machine) noteConflict(e RosterTold) {
+// recordConflict notes a roster of the present epoch that differs from this process's.
+func (m *Machine) recordConflict(e RosterReceived) {
 	sum := e.Roster.Sum()
-	if sum == m.roster.Sum() || len(m.conflictingRosters) >= maxEarlierLives {
+	if sum == m.roster.Sum() || len(m.conflictingRosters) >= maxEarlierIncarnations {
 		return
 	}
 	if _, known := m.conflictingRosters[sum]; known {
 		return
 	}
 	m.conflictingRosters[sum] = e.Roster.Sorted()
-	m.number++
-	m.addEvidence(m.settings.Self, m.settings.Life, fmt.Sprintf("another roster of epoch %d goes round", e.Roster.Epoch), e.By)
+	m.version++
+	m.addEvidence(m.settings.Self, m.settings.Incarnation, fmt.Sprintf("another roster of epoch %d goes round", e.Roster.Epoch), e.By)
 }
 
 // forgetRemoved forgets names outside the roster that no longer live.
 func (m *Machine) forgetRemoved() {
 	for name, p := range m.peers {
-		if !m.roster.Has(name) && !p.state.There() && !p.hasEarlierLife() {
+		if !m.roster.Has(name) && !p.state.Alive() && !p.hasEarlierIncarnation() {
 			delete(m.peers, name)
 		}
 	}
--- a/members/machine.go
+++ b/members/machine.go
@@ -35,19 +35,19 @@
 	lastSleep  time.Duration
 	lastAnswer Time // of any peer
 	probes     []probe
-	superseded Life // later life of this process's name; 0: none
-	joined     bool // all members have known of this one once
+	superseded Incarnation // later life of this process's name; 0: none
+	joined     bool        // all members have known of this one once
 
-	share        int
+	divisor      int
 	verdict      Verdict
 	reason       string
 	since        Time
 	likely       int
-	allowedSince [verdicts]Time // since when the evidence has supported this verdict or a better one
-	recentFalls  int            // times that the verdict fell lately, which delay its next rise
+	allowedSince [verdictCount]Time // since when the evidence has supported this verdict or a better one
+	recentFalls  int                // times that the verdict fell lately, which delay its next rise
 	changedAt    Time
 
-	number   uint64
+	version  uint64
 	evidence []Evidence
 	dropped  uint64 // names that did not fit
 }
@@ -70,8 +70,8 @@
 		awakeSince:         now,
 		since:              now,
 		changedAt:          now,
-		reason:             whyStarted,
-		number:             1,
+		reason:             reasonStarted,
+		version:            1,
 	}
 	for v := range m.allowedSince {
 		m.allowedSince[v] = now
@@ -82,50 +82,50 @@
 
 // Handle handles an event and reports whether the picture has changed.
 func (m *Machine) Handle(now Time, ev Event) (changed bool) {
-	before := m.number
+	before := m.version
 	m.now = max(m.now, now) // time never goes back
 	m.detectSleep()
 	switch e := ev.(type) {
 	case Tick:
 		m.handleTick()
-	case Heard:
-		m.handleHeard(e)
+	case Answered:
+		m.handleAnswered(e)
 	case Alive:
 		m.handleAlive(e)
 	case Suspected:
 		m.handleSuspected(e)
-	case Contradicted:
-		m.addEvidence(e.Name, e.Life, "denied that it is gone", e.By)
+	case Refuted:
+		m.addEvidence(e.Name, e.Incarnation, "denied that it is gone", e.By)
 	case Failed:
-		m.markEnded(e.Name, e.Life, Gone, "its silence has lasted")
+		m.markEnded(e.Name, e.Incarnation, StateFailed, "its silence has lasted")
 	case Left:
-		m.markEnded(e.Name, e.Life, Ended, "it said that it ends")
-	case Lived:
-		m.handleLived(e)
-	case RosterTold:
+		m.markEnded(e.Name, e.Incarnation, StateLeft, "it said that it ends")
+	case IncarnationLearned:
+		m.handleIncarnationLearned(e)
+	case RosterReceived:
 		m.handleRoster(e)
 	}
 	m.updateVerdict()
-	return m.number != before
+	return m.version != before
 }
 
 // handleTick ends suspicions that nobody confirmed.
 func (m *Machine) handleTick() {
 	m.lastTick = m.now
 	for _, p := range m.peers {
-		if p.state == Suspect && m.now-p.since >= m.settings.Blind {
-			m.setState(p, Living, "nobody confirmed the suspicion", "")
+		if p.state == StateSuspect && m.now-p.since >= m.settings.SilenceTimeout {
+			m.setState(p, StateAlive, "nobody confirmed the suspicion", "")
 		}
 	}
 }
 
 // detectSleep detects that this process was suspended.
 func (m *Machine) detectSleep() {
-	late := m.now - m.lastTick - m.settings.Tick
-	if late < m.settings.StallAfter {
+	late := m.now - m.lastTick - m.settings.TickInterval
+	if late < m.settings.StallThreshold {
 		return
 	}
 	m.lastSleep, m.awakeSince, m.lastTick = late, m.now, m.now
 	m.probes = m.probes[:0] // answers to earlier probes may have been lost meanwhile
-	m.addEvidence(m.settings.Self, m.settings.Life, fmt.Sprintf("slept for %v", late.Round(time.Millisecond)), "")
+	m.addEvidence(m.settings.Self, m.settings.Incarnation, fmt.Sprintf("slept for %v", late.Round(time.Millisecond)), "")
 }
--- a/members/machine_test.go
+++ b/members/machine_test.go
@@ -9,8 +9,8 @@
 
 func s(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-func settings(self string, life Life) Settings {
-	return Settings{Self: self, Life: life, Tick: s(0.25), StallAfter: s(1.5), Settle: s(2), SettleMost: s(60), Blind: s(12)}
+func settings(self string, incarnation Incarnation) Settings {
+	return Settings{Self: self, Incarnation: incarnation, TickInterval: s(0.25), StallThreshold: s(1.5), MinSettleTime: s(2), MaxSettleTime: s(60), SilenceTimeout: s(12)}
 }
 
 func names(n int) (list []string) {
@@ -49,7 +49,7 @@
 		m.Handle(m.now+s(0.25), Tick{})
 		for _, name := range answer {
 			if f := m.peers[name]; f != nil {
-				m.Handle(m.now, Heard{name, f.life})
+				m.Handle(m.now, Answered{name, f.incarnation})
 			}
 		}
 	}
@@ -58,20 +58,20 @@
 func (m *tester) meet(names ...string) {
 	for _, name := range names {
 		r := m.Roster()
-		m.do(Alive{Name: name, Life: 100, Epoch: r.Epoch, Sum: r.Sum()}, Heard{name, 100})
+		m.do(Alive{Name: name, Incarnation: 100, Epoch: r.Epoch, Sum: r.Sum()}, Answered{name, 100})
 	}
 }
 
 func (m *tester) lose(names ...string) {
 	for _, name := range names {
-		m.do(Failed{name, m.peers[name].life})
+		m.do(Failed{name, m.peers[name].incarnation})
 	}
 }
 
 func (m *tester) want(v Verdict) {
 	m.t.Helper()
-	if p := m.Picture(m.now); p.Verdict != v {
-		m.t.Errorf("at %v: %v (%s), want %v", m.now, p.Verdict, p.Why, v)
+	if p := m.View(m.now); p.Verdict != v {
+		m.t.Errorf("at %v: %v (%s), want %v", m.now, p.Verdict, p.Reason, v)
 	}
 }
 
@@ -80,7 +80,7 @@
 	m := begin(t, roster(n))
 	m.meet(names(n)[1:]...)
 	m.pass(s(3), names(n)[1:]...)
-	m.want(Whole)
+	m.want(Complete)
 	return m
 }
 
@@ -92,8 +92,8 @@
 	}
 	m.lose("g4")
 	m.want(Alone)
-	if p := m.Picture(m.now); p.Safe != 5 || p.Likely != 1 {
-		t.Errorf("safe %d and likely %d, want 5 and 1: nobody has agreed that anybody left", p.Safe, p.Likely)
+	if p := m.View(m.now); p.SafeCount != 5 || p.LikelyCount != 1 {
+		t.Errorf("safe %d and likely %d, want 5 and 1: nobody has agreed that anybody left", p.SafeCount, p.LikelyCount)
 	}
 }
 
@@ -101,7 +101,7 @@
 	m := whole(t, 4)
 	m.lose("g1", "g2")
 	m.want(Even)
-	if may, _ := m.May(m.now, HoldDuty); may {
+	if allowed, _ := m.Allows(m.now, ExerciseLease); allowed {
 		t.Error("half of the roster may hold a duty, and the other half may too")
 	}
 }
@@ -109,7 +109,7 @@
 func TestOneOfOneIsWhole(t *testing.T) {
 	m := begin(t, roster(1))
 	m.pass(s(3))
-	m.want(Whole)
+	m.want(Complete)
 }
 
 // Nothing is known right after a start, and a better verdict has to hold.
@@ -121,7 +121,7 @@
 	m.pass(s(1.5), "g1", "g2")
 	m.want(Unsure)
 	m.pass(s(1), "g1", "g2")
-	m.want(Whole)
+	m.want(Complete)
 }
 
 // Whoever nobody ever answers finds out that it is alone, but not at once.
@@ -144,7 +144,7 @@
 	m.want(Unsure)
 	m.meet("g1", "g2")
 	m.pass(s(5), "g1", "g2")
-	m.want(Whole)
+	m.want(Complete)
 
 	m.now += s(30)
 	m.do(Failed{"g1", 100}, Failed{"g2", 100})
@@ -156,7 +156,7 @@
 	m := whole(t, 3)
 	m.now += s(1.2)
 	m.do(Tick{})
-	m.want(Whole)
+	m.want(Complete)
 }
 
 // One that is cut off from a large site hears so long before its detector has given
@@ -166,7 +166,7 @@
 	for i := range 3 {
 		m.do(Suspected{names(100)[i+1], 100, "g0"})
 	}
-	m.want(Whole)
+	m.want(Complete)
 	m.do(Suspected{"g4", 100, "g0"})
 	m.want(Unsure)
 	// Probes of those that have gone say nothing about this one.
@@ -180,13 +180,13 @@
 // A way that flaps for ten minutes changes the verdict a few times only.
 func TestFlappingWayChangesVerdictSeldom(t *testing.T) {
 	m := whole(t, 3)
-	changes, last := 0, m.Picture(m.now).Verdict
+	changes, last := 0, m.View(m.now).Verdict
 	for range 600 {
 		m.lose("g1")
 		m.pass(s(0.5), "g2")
 		m.meet("g1")
 		m.pass(s(0.5), "g1", "g2")
-		if v := m.Picture(m.now).Verdict; v != last {
+		if v := m.View(m.now).Verdict; v != last {
 			changes, last = changes+1, v
 		}
 	}
@@ -194,7 +194,7 @@
 		t.Errorf("%d changes of the verdict in ten minutes", changes)
 	}
 	m.pass(s(200), "g1", "g2")
-	m.want(Whole)
+	m.want(Complete)
 }
 
 // However a way flaps, verdicts that rise in any window are bounded by the dwell
@@ -202,20 +202,20 @@
 func TestSlowFlappingIsBounded(t *testing.T) {
 	for _, half := range []float64{1, 2.2, 3, 5, 9, 17, 33} {
 		m := whole(t, 3)
-		rises, last, at := 0, m.Picture(m.now).Verdict, m.now
+		rises, last, at := 0, m.View(m.now).Verdict, m.now
 		for m.now-at < 600*time.Second {
 			m.lose("g1")
 			m.pass(s(half), "g2")
 			m.meet("g1")
 			for range int(half * 4) {
 				m.pass(s(0.25), "g1", "g2")
-				v := m.Picture(m.now).Verdict
+				v := m.View(m.now).Verdict
 				if v > last {
 					rises++
 				}
 				last = v
 			}
-			last = m.Picture(m.now).Verdict
+			last = m.View(m.now).Verdict
 		}
 		if rises > 22 {
 			t.Errorf("half a period of %g s: %d rises in ten minutes", half, rises)
@@ -226,67 +226,67 @@
 // Two lives of one name: the later one is it, whoever hears of them in what order.
 func TestLaterLifeTakesTheName(t *testing.T) {
 	m := whole(t, 3)
-	m.do(Alive{Name: "g1", Life: 200, Epoch: 1, Sum: m.roster.Sum()})
-	p := m.Picture(m.now)
-	if v := p.Members[1]; v.Life != 200 || v.Older != 1 || p.Safe != 4 {
-		t.Errorf("%+v, safe %d: want life 200 and the earlier one beside it until it is gone", v, p.Safe)
+	m.do(Alive{Name: "g1", Incarnation: 200, Epoch: 1, Sum: m.roster.Sum()})
+	p := m.View(m.now)
+	if v := p.Members[1]; v.Incarnation != 200 || v.EarlierIncarnations != 1 || p.SafeCount != 4 {
+		t.Errorf("%+v, safe %d: want life 200 and the earlier one beside it until it is gone", v, p.SafeCount)
 	}
-	m.do(Heard{"g1", 100}, Alive{Name: "g1", Life: 100, Epoch: 1, Sum: m.roster.Sum()})
-	if v := m.Picture(m.now).Members[1]; v.Life != 200 {
-		t.Errorf("life %d was raised from the dead", v.Life)
+	m.do(Answered{"g1", 100}, Alive{Name: "g1", Incarnation: 100, Epoch: 1, Sum: m.roster.Sum()})
+	if v := m.View(m.now).Members[1]; v.Incarnation != 200 {
+		t.Errorf("life %d was raised from the dead", v.Incarnation)
 	}
 	m.do(Failed{"g1", 100})
-	if p := m.Picture(m.now); p.Members[1].Older != 0 || p.Safe != 3 || !p.Members[1].State.There() {
-		t.Errorf("%+v, safe %d after the earlier life is gone", p.Members[1], p.Safe)
+	if p := m.View(m.now); p.Members[1].EarlierIncarnations != 0 || p.SafeCount != 3 || !p.Members[1].State.Alive() {
+		t.Errorf("%+v, safe %d after the earlier life is gone", p.Members[1], p.SafeCount)
 	}
 }
 
 // The earlier life learns that it is over, and holds nothing from then on.
 func TestEarlierLifeYields(t *testing.T) {
-	for _, ev := range []Event{Alive{Name: "g0", Life: 101, Epoch: 1}, Lived{"g0", 101}} {
+	for _, ev := range []Event{Alive{Name: "g0", Incarnation: 101, Epoch: 1}, IncarnationLearned{"g0", 101}} {
 		m := whole(t, 3)
 		m.do(ev)
 		m.want(Unsure)
 		m.pass(s(100), "g1", "g2")
 		m.want(Unsure)
-		if may, _ := m.May(m.now, HoldDuty); may {
+		if allowed, _ := m.Allows(m.now, ExerciseLease); allowed {
 			t.Errorf("after %T it may still hold a duty", ev)
 		}
-		if m.Share() != NoShare {
-			t.Errorf("after %T it still has a share: %d", ev, m.Share())
+		if m.QuotaDivisor() != NoQuota {
+			t.Errorf("after %T it still has a share: %d", ev, m.QuotaDivisor())
 		}
 	}
 	m := whole(t, 3)
-	m.do(Lived{"g0", 99}, Lived{"g0", 100})
+	m.do(IncarnationLearned{"g0", 99}, IncarnationLearned{"g0", 100})
 	m.pass(s(1), "g1", "g2")
-	m.want(Whole)
+	m.want(Complete)
 }
 
 // The later life waits until the earlier one is gone.
 func TestLaterLifeWaits(t *testing.T) {
 	m := whole(t, 3)
-	m.do(Alive{Name: "g0", Life: 99, Epoch: 1})
+	m.do(Alive{Name: "g0", Incarnation: 99, Epoch: 1})
 	m.want(Unsure)
-	if m.Share() != NoShare {
-		t.Errorf("share by %d beside an earlier life that goes on", m.Share())
+	if m.QuotaDivisor() != NoQuota {
+		t.Errorf("share by %d beside an earlier life that goes on", m.QuotaDivisor())
 	}
 	m.do(Failed{"g0", 99})
 	m.pass(s(5), "g1", "g2")
-	m.want(Whole)
-	if m.Share() != 3 {
-		t.Errorf("share by %d, want 3", m.Share())
+	m.want(Complete)
+	if m.QuotaDivisor() != 3 {
+		t.Errorf("share by %d, want 3", m.QuotaDivisor())
 	}
 }
 
 func TestEndedLifeStaysEnded(t *testing.T) {
 	m := whole(t, 3)
 	m.do(Left{"g1", 100})
-	m.do(Alive{Name: "g1", Life: 100, Epoch: 1}, Heard{"g1", 100})
-	if v := m.Picture(m.now).Members[1]; v.State != Ended {
+	m.do(Alive{Name: "g1", Incarnation: 100, Epoch: 1}, Answered{"g1", 100})
+	if v := m.View(m.now).Members[1]; v.State != StateLeft {
 		t.Errorf("a life that had said good-bye is %v", v.State)
 	}
-	m.do(Alive{Name: "g1", Life: 101, Epoch: 1})
-	if v := m.Picture(m.now).Members[1]; v.State != Living {
+	m.do(Alive{Name: "g1", Incarnation: 101, Epoch: 1})
+	if v := m.View(m.now).Members[1]; v.State != StateAlive {
 		t.Errorf("the next life is %v", v.State)
 	}
 }
@@ -294,12 +294,12 @@
 func TestEpochsOnlyGrow(t *testing.T) {
 	m := whole(t, 3)
 	two := m.roster.Next([]string{"g0", "g1"})
-	m.do(RosterTold{two, "g1"})
-	if p := m.Picture(m.now); p.Epoch != 2 || p.Belong != 2 {
-		t.Fatalf("epoch %d with %d", p.Epoch, p.Belong)
+	m.do(RosterReceived{two, "g1"})
+	if p := m.View(m.now); p.Epoch != 2 || p.RosterSize != 2 {
+		t.Fatalf("epoch %d with %d", p.Epoch, p.RosterSize)
 	}
-	m.do(RosterTold{roster(3), "g2"})
-	if m.Picture(m.now).Epoch != 2 {
+	m.do(RosterReceived{roster(3), "g2"})
+	if m.View(m.now).Epoch != 2 {
 		t.Error("an older roster was taken")
 	}
 }
@@ -307,14 +307,14 @@
 // A departure counts when it is agreed, and whoever goes on talking goes on counting.
 func TestSafeCountOfARemovedOne(t *testing.T) {
 	m := whole(t, 3)
-	m.do(RosterTold{m.roster.Next([]string{"g0", "g1"}), "g1"})
-	if p := m.Picture(m.now); p.Safe != 3 {
-		t.Errorf("safe %d while the removed one is heard, want 3", p.Safe)
+	m.do(RosterReceived{m.roster.Next([]string{"g0", "g1"}), "g1"})
+	if p := m.View(m.now); p.SafeCount != 3 {
+		t.Errorf("safe %d while the removed one is heard, want 3", p.SafeCount)
 	}
 	m.do(Failed{"g2", 100})
 	m.pass(s(3), "g1")
-	if p := m.Picture(m.now); p.Safe != 2 || p.Share != 2 {
-		t.Errorf("safe %d, share by %d once it is gone, want 2", p.Safe, p.Share)
+	if p := m.View(m.now); p.SafeCount != 2 || p.QuotaDivisor != 2 {
+		t.Errorf("safe %d, share by %d once it is gone, want 2", p.SafeCount, p.QuotaDivisor)
 	}
 }
 
@@ -323,13 +323,13 @@
 	m := whole(t, 5)
 	m.lose("g2", "g3", "g4")
 	m.want(Minority)
-	m.do(RosterTold{m.roster.Next([]string{"g0", "g1", "g2", "g3"}), "file"})
-	if p := m.Picture(m.now); p.Safe != 4 || p.Share != 5 {
-		t.Errorf("safe %d, share by %d, want 4 and 5: a minority widens nothing", p.Safe, p.Share)
+	m.do(RosterReceived{m.roster.Next([]string{"g0", "g1", "g2", "g3"}), "file"})
+	if p := m.View(m.now); p.SafeCount != 4 || p.QuotaDivisor != 5 {
+		t.Errorf("safe %d, share by %d, want 4 and 5: a minority widens nothing", p.SafeCount, p.QuotaDivisor)
 	}
-	m.do(RosterTold{m.roster.Next(names(8)), "file"})
-	if p := m.Picture(m.now); p.Share != 8 {
-		t.Errorf("share by %d, want 8 at once", p.Share)
+	m.do(RosterReceived{m.roster.Next(names(8)), "file"})
+	if p := m.View(m.now); p.QuotaDivisor != 8 {
+		t.Errorf("share by %d, want 8 at once", p.QuotaDivisor)
 	}
 }
 
@@ -342,21 +342,21 @@
 	}
 	d := &tester{m, t}
 	for _, name := range []string{"g0", "g1"} {
-		d.do(Alive{Name: name, Life: 100, Epoch: 2, Sum: grown.Sum()}, Heard{name, 100})
+		d.do(Alive{Name: name, Incarnation: 100, Epoch: 2, Sum: grown.Sum()}, Answered{name, 100})
 	}
-	d.do(Alive{Name: "g2", Life: 100, Epoch: 1}, Heard{"g2", 100})
+	d.do(Alive{Name: "g2", Incarnation: 100, Epoch: 1}, Answered{"g2", 100})
 	d.pass(s(5), "g0", "g1", "g2")
-	if p := d.Picture(d.now); p.Joining != "g2" || p.Share != NoShare {
-		t.Errorf("joining %q, share by %d: g2 does not know of it yet", p.Joining, p.Share)
+	if p := d.View(d.now); p.UnawareMember != "g2" || p.QuotaDivisor != NoQuota {
+		t.Errorf("joining %q, share by %d: g2 does not know of it yet", p.UnawareMember, p.QuotaDivisor)
 	}
-	d.do(Alive{Name: "g2", Life: 100, Epoch: 2, Sum: grown.Sum()})
+	d.do(Alive{Name: "g2", Incarnation: 100, Epoch: 2, Sum: grown.Sum()})
 	d.pass(s(1), "g0", "g1", "g2")
-	if p := d.Picture(d.now); p.Joining != "" || p.Share != 4 {
-		t.Errorf("joining %q, share by %d, want 4", p.Joining, p.Share)
+	if p := d.View(d.now); p.UnawareMember != "" || p.QuotaDivisor != 4 {
+		t.Errorf("joining %q, share by %d, want 4", p.UnawareMember, p.QuotaDivisor)
 	}
 	d.lose("g2")
-	d.do(Alive{Name: "g2", Life: 101, Epoch: 1}) // it starts again with an old file
-	if p := d.Picture(d.now); p.Joining != "" {
+	d.do(Alive{Name: "g2", Incarnation: 101, Epoch: 1}) // it starts again with an old file
+	if p := d.View(d.now); p.UnawareMember != "" {
 		t.Error("what all have known was forgotten")
 	}
 }
@@ -366,22 +366,22 @@
 func TestRostersOfOneEpoch(t *testing.T) {
 	m := whole(t, 3)
 	other := Roster{}.Next([]string{"g0", "g1", "x1", "x2"})
-	m.do(RosterTold{other, "x1"})
+	m.do(RosterReceived{other, "x1"})
 	m.want(Unsure)
-	if p := m.Picture(m.now); p.Safe != 5 {
-		t.Errorf("safe %d, want 5: g0 to g2, x1 and x2", p.Safe)
+	if p := m.View(m.now); p.SafeCount != 5 {
+		t.Errorf("safe %d, want 5: g0 to g2, x1 and x2", p.SafeCount)
 	}
-	m.do(RosterTold{m.roster.Next(names(3)), "file"})
+	m.do(RosterReceived{m.roster.Next(names(3)), "file"})
 	m.pass(s(5), "g1", "g2")
-	m.want(Whole)
+	m.want(Complete)
 }
 
 func TestOutsideTheRoster(t *testing.T) {
 	m := whole(t, 3)
-	m.do(RosterTold{m.roster.Next([]string{"g1", "g2"}), "g1"})
+	m.do(RosterReceived{m.roster.Next([]string{"g1", "g2"}), "g1"})
 	m.want(Unsure)
-	if m.Share() != NoShare {
-		t.Errorf("share by %d, and it does not belong", m.Share())
+	if m.QuotaDivisor() != NoQuota {
+		t.Errorf("share by %d, and it does not belong", m.QuotaDivisor())
 	}
 }
 
@@ -389,32 +389,32 @@
 func TestStrangersAreBounded(t *testing.T) {
 	m := whole(t, 3)
 	for i := range 10000 {
-		m.do(Alive{Name: fmt.Sprintf("x%d", i), Life: 1, Epoch: 1}, Lived{fmt.Sprintf("y%d", i), 1}, Suspected{"g1", 100, "g2"})
-		m.do(Alive{Name: "g1", Life: Life(1000 + i), Epoch: 1})
+		m.do(Alive{Name: fmt.Sprintf("x%d", i), Incarnation: 1, Epoch: 1}, IncarnationLearned{fmt.Sprintf("y%d", i), 1}, Suspected{"g1", 100, "g2"})
+		m.do(Alive{Name: "g1", Incarnation: Incarnation(1000 + i), Epoch: 1})
 	}
 	if n := len(m.peers); n > 3+maxStrangers {
 		t.Errorf("%d names are kept", n)
 	}
-	if n := len(m.peers["g1"].earlierLives); n > maxEarlierLives {
+	if n := len(m.peers["g1"].earlierIncarnations); n > maxEarlierIncarnations {
 		t.Errorf("%d earlier lives are kept", n)
 	}
 	if n := len(m.evidence); n > maxEvidence {
 		t.Errorf("%d entries of evidence are kept", n)
 	}
-	if p := m.Picture(m.now); p.Dropped == 0 {
+	if p := m.View(m.now); p.Dropped == 0 {
 		t.Error("what was dropped is not counted")
 	}
 }
 
 func TestRosterCheck(t *testing.T) {
 	many := Roster{Epoch: 1}
-	for i := range MostNames + 1 {
+	for i := range MaxRosterSize + 1 {
 		many.Members = append(many.Members, Member{Name: fmt.Sprintf("m%d", i)})
 	}
 	for _, c := range []struct {
-		r    Roster
-		key  string
-		says string
+		r         Roster
+		key       string
+		wantError string
 	}{
 		{Roster{}, "epoch", "missing"},
 		{Roster{Epoch: 1}, "member", "none"},
@@ -425,8 +425,8 @@
 		{Roster{Epoch: 1, Members: []Member{{Name: "a", Since: 2}}}, "member[0].since", "epoch 2"},
 		{many, "member", "513"},
 	} {
-		if key, err := c.r.Check(); err == nil || key != c.key || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%.80v: %s: %v, want %s: ...%s...", c.r, key, err, c.key, c.says)
+		if key, err := c.r.Check(); err == nil || key != c.key || !strings.Contains(err.Error(), c.wantError) {
+			t.Errorf("%.80v: %s: %v, want %s: ...%s...", c.r, key, err, c.key, c.wantError)
 		}
 	}
 	if _, err := roster(1).Check(); err != nil {
@@ -437,8 +437,8 @@
 func TestSettingsCheck(t *testing.T) {
 	good := settings("g0", 1)
 	for _, change := range []func(*Settings){
-		func(s *Settings) { s.Self = "" }, func(s *Settings) { s.Life = 0 }, func(s *Settings) { s.Tick = 0 },
-		func(s *Settings) { s.StallAfter = s.Tick }, func(s *Settings) { s.SettleMost = s.Settle - 1 }, func(s *Settings) { s.Blind = 0 },
+		func(s *Settings) { s.Self = "" }, func(s *Settings) { s.Incarnation = 0 }, func(s *Settings) { s.TickInterval = 0 },
+		func(s *Settings) { s.StallThreshold = s.TickInterval }, func(s *Settings) { s.MaxSettleTime = s.MinSettleTime - 1 }, func(s *Settings) { s.SilenceTimeout = 0 },
 	} {
 		bad := good
 		change(&bad)
--- a/members/peer.go
+++ b/members/peer.go
@@ -4,33 +4,33 @@
 	"slices"
 )
 
-// earlierLife is an earlier life of a name, which may still be heard of.
-type earlierLife struct {
-	life  Life
-	alive bool
+// earlierIncarnation is an earlier life of a name, which may still be heard of.
+type earlierIncarnation struct {
+	incarnation Incarnation
+	alive       bool
 }
 
 // peer is what is known of one name.
 type peer struct {
-	name         string
-	life         Life // latest known
-	state        State
-	since        Time
-	lastAnswer   Time // to this process; 0: none
-	epoch        uint64
-	sum          uint64
-	highestEpoch uint64 // of the rosters that any of its lives had
-	address      string
-	desk         string
-	earlierLives []earlierLife
+	name                string
+	incarnation         Incarnation // latest known
+	state               State
+	since               Time
+	lastAnswer          Time // to this process; 0: none
+	epoch               uint64
+	sum                 uint64
+	highestEpoch        uint64 // of the rosters that any of its lives had
+	address             string
+	adminAddress        string
+	earlierIncarnations []earlierIncarnation
 }
 
-// hasEarlierLife reports whether an earlier life of the name is still heard of.
-func (p *peer) hasEarlierLife() bool { return p.countEarlierLives() > 0 }
+// hasEarlierIncarnation reports whether an earlier life of the name is still heard of.
+func (p *peer) hasEarlierIncarnation() bool { return p.countEarlierIncarnations() > 0 }
 
-// countEarlierLives returns how many earlier lives of the name are still heard of.
-func (p *peer) countEarlierLives() (n int) {
-	for _, o := range p.earlierLives {
+// countEarlierIncarnations returns how many earlier lives of the name are still heard of.
+func (p *peer) countEarlierIncarnations() (n int) {
+	for _, o := range p.earlierIncarnations {
 		if o.alive {
 			n++
 		}
@@ -59,34 +59,34 @@
 	return p
 }
 
-// advanceLife notes a life and reports whether it is the latest of its name. Lives only grow: an earlier one never
+// advanceIncarnation notes a life and reports whether it is the latest of its name. Lives only grow: an earlier one never
 // becomes the latest again.
-func (m *Machine) advanceLife(p *peer, life Life) bool {
-	if life < p.life {
+func (m *Machine) advanceIncarnation(p *peer, incarnation Incarnation) bool {
+	if incarnation < p.incarnation {
 		return false
 	}
-	if life > p.life {
-		if p.life != 0 && p.state.There() {
-			m.noteEarlierLife(p, p.life, true)
+	if incarnation > p.incarnation {
+		if p.incarnation != 0 && p.state.Alive() {
+			m.recordEarlierIncarnation(p, p.incarnation, true)
 		}
-		p.life, p.state, p.since, p.lastAnswer = life, Unheard, m.now, 0
+		p.incarnation, p.state, p.since, p.lastAnswer = incarnation, StateUnknown, m.now, 0
 	}
 	return true
 }
 
-// noteEarlierLife notes whether an earlier life of a name is alive.
-func (m *Machine) noteEarlierLife(p *peer, life Life, there bool) {
-	i := slices.IndexFunc(p.earlierLives, func(o earlierLife) bool { return o.life == life })
+// recordEarlierIncarnation notes whether an earlier life of a name is alive.
+func (m *Machine) recordEarlierIncarnation(p *peer, incarnation Incarnation, alive bool) {
+	i := slices.IndexFunc(p.earlierIncarnations, func(o earlierIncarnation) bool { return o.incarnation == incarnation })
 	switch {
-	case i >= 0 && p.earlierLives[i].alive != there:
-		p.earlierLives[i].alive = there
-		m.number++
-	case i < 0 && there:
-		if len(p.earlierLives) >= maxEarlierLives {
-			p.earlierLives = slices.Delete(p.earlierLives, 0, 1)
+	case i >= 0 && p.earlierIncarnations[i].alive != alive:
+		p.earlierIncarnations[i].alive = alive
+		m.version++
+	case i < 0 && alive:
+		if len(p.earlierIncarnations) >= maxEarlierIncarnations {
+			p.earlierIncarnations = slices.Delete(p.earlierIncarnations, 0, 1)
 		}
-		p.earlierLives = append(p.earlierLives, earlierLife{life: life, alive: true})
-		m.number++
+		p.earlierIncarnations = append(p.earlierIncarnations, earlierIncarnation{incarnation: incarnation, alive: true})
+		m.version++
 	}
 }
 
@@ -96,6 +96,6 @@
 		return
 	}
 	p.state, p.since = to, m.now
-	m.number++
-	m.addEvidence(p.name, p.life, what, by)
+	m.version++
+	m.addEvidence(p.name, p.incarnation, what, by)
 }
--- a/members/property_test.go
+++ b/members/property_test.go
@@ -20,23 +20,23 @@
 			t.Fatal(err)
 		}
 		name := rapid.SampledFrom(all)
-		life := rapid.Map(rapid.IntRange(98, 103), func(i int) Life { return Life(i) })
+		incarnation := rapid.Map(rapid.IntRange(98, 103), func(i int) Incarnation { return Incarnation(i) })
 		now, fell := Time(0), Time(0)
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
 			now += rapid.SampledFrom([]time.Duration{0, s(0.1), s(0.25), s(0.25), s(0.25), s(1), s(5)}).Draw(t, "pass")
-			who, l := name.Draw(t, "name"), life.Draw(t, "life")
-			before, lives := m.Picture(now), map[string]Life{}
+			who, l := name.Draw(t, "name"), incarnation.Draw(t, "life")
+			before, incarnations := m.View(now), map[string]Incarnation{}
 			for _, v := range before.Members {
-				lives[v.Name] = v.Life
+				incarnations[v.Name] = v.Incarnation
 			}
 			var ev Event
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2:
 				ev = Tick{}
 			case 3:
-				ev = Heard{who, l}
+				ev = Answered{who, l}
 			case 4:
-				ev = Alive{Name: who, Life: l, Epoch: uint64(rapid.IntRange(1, 4).Draw(t, "epoch")), Sum: m.Roster().Sum()}
+				ev = Alive{Name: who, Incarnation: l, Epoch: uint64(rapid.IntRange(1, 4).Draw(t, "epoch")), Sum: m.Roster().Sum()}
 			case 5:
 				ev = Suspected{who, l, name.Draw(t, "by")}
 			case 6:
@@ -44,28 +44,28 @@
 			case 7:
 				ev = Left{who, l}
 			case 8:
-				ev = Lived{who, l}
+				ev = IncarnationLearned{who, l}
 			case 9:
 				r := Roster{Epoch: uint64(rapid.IntRange(0, 4).Draw(t, "epoch"))}.Next(rapid.SliceOfNDistinct(name, 1, len(all), rapid.ID[string]).Draw(t, "belong"))
-				ev = RosterTold{r, who}
+				ev = RosterReceived{r, who}
 			}
 			changed := m.Handle(now, ev)
-			p := m.Picture(now)
-			if (p.Number != before.Number) != changed || p.Number < before.Number {
-				t.Fatalf("changed %v from %d to %d", changed, before.Number, p.Number)
+			p := m.View(now)
+			if (p.Version != before.Version) != changed || p.Version < before.Version {
+				t.Fatalf("changed %v from %d to %d", changed, before.Version, p.Version)
 			}
-			if p.Epoch < before.Epoch || p.Superseded < before.Superseded {
-				t.Fatalf("epoch %d after %d, superseded %d after %d", p.Epoch, before.Epoch, p.Superseded, before.Superseded)
+			if p.Epoch < before.Epoch || p.SupersededBy < before.SupersededBy {
+				t.Fatalf("epoch %d after %d, superseded %d after %d", p.Epoch, before.Epoch, p.SupersededBy, before.SupersededBy)
 			}
-			if p.Safe < p.Belong || p.Share < p.Safe {
-				t.Fatalf("safe %d of %d, share by %d", p.Safe, p.Belong, p.Share)
+			if p.SafeCount < p.RosterSize || p.QuotaDivisor < p.SafeCount {
+				t.Fatalf("safe %d of %d, share by %d", p.SafeCount, p.RosterSize, p.QuotaDivisor)
 			}
 			for _, v := range p.Members {
-				if v.Life != 0 && v.Life < lives[v.Name] && v.Belongs {
-					t.Fatalf("%s went back from life %d to %d", v.Name, lives[v.Name], v.Life)
+				if v.Incarnation != 0 && v.Incarnation < incarnations[v.Name] && v.IsMember {
+					t.Fatalf("%s went back from life %d to %d", v.Name, incarnations[v.Name], v.Incarnation)
 				}
 			}
-			if len(p.Members) > MostNames+maxStrangers+1 {
+			if len(p.Members) > MaxRosterSize+maxStrangers+1 {
 				t.Fatalf("%d names", len(p.Members))
 			}
 			if p.Verdict < before.Verdict {
@@ -74,15 +74,15 @@
 			if p.Verdict > before.Verdict && now-fell < s(2) {
 				t.Fatalf("%v %v after it fell", p.Verdict, now-fell)
 			}
-			for _, u := range Uses() {
-				may, why := m.May(now, u)
-				table, _ := May(u, p.Verdict)
-				if may && !table || why == "" {
-					t.Fatalf("%v: may %v while %v (%s)", u, may, p.Verdict, why)
+			for _, u := range Operations() {
+				allowed, reason := m.Allows(now, u)
+				table, _ := Allows(u, p.Verdict)
+				if allowed && !table || reason == "" {
+					t.Fatalf("%v: may %v while %v (%s)", u, allowed, p.Verdict, reason)
 				}
 			}
-			if m.Share() < p.Safe {
-				t.Fatalf("it divides by %d, and the safe count is %d", m.Share(), p.Safe)
+			if m.QuotaDivisor() < p.SafeCount {
+				t.Fatalf("it divides by %d, and the safe count is %d", m.QuotaDivisor(), p.SafeCount)
 			}
 		}
 	})
@@ -101,11 +101,11 @@
 		a, _ := New(settings("g0", 1), roster(3), 0)
 		b, _ := New(settings("g1", 1), roster(3), 0)
 		for _, i := range rapid.Permutation(indices(len(told))).Draw(t, "order of a") {
-			a.Handle(0, RosterTold{told[i], "a"})
+			a.Handle(0, RosterReceived{told[i], "a"})
 		}
 		for _, i := range rapid.Permutation(indices(len(told))).Draw(t, "order of b") {
-			b.Handle(0, RosterTold{told[i], "b"})
-			b.Handle(0, RosterTold{told[i], "b"})
+			b.Handle(0, RosterReceived{told[i], "b"})
+			b.Handle(0, RosterReceived{told[i], "b"})
 		}
 		if a.Roster().Sum() != b.Roster().Sum() || a.Roster().Epoch != r.Epoch {
 			t.Fatalf("%+v and %+v", a.Roster(), b.Roster())
--- a/members/roster.go
+++ b/members/roster.go
@@ -11,16 +11,16 @@
 
 // Limits of what is kept, whatever peers send.
 const (
-	MostNames = 512 // in a roster
-	MostName  = 64  // bytes of a name: every datagram holds names
+	MaxRosterSize = 512 // in a roster
+	MaxNameBytes  = 64  // bytes of a name: every datagram holds names
 
-	maxStrangers    = 64  // tracked names outside the roster
-	maxEarlierLives = 4   // tracked earlier lives of one name
-	maxEvidence     = 512 // entries; the oldest are dropped
+	maxStrangers           = 64  // tracked names outside the roster
+	maxEarlierIncarnations = 4   // tracked earlier lives of one name
+	maxEvidence            = 512 // entries; the oldest are dropped
 )
 
-// Life is the incarnation number of a name: each start of a process has a higher one.
-type Life uint64
+// Incarnation is the incarnation number of a name: each start of a process has a higher one.
+type Incarnation uint64
 
 // Member is one name of a roster.
 type Member struct {
@@ -48,19 +48,19 @@
 		return "epoch", errors.New("it is 0 or missing; the first is 1")
 	case len(r.Members) == 0:
 		return "member", errors.New("there is none")
-	case len(r.Members) > MostNames:
-		return "member", fmt.Errorf("there are %d, and %d may be", len(r.Members), MostNames)
+	case len(r.Members) > MaxRosterSize:
+		return "member", fmt.Errorf("there are %d, and %d may be", len(r.Members), MaxRosterSize)
 	}
-	seen := map[string]int{}
+	firstIndex := map[string]int{}
 	for i, m := range r.Members {
 		key := fmt.Sprintf("member[%d].name", i)
 		if err := CheckName(m.Name); err != nil {
 			return key, err
 		}
-		if first, twice := seen[m.Name]; twice {
+		if first, duplicate := firstIndex[m.Name]; duplicate {
 			return key, fmt.Errorf("%q stands twice, first as member[%d]", m.Name, first)
 		}
-		seen[m.Name] = i
+		firstIndex[m.Name] = i
 		if m.Since > r.Epoch {
 			return fmt.Sprintf("member[%d].since", i), fmt.Errorf("%s was added in epoch %d, and this is epoch %d", m.Name, m.Since, r.Epoch)
 		}
@@ -70,14 +70,14 @@
 
 // CheckName returns an error if a name is not valid for a member.
 func CheckName(name string) error {
-	if name == "" || len(name) > MostName || !Plain(name) {
-		return fmt.Errorf("%.80q: a name has letters, digits, '-', '_' and '.', 1 to %d of them", name, MostName)
+	if name == "" || len(name) > MaxNameBytes || !HasOnlyNameCharacters(name) {
+		return fmt.Errorf("%.80q: a name has letters, digits, '-', '_' and '.', 1 to %d of them", name, MaxNameBytes)
 	}
 	return nil
 }
 
-// Plain reports whether a text has only characters that are allowed in names.
-func Plain(text string) bool {
+// HasOnlyNameCharacters reports whether a text has only characters that are allowed in names.
+func HasOnlyNameCharacters(text string) bool {
 	return !strings.ContainsFunc(text, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.')
 	})
--- a/members/search_test.go
+++ b/members/search_test.go
@@ -34,15 +34,15 @@
 	souls    []*soul
 	cut      map[[2]string]bool // from, to
 	roster   Roster             // agreed
-	lives    Life
+	lives    Incarnation
 	restarts int
 	trail    []string
 }
 
 var worldNames = []string{"a", "b", "c"}
 
-func worldSettings(name string, life Life) Settings {
-	return Settings{Self: name, Life: life, Tick: time.Second, StallAfter: 2 * time.Second, Settle: time.Second, SettleMost: 2 * time.Second, Blind: 3 * time.Second}
+func worldSettings(name string, life Incarnation) Settings {
+	return Settings{Self: name, Incarnation: life, TickInterval: time.Second, StallThreshold: 2 * time.Second, MinSettleTime: time.Second, MaxSettleTime: 2 * time.Second, SilenceTimeout: 3 * time.Second}
 }
 
 func newWorld() *world {
@@ -82,7 +82,7 @@
 	c.peers = map[string]*peer{}
 	for name, f := range m.peers {
 		g := *f
-		g.earlierLives = slices.Clone(f.earlierLives)
+		g.earlierIncarnations = slices.Clone(f.earlierIncarnations)
 		c.peers[name] = &g
 	}
 	return &c
@@ -95,14 +95,14 @@
 	fmt.Fprint(&b, w.roster.Epoch, w.restarts, w.cut)
 	for _, s := range w.souls {
 		m := s.machine
-		fmt.Fprint(&b, "|", s.name, s.running, s.stalled, m.settings.Life, m.roster.Epoch, m.superseded, m.joined, m.share, m.verdict, m.recentFalls,
+		fmt.Fprint(&b, "|", s.name, s.running, s.stalled, m.settings.Incarnation, m.roster.Epoch, m.superseded, m.joined, m.divisor, m.verdict, m.recentFalls,
 			age(m, m.lastTick), age(m, m.awakeSince), m.lastAnswer > m.awakeSince, age(m, m.changedAt), m.probes, s.answered, s.later)
 		for _, t := range m.allowedSince {
 			fmt.Fprint(&b, ",", age(m, t))
 		}
 		for _, name := range worldNames {
 			if f := m.peers[name]; f != nil {
-				fmt.Fprint(&b, ";", name, f.life, f.state, f.highestEpoch, f.epoch, f.earlierLives, f.state == Suspect && age(m, f.since) > 2)
+				fmt.Fprint(&b, ";", name, f.incarnation, f.state, f.highestEpoch, f.epoch, f.earlierIncarnations, f.state == StateSuspect && age(m, f.since) > 2)
 			}
 		}
 	}
@@ -120,20 +120,20 @@
 func (w *world) gossip(from, to *soul) {
 	m, at := to.machine, to.machine.now
 	r := from.machine.roster
-	for _, l := range from.machine.Lives() {
-		to.later = to.later || l.Name == to.name && l.Life > m.settings.Life
+	for _, l := range from.machine.Incarnations() {
+		to.later = to.later || l.Name == to.name && l.Incarnation > m.settings.Incarnation
 		m.Handle(at, l)
 	}
-	m.Handle(at, RosterTold{r, from.name})
-	m.Handle(at, Alive{Name: from.name, Life: from.machine.settings.Life, Epoch: r.Epoch, Sum: r.Sum()})
+	m.Handle(at, RosterReceived{r, from.name})
+	m.Handle(at, Alive{Name: from.name, Incarnation: from.machine.settings.Incarnation, Epoch: r.Epoch, Sum: r.Sum()})
 	for _, f := range from.machine.peers {
-		for _, o := range f.earlierLives {
+		for _, o := range f.earlierIncarnations {
 			if o.alive {
-				m.Handle(at, Alive{Name: f.name, Life: o.life, Epoch: f.epoch, Sum: f.sum})
+				m.Handle(at, Alive{Name: f.name, Incarnation: o.incarnation, Epoch: f.epoch, Sum: f.sum})
 			}
 		}
-		if f.state.There() && f.life != 0 {
-			m.Handle(at, Alive{Name: f.name, Life: f.life, Epoch: f.epoch, Sum: f.sum})
+		if f.state.Alive() && f.incarnation != 0 {
+			m.Handle(at, Alive{Name: f.name, Incarnation: f.incarnation, Epoch: f.epoch, Sum: f.sum})
 		}
 	}
 }
@@ -163,39 +163,39 @@
 			continue
 		}
 		if s.stalled {
-			add(func(w *world) { w.souls[i].stalled = false }, "wake %s%d", s.name, s.machine.settings.Life)
+			add(func(w *world) { w.souls[i].stalled = false }, "wake %s%d", s.name, s.machine.settings.Incarnation)
 			continue
 		}
 		add(func(w *world) {
 			w.souls[i].stalled, w.souls[i].answered = true, false
 			w.souls[i].machine.now += 3 * time.Second
-		}, "stall %s%d", s.name, s.machine.settings.Life)
+		}, "stall %s%d", s.name, s.machine.settings.Incarnation)
 		if w.restarts < 2 {
-			add(func(w *world) { w.souls[i].running = false }, "kill %s%d", s.name, s.machine.settings.Life)
+			add(func(w *world) { w.souls[i].running = false }, "kill %s%d", s.name, s.machine.settings.Incarnation)
 		}
 		if s.machine.roster.Epoch < w.roster.Epoch {
-			add(func(w *world) { w.souls[i].machine.Handle(w.souls[i].machine.now, RosterTold{w.roster, "file"}) }, "%s%d reads epoch %d", s.name, s.machine.settings.Life, w.roster.Epoch)
+			add(func(w *world) { w.souls[i].machine.Handle(w.souls[i].machine.now, RosterReceived{w.roster, "file"}) }, "%s%d reads epoch %d", s.name, s.machine.settings.Incarnation, w.roster.Epoch)
 		}
 		for k, o := range w.souls {
-			if i == k || o.name == s.name && o.machine.settings.Life == s.machine.settings.Life {
+			if i == k || o.name == s.name && o.machine.settings.Incarnation == s.machine.settings.Incarnation {
 				continue
 			}
-			life, name := o.machine.settings.Life, o.name
+			life, name := o.machine.settings.Incarnation, o.name
 			f := s.machine.peers[name]
-			known := f != nil && f.life == life && f.state.There()
+			known := f != nil && f.incarnation == life && f.state.Alive()
 			if w.both(s, o) {
-				add(func(w *world) { w.gossip(w.souls[k], w.souls[i]); w.gossip(w.souls[i], w.souls[k]) }, "%s%d and %s%d exchange", s.name, s.machine.settings.Life, name, life)
+				add(func(w *world) { w.gossip(w.souls[k], w.souls[i]); w.gossip(w.souls[i], w.souls[k]) }, "%s%d and %s%d exchange", s.name, s.machine.settings.Incarnation, name, life)
 				if known {
 					add(func(w *world) {
 						w.souls[i].answered = true
-						w.souls[i].machine.Handle(w.souls[i].machine.now, Heard{name, life})
-					}, "%s%d hears %s%d", s.name, s.machine.settings.Life, name, life)
+						w.souls[i].machine.Handle(w.souls[i].machine.now, Answered{name, life})
+					}, "%s%d hears %s%d", s.name, s.machine.settings.Incarnation, name, life)
 				}
 			} else if known {
 				add(func(w *world) {
 					w.souls[i].machine.Handle(w.souls[i].machine.now, Suspected{name, life, w.souls[i].name})
-				}, "%s%d suspects %s%d", s.name, s.machine.settings.Life, name, life)
-				add(func(w *world) { w.souls[i].machine.Handle(w.souls[i].machine.now, Failed{name, life}) }, "%s%d gives %s%d up", s.name, s.machine.settings.Life, name, life)
+				}, "%s%d suspects %s%d", s.name, s.machine.settings.Incarnation, name, life)
+				add(func(w *world) { w.souls[i].machine.Handle(w.souls[i].machine.now, Failed{name, life}) }, "%s%d gives %s%d up", s.name, s.machine.settings.Incarnation, name, life)
 			}
 		}
 	}
@@ -255,24 +255,24 @@
 				continue
 			}
 			m := s.machine
-			share = max(share, 1/float64(m.Share()))
+			share = max(share, 1/float64(m.QuotaDivisor()))
 			// It acts by its own clock, which went on while it slept.
-			if may, _ := m.May(m.now, HoldDuty); may {
+			if may, _ := m.Allows(m.now, ExerciseLease); may {
 				if s.stalled {
-					return fmt.Sprintf("%s%d sleeps and would find on waking that it may hold a duty", s.name, m.settings.Life)
+					return fmt.Sprintf("%s%d sleeps and would find on waking that it may hold a duty", s.name, m.settings.Incarnation)
 				}
 				if !s.answered {
-					return fmt.Sprintf("%s%d may hold a duty and has heard nobody since it woke", s.name, m.settings.Life)
+					return fmt.Sprintf("%s%d may hold a duty and has heard nobody since it woke", s.name, m.settings.Incarnation)
 				}
 				if m.verdict < Majority {
-					return fmt.Sprintf("%s%d may hold a duty while %v", s.name, m.settings.Life, m.verdict)
+					return fmt.Sprintf("%s%d may hold a duty while %v", s.name, m.settings.Incarnation, m.verdict)
 				}
 			}
-			if may, _ := m.May(m.now, HoldDuty); may && s.later {
-				return fmt.Sprintf("%s%d may hold a duty and was told of a later life", s.name, m.settings.Life)
+			if may, _ := m.Allows(m.now, ExerciseLease); may && s.later {
+				return fmt.Sprintf("%s%d may hold a duty and was told of a later life", s.name, m.settings.Incarnation)
 			}
 			if m.safeCount() < len(m.roster.Members) {
-				return fmt.Sprintf("%s%d counts %d, and %d belong", s.name, m.settings.Life, m.safeCount(), len(m.roster.Members))
+				return fmt.Sprintf("%s%d counts %d, and %d belong", s.name, m.settings.Incarnation, m.safeCount(), len(m.roster.Members))
 			}
 		}
 		parts += share
@@ -321,7 +321,7 @@
 	w := newWorld()
 	w.play(t, "time", "a1 and b2 exchange", "b2 and c3 exchange", "a1 and c3 exchange", "a1 hears b2", "b2 hears c3", "c3 hears a1", "time", "time")
 	for _, s := range w.souls {
-		if s.machine.verdict != Whole {
+		if s.machine.verdict != Complete {
 			t.Fatalf("%s is %v: %s", s.name, s.machine.verdict, s.machine.reason)
 		}
 	}
@@ -369,7 +369,7 @@
 		{"a later life is heeded", []string{"start c beside 1"}, func(m *Machine) { m.superseded = 0 }},
 		{"who was given up goes on counting", []string{"cut a to c", "cut b to c"}, func(m *Machine) {
 			for name, f := range m.peers {
-				if f.state == Gone {
+				if f.state == StateFailed {
 					m.roster.Members = slices.DeleteFunc(slices.Clone(m.roster.Members), func(o Member) bool { return o.Name == name })
 				}
 			}
--- a/members/table.go
+++ b/members/table.go
@@ -10,81 +10,81 @@
 	Minority                // it hears of less than half, itself included
 	Even                    // exactly half
 	Majority                // more than half, and not all
-	Whole                   // all
-	verdicts
+	Complete                // all
+	verdictCount
 )
 
-var verdictNames = [verdicts]string{"unsure", "alone", "minority", "even", "majority", "whole"}
+var verdictNames = [verdictCount]string{"unsure", "alone", "minority", "even", "majority", "whole"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Use is something that depends on what is known of the other members.
-type Use int
+// Operation is something that depends on what is known of the other members.
+type Operation int
 
 // The uses.
 const (
-	HoldDuty       Use = iota // continue an exclusive duty; its lease is granted elsewhere
-	WidenShare                // take a larger local share of a quota, by the safe count
-	CountOthers               // count what others report as spent
-	ShareCold                 // divide a cold backend's capacity by the likely count
-	TakeOut                   // take a backend out for all gateways
-	AnswerOperator            // report the state with its verdict and age
-	uses
+	ExerciseLease        Operation = iota // continue an exclusive duty; its lease is granted elsewhere
+	RaiseQuota                            // take a larger local share of a quota, by the safe count
+	CountPeerUsage                        // count what others report as spent
+	DivideWarmUpCapacity                  // divide a cold backend's capacity by the likely count
+	EjectForAll                           // take a backend out for all gateways
+	AnswerOperator                        // report the state with its verdict and age
+	operationCount
 )
 
-var useNames = [uses]string{"hold a duty", "widen a local share", "count another's use", "hand out a cold backend's share",
+var operationNames = [operationCount]string{"hold a duty", "widen a local share", "count another's use", "hand out a cold backend's share",
 	"take a backend out for all", "answer an operator"}
 
-func (u Use) String() string { return useNames[u] }
+func (u Operation) String() string { return operationNames[u] }
 
 // decision is an entry of the table, with its reason.
 type decision struct {
-	may bool
-	why string
+	allowed bool
+	reason  string
 }
 
-// table says which uses each verdict allows. All code that acts on what is known of other members asks it, through May or
+// decisions says which uses each verdict allows. All code that acts on what is known of other members asks it, through May or
 // Machine.May.
-var table = [uses][verdicts]decision{
-	HoldDuty: {
+var decisions = [operationCount][verdictCount]decision{
+	ExerciseLease: {
 		Unsure:   {false, "the lease may have run out while this one slept, and another may hold the duty"},
 		Alone:    {false, "who grants duties can't be reached either, most likely; the others will hand them on"},
 		Minority: {false, "the majority hands the duties of those it does not hear on"},
 		Even:     {false, "the other half may think the same of this one"},
 		Majority: {true, "no other part can be a majority of this roster; the lease decides"},
-		Whole:    {true, "all are heard; the lease decides"},
+		Complete: {true, "all are heard; the lease decides"},
 	},
-	WidenShare: {
+	RaiseQuota: {
 		Unsure:   {false, "the roster that allows it may be an old one"},
 		Alone:    {false, "a newer roster with more members could not be heard of"},
 		Minority: {false, "the majority may have added members that this part can't hear of"},
 		Even:     {false, "the other half may have added members that this one can't hear of"},
 		Majority: {true, "a newer roster would be known to one of those heard: the safe count holds"},
-		Whole:    {true, "all are heard: the safe count holds"},
+		Complete: {true, "all are heard: the safe count holds"},
 	},
-	CountOthers: {
+	CountPeerUsage: {
 		Unsure:   {true, "spent counts only grow: an old one is too low, and never too high"},
 		Alone:    {true, "what was heard before the cut was spent all the same"},
 		Minority: {true, "spent counts only grow: those not heard are too low, and never too high"},
 		Even:     {true, "spent counts only grow: those not heard are too low, and never too high"},
 		Majority: {true, "spent counts only grow"},
-		Whole:    {true, "spent counts only grow"},
+		Complete: {true, "spent counts only grow"},
 	},
-	ShareCold: {
+	DivideWarmUpCapacity: {
 		Unsure:   {false, "how many send to the backend is not known; the safe count is never too low"},
 		Alone:    {false, "those not heard may send to the backend all the same; the safe count is never too low"},
 		Minority: {false, "most of those that send to the backend are not heard; the safe count is never too low"},
 		Even:     {false, "half of those that send to the backend are not heard; the safe count is never too low"},
 		Majority: {true, "those not heard are few, and what a cold backend bears has room for them"},
-		Whole:    {true, "all that send to the backend are heard"},
+		Complete: {true, "all that send to the backend are heard"},
 	},
-	TakeOut: {
+	EjectForAll: {
 		Unsure:   {false, "what this one saw of the backend may be as old as its sleep"},
 		Alone:    {false, "nobody confirms it, and its own way may be what is cut"},
 		Minority: {false, "the way of this part may be what is cut, not the backend"},
 		Even:     {false, "each half could take out what the other one reaches"},
 		Majority: {true, "most gateways can be asked what they see"},
-		Whole:    {true, "all gateways can be asked what they see"},
+		Complete: {true, "all gateways can be asked what they see"},
 	},
 	AnswerOperator: {
 		Unsure:   {true, "an answer that says how sure and how old it is misleads nobody"},
@@ -92,19 +92,19 @@
 		Minority: {true, "an answer that says how sure and how old it is misleads nobody"},
 		Even:     {true, "an answer that says how sure and how old it is misleads nobody"},
 		Majority: {true, "an answer that says how sure and how old it is misleads nobody"},
-		Whole:    {true, "an answer that says how sure and how old it is misleads nobody"},
+		Complete: {true, "an answer that says how sure and how old it is misleads nobody"},
 	},
 }
 
-// May reports whether a verdict allows a use, and why.
-func May(u Use, v Verdict) (may bool, why string) {
-	d := table[u][v]
-	return d.may, d.why
+// Allows reports whether a verdict allows a use, and why.
+func Allows(u Operation, v Verdict) (allowed bool, reason string) {
+	d := decisions[u][v]
+	return d.allowed, d.reason
 }
 
-// Uses lists all uses.
-func Uses() (list []Use) {
-	for u := range uses {
+// Operations lists all uses.
+func Operations() (list []Operation) {
+	for u := range operationCount {
 		list = append(list, u)
 	}
 	return list
--- a/members/verdict.go
+++ b/members/verdict.go
@@ -5,48 +5,50 @@
 	"time"
 )
 
-// whyStarted is the reason of the first verdict.
-const whyStarted = "it has just begun"
+// reasonStarted is the reason of the first verdict.
+const reasonStarted = "it has just begun"
 
-// Permit says what a process may do. It is a copy that is safe for concurrent use and needs only a clock.
-type Permit struct {
+// Permission says what a process may do. It is a copy that is safe for concurrent use and needs only a clock.
+type Permission struct {
 	verdict    Verdict
 	superseded bool
-	until      Time // later than this, the process must have been suspended
+	validUntil Time // later than this, the process must have been suspended
 }
 
-// Permit returns what this process may do now.
-func (m *Machine) Permit() Permit {
-	return Permit{m.verdict, m.superseded != 0, m.lastTick + m.settings.Tick + m.settings.StallAfter}
+// Permission returns what this process may do now.
+func (m *Machine) Permission() Permission {
+	return Permission{m.verdict, m.superseded != 0, m.lastTick + m.settings.TickInterval + m.settings.StallThreshold}
 }
 
-// May reports whether a use is allowed now, and why. Callers ask right before the effect: a process that was suspended
+// Allows reports whether a use is allowed now, and why. Callers ask right before the effect: a process that was suspended
 // since its last tick may hold nothing, and finds out here.
-func (p Permit) May(now Time, u Use) (may bool, why string) {
+func (p Permission) Allows(now Time, u Operation) (allowed bool, reason string) {
 	v := p.verdict
-	if now >= p.until {
+	if now >= p.validUntil {
 		v = Unsure
 	}
-	if p.superseded && u != AnswerOperator && u != CountOthers {
+	if p.superseded && u != AnswerOperator && u != CountPeerUsage {
 		return false, "a later life of this name is there"
 	}
-	return May(u, v)
+	return Allows(u, v)
 }
 
-// May is like Permit.May.
-func (m *Machine) May(now Time, u Use) (may bool, why string) { return m.Permit().May(now, u) }
+// Allows is like Permit.May.
+func (m *Machine) Allows(now Time, u Operation) (allowed bool, reason string) {
+	return m.Permission().Allows(now, u)
+}
 
 // updateVerdict adapts the verdict to the evidence. A worse verdict is adopted at once. A better one is adopted after the
 // evidence has supported it for a while, the longer the more often the verdict fell lately, so that a flapping link
 // changes it seldom.
 func (m *Machine) updateVerdict() {
-	raw, why := m.currentVerdict()
+	raw, reason := m.currentVerdict()
 	if raw != Unsure {
 		m.likely = m.likelyCount()
 	} else if m.likely == 0 {
 		m.likely = len(m.roster.Members)
 	}
-	if m.now-m.changedAt >= m.settings.SettleMost {
+	if m.now-m.changedAt >= m.settings.MaxSettleTime {
 		m.recentFalls, m.changedAt = m.recentFalls/2, m.now
 	}
 	for v := range m.allowedSince {
@@ -57,56 +59,56 @@
 	switch better := m.settledVerdict(); {
 	case raw < m.verdict:
 		m.recentFalls, m.changedAt = m.recentFalls+1, m.now
-		m.setVerdict(raw, why)
+		m.setVerdict(raw, reason)
 	case better > m.verdict:
-		m.setVerdict(better, why)
+		m.setVerdict(better, reason)
 	case raw == m.verdict:
-		m.reason = why
+		m.reason = reason
 	}
 	// A smaller share is taken at once, a larger one only if the verdict allows it.
-	if divisor := m.quotaDivisor(); divisor > m.share || divisor < m.share && m.mayWiden() {
-		m.share = divisor
-		m.number++
+	if divisor := m.targetQuotaDivisor(); divisor > m.divisor || divisor < m.divisor && m.mayRaiseQuota() {
+		m.divisor = divisor
+		m.version++
 	}
 }
 
 // settledVerdict returns the best verdict that the evidence has supported for the settle time.
 func (m *Machine) settledVerdict() Verdict {
-	v := Whole
+	v := Complete
 	for v > Unsure && m.now-m.allowedSince[v] < m.settleTime() {
 		v--
 	}
 	return v
 }
 
-// mayWiden reports whether a larger share of quotas is allowed.
-func (m *Machine) mayWiden() bool {
-	may, _ := m.May(m.now, WidenShare)
-	return may
+// mayRaiseQuota reports whether a larger share of quotas is allowed.
+func (m *Machine) mayRaiseQuota() bool {
+	allowed, _ := m.Allows(m.now, RaiseQuota)
+	return allowed
 }
 
 // settleTime returns how long the evidence must support a better verdict.
 func (m *Machine) settleTime() time.Duration {
-	d := m.settings.Settle
+	d := m.settings.MinSettleTime
 	for range m.recentFalls {
-		if d *= 2; d >= m.settings.SettleMost {
-			return m.settings.SettleMost
+		if d *= 2; d >= m.settings.MaxSettleTime {
+			return m.settings.MaxSettleTime
 		}
 	}
 	return d
 }
 
 // setVerdict sets the verdict and records it as evidence.
-func (m *Machine) setVerdict(v Verdict, why string) {
-	m.verdict, m.reason, m.since = v, why, m.now
-	m.number++
-	m.addEvidence(m.settings.Self, m.settings.Life, "is "+v.String()+": "+why, "")
+func (m *Machine) setVerdict(v Verdict, reason string) {
+	m.verdict, m.reason, m.since = v, reason, m.now
+	m.version++
+	m.addEvidence(m.settings.Self, m.settings.Incarnation, "is "+v.String()+": "+reason, "")
 }
 
 // currentVerdict returns the verdict that the present evidence supports, and why.
 func (m *Machine) currentVerdict() (Verdict, string) {
-	if why := m.identityProblem(); why != "" {
-		return Unsure, why
+	if reason := m.identityProblem(); reason != "" {
+		return Unsure, reason
 	}
 	if len(m.roster.Members) > 1 && m.lastAnswer <= m.awakeSince {
 		return m.unansweredVerdict()
@@ -122,8 +124,8 @@
 	self := m.peers[m.settings.Self]
 	switch {
 	case m.superseded != 0:
-		return fmt.Sprintf("life %d of this name has taken the place of life %d", m.superseded, m.settings.Life)
-	case self != nil && self.hasEarlierLife():
+		return fmt.Sprintf("life %d of this name has taken the place of life %d", m.superseded, m.settings.Incarnation)
+	case self != nil && self.hasEarlierIncarnation():
 		return "an earlier life of this name is still heard"
 	case !m.roster.Has(m.settings.Self):
 		return fmt.Sprintf("the roster of epoch %d does not have this one", m.roster.Epoch)
@@ -137,12 +139,12 @@
 func (m *Machine) unansweredVerdict() (Verdict, string) {
 	awake := m.now - m.awakeSince
 	switch {
-	case awake >= m.settings.Blind:
+	case awake >= m.settings.SilenceTimeout:
 		return Alone, fmt.Sprintf("nobody has answered in %v", awake.Round(time.Millisecond))
 	case m.lastSleep > 0:
 		return Unsure, fmt.Sprintf("it slept for %v and has had no answer since: others' silence proves nothing yet", m.lastSleep.Round(time.Millisecond))
 	}
-	return Unsure, whyStarted + ", and nobody has answered yet"
+	return Unsure, reasonStarted + ", and nobody has answered yet"
 }
 
 // failedProbes returns how many of the latest probes were not answered. Peers that count as gone are not expected to
@@ -150,7 +152,7 @@
 func (m *Machine) failedProbes() int {
 	failed := 0
 	for _, probe := range m.probes {
-		if p := m.peers[probe.name]; !probe.answered && p != nil && p.state.There() {
+		if p := m.peers[probe.name]; !probe.answered && p != nil && p.state.Alive() {
 			failed++
 		}
 	}
@@ -162,20 +164,20 @@
 	count := len(m.roster.Members)
 	alive := 1
 	for _, member := range m.roster.Members {
-		if p := m.peers[member.Name]; p != nil && member.Name != m.settings.Self && p.state.There() {
+		if p := m.peers[member.Name]; p != nil && member.Name != m.settings.Self && p.state.Alive() {
 			alive++
 		}
 	}
-	why := fmt.Sprintf("%d of %d are heard", alive, count)
+	reason := fmt.Sprintf("%d of %d are heard", alive, count)
 	switch {
 	case alive == count:
-		return Whole, why
+		return Complete, reason
 	case alive == 1:
-		return Alone, why
+		return Alone, reason
 	case 2*alive > count:
-		return Majority, why
+		return Majority, reason
 	case 2*alive == count:
-		return Even, why
+		return Even, reason
 	}
-	return Minority, why
+	return Minority, reason
 }
--- a/records/advance.go
+++ b/records/advance.go
@@ -26,8 +26,8 @@
 	// Record is what the change wrote; nil: it deleted the record, or a later change
 	// has written it anew, and the value in between is not kept.
 	Record *Record `json:"record,omitempty"`
-	// Later is the version of the present record where that is above Version.
-	Later uint64 `json:"later,omitempty"`
+	// SupersededBy is the version of the present record where that is above Version.
+	SupersededBy uint64 `json:"later,omitempty"`
 }
 
 // KeysChanged lists the records that changes above one version and up to another
@@ -61,7 +61,7 @@
 		case found && record.Version == change.Version:
 			change.Record = &record
 		case found && record.Version > change.Version:
-			change.Later = record.Version
+			change.SupersededBy = record.Version
 		}
 		changes = append(changes, change)
 	}
--- a/records/advance_test.go
+++ b/records/advance_test.go
@@ -18,10 +18,10 @@
 		t.Fatalf("version %d, applied %d, digest %s", store.Version(), store.Applied(), store.Digest())
 	}
 	// Who had the same content has nothing to put; who had gone further has other content.
-	if a := store.Answer(ChangesRequest{Since: 1, Digest: &digest}); a.Delta == nil || !a.Delta.Empty() || a.Delta.To != 9 {
+	if a := store.HandleChanges(ChangesRequest{Since: 1, Digest: &digest}); a.Delta == nil || !a.Delta.Empty() || a.Delta.To != 9 {
 		t.Fatalf("%+v", a)
 	}
-	if a := store.Answer(ChangesRequest{Since: 5, Digest: &Digest{1}}); a.Repair != RepairDigest {
+	if a := store.HandleChanges(ChangesRequest{Since: 5, Digest: &Digest{1}}); a.Repair != RepairDigest {
 		t.Fatalf("%+v", a)
 	}
 	snapshot, err := store.Snapshot()
@@ -44,10 +44,10 @@
 	if err != nil || len(changes) != 2 {
 		t.Fatalf("%+v, %v", changes, err)
 	}
-	if c := changes[0]; c.Key != key("tenant/acme") || c.Version != 5 || c.Record != nil || c.Later != 8 {
+	if c := changes[0]; c.Key != key("tenant/acme") || c.Version != 5 || c.Record != nil || c.SupersededBy != 8 {
 		t.Fatalf("%+v", c)
 	}
-	if c := changes[1]; c.Key != key("plan/silver") || c.Version != 7 || c.Record != nil || c.Later != 0 {
+	if c := changes[1]; c.Key != key("plan/silver") || c.Version != 7 || c.Record != nil || c.SupersededBy != 0 {
 		t.Fatalf("%+v", c)
 	}
 	if changes, err = store.KeysChanged(7, 8); err != nil || len(changes) != 1 || changes[0].Record == nil || changes[0].Record.Version != 8 {
--- a/records/answer.go
+++ b/records/answer.go
@@ -26,9 +26,9 @@
 	RepairTooLarge  RepairReason = "too_large" // the changes are over the bound of an answer
 )
 
-// Answer is a server's answer to a ChangesRequest. At most one of Delta, Repair and
+// ChangesResponse is a server's answer to a ChangesRequest. At most one of Delta, Repair and
 // Behind is set; none: there is nothing new.
-type Answer struct {
+type ChangesResponse struct {
 	Version uint64       `json:"version"` // the server's
 	Digest  Digest       `json:"digest"`  // of the server's content
 	Delta   *Delta       `json:"delta,omitempty"`
@@ -38,11 +38,11 @@
 
 // NothingNew tells whether the asker has all that the server has: the server may
 // wait for a change before it answers.
-func (a Answer) NothingNew() bool { return a.Delta == nil && a.Repair == "" && !a.Behind }
+func (a ChangesResponse) NothingNew() bool { return a.Delta == nil && a.Repair == "" && !a.Behind }
 
-// Answer answers a request from the store's present state.
-func (s *Store) Answer(request ChangesRequest) Answer {
-	answer := Answer{Version: s.version, Digest: s.Digest()}
+// HandleChanges answers a request from the store's present state.
+func (s *Store) HandleChanges(request ChangesRequest) ChangesResponse {
+	answer := ChangesResponse{Version: s.version, Digest: s.Digest()}
 	delta, err := s.ChangesSince(request.Since)
 	switch {
 	case errors.Is(err, ErrFuture):
@@ -67,8 +67,8 @@
 	return found && digest == *request.Digest
 }
 
-// check returns what is contradictory in an answer.
-func (a Answer) check() error {
+// validate returns what is contradictory in an answer.
+func (a ChangesResponse) validate() error {
 	if a.Digest == (Digest{}) {
 		return errNoDigest
 	}
@@ -92,5 +92,5 @@
 	if a.Delta.To != a.Version || a.Delta.Digest != a.Digest {
 		return fmt.Errorf("the delta leads to version %d, the answer says %d", a.Delta.To, a.Version)
 	}
-	return a.Delta.check()
+	return a.Delta.validate()
 }
--- a/records/bench_test.go
+++ b/records/bench_test.go
@@ -105,7 +105,7 @@
 	apply(b, changed, before+1, change(operations...), Accepted)
 	size := 0
 	for b.Loop() {
-		data, err := EncodeAnswer(changed.Answer(ChangesRequest{Since: before}))
+		data, err := EncodeChangesResponse(changed.HandleChanges(ChangesRequest{Since: before}))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/records/change.go
+++ b/records/change.go
@@ -21,20 +21,20 @@
 	Key    Key             `json:"key"`
 	Delete bool            `json:"delete,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
-	// If makes the change conditional on the record's version: 0 means that the
+	// IfVersion makes the change conditional on the record's version: 0 means that the
 	// record must not exist, nil that any version will do.
-	If *uint64 `json:"if,omitempty"`
+	IfVersion *uint64 `json:"if,omitempty"`
 }
 
 // Change is a set of operations that take effect together or not at all.
 type Change struct {
-	// Request makes a repeat harmless: a store answers a request key that it
+	// IdempotencyKey makes a repeat harmless: a store answers a request key that it
 	// remembers with the result it gave. Empty: the change is not remembered.
-	Request    string      `json:"request,omitempty"`
-	Author     string      `json:"author"`
-	Message    string      `json:"message,omitempty"`
-	At         time.Time   `json:"at"`
-	Operations []Operation `json:"operations"`
+	IdempotencyKey string      `json:"request,omitempty"`
+	Author         string      `json:"author"`
+	Message        string      `json:"message,omitempty"`
+	At             time.Time   `json:"at"`
+	Operations     []Operation `json:"operations"`
 }
 
 // Status is what became of a change.
