--- a/records/codec.go
+++ b/records/codec.go
@@ -12,14 +12,16 @@
 // ErrMessage is that a message is damaged, too large or contradicts itself.
 var ErrMessage = errors.New("unusable message about records")
 
-// checker is a message that can be held to its own rules.
-type checker interface{ check() error }
+// validator is a message that can be held to its own rules.
+type validator interface{ validate() error }
 
-// EncodeAnswer returns the answer as it goes over the wire.
-func EncodeAnswer(answer Answer) ([]byte, error) { return encode(answer) }
+// EncodeChangesResponse returns the answer as it goes over the wire.
+func EncodeChangesResponse(answer ChangesResponse) ([]byte, error) { return encode(answer) }
 
-// DecodeAnswer reads what EncodeAnswer has written; the error wraps ErrMessage.
-func DecodeAnswer(data []byte) (Answer, error) { return decode[Answer](data) }
+// DecodeChangesResponse reads what EncodeChangesResponse has written; the error wraps ErrMessage.
+func DecodeChangesResponse(data []byte) (ChangesResponse, error) {
+	return decode[ChangesResponse](data)
+}
 
 // EncodeRangeDigests returns the digests as they go over the wire.
 func EncodeRangeDigests(digests RangeDigests) ([]byte, error) { return encode(digests) }
@@ -45,16 +47,16 @@
 	return compress(text), nil
 }
 
-func decode[Message checker](data []byte) (Message, error) {
+func decode[Message validator](data []byte) (Message, error) {
 	var message, none Message
-	text, err := expand(data, MaxMessageBytes)
+	text, err := decompress(data, MaxMessageBytes)
 	if err != nil {
 		return none, fmt.Errorf("%w: %w", ErrMessage, err)
 	}
 	if err := decodeStrict(text, &message); err != nil {
 		return none, fmt.Errorf("%w: %w", ErrMessage, err)
 	}
-	if err := message.check(); err != nil {
+	if err := message.validate(); err != nil {
 		return none, fmt.Errorf("%w: %w", ErrMessage, err)
 	}
 	return message, nil
--- a/records/compress.go
+++ b/records/compress.go
@@ -8,8 +8,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// compressFrom is the size in bytes from which a message is compressed.
-const compressFrom = 512
+// minCompressBytes is the size in bytes from which a message is compressed.
+const minCompressBytes = 512
 
 // zstdMagic begins every Zstandard frame; no JSON text begins so.
 var zstdMagic = []byte{0x28, 0xb5, 0x2f, 0xfd}
@@ -31,15 +31,15 @@
 
 // compress returns the data as a Zstandard frame if that is worth it.
 func compress(data []byte) []byte {
-	if len(data) < compressFrom {
+	if len(data) < minCompressBytes {
 		return data
 	}
 	return encoder().EncodeAll(data, nil)
 }
 
-// expand undoes compress and refuses more than limit bytes before it makes room for
+// decompress undoes compress and refuses more than limit bytes before it makes room for
 // them.
-func expand(data []byte, limit int) ([]byte, error) {
+func decompress(data []byte, limit int) ([]byte, error) {
 	if !bytes.HasPrefix(data, zstdMagic) {
 		if len(data) > limit {
 			return nil, fmt.Errorf("%d bytes, at most %d are allowed", len(data), limit)
--- a/records/delta.go
+++ b/records/delta.go
@@ -36,8 +36,8 @@
 	return size
 }
 
-// check returns what is contradictory in a delta that came from elsewhere.
-func (d Delta) check() error {
+// validate returns what is contradictory in a delta that came from elsewhere.
+func (d Delta) validate() error {
 	if d.From > d.To {
 		return fmt.Errorf("the delta leads from version %d back to %d", d.From, d.To)
 	}
@@ -58,7 +58,7 @@
 		seen[record.Key] = true
 	}
 	for _, tombstone := range d.Deletes {
-		if err := tombstone.Key.Check(); err != nil {
+		if err := tombstone.Key.Validate(); err != nil {
 			return err
 		}
 		if tombstone.Version == 0 || tombstone.Version > d.To {
--- a/records/delta_test.go
+++ b/records/delta_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestReplicaTakesAVersionWholeOrNotAtAll(t *testing.T) {
+func TestReplicaAppliesADeltaCompletelyOrNotAtAll(t *testing.T) {
 	store := smallStore(t)
 	replica := &Replica{}
 	first := since(t, store, 0)
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestAnswer(t *testing.T) {
+func TestHandleChanges(t *testing.T) {
 	store := smallStore(t)
 	old := store.Digest()
 	apply(t, store, 5, change(put("plan/free", planValue)), Accepted)
@@ -168,31 +168,31 @@
 	for _, test := range []struct {
 		name    string
 		request ChangesRequest
-		want    Answer
+		want    ChangesResponse
 	}{
-		{"nothing new", ChangesRequest{Since: 5}, Answer{}},
-		{"a change", ChangesRequest{Since: 1, Digest: &old}, Answer{Delta: &Delta{}}},
-		{"from the beginning", ChangesRequest{}, Answer{Delta: &Delta{}}},
-		{"another digest", ChangesRequest{Since: 1, Digest: &wrong}, Answer{Repair: RepairDigest}},
-		{"another digest of the newest", ChangesRequest{Since: 5, Digest: &wrong}, Answer{Repair: RepairDigest}},
-		{"no such version", ChangesRequest{Since: 3, Digest: &old}, Answer{Repair: RepairDigest}},
-		{"the future", ChangesRequest{Since: 6}, Answer{Behind: true}},
+		{"nothing new", ChangesRequest{Since: 5}, ChangesResponse{}},
+		{"a change", ChangesRequest{Since: 1, Digest: &old}, ChangesResponse{Delta: &Delta{}}},
+		{"from the beginning", ChangesRequest{}, ChangesResponse{Delta: &Delta{}}},
+		{"another digest", ChangesRequest{Since: 1, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
+		{"another digest of the newest", ChangesRequest{Since: 5, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
+		{"no such version", ChangesRequest{Since: 3, Digest: &old}, ChangesResponse{Repair: RepairDigest}},
+		{"the future", ChangesRequest{Since: 6}, ChangesResponse{Behind: true}},
 	} {
-		answer := store.Answer(test.request)
+		answer := store.HandleChanges(test.request)
 		if (answer.Delta == nil) != (test.want.Delta == nil) || answer.Repair != test.want.Repair || answer.Behind != test.want.Behind {
 			t.Errorf("%s: %+v", test.name, answer)
 		}
-		data, err := EncodeAnswer(answer)
+		data, err := EncodeChangesResponse(answer)
 		if err != nil {
 			t.Fatal(err)
 		}
-		decoded, err := DecodeAnswer(data)
+		decoded, err := DecodeChangesResponse(data)
 		if err != nil || decoded.Version != 5 || decoded.Digest != store.Digest() || (decoded.Delta == nil) != (answer.Delta == nil) {
 			t.Errorf("%s: decoded %+v, %v", test.name, decoded, err)
 		}
 	}
 	large := largeStore(t, 26_000)
-	if answer := large.Answer(ChangesRequest{}); answer.Repair != RepairTooLarge {
+	if answer := large.HandleChanges(ChangesRequest{}); answer.Repair != RepairTooLarge {
 		t.Errorf("26,000 records: %s", answer.Repair)
 	}
 }
--- a/records/evaluate.go
+++ b/records/evaluate.go
@@ -58,31 +58,31 @@
 func checkText(change Change) *Problem {
 	texts := []struct {
 		field, text string
-		highest     int
+		maxBytes    int
 		required    bool
 	}{
-		{"request", change.Request, MaxNameBytes, false},
+		{"request", change.IdempotencyKey, MaxNameBytes, false},
 		{"author", change.Author, MaxNameBytes, true},
 		{"message", change.Message, MaxTextBytes, false},
 	}
 	for _, each := range texts {
 		switch {
 		case each.required && each.text == "":
-			return problemOf("", each.field, "missing")
-		case len(each.text) > each.highest:
-			return problemOf("", each.field, fmt.Sprintf("%d bytes, at most %d are allowed", len(each.text), each.highest))
+			return newProblem("", each.field, "missing")
+		case len(each.text) > each.maxBytes:
+			return newProblem("", each.field, fmt.Sprintf("%d bytes, at most %d are allowed", len(each.text), each.maxBytes))
 		case !utf8.ValidString(each.text):
-			return problemOf("", each.field, "not valid UTF-8")
+			return newProblem("", each.field, "not valid UTF-8")
 		}
 	}
 	switch count := len(change.Operations); {
 	case count == 0:
-		return problemOf("", "operations", "the change has none")
+		return newProblem("", "operations", "the change has none")
 	case count > MaxOperations:
-		return problemOf("", "operations", fmt.Sprintf("%d operations, at most %d are allowed", count, MaxOperations))
+		return newProblem("", "operations", fmt.Sprintf("%d operations, at most %d are allowed", count, MaxOperations))
 	}
 	if year := change.At.UTC().Year(); year < 0 || year > 9999 {
-		return problemOf("", "at", "the year is not between 0 and 9999")
+		return newProblem("", "at", "the year is not between 0 and 9999")
 	}
 	return nil
 }
@@ -92,22 +92,22 @@
 	seen := make(map[Key]bool, len(operations))
 	for i, operation := range operations {
 		key := operation.Key
-		if err := key.Check(); err != nil {
-			return nil, problemOf(key.String(), "", err.Error())
+		if err := key.Validate(); err != nil {
+			return nil, newProblem(key.String(), "", err.Error())
 		}
 		if seen[key] {
-			return nil, problemOf(key.String(), "", "the change names the record twice")
+			return nil, newProblem(key.String(), "", "the change names the record twice")
 		}
 		seen[key] = true
 		if operation.Delete {
 			if len(operation.Value) > 0 {
-				return nil, problemOf(key.String(), "value", "a delete has no value")
+				return nil, newProblem(key.String(), "value", "a delete has no value")
 			}
 			continue
 		}
 		value, canonical, problem := ParseValue(key.Kind, operation.Value)
 		if problem != nil {
-			return nil, problemOf(key.String(), problem.Field, problem.Reason)
+			return nil, newProblem(key.String(), problem.Field, problem.Reason)
 		}
 		values[i] = parsedValue{value: value, canonical: canonical}
 	}
@@ -116,18 +116,18 @@
 
 func (s *Store) checkConditions(operations []Operation) *Problem {
 	for _, operation := range operations {
-		if operation.If == nil {
+		if operation.IfVersion == nil {
 			continue
 		}
 		record, found := s.Get(operation.Key)
-		switch expected := *operation.If; {
+		switch expected := *operation.IfVersion; {
 		case expected == record.Version:
 		case !found:
-			return problemOf(operation.Key.String(), "", fmt.Sprintf("the record does not exist, the change expects version %d", expected))
+			return newProblem(operation.Key.String(), "", fmt.Sprintf("the record does not exist, the change expects version %d", expected))
 		case expected == 0:
-			return problemOf(operation.Key.String(), "", fmt.Sprintf("the record exists at version %d, the change expects none", record.Version))
+			return newProblem(operation.Key.String(), "", fmt.Sprintf("the record exists at version %d, the change expects none", record.Version))
 		default:
-			return problemOf(operation.Key.String(), "", fmt.Sprintf("the record is at version %d, the change expects %d", record.Version, expected))
+			return newProblem(operation.Key.String(), "", fmt.Sprintf("the record is at version %d, the change expects %d", record.Version, expected))
 		}
 	}
 	return nil
@@ -143,25 +143,25 @@
 		}
 		result.changed = append(result.changed, operation.Key)
 		if existed {
-			result.count(referenceOf(old), -1)
+			result.addReference(referenceOf(old), -1)
 		}
 		if operation.Delete {
 			result.draft.remove(operation.Key)
 			continue
 		}
-		result.count(values[i].value, 1)
+		result.addReference(values[i].value, 1)
 		result.draft.put(Record{Key: operation.Key, Version: version, Value: values[i].canonical})
 	}
 	return result
 }
 
-// count adds to the number of references to the record that a value needs.
-func (e *evaluation) count(value Value, by int) {
+// addReference adds to the number of references to the record that a value needs.
+func (e *evaluation) addReference(value Value, delta int) {
 	if value == nil {
 		return
 	}
 	if key, _, needed := value.Reference(); needed {
-		e.references[key] += by
+		e.references[key] += delta
 	}
 }
 
@@ -176,10 +176,10 @@
 
 func (s *Store) checkBounds(after *state) *Problem {
 	if after.count > MaxRecords && after.count > s.Len() {
-		return problemOf("", "operations", fmt.Sprintf("%d records after the change, at most %d are allowed", after.count, MaxRecords))
+		return newProblem("", "operations", fmt.Sprintf("%d records after the change, at most %d are allowed", after.count, MaxRecords))
 	}
 	if after.bytes > MaxStateBytes && after.bytes > s.current().bytes {
-		return problemOf("", "operations", fmt.Sprintf("%d bytes of records after the change, at most %d are allowed", after.bytes, MaxStateBytes))
+		return newProblem("", "operations", fmt.Sprintf("%d bytes of records after the change, at most %d are allowed", after.bytes, MaxStateBytes))
 	}
 	return nil
 }
@@ -190,7 +190,7 @@
 		if operation.Delete {
 			count := s.references[operation.Key] + after.references[operation.Key]
 			if count > 0 {
-				return problemOf(operation.Key.String(), "", fmt.Sprintf("%d records still need it", count))
+				return newProblem(operation.Key.String(), "", fmt.Sprintf("%d records still need it", count))
 			}
 			continue
 		}
@@ -199,7 +199,7 @@
 			continue
 		}
 		if _, found := after.draft.state.get(key); !found {
-			return problemOf(operation.Key.String(), field, fmt.Sprintf("there is no %s", key))
+			return newProblem(operation.Key.String(), field, fmt.Sprintf("there is no %s", key))
 		}
 	}
 	return nil
@@ -208,10 +208,10 @@
 // maxProblemBytes bounds each text of a problem, which is remembered.
 const maxProblemBytes = 256
 
-func problemOf(key, field, reason string) *Problem {
-	return &Problem{Key: cutText(key), Field: cutText(field), Reason: cutText(reason)}
+func newProblem(key, field, reason string) *Problem {
+	return &Problem{Key: truncateText(key), Field: truncateText(field), Reason: truncateText(reason)}
 }
 
-func cutText(text string) string {
+func truncateText(text string) string {
 	return strings.ToValidUTF8(text[:min(len(text), maxProblemBytes)], "")
 }
--- a/records/follower.go
+++ b/records/follower.go
@@ -8,19 +8,19 @@
 
 // Times of a follower.
 const (
-	PollWait     = 8 * time.Second // that a server may wait for a change
-	askTimeout   = 5 * time.Second // for an answer, beside what the server may wait
-	headGrace    = 2 * time.Second // for a server to give a version that is known to exist
-	pollPause    = time.Second     // after an answer without changes that came at once
-	repairPoll   = 3 * time.Second // between requests for changes during a repair
-	startSpread  = time.Second     // within which followers that start together ask first
-	retryFirst   = 300 * time.Millisecond
-	retryHighest = 5 * time.Second
-	CutOffAfter  = 30 * time.Second // without a useful answer
+	LongPollWait       = 8 * time.Second // that a server may wait for a change
+	requestTimeout     = 5 * time.Second // for an answer, beside what the server may wait
+	headGracePeriod    = 2 * time.Second // for a server to give a version that is known to exist
+	minPollInterval    = time.Second     // after an answer without changes that came at once
+	repairPollInterval = 3 * time.Second // between requests for changes during a repair
+	maxStartDelay      = time.Second     // within which followers that start together ask first
+	initialBackoff     = 300 * time.Millisecond
+	maxBackoff         = 5 * time.Second
+	CutOffTimeout      = 30 * time.Second // without a useful answer
 )
 
-// chunkBytes is how much of the ranges is asked for at once, before compression.
-const chunkBytes = 64 << 10
+// chunkRequestBytes is how much of the ranges is asked for at once, before compression.
+const chunkRequestBytes = 64 << 10
 
 // FollowerConfig is what a follower needs to know.
 type FollowerConfig struct {
@@ -28,9 +28,9 @@
 	Servers        []string // names of the servers, any of which may be asked
 	BytesPerSecond int      // budget of what comes in; 0: DefaultBytesPerSecond
 	BurstBytes     int      // 0: DefaultBurstBytes
-	// Confirmed is when the replica's present version was last known to be the
+	// ConfirmedAt is when the replica's present version was last known to be the
 	// newest, as kept with it on disk; zero: not known.
-	Confirmed time.Time
+	ConfirmedAt time.Time
 }
 
 // Follower decides how one replica follows the servers: whom to ask for what and
@@ -42,45 +42,45 @@
 	budget  budget
 	now     time.Time
 
-	lastID   uint64
-	open     *openAsk  // nil: nothing is asked
-	notUntil time.Time // when something may be asked again
-	failures int       // in a row
+	lastID        uint64
+	inFlight      *inFlightRequest // nil: nothing is asked
+	nextRequestAt time.Time        // when something may be asked again
+	failures      int              // in a row
 
 	head        uint64    // newest version known to exist
 	behindSince time.Time // zero: the replica is at the head
 
-	repair         *Repair // nil: none is under way
-	repairReason   RepairReason
-	changesAskedAt time.Time // during a repair
-	doubted        bool      // a server takes the replica's content for wrong
+	repair             *Repair // nil: none is under way
+	repairReason       RepairReason
+	changesRequestedAt time.Time // during a repair
+	digestDisputed     bool      // a server takes the replica's content for wrong
 
-	contact   time.Time // of the last useful answer
-	confirmed time.Time // when the replica was last known to be at the newest version
-	fault     string    // the last one; empty after a useful answer
+	lastContact time.Time // of the last useful answer
+	confirmedAt time.Time // when the replica was last known to be at the newest version
+	lastFault   string    // the last one; empty after a useful answer
 }
 
-// openAsk is a request that has not been answered.
-type openAsk struct {
-	Ask
-	at     time.Time
-	finish bool // the changes are those that finish the repair
+// inFlightRequest is a request that has not been answered.
+type inFlightRequest struct {
+	Send
+	sentAt         time.Time
+	finishesRepair bool // the changes are those that finish the repair
 }
 
 // NewFollower makes a follower of a replica, which only the follower changes from
 // now on. The caller sends a Tick when the time that Wake returns has come.
 func NewFollower(config FollowerConfig, replica *Replica, now time.Time) *Follower {
 	follower := &Follower{
-		replica:   replica,
-		servers:   newServers(config.Name, config.Servers),
-		jitter:    newJitter(config.Name),
-		budget:    newBudget(config.BytesPerSecond, config.BurstBytes, now),
-		now:       now,
-		head:      replica.Version(),
-		contact:   now,
-		confirmed: config.Confirmed,
-	}
-	follower.notUntil = now.Add(time.Duration(follower.jitter.fraction() * float64(startSpread)))
+		replica:     replica,
+		servers:     newServers(config.Name, config.Servers),
+		jitter:      newJitter(config.Name),
+		budget:      newBudget(config.BytesPerSecond, config.BurstBytes, now),
+		now:         now,
+		head:        replica.Version(),
+		lastContact: now,
+		confirmedAt: config.ConfirmedAt,
+	}
+	follower.nextRequestAt = now.Add(time.Duration(follower.jitter.fraction() * float64(maxStartDelay)))
 	return follower
 }
 
@@ -90,39 +90,39 @@
 	f.budget.refill(now)
 	var actions []Action
 	switch event := event.(type) {
-	case Answered:
-		actions = f.answered(event)
-	case Failed:
+	case ResponseReceived:
+		actions = f.handleResponse(event)
+	case RequestFailed:
 		f.budget.spend(event.Bytes)
-		if ask := f.close(event.ID); ask != nil {
-			f.leave(ask.Server, avoidFailed, fmt.Errorf("no answer: %s", event.Reason))
+		if ask := f.clearInFlight(event.ID); ask != nil {
+			f.ejectServer(ask.Server, failedEjectionTime, fmt.Errorf("no answer: %s", event.Reason))
 		}
-	case ToldHead:
-		f.tellHead(event.Version)
+	case HeadReceived:
+		f.updateHead(event.Version)
 	}
-	actions = append(actions, f.expire()...)
-	return append(actions, f.ask()...)
+	actions = append(actions, f.expireRequest()...)
+	return append(actions, f.sendNext()...)
 }
 
 // Wake returns when the follower wants a Tick.
 func (f *Follower) Wake() time.Time {
-	if f.open != nil {
-		return f.patience()
+	if f.inFlight != nil {
+		return f.requestDeadline()
 	}
 	if len(f.servers.order) == 0 {
-		return f.now.Add(PollWait)
+		return f.now.Add(LongPollWait)
 	}
-	_, ready := f.next()
+	_, ready := f.planRequest()
 	return ready
 }
 
-func (f *Follower) tellHead(version uint64) {
+func (f *Follower) updateHead(version uint64) {
 	f.head = max(f.head, version)
-	f.noteVersion()
+	f.updateBehindSince()
 }
 
-// noteVersion keeps since when the replica has been behind the head.
-func (f *Follower) noteVersion() {
+// updateBehindSince keeps since when the replica has been behind the head.
+func (f *Follower) updateBehindSince() {
 	switch {
 	case f.replica.Version() >= f.head:
 		f.behindSince = time.Time{}
@@ -131,43 +131,43 @@
 	}
 }
 
-// close takes back the open request if it has this ID.
-func (f *Follower) close(id uint64) *openAsk {
-	if f.open == nil || f.open.ID != id {
+// clearInFlight takes back the open request if it has this ID.
+func (f *Follower) clearInFlight(id uint64) *inFlightRequest {
+	if f.inFlight == nil || f.inFlight.ID != id {
 		return nil
 	}
-	ask := f.open
-	f.open = nil
+	ask := f.inFlight
+	f.inFlight = nil
 	return ask
 }
 
-// patience returns until when the open request may take.
-func (f *Follower) patience() time.Time {
-	until := f.open.at.Add(f.open.Timeout)
-	if changes, ok := f.open.Request.(ChangesRequest); !ok || changes.Wait == 0 || f.behindSince.IsZero() {
+// requestDeadline returns until when the open request may take.
+func (f *Follower) requestDeadline() time.Time {
+	until := f.inFlight.sentAt.Add(f.inFlight.Timeout)
+	if changes, ok := f.inFlight.Request.(ChangesRequest); !ok || changes.Wait == 0 || f.behindSince.IsZero() {
 		return until
 	}
-	since := f.open.at
+	since := f.inFlight.sentAt
 	if f.behindSince.After(since) {
 		since = f.behindSince
 	}
-	if grace := since.Add(headGrace); grace.Before(until) {
+	if grace := since.Add(headGracePeriod); grace.Before(until) {
 		return grace
 	}
 	return until
 }
 
-// expire gives up the open request if it takes too long.
-func (f *Follower) expire() []Action {
-	if f.open == nil || f.now.Before(f.patience()) {
+// expireRequest gives up the open request if it takes too long.
+func (f *Follower) expireRequest() []Action {
+	if f.inFlight == nil || f.now.Before(f.requestDeadline()) {
 		return nil
 	}
-	late := f.now.Sub(f.open.at)
-	ask := f.close(f.open.ID)
+	late := f.now.Sub(f.inFlight.sentAt)
+	ask := f.clearInFlight(f.inFlight.ID)
 	if late < ask.Timeout {
-		f.leave(ask.Server, avoidBehind, fmt.Errorf("%w: it does not give version %d", errLagging, f.head))
+		f.ejectServer(ask.Server, behindEjectionTime, fmt.Errorf("%w: it does not give version %d", errLagging, f.head))
 	} else {
-		f.leave(ask.Server, avoidFailed, fmt.Errorf("no answer within %v", ask.Timeout))
+		f.ejectServer(ask.Server, failedEjectionTime, fmt.Errorf("no answer within %v", ask.Timeout))
 	}
 	return []Action{Cancel{ID: ask.ID}}
 }
@@ -175,80 +175,80 @@
 // errLagging is that a server has not come to a version that exists.
 var errLagging = errors.New("the server is behind")
 
-// leave turns away from a server for a while.
-func (f *Follower) leave(server string, period time.Duration, fault error) {
-	f.servers.avoid(server, f.now.Add(f.jitter.shorten(period)))
-	f.fault = fmt.Sprintf("%s: %v", server, fault)
+// ejectServer turns away from a server for a while.
+func (f *Follower) ejectServer(server string, period time.Duration, fault error) {
+	f.servers.eject(server, f.now.Add(f.jitter.shorten(period)))
+	f.lastFault = fmt.Sprintf("%s: %v", server, fault)
 	f.failures++
-	f.notUntil = f.now.Add(f.jitter.shorten(f.retryPause()))
+	f.nextRequestAt = f.now.Add(f.jitter.shorten(f.backoff()))
 }
 
-// retryPause is short while there are servers that have not had their turn, and
+// backoff is short while there are servers that have not had their turn, and
 // doubles from then on.
-func (f *Follower) retryPause() time.Duration {
-	const mostDoublings = 10
-	doublings := min(max(0, f.failures-len(f.servers.order)), mostDoublings)
-	return min(retryHighest, retryFirst<<doublings)
+func (f *Follower) backoff() time.Duration {
+	const maxDoublings = 10
+	doublings := min(max(0, f.failures-len(f.servers.order)), maxDoublings)
+	return min(maxBackoff, initialBackoff<<doublings)
 }
 
-// useful notes a good answer.
-func (f *Follower) useful() {
+// recordSuccess notes a good answer.
+func (f *Follower) recordSuccess() {
 	f.failures = 0
-	f.fault = ""
-	f.contact = f.now
+	f.lastFault = ""
+	f.lastContact = f.now
 }
 
-// next returns what is to be asked next, and from when on.
-func (f *Follower) next() (openAsk, time.Time) {
-	request, finish, debt := f.nextRequest()
-	ask := openAsk{Ask: Ask{Request: request, Timeout: askTimeout}, finish: finish}
+// planRequest returns what is to be asked next, and from when on.
+func (f *Follower) planRequest() (inFlightRequest, time.Time) {
+	request, finish, debt := f.chooseRequest()
+	ask := inFlightRequest{Send: Send{Request: request, Timeout: requestTimeout}, finishesRepair: finish}
 	if changes, ok := request.(ChangesRequest); ok {
 		ask.Timeout += changes.Wait
 	}
-	ready := f.notUntil
+	ready := f.nextRequestAt
 	if paid := f.budget.readyAt(debt); paid.After(ready) {
 		ready = paid
 	}
 	return ask, ready
 }
 
-// nextRequest returns the request, whether it finishes the repair, and how much debt
+// chooseRequest returns the request, whether it finishes the repair, and how much debt
 // the budget may have for it. Changes go before the ranges of a repair.
-func (f *Follower) nextRequest() (request Request, finish bool, debt time.Duration) {
+func (f *Follower) chooseRequest() (request Request, finish bool, debt time.Duration) {
 	digest := f.replica.Digest()
 	changes := ChangesRequest{Since: f.replica.Version(), Digest: &digest}
 	if f.repair == nil {
-		changes.Wait = PollWait
-		return changes, false, maxDebt
+		changes.Wait = LongPollWait
+		return changes, false, maxBudgetDebt
 	}
-	if f.replica.Version() > 0 && f.now.Sub(f.changesAskedAt) >= repairPoll {
-		return changes, false, maxDebt
+	if f.replica.Version() > 0 && f.now.Sub(f.changesRequestedAt) >= repairPollInterval {
+		return changes, false, maxBudgetDebt
 	}
 	switch f.repair.Next() {
 	case NeedDigests:
 		return DigestsRequest{}, false, 0
 	case NeedContent:
-		return ContentRequest{Ranges: f.repair.Pending(), MaxBytes: chunkBytes}, false, 0
+		return ContentRequest{Ranges: f.repair.Pending(), MaxBytes: chunkRequestBytes}, false, 0
 	}
-	return ChangesRequest{Since: f.repair.Since()}, true, maxDebt
+	return ChangesRequest{Since: f.repair.Since()}, true, maxBudgetDebt
 }
 
-// ask asks for what is next if its time has come.
-func (f *Follower) ask() []Action {
-	if f.open != nil || len(f.servers.order) == 0 {
+// sendNext asks for what is next if its time has come.
+func (f *Follower) sendNext() []Action {
+	if f.inFlight != nil || len(f.servers.order) == 0 {
 		return nil
 	}
-	next, ready := f.next()
+	next, ready := f.planRequest()
 	if f.now.Before(ready) {
 		return nil
 	}
 	f.lastID++
 	next.ID = f.lastID
 	next.Server = f.servers.pick(f.now, f.failures > 0)
-	next.at = f.now
-	f.open = &next
-	if _, ok := next.Request.(ChangesRequest); ok && !next.finish {
-		f.changesAskedAt = f.now
+	next.sentAt = f.now
+	f.inFlight = &next
+	if _, ok := next.Request.(ChangesRequest); ok && !next.finishesRepair {
+		f.changesRequestedAt = f.now
 	}
-	return []Action{next.Ask}
+	return []Action{next.Send}
 }
--- a/records/follower_answer.go
+++ b/records/follower_answer.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// answered takes in the answer to the open request.
-func (f *Follower) answered(event Answered) []Action {
+// handleResponse takes in the answer to the open request.
+func (f *Follower) handleResponse(event ResponseReceived) []Action {
 	if event.Bytes > 0 {
 		f.budget.spend(event.Bytes)
 	} else {
 		f.budget.spend(len(event.Body))
 	}
-	ask := f.close(event.ID)
+	ask := f.clearInFlight(event.ID)
 	if ask == nil {
 		return nil
 	}
@@ -21,71 +21,71 @@
 	var err error
 	switch request := ask.Request.(type) {
 	case ChangesRequest:
-		saved, err = f.takeAnswer(ask, request, event.Body)
+		saved, err = f.acceptChanges(ask, request, event.Body)
 	case DigestsRequest:
-		err = f.takeDigests(event.Body)
+		err = f.acceptDigests(event.Body)
 	case ContentRequest:
-		err = f.takeChunk(event.Body)
+		err = f.acceptChunk(event.Body)
 	}
-	f.judge(ask, err)
-	f.noteVersion()
+	f.recordOutcome(ask, err)
+	f.updateBehindSince()
 	return saved
 }
 
-// judge stays with the server that has answered, or leaves it.
-func (f *Follower) judge(ask *openAsk, err error) {
+// recordOutcome stays with the server that has answered, or leaves it.
+func (f *Follower) recordOutcome(ask *inFlightRequest, err error) {
 	switch {
 	case err == nil:
-		f.useful()
-	case errors.Is(err, ErrBehind), errors.Is(err, errLagging), errors.Is(err, errDoubted):
-		f.leave(ask.Server, avoidBehind, err)
+		f.recordSuccess()
+	case errors.Is(err, ErrBehind), errors.Is(err, errLagging), errors.Is(err, errDigestDisputed):
+		f.ejectServer(ask.Server, behindEjectionTime, err)
 	default:
-		f.leave(ask.Server, avoidDamaged, err)
+		f.ejectServer(ask.Server, corruptEjectionTime, err)
 	}
 }
 
-func (f *Follower) takeDigests(body []byte) error {
+func (f *Follower) acceptDigests(body []byte) error {
 	digests, err := DecodeRangeDigests(body)
 	if err != nil {
 		return err
 	}
-	return f.repair.TakeDigests(digests)
+	return f.repair.CompareDigests(digests)
 }
 
-func (f *Follower) takeChunk(body []byte) error {
+func (f *Follower) acceptChunk(body []byte) error {
 	chunk, err := DecodeChunk(body)
 	if err != nil {
 		return err
 	}
-	return f.repair.TakeChunk(chunk)
+	return f.repair.StageChunk(chunk)
 }
 
-func (f *Follower) takeAnswer(ask *openAsk, request ChangesRequest, body []byte) ([]Action, error) {
-	answer, err := DecodeAnswer(body)
+func (f *Follower) acceptChanges(ask *inFlightRequest, request ChangesRequest, body []byte) ([]Action, error) {
+	answer, err := DecodeChangesResponse(body)
 	if err != nil {
 		return nil, err
 	}
 	if answer.Behind || answer.Version < request.Since {
-		if ask.finish {
+		if ask.finishesRepair {
 			f.repair.Recompare()
 		}
 		return nil, fmt.Errorf("%w: it is at version %d", errLagging, answer.Version)
 	}
-	if ask.finish {
+	if ask.finishesRepair {
 		return f.finishRepair(request, answer)
 	}
-	return f.follow(ask, answer)
+	return f.applyChanges(ask, answer)
 }
 
-// errDoubted is that a server takes the replica's content for wrong. Another one is
+// errDigestDisputed is that a server takes the replica's content for wrong. Another one is
 // asked before that is believed.
-var errDoubted = errors.New("the server has another digest of the replica's version")
+var errDigestDisputed = errors.New("the server has another digest of the replica's version")
 
-// follow takes an answer to a request for the changes above the replica's version.
-func (f *Follower) follow(ask *openAsk, answer Answer) ([]Action, error) {
-	if answer.Repair == RepairDigest && f.repair == nil && !f.doubted && len(f.servers.order) > 1 {
-		f.doubted = true
-		return nil, errDoubted
+// applyChanges takes an answer to a request for the changes above the replica's version.
+func (f *Follower) applyChanges(ask *inFlightRequest, answer ChangesResponse) ([]Action, error) {
+	if answer.Repair == RepairDigest && f.repair == nil && !f.digestDisputed && len(f.servers.order) > 1 {
+		f.digestDisputed = true
+		return nil, errDigestDisputed
 	}
 	if answer.Repair != "" {
 		f.beginRepair(answer.Repair)
@@ -95,39 +95,39 @@
 		if err := f.replica.ApplyDelta(*answer.Delta); err != nil {
 			return nil, err
 		}
-		f.applied()
-		return []Action{Save{Version: f.replica.Version(), Delta: answer.Delta}}, nil
+		f.markApplied()
+		return []Action{Persist{Version: f.replica.Version(), Delta: answer.Delta}}, nil
 	}
 	if answer.Version != f.replica.Version() || answer.Digest != f.replica.Digest() {
 		return nil, fmt.Errorf("%w: nothing new, but version %d with %s", ErrDigest, answer.Version, answer.Digest)
 	}
-	f.applied()
+	f.markApplied()
 	if f.replica.Version() >= f.head {
-		f.pause(ask, pollPause)
+		f.delayRequests(ask, minPollInterval)
 		return nil, nil
 	}
-	if f.now.Sub(f.behindSince) >= headGrace {
+	if f.now.Sub(f.behindSince) >= headGracePeriod {
 		return nil, fmt.Errorf("%w: it does not give version %d", errLagging, f.head)
 	}
-	f.pause(ask, retryFirst)
+	f.delayRequests(ask, initialBackoff)
 	return nil, nil
 }
 
-// pause spaces requests whose answers came sooner than that.
-func (f *Follower) pause(ask *openAsk, pause time.Duration) {
-	if f.now.Sub(ask.at) < pause {
-		f.notUntil = f.now.Add(f.jitter.shorten(pause))
+// delayRequests spaces requests whose answers came sooner than that.
+func (f *Follower) delayRequests(ask *inFlightRequest, pause time.Duration) {
+	if f.now.Sub(ask.sentAt) < pause {
+		f.nextRequestAt = f.now.Add(f.jitter.shorten(pause))
 	}
 }
 
-// applied notes that the replica is what a server has as its newest. A repair that
+// markApplied notes that the replica is what a server has as its newest. A repair that
 // would not lead further is not needed any more.
-func (f *Follower) applied() {
-	f.doubted = false
+func (f *Follower) markApplied() {
+	f.digestDisputed = false
 	if f.replica.Version() >= f.head {
-		f.confirmed = f.now
+		f.confirmedAt = f.now
 	}
-	if f.repair != nil && f.replica.Version() >= f.repair.highest() {
+	if f.repair != nil && f.replica.Version() >= f.repair.maxVersion() {
 		f.repair = nil
 	}
 }
@@ -141,7 +141,7 @@
 }
 
 // finishRepair takes the changes that complete what has been staged.
-func (f *Follower) finishRepair(request ChangesRequest, answer Answer) ([]Action, error) {
+func (f *Follower) finishRepair(request ChangesRequest, answer ChangesResponse) ([]Action, error) {
 	if answer.Repair != "" {
 		f.repair.Recompare()
 		return nil, nil
@@ -155,6 +155,6 @@
 		return nil, err
 	}
 	f.repair = nil
-	f.applied()
-	return []Action{Save{Version: f.replica.Version()}}, nil
+	f.markApplied()
+	return []Action{Persist{Version: f.replica.Version()}}, nil
 }
--- a/records/follower_repair_test.go
+++ b/records/follower_repair_test.go
@@ -14,7 +14,7 @@
 	w.run(time.Minute)
 	last := w.version
 	f := w.followers[0]
-	f.cut = true
+	f.disconnected = true
 	for i := range 300 {
 		w.change(urgent(i), put(fmt.Sprintf("plan/p%d", i%5), planValue), put("service/x", fmt.Sprintf(`{"class":"c%d"}`, i)))
 		w.run(time.Second)
@@ -26,16 +26,16 @@
 	if age, known := status.Age(w.now); status.State != CutOff || status.Version != last || !known || age < 280*time.Second || status.Reason == "" {
 		t.Errorf("%+v, age %v", status, age)
 	}
-	if f.asks > 400 {
-		t.Errorf("asked %d times", f.asks)
+	if f.requests > 400 {
+		t.Errorf("asked %d times", f.requests)
 	}
 	for _, server := range w.servers {
 		server.store.log.compact(len(server.store.log.entries))
 	}
-	f.cut = false
+	f.disconnected = false
 	f.received = 0
-	w.tellHead()
-	w.mustReach(inForce)
+	w.announceHead()
+	w.mustReach(maxPropagation)
 	if f.received > 20_000 {
 		t.Errorf("received %d bytes for a few ranges", f.received)
 	}
@@ -58,7 +58,7 @@
 	}
 	// One answer may go beyond the budget: a chunk, compressed.
 	budget := func(elapsed time.Duration) int {
-		return 4*bytesPerSecond + int(elapsed.Seconds()*bytesPerSecond) + chunkBytes/4
+		return 4*bytesPerSecond + int(elapsed.Seconds()*bytesPerSecond) + chunkRequestBytes/4
 	}
 	start := w.now
 	for second := range 200 {
@@ -82,7 +82,7 @@
 			}
 		}
 	}
-	w.mustReach(inForce)
+	w.mustReach(maxPropagation)
 	for _, f := range w.followers {
 		if f.received < 40_000 || f.received > 90_000 {
 			t.Errorf("%s received %d bytes", f.name, f.received)
@@ -110,14 +110,14 @@
 	w.setFault(whole, refusing)
 	f := w.addFollower("gateway", replica)
 	w.run(10 * time.Second)
-	if status := f.follower.Status(w.now); status.State != Repairing || status.RangesWanted == 0 {
+	if status := f.follower.Status(w.now); status.State != Repairing || status.RangesMissing == 0 {
 		t.Fatalf("%+v", status)
 	}
 	w.setFault(whole, healthy)
 	w.setFault(compacted, refusing)
 	w.change(urgent(1))
-	w.tellHead()
-	w.mustReach(inForce)
+	w.announceHead()
+	w.mustReach(maxPropagation)
 	if status := f.follower.Status(w.now); status.State != Following {
 		t.Errorf("%+v", status)
 	}
@@ -131,9 +131,9 @@
 		bulk = append(bulk, largeRecord(i))
 	}
 	w.change(bulk...)
-	w.mustReach(inForce)
+	w.mustReach(maxPropagation)
 	w.change(urgent(1))
-	w.mustReach(inForce)
+	w.mustReach(maxPropagation)
 }
 
 // A replica whose content is not what all servers had is repaired.
@@ -149,7 +149,7 @@
 	w.change(urgent(2))
 	w.accepted[2] = forged.Digest() // where the replica stands
 	f := w.addFollower("gateway", replica)
-	w.mustReach(inForce)
+	w.mustReach(maxPropagation)
 	if status := f.follower.Status(w.now); status.State != Following || status.Reason != "" {
 		t.Errorf("%+v", status)
 	}
--- a/records/follower_script_test.go
+++ b/records/follower_script_test.go
@@ -8,32 +8,32 @@
 
 // converse answers a follower's requests at once, until a condition holds or it has
 // asked so many times, and returns what it asked.
-func converse(t *testing.T, follower *Follower, most int, answer func(Ask) any, done func() bool) []Ask {
+func converse(t *testing.T, follower *Follower, maxRequests int, answer func(Send) any, done func() bool) []Send {
 	t.Helper()
-	var asked []Ask
+	var sent []Send
 	actions := follower.Handle(follower.Wake(), Tick{})
-	for !done() && len(asked) < most {
-		position := slices.IndexFunc(actions, func(action Action) bool { _, ok := action.(Ask); return ok })
+	for !done() && len(sent) < maxRequests {
+		position := slices.IndexFunc(actions, func(action Action) bool { _, ok := action.(Send); return ok })
 		if position < 0 {
 			actions = follower.Handle(follower.Wake(), Tick{})
 			continue
 		}
-		ask := actions[position].(Ask)
-		asked = append(asked, ask)
+		ask := actions[position].(Send)
+		sent = append(sent, ask)
 		body, err := encode(answer(ask))
 		if err != nil {
 			t.Fatal(err)
 		}
-		actions = follower.Handle(follower.now.Add(latency), Answered{ID: ask.ID, Body: body})
+		actions = follower.Handle(follower.now.Add(latency), ResponseReceived{ID: ask.ID, Body: body})
 	}
-	return asked
+	return sent
 }
 
 // answerFrom answers as a server with this store does, without waiting.
-func answerFrom(store *Store, ask Ask) any {
+func answerFrom(store *Store, ask Send) any {
 	switch request := ask.Request.(type) {
 	case ChangesRequest:
-		return store.Answer(request)
+		return store.HandleChanges(request)
 	case ContentRequest:
 		return store.Chunk(request)
 	}
@@ -51,9 +51,9 @@
 	return NewFollower(FollowerConfig{Name: "g", Servers: []string{"a", "b"}}, replica, testTime)
 }
 
-func countDigests(asked []Ask) int {
+func countDigests(sent []Send) int {
 	count := 0
-	for _, ask := range asked {
+	for _, ask := range sent {
 		if _, ok := ask.Request.(DigestsRequest); ok {
 			count++
 		}
@@ -66,7 +66,7 @@
 func TestRepairFromAServerWithTooHighAVersion(t *testing.T) {
 	store := compactedStore(t)
 	replica := &Replica{}
-	asked := converse(t, twoServers(replica), 20, func(ask Ask) any {
+	asked := converse(t, twoServers(replica), 20, func(ask Send) any {
 		answer := answerFrom(store, ask)
 		if chunk, ok := answer.(Chunk); ok {
 			chunk.Version = 1000
@@ -84,7 +84,7 @@
 func TestRepairOutlivesCompaction(t *testing.T) {
 	store := compactedStore(t)
 	replica := &Replica{}
-	asked := converse(t, twoServers(replica), 20, func(ask Ask) any {
+	asked := converse(t, twoServers(replica), 20, func(ask Send) any {
 		answer := answerFrom(store, ask)
 		if _, ok := answer.(Chunk); ok && store.Version() == 1 {
 			apply(t, store, 2, change(urgent(1)), Accepted)
@@ -101,12 +101,12 @@
 func TestNothingNewAtAnotherDigest(t *testing.T) {
 	store := smallStore(t)
 	replica := fullReplica(t, store)
-	for _, answer := range []Answer{
+	for _, answer := range []ChangesResponse{
 		{Version: 1, Digest: Digest{1}},
 		{Version: 2, Digest: store.Digest()},
 	} {
 		follower := twoServers(replica)
-		asked := converse(t, follower, 2, func(Ask) any { return answer }, func() bool { return false })
+		asked := converse(t, follower, 2, func(Send) any { return answer }, func() bool { return false })
 		if asked[0].Server == asked[1].Server || follower.Status(follower.now).Reason == "" {
 			t.Errorf("%+v: asked %+v, %+v", answer, asked, follower.Status(follower.now))
 		}
@@ -118,17 +118,17 @@
 func TestServerThatDoesNotWait(t *testing.T) {
 	store := smallStore(t)
 	follower := twoServers(fullReplica(t, store))
-	answer := func(ask Ask) any { return answerFrom(store, ask) }
+	answer := func(ask Send) any { return answerFrom(store, ask) }
 	end := testTime.Add(20 * time.Second)
 	asked := converse(t, follower, 1000, answer, func() bool { return follower.now.After(end) })
 	if len(asked) < 15 || len(asked) > 45 {
 		t.Errorf("asked %d times in 20 s", len(asked))
 	}
-	if confirmed := follower.Status(follower.now).Confirmed; follower.now.Sub(confirmed) > 2*pollPause {
+	if confirmed := follower.Status(follower.now).ConfirmedAt; follower.now.Sub(confirmed) > 2*minPollInterval {
 		t.Errorf("confirmed at %v", confirmed)
 	}
 	told := follower.now
-	follower.Handle(told, ToldHead{Version: 7})
+	follower.Handle(told, HeadReceived{Version: 7})
 	asked = converse(t, follower, 1000, answer, func() bool { return follower.now.After(told.Add(4 * time.Second)) })
 	servers := map[string]bool{}
 	for _, ask := range asked {
@@ -138,7 +138,7 @@
 		t.Errorf("asked %d servers, %d times in all", len(servers), len(asked))
 	}
 	status := follower.Status(follower.now)
-	if status.Confirmed.After(told) || status.Head != 7 || status.Reason == "" {
+	if status.ConfirmedAt.After(told) || status.Head != 7 || status.Reason == "" {
 		t.Errorf("%+v", status)
 	}
 }
--- a/records/follower_test.go
+++ b/records/follower_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// inForce is how long a change may take to be in force everywhere.
-const inForce = 19 * time.Second
+// maxPropagation is how long a change may take to be in force everywhere.
+const maxPropagation = 19 * time.Second
 
 func urgent(number int) Operation {
 	return put("tenant/urgent", fmt.Sprintf(`{"plan":"gold","requests_per_second":%d}`, number+1))
@@ -21,24 +21,24 @@
 	return w
 }
 
-func TestFollowersAtRest(t *testing.T) {
+func TestIdleFollowers(t *testing.T) {
 	w := settledWorld(t, 6, 60)
 	for _, server := range w.servers {
-		server.asks = 0
+		server.requests = 0
 	}
 	for _, f := range w.followers {
-		f.asks, f.received = 0, 0
+		f.requests, f.received = 0, 0
 	}
 	w.run(10 * time.Minute)
 	for _, server := range w.servers {
 		// 60 followers that ask every 8 seconds, spread over six servers.
-		if server.asks < 200 || server.asks > 1800 {
-			t.Errorf("%s was asked %d times", server.name, server.asks)
+		if server.requests < 200 || server.requests > 1800 {
+			t.Errorf("%s was asked %d times", server.name, server.requests)
 		}
 	}
 	for _, f := range w.followers {
-		if f.asks > 80 || f.received > 80*200 {
-			t.Errorf("%s asked %d times and received %d bytes", f.name, f.asks, f.received)
+		if f.requests > 80 || f.received > 80*200 {
+			t.Errorf("%s asked %d times and received %d bytes", f.name, f.requests, f.received)
 		}
 		status := f.follower.Status(w.now)
 		if age, known := status.Age(w.now); status.State != Following || !known || age > 10*time.Second || status.Reason != "" {
@@ -48,8 +48,8 @@
 	w.change(urgent(1))
 	w.mustReach(time.Second)
 	for _, f := range w.followers {
-		if f.saved != w.version || f.saves != 2 {
-			t.Errorf("%s saved %d times, version %d at last", f.name, f.saves, f.saved)
+		if f.persistedVersion != w.version || f.persists != 2 {
+			t.Errorf("%s saved %d times, version %d at last", f.name, f.persists, f.persistedVersion)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	}
 	for i := range 600 {
 		w.change(urgent(i))
-		w.tellHead()
+		w.announceHead()
 		w.run(time.Second)
 		if !w.everywhere() {
 			t.Fatalf("change %d is not everywhere after a second", i)
@@ -85,32 +85,32 @@
 			}
 			w.run(3 * time.Second)
 			w.change(urgent(1), put("service/new", serviceValue))
-			w.tellHead()
-			w.mustReach(inForce)
+			w.announceHead()
+			w.mustReach(maxPropagation)
 			// Those at fault are left alone for a while.
 			w.change(urgent(2))
-			w.tellHead()
-			w.mustReach(inForce)
+			w.announceHead()
+			w.mustReach(maxPropagation)
 			for _, server := range w.servers {
 				w.setFault(server, healthy)
 			}
 			w.change(urgent(3))
-			w.tellHead()
-			w.mustReach(inForce)
+			w.announceHead()
+			w.mustReach(maxPropagation)
 		})
 	}
 }
 
 // A server that stands still is left even if nobody tells of the change.
-func TestServerThatStandsStill(t *testing.T) {
+func TestUnresponsiveServer(t *testing.T) {
 	w := settledWorld(t, 2, 10)
-	w.setFault(w.servers[0], still)
+	w.setFault(w.servers[0], unresponsive)
 	w.change(urgent(1))
-	w.mustReach(inForce)
+	w.mustReach(maxPropagation)
 	w.setFault(w.servers[0], healthy)
-	w.servers[0].asks = 0
+	w.servers[0].requests = 0
 	w.run(time.Minute)
-	if w.servers[0].asks == 0 {
+	if w.servers[0].requests == 0 {
 		t.Error("nobody has come back to the server that woke")
 	}
 }
@@ -124,8 +124,8 @@
 	w.servers[0].store = forged
 	w.servers[0].applied = 1
 	w.change(urgent(1))
-	w.tellHead()
-	w.mustReach(inForce)
+	w.announceHead()
+	w.mustReach(maxPropagation)
 	w.run(time.Minute)
 	for _, f := range w.followers {
 		if f.follower.repair != nil {
@@ -148,7 +148,7 @@
 		}
 		first[follower.servers.pick(testTime, false)]++
 		wakes[follower.Wake()] = true
-		if wait := follower.Wake().Sub(testTime); wait < 0 || wait >= startSpread {
+		if wait := follower.Wake().Sub(testTime); wait < 0 || wait >= maxStartDelay {
 			t.Fatalf("asks first after %v", wait)
 		}
 	}
@@ -167,16 +167,16 @@
 	store := smallStore(t)
 	replica := &Replica{}
 	follower := NewFollower(FollowerConfig{Name: "g", Servers: []string{"a", "b"}}, replica, testTime)
-	body, err := EncodeAnswer(store.Answer(ChangesRequest{}))
+	body, err := EncodeChangesResponse(store.HandleChanges(ChangesRequest{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := follower.Wake()
-	ask := follower.Handle(now, Tick{})[0].(Ask)
+	ask := follower.Handle(now, Tick{})[0].(Send)
 	if actions := follower.Handle(now, Tick{}); len(actions) != 0 {
 		t.Errorf("a second tick: %v", actions)
 	}
-	if actions := follower.Handle(now, Answered{ID: ask.ID + 1, Body: body}); len(actions) != 0 || replica.Version() != 0 {
+	if actions := follower.Handle(now, ResponseReceived{ID: ask.ID + 1, Body: body}); len(actions) != 0 || replica.Version() != 0 {
 		t.Errorf("an unknown answer: %v", actions)
 	}
 	late := now.Add(ask.Timeout)
@@ -187,15 +187,15 @@
 	if len(actions) != 1 || actions[0] != (Cancel{ID: ask.ID}) {
 		t.Fatalf("too late: %v", actions)
 	}
-	if actions := follower.Handle(late, Answered{ID: ask.ID, Body: body}); len(actions) != 0 || replica.Version() != 0 {
+	if actions := follower.Handle(late, ResponseReceived{ID: ask.ID, Body: body}); len(actions) != 0 || replica.Version() != 0 {
 		t.Errorf("an answer after the cancel: %v", actions)
 	}
-	next := follower.Handle(follower.Wake(), Tick{})[0].(Ask)
+	next := follower.Handle(follower.Wake(), Tick{})[0].(Send)
 	if next.Server == ask.Server || next.ID == ask.ID {
 		t.Errorf("asked %+v again", next)
 	}
-	actions = follower.Handle(follower.now, Answered{ID: next.ID, Body: body})
-	if save, ok := actions[0].(Save); !ok || save.Version != 1 || save.Delta == nil || replica.Version() != 1 {
+	actions = follower.Handle(follower.now, ResponseReceived{ID: next.ID, Body: body})
+	if save, ok := actions[0].(Persist); !ok || save.Version != 1 || save.Delta == nil || replica.Version() != 1 {
 		t.Errorf("the right answer: %+v", actions)
 	}
 	none := NewFollower(FollowerConfig{Name: "g"}, &Replica{}, testTime)
--- a/records/fuzz_test.go
+++ b/records/fuzz_test.go
@@ -25,26 +25,26 @@
 	if len(message) > 2 {
 		f.Add(message[:len(message)/2])
 	}
-	text, err := expand(message, maxSnapshotBytes)
+	text, err := decompress(message, maxSnapshotBytes)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(text)
 }
 
-func FuzzDecodeAnswer(f *testing.F) {
+func FuzzDecodeChangesResponse(f *testing.F) {
 	store := largeStore(f, 40)
 	apply(f, store, 9, change(remove("plan/free")), Accepted)
 	for _, request := range []ChangesRequest{{}, {Since: 1}, {Since: 9}, {Since: 10}, {Since: 9, Digest: &Digest{}}} {
-		data, err := EncodeAnswer(store.Answer(request))
+		data, err := EncodeChangesResponse(store.HandleChanges(request))
 		seed(f, data, err)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		answer, err := DecodeAnswer(data)
+		answer, err := DecodeChangesResponse(data)
 		if err != nil {
 			return
 		}
-		reencode(t, answer, EncodeAnswer, DecodeAnswer)
+		reencode(t, answer, EncodeChangesResponse, DecodeChangesResponse)
 		if answer.Delta == nil {
 			return
 		}
@@ -64,7 +64,7 @@
 			return
 		}
 		reencode(t, digests, EncodeRangeDigests, DecodeRangeDigests)
-		if err := NewRepair(&Replica{}).TakeDigests(digests); err != nil {
+		if err := NewRepair(&Replica{}).CompareDigests(digests); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -83,7 +83,7 @@
 		}
 		reencode(t, chunk, EncodeChunk, DecodeChunk)
 		repair := NewRepair(&Replica{})
-		if err := repair.TakeChunk(chunk); err == nil && len(repair.Pending()) != RangeCount-len(chunk.Ranges) {
+		if err := repair.StageChunk(chunk); err == nil && len(repair.Pending()) != RangeCount-len(chunk.Ranges) {
 			t.Fatal("the ranges of the chunk have not been settled")
 		}
 	})
@@ -94,7 +94,7 @@
 func FuzzRestoreStore(f *testing.F) {
 	store := largeStore(f, 20)
 	request := change(put("plan/x", planValue))
-	request.Request = "r"
+	request.IdempotencyKey = "r"
 	apply(f, store, 9, request, Accepted)
 	apply(f, store, 10, change(remove("plan/free")), Accepted)
 	for _, each := range []*Store{store, {}} {
--- a/records/golden_follower_test.go
+++ b/records/golden_follower_test.go
@@ -20,14 +20,14 @@
 		{"delta bytes", MaxDeltaBytes}, {"chunk bytes", MaxChunkBytes}, {"message bytes", MaxMessageBytes},
 		{"journal bytes", MaxJournalBytes}, {"snapshot bytes", maxSnapshotBytes}, {"ranges", RangeCount},
 		{"problem bytes", maxProblemBytes}, {"record overhead", recordOverhead}, {"log entry overhead", entryOverhead},
-		{"list element bytes", minElementBytes}, {"compressed from", compressFrom}, {"encoder window", encoderWindow},
+		{"list element bytes", minElementBytes}, {"compressed from", minCompressBytes}, {"encoder window", encoderWindow},
 		{"timeout_ms", MaxTimeoutMillis}, {"retries", MaxRetries}, {"requests_per_second", MaxRequestsPerSecond},
 		{"burst", MaxBurst}, {"price_weight", MaxPriceWeight}, {"zones", MaxZones}, {"path bytes", maxPathBytes}, {"host bytes", maxHostBytes},
-		{"longest wait of a server", MaxWait}, {"wait of a follower", PollWait}, {"request timeout", askTimeout}, {"head grace", headGrace},
-		{"poll interval", pollPause}, {"poll interval in a repair", repairPoll}, {"start spread", startSpread},
-		{"first retry", retryFirst}, {"longest retry", retryHighest}, {"cut off", CutOffAfter}, {"chunk requested", chunkBytes},
-		{"bytes per second", DefaultBytesPerSecond}, {"burst bytes", DefaultBurstBytes}, {"budget debt", maxDebt},
-		{"behind server avoided", avoidBehind}, {"failed server avoided", avoidFailed}, {"damaged server avoided", avoidDamaged},
+		{"longest wait of a server", MaxWait}, {"wait of a follower", LongPollWait}, {"request timeout", requestTimeout}, {"head grace", headGracePeriod},
+		{"poll interval", minPollInterval}, {"poll interval in a repair", repairPollInterval}, {"start spread", maxStartDelay},
+		{"first retry", initialBackoff}, {"longest retry", maxBackoff}, {"cut off", CutOffTimeout}, {"chunk requested", chunkRequestBytes},
+		{"bytes per second", DefaultBytesPerSecond}, {"burst bytes", DefaultBurstBytes}, {"budget debt", maxBudgetDebt},
+		{"behind server avoided", behindEjectionTime}, {"failed server avoided", failedEjectionTime}, {"damaged server avoided", corruptEjectionTime},
 	} {
 		fmt.Fprintf(&text, "%s: %v\n", each.name, each.value)
 	}
@@ -53,7 +53,7 @@
 	servers  []*traceServer
 	replica  *Replica
 	follower *Follower
-	inFlight *Ask
+	inFlight *Send
 	arrival  time.Time // of the answer; zero: none is on its way
 	answer   Event
 	last     FollowerStatus
@@ -105,14 +105,14 @@
 	f.t.Helper()
 	for _, action := range f.follower.Handle(f.now, event) {
 		switch action := action.(type) {
-		case Ask:
+		case Send:
 			f.printf("request %d to %s: %s, timeout %v", action.ID, action.Server, describeRequest(action.Request), action.Timeout)
 			f.inFlight = &action
 			f.serve()
 		case Cancel:
 			f.printf("cancel %d", action.ID)
 			f.inFlight, f.arrival = nil, time.Time{}
-		case Save:
+		case Persist:
 			changes := "whole"
 			if action.Delta != nil {
 				changes = fmt.Sprintf("%d-%d, %d puts, %d deletes", action.Delta.From, action.Delta.To, len(action.Delta.Puts), len(action.Delta.Deletes))
@@ -122,10 +122,10 @@
 	}
 	status := f.follower.Status(f.now)
 	shown := status
-	shown.Contact, shown.Confirmed, shown.Server = f.last.Contact, f.last.Confirmed, f.last.Server
+	shown.LastContact, shown.ConfirmedAt, shown.Server = f.last.LastContact, f.last.ConfirmedAt, f.last.Server
 	if shown != f.last {
 		f.printf("status %s, version %d, head %d, %d records, ranges %d of %d, confirmed %v, reason %q", status.State, status.Version, status.Head,
-			status.Records, status.RangesTaken, status.RangesTaken+status.RangesWanted, status.Confirmed.Sub(testTime).Round(time.Millisecond), status.Reason)
+			status.Records, status.RangesFetched, status.RangesFetched+status.RangesMissing, status.ConfirmedAt.Sub(testTime).Round(time.Millisecond), status.Reason)
 	}
 	f.last = status
 }
@@ -150,13 +150,13 @@
 	}
 	f.arrival = f.now.Add(latency)
 	if server.failing {
-		f.answer = Failed{ID: f.inFlight.ID, Reason: "connection refused", Bytes: 60}
+		f.answer = RequestFailed{ID: f.inFlight.ID, Reason: "connection refused", Bytes: 60}
 		return
 	}
 	var message any
 	switch request := f.inFlight.Request.(type) {
 	case ChangesRequest:
-		answer := server.store.Answer(request)
+		answer := server.store.HandleChanges(request)
 		if answer.NothingNew() && request.Wait > 0 {
 			f.arrival = f.now.Add(request.Wait)
 		}
@@ -173,14 +173,14 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	text, err := expand(body, MaxMessageBytes) // its cost doesn't depend on the library
+	text, err := decompress(body, MaxMessageBytes) // its cost doesn't depend on the library
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	if server.damaged {
 		body = []byte("{")
 	}
-	f.answer = Answered{ID: f.inFlight.ID, Body: body, Bytes: len(text)/3 + 100}
+	f.answer = ResponseReceived{ID: f.inFlight.ID, Body: body, Bytes: len(text)/3 + 100}
 }
 
 // change has all servers but those that are behind accept a change; those that hold
@@ -200,7 +200,7 @@
 
 func (f *followerTrace) reportHead() {
 	f.t.Helper()
-	f.handle(ToldHead{Version: f.reference().store.Version()})
+	f.handle(HeadReceived{Version: f.reference().store.Version()})
 }
 
 // What a follower decides, when, in which order and for which server, is the same as
@@ -210,7 +210,7 @@
 	for i := range 3 {
 		f.servers = append(f.servers, &traceServer{name: fmt.Sprintf("control-%d", i), store: largeStore(t, 2000)})
 	}
-	f.start(&Replica{}, FollowerConfig{Name: "gateway-1", Confirmed: testTime.Add(-time.Hour)})
+	f.start(&Replica{}, FollowerConfig{Name: "gateway-1", ConfirmedAt: testTime.Add(-time.Hour)})
 	f.run(90 * time.Second)
 	f.change(urgent(1), remove("plan/free"))
 	f.run(5 * time.Second)
--- a/records/golden_helpers_test.go
+++ b/records/golden_helpers_test.go
@@ -126,7 +126,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, err := expand(data, MaxMessageBytes)
+		text, err := decompress(data, MaxMessageBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -159,7 +159,7 @@
 			if !bytes.HasPrefix(data, []byte(header)) {
 				t.Fatalf("begins with %.40q", data)
 			}
-			text, err := expand(unsealed(header, data), maxSnapshotBytes)
+			text, err := decompress(unsealed(header, data), maxSnapshotBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -70,17 +70,17 @@
 func TestGoldenChange(t *testing.T) {
 	expected := uint64(7)
 	record := goldenRecord(t, Plan, "gold", 9)
-	operation := Operation{Key: record.Key, Delete: true, Value: record.Value, If: &expected}
+	operation := Operation{Key: record.Key, Delete: true, Value: record.Value, IfVersion: &expected}
 	problem := &Problem{Key: "tenant/acme", Field: "plan", Reason: "there is no plan/iron"}
 	pinJSON(t, "record.json", record)
 	pinJSON(t, "operation.json", operation)
-	pinJSON(t, "change.json", Change{Request: "deploy-17", Author: "anna", Message: "raise <gold> & more", At: goldenTime, Operations: []Operation{operation}})
+	pinJSON(t, "change.json", Change{IdempotencyKey: "deploy-17", Author: "anna", Message: "raise <gold> & more", At: goldenTime, Operations: []Operation{operation}})
 	pinJSON(t, "result.json", Result{Status: Conflict, Version: 12, Problem: problem})
 	pinJSON(t, "problem.json", *problem)
 	pinJSON(t, "change_info.json", ChangeInfo{Version: 12, Author: "anna", Message: "raise", At: goldenTime, Operations: 3})
-	pinJSON(t, "key_change.json", KeyChange{Key: record.Key, Version: 9, Record: &record, Later: 12})
+	pinJSON(t, "key_change.json", KeyChange{Key: record.Key, Version: 9, Record: &record, SupersededBy: 12})
 	pinJSON(t, "follower_status.json", FollowerStatus{State: Repairing, Version: 41, Digest: goldenDigest, Head: 43, Records: 5,
-		Confirmed: goldenTime, Contact: goldenTime.Add(time.Second), Server: "control-1", Reason: "repair: digest", RangesTaken: 3, RangesWanted: 2})
+		ConfirmedAt: goldenTime, LastContact: goldenTime.Add(time.Second), Server: "control-1", Reason: "repair: digest", RangesFetched: 3, RangesMissing: 2})
 }
 
 // Fields at their zero value are written or left out as other programs expect.
@@ -90,14 +90,14 @@
 		value any
 		want  string
 	}{
-		{Operation{Key: key("plan/a"), If: &never}, `{"key":"plan/a","if":0}`},
+		{Operation{Key: key("plan/a"), IfVersion: &never}, `{"key":"plan/a","if":0}`},
 		{Change{}, `{"author":"","at":"0001-01-01T00:00:00Z","operations":null}`},
 		{Result{}, `{"status":"","version":0}`},
 		{Problem{}, `{"reason":""}`},
 		{ChangeInfo{}, `{"version":0,"author":"","at":"0001-01-01T00:00:00Z","operations":0}`},
 		{KeyChange{Key: key("plan/a")}, `{"key":"plan/a","version":0}`},
 		{FollowerStatus{}, `{"state":"","version":0,"digest":"00000000000000000000000000000000","head":0,"records":0,"contact":"0001-01-01T00:00:00Z"}`},
-		{Answer{}, `{"version":0,"digest":"00000000000000000000000000000000"}`},
+		{ChangesResponse{}, `{"version":0,"digest":"00000000000000000000000000000000"}`},
 		{Delta{}, `{"from":0,"to":0,"digest":"00000000000000000000000000000000"}`},
 		{RangeDigests{}, `{"version":0,"digest":"00000000000000000000000000000000","ranges":null}`},
 		{Chunk{}, `{"version":0,"digest":"00000000000000000000000000000000","ranges":null}`},
@@ -122,33 +122,33 @@
 	delta := goldenDelta(t)
 	requireEveryField(t, delta)
 	small := Delta{From: 42, To: 43, Digest: goldenDigest, Deletes: delta.Deletes}
-	for name, answer := range map[string]Answer{
+	for name, answer := range map[string]ChangesResponse{
 		"answer_delta.json":       {Version: 43, Digest: goldenDigest, Delta: &delta},
 		"answer_delta_small.json": {Version: 43, Digest: goldenDigest, Delta: &small},
 		"answer_repair.json":      {Version: 43, Digest: goldenDigest, Repair: RepairTooLarge},
 		"answer_behind.json":      {Version: 43, Digest: goldenDigest, Behind: true},
 		"answer_nothing_new.json": {Version: 43, Digest: goldenDigest},
 	} {
-		pinMessage(t, name, answer, EncodeAnswer, DecodeAnswer)
+		pinMessage(t, name, answer, EncodeChangesResponse, DecodeChangesResponse)
 	}
 	// No server sets all of these at once, and no follower accepts it.
-	every := Answer{Version: 43, Digest: goldenDigest, Delta: &delta, Repair: RepairDigest, Behind: true}
+	every := ChangesResponse{Version: 43, Digest: goldenDigest, Delta: &delta, Repair: RepairDigest, Behind: true}
 	requireEveryField(t, every)
 	text, err := json.Marshal(every)
 	if err != nil {
 		t.Fatal(err)
 	}
 	requireGolden(t, "answer_every_field.json", text)
-	var decoded Answer
+	var decoded ChangesResponse
 	if err := decodeStrict(readGolden(t, "answer_every_field.json", text), &decoded); err != nil || !reflect.DeepEqual(decoded, every) {
 		t.Errorf("read as %+v, %v", decoded, err)
 	}
-	if _, err := DecodeAnswer(text); !errors.Is(err, ErrMessage) {
+	if _, err := DecodeChangesResponse(text); !errors.Is(err, ErrMessage) {
 		t.Errorf("accepted: %v", err)
 	}
 	// Fields of a value are the business of stores: a follower accepts those that it does not know.
 	newer := bytes.ReplaceAll(readGolden(t, "answer_delta.json", nil), []byte(`"value":{`), []byte(`"value":{"unknown_field":1,`))
-	answer, err := DecodeAnswer(newer)
+	answer, err := DecodeChangesResponse(newer)
 	if err != nil || !bytes.HasPrefix(answer.Delta.Puts[0].Value, []byte(`{"unknown_field":1,`)) {
 		t.Errorf("a value with an unknown field: %v", err)
 	}
@@ -167,10 +167,10 @@
 	first.At = goldenTime
 	apply(t, store, 2, first, Accepted)
 	store.log.compact(1)
-	second := Change{Request: "deploy-1", Author: "anna", Message: "raise <gold> & more", At: goldenTime.In(time.FixedZone("CET", 3600)),
+	second := Change{IdempotencyKey: "deploy-1", Author: "anna", Message: "raise <gold> & more", At: goldenTime.In(time.FixedZone("CET", 3600)),
 		Operations: []Operation{operation(Route, "search-1"), remove("tenant/old")}}
 	apply(t, store, 5, second, Accepted)
-	third := Change{Request: "deploy-2", Author: "bert", At: goldenTime, Operations: []Operation{put("tenant/x", `{"plan":"iron"}`)}}
+	third := Change{IdempotencyKey: "deploy-2", Author: "bert", At: goldenTime, Operations: []Operation{put("tenant/x", `{"plan":"iron"}`)}}
 	apply(t, store, 6, third, Invalid)
 	if err := store.Advance(ChangeInfo{Version: 8, Author: "restore", Message: "restored", At: goldenTime}); err != nil {
 		t.Fatal(err)
@@ -210,7 +210,7 @@
 	store := goldenStore(t)
 	fmt.Fprintf(&text, "store %s at 5 %s\n", store.Digest(), digestOf(store.current().sorted()))
 	expected := uint64(7)
-	hash := contentHash(Change{Author: "anna", Message: "raise", Operations: []Operation{put("plan/gold", planValue), {Key: key("plan/old"), Delete: true, If: &expected}}})
+	hash := contentHash(Change{Author: "anna", Message: "raise", Operations: []Operation{put("plan/gold", planValue), {Key: key("plan/old"), Delete: true, IfVersion: &expected}}})
 	fmt.Fprintf(&text, "change %x\n", hash)
 	requireGolden(t, "digests.txt", []byte(text.String()))
 }
@@ -229,7 +229,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			text, err := expand(entry[12:], MaxMessageBytes)
+			text, err := decompress(entry[12:], MaxMessageBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -262,7 +262,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := unseal(storeHeader, data, &content); err != nil {
+	if err := decodeSnapshot(storeHeader, data, &content); err != nil {
 		t.Fatal(err)
 	}
 	requireEveryField(t, content)
--- a/records/helpers_test.go
+++ b/records/helpers_test.go
@@ -25,7 +25,7 @@
 func remove(name string) Operation { return Operation{Key: key(name), Delete: true} }
 
 func onlyIf(version uint64, operation Operation) Operation {
-	operation.If = &version
+	operation.IfVersion = &version
 	return operation
 }
 
--- a/records/key.go
+++ b/records/key.go
@@ -55,8 +55,8 @@
 // String returns the text form KIND/NAME.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Check returns an error for an unknown kind or a malformed name.
-func (k Key) Check() error {
+// Validate returns an error for an unknown kind or a malformed name.
+func (k Key) Validate() error {
 	_, err := ParseKey(k.String())
 	return err
 }
--- a/records/machine_test.go
+++ b/records/machine_test.go
@@ -11,14 +11,14 @@
 
 // machine is a store, its model, and replicas that meet every fault.
 type machine struct {
-	store    *Store
-	model    model
-	index    uint64
-	accepted map[uint64]Digest // all versions that there have been
-	deltas   []Delta           // some of all that have been sent
-	replicas []*Replica
-	repairs  []*Repair
-	seen     []uint64 // versions of the replicas, which never go back
+	store           *Store
+	model           model
+	index           uint64
+	accepted        map[uint64]Digest // all versions that there have been
+	deltas          []Delta           // some of all that have been sent
+	replicas        []*Replica
+	repairs         []*Repair
+	highestVersions []uint64 // versions of the replicas, which never go back
 }
 
 func newMachine() *machine {
@@ -28,7 +28,7 @@
 		m.replicas = append(m.replicas, &Replica{})
 	}
 	m.repairs = make([]*Repair, len(m.replicas))
-	m.seen = make([]uint64, len(m.replicas))
+	m.highestVersions = make([]uint64, len(m.replicas))
 	return m
 }
 
@@ -41,7 +41,7 @@
 	for i, operation := range operations {
 		if rapid.IntRange(0, 4).Draw(t, "conditional") == 0 {
 			expected := rapid.SampledFrom([]uint64{0, m.store.Version(), m.model.versions[operation.Key]}).Draw(t, "expected")
-			operations[i].If = &expected
+			operations[i].IfVersion = &expected
 			if expected != m.model.versions[operation.Key] {
 				want = Conflict
 			}
@@ -160,12 +160,12 @@
 	repair := m.repairs[i]
 	switch repair.Next() {
 	case NeedDigests:
-		if err := repair.TakeDigests(m.store.RangeDigests()); err != nil {
+		if err := repair.CompareDigests(m.store.RangeDigests()); err != nil {
 			t.Fatal(err)
 		}
 	case NeedContent:
 		chunk := m.store.Chunk(ContentRequest{Ranges: repair.Pending(), MaxBytes: maxBytes})
-		if err := repair.TakeChunk(chunk); err != nil {
+		if err := repair.StageChunk(chunk); err != nil {
 			t.Fatal(err)
 		}
 	case NeedChanges:
@@ -197,17 +197,17 @@
 		if !found || digest != replica.Digest() {
 			t.Fatalf("replica %d at version %d is no version that there was", i, replica.Version())
 		}
-		if replica.Version() < m.seen[i] {
-			t.Fatalf("replica %d went back from %d to %d", i, m.seen[i], replica.Version())
+		if replica.Version() < m.highestVersions[i] {
+			t.Fatalf("replica %d went back from %d to %d", i, m.highestVersions[i], replica.Version())
 		}
-		m.seen[i] = replica.Version()
+		m.highestVersions[i] = replica.Version()
 	}
 }
 
 // Whatever happens to the changes on their way, a replica is always exactly one of
 // the versions that were accepted, never goes back, and comes to the newest in the
 // end.
-func TestReplicasAreWholeVersions(t *testing.T) {
+func TestReplicasAreAcceptedVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		t.Repeat(map[string]func(*rapid.T){
--- a/records/message_test.go
+++ b/records/message_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestMessagesGoRoundTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	store := largeStore(t, 300)
 	chunk := store.Chunk(ContentRequest{Ranges: []int{1, 2, 3, 9}, MaxBytes: MaxChunkBytes})
 	data, err := EncodeChunk(chunk)
@@ -96,7 +96,7 @@
 }
 
 // Messages that cannot be right are refused, large ones before they take memory.
-func TestBadMessages(t *testing.T) {
+func TestInvalidMessages(t *testing.T) {
 	const bombBytes = 100 << 20
 	bomb := compress(make([]byte, bombBytes))
 	if len(bomb) > 100_000 {
@@ -123,7 +123,7 @@
 		before := allocated()
 		_, chunkErr := DecodeChunk(data)
 		_, digestsErr := DecodeRangeDigests(data)
-		_, answerErr := DecodeAnswer(data)
+		_, answerErr := DecodeChangesResponse(data)
 		for _, err := range []error{chunkErr, digestsErr, answerErr} {
 			if !errors.Is(err, ErrMessage) {
 				t.Errorf("%s: %v", name, err)
@@ -145,7 +145,7 @@
 	return stats.TotalAlloc
 }
 
-func TestBadChunksAndDeltas(t *testing.T) {
+func TestInvalidChunksAndDeltas(t *testing.T) {
 	store := largeStore(t, 5000)
 	whole := func() Chunk {
 		chunk := store.Chunk(ContentRequest{Ranges: []int{4, 5}, MaxBytes: MaxChunkBytes})
@@ -190,7 +190,7 @@
 			t.Errorf("delta: %s: %v", name, err)
 		}
 	}
-	if err := (Answer{Version: 3, Digest: Digest{1}, Delta: &Delta{To: 2, Digest: Digest{1}}}).check(); err == nil {
+	if err := (ChangesResponse{Version: 3, Digest: Digest{1}, Delta: &Delta{To: 2, Digest: Digest{1}}}).validate(); err == nil {
 		t.Error("a delta to another version than the answer's")
 	}
 }
--- a/records/ranges.go
+++ b/records/ranges.go
@@ -53,8 +53,8 @@
 	Ranges  *DigestList `json:"ranges"`
 }
 
-// check returns what is contradictory in the message.
-func (d RangeDigests) check() error {
+// validate returns what is contradictory in the message.
+func (d RangeDigests) validate() error {
 	if d.Digest == (Digest{}) {
 		return errNoDigest
 	}
@@ -71,8 +71,8 @@
 	Records List[Record] `json:"records"`
 }
 
-// check returns what is contradictory in the content of a range at a version.
-func (c RangeContent) check(version uint64) error {
+// validate returns what is contradictory in the content of a range at a version.
+func (c RangeContent) validate(version uint64) error {
 	if c.Range < 0 || c.Range >= RangeCount {
 		return fmt.Errorf("there is no range %d", c.Range)
 	}
@@ -115,8 +115,8 @@
 	Ranges  List[RangeContent] `json:"ranges"` // in ascending order
 }
 
-// check returns what is contradictory in a chunk.
-func (c Chunk) check() error {
+// validate returns what is contradictory in a chunk.
+func (c Chunk) validate() error {
 	if c.Digest == (Digest{}) {
 		return errNoDigest
 	}
@@ -125,7 +125,7 @@
 		if i > 0 && content.Range <= c.Ranges[i-1].Range {
 			return fmt.Errorf("range %d follows %d", content.Range, c.Ranges[i-1].Range)
 		}
-		if err := content.check(c.Version); err != nil {
+		if err := content.validate(c.Version); err != nil {
 			return err
 		}
 		records += len(content.Records)
--- a/records/repair.go
+++ b/records/repair.go
@@ -10,8 +10,8 @@
 
 // The steps of a repair.
 const (
-	NeedDigests RepairStep = iota // TakeDigests
-	NeedContent                   // TakeChunk, of the ranges that Pending returns
+	NeedDigests RepairStep = iota // CompareDigests
+	NeedContent                   // StageChunk, of the ranges that Pending returns
 	NeedChanges                   // Finish, with the changes above Since
 )
 
@@ -26,7 +26,7 @@
 	pending  [RangeCount]bool   // ranges whose content is wanted
 	missing  int                // how many ranges are pending
 	compared bool               // with the digests of a server
-	taken    int                // ranges whose content has been taken
+	fetched  int                // ranges whose content has been taken
 }
 
 // NewRepair begins with what the replica has. An empty one needs no digests: it
@@ -36,20 +36,20 @@
 	if replica.Len() == 0 {
 		repair.compared = true
 		for i := range repair.pending {
-			repair.want(i)
+			repair.markMissing(i)
 		}
 	}
 	return repair
 }
 
-func (r *Repair) want(index int) {
+func (r *Repair) markMissing(index int) {
 	if !r.pending[index] {
 		r.pending[index] = true
 		r.missing++
 	}
 }
 
-func (r *Repair) settle(index int, version uint64) {
+func (r *Repair) markCurrent(index int, version uint64) {
 	if r.pending[index] {
 		r.pending[index] = false
 		r.missing--
@@ -80,7 +80,7 @@
 }
 
 // Progress returns how many ranges have been taken and how many are still wanted.
-func (r *Repair) Progress() (taken, missing int) { return r.taken, r.missing }
+func (r *Repair) Progress() (fetched, missing int) { return r.fetched, r.missing }
 
 // Since returns the version above which the changes are needed at the end.
 func (r *Repair) Since() uint64 {
@@ -91,7 +91,7 @@
 	return lowest
 }
 
-func (r *Repair) highest() uint64 {
+func (r *Repair) maxVersion() uint64 {
 	highest := r.base
 	for _, version := range r.versions {
 		highest = max(highest, version)
@@ -103,10 +103,10 @@
 // the repair are not to be had. What is staged already stays.
 func (r *Repair) Recompare() { r.compared = false }
 
-// TakeDigests compares the staged ranges with a server's and marks those that
+// CompareDigests compares the staged ranges with a server's and marks those that
 // differ. The error is ErrBehind if the server is below the copy in force.
-func (r *Repair) TakeDigests(digests RangeDigests) error {
-	if err := digests.check(); err != nil {
+func (r *Repair) CompareDigests(digests RangeDigests) error {
+	if err := digests.validate(); err != nil {
 		return err
 	}
 	if digests.Version < r.base {
@@ -114,20 +114,20 @@
 	}
 	for i, digest := range digests.Ranges {
 		if r.staged.state.ranges[i].sum.low == digest {
-			r.settle(i, digests.Version)
+			r.markCurrent(i, digests.Version)
 		} else {
-			r.want(i)
+			r.markMissing(i)
 		}
 	}
 	r.compared = true
 	return nil
 }
 
-// TakeChunk stages the ranges of a chunk that are wanted. The error is ErrBehind if
+// StageChunk stages the ranges of a chunk that are wanted. The error is ErrBehind if
 // the server is below the copy in force, and ErrDigest if a range does not fit its
 // digest; nothing is staged then.
-func (r *Repair) TakeChunk(chunk Chunk) error {
-	if err := chunk.check(); err != nil {
+func (r *Repair) StageChunk(chunk Chunk) error {
+	if err := chunk.validate(); err != nil {
 		return err
 	}
 	if chunk.Version < r.base {
@@ -140,8 +140,8 @@
 		}
 		useful = true
 		r.staged.replace(content.Range, content.Records)
-		r.settle(content.Range, chunk.Version)
-		r.taken++
+		r.markCurrent(content.Range, chunk.Version)
+		r.fetched++
 	}
 	if !useful {
 		return errors.New("the chunk has none of the ranges that are wanted")
@@ -158,13 +158,13 @@
 	if r.Next() != NeedChanges {
 		return errors.New("the repair still needs ranges")
 	}
-	if err := delta.check(); err != nil {
+	if err := delta.validate(); err != nil {
 		return err
 	}
 	if since := r.Since(); delta.From > since {
 		return fmt.Errorf("%w: the changes begin at %d, the ranges at %d", ErrGap, delta.From, since)
 	}
-	if highest := max(r.highest(), replica.Version()); delta.To < highest {
+	if highest := max(r.maxVersion(), replica.Version()); delta.To < highest {
 		return fmt.Errorf("%w: the changes lead to %d, the ranges or the replica are at %d", ErrBehind, delta.To, highest)
 	}
 	draft := r.staged.state.edit()
--- a/records/repair_test.go
+++ b/records/repair_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := repair.TakeChunk(chunk); err != nil {
+	if err := repair.StageChunk(chunk); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := repair.TakeDigests(digests); err != nil {
+	if err := repair.CompareDigests(digests); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -79,7 +79,7 @@
 	}
 	apply(t, store, 100, change(put("plan/a", planValue), put("plan/b", planValue), remove("plan/free"), put("plan/gold", `{"price_weight":3,"requests_per_second":1}`)), Accepted)
 	store.log.compact(len(store.log.entries))
-	if answer := store.Answer(ChangesRequest{Since: replica.Version()}); answer.Repair != RepairCompacted {
+	if answer := store.HandleChanges(ChangesRequest{Since: replica.Version()}); answer.Repair != RepairCompacted {
 		t.Fatalf("answer %+v", answer)
 	}
 	repair := NewRepair(replica)
@@ -152,21 +152,21 @@
 	if err := repair.Finish(replica, since(t, store, 2)); err == nil {
 		t.Error("finished without a comparison")
 	}
-	if err := repair.TakeDigests(stale.RangeDigests()); !errors.Is(err, ErrBehind) {
+	if err := repair.CompareDigests(stale.RangeDigests()); !errors.Is(err, ErrBehind) {
 		t.Errorf("digests of a stale server: %v", err)
 	}
 	compare(t, repair, store)
 	wanted := repair.Pending()
-	if err := repair.TakeChunk(stale.Chunk(ContentRequest{Ranges: wanted})); !errors.Is(err, ErrBehind) {
+	if err := repair.StageChunk(stale.Chunk(ContentRequest{Ranges: wanted})); !errors.Is(err, ErrBehind) {
 		t.Errorf("a chunk of a stale server: %v", err)
 	}
-	if err := repair.TakeChunk(Chunk{Version: 3, Digest: store.Digest()}); err == nil {
+	if err := repair.StageChunk(Chunk{Version: 3, Digest: store.Digest()}); err == nil {
 		t.Error("took an empty chunk")
 	}
 	changed := store.Chunk(ContentRequest{Ranges: []int{RangeOf(key("plan/other"))}})
 	changed.Ranges[0].Records = slices.Clone(changed.Ranges[0].Records)
 	changed.Ranges[0].Records[0].Version = 2
-	if err := repair.TakeChunk(changed); !errors.Is(err, ErrDigest) {
+	if err := repair.StageChunk(changed); !errors.Is(err, ErrDigest) {
 		t.Errorf("a changed chunk: %v", err)
 	}
 	if !slices.Equal(repair.Pending(), wanted) {
--- a/records/replica.go
+++ b/records/replica.go
@@ -53,7 +53,7 @@
 // is as before: ErrGap if the delta begins above the copy's version, ErrBehind if it
 // ends below, ErrDigest if the result is not what the server has.
 func (r *Replica) ApplyDelta(delta Delta) error {
-	if err := delta.check(); err != nil {
+	if err := delta.validate(); err != nil {
 		return err
 	}
 	if delta.To < r.version {
@@ -76,7 +76,7 @@
 // gives it. The value's fields are not checked: the store has done so, and may know
 // more of them than this program.
 func checkRecord(record Record, newest uint64) error {
-	if err := record.Key.Check(); err != nil {
+	if err := record.Key.Validate(); err != nil {
 		return err
 	}
 	if record.Version == 0 || record.Version > newest {
--- a/records/request.go
+++ b/records/request.go
@@ -8,28 +8,28 @@
 	"unicode/utf8"
 )
 
-// requestLog remembers the results of the newest requests, oldest first.
-type requestLog struct {
-	order   []string
-	results map[string]rememberedResult
+// resultCache remembers the results of the newest requests, oldest first.
+type resultCache struct {
+	order []string
+	byKey map[string]cachedResult
 }
 
-// rememberedResult is what a request was answered, and what it had asked for.
-type rememberedResult struct {
-	Request string   `json:"request"`
-	Content [16]byte `json:"content"` // hash of the change
-	Result  Result   `json:"result"`
+// cachedResult is what a request was answered, and what it had asked for.
+type cachedResult struct {
+	IdempotencyKey string   `json:"request"`
+	Content        [16]byte `json:"content"` // hash of the change
+	Result         Result   `json:"result"`
 }
 
-// rememberable tells whether a request key is one that a change may have.
-func rememberable(request string) bool {
+// validIdempotencyKey tells whether a request key is one that a change may have.
+func validIdempotencyKey(request string) bool {
 	return request != "" && len(request) <= MaxNameBytes && utf8.ValidString(request)
 }
 
-// recall returns the result of a request that is remembered. The same key with
+// lookup returns the result of a request that is remembered. The same key with
 // another content is a mistake of the caller.
-func (l *requestLog) recall(request string, content [16]byte) (Result, bool) {
-	remembered, found := l.results[request]
+func (l *resultCache) lookup(request string, content [16]byte) (Result, bool) {
+	remembered, found := l.byKey[request]
 	if !found {
 		return Result{}, false
 	}
@@ -40,23 +40,23 @@
 	return remembered.Result, true
 }
 
-func (l *requestLog) add(remembered rememberedResult) {
-	if l.results == nil {
-		l.results = map[string]rememberedResult{}
+func (l *resultCache) add(remembered cachedResult) {
+	if l.byKey == nil {
+		l.byKey = map[string]cachedResult{}
 	}
 	if len(l.order) == MaxRequests {
-		delete(l.results, l.order[0])
+		delete(l.byKey, l.order[0])
 		l.order = slices.Delete(l.order, 0, 1)
 	}
-	l.order = append(l.order, remembered.Request)
-	l.results[remembered.Request] = remembered
+	l.order = append(l.order, remembered.IdempotencyKey)
+	l.byKey[remembered.IdempotencyKey] = remembered
 }
 
 // list returns what is remembered, oldest first.
-func (l *requestLog) list() []rememberedResult {
-	list := make([]rememberedResult, 0, len(l.order))
+func (l *resultCache) list() []cachedResult {
+	list := make([]cachedResult, 0, len(l.order))
 	for _, request := range l.order {
-		list = append(list, l.results[request])
+		list = append(list, l.byKey[request])
 	}
 	return list
 }
@@ -68,8 +68,8 @@
 	fmt.Fprintf(hash, "%q %q", change.Author, change.Message)
 	for _, operation := range change.Operations {
 		condition := "any"
-		if operation.If != nil {
-			condition = strconv.FormatUint(*operation.If, 10)
+		if operation.IfVersion != nil {
+			condition = strconv.FormatUint(*operation.IfVersion, 10)
 		}
 		fmt.Fprintf(hash, "\n%q %t %s %q", operation.Key.String(), operation.Delete, condition, operation.Value)
 	}
--- a/records/servers.go
+++ b/records/servers.go
@@ -10,9 +10,9 @@
 // How long a server is left alone after a fault; each is shortened by up to half so
 // that followers do not come back together.
 const (
-	avoidBehind  = 10 * time.Second
-	avoidFailed  = 15 * time.Second
-	avoidDamaged = time.Minute
+	behindEjectionTime  = 10 * time.Second
+	failedEjectionTime  = 15 * time.Second
+	corruptEjectionTime = time.Minute
 )
 
 // servers is a follower's picture of the servers: in an order of its own, the first
@@ -22,8 +22,8 @@
 }
 
 type server struct {
-	name    string
-	avoided time.Time // until when
+	name         string
+	ejectedUntil time.Time // until when
 }
 
 // newServers orders the servers by a hash of the follower's name and theirs, so
@@ -34,7 +34,7 @@
 		all.order = append(all.order, server{name: name})
 	}
 	slices.SortFunc(all.order, func(a, b server) int {
-		return cmp.Or(cmp.Compare(hashTexts(follower, a.name), hashTexts(follower, b.name)), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(hashStrings(follower, a.name), hashStrings(follower, b.name)), cmp.Compare(a.name, b.name))
 	})
 	return all
 }
@@ -42,38 +42,38 @@
 // pick returns the server to ask: the first that is not avoided. If all are, or if
 // the last one asked was at fault, it is the one whose time is up first, so that all
 // have their turn. No servers: an empty name.
-func (s *servers) pick(now time.Time, faulted bool) string {
+func (s *servers) pick(now time.Time, afterFault bool) string {
 	var best server
 	for i, each := range s.order {
-		if !faulted && !each.avoided.After(now) {
+		if !afterFault && !each.ejectedUntil.After(now) {
 			return each.name
 		}
-		if i == 0 || each.avoided.Before(best.avoided) {
+		if i == 0 || each.ejectedUntil.Before(best.ejectedUntil) {
 			best = each
 		}
 	}
 	return best.name
 }
 
-func (s *servers) avoid(name string, until time.Time) {
+func (s *servers) eject(name string, until time.Time) {
 	for i := range s.order {
 		if s.order[i].name == name {
-			s.order[i].avoided = until
+			s.order[i].ejectedUntil = until
 		}
 	}
 }
 
-// hashTexts hashes two texts so that close ones differ in all bits.
-func hashTexts(first, second string) uint64 {
+// hashStrings hashes two texts so that close ones differ in all bits.
+func hashStrings(first, second string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(first))
 	hash.Write([]byte{0})
 	hash.Write([]byte(second))
-	return mix(hash.Sum64())
+	return mix64(hash.Sum64())
 }
 
-// mix is the finalizer of SplitMix64.
-func mix(bits uint64) uint64 {
+// mix64 is the finalizer of SplitMix64.
+func mix64(bits uint64) uint64 {
 	bits = (bits ^ bits>>30) * 0xbf58476d1ce4e5b9
 	bits = (bits ^ bits>>27) * 0x94d049bb133111eb
 	return bits ^ bits>>31
@@ -83,12 +83,12 @@
 // the same for the same name.
 type jitter struct{ state uint64 }
 
-func newJitter(name string) jitter { return jitter{state: hashTexts(name, "jitter")} }
+func newJitter(name string) jitter { return jitter{state: hashStrings(name, "jitter")} }
 
 // fraction returns a number from 0 up to 1.
 func (j *jitter) fraction() float64 {
 	j.state += 0x9e3779b97f4a7c15
-	return float64(mix(j.state)>>11) / (1 << 53)
+	return float64(mix64(j.state)>>11) / (1 << 53)
 }
 
 // shorten takes up to half off a duration.
--- a/records/snapshot.go
+++ b/records/snapshot.go
@@ -31,23 +31,23 @@
 // storeSnapshot is what a store's snapshot holds.
 type storeSnapshot struct {
 	replicaSnapshot
-	Applied      uint64                 `json:"applied"`
-	FloorVersion uint64                 `json:"floor_version"`
-	FloorDigest  Digest                 `json:"floor_digest"`
-	Log          List[logEntry]         `json:"log"`
-	Requests     List[rememberedResult] `json:"requests"`
+	Applied      uint64             `json:"applied"`
+	FloorVersion uint64             `json:"floor_version"`
+	FloorDigest  Digest             `json:"floor_digest"`
+	Log          List[logEntry]     `json:"log"`
+	Requests     List[cachedResult] `json:"requests"`
 }
 
 // Snapshot returns the copy in the form that Restore reads.
 func (r *Replica) Snapshot() ([]byte, error) {
-	return seal(replicaHeader, replicaSnapshot{Version: r.version, Digest: r.Digest(), Records: r.current().sorted()})
+	return encodeSnapshot(replicaHeader, replicaSnapshot{Version: r.version, Digest: r.Digest(), Records: r.current().sorted()})
 }
 
 // Restore replaces the copy by a snapshot's. The error wraps ErrSnapshot if it is
 // not whole, or ErrBehind if it is older than the copy; the copy is then as before.
 func (r *Replica) Restore(data []byte) error {
 	var snapshot replicaSnapshot
-	if err := unseal(replicaHeader, data, &snapshot); err != nil {
+	if err := decodeSnapshot(replicaHeader, data, &snapshot); err != nil {
 		return err
 	}
 	restored, err := snapshot.state()
@@ -64,13 +64,13 @@
 // Snapshot returns the store with its log and its remembered results in the form
 // that Restore reads.
 func (s *Store) Snapshot() ([]byte, error) {
-	return seal(storeHeader, storeSnapshot{
+	return encodeSnapshot(storeHeader, storeSnapshot{
 		replicaSnapshot: replicaSnapshot{Version: s.version, Digest: s.Digest(), Records: s.current().sorted()},
 		Applied:         s.applied,
 		FloorVersion:    s.log.floorVersion,
 		FloorDigest:     s.log.floorDigest,
 		Log:             s.log.entries,
-		Requests:        s.requests.list(),
+		Requests:        s.results.list(),
 	})
 }
 
@@ -78,7 +78,7 @@
 // not whole; the store is then as before.
 func (s *Store) Restore(data []byte) error {
 	var snapshot storeSnapshot
-	if err := unseal(storeHeader, data, &snapshot); err != nil {
+	if err := decodeSnapshot(storeHeader, data, &snapshot); err != nil {
 		return err
 	}
 	restored, err := snapshot.store()
@@ -134,11 +134,11 @@
 	if err != nil {
 		return nil, err
 	}
-	requests, err := s.requestLog()
+	requests, err := s.resultCache()
 	if err != nil {
 		return nil, err
 	}
-	return &Store{state: built, version: s.Version, applied: s.Applied, log: *log, requests: *requests, references: references}, nil
+	return &Store{state: built, version: s.Version, applied: s.Applied, log: *log, results: *requests, references: references}, nil
 }
 
 // countReferences validates every record as Apply does.
@@ -176,7 +176,7 @@
 			return nil, fmt.Errorf("log: version %d follows %d", entry.Info.Version, newest)
 		}
 		for _, key := range entry.Keys {
-			if err := key.Check(); err != nil {
+			if err := key.Validate(); err != nil {
 				return nil, fmt.Errorf("log: version %d: %w", entry.Info.Version, err)
 			}
 		}
@@ -196,22 +196,22 @@
 	return log, nil
 }
 
-func (s *storeSnapshot) requestLog() (*requestLog, error) {
+func (s *storeSnapshot) resultCache() (*resultCache, error) {
 	if len(s.Requests) > MaxRequests {
 		return nil, fmt.Errorf("%d requests, at most %d are allowed", len(s.Requests), MaxRequests)
 	}
-	log := &requestLog{}
+	log := &resultCache{}
 	for _, remembered := range s.Requests {
-		if _, found := log.results[remembered.Request]; found {
-			return nil, fmt.Errorf("the request %q is there twice", remembered.Request)
+		if _, found := log.byKey[remembered.IdempotencyKey]; found {
+			return nil, fmt.Errorf("the request %q is there twice", remembered.IdempotencyKey)
 		}
 		log.add(remembered)
 	}
 	return log, nil
 }
 
-// seal writes the header, a checksum of what follows, and the content.
-func seal(header string, content any) ([]byte, error) {
+// encodeSnapshot writes the header, a checksum of what follows, and the content.
+func encodeSnapshot(header string, content any) ([]byte, error) {
 	text, err := json.Marshal(content)
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot of records: %w", err)
@@ -221,8 +221,8 @@
 	return slices.Concat([]byte(header), checksum[:], body), nil
 }
 
-// unseal reads what seal has written.
-func unseal(header string, data []byte, into any) error {
+// decodeSnapshot reads what seal has written.
+func decodeSnapshot(header string, data []byte, into any) error {
 	rest, found := bytes.CutPrefix(data, []byte(header))
 	if !found {
 		return fmt.Errorf("%w: it does not begin with %q", ErrSnapshot, header)
@@ -234,7 +234,7 @@
 	if sha256.Sum256(body) != [sha256.Size]byte(rest) {
 		return fmt.Errorf("%w: the checksum does not fit", ErrSnapshot)
 	}
-	text, err := expand(body, maxSnapshotBytes)
+	text, err := decompress(body, maxSnapshotBytes)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
--- a/records/snapshot_test.go
+++ b/records/snapshot_test.go
@@ -147,7 +147,7 @@
 		{"log's digest", func(s *storeSnapshot) { s.Log[1].Digest[0]++ }, "log: the content does not fit the digest"},
 		{"log's key", func(s *storeSnapshot) { s.Log[1].Keys = []Key{{}} }, "unknown kind"},
 		{"log's floor", func(s *storeSnapshot) { s.FloorVersion = 1 }, "version 1 follows 1"},
-		{"requests twice", func(s *storeSnapshot) { s.Requests = make(List[rememberedResult], 2) }, "there twice"},
+		{"requests twice", func(s *storeSnapshot) { s.Requests = make(List[cachedResult], 2) }, "there twice"},
 		{"long log", func(s *storeSnapshot) { s.Log = longLog() }, "beyond the bounds"},
 	} {
 		snapshot := whole()
@@ -155,7 +155,7 @@
 		if _, err := snapshot.store(); err == nil || !strings.Contains(err.Error(), test.reason) {
 			t.Errorf("%s: %v, want %q", test.name, err, test.reason)
 		}
-		data, err := seal(storeHeader, snapshot)
+		data, err := encodeSnapshot(storeHeader, snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,7 +163,7 @@
 			t.Errorf("%s: %v", test.name, err)
 		}
 	}
-	data, err := seal(storeHeader, whole())
+	data, err := encodeSnapshot(storeHeader, whole())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/records/state.go
+++ b/records/state.go
@@ -81,8 +81,8 @@
 	return d
 }
 
-// own returns a range for changing.
-func (d *draft) own(index int) *keyRange {
+// mutableRange returns a range for changing.
+func (d *draft) mutableRange(index int) *keyRange {
 	keys := &d.state.ranges[index]
 	if !d.owned[index] {
 		keys.records = slices.Clone(keys.records)
@@ -92,7 +92,7 @@
 }
 
 func (d *draft) put(record Record) {
-	keys := d.own(RangeOf(record.Key))
+	keys := d.mutableRange(RangeOf(record.Key))
 	position, found := keys.find(record.Key)
 	if found {
 		old := keys.records[position]
@@ -113,7 +113,7 @@
 	if !found {
 		return
 	}
-	keys := d.own(index)
+	keys := d.mutableRange(index)
 	old := keys.records[position]
 	keys.records = slices.Delete(keys.records, position, position+1)
 	keys.sum = keys.sum.minus(hashRecord(old))
--- a/records/store.go
+++ b/records/store.go
@@ -15,11 +15,11 @@
 // Store is the authority on the records: a state machine that gives the same
 // results for the same changes. Its zero value is empty and ready for use.
 type Store struct {
-	state    *state
-	version  uint64 // of the newest accepted change
-	applied  uint64 // of the newest change, whatever its result
-	log      changeLog
-	requests requestLog
+	state   *state
+	version uint64 // of the newest accepted change
+	applied uint64 // of the newest change, whatever its result
+	log     changeLog
+	results resultCache
 	// references counts, for each record that others need, how many do.
 	references map[Key]int
 }
@@ -71,15 +71,15 @@
 		return Result{}, fmt.Errorf("%w: %d is not above %d", ErrVersion, version, s.applied)
 	}
 	s.applied = version
-	if !rememberable(change.Request) {
+	if !validIdempotencyKey(change.IdempotencyKey) {
 		return s.apply(version, change), nil
 	}
 	content := contentHash(change)
-	if result, found := s.requests.recall(change.Request, content); found {
+	if result, found := s.results.lookup(change.IdempotencyKey, content); found {
 		return result, nil
 	}
 	result := s.apply(version, change)
-	s.requests.add(rememberedResult{Request: change.Request, Content: content, Result: result})
+	s.results.add(cachedResult{IdempotencyKey: change.IdempotencyKey, Content: content, Result: result})
 	return result, nil
 }
 
--- a/records/store_test.go
+++ b/records/store_test.go
@@ -22,7 +22,7 @@
 }
 
 // A bad change is refused whole, with the record and the field named.
-func TestBadChange(t *testing.T) {
+func TestInvalidChange(t *testing.T) {
 	long := strings.Repeat("x", 2*MaxValueBytes)
 	for _, test := range []struct {
 		name       string
@@ -34,7 +34,7 @@
 		{"no operations", change(), Invalid, "", "operations", "none"},
 		{"no author", Change{Operations: []Operation{remove("plan/x")}}, Invalid, "", "author", "missing"},
 		{"author", Change{Author: "\xff", Operations: []Operation{remove("plan/x")}}, Invalid, "", "author", "UTF-8"},
-		{"request", Change{Author: "a", Request: long, Operations: []Operation{remove("plan/x")}}, Invalid, "", "request", "at most"},
+		{"request", Change{Author: "a", IdempotencyKey: long, Operations: []Operation{remove("plan/x")}}, Invalid, "", "request", "at most"},
 		{"message", Change{Author: "a", Message: long, Operations: []Operation{remove("plan/x")}}, Invalid, "", "message", "at most"},
 		{"many", change(make([]Operation, MaxOperations+1)...), Invalid, "", "operations", "at most"},
 		{"kind", change(Operation{Key: Key{"planet", "x"}}), Invalid, "planet/x", "", "unknown kind"},
@@ -72,7 +72,7 @@
 			store := smallStore(t)
 			before := store.Digest()
 			bad := test.change
-			if len(bad.Operations) > 0 && len(bad.Operations) < MaxOperations && bad.Operations[0].Key.Check() == nil {
+			if len(bad.Operations) > 0 && len(bad.Operations) < MaxOperations && bad.Operations[0].Key.Validate() == nil {
 				// A good operation ahead of the bad one must not take effect either.
 				bad.Operations = append([]Operation{put("service/good", serviceValue)}, bad.Operations...)
 			}
@@ -146,12 +146,12 @@
 
 // A repeat of a request gets the answer that the first got, also if the store has
 // changed since and after a snapshot, as long as it is remembered.
-func TestRepeatedRequest(t *testing.T) {
+func TestRepeatedIdempotencyKey(t *testing.T) {
 	store := smallStore(t)
 	first := change(onlyIf(1, put("tenant/acme", `{"plan":"gold"}`)))
-	first.Request = "r-1"
+	first.IdempotencyKey = "r-1"
 	refused := change(remove("plan/gold"))
-	refused.Request = "r-2"
+	refused.IdempotencyKey = "r-2"
 	apply(t, store, 2, first, Accepted)
 	apply(t, store, 3, refused, Invalid)
 	snapshot, err := store.Snapshot()
@@ -170,18 +170,18 @@
 			t.Errorf("repeat of a refused one: %+v", result)
 		}
 		other := change(remove("tenant/acme"))
-		other.Request = "r-1"
+		other.IdempotencyKey = "r-1"
 		if result := apply(t, each, 6, other, Invalid); result.Problem.Field != "request" {
 			t.Errorf("another change under the same key: %+v", result.Problem)
 		}
 	}
 	for i := range MaxRequests {
 		filler := change(remove("plan/none"))
-		filler.Request = "f-" + string(rune('a'+i%26)) + strings.Repeat("x", i/26)
+		filler.IdempotencyKey = "f-" + string(rune('a'+i%26)) + strings.Repeat("x", i/26)
 		apply(t, store, uint64(10+i), filler, Unchanged)
 	}
 	apply(t, store, 5000, first, Conflict)
-	if len(store.requests.order) != MaxRequests || len(store.requests.results) != MaxRequests {
-		t.Errorf("%d requests are remembered", len(store.requests.order))
+	if len(store.results.order) != MaxRequests || len(store.results.byKey) != MaxRequests {
+		t.Errorf("%d requests are remembered", len(store.results.order))
 	}
 }
--- a/records/value.go
+++ b/records/value.go
@@ -88,14 +88,14 @@
 	return nil
 }
 
-// unknownField begins encoding/json's message on a field that the type lacks.
-const unknownField = `json: unknown field "`
+// unknownFieldPrefix begins encoding/json's message on a field that the type lacks.
+const unknownFieldPrefix = `json: unknown field "`
 
 func decodeProblem(err error) *FieldError {
 	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		return fieldError(wrongType.Field, "cannot be a JSON %s", wrongType.Value)
 	}
-	if field, found := strings.CutPrefix(err.Error(), unknownField); found {
+	if field, found := strings.CutPrefix(err.Error(), unknownFieldPrefix); found {
 		return fieldError(strings.TrimSuffix(field, `"`), "unknown field")
 	}
 	return fieldError("", "not a JSON object of this kind: %v", err)
--- a/records/value_types.go
+++ b/records/value_types.go
@@ -124,9 +124,9 @@
 // Reference implements Value: a service stands by itself.
 func (v *ServiceValue) Reference() (Key, string, bool) { return Key{}, "", false }
 
-func checkRange(field string, value, highest int) *FieldError {
-	if value < 0 || value > highest {
-		return fieldError(field, "%d is not between 0 and %d", value, highest)
+func checkRange(field string, value, maxValue int) *FieldError {
+	if value < 0 || value > maxValue {
+		return fieldError(field, "%d is not between 0 and %d", value, maxValue)
 	}
 	return nil
 }
--- a/records/world_machine_test.go
+++ b/records/world_machine_test.go
@@ -10,7 +10,7 @@
 // Whatever is wrong with the servers, the logs, the followers and their files, a
 // replica is always one of the versions that were accepted and does not go back,
 // and after the last fault all come to the newest.
-func TestFollowersComeThroughFaults(t *testing.T) {
+func TestFollowersConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 4, 4, smallStore(t))
 		server := func() *worldServer { return rapid.SampledFrom(w.servers).Draw(t, "server") }
@@ -32,14 +32,14 @@
 			},
 			"fault":   func(t *rapid.T) { w.setFault(server(), rapid.SampledFrom(faults()).Draw(t, "fault")) },
 			"healthy": func(t *rapid.T) { w.setFault(server(), healthy) },
-			"cut":     func(t *rapid.T) { f := follower(); f.cut = !f.cut },
+			"cut":     func(t *rapid.T) { f := follower(); f.disconnected = !f.disconnected },
 			"compact": func(t *rapid.T) {
 				log := &server().store.log
 				log.compact(rapid.IntRange(0, len(log.entries)).Draw(t, "count"))
 			},
 			"restart": func(t *rapid.T) { w.restart(follower()) },
 			"empty":   func(t *rapid.T) { w.start(follower(), &Replica{}) },
-			"head":    func(*rapid.T) { w.tellHead() },
+			"head":    func(*rapid.T) { w.announceHead() },
 			"run": func(t *rapid.T) {
 				w.run(time.Duration(rapid.IntRange(1, 20_000).Draw(t, "milliseconds")) * time.Millisecond)
 			},
@@ -48,9 +48,9 @@
 			w.setFault(each, healthy)
 		}
 		for _, f := range w.followers {
-			f.cut = false
+			f.disconnected = false
 		}
-		w.tellHead()
+		w.announceHead()
 		w.mustReach(time.Minute)
 		w.run(30 * time.Second)
 		for _, f := range w.followers {
--- a/records/world_run_test.go
+++ b/records/world_run_test.go
@@ -54,10 +54,10 @@
 	switch {
 	case !f.answerAt.IsZero() && !f.answerAt.After(w.now):
 		answer := f.answer
-		if answered, ok := answer.(Answered); ok {
+		if answered, ok := answer.(ResponseReceived); ok {
 			f.received += len(answered.Body)
 		}
-		w.forget(f)
+		w.dropRequest(f)
 		w.handle(f, answer)
 	case !f.pollEnd.IsZero() && !f.pollEnd.After(w.now):
 		w.endPoll(f)
@@ -72,12 +72,12 @@
 		if !slices.Contains(server.polls, f) {
 			continue
 		}
-		ask := *f.ask
-		w.forget(f)
+		ask := *f.inFlight
+		w.dropRequest(f)
 		request := ask.Request.(ChangesRequest)
 		request.Wait = 0
 		ask.Request = request
-		f.ask = &ask
+		f.inFlight = &ask
 		w.serve(server, f)
 		return
 	}
@@ -87,7 +87,7 @@
 // everywhere tells whether the newest version is in force everywhere.
 func (w *world) everywhere() bool {
 	for _, f := range w.followers {
-		if !f.cut && f.replica.Version() != w.version {
+		if !f.disconnected && f.replica.Version() != w.version {
 			return false
 		}
 	}
--- a/records/world_test.go
+++ b/records/world_test.go
@@ -14,13 +14,13 @@
 const (
 	healthy fault = iota
 	refusing
-	still   // takes requests and never answers
-	damaged // every answer has a changed byte
-	lying   // as damaged, but inside the compression: only digests tell
-	stale   // gets no changes
+	unresponsive // takes requests and never answers
+	damaged      // every answer has a changed byte
+	forging      // as damaged, but inside the compression: only digests tell
+	stale        // gets no changes
 )
 
-func faults() []fault { return []fault{healthy, refusing, still, damaged, lying, stale} }
+func faults() []fault { return []fault{healthy, refusing, unresponsive, damaged, forging, stale} }
 
 // world runs followers and servers on a clock of its own.
 type world struct {
@@ -42,28 +42,28 @@
 }
 
 type worldServer struct {
-	name    string
-	store   *Store
-	fault   fault
-	applied int // of the world's changes
-	asks    int
-	polls   []*worldFollower // that wait for a change
+	name     string
+	store    *Store
+	fault    fault
+	applied  int // of the world's changes
+	requests int
+	polls    []*worldFollower // that wait for a change
 }
 
 type worldFollower struct {
-	name     string
-	replica  *Replica
-	follower *Follower
-	cut      bool // from all servers
-	ask      *Ask
-	pollEnd  time.Time // zero: it does not wait at a server
-	answerAt time.Time // zero: nothing is on its way
-	answer   Event
-	saved    uint64
-	saves    int
-	asks     int
-	received int // bytes
-	seen     uint64
+	name             string
+	replica          *Replica
+	follower         *Follower
+	disconnected     bool // from all servers
+	inFlight         *Send
+	pollEnd          time.Time // zero: it does not wait at a server
+	answerAt         time.Time // zero: nothing is on its way
+	answer           Event
+	persistedVersion uint64
+	persists         int
+	requests         int
+	received         int // bytes
+	highestVersion   uint64
 }
 
 const latency = 20 * time.Millisecond
@@ -107,9 +107,9 @@
 	for _, server := range w.servers {
 		names = append(names, server.name)
 	}
-	w.forget(f)
+	w.dropRequest(f)
 	f.replica = replica
-	f.seen = replica.Version()
+	f.highestVersion = replica.Version()
 	f.follower = NewFollower(FollowerConfig{Name: f.name, Servers: names, BytesPerSecond: w.bytesPerSecond, BurstBytes: 4 * w.bytesPerSecond}, replica, w.now)
 }
 
@@ -126,8 +126,8 @@
 	w.start(f, replica)
 }
 
-func (w *world) forget(f *worldFollower) {
-	f.ask, f.answer, f.answerAt, f.pollEnd = nil, nil, time.Time{}, time.Time{}
+func (w *world) dropRequest(f *worldFollower) {
+	f.inFlight, f.answer, f.answerAt, f.pollEnd = nil, nil, time.Time{}, time.Time{}
 	for _, server := range w.servers {
 		server.polls = slices.DeleteFunc(server.polls, func(each *worldFollower) bool { return each == f })
 	}
@@ -166,9 +166,9 @@
 	w.replicate()
 }
 
-func (w *world) tellHead() {
+func (w *world) announceHead() {
 	for _, f := range w.followers {
-		w.handle(f, ToldHead{Version: w.version})
+		w.handle(f, HeadReceived{Version: w.version})
 	}
 }
 
@@ -177,19 +177,19 @@
 	for _, action := range f.follower.Handle(w.now, event) {
 		switch action := action.(type) {
 		case Cancel:
-			if f.ask == nil || f.ask.ID != action.ID {
+			if f.inFlight == nil || f.inFlight.ID != action.ID {
 				w.t.Fatalf("%s cancels what is not open", f.name)
 			}
-			w.forget(f)
-		case Save:
-			f.saves++
-			f.saved = action.Version
-		case Ask:
-			if f.ask != nil {
+			w.dropRequest(f)
+		case Persist:
+			f.persists++
+			f.persistedVersion = action.Version
+		case Send:
+			if f.inFlight != nil {
 				w.t.Fatalf("%s asks two things at once", f.name)
 			}
-			f.asks++
-			f.ask = &action
+			f.requests++
+			f.inFlight = &action
 			w.send(f)
 		}
 	}
@@ -202,16 +202,16 @@
 	if !found || digest != f.replica.Digest() {
 		w.t.Fatalf("%s at version %d is no version that there was", f.name, f.replica.Version())
 	}
-	if f.replica.Version() < f.seen {
-		w.t.Fatalf("%s went back from %d to %d", f.name, f.seen, f.replica.Version())
+	if f.replica.Version() < f.highestVersion {
+		w.t.Fatalf("%s went back from %d to %d", f.name, f.highestVersion, f.replica.Version())
 	}
-	f.seen = f.replica.Version()
+	f.highestVersion = f.replica.Version()
 }
 
 func (w *world) send(f *worldFollower) {
 	for _, server := range w.servers {
-		if server.name == f.ask.Server {
-			server.asks++
+		if server.name == f.inFlight.Server {
+			server.requests++
 			w.serve(server, f)
 		}
 	}
@@ -221,28 +221,28 @@
 func (w *world) serve(server *worldServer, f *worldFollower) {
 	f.pollEnd = time.Time{}
 	switch {
-	case f.cut || server.fault == refusing:
-		w.deliver(f, Failed{ID: f.ask.ID, Reason: "connection refused"})
+	case f.disconnected || server.fault == refusing:
+		w.deliver(f, RequestFailed{ID: f.inFlight.ID, Reason: "connection refused"})
 		return
-	case server.fault == still:
+	case server.fault == unresponsive:
 		return
 	}
 	var message []byte
 	var err error
-	switch request := f.ask.Request.(type) {
+	switch request := f.inFlight.Request.(type) {
 	case ChangesRequest:
-		answer := server.store.Answer(request)
+		answer := server.store.HandleChanges(request)
 		if answer.NothingNew() && request.Wait > 0 {
 			f.pollEnd = w.now.Add(request.Wait)
 			server.polls = append(server.polls, f)
 			return
 		}
-		message, err = EncodeAnswer(w.lie(server, answer))
+		message, err = EncodeChangesResponse(w.forge(server, answer))
 	case DigestsRequest:
 		message, err = EncodeRangeDigests(server.store.RangeDigests())
 	case ContentRequest:
 		chunk := server.store.Chunk(request)
-		if server.fault == lying && len(chunk.Ranges[0].Records) > 0 {
+		if server.fault == forging && len(chunk.Ranges[0].Records) > 0 {
 			chunk.Ranges[0].Records = chunk.Ranges[0].Records[1:]
 			chunk.Ranges[0].Digest = hashRecords(chunk.Ranges[0].Records).low
 		}
@@ -255,12 +255,12 @@
 		message = slices.Clone(message)
 		message[len(message)/2] ^= 0x10
 	}
-	w.deliver(f, Answered{ID: f.ask.ID, Body: message})
+	w.deliver(f, ResponseReceived{ID: f.inFlight.ID, Body: message})
 }
 
-// lie changes what a server says so that only digests tell.
-func (w *world) lie(server *worldServer, answer Answer) Answer {
-	if server.fault != lying || answer.Delta == nil || len(answer.Delta.Puts) == 0 {
+// forge changes what a server says so that only digests tell.
+func (w *world) forge(server *worldServer, answer ChangesResponse) ChangesResponse {
+	if server.fault != forging || answer.Delta == nil || len(answer.Delta.Puts) == 0 {
 		return answer
 	}
 	delta := *answer.Delta
--- a/revisions/golden_test.go
+++ b/revisions/golden_test.go
@@ -15,7 +15,7 @@
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
 func goldenContent() Content {
-	return Content{File: "[site]\nname = \"café <1> & \\t\"\n", Overlays: map[string]string{"g1": "a = 1\n", "g0": "b = 2\n"}, Turn: 3}
+	return Content{File: "[site]\nname = \"café <1> & \\t\"\n", Overlays: map[string]string{"g1": "a = 1\n", "g0": "b = 2\n"}, RestartGeneration: 3}
 }
 
 func goldenCommands() (withContent, withRestore Command) {
@@ -67,17 +67,17 @@
 }
 
 func TestGoldenResult(t *testing.T) {
-	result := Result{Answer: Conflict, Revision: goldenRevision()}
+	result := Result{Status: Conflict, Revision: goldenRevision()}
 	golden.Complete(t, result)
 	golden.JSON(t, "result.json", result)
 }
 
 func TestGoldenAnswers(t *testing.T) {
 	golden.Constants(t, map[string]string{
-		string(Accepted): "accepted",
-		string(Same):     "no change",
-		string(Conflict): "conflict",
-		string(Unknown):  "unknown",
+		string(Accepted):        "accepted",
+		string(Unchanged):       "no change",
+		string(Conflict):        "conflict",
+		string(UnknownRevision): "unknown",
 	})
 }
 
--- a/revisions/history.go
+++ b/revisions/history.go
@@ -11,45 +11,45 @@
 // History is the revisions that are kept, and the answers that were given. It
 // belongs to one goroutine; the zero value is that of a new site.
 type History struct {
-	kept     []Revision // by number, without gaps; the last is the head
-	answered []answered // the oldest first
+	revisions []Revision      // by number, without gaps; the last is the head
+	results   []requestResult // the oldest first
 }
 
-// answered is a request that has its answer. Danger: an operator whose answer
+// requestResult is a request that has its answer. Danger: an operator whose answer
 // was lost asks again, and must not make a second revision.
-type answered struct {
+type requestResult struct {
 	Request string `json:"request"`
-	Answer  Answer `json:"answer"`
+	Status  Status `json:"answer"`
 	Number  uint64 `json:"number"` // of the revision that the answer is about; 0: none
 }
 
 // Head returns the newest revision, and false for a new site.
 func (h *History) Head() (Revision, bool) {
-	if len(h.kept) == 0 {
+	if len(h.revisions) == 0 {
 		return Revision{}, false
 	}
-	return h.kept[len(h.kept)-1], true
+	return h.revisions[len(h.revisions)-1], true
 }
 
 // Get returns a revision of the history.
 func (h *History) Get(number uint64) (Revision, bool) {
-	i, found := slices.BinarySearchFunc(h.kept, number, func(r Revision, n uint64) int { return cmp.Compare(r.Number, n) })
+	i, found := slices.BinarySearchFunc(h.revisions, number, func(r Revision, n uint64) int { return cmp.Compare(r.Number, n) })
 	if !found {
 		return Revision{}, false
 	}
-	return h.kept[i], true
+	return h.revisions[i], true
 }
 
 // List returns the history, the newest first.
 func (h *History) List() []Revision {
-	list := slices.Clone(h.kept)
+	list := slices.Clone(h.revisions)
 	slices.Reverse(list)
 	return list
 }
 
-// Answered tells whether a command has its answer.
-func (h *History) Answered(request string) bool {
-	return slices.ContainsFunc(h.answered, func(a answered) bool { return a.Request == request })
+// HasResult tells whether a command has its answer.
+func (h *History) HasResult(request string) bool {
+	return slices.ContainsFunc(h.results, func(a requestResult) bool { return a.Request == request })
 }
 
 // Apply carries a command out. It is a compare-and-swap on the parent: of two
@@ -60,10 +60,10 @@
 	if err := c.Check(); err != nil {
 		return Result{}, err
 	}
-	if i := slices.IndexFunc(h.answered, func(a answered) bool { return a.Request == c.Request }); i >= 0 {
-		r, _ := h.Get(h.answered[i].Number) // it may have left the history; its number is told all the same
-		r.Number = h.answered[i].Number
-		return Result{h.answered[i].Answer, r}, nil
+	if i := slices.IndexFunc(h.results, func(a requestResult) bool { return a.Request == c.Request }); i >= 0 {
+		r, _ := h.Get(h.results[i].Number) // it may have left the history; its number is told all the same
+		r.Number = h.results[i].Number
+		return Result{h.results[i].Status, r}, nil
 	}
 	head, _ := h.Head()
 	content := Content{}
@@ -71,58 +71,58 @@
 		content = *c.Content
 	}
 	if c.Restore != 0 {
-		old, found := h.Get(c.Restore)
+		restored, found := h.Get(c.Restore)
 		if !found && c.Parent == head.Number {
-			return h.remember(c, Result{Unknown, head}), nil
+			return h.recordResult(c, Result{UnknownRevision, head}), nil
 		}
-		content = old.Content
+		content = restored.Content
 	}
 	if c.Parent != head.Number {
-		return h.remember(c, Result{Conflict, head}), nil
+		return h.recordResult(c, Result{Conflict, head}), nil
 	}
 	sum := content.Sum()
-	if len(h.kept) > 0 && sum == head.Checksum {
-		return h.remember(c, Result{Same, head}), nil
+	if len(h.revisions) > 0 && sum == head.Checksum {
+		return h.recordResult(c, Result{Unchanged, head}), nil
 	}
 	r := Revision{Number: head.Number + 1, Parent: head.Number, Content: content, Checksum: sum, Author: c.Author, Message: c.Message, At: c.At}
-	h.kept = append(h.kept, r)
-	h.shorten()
-	return h.remember(c, Result{Accepted, r}), nil
+	h.revisions = append(h.revisions, r)
+	h.truncate()
+	return h.recordResult(c, Result{Accepted, r}), nil
 }
 
-// shorten drops the oldest revisions, and leaves the head and the one before it.
-func (h *History) shorten() {
-	total, first := 0, len(h.kept)
+// truncate drops the oldest revisions, and leaves the head and the one before it.
+func (h *History) truncate() {
+	total, first := 0, len(h.revisions)
 	for first > 0 {
-		total += h.kept[first-1].Content.size()
-		if n := len(h.kept) - first + 1; n > MostKept || n > 2 && total > MostHistory {
+		total += h.revisions[first-1].Content.size()
+		if n := len(h.revisions) - first + 1; n > MaxRevisions || n > 2 && total > MaxHistoryBytes {
 			break
 		}
 		first--
 	}
-	h.kept = slices.Delete(h.kept, 0, first)
+	h.revisions = slices.Delete(h.revisions, 0, first)
 }
 
-func (h *History) remember(c Command, r Result) Result {
-	h.answered = append(h.answered, answered{c.Request, r.Answer, r.Revision.Number})
-	if over := len(h.answered) - MostRequests; over > 0 {
-		h.answered = slices.Delete(h.answered, 0, over)
+func (h *History) recordResult(c Command, r Result) Result {
+	h.results = append(h.results, requestResult{c.Request, r.Status, r.Revision.Number})
+	if over := len(h.results) - MaxRequests; over > 0 {
+		h.results = slices.Delete(h.results, 0, over)
 	}
 	return r
 }
 
 // snapshot is a history as it is stored.
 type snapshot struct {
-	Form     int        `json:"form"`
-	Kept     []Revision `json:"revisions"`
-	Answered []answered `json:"answered"`
+	Version   int             `json:"form"`
+	Revisions []Revision      `json:"revisions"`
+	Results   []requestResult `json:"answered"`
 }
 
-const snapshotForm = 1
+const snapshotVersion = 1
 
 // Snapshot writes the whole history.
 func (h *History) Snapshot() ([]byte, error) {
-	return json.Marshal(snapshot{snapshotForm, h.kept, h.answered})
+	return json.Marshal(snapshot{snapshotVersion, h.revisions, h.results})
 }
 
 // Restore reads what Snapshot wrote in place of this history. What is cut short,
@@ -132,20 +132,20 @@
 	if err := json.Unmarshal(text, &s); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	if s.Form != snapshotForm {
-		return fmt.Errorf("snapshot: form %d is not known, %d is", s.Form, snapshotForm)
+	if s.Version != snapshotVersion {
+		return fmt.Errorf("snapshot: form %d is not known, %d is", s.Version, snapshotVersion)
 	}
-	if len(s.Kept) > MostKept || len(s.Answered) > MostRequests {
+	if len(s.Revisions) > MaxRevisions || len(s.Results) > MaxRequests {
 		return errors.New("snapshot: more than a history keeps")
 	}
-	for i, r := range s.Kept {
+	for i, r := range s.Revisions {
 		switch {
-		case r.Number == 0 || r.Parent != r.Number-1 || i > 0 && r.Number != s.Kept[i-1].Number+1:
+		case r.Number == 0 || r.Parent != r.Number-1 || i > 0 && r.Number != s.Revisions[i-1].Number+1:
 			return fmt.Errorf("snapshot: revision %d does not follow the one before", r.Number)
 		case r.Checksum != r.Content.Sum():
 			return fmt.Errorf("snapshot: revision %d does not fit its checksum", r.Number)
 		}
 	}
-	h.kept, h.answered = s.Kept, s.Answered
+	h.revisions, h.results = s.Revisions, s.Results
 	return nil
 }
--- a/revisions/revision.go
+++ b/revisions/revision.go
@@ -22,21 +22,21 @@
 
 // Bounds of what an operator may send, and of what is kept.
 const (
-	MostFile     = 256 << 10 // bytes of a file, or of an instance's overlay
-	MostOverlays = 1000      // instances with an overlay
-	MostContent  = 4 << 20   // bytes of file and overlays together
-	MostText     = 4 << 10   // bytes of a message
-	MostName     = 256       // bytes of an author, an instance or a request's name
-	MostKept     = 200       // revisions in the history
-	MostHistory  = 64 << 20  // bytes of their contents; the oldest go
-	MostRequests = 1000      // answered requests that are remembered
+	MaxFileBytes    = 256 << 10 // bytes of a file, or of an instance's overlay
+	MaxOverlays     = 1000      // instances with an overlay
+	MaxContentBytes = 4 << 20   // bytes of file and overlays together
+	MaxMessageBytes = 4 << 10   // bytes of a message
+	MaxNameBytes    = 256       // bytes of an author, an instance or a request's name
+	MaxRevisions    = 200       // revisions in the history
+	MaxHistoryBytes = 64 << 20  // bytes of their contents; the oldest go
+	MaxRequests     = 1000      // answered requests that are remembered
 )
 
 // Content is what a revision says.
 type Content struct {
-	File     string            `json:"file"`               // the operator's file, as text
-	Overlays map[string]string `json:"overlays,omitempty"` // by instance: keys that count for more there
-	Turn     uint64            `json:"turn,omitempty"`     // a revision that differs in nothing else has every instance start anew
+	File              string            `json:"file"`               // the operator's file, as text
+	Overlays          map[string]string `json:"overlays,omitempty"` // by instance: keys that count for more there
+	RestartGeneration uint64            `json:"turn,omitempty"`     // a revision that differs in nothing else has every instance start anew
 }
 
 // Revision is one desired state. It never changes.
@@ -61,21 +61,21 @@
 	At      time.Time `json:"at"`
 }
 
-// Answer is what became of a command.
-type Answer string
+// Status is what became of a command.
+type Status string
 
 // The answers.
 const (
-	Accepted Answer = "accepted"
-	Same     Answer = "no change" // the head says this already
-	Conflict Answer = "conflict"  // another revision was the head: nothing has changed
-	Unknown  Answer = "unknown"   // the revision to restore is not in the history
+	Accepted        Status = "accepted"
+	Unchanged       Status = "no change" // the head says this already
+	Conflict        Status = "conflict"  // another revision was the head: nothing has changed
+	UnknownRevision Status = "unknown"   // the revision to restore is not in the history
 )
 
 // Result is a command's answer and the revision it is about: the one that was
 // made, or the head that stood in the way.
 type Result struct {
-	Answer   Answer   `json:"answer"`
+	Status   Status   `json:"answer"`
 	Revision Revision `json:"revision"`
 }
 
@@ -87,8 +87,8 @@
 	for _, name := range slices.Sorted(maps.Keys(c.Overlays)) {
 		fmt.Fprintf(h, "%d:%s%d:%s", len(name), name, len(c.Overlays[name]), c.Overlays[name])
 	}
-	if c.Turn != 0 {
-		fmt.Fprintf(h, "turn:%d", c.Turn)
+	if c.RestartGeneration != 0 {
+		fmt.Fprintf(h, "turn:%d", c.RestartGeneration)
 	}
 	return hex.EncodeToString(h.Sum(nil))
 }
@@ -104,31 +104,31 @@
 
 func (c *Content) check() error {
 	switch {
-	case len(c.File) > MostFile:
-		return fmt.Errorf("file: %d bytes, and %d may be", len(c.File), MostFile)
+	case len(c.File) > MaxFileBytes:
+		return fmt.Errorf("file: %d bytes, and %d may be", len(c.File), MaxFileBytes)
 	case !utf8.ValidString(c.File):
 		return errors.New("file: it is not text in UTF-8")
-	case len(c.Overlays) > MostOverlays:
-		return fmt.Errorf("overlays: %d, and %d may be", len(c.Overlays), MostOverlays)
+	case len(c.Overlays) > MaxOverlays:
+		return fmt.Errorf("overlays: %d, and %d may be", len(c.Overlays), MaxOverlays)
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Overlays)) {
 		text := c.Overlays[name]
 		if err := checkName("overlays: instance", name); err != nil {
 			return err
 		}
-		if len(text) > MostFile || !utf8.ValidString(text) {
-			return fmt.Errorf("overlays: %s: it is not text in UTF-8 of at most %d bytes", name, MostFile)
+		if len(text) > MaxFileBytes || !utf8.ValidString(text) {
+			return fmt.Errorf("overlays: %s: it is not text in UTF-8 of at most %d bytes", name, MaxFileBytes)
 		}
 	}
-	if total := c.size(); total > MostContent {
-		return fmt.Errorf("content: %d bytes, and %d may be", total, MostContent)
+	if total := c.size(); total > MaxContentBytes {
+		return fmt.Errorf("content: %d bytes, and %d may be", total, MaxContentBytes)
 	}
 	return nil
 }
 
 func checkName(what, name string) error {
-	if name == "" || len(name) > MostName || !utf8.ValidString(name) || strings.ContainsFunc(name, func(r rune) bool { return r < ' ' || r == 0x7f }) {
-		return fmt.Errorf("%s: %.40q is empty, longer than %d bytes or no plain text", what, name, MostName)
+	if name == "" || len(name) > MaxNameBytes || !utf8.ValidString(name) || strings.ContainsFunc(name, func(r rune) bool { return r < ' ' || r == 0x7f }) {
+		return fmt.Errorf("%s: %.40q is empty, longer than %d bytes or no plain text", what, name, MaxNameBytes)
 	}
 	return nil
 }
@@ -142,8 +142,8 @@
 		return err
 	}
 	switch {
-	case len(c.Message) > MostText || !utf8.ValidString(c.Message):
-		return fmt.Errorf("message: it is not text in UTF-8 of at most %d bytes", MostText)
+	case len(c.Message) > MaxMessageBytes || !utf8.ValidString(c.Message):
+		return fmt.Errorf("message: it is not text in UTF-8 of at most %d bytes", MaxMessageBytes)
 	case c.Content == nil && c.Restore == 0:
 		return errors.New("content: is missing")
 	case c.Content != nil && c.Restore != 0:
@@ -168,10 +168,10 @@
 // meaning that is missed.
 func Decode(text []byte) (Command, error) {
 	var c Command
-	if len(text) > mostEncoded {
-		return Command{}, fmt.Errorf("command: %d bytes, and %d may be", len(text), mostEncoded)
+	if len(text) > maxEncodedBytes {
+		return Command{}, fmt.Errorf("command: %d bytes, and %d may be", len(text), maxEncodedBytes)
 	}
-	if err := Strictly(text, &c); err != nil {
+	if err := DecodeStrict(text, &c); err != nil {
 		return Command{}, fmt.Errorf("command: %w", err)
 	}
 	if err := c.Check(); err != nil {
@@ -180,12 +180,12 @@
 	return c, nil
 }
 
-// mostEncoded bounds what is read at all. JSON may take six bytes for one.
-const mostEncoded = 6*MostContent + 64<<10
+// maxEncodedBytes bounds what is read at all. JSON may take six bytes for one.
+const maxEncodedBytes = 6*MaxContentBytes + 64<<10
 
-// Strictly reads one JSON value and nothing else: a key that v does not know, or
+// DecodeStrict reads one JSON value and nothing else: a key that v does not know, or
 // anything behind the value, is an error.
-func Strictly(text []byte, v any) error {
+func DecodeStrict(text []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
--- a/revisions/revisions_test.go
+++ b/revisions/revisions_test.go
@@ -28,13 +28,13 @@
 
 func TestTwoOperatorsAtOnce(t *testing.T) {
 	var h History
-	if r := apply(t, &h, command("1", 0, "a")); r.Answer != Accepted || r.Revision.Number != 1 {
+	if r := apply(t, &h, command("1", 0, "a")); r.Status != Accepted || r.Revision.Number != 1 {
 		t.Fatalf("%+v", r)
 	}
 	won := apply(t, &h, command("2", 1, "b"))
 	lost := command("3", 1, "c")
 	lost.Author = "bob"
-	if r := apply(t, &h, lost); r.Answer != Conflict || r.Revision.Number != won.Revision.Number || r.Revision.Author != "ann" || !r.Revision.At.Equal(at) {
+	if r := apply(t, &h, lost); r.Status != Conflict || r.Revision.Number != won.Revision.Number || r.Revision.Author != "ann" || !r.Revision.At.Equal(at) {
 		t.Fatalf("the loser is told %+v", r)
 	}
 	if head, _ := h.Head(); head.Number != 2 || head.Content.File != "b" || head.Parent != 1 {
@@ -57,7 +57,7 @@
 func TestNoChangeMakesNoRevision(t *testing.T) {
 	var h History
 	apply(t, &h, command("1", 0, "a"))
-	if r := apply(t, &h, command("2", 1, "a")); r.Answer != Same || r.Revision.Number != 1 {
+	if r := apply(t, &h, command("2", 1, "a")); r.Status != Unchanged || r.Revision.Number != 1 {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -67,23 +67,23 @@
 	apply(t, &h, command("1", 0, "a"))
 	apply(t, &h, command("2", 1, "b"))
 	back := Command{Request: "3", Parent: 2, Restore: 1, Author: "ann", At: at}
-	if r := apply(t, &h, back); r.Answer != Accepted || r.Revision.Number != 3 || r.Revision.Content.File != "a" {
+	if r := apply(t, &h, back); r.Status != Accepted || r.Revision.Number != 3 || r.Revision.Content.File != "a" {
 		t.Fatalf("%+v", r)
 	}
 	back.Request, back.Parent, back.Restore = "4", 3, 77
-	if r := apply(t, &h, back); r.Answer != Unknown {
+	if r := apply(t, &h, back); r.Status != UnknownRevision {
 		t.Fatalf("%+v", r)
 	}
 }
 
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
-	for i := range MostRequests + 50 {
+	for i := range MaxRequests + 50 {
 		apply(t, &h, command(fmt.Sprint(i), uint64(i), fmt.Sprint(i)))
 	}
 	list := h.List()
-	if len(list) != MostKept || len(h.answered) != MostRequests || list[0].Number != MostRequests+50 {
-		t.Fatalf("%d kept, %d answered, head %d", len(list), len(h.answered), list[0].Number)
+	if len(list) != MaxRevisions || len(h.results) != MaxRequests || list[0].Number != MaxRequests+50 {
+		t.Fatalf("%d kept, %d answered, head %d", len(list), len(h.results), list[0].Number)
 	}
 	if _, found := h.Get(1); found {
 		t.Error("the first revision is still there")
@@ -124,17 +124,17 @@
 	for says, change := range map[string]func(*Command){
 		"request":  func(c *Command) { c.Request = "" },
 		"author":   func(c *Command) { c.Author = "a\nb" },
-		"message":  func(c *Command) { c.Message = strings.Repeat("m", MostText+1) },
+		"message":  func(c *Command) { c.Message = strings.Repeat("m", MaxMessageBytes+1) },
 		"content":  func(c *Command) { c.Content = nil },
 		"restore":  func(c *Command) { c.Restore = 1 },
 		"at":       func(c *Command) { c.At = time.Time{} },
-		"file":     func(c *Command) { c.Content.File = strings.Repeat("f", MostFile+1) },
+		"file":     func(c *Command) { c.Content.File = strings.Repeat("f", MaxFileBytes+1) },
 		"overlays": func(c *Command) { c.Content.Overlays = map[string]string{"": "x"} },
 	} {
 		c := command("1", 0, "a")
 		change(&c)
 		var h History
-		if _, err := h.Apply(c); err == nil || !strings.HasPrefix(err.Error(), says+":") || len(h.kept)+len(h.answered) > 0 {
+		if _, err := h.Apply(c); err == nil || !strings.HasPrefix(err.Error(), says+":") || len(h.revisions)+len(h.results) > 0 {
 			t.Errorf("%s: %v", says, err)
 		}
 		if _, err := c.Encode(); err == nil {
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []string{"", "{", string(good) + "x", strings.Replace(string(good), `"author"`, `"auhtor"`, 1), strings.Repeat(" ", mostEncoded+1)} {
+	for _, bad := range []string{"", "{", string(good) + "x", strings.Replace(string(good), `"author"`, `"auhtor"`, 1), strings.Repeat(" ", maxEncodedBytes+1)} {
 		if _, err := Decode([]byte(bad)); err == nil {
 			t.Errorf("%.60q was taken", bad)
 		}
@@ -185,16 +185,16 @@
 					r.Fatalf("a repeat got %+v after %+v", got, before)
 				}
 			case parent != number:
-				if got.Answer != Conflict || got.Revision.Number != number {
+				if got.Status != Conflict || got.Revision.Number != number {
 					r.Fatalf("parent %d of %d: %+v", parent, number, got)
 				}
 			case number > 0 && text == file:
-				if got.Answer != Same {
+				if got.Status != Unchanged {
 					r.Fatalf("%+v", got)
 				}
 			default:
 				number, file = number+1, text
-				if got.Answer != Accepted || got.Revision.Number != number || got.Revision.Parent != number-1 {
+				if got.Status != Accepted || got.Revision.Number != number || got.Revision.Parent != number-1 {
 					r.Fatalf("%+v, want number %d", got, number)
 				}
 			}
@@ -260,18 +260,18 @@
 	var h History
 	big := map[string]string{}
 	for i := range 12 {
-		big[fmt.Sprint("g", i)] = strings.Repeat("x", MostFile)
+		big[fmt.Sprint("g", i)] = strings.Repeat("x", MaxFileBytes)
 	}
 	each := 0
 	for n := range uint64(40) {
 		c := command(fmt.Sprint(n), n, fmt.Sprint(n))
 		c.Content.Overlays = big
-		if r := apply(t, &h, c); r.Answer != Accepted {
-			t.Fatalf("%+v", r.Answer)
+		if r := apply(t, &h, c); r.Status != Accepted {
+			t.Fatalf("%+v", r.Status)
 		}
 		each = c.Content.size()
 	}
-	if n := len(h.List()); n*each > MostHistory || (n+1)*each <= MostHistory {
+	if n := len(h.List()); n*each > MaxHistoryBytes || (n+1)*each <= MaxHistoryBytes {
 		t.Fatalf("%d revisions of %d bytes", n, each)
 	}
 	if head, _ := h.Head(); head.Number != 40 {
--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -24,8 +24,8 @@
 			return
 		}
 	}
-	if silent > m.policy.MostSilent {
-		m.rollBack(fmt.Sprintf("%d instances that were told are silent, and %d may be", silent, m.policy.MostSilent))
+	if silent > m.policy.MaxSilent {
+		m.rollBack(fmt.Sprintf("%d instances that were told are silent, and %d may be", silent, m.policy.MaxSilent))
 	}
 }
 
@@ -36,14 +36,14 @@
 	case i.startedUnready:
 		m.checkStartedUnready(i)
 	case i.observed.Crashes > i.crashesBefore:
-		m.setPhase(i, Broke, "it ended unasked")
+		m.setPhase(i, PhaseFailed, "it ended unasked")
 		return fmt.Sprintf("%s ended unasked with revision %d", i.name, m.target)
 	case i.readySince < 0:
 		return m.checkReadyDeadline(i)
 	case m.soaked(i):
-		m.setPhase(i, Took, fmt.Sprintf("ready and without a crash for %v", m.policy.SoakFor))
-	case i.phase == Taking:
-		m.setPhase(i, Soaking, "it is ready")
+		m.setPhase(i, PhaseUpdated, fmt.Sprintf("ready and without a crash for %v", m.policy.SoakDuration))
+	case i.phase == PhaseUpdating:
+		m.setPhase(i, PhaseSoaking, "it is ready")
 	}
 	return ""
 }
@@ -51,22 +51,22 @@
 // checkReadyDeadline checks an instance that is not ready. It returns why the rollout must be rolled back, "" if it need
 // not.
 func (m *Machine) checkReadyDeadline(i *instance) (failure string) {
-	if m.elapsed-i.assignedAt <= m.policy.ReadyWithin {
+	if m.elapsed-i.assignedAt <= m.policy.ReadyTimeout {
 		return ""
 	}
-	if i.phase == Took {
+	if i.phase == PhaseUpdated {
 		// It was ready before, so its time starts when it was found unready.
 		i.assignedAt = m.elapsed
-		m.setPhase(i, Taking, "it is not ready any more")
+		m.setPhase(i, PhaseUpdating, "it is not ready any more")
 		return ""
 	}
-	m.setPhase(i, Broke, fmt.Sprintf("not ready within %v", m.policy.ReadyWithin))
-	return fmt.Sprintf("%s was not ready with revision %d within %v", i.name, m.target, m.policy.ReadyWithin)
+	m.setPhase(i, PhaseFailed, fmt.Sprintf("not ready within %v", m.policy.ReadyTimeout))
+	return fmt.Sprintf("%s was not ready with revision %d within %v", i.name, m.target, m.policy.ReadyTimeout)
 }
 
 // soaked reports whether an instance has been ready for the time that the policy demands.
 func (m *Machine) soaked(i *instance) bool {
-	return i.readySince >= 0 && m.elapsed-i.readySince >= m.policy.SoakFor
+	return i.readySince >= 0 && m.elapsed-i.readySince >= m.policy.SoakDuration
 }
 
 // checkStartedUnready updates the phase of an instance that was not ready at its assignment. It may recover, and never
@@ -75,9 +75,9 @@
 	switch {
 	case m.soaked(i):
 		i.startedUnready, i.crashesBefore = false, i.observed.Crashes
-		m.setPhase(i, Took, fmt.Sprintf("it was not ready before, and has been for %v", m.policy.SoakFor))
-	case m.elapsed-i.assignedAt > m.policy.ReadyWithin+m.policy.SoakFor && i.phase != Broke:
-		m.setPhase(i, Broke, "it was not ready before it was told, and is not well now")
+		m.setPhase(i, PhaseUpdated, fmt.Sprintf("it was not ready before, and has been for %v", m.policy.SoakDuration))
+	case m.elapsed-i.assignedAt > m.policy.ReadyTimeout+m.policy.SoakDuration && i.phase != PhaseFailed:
+		m.setPhase(i, PhaseFailed, "it was not ready before it was told, and is not well now")
 	}
 }
 
@@ -102,7 +102,7 @@
 	if !m.assignWave(list, wave.assigned) || wave.pending {
 		return false
 	}
-	if wave.took == 0 {
+	if wave.updated == 0 {
 		// A wave in which no instance has shown that the revision is good proves nothing.
 		if wave.assigned > 0 {
 			m.rollBack("nobody who was told is heard of and ready")
@@ -113,27 +113,27 @@
 		m.wave++
 		return true
 	}
-	m.finish(Applied, Partly, m.target)
+	m.finish(Applied, PartlyApplied, m.target)
 	return false
 }
 
 // waveProgress is how far a list of instances is with the new revision.
 type waveProgress struct {
 	assigned int  // instances that were assigned it
-	took     int  // instances that are through
+	updated  int  // instances that are through
 	pending  bool // some that were assigned it must be waited for
 }
 
 func (m *Machine) progress(list []*instance) (p waveProgress) {
 	for _, i := range list {
-		if i.phase == Took {
-			p.took++
+		if i.phase == PhaseUpdated {
+			p.updated++
 		}
 		if i.assigned != m.target {
 			continue
 		}
 		p.assigned++
-		if i.phase != Took && i.phase != Broke && !i.silent {
+		if i.phase != PhaseUpdated && i.phase != PhaseFailed && !i.silent {
 			p.pending = true
 		}
 	}
@@ -158,7 +158,7 @@
 			break
 		}
 		m.assign(i, m.target)
-		m.setPhase(i, Taking, fmt.Sprintf("told, in wave %d", m.wave+1))
+		m.setPhase(i, PhaseUpdating, fmt.Sprintf("told, in wave %d", m.wave+1))
 		assigned++
 	}
 	return complete
@@ -171,8 +171,8 @@
 		return canaries
 	}
 	share := m.policy.Waves[min(m.wave-1, len(m.policy.Waves)-1)]
-	return max(canaries, int(share*float64(count)+almostOne))
+	return max(canaries, int(share*float64(count)+oneMinusEpsilon))
 }
 
-// almostOne rounds up without making one more of a product that is whole but for rounding errors.
-const almostOne = 0.999999
+// oneMinusEpsilon rounds up without making one more of a product that is whole but for rounding errors.
+const oneMinusEpsilon = 0.999999
--- a/rollout/finish.go
+++ b/rollout/finish.go
@@ -5,20 +5,20 @@
 )
 
 // finish ends the rollout, with the state whole if all instances are ready with the wanted revision r, else with partly.
-func (m *Machine) finish(whole, partly State, r Revision) {
+func (m *Machine) finish(complete, partial State, r Revision) {
 	var missing []string
 	for _, name := range m.order {
 		if i := m.instances[name]; i.silent || i.observed.Revision != r || !i.observed.Ready {
 			missing = append(missing, name)
 		}
 	}
-	state := whole
+	state := complete
 	why := fmt.Sprintf("all %d instances have revision %d", len(m.order), r)
 	if len(missing) > 0 {
-		state = partly
+		state = partial
 		why = fmt.Sprintf("revision %d is wanted everywhere; these have yet to take it: %v", r, missing)
 	}
-	if state == RolledBack || state == BackPartly {
+	if state == RolledBack || state == PartlyRolledBack {
 		why += "; " + m.reason
 	}
 	m.setState(state, why)
@@ -28,14 +28,14 @@
 // rollout.
 func (m *Machine) Wanted() Revision {
 	switch m.state {
-	case RollingBack, RolledBack, BackPartly:
+	case RollingBack, RolledBack, PartlyRolledBack:
 		return m.previous
 	}
 	return m.target
 }
 
-// Order returns the revision that one instance is to run now, 0 for none.
-func (m *Machine) Order(instance string) Revision {
+// InstanceRevision returns the revision that one instance is to run now, 0 for none.
+func (m *Machine) InstanceRevision(instance string) Revision {
 	if i := m.instances[instance]; i != nil && i.assigned != 0 {
 		return i.assigned
 	}
@@ -59,9 +59,9 @@
 		return
 	}
 	switch m.state {
-	case Partly:
+	case PartlyApplied:
 		m.setState(Applied, fmt.Sprintf("the last of %d instances has revision %d", len(m.order), m.target))
-	case BackPartly:
+	case PartlyRolledBack:
 		m.setState(RolledBack, fmt.Sprintf("the last of %d instances has revision %d", len(m.order), m.previous))
 	}
 }
@@ -79,18 +79,18 @@
 		if !i.observed.Ready {
 			return false
 		}
-		if i.phase != Took && i.phase != Was && i.phase != Waiting {
+		if i.phase != PhaseUpdated && i.phase != PhaseRolledBack && i.phase != PhasePending {
 			m.settle(i, r)
 		}
 		return true
-	case i.assigned == r && m.elapsed-i.assignedAt < m.policy.ReadyWithin:
+	case i.assigned == r && m.elapsed-i.assignedAt < m.policy.ReadyTimeout:
 		return false // it is taking it; if it fails to, it is assigned again later
 	case !m.mayAssign(i, list):
 		return false
 	}
-	phase := Taking
+	phase := PhaseUpdating
 	if r == m.previous {
-		phase = Back
+		phase = PhaseRollingBack
 	}
 	m.assign(i, r)
 	m.setPhase(i, phase, "told after the end")
@@ -99,9 +99,9 @@
 
 // settle sets the phase of an instance that is ready with the wanted revision after the end.
 func (m *Machine) settle(i *instance, r Revision) {
-	phase := Took
+	phase := PhaseUpdated
 	if r == m.previous {
-		phase = Was
+		phase = PhaseRolledBack
 	}
 	m.setPhase(i, phase, fmt.Sprintf("ready with revision %d", r))
 }
--- a/rollout/instance.go
+++ b/rollout/instance.go
@@ -9,8 +9,8 @@
 	name           string
 	phase          Phase
 	observed       Observed
-	known          bool          // it has been heard of
-	heardAt        time.Duration // when it was last heard of
+	reported       bool          // it has been heard of
+	lastReportAt   time.Duration // when it was last heard of
 	silent         bool
 	absent         bool // silent from the start: left out of the rollout until it returns
 	assigned       Revision
@@ -23,20 +23,20 @@
 }
 
 // newInstance returns an instance as it is known at the start.
-func (m *Machine) newInstance(name string, k Known) *instance {
+func (m *Machine) newInstance(name string, k InitialInstance) *instance {
 	i := &instance{
-		name:       name,
-		phase:      Waiting,
-		observed:   k.Observed,
-		known:      !k.Away,
-		heardAt:    m.elapsed,
-		downSince:  m.elapsed,
-		silent:     k.Away,
-		absent:     k.Away,
-		readySince: never,
+		name:         name,
+		phase:        PhasePending,
+		observed:     k.Observed,
+		reported:     !k.Unreachable,
+		lastReportAt: m.elapsed,
+		downSince:    m.elapsed,
+		silent:       k.Unreachable,
+		absent:       k.Unreachable,
+		readySince:   noTime,
 	}
-	if k.Away {
-		i.phase = Silent
+	if k.Unreachable {
+		i.phase = PhaseSilent
 	}
 	return i
 }
@@ -47,24 +47,24 @@
 	return i.silent || i.unconfirmed || !i.observed.Ready || i.assigned != 0 && i.readySince < 0
 }
 
-// writtenOff reports whether an unavailable instance no longer counts against MostAway. Otherwise one that never returns
+// excluded reports whether an unavailable instance no longer counts against MostAway. Otherwise one that never returns
 // would use up the limit for good and leave the others on an unwanted revision. Silent ones have a limit of their own.
-func (m *Machine) writtenOff(i *instance) bool {
-	return i.silent || m.elapsed-i.downSince > m.policy.ReadyWithin
+func (m *Machine) excluded(i *instance) bool {
+	return i.silent || m.elapsed-i.downSince > m.policy.ReadyTimeout
 }
 
 // mayAssign reports whether an assignment to the next instance keeps within MostAway.
 func (m *Machine) mayAssign(next *instance, list []*instance) bool {
-	if !next.observed.Ready || next.unavailable() && !m.writtenOff(next) {
+	if !next.observed.Ready || next.unavailable() && !m.excluded(next) {
 		return true // it does not serve, or is counted already
 	}
-	away := 0
+	unavailable := 0
 	for _, i := range list {
-		if i.unavailable() && !m.writtenOff(i) {
-			away++
+		if i.unavailable() && !m.excluded(i) {
+			unavailable++
 		}
 	}
-	return away < m.policy.MostAway
+	return unavailable < m.policy.MaxUnavailable
 }
 
 // assign has an instance take a revision.
@@ -76,10 +76,10 @@
 	i.startedUnready = !i.observed.Ready
 	i.assigned = r
 	i.assignedAt = m.elapsed
-	i.readySince = never
+	i.readySince = noTime
 	i.crashesBefore = i.observed.Crashes
 	i.unconfirmed = false
-	m.actions = append(m.actions, Tell{Instance: i.name, Revision: r})
+	m.actions = append(m.actions, Assign{Instance: i.name, Revision: r})
 }
 
 // participants returns the instances that the rollout counts, in order: all but those that have been absent since the
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// never is a time that has not come.
-const never time.Duration = -1
+// noTime is a time that has not come.
+const noTime time.Duration = -1
 
 // Machine decides one rollout after another. It is not safe for concurrent use; New makes one.
 type Machine struct {
@@ -34,7 +34,7 @@
 	if err := p.Validate(); err != nil {
 		return nil, err
 	}
-	return &Machine{policy: p, state: Idle, instances: map[string]*instance{}, lowSince: never}, nil
+	return &Machine{policy: p, state: Idle, instances: map[string]*instance{}, lowSince: noTime}, nil
 }
 
 // Handle handles an event that happened at now and returns the actions to take, in a slice that is valid until the next
@@ -48,14 +48,14 @@
 	switch e := ev.(type) {
 	case Start:
 		m.start(e)
-	case Heard:
-		m.heard(e)
-	case Refuses:
-		m.refuses(e)
-	case Removed:
-		m.removed(e)
-	case Service:
-		m.service(e)
+	case InstanceReported:
+		m.handleReport(e)
+	case Rejected:
+		m.handleRejection(e)
+	case InstanceRemoved:
+		m.handleRemoval(e)
+	case ServiceReported:
+		m.handleServiceLevel(e)
 	case Pause:
 		m.setState(Paused, "paused by "+e.By)
 	case Resume:
@@ -93,8 +93,8 @@
 	switch {
 	case m.state != Idle && !m.state.Ended():
 		return fmt.Errorf("rollout of revision %d is %s: a second one can't begin", m.target, m.state)
-	case e.New == 0 || e.New == e.Before:
-		return fmt.Errorf("revision %d in place of %d is no change", e.New, e.Before)
+	case e.New == 0 || e.New == e.Previous:
+		return fmt.Errorf("revision %d in place of %d is no change", e.New, e.Previous)
 	case e.State != "" && e.State != Advancing && e.State != Paused && e.State != RollingBack && !e.State.Ended():
 		return fmt.Errorf("no rollout goes on as %q", e.State)
 	}
@@ -109,28 +109,28 @@
 // and a gap between two events counts for at most half of SilentAfter.
 func (m *Machine) advanceClock(now time.Time) {
 	if !m.lastEvent.IsZero() {
-		m.elapsed += min(max(now.Sub(m.lastEvent), 0), m.policy.SilentAfter/2)
+		m.elapsed += min(max(now.Sub(m.lastEvent), 0), m.policy.SilenceTimeout/2)
 	}
 	m.lastEvent = now
 }
 
 // start begins a rollout, or takes over one that another machine began.
 func (m *Machine) start(e Start) {
-	m.target, m.previous, m.baseline = e.New, e.Before, e.Service
-	m.wave, m.directionStart, m.lowSince = 0, m.elapsed, never
+	m.target, m.previous, m.baseline = e.New, e.Previous, e.ServiceLevel
+	m.wave, m.directionStart, m.lowSince = 0, m.elapsed, noTime
 	m.addInstances(e.Instances)
 	if e.State == "" {
-		m.setState(Advancing, fmt.Sprintf("revision %d is to take the place of %d at %d instances", e.New, e.Before, len(m.order)))
+		m.setState(Advancing, fmt.Sprintf("revision %d is to take the place of %d at %d instances", e.New, e.Previous, len(m.order)))
 		return
 	}
-	m.state, m.reason = e.State, e.Why
+	m.state, m.reason = e.State, e.Reason
 	if m.running() {
-		m.takeOver(e)
+		m.resume(e)
 	}
 }
 
 // addInstances replaces the instances by those known at the start.
-func (m *Machine) addInstances(known map[string]Known) {
+func (m *Machine) addInstances(known map[string]InitialInstance) {
 	m.instances, m.order = map[string]*instance{}, nil
 	for name, k := range known {
 		m.instances[name] = m.newInstance(name, k)
@@ -151,12 +151,12 @@
 	return strings.Compare(a.name, b.name)
 }
 
-// takeOver marks the instances that the previous machine assigned the new revision. Otherwise they would be sent back
+// resume marks the instances that the previous machine assigned the new revision. Otherwise they would be sent back
 // and assigned again in their turn.
-func (m *Machine) takeOver(e Start) {
+func (m *Machine) resume(e Start) {
 	for _, name := range m.order {
 		k := e.Instances[name]
-		if k.Away || k.Revision != e.New && k.Told != e.New {
+		if k.Unreachable || k.Revision != e.New && k.Assigned != e.New {
 			continue
 		}
 		i := m.instances[name]
@@ -164,22 +164,22 @@
 		i.assignedAt = m.elapsed
 		i.crashesBefore = k.Crashes
 		i.startedUnready = !k.Ready
-		m.setPhase(i, Taking, "told before this machine had the lead")
+		m.setPhase(i, PhaseUpdating, "told before this machine had the lead")
 	}
 }
 
 // setState sets the state of the rollout and reports the change.
 func (m *Machine) setState(s State, why string) {
 	if s != m.state {
-		m.actions = append(m.actions, Changed{From: string(m.state), To: string(s), Why: why})
+		m.actions = append(m.actions, Changed{From: string(m.state), To: string(s), Reason: why})
 	}
 	m.state, m.reason = s, why
 }
 
 // setPhase sets the phase of an instance and reports the change.
 func (m *Machine) setPhase(i *instance, p Phase, why string) {
-	if p != i.phase || i.phase == Waiting {
-		m.actions = append(m.actions, Changed{Instance: i.name, From: string(i.phase), To: string(p), Why: why})
+	if p != i.phase || i.phase == PhasePending {
+		m.actions = append(m.actions, Changed{Instance: i.name, From: string(i.phase), To: string(p), Reason: why})
 	}
 	i.phase = p
 }
--- a/rollout/machine_test.go
+++ b/rollout/machine_test.go
@@ -11,9 +11,9 @@
 )
 
 func policy() Policy {
-	return Policy{Canaries: 1, Waves: []float64{0.5, 1}, MostAway: 1, ReadyWithin: 20 * time.Second, SoakFor: 10 * time.Second,
-		SilentAfter: 8 * time.Second, MostSilent: 1, ServiceFall: 0.1, ServiceFor: 5 * time.Second, Deadline: 10 * time.Minute,
-		RollbackWithin: 5 * time.Minute}
+	return Policy{Canaries: 1, Waves: []float64{0.5, 1}, MaxUnavailable: 1, ReadyTimeout: 20 * time.Second, SoakDuration: 10 * time.Second,
+		SilenceTimeout: 8 * time.Second, MaxSilent: 1, MaxServiceDrop: 0.1, LowServiceWindow: 5 * time.Second, Deadline: 10 * time.Minute,
+		RollbackTimeout: 5 * time.Minute}
 }
 
 // site plays instances: each takes what it is told, is away for a while and
@@ -59,11 +59,11 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Changed:
-			if a.Why == "" {
+			if a.Reason == "" {
 				s.t.Fatalf("%+v says not why", a)
 			}
-			s.changes = append(s.changes, fmt.Sprintf("%s: %s -> %s: %s", a.Instance, a.From, a.To, a.Why))
-		case Tell:
+			s.changes = append(s.changes, fmt.Sprintf("%s: %s -> %s: %s", a.Instance, a.From, a.To, a.Reason))
+		case Assign:
 			s.told(a)
 		}
 	}
@@ -80,13 +80,13 @@
 }
 
 // told carries an order out, and holds the machine to the bound on those away.
-func (s *site) told(a Tell) {
+func (s *site) told(a Assign) {
 	n := s.nodes[a.Instance]
 	if n == nil || n.dead {
 		return
 	}
 	if a.Revision == n.refuses {
-		s.queue = append(s.queue, Refuses{a.Instance, a.Revision, "it does not parse"})
+		s.queue = append(s.queue, Rejected{a.Instance, a.Revision, "it does not parse"})
 		return
 	}
 	if a.Revision == n.Revision && n.Ready {
@@ -101,22 +101,22 @@
 		if i := s.m.instances[name]; i != nil && i.silent {
 			continue // it is back, and nobody has heard of it yet
 		}
-		if n.byOrder && !n.Ready && !n.dead && s.now.Sub(n.toldAt) <= s.policy.ReadyWithin {
+		if n.byOrder && !n.Ready && !n.dead && s.now.Sub(n.toldAt) <= s.policy.ReadyTimeout {
 			away++
 		}
 	}
-	if away > s.policy.MostAway {
-		s.t.Fatalf("%d instances are away by orders, and %d may be: %+v\n%s", away, s.policy.MostAway, a, strings.Join(s.changes, "\n"))
+	if away > s.policy.MaxUnavailable {
+		s.t.Fatalf("%d instances are away by orders, and %d may be: %+v\n%s", away, s.policy.MaxUnavailable, a, strings.Join(s.changes, "\n"))
 	}
 }
 
 func (s *site) start(t testing.TB) {
 	t.Helper()
-	known := map[string]Known{}
+	known := map[string]InitialInstance{}
 	for name, n := range s.nodes {
-		known[name] = Known{Observed: n.Observed, Away: n.dead}
+		known[name] = InitialInstance{Observed: n.Observed, Unreachable: n.dead}
 	}
-	if err := s.event(Start{New: 2, Before: 1, Instances: known, Service: 0.95}); err != nil {
+	if err := s.event(Start{New: 2, Previous: 1, Instances: known, ServiceLevel: 0.95}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -140,7 +140,7 @@
 				n.Crashes++
 				n.Ready, n.readyAt = false, s.now.Add(n.takes)
 			}
-			s.event(Heard{name, n.Observed})
+			s.event(InstanceReported{name, n.Observed})
 		}
 		s.event(Tick{})
 	}
@@ -157,7 +157,7 @@
 func (s *site) wants(t *testing.T, state State, on Revision, but ...string) {
 	t.Helper()
 	if got := s.m.Status(); got.State != state || s.m.Wanted() != on {
-		t.Fatalf("%s, revision %d wanted: %s\n%s", got.State, s.m.Wanted(), got.Why, strings.Join(s.changes, "\n"))
+		t.Fatalf("%s, revision %d wanted: %s\n%s", got.State, s.m.Wanted(), got.Reason, strings.Join(s.changes, "\n"))
 	}
 	for name, n := range s.nodes {
 		if n.Revision != on && !slices.Contains(but, name) {
@@ -196,24 +196,24 @@
 		"a canary that crashes ten seconds after its start": {func(s *site) { s.nodes["g00"].bad, s.nodes["g00"].badFor = 2, 9*time.Second }, nil, RolledBack, 1, nil, "g00 ended unasked with revision 2"},
 		"one of the last that crashes":                      {func(s *site) { s.nodes["g08"].bad, s.nodes["g08"].badFor = 2, 5*time.Second }, nil, RolledBack, 1, nil, "g08 ended unasked"},
 		"one that refuses":                                  {func(s *site) { s.nodes["g03"].refuses = 2 }, nil, RolledBack, 1, nil, "g03 refused revision 2: it does not parse"},
-		"one that is never ready":                           {func(s *site) { s.nodes["g04"].takes = time.Hour }, nil, BackPartly, 1, nil, "g04 was not ready"},
-		"a canary that falls silent":                        {nil, func(s *site) { s.nodes["g00"].dead = true }, BackPartly, 1, nil, "nobody who was told is heard of and ready"},
-		"one that falls silent later":                       {nil, func(s *site) { s.pass(18 * time.Second); s.nodes["g02"].dead = true }, Partly, 2, []string{"g02"}, "[g02]"},
-		"two that fall silent":                              {nil, func(s *site) { s.pass(25 * time.Second); s.nodes["g01"].dead, s.nodes["g02"].dead = true, true }, BackPartly, 1, []string{"g01", "g02"}, "are silent"},
-		"one that was away from the start":                  {func(s *site) { s.nodes["g05"].dead = true }, nil, Partly, 2, []string{"g05"}, "[g05]"},
+		"one that is never ready":                           {func(s *site) { s.nodes["g04"].takes = time.Hour }, nil, PartlyRolledBack, 1, nil, "g04 was not ready"},
+		"a canary that falls silent":                        {nil, func(s *site) { s.nodes["g00"].dead = true }, PartlyRolledBack, 1, nil, "nobody who was told is heard of and ready"},
+		"one that falls silent later":                       {nil, func(s *site) { s.pass(18 * time.Second); s.nodes["g02"].dead = true }, PartlyApplied, 2, []string{"g02"}, "[g02]"},
+		"two that fall silent":                              {nil, func(s *site) { s.pass(25 * time.Second); s.nodes["g01"].dead, s.nodes["g02"].dead = true, true }, PartlyRolledBack, 1, []string{"g01", "g02"}, "are silent"},
+		"one that was away from the start":                  {func(s *site) { s.nodes["g05"].dead = true }, nil, PartlyApplied, 2, []string{"g05"}, "[g05]"},
 		"an operator who aborts":                            {nil, func(s *site) { s.pass(40 * time.Second); s.event(Abort{"ann"}) }, RolledBack, 1, nil, "aborted by ann"},
 		"a service that falls": {nil, func(s *site) {
 			s.pass(20 * time.Second)
 			for range 7 {
-				s.event(Service{0.7})
+				s.event(ServiceReported{0.7})
 				s.pass(time.Second)
 			}
 		}, RolledBack, 1, nil, "the service is at 0.700"},
-		"a service that falls for a moment": {nil, func(s *site) { s.event(Service{0.7}); s.pass(3 * time.Second); s.event(Service{0.95}) }, Applied, 2, nil, ""},
+		"a service that falls for a moment": {nil, func(s *site) { s.event(ServiceReported{0.7}); s.pass(3 * time.Second); s.event(ServiceReported{0.95}) }, Applied, 2, nil, ""},
 		"one that joins": {nil, func(s *site) {
 			s.nodes["new"] = &fake{Observed: Observed{Revision: 1, Ready: true}, takes: time.Second}
 		}, Applied, 2, nil, ""},
-		"one that is removed": {nil, func(s *site) { delete(s.nodes, "g07"); s.event(Removed{"g07"}) }, Applied, 2, nil, ""},
+		"one that is removed": {nil, func(s *site) { delete(s.nodes, "g07"); s.event(InstanceRemoved{"g07"}) }, Applied, 2, nil, ""},
 		"a clock that jumps": {nil, func(s *site) {
 			s.now = s.now.Add(24 * time.Hour)
 			s.pass(time.Second)
@@ -274,13 +274,13 @@
 
 func TestEventsThatDoNotFitChangeNothing(t *testing.T) {
 	s := newSite(t, policy(), 3)
-	for _, ev := range []Event{Pause{"a"}, Resume{"a"}, Abort{"a"}, Start{New: 0}, Start{New: 3, Before: 3}} {
+	for _, ev := range []Event{Pause{"a"}, Resume{"a"}, Abort{"a"}, Start{New: 0}, Start{New: 3, Previous: 3}} {
 		if err := s.event(ev); err == nil || s.m.Status().State != Idle {
 			t.Errorf("%#v was taken", ev)
 		}
 	}
 	s.start(t)
-	for _, ev := range []Event{Start{New: 3, Before: 2}, Resume{"a"}} {
+	for _, ev := range []Event{Start{New: 3, Previous: 2}, Resume{"a"}} {
 		if err := s.event(ev); err == nil || s.m.Status().State != Advancing {
 			t.Errorf("%#v was taken", ev)
 		}
@@ -289,10 +289,10 @@
 
 func TestPoliciesThatCannotEndAreRefused(t *testing.T) {
 	for _, change := range []func(*Policy){
-		func(p *Policy) { p.Canaries = 0 }, func(p *Policy) { p.MostAway = 0 }, func(p *Policy) { p.Waves = nil },
+		func(p *Policy) { p.Canaries = 0 }, func(p *Policy) { p.MaxUnavailable = 0 }, func(p *Policy) { p.Waves = nil },
 		func(p *Policy) { p.Waves = []float64{0.5} }, func(p *Policy) { p.Waves = []float64{0.5, 0.2, 1} },
-		func(p *Policy) { p.Deadline = 0 }, func(p *Policy) { p.ServiceFall = 1 }, func(p *Policy) { p.MostSilent = -1 },
-		func(p *Policy) { p.SoakFor = -1 },
+		func(p *Policy) { p.Deadline = 0 }, func(p *Policy) { p.MaxServiceDrop = 1 }, func(p *Policy) { p.MaxSilent = -1 },
+		func(p *Policy) { p.SoakDuration = -1 },
 	} {
 		p := policy()
 		change(&p)
@@ -309,8 +309,8 @@
 	rapid.Check(t, func(r *rapid.T) {
 		p := policy()
 		p.Canaries = rapid.IntRange(1, 3).Draw(r, "canaries")
-		p.MostAway = rapid.IntRange(1, 5).Draw(r, "away")
-		p.MostSilent = rapid.IntRange(0, 3).Draw(r, "silent")
+		p.MaxUnavailable = rapid.IntRange(1, 5).Draw(r, "away")
+		p.MaxSilent = rapid.IntRange(0, 3).Draw(r, "silent")
 		s := newSite(t, p, rapid.IntRange(2, 50).Draw(r, "instances"))
 		for _, name := range s.names() {
 			n := s.nodes[name]
@@ -350,10 +350,10 @@
 				if len(names) > 2 {
 					gone := rapid.SampledFrom(names).Draw(r, "gone")
 					delete(s.nodes, gone)
-					s.event(Removed{gone})
+					s.event(InstanceRemoved{gone})
 				}
 			case 9:
-				s.event(Service{rapid.Float64Range(0.5, 1).Draw(r, "service")})
+				s.event(ServiceReported{rapid.Float64Range(0.5, 1).Draw(r, "service")})
 			}
 			s.pass(time.Duration(rapid.IntRange(1, 20).Draw(r, "seconds")) * time.Second)
 		}
@@ -364,19 +364,19 @@
 			}
 		}
 		s.event(Resume{"a"})
-		s.event(Service{1})
+		s.event(ServiceReported{1})
 		s.pass(20 * time.Minute)
 		st := s.m.Status()
 		if !st.State.Ended() {
-			r.Fatalf("%s: %s", st.State, st.Why)
+			r.Fatalf("%s: %s", st.State, st.Reason)
 		}
 		for name, n := range s.nodes {
 			if n.Revision != st.Wanted {
-				r.Fatalf("%s: %s; %s has revision %d where %d is wanted\n%s", st.State, st.Why, name, n.Revision, st.Wanted, strings.Join(s.changes, "\n"))
+				r.Fatalf("%s: %s; %s has revision %d where %d is wanted\n%s", st.State, st.Reason, name, n.Revision, st.Wanted, strings.Join(s.changes, "\n"))
 			}
 		}
 		if st.State != Applied && st.State != RolledBack {
-			r.Fatalf("all are well, and it is %s: %s\n%s", st.State, st.Why, strings.Join(s.changes, "\n"))
+			r.Fatalf("all are well, and it is %s: %s\n%s", st.State, st.Reason, strings.Join(s.changes, "\n"))
 		}
 	})
 }
@@ -401,35 +401,35 @@
 	const n = 1000
 	for b.Loop() {
 		p := policy()
-		p.SoakFor, p.MostAway = 0, n/10
+		p.SoakDuration, p.MaxUnavailable = 0, n/10
 		m, err := New(p)
 		if err != nil {
 			b.Fatal(err)
 		}
 		now := time.Unix(1_800_000_000, 0)
-		known := map[string]Known{}
+		known := map[string]InitialInstance{}
 		runs := map[string]Revision{}
 		for i := range n {
 			name := fmt.Sprintf("g%04d", i)
 			runs[name] = 1
-			known[name] = Known{Observed: Observed{Revision: 1, Ready: true}}
+			known[name] = InitialInstance{Observed: Observed{Revision: 1, Ready: true}}
 		}
-		if _, err := m.Handle(now, Start{New: 2, Before: 1, Instances: known}); err != nil {
+		if _, err := m.Handle(now, Start{New: 2, Previous: 1, Instances: known}); err != nil {
 			b.Fatal(err)
 		}
 		events := 0
 		for m.Status().State == Advancing {
 			for name := range runs {
 				now = now.Add(time.Millisecond)
-				runs[name] = m.Order(name)
+				runs[name] = m.InstanceRevision(name)
 				events++
-				if _, err := m.Handle(now, Heard{name, Observed{Revision: runs[name], Ready: true}}); err != nil {
+				if _, err := m.Handle(now, InstanceReported{name, Observed{Revision: runs[name], Ready: true}}); err != nil {
 					b.Fatal(err)
 				}
 			}
 		}
 		if s := m.Status(); s.State != Applied {
-			b.Fatal(s.State, s.Why)
+			b.Fatal(s.State, s.Reason)
 		}
 		b.ReportMetric(float64(events), "reports/op")
 	}
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -7,17 +7,17 @@
 
 // Policy says how a rollout proceeds.
 type Policy struct {
-	Canaries       int           // instances of the first wave
-	Waves          []float64     // shares of all instances that are assigned by the end of each further wave, rising to 1
-	MostAway       int           // instances that may be unavailable at once for any cause, except silent and lost ones
-	ReadyWithin    time.Duration // from an assignment until the instance must be ready again; else it is lost
-	SoakFor        time.Duration // how long it must then stay ready without a crash
-	SilentAfter    time.Duration // how long after it was last heard of an instance is silent
-	MostSilent     int           // assigned instances that may be silent
-	ServiceFall    float64       // share by which the service level may fall; 0: it is not checked
-	ServiceFor     time.Duration // how long the level may be lower than that
-	Deadline       time.Duration // from the start to the end, pauses included
-	RollbackWithin time.Duration // how long a rollback waits for instances
+	Canaries         int           // instances of the first wave
+	Waves            []float64     // shares of all instances that are assigned by the end of each further wave, rising to 1
+	MaxUnavailable   int           // instances that may be unavailable at once for any cause, except silent and lost ones
+	ReadyTimeout     time.Duration // from an assignment until the instance must be ready again; else it is lost
+	SoakDuration     time.Duration // how long it must then stay ready without a crash
+	SilenceTimeout   time.Duration // how long after it was last heard of an instance is silent
+	MaxSilent        int           // assigned instances that may be silent
+	MaxServiceDrop   float64       // share by which the service level may fall; 0: it is not checked
+	LowServiceWindow time.Duration // how long the level may be lower than that
+	Deadline         time.Duration // from the start to the end, pauses included
+	RollbackTimeout  time.Duration // how long a rollback waits for instances
 }
 
 // Validate returns an error if a rollout with the policy could not begin or not end.
@@ -25,16 +25,16 @@
 	switch {
 	case p.Canaries < 1:
 		return fmt.Errorf("canaries: %d is below 1", p.Canaries)
-	case p.MostAway < 1:
-		return fmt.Errorf("most away: %d is below 1: nobody could ever be told", p.MostAway)
-	case p.MostSilent < 0:
-		return fmt.Errorf("most silent: %d is below 0", p.MostSilent)
-	case p.ReadyWithin <= 0 || p.SilentAfter <= 0 || p.Deadline <= 0 || p.RollbackWithin <= 0:
+	case p.MaxUnavailable < 1:
+		return fmt.Errorf("most away: %d is below 1: nobody could ever be told", p.MaxUnavailable)
+	case p.MaxSilent < 0:
+		return fmt.Errorf("most silent: %d is below 0", p.MaxSilent)
+	case p.ReadyTimeout <= 0 || p.SilenceTimeout <= 0 || p.Deadline <= 0 || p.RollbackTimeout <= 0:
 		return fmt.Errorf("ready within, silent after, deadline and rollback within must be above 0")
-	case p.SoakFor < 0 || p.ServiceFor < 0:
+	case p.SoakDuration < 0 || p.LowServiceWindow < 0:
 		return fmt.Errorf("soak for and service for must not be below 0")
-	case p.ServiceFall < 0 || p.ServiceFall >= 1:
-		return fmt.Errorf("service fall: %g is not from 0 to below 1", p.ServiceFall)
+	case p.MaxServiceDrop < 0 || p.MaxServiceDrop >= 1:
+		return fmt.Errorf("service fall: %g is not from 0 to below 1", p.MaxServiceDrop)
 	}
 	for i, w := range p.Waves {
 		if w <= 0 || w > 1 || i > 0 && w <= p.Waves[i-1] {
--- a/rollout/rollback.go
+++ b/rollout/rollback.go
@@ -15,7 +15,7 @@
 		}
 		i.unconfirmed = i.readySince < 0
 		i.assigned = 0 // until continueRollback assigns the previous revision
-		i.readySince = never
+		i.readySince = noTime
 	}
 }
 
@@ -32,9 +32,9 @@
 			pending++
 		}
 	}
-	overdue := m.elapsed-m.directionStart > m.policy.RollbackWithin
+	overdue := m.elapsed-m.directionStart > m.policy.RollbackTimeout
 	if pending == 0 || overdue {
-		m.finish(RolledBack, BackPartly, m.previous)
+		m.finish(RolledBack, PartlyRolledBack, m.previous)
 	}
 }
 
@@ -42,20 +42,20 @@
 func (m *Machine) rollBackInstance(i *instance, list []*instance) (pending bool) {
 	switch {
 	case i.assigned == m.previous && i.readySince >= 0:
-		if i.phase != Was {
-			m.setPhase(i, Was, fmt.Sprintf("ready with revision %d", m.previous))
+		if i.phase != PhaseRolledBack {
+			m.setPhase(i, PhaseRolledBack, fmt.Sprintf("ready with revision %d", m.previous))
 		}
 		return false
 	case i.silent:
 		return false
 	case i.assigned == m.previous:
 		return true
-	case i.known && i.observed.Revision == m.previous && i.phase == Waiting:
+	case i.reported && i.observed.Revision == m.previous && i.phase == PhasePending:
 		return false // it was never assigned the new revision
 	case !m.mayAssign(i, list):
 		return true
 	}
 	m.assign(i, m.previous)
-	m.setPhase(i, Back, fmt.Sprintf("told to go back to revision %d", m.previous))
+	m.setPhase(i, PhaseRollingBack, fmt.Sprintf("told to go back to revision %d", m.previous))
 	return true
 }
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -8,9 +8,9 @@
 // Status is the state of a rollout for display.
 type Status struct {
 	State     State
-	Why       string
+	Reason    string
 	New       Revision
-	Before    Revision
+	Previous  Revision
 	Wanted    Revision
 	Wave      int // from 1
 	Waves     int
@@ -21,14 +21,14 @@
 type InstanceStatus struct {
 	Name     string
 	Phase    Phase
-	Told     Revision // assigned revision; 0: none
+	Assigned Revision // assigned revision; 0: none
 	Observed Observed
 	Silent   bool
 }
 
 // Status returns the present state of the rollout.
 func (m *Machine) Status() Status {
-	s := Status{State: m.state, Why: m.reason, New: m.target, Before: m.previous, Wanted: m.Wanted(), Wave: m.wave + 1, Waves: len(m.policy.Waves) + 1}
+	s := Status{State: m.state, Reason: m.reason, New: m.target, Previous: m.previous, Wanted: m.Wanted(), Wave: m.wave + 1, Waves: len(m.policy.Waves) + 1}
 	for _, i := range m.instances {
 		s.Instances = append(s.Instances, InstanceStatus{i.name, i.phase, i.assigned, i.observed, i.silent})
 	}
--- a/rollout/types.go
+++ b/rollout/types.go
@@ -14,19 +14,19 @@
 
 // The states of a rollout. The last four are final.
 const (
-	Idle        State = "idle"         // none has been started
-	Advancing   State = "advancing"    // waves are being assigned
-	Paused      State = "paused"       // by an operator; there are no new assignments
-	RollingBack State = "rolling back" // assigned instances are assigned the previous revision
-	Applied     State = "applied"      // all have the new revision
-	Partly      State = "applied, some missing"
-	RolledBack  State = "rolled back" // all have the previous revision
-	BackPartly  State = "rolled back, some missing"
+	Idle             State = "idle"         // none has been started
+	Advancing        State = "advancing"    // waves are being assigned
+	Paused           State = "paused"       // by an operator; there are no new assignments
+	RollingBack      State = "rolling back" // assigned instances are assigned the previous revision
+	Applied          State = "applied"      // all have the new revision
+	PartlyApplied    State = "applied, some missing"
+	RolledBack       State = "rolled back" // all have the previous revision
+	PartlyRolledBack State = "rolled back, some missing"
 )
 
 // Ended reports whether a state is final.
 func (s State) Ended() bool {
-	return s == Applied || s == Partly || s == RolledBack || s == BackPartly
+	return s == Applied || s == PartlyApplied || s == RolledBack || s == PartlyRolledBack
 }
 
 // Phase is the state of one instance in a rollout.
@@ -34,15 +34,15 @@
 
 // The phases of an instance.
 const (
-	Waiting Phase = "waiting" // it has the previous revision and no assignment yet
-	Taking  Phase = "taking"  // it was assigned a revision and is not ready with it yet
-	Soaking Phase = "being watched"
-	Took    Phase = "took it"
-	Refused Phase = "refused it"
-	Broke   Phase = "broke" // it crashed, or was not ready in time
-	Silent  Phase = "silent"
-	Back    Phase = "going back"
-	Was     Phase = "went back"
+	PhasePending     Phase = "waiting" // it has the previous revision and no assignment yet
+	PhaseUpdating    Phase = "taking"  // it was assigned a revision and is not ready with it yet
+	PhaseSoaking     Phase = "being watched"
+	PhaseUpdated     Phase = "took it"
+	PhaseRejected    Phase = "refused it"
+	PhaseFailed      Phase = "broke" // it crashed, or was not ready in time
+	PhaseSilent      Phase = "silent"
+	PhaseRollingBack Phase = "going back"
+	PhaseRolledBack  Phase = "went back"
 )
 
 // Observed is what an instance reports.
@@ -61,38 +61,38 @@
 // If State is set, Start takes over a rollout that another machine began, in that state: instances that have New already
 // count as assigned.
 type Start struct {
-	New, Before Revision
-	Instances   map[string]Known
-	Service     float64 // service level at the start; 0: unknown
-	State       State   // "": a new rollout
-	Why         string
+	New, Previous Revision
+	Instances     map[string]InitialInstance
+	ServiceLevel  float64 // service level at the start; 0: unknown
+	State         State   // "": a new rollout
+	Reason        string
 }
 
-// Known is an instance at the start of a rollout.
-type Known struct {
+// InitialInstance is an instance at the start of a rollout.
+type InitialInstance struct {
 	Observed
-	Told Revision // assigned
-	Away bool
+	Assigned    Revision // assigned
+	Unreachable bool
 }
 
-// Heard is news of an instance. It adds an instance that is new to the site.
-type Heard struct {
+// InstanceReported is news of an instance. It adds an instance that is new to the site.
+type InstanceReported struct {
 	Instance string
 	Observed
 }
 
-// Refuses says that an instance rejects a revision, and why.
-type Refuses struct {
+// Rejected says that an instance rejects a revision, and why.
+type Rejected struct {
 	Instance string
 	Revision Revision
-	Why      string
+	Reason   string
 }
 
-// Removed says that an instance no longer belongs to the site.
-type Removed struct{ Instance string }
+// InstanceRemoved says that an instance no longer belongs to the site.
+type InstanceRemoved struct{ Instance string }
 
-// Service is the site's present service level.
-type Service struct{ Level float64 }
+// ServiceReported is the site's present service level.
+type ServiceReported struct{ Level float64 }
 
 // Tick says that time has passed.
 type Tick struct{}
@@ -108,13 +108,13 @@
 
 func (Start) event() {}
 
-func (Heard) event() {}
+func (InstanceReported) event() {}
 
-func (Refuses) event() {}
+func (Rejected) event() {}
 
-func (Removed) event() {}
+func (InstanceRemoved) event() {}
 
-func (Service) event() {}
+func (ServiceReported) event() {}
 
 func (Tick) event() {}
 
@@ -127,8 +127,8 @@
 // Action is something to be done.
 type Action interface{ action() }
 
-// Tell assigns a revision to an instance. It may repeat an assignment, which changes nothing.
-type Tell struct {
+// Assign assigns a revision to an instance. It may repeat an assignment, which changes nothing.
+type Assign struct {
 	Instance string
 	Revision Revision
 }
@@ -137,9 +137,9 @@
 type Changed struct {
 	Instance string // "": the rollout
 	From, To string
-	Why      string
+	Reason   string
 }
 
-func (Tell) action() {}
+func (Assign) action() {}
 
 func (Changed) action() {}
--- a/supervise/golden_test.go
+++ b/supervise/golden_test.go
@@ -11,7 +11,7 @@
 // and answers about it.
 
 func goldenSpec(revision uint64) Spec {
-	return Spec{Revision: revision, Content: "c0ffee", Files: "f11e5", Fixed: "f1bed", Longest: 90 * time.Second}
+	return Spec{Revision: revision, Content: "c0ffee", Files: "f11e5", Fixed: "f1bed", MaxRequestDuration: 90 * time.Second}
 }
 
 func TestGoldenSpec(t *testing.T) {
@@ -22,23 +22,23 @@
 
 func TestGoldenStatus(t *testing.T) {
 	running, wanted := goldenSpec(7), goldenSpec(8)
-	status := Status{State: Pausing, Why: "it ended: exit status 1", Running: &running, Wanted: &wanted, Crashes: 4}
+	status := Status{State: BackingOff, Reason: "it ended: exit status 1", Running: &running, Desired: &wanted, Crashes: 4}
 	golden.Complete(t, status)
 	golden.JSON(t, "status.json", status)
 }
 
 func TestGoldenTexts(t *testing.T) {
 	golden.Constants(t, map[string]string{
-		string(Nothing): "nothing",
-		string(Reload):  "reload",
-		string(Restart): "restart",
-		string(Start):   "start",
-		string(Stop):    "stop",
-
-		string(Down):     "down",
-		string(Pausing):  "pausing",
-		string(Starting): "starting",
-		string(Ready):    "ready",
-		string(Leaving):  "leaving",
+		string(StepNone):    "nothing",
+		string(StepReload):  "reload",
+		string(StepRestart): "restart",
+		string(StepStart):   "start",
+		string(StepStop):    "stop",
+
+		string(Down):        "down",
+		string(BackingOff):  "pausing",
+		string(Starting):    "starting",
+		string(Ready):       "ready",
+		string(Terminating): "leaving",
 	})
 }
--- a/supervise/supervise.go
+++ b/supervise/supervise.go
@@ -16,8 +16,8 @@
 	Content  string `json:"content,omitempty"` // the revision's checksum: another site's may have its number
 	Files    string `json:"files"`             // checksum of all that is written for it
 	Fixed    string `json:"fixed"`             // checksum of what only a start reads
-	// Longest is how long the gateway may hold a request, and so its end.
-	Longest time.Duration `json:"longest_ns"`
+	// MaxRequestDuration is how long the gateway may hold a request, and so its end.
+	MaxRequestDuration time.Duration `json:"longest_ns"`
 }
 
 // Step is what takes a process from one spec to another.
@@ -25,44 +25,44 @@
 
 // The steps, from the least.
 const (
-	Nothing Step = "nothing"
-	Reload  Step = "reload"
-	Restart Step = "restart"
-	Start   Step = "start"
-	Stop    Step = "stop"
+	StepNone    Step = "nothing"
+	StepReload  Step = "reload"
+	StepRestart Step = "restart"
+	StepStart   Step = "start"
+	StepStop    Step = "stop"
 )
 
-// Between tells what takes an instance from one spec to another; nil is that of
+// StepBetween tells what takes an instance from one spec to another; nil is that of
 // one that does not run, or is not to.
-func Between(from, to *Spec) Step {
+func StepBetween(from, to *Spec) Step {
 	switch {
 	case to == nil && from == nil:
-		return Nothing
+		return StepNone
 	case to == nil:
-		return Stop
+		return StepStop
 	case from == nil:
-		return Start
+		return StepStart
 	case from.Files == to.Files:
-		return Nothing
+		return StepNone
 	case from.Fixed == to.Fixed:
-		return Reload
+		return StepReload
 	}
-	return Restart
+	return StepRestart
 }
 
 // Policy is how a process is treated.
 type Policy struct {
-	FirstPause time.Duration // before the start after a first crash; it doubles
-	MostPause  time.Duration
-	CalmAfter  time.Duration // a process that has run for so long begins with the first pause again
-	KillAfter  time.Duration // one that was asked to end has its spec's Longest and so long
+	InitialBackoff     time.Duration // before the start after a first crash; it doubles
+	MaxBackoff         time.Duration
+	BackoffResetUptime time.Duration // a process that has run for so long begins with the first pause again
+	KillDelay          time.Duration // one that was asked to end has its spec's Longest and so long
 }
 
 // Validate tells what is wrong with a policy.
 func (p *Policy) Validate() error {
-	if p.FirstPause <= 0 || p.MostPause < p.FirstPause || p.CalmAfter <= 0 || p.KillAfter <= 0 {
+	if p.InitialBackoff <= 0 || p.MaxBackoff < p.InitialBackoff || p.BackoffResetUptime <= 0 || p.KillDelay <= 0 {
 		return fmt.Errorf("supervise: pauses %v to %v, calm after %v, kill after %v: all must be above 0, and the pauses rise",
-			p.FirstPause, p.MostPause, p.CalmAfter, p.KillAfter)
+			p.InitialBackoff, p.MaxBackoff, p.BackoffResetUptime, p.KillDelay)
 	}
 	return nil
 }
@@ -72,27 +72,27 @@
 
 // The states.
 const (
-	Down     State = "down"     // nothing runs, and nothing is to
-	Pausing  State = "pausing"  // it ended unasked and waits for its next start
-	Starting State = "starting" // it runs and is not ready
-	Ready    State = "ready"
-	Leaving  State = "leaving" // it was asked to end
+	Down        State = "down"     // nothing runs, and nothing is to
+	BackingOff  State = "pausing"  // it ended unasked and waits for its next start
+	Starting    State = "starting" // it runs and is not ready
+	Ready       State = "ready"
+	Terminating State = "leaving" // it was asked to end
 )
 
 // Machine is one instance's process. It belongs to one goroutine.
 type Machine struct {
-	policy  Policy
-	state   State
-	why     string
-	want    *Spec
-	running *Spec // what the process was started with, or told since
-	crashes int
-	pause   time.Duration
-	due     time.Time // of the next start, or of the kill
-	since   time.Time // the process runs
-	killed  bool      // the present process was, for not ending
-	spawned bool      // a start was ordered, and its answer has not come
-	out     []Action
+	policy       Policy
+	state        State
+	reason       string
+	desired      *Spec
+	running      *Spec // what the process was started with, or told since
+	crashes      int
+	backoff      time.Duration
+	deadline     time.Time // of the next start, or of the kill
+	startedAt    time.Time // the process runs
+	killed       bool      // the present process was, for not ending
+	spawnPending bool      // a start was ordered, and its answer has not come
+	actions      []Action
 }
 
 // New returns a machine without a process. Crashes is how many there have been
@@ -108,79 +108,79 @@
 type Event interface{ event() }
 
 type (
-	// Want says what is to run; a nil Spec: nothing.
-	Want struct{ Spec *Spec }
+	// DesiredState says what is to run; a nil Spec: nothing.
+	DesiredState struct{ Spec *Spec }
 	// Adopted says that a process from before runs with Spec, which is wanted until
 	// somebody says otherwise.
 	Adopted struct{ Spec Spec }
 	// Started says that the process that was ordered runs.
 	Started struct{}
-	// NotStarted says that it could not be started.
-	NotStarted struct{ Why string }
-	// NotReloaded says that the files of a Hup could not be written.
-	NotReloaded struct {
-		Old Spec
-		Why string
+	// StartFailed says that it could not be started.
+	StartFailed struct{ Reason string }
+	// ReloadFailed says that the files of a Hup could not be written.
+	ReloadFailed struct {
+		Previous Spec
+		Reason   string
 	}
 	// Exited says that the process has ended.
-	Exited struct{ Why string }
+	Exited struct{ Reason string }
 	// Health is what the process answers about its readiness.
 	Health struct{ Ready bool }
 	// Tick lets time pass.
 	Tick struct{}
 )
 
-func (Want) event()        {}
-func (Adopted) event()     {}
-func (Started) event()     {}
-func (NotStarted) event()  {}
-func (NotReloaded) event() {}
-func (Exited) event()      {}
-func (Health) event()      {}
-func (Tick) event()        {}
+func (DesiredState) event() {}
+func (Adopted) event()      {}
+func (Started) event()      {}
+func (StartFailed) event()  {}
+func (ReloadFailed) event() {}
+func (Exited) event()       {}
+func (Health) event()       {}
+func (Tick) event()         {}
 
 // Action is one thing to be done.
 type Action interface{ action() }
 
 type (
 	// Spawn writes the files of a spec and starts the process. Started or
-	// NotStarted is its answer.
+	// StartFailed is its answer.
 	Spawn struct{ Spec Spec }
-	// Hup writes the files of a spec and has the process read them. NotReloaded is
+	// Reload writes the files of a spec and has the process read them. ReloadFailed is
 	// its answer if that fails.
-	Hup struct{ Spec, Old Spec }
-	// Renumber records that the process runs another revision that says the same.
-	Renumber struct{ Spec Spec }
-	// Term asks the process to answer what it holds and end.
-	Term struct{}
+	Reload struct{ Spec, Previous Spec }
+	// SetRevision records that the process runs another revision that says the same.
+	SetRevision struct{ Spec Spec }
+	// Terminate asks the process to answer what it holds and end.
+	Terminate struct{}
 	// Kill ends it.
 	Kill struct{}
 )
 
-func (Spawn) action()    {}
-func (Hup) action()      {}
-func (Renumber) action() {}
-func (Term) action()     {}
-func (Kill) action()     {}
+func (Spawn) action()       {}
+func (Reload) action()      {}
+func (SetRevision) action() {}
+func (Terminate) action()   {}
+func (Kill) action()        {}
 
 // Status is what an instance is at.
 type Status struct {
 	State   State  `json:"state"`
-	Why     string `json:"why,omitempty"`
+	Reason  string `json:"why,omitempty"`
 	Running *Spec  `json:"running,omitempty"` // of the process; of the last one where none runs
-	Wanted  *Spec  `json:"wanted,omitempty"`
+	Desired *Spec  `json:"wanted,omitempty"`
 	Crashes int    `json:"crashes"` // ends that nobody asked for
 }
 
 // Status returns what the instance is at.
 func (m *Machine) Status() Status {
-	return Status{m.state, m.why, m.running, m.want, m.crashes}
+	return Status{m.state, m.reason, m.running, m.desired, m.crashes}
 }
 
 // Due is when time alone makes something due; zero: never.
 func (m *Machine) Due() time.Time {
-	if m.state == Pausing || m.state == Leaving && !m.killed {
-		return m.due
+	if m.state == BackingOff || m.state == Terminating && !m.killed {
+		return m.deadline
 	}
 	return time.Time{}
 }
@@ -188,105 +188,105 @@
 // Handle takes one event that happened at now. The slice is valid until the next
 // call.
 func (m *Machine) Handle(now time.Time, ev Event) []Action {
-	m.out = m.out[:0]
+	m.actions = m.actions[:0]
 	switch e := ev.(type) {
-	case Want:
-		m.want = e.Spec
+	case DesiredState:
+		m.desired = e.Spec
 	case Adopted:
 		if m.state == Down {
 			spec := e.Spec
-			m.running, m.since = &spec, now
-			if m.want == nil {
-				m.want = &spec
+			m.running, m.startedAt = &spec, now
+			if m.desired == nil {
+				m.desired = &spec
 			}
-			m.turn(Starting, "it ran before the agent did")
+			m.setState(Starting, "it ran before the agent did")
 		}
 	case Started:
-		m.spawned = false
-		m.since = now
-	case NotStarted:
-		m.spawned = false
-		m.crash(now, e.Why)
-	case NotReloaded:
+		m.spawnPending = false
+		m.startedAt = now
+	case StartFailed:
+		m.spawnPending = false
+		m.handleCrash(now, e.Reason)
+	case ReloadFailed:
 		if m.state == Starting || m.state == Ready {
-			old := e.Old
-			m.running, m.why = &old, e.Why
+			previous := e.Previous
+			m.running, m.reason = &previous, e.Reason
 		}
-		return m.out // the next event tries again
+		return m.actions // the next event tries again
 	case Exited:
-		m.exited(now, e.Why)
+		m.handleExit(now, e.Reason)
 	case Health:
 		switch {
-		case e.Ready && m.state == Starting && !m.spawned:
-			m.turn(Ready, "")
+		case e.Ready && m.state == Starting && !m.spawnPending:
+			m.setState(Ready, "")
 		case !e.Ready && m.state == Ready:
-			m.turn(Starting, "it is not ready any more")
+			m.setState(Starting, "it is not ready any more")
 		}
 	case Tick:
 	}
 	m.step(now)
-	return m.out
+	return m.actions
 }
 
-func (m *Machine) turn(s State, why string) { m.state, m.why = s, why }
+func (m *Machine) setState(s State, why string) { m.state, m.reason = s, why }
 
-func (m *Machine) exited(now time.Time, why string) {
+func (m *Machine) handleExit(now time.Time, why string) {
 	switch m.state {
-	case Leaving:
-		m.pause = 0
-		m.turn(Down, "")
+	case Terminating:
+		m.backoff = 0
+		m.setState(Down, "")
 	case Starting, Ready:
-		m.crash(now, why)
+		m.handleCrash(now, why)
 	}
 }
 
-// crash has the next start wait, longer each time.
-func (m *Machine) crash(now time.Time, why string) {
+// handleCrash has the next start wait, longer each time.
+func (m *Machine) handleCrash(now time.Time, why string) {
 	m.crashes++
-	if m.pause == 0 || m.state == Ready && now.Sub(m.since) >= m.policy.CalmAfter {
-		m.pause = m.policy.FirstPause
+	if m.backoff == 0 || m.state == Ready && now.Sub(m.startedAt) >= m.policy.BackoffResetUptime {
+		m.backoff = m.policy.InitialBackoff
 	} else {
-		m.pause = min(2*m.pause, m.policy.MostPause)
+		m.backoff = min(2*m.backoff, m.policy.MaxBackoff)
 	}
-	m.due = now.Add(m.pause)
-	m.turn(Pausing, why)
+	m.deadline = now.Add(m.backoff)
+	m.setState(BackingOff, why)
 }
 
 func (m *Machine) step(now time.Time) {
 	switch m.state {
 	case Down:
-		if m.want != nil {
+		if m.desired != nil {
 			m.spawn()
 		}
-	case Pausing:
+	case BackingOff:
 		// Danger: a clock that jumps back would hold the start for as long as it jumped.
-		m.due = earlier(m.due, now.Add(m.pause))
+		m.deadline = earlierTime(m.deadline, now.Add(m.backoff))
 		switch {
-		case m.want == nil:
-			m.turn(Down, "")
-		case m.running != nil && m.running.Files != m.want.Files:
+		case m.desired == nil:
+			m.setState(Down, "")
+		case m.running != nil && m.running.Files != m.desired.Files:
 			// What crashed is not what is wanted now: the pause was for that.
-			m.pause = 0
+			m.backoff = 0
 			m.spawn()
-		case !now.Before(m.due):
+		case !now.Before(m.deadline):
 			m.spawn()
 		}
 	case Starting, Ready:
-		if !m.spawned {
-			m.follow(now)
+		if !m.spawnPending {
+			m.reconcile(now)
 		}
-	case Leaving:
-		m.due = earlier(m.due, now.Add(m.killAfter()))
-		if !m.killed && !now.Before(m.due) {
+	case Terminating:
+		m.deadline = earlierTime(m.deadline, now.Add(m.killDelay()))
+		if !m.killed && !now.Before(m.deadline) {
 			m.killed = true
-			m.out = append(m.out, Kill{})
+			m.actions = append(m.actions, Kill{})
 		}
 	}
 }
 
-func (m *Machine) killAfter() time.Duration { return m.running.Longest + m.policy.KillAfter }
+func (m *Machine) killDelay() time.Duration { return m.running.MaxRequestDuration + m.policy.KillDelay }
 
-func earlier(a, b time.Time) time.Time {
+func earlierTime(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
@@ -294,32 +294,32 @@
 }
 
 func (m *Machine) spawn() {
-	spec := *m.want
-	m.running, m.spawned = &spec, true
-	m.turn(Starting, "")
-	m.out = append(m.out, Spawn{spec})
+	spec := *m.desired
+	m.running, m.spawnPending = &spec, true
+	m.setState(Starting, "")
+	m.actions = append(m.actions, Spawn{spec})
 }
 
-// follow takes a running process to what is wanted.
-func (m *Machine) follow(now time.Time) {
-	switch Between(m.running, m.want) {
-	case Nothing:
-		if m.running.Revision != m.want.Revision || m.running.Content != m.want.Content {
-			spec := *m.want
+// reconcile takes a running process to what is wanted.
+func (m *Machine) reconcile(now time.Time) {
+	switch StepBetween(m.running, m.desired) {
+	case StepNone:
+		if m.running.Revision != m.desired.Revision || m.running.Content != m.desired.Content {
+			spec := *m.desired
 			m.running = &spec
-			m.out = append(m.out, Renumber{spec})
+			m.actions = append(m.actions, SetRevision{spec})
 		}
-	case Reload:
-		spec, old := *m.want, *m.running
-		m.running, m.why = &spec, ""
-		m.out = append(m.out, Hup{spec, old})
-	case Restart, Stop:
+	case StepReload:
+		spec, previous := *m.desired, *m.running
+		m.running, m.reason = &spec, ""
+		m.actions = append(m.actions, Reload{spec, previous})
+	case StepRestart, StepStop:
 		why := "nothing is to run"
-		if m.want != nil {
-			why = fmt.Sprintf("it makes room for revision %d", m.want.Revision)
+		if m.desired != nil {
+			why = fmt.Sprintf("it makes room for revision %d", m.desired.Revision)
 		}
-		m.turn(Leaving, why)
-		m.killed, m.due = false, now.Add(m.killAfter())
-		m.out = append(m.out, Term{})
+		m.setState(Terminating, why)
+		m.killed, m.deadline = false, now.Add(m.killDelay())
+		m.actions = append(m.actions, Terminate{})
 	}
 }
--- a/supervise/supervise_test.go
+++ b/supervise/supervise_test.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	policy = Policy{FirstPause: time.Second, MostPause: 4 * time.Second, CalmAfter: time.Minute, KillAfter: 5 * time.Second}
+	policy = Policy{InitialBackoff: time.Second, MaxBackoff: 4 * time.Second, BackoffResetUptime: time.Minute, KillDelay: 5 * time.Second}
 	began  = time.Unix(1_800_000_000, 0)
 	one    = &Spec{1, "", "files-1", "fixed-1", 0}
 	reload = &Spec{2, "", "files-2", "fixed-1", 0}
@@ -43,18 +43,18 @@
 func TestStartReloadRestartStop(t *testing.T) {
 	m := play(t,
 		step{0, Tick{}, nil, Down},
-		step{0, Want{one}, []Action{Spawn{*one}}, Starting},
+		step{0, DesiredState{one}, []Action{Spawn{*one}}, Starting},
 		step{0, Health{true}, nil, Starting}, // of a process from before
 		step{0.1, Started{}, nil, Starting},
 		step{1, Health{true}, nil, Ready},
-		step{2, Want{reload}, []Action{Hup{*reload, *one}}, Ready},
-		step{3, Want{other}, []Action{Term{}}, Leaving},
-		step{4, Tick{}, nil, Leaving},
+		step{2, DesiredState{reload}, []Action{Reload{*reload, *one}}, Ready},
+		step{3, DesiredState{other}, []Action{Terminate{}}, Terminating},
+		step{4, Tick{}, nil, Terminating},
 		step{5, Exited{}, []Action{Spawn{*other}}, Starting},
 		step{5, Started{}, nil, Starting},
 		step{6, Health{true}, nil, Ready},
-		step{7, Want{again}, []Action{Renumber{*again}}, Ready},
-		step{8, Want{nil}, []Action{Term{}}, Leaving},
+		step{7, DesiredState{again}, []Action{SetRevision{*again}}, Ready},
+		step{8, DesiredState{nil}, []Action{Terminate{}}, Terminating},
 		step{9, Exited{}, nil, Down},
 		step{10, Tick{}, nil, Down})
 	if s := m.Status(); s.Crashes != 0 || !m.Due().IsZero() {
@@ -64,20 +64,20 @@
 
 func TestAStartAfterACrashWaitsLongerEachTime(t *testing.T) {
 	m := play(t,
-		step{0, Want{one}, []Action{Spawn{*one}}, Starting},
+		step{0, DesiredState{one}, []Action{Spawn{*one}}, Starting},
 		step{0, Started{}, nil, Starting},
-		step{0.5, Exited{"exit 2"}, nil, Pausing},
-		step{1.4, Tick{}, nil, Pausing},
+		step{0.5, Exited{"exit 2"}, nil, BackingOff},
+		step{1.4, Tick{}, nil, BackingOff},
 		step{1.5, Tick{}, []Action{Spawn{*one}}, Starting},
-		step{1.5, NotStarted{"no such file"}, nil, Pausing}, // until 3.5
-		step{3.4, Tick{}, nil, Pausing},
+		step{1.5, StartFailed{"no such file"}, nil, BackingOff}, // until 3.5
+		step{3.4, Tick{}, nil, BackingOff},
 		step{3.5, Tick{}, []Action{Spawn{*one}}, Starting},
 		step{3.5, Started{}, nil, Starting},
-		step{3.6, Exited{}, nil, Pausing}, // until 7.6
+		step{3.6, Exited{}, nil, BackingOff}, // until 7.6
 		step{7.6, Tick{}, []Action{Spawn{*one}}, Starting},
 		step{7.6, Started{}, nil, Starting},
 		step{8, Health{true}, nil, Ready},
-		step{80, Exited{}, nil, Pausing}, // it ran for long
+		step{80, Exited{}, nil, BackingOff}, // it ran for long
 		step{81, Tick{}, []Action{Spawn{*one}}, Starting})
 	if s := m.Status(); s.Crashes != 4 {
 		t.Fatalf("%+v", s)
@@ -86,21 +86,21 @@
 
 func TestAnotherRevisionDoesNotWaitForThePauseOfTheOneThatCrashed(t *testing.T) {
 	play(t,
-		step{0, Want{one}, []Action{Spawn{*one}}, Starting},
+		step{0, DesiredState{one}, []Action{Spawn{*one}}, Starting},
 		step{0, Started{}, nil, Starting},
-		step{0.1, Exited{}, nil, Pausing},
-		step{0.2, Want{other}, []Action{Spawn{*other}}, Starting})
+		step{0.1, Exited{}, nil, BackingOff},
+		step{0.2, DesiredState{other}, []Action{Spawn{*other}}, Starting})
 }
 
 func TestOneThatWillNotEndIsKilledOnce(t *testing.T) {
 	m := play(t,
-		step{0, Want{one}, []Action{Spawn{*one}}, Starting},
+		step{0, DesiredState{one}, []Action{Spawn{*one}}, Starting},
 		step{0, Started{}, nil, Starting},
-		step{1, Want{nil}, []Action{Term{}}, Leaving},
-		step{5.9, Tick{}, nil, Leaving},
-		step{6, Tick{}, []Action{Kill{}}, Leaving},
-		step{7, Tick{}, nil, Leaving},
-		step{7, Want{other}, nil, Leaving}, // wanted again before it has ended
+		step{1, DesiredState{nil}, []Action{Terminate{}}, Terminating},
+		step{5.9, Tick{}, nil, Terminating},
+		step{6, Tick{}, []Action{Kill{}}, Terminating},
+		step{7, Tick{}, nil, Terminating},
+		step{7, DesiredState{other}, nil, Terminating}, // wanted again before it has ended
 		step{8, Exited{}, []Action{Spawn{*other}}, Starting})
 	if m.Status().Crashes != 0 {
 		t.Fatal("an end that was asked for is no crash")
@@ -111,16 +111,16 @@
 	play(t,
 		step{0, Adopted{*one}, nil, Starting}, // it is wanted until somebody says otherwise
 		step{0, Health{true}, nil, Ready},
-		step{1, Want{nil}, []Action{Term{}}, Leaving})
+		step{1, DesiredState{nil}, []Action{Terminate{}}, Terminating})
 	m, _ := New(policy, 7)
-	m.want = one
+	m.desired = one
 	if a := m.Handle(began, Adopted{*one}); len(a) != 0 || m.state != Starting {
 		t.Fatalf("%v %s", a, m.state)
 	}
 	if a := m.Handle(began, Health{true}); len(a) != 0 || m.state != Ready {
 		t.Fatalf("%v %s", a, m.state)
 	}
-	if a := m.Handle(began, Want{reload}); !reflect.DeepEqual(a, []Action{Hup{*reload, *one}}) {
+	if a := m.Handle(began, DesiredState{reload}); !reflect.DeepEqual(a, []Action{Reload{*reload, *one}}) {
 		t.Fatal(a)
 	}
 	m.Handle(began, Exited{"gone"})
@@ -131,24 +131,24 @@
 
 func TestAClockThatJumpsBackHoldsNothing(t *testing.T) {
 	play(t,
-		step{1000, Want{one}, []Action{Spawn{*one}}, Starting},
+		step{1000, DesiredState{one}, []Action{Spawn{*one}}, Starting},
 		step{1000, Started{}, nil, Starting},
-		step{1000, Exited{}, nil, Pausing},
-		step{0, Tick{}, nil, Pausing},
+		step{1000, Exited{}, nil, BackingOff},
+		step{0, Tick{}, nil, BackingOff},
 		step{1, Tick{}, []Action{Spawn{*one}}, Starting},
 		step{1, Started{}, nil, Starting},
-		step{2000, Want{nil}, []Action{Term{}}, Leaving},
-		step{3, Tick{}, nil, Leaving},
-		step{8, Tick{}, []Action{Kill{}}, Leaving})
+		step{2000, DesiredState{nil}, []Action{Terminate{}}, Terminating},
+		step{3, Tick{}, nil, Terminating},
+		step{8, Tick{}, []Action{Kill{}}, Terminating})
 }
 
 func TestAReloadThatFailedIsTriedAgain(t *testing.T) {
 	m := play(t,
 		step{0, Adopted{*one}, nil, Starting},
 		step{0, Health{true}, nil, Ready},
-		step{1, Want{reload}, []Action{Hup{*reload, *one}}, Ready},
-		step{1, NotReloaded{*one, "disk full"}, nil, Ready})
-	if s := m.Status(); s.Running.Revision != 1 || s.Why != "disk full" {
+		step{1, DesiredState{reload}, []Action{Reload{*reload, *one}}, Ready},
+		step{1, ReloadFailed{*one, "disk full"}, nil, Ready})
+	if s := m.Status(); s.Running.Revision != 1 || s.Reason != "disk full" {
 		t.Fatalf("%+v", s)
 	}
 	if a := m.Handle(began.Add(2*time.Second), Tick{}); len(a) != 1 {
@@ -160,9 +160,9 @@
 	long := &Spec{9, "", "files-9", "fixed-9", 30 * time.Second}
 	play(t,
 		step{0, Adopted{*long}, nil, Starting},
-		step{0, Want{nil}, []Action{Term{}}, Leaving},
-		step{34, Tick{}, nil, Leaving},
-		step{35, Tick{}, []Action{Kill{}}, Leaving})
+		step{0, DesiredState{nil}, []Action{Terminate{}}, Terminating},
+		step{34, Tick{}, nil, Terminating},
+		step{35, Tick{}, []Action{Kill{}}, Terminating})
 }
 
 func TestPolicy(t *testing.T) {
@@ -191,17 +191,17 @@
 						t.Fatal("a second process is started")
 					}
 					ordered, has, terms, kills = true, a.Spec, 0, 0
-				case Hup:
+				case Reload:
 					if !running || a.Spec.Fixed != has.Fixed {
 						t.Fatal("a reload can't do that")
 					}
 					has = a.Spec
-				case Renumber:
+				case SetRevision:
 					if a.Spec.Files != has.Files {
 						t.Fatal("another number for something else")
 					}
 					has = a.Spec
-				case Term:
+				case Terminate:
 					if terms++; !running || terms > 1 {
 						t.Fatal("it was asked to end more than once, or does not run")
 					}
@@ -219,7 +219,7 @@
 			switch k {
 			case 0, 1:
 				want = rapid.SampledFrom(specs).Draw(t, fmt.Sprint("want", n))
-				do(Want{want})
+				do(DesiredState{want})
 			case 2:
 				if ordered {
 					ordered, running = false, true
@@ -228,7 +228,7 @@
 			case 3:
 				if ordered {
 					ordered = false
-					do(NotStarted{"no"})
+					do(StartFailed{"no"})
 				}
 			case 4:
 				if running {
