--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/process"
 	"elderyard/internal/recordsync"
 	"elderyard/internal/replica"
 	"elderyard/internal/wait"
@@ -32,7 +33,7 @@
 type Agent struct {
 	config         Config
 	log            *slog.Logger
-	processes      map[string]*process
+	processes      map[string]*process.Process
 	self           fleet.Agent
 	store          *replica.Store // nil: no voter
 	leader         *leader        // nil: no voter
@@ -81,7 +82,7 @@
 	if info, err := os.Stat(c.Gateway); len(c.Instances) > 0 && (err != nil || info.IsDir()) {
 		return fmt.Errorf("gateway's program: %s is not there", c.Gateway)
 	}
-	a := &Agent{config: c, log: o.Log, processes: map[string]*process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
+	a := &Agent{config: c, log: o.Log, processes: map[string]*process.Process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
 		checkSlots: make(chan struct{}, maxConcurrentChecks)}
 	if a.refusals, err = openRefusals(filepath.Join(c.Dir, "refused.log")); err != nil {
 		return err
@@ -104,7 +105,7 @@
 	a.self = fleet.Agent{Name: c.Name, Address: c.Advertise, Instances: []string{}}
 	for _, e := range c.Instances {
 		a.self.Instances = append(a.self.Instances, e.Name)
-		if a.processes[e.Name], err = newProcess(&a.config, e, o.Log); err != nil {
+		if a.processes[e.Name], err = process.Open(a.processOptions(e)); err != nil {
 			return err
 		}
 	}
@@ -156,7 +157,7 @@
 		serve(a.port.http)
 	}
 	for _, p := range a.processes {
-		wg.Go(func() { p.run(inner) })
+		wg.Go(func() { p.Run(inner) })
 	}
 	wg.Go(func() { a.runReports(inner) })
 	if c.RESP.Listen != "" {
@@ -196,11 +197,11 @@
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	for _, p := range a.processes {
-		p.setDesired(ctx, nil)
+		p.SetDesired(ctx, nil)
 	}
 	for _, p := range a.processes {
 		for ctx.Err() == nil {
-			if s := p.state(); s.pid == 0 {
+			if s := p.State(); s.PID == 0 {
 				break
 			}
 			wait.For(ctx, 10*time.Millisecond)
--- a/internal/agent/agent_linux_test.go
+++ b/internal/agent/agent_linux_test.go
@@ -23,6 +23,7 @@
 	"elderyard/internal/agentapi"
 	"elderyard/internal/loopback"
 	"elderyard/internal/pki"
+	"elderyard/internal/process"
 	"elderyard/internal/replica"
 	"elderyard/internal/strict"
 	"elderyard/revisions"
@@ -174,9 +175,13 @@
 	t.Cleanup(func() {
 		m.end()
 		for _, e := range list { // what the agent left, this test ends
-			p := process{dir: filepath.Join(dir, "instances", e.Name)}
-			if k, err := p.loadState(); err == nil && k.PID != 0 && startTime(k.PID) == k.Started {
-				syscall.Kill(k.PID, syscall.SIGKILL)
+			var saved struct {
+				PID     int
+				Started string
+			}
+			text, err := os.ReadFile(filepath.Join(c.instanceDir(e.Name), "state.json"))
+			if err == nil && json.Unmarshal(text, &saved) == nil && saved.PID != 0 && process.StartTime(saved.PID) == saved.Started {
+				syscall.Kill(saved.PID, syscall.SIGKILL)
 			}
 		}
 		os.RemoveAll(dir)
@@ -398,7 +403,7 @@
 	before := pids(m.ended(1))
 	m.end()
 	for name, pid := range before {
-		if startTime(pid) == "" {
+		if process.StartTime(pid) == "" {
 			t.Fatalf("%s died with its agent", name)
 		}
 	}
@@ -563,7 +568,7 @@
 	if err == nil || !strings.Contains(err.Error(), path+" is damaged: it is cut short") {
 		t.Fatal(err)
 	}
-	if startTime(pid) == "" {
+	if process.StartTime(pid) == "" {
 		t.Fatal("its gateway ended")
 	}
 }
@@ -633,7 +638,7 @@
 	// Its machine goes down and up: without a leader, what ran last runs again.
 	m.end()
 	syscall.Kill(before["g3"], syscall.SIGKILL)
-	until(t, "g3 has ended", func() bool { return startTime(before["g3"]) == "" })
+	until(t, "g3 has ended", func() bool { return process.StartTime(before["g3"]) == "" })
 	m.start()
 	until(t, "g3 serves again", func() bool {
 		s := stale()
@@ -660,7 +665,7 @@
 	// The new site's first revision has the number of what runs, and says something else.
 	m.apply("2", 0, strings.Replace(file(fine, "gold"), `soak_for = "500ms"`, `soak_for = "2s"`, 1))
 	until(t, "the canary has it", func() bool { s := m.status(); return s.Instances[0].PID != before["g0"] && s.Instances[0].Ready })
-	if startTime(before["g1"]) == "" {
+	if process.StartTime(before["g1"]) == "" {
 		t.Fatal("the one that was not told has ended")
 	}
 	m.is(m.ended(1), rollout.Applied, 1)
--- a/internal/agent/belong.go
+++ b/internal/agent/belong.go
@@ -7,7 +7,6 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
@@ -20,10 +19,8 @@
 )
 
 const (
-	rosterFile             = "roster.toml"
-	rosterDelay            = time.Second // the instances have been the same for so long before they are agreed on
-	maxMembershipViewBytes = 256         // bytes of what a gateway believes, in a report
-	maxUnreachable         = 64          // names that it does not hear
+	rosterFile  = "roster.toml"
+	rosterDelay = time.Second // the instances have been the same for so long before they are agreed on
 )
 
 // ---- at the leader
@@ -134,41 +131,3 @@
 
 // awaitsRoster tells whether gateways can't start for want of a roster.
 func (a *Agent) awaitsRoster() bool { return a.config.Roster && a.rosterEpoch == 0 }
-
-// membershipView is what a gateway says of the others.
-type membershipView struct {
-	line        string
-	unreachable []string
-}
-
-// adminAddress is where an instance's operators call, by its environment; "": nowhere.
-func (e *InstanceEntry) adminAddress() string {
-	for _, v := range slices.Backward(e.Env) {
-		if at, is := strings.CutPrefix(v, "EDGE_OPERATOR="); is {
-			return at
-		}
-	}
-	return ""
-}
-
-// queryMembership asks a gateway what it knows of the others. It is asked beside its
-// readiness, and may know nothing.
-func (p *process) queryMembership(ctx context.Context) (view membershipView) {
-	at := p.entry.adminAddress()
-	if !p.config.Roster || at == "" {
-		return membershipView{}
-	}
-	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
-	defer cancel()
-	a, err := peers.QueryStatus(ctx, at)
-	if err != nil {
-		return membershipView{}
-	}
-	for _, v := range a.View.Members {
-		if v.IsMember && !v.State.Alive() && len(view.unreachable) < maxUnreachable {
-			view.unreachable = append(view.unreachable, v.Name)
-		}
-	}
-	view.line = fleet.Truncate(a.View.Line(a.View.At), maxMembershipViewBytes)
-	return view
-}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -476,42 +476,6 @@
 	checkGolden(t, "peer-calls.txt", lines.Bytes())
 }
 
-// TestGoldenProcessState pins the file by which a new agent finds the gateways of the
-// one before it.
-func TestGoldenProcessState(t *testing.T) {
-	spec := supervise.Spec{Revision: 4, Content: "c4", Files: "f4", Fixed: "x4", MaxRequestDuration: 3 * time.Second}
-	for name, state := range map[string]savedState{
-		"state.json":      {PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2},
-		"state-down.json": {},
-	} {
-		if name == "state.json" {
-			checkAllSet(t, state)
-		}
-		encoded, err := json.Marshal(state)
-		if err != nil {
-			t.Fatal(err)
-		}
-		checkGolden(t, name, encoded)
-		p := process{dir: t.TempDir()}
-		if err := os.WriteFile(filepath.Join(p.dir, "state.json"), readGolden(t, name), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if got, err := p.loadState(); err != nil || !reflect.DeepEqual(got, state) {
-			t.Errorf("%s decodes to %+v, %v, want %+v", name, got, err, state)
-		}
-	}
-	// A state of before revisions had checksums.
-	p := process{dir: t.TempDir()}
-	oldState := `{"pid":4711,"started":"12345 0d9c","spec":{"revision":4,"files":"f4","fixed":"x4","longest_ns":3000000000},"crashes":2}`
-	if err := os.WriteFile(filepath.Join(p.dir, "state.json"), []byte(oldState), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	spec.Content = ""
-	if got, err := p.loadState(); err != nil || !reflect.DeepEqual(got, savedState{PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2}) {
-		t.Errorf("an old state decodes to %+v, %v", got, err)
-	}
-}
-
 // TestGoldenCachedRevisions pins the file of the revisions that a start without a leader
 // goes by: fetched from a voter, written, and read by the next start.
 func TestGoldenCachedRevisions(t *testing.T) {
@@ -653,26 +617,3 @@
 		t.Errorf("the first byte is %d, %v", first[0], err)
 	}
 }
-
-// A gateway is asked for its readiness by one path, and only 200 says that it is ready.
-func TestGoldenHealthCheck(t *testing.T) {
-	status := http.StatusOK
-	var requests []string
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		requests = append(requests, r.Method+" "+r.RequestURI)
-		w.WriteHeader(status)
-	}))
-	defer server.Close()
-	p := process{entry: InstanceEntry{Listen: server.Listener.Addr().String()}, client: http.DefaultClient}
-	if !p.checkReady(t.Context()) {
-		t.Error("200 is not ready")
-	}
-	for _, status = range []int{http.StatusNoContent, http.StatusServiceUnavailable} {
-		if p.checkReady(t.Context()) {
-			t.Errorf("%d is ready", status)
-		}
-	}
-	if want := "GET /health/ready"; len(requests) != 3 || requests[0] != want || requests[1] != want || requests[2] != want {
-		t.Errorf("%q", requests)
-	}
-}
--- a/internal/agent/kept.go
+++ b/internal/agent/kept.go
@@ -67,7 +67,7 @@
 // revisionInUse tells whether an instance here runs a revision.
 func (a *Agent) revisionInUse(number uint64) bool {
 	for _, p := range a.processes {
-		s := p.state().status
+		s := p.State().Status
 		for _, spec := range []*supervise.Spec{s.Running, s.Desired} {
 			if spec != nil && spec.Revision == number {
 				return true
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -16,6 +16,7 @@
 	"elderyard/internal/config"
 	"elderyard/internal/counter"
 	"elderyard/internal/owner"
+	"elderyard/internal/process"
 	"elderyard/internal/respfront"
 	"elderyard/internal/site"
 	"elderyard/internal/wait"
@@ -80,8 +81,8 @@
 }
 
 func (f *limitFront) read() (list [][]byte, err error) {
-	for _, name := range []string{configFile, siteFile} {
-		text, err := os.ReadFile(filepath.Join(f.a.config.Dir, "instances", f.instance, name))
+	for _, name := range []string{process.ConfigFile, process.SiteFile} {
+		text, err := os.ReadFile(filepath.Join(f.a.config.instanceDir(f.instance), name))
 		if err != nil {
 			return nil, err
 		}
@@ -108,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := site.Parse(siteFile, operators)
+	s, err := site.Parse(process.SiteFile, operators)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -71,12 +71,12 @@
 	for _, name := range a.self.Instances {
 		p := a.processes[name]
 		one := Probe{Agent: a.self.Name, Instance: name}
-		if r, err := d.Render(0, document.Instance{Name: name, Listen: p.entry.Listen}); err != nil {
+		if r, err := d.Render(0, document.Instance{Name: name, Listen: p.Listen()}); err != nil {
 			one.Error = err.Error()
 		} else {
-			s := p.state()
-			from := s.status.Running
-			if s.pid == 0 {
+			s := p.State()
+			from := s.Status.Running
+			if s.PID == 0 {
 				from = nil
 			}
 			one.Step = supervise.StepBetween(from, &r.Spec)
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -11,6 +11,7 @@
 	"elderyard/fleet"
 	"elderyard/internal/agentapi"
 	"elderyard/internal/document"
+	"elderyard/internal/process"
 	"elderyard/internal/wait"
 	"elderyard/revisions"
 )
@@ -22,14 +23,14 @@
 		r.WantsRoster, r.RosterEpoch = true, a.rosterEpoch
 	}
 	for _, name := range a.self.Instances {
-		s := a.processes[name].state()
-		o := agentapi.Observed{Name: name, State: s.status.State, Why: s.status.Reason, Crashes: s.status.Crashes, PID: s.pid}
-		if s.status.Running != nil && s.pid != 0 {
-			o.Running, o.Content = s.status.Running.Revision, s.status.Running.Content
+		s := a.processes[name].State()
+		o := agentapi.Observed{Name: name, State: s.Status.State, Why: s.Status.Reason, Crashes: s.Status.Crashes, PID: s.PID}
+		if s.Status.Running != nil && s.PID != 0 {
+			o.Running, o.Content = s.Status.Running.Revision, s.Status.Running.Content
 		}
-		o.MembershipView, o.Unreachable = s.membershipView.line, s.membershipView.unreachable
-		if s.status.Desired != nil {
-			o.Target = s.status.Desired.Revision
+		o.MembershipView, o.Unreachable = s.Membership.Line, s.Membership.Unreachable
+		if s.Status.Desired != nil {
+			o.Target = s.Status.Desired.Revision
 		}
 		a.mu.Lock()
 		if f, found := a.rejected[name]; found {
@@ -124,11 +125,11 @@
 		if p == nil {
 			continue
 		}
-		now := p.state().status.Desired
+		now := p.State().Status.Desired
 		switch {
 		case o.Drained || o.Revision == 0:
 			if now != nil {
-				p.setDesired(ctx, nil)
+				p.SetDesired(ctx, nil)
 			}
 		case now == nil || now.Revision != o.Revision || now.Content != o.Checksum:
 			a.applyOrder(ctx, p, o)
@@ -139,8 +140,8 @@
 }
 
 // applyOrder has an instance go to a revision, if its gateway's parsers take it.
-func (a *Agent) applyOrder(ctx context.Context, proc *process, order agentapi.Order) {
-	name, number := proc.entry.Name, order.Revision
+func (a *Agent) applyOrder(ctx context.Context, proc *process.Process, order agentapi.Order) {
+	name, number := proc.Name(), order.Revision
 	a.mu.Lock()
 	again := a.rejected[name].revision == number
 	a.mu.Unlock()
@@ -161,7 +162,7 @@
 		return
 	}
 	a.clearRejection(name)
-	proc.setDesired(ctx, rendered)
+	proc.SetDesired(ctx, rendered)
 }
 
 func (a *Agent) clearRejection(instance string) {
@@ -170,34 +171,34 @@
 	delete(a.rejected, instance)
 }
 
-func (a *Agent) render(r revisions.Revision, p *process) (*document.Rendered, error) {
+func (a *Agent) render(r revisions.Revision, p *process.Process) (*document.Rendered, error) {
 	d, err := document.Parse(fmt.Sprintf("revision %d", r.Number), r.Content)
 	if err != nil {
 		return nil, err
 	}
-	return d.Render(r.Number, document.Instance{Name: p.entry.Name, Listen: p.entry.Listen})
+	return d.Render(r.Number, document.Instance{Name: p.Name(), Listen: p.Listen()})
 }
 
 // startLastRevisions starts what ran last.
 func (a *Agent) startLastRevisions(ctx context.Context) {
 	for _, p := range a.processes {
-		last := p.lastSpec()
-		if p.state().status.Desired != nil || last == nil {
+		last := p.LastSpec()
+		if p.State().Status.Desired != nil || last == nil {
 			continue
 		}
 		a.mu.Lock()
 		r, found := a.cachedRevisions[last.Revision]
 		a.mu.Unlock()
 		if !found {
-			a.log.Warn("what ran last is not known any more; the gateway waits for a leader", "instance", p.entry.Name, "revision", last.Revision)
+			a.log.Warn("what ran last is not known any more; the gateway waits for a leader", "instance", p.Name(), "revision", last.Revision)
 			continue
 		}
 		rendered, err := a.render(r, p)
 		if err != nil {
-			a.log.Error("what ran last can't be started", "instance", p.entry.Name, "error", err)
+			a.log.Error("what ran last can't be started", "instance", p.Name(), "error", err)
 			continue
 		}
-		a.log.Warn("no leader says what to run; what ran last is started", "instance", p.entry.Name, "revision", last.Revision)
-		p.setDesired(ctx, rendered)
+		a.log.Warn("no leader says what to run; what ran last is started", "instance", p.Name(), "revision", last.Revision)
+		p.SetDesired(ctx, rendered)
 	}
 }
--- /dev/null
+++ b/internal/process/golden_test.go
@@ -0,0 +1,73 @@
+package process
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"elderyard/internal/golden"
+	"elderyard/supervise"
+)
+
+// loadStateFrom returns what a process reads of a state file with this content.
+func loadStateFrom(t *testing.T, text []byte) (savedState, error) {
+	t.Helper()
+	p := Process{options: Options{Dir: t.TempDir()}}
+	if err := os.WriteFile(filepath.Join(p.options.Dir, "state.json"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return p.loadState()
+}
+
+// TestGoldenProcessState pins the file by which a new agent finds the gateways of the
+// one before it.
+func TestGoldenProcessState(t *testing.T) {
+	spec := supervise.Spec{Revision: 4, Content: "c4", Files: "f4", Fixed: "x4", MaxRequestDuration: 3 * time.Second}
+	golden.Complete(t, savedState{PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2})
+	for name, state := range map[string]savedState{
+		"state.json":      {PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2},
+		"state-down.json": {},
+	} {
+		golden.JSON(t, name, state)
+		text, err := os.ReadFile(filepath.Join("testdata", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, err := loadStateFrom(t, text); err != nil || !reflect.DeepEqual(got, state) {
+			t.Errorf("%s decodes to %+v, %v, want %+v", name, got, err, state)
+		}
+	}
+	// A state of before revisions had checksums.
+	oldState := `{"pid":4711,"started":"12345 0d9c","spec":{"revision":4,"files":"f4","fixed":"x4","longest_ns":3000000000},"crashes":2}`
+	spec.Content = ""
+	if got, err := loadStateFrom(t, []byte(oldState)); err != nil || !reflect.DeepEqual(got, savedState{PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2}) {
+		t.Errorf("an old state decodes to %+v, %v", got, err)
+	}
+}
+
+// A gateway is asked for its readiness by one path, and only 200 says that it is ready.
+func TestGoldenHealthCheck(t *testing.T) {
+	status := http.StatusOK
+	var requests []string
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		requests = append(requests, r.Method+" "+r.RequestURI)
+		w.WriteHeader(status)
+	}))
+	defer server.Close()
+	p := Process{options: Options{Listen: server.Listener.Addr().String()}, client: http.DefaultClient}
+	if !p.checkReady(t.Context()) {
+		t.Error("200 is not ready")
+	}
+	for _, status = range []int{http.StatusNoContent, http.StatusServiceUnavailable} {
+		if p.checkReady(t.Context()) {
+			t.Errorf("%d is ready", status)
+		}
+	}
+	if want := "GET /health/ready"; len(requests) != 3 || requests[0] != want || requests[1] != want || requests[2] != want {
+		t.Errorf("%q", requests)
+	}
+}
