--- a/internal/agent/agent_linux_test.go
+++ b/internal/agent/agent_linux_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -143,7 +144,7 @@
 	config Config
 	cancel context.CancelFunc
 	done   chan error
-	client *Client
+	client *agentapi.Client
 }
 
 func instances(t testing.TB, names ...string) (list []InstanceEntry) {
@@ -208,7 +209,7 @@
 		m.t.Fatal(err)
 	}
 	var err error
-	if m.client, err = NewClient(Target{Socket: m.config.Socket}); err != nil {
+	if m.client, err = agentapi.NewClient(agentapi.Target{Socket: m.config.Socket}); err != nil {
 		m.t.Fatal(err)
 	}
 	until(m.t, m.config.Name+" answers", func() bool { _, err := m.client.Status(ctx); return err == nil })
@@ -236,9 +237,9 @@
 	}
 }
 
-func (m *machine) status() Status {
+func (m *machine) status() agentapi.Status {
 	m.t.Helper()
-	var s Status
+	var s agentapi.Status
 	until(m.t, "a status", func() (is bool) {
 		var err error
 		s, err = m.client.Status(context.Background())
@@ -247,11 +248,11 @@
 	return s
 }
 
-func (m *machine) apply(request string, parent uint64, text string) ApplyResult {
+func (m *machine) apply(request string, parent uint64, text string) agentapi.ApplyResult {
 	m.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	a, err := m.client.Apply(ctx, ApplyRequest{Request: request, Parent: parent, Content: &revisions.Content{File: text}, Message: "test"})
+	a, err := m.client.Apply(ctx, agentapi.ApplyRequest{Request: request, Parent: parent, Content: &revisions.Content{File: text}, Message: "test"})
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -259,9 +260,9 @@
 }
 
 // ended waits for the end of the rollout of a revision.
-func (m *machine) ended(n uint64) Status {
+func (m *machine) ended(n uint64) agentapi.Status {
 	m.t.Helper()
-	var s Status
+	var s agentapi.Status
 	until(m.t, fmt.Sprintf("the end of the rollout of revision %d", n), func() bool {
 		s = m.status()
 		return s.Rollout.New == n && s.Rollout.State.Ended()
@@ -269,7 +270,7 @@
 	return s
 }
 
-func (m *machine) is(s Status, want rollout.State, running uint64) {
+func (m *machine) is(s agentapi.Status, want rollout.State, running uint64) {
 	m.t.Helper()
 	if s.Rollout.State != want {
 		m.t.Fatalf("%s (%s), want %s: %+v", s.Rollout.State, s.Rollout.Reason, want, s.Instances)
@@ -281,7 +282,7 @@
 	}
 }
 
-func pids(s Status) map[string]int {
+func pids(s agentapi.Status) map[string]int {
 	list := map[string]int{}
 	for _, i := range s.Instances {
 		list[i.Name] = i.PID
@@ -320,18 +321,18 @@
 	if a := m.apply("3", 2, file(fine, "gold")); a.Answer != revisions.Accepted || a.Revision.Number != 3 {
 		t.Fatalf("a repeat: %+v", a)
 	}
-	_, err := m.client.Apply(context.Background(), ApplyRequest{Request: "5", Parent: 3, Content: &revisions.Content{File: "[gatewya]"}})
-	var f *Failure
+	_, err := m.client.Apply(context.Background(), agentapi.ApplyRequest{Request: "5", Parent: 3, Content: &revisions.Content{File: "[gatewya]"}})
+	var f *agentapi.Failure
 	if !errors.As(err, &f) || !f.BadRequest() || !strings.Contains(err.Error(), "file:1: gatewya") {
 		t.Fatalf("a file that makes no sense: %v", err)
 	}
 
 	ctx := context.Background()
-	if err := m.client.Do(ctx, "drain", ChangeRequest{Name: "g1"}); err != nil {
+	if err := m.client.Do(ctx, "drain", agentapi.ChangeRequest{Name: "g1"}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "g1 is down", func() bool { s = m.status(); return s.Instances[1].State == supervise.Down && s.Instances[1].Drained })
-	if err := m.client.Do(ctx, "undrain", ChangeRequest{Name: "g1"}); err != nil {
+	if err := m.client.Do(ctx, "undrain", agentapi.ChangeRequest{Name: "g1"}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "g1 is back", func() bool { s = m.status(); return s.Instances[1].Ready && s.Instances[1].Running == 3 })
@@ -432,7 +433,7 @@
 		m := newMachine(t, fmt.Sprint("a", i), i < 3, []string{first.config.Listen}, instances(t, fmt.Sprint("g", i))...).start()
 		list = append(list, m)
 		if i < 3 {
-			if m, err := first.client.AddMember(context.Background(), ChangeRequest{m.config.Name, m.config.Listen}); err != nil || m.Behind != nil {
+			if m, err := first.client.AddMember(context.Background(), agentapi.ChangeRequest{Name: m.config.Name, Address: m.config.Listen}); err != nil || m.Behind != nil {
 				t.Fatal(m, err)
 			}
 		}
@@ -502,12 +503,12 @@
 	m.apply("1", 0, file(fine, "basic"))
 	m.is(m.ended(1), rollout.Applied, 1)
 	ctx := context.Background()
-	var f *Failure
-	if err := m.client.Do(ctx, "pause", ChangeRequest{}); !errors.As(err, &f) || !f.Refused() || !strings.Contains(err.Error(), "it is applied, and can't be paused") {
+	var f *agentapi.Failure
+	if err := m.client.Do(ctx, "pause", agentapi.ChangeRequest{}); !errors.As(err, &f) || !f.Refused() || !strings.Contains(err.Error(), "it is applied, and can't be paused") {
 		t.Fatal(err)
 	}
 	m.apply("2", 1, file(fine, "gold"))
-	if err := m.client.Do(ctx, "pause", ChangeRequest{}); err != nil {
+	if err := m.client.Do(ctx, "pause", agentapi.ChangeRequest{}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the canary has it", func() bool { return m.status().Instances[0].Phase == rollout.PhaseUpdated })
@@ -519,11 +520,11 @@
 	m.end()
 	m.start()
 	until(t, "it is still paused", func() bool { s := m.status(); return s.Wave > 0 && s.Rollout.State == rollout.Paused })
-	if err := m.client.Do(ctx, "resume", ChangeRequest{}); err != nil {
+	if err := m.client.Do(ctx, "resume", agentapi.ChangeRequest{}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the next has it", func() bool { return m.status().Instances[1].Running == 2 })
-	if err := m.client.Do(ctx, "abort", ChangeRequest{}); err != nil {
+	if err := m.client.Do(ctx, "abort", agentapi.ChangeRequest{}); err != nil {
 		t.Fatal(err)
 	}
 	s := m.ended(2)
@@ -537,7 +538,7 @@
 	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0")...).start()
 	// The call is sent and nobody waits for its answer.
-	text, err := json.Marshal(ApplyRequest{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}})
+	text, err := json.Marshal(agentapi.ApplyRequest{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -578,10 +579,10 @@
 	list := newSite(t)
 	list[0].apply("1", 0, file(fine, "basic"))
 	list[0].ended(1)
-	answers := make(chan ApplyResult, 2)
+	answers := make(chan agentapi.ApplyResult, 2)
 	for i, m := range []*machine{list[1], list[3]} {
 		go func() {
-			a, _ := m.client.Apply(context.Background(), ApplyRequest{Request: fmt.Sprint("both", i), Parent: 1, Content: &revisions.Content{File: file(fine, fmt.Sprint("plan", i))}})
+			a, _ := m.client.Apply(context.Background(), agentapi.ApplyRequest{Request: fmt.Sprint("both", i), Parent: 1, Content: &revisions.Content{File: file(fine, fmt.Sprint("plan", i))}})
 			answers <- a
 		}()
 	}
@@ -601,8 +602,8 @@
 	list[0].apply("1", 0, file(fine, "basic"))
 	before := pids(list[0].ended(1))
 	m := list[0]
-	stale := func() Status {
-		var s Status
+	stale := func() agentapi.Status {
+		var s agentapi.Status
 		until(t, "it says that it is cut off", func() bool {
 			var err error
 			s, err = m.client.Status(context.Background())
@@ -616,13 +617,13 @@
 	if s := stale(); len(s.Instances) != 4 || s.Wanted != 1 || s.Rollout.State != rollout.Applied {
 		t.Fatalf("%+v", s)
 	}
-	var f *Failure
+	var f *agentapi.Failure
 	short, cancelShort := context.WithTimeout(context.Background(), time.Second)
 	defer cancelShort()
-	if _, err := m.client.Apply(short, ApplyRequest{Request: "1b", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
+	if _, err := m.client.Apply(short, agentapi.ApplyRequest{Request: "1b", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
 		t.Fatal("a minority took a change")
 	}
-	if err := m.client.Do(context.Background(), "drain", ChangeRequest{Name: "g0"}); !errors.As(err, &f) || f.Refused() {
+	if err := m.client.Do(context.Background(), "drain", agentapi.ChangeRequest{Name: "g0"}); !errors.As(err, &f) || f.Refused() {
 		t.Fatalf("a minority drained: %v", err)
 	}
 	m.end()
@@ -632,7 +633,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := m.client.Apply(ctx, ApplyRequest{Request: "2", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
+	if _, err := m.client.Apply(ctx, agentapi.ApplyRequest{Request: "2", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
 		t.Fatal("a site without voters took a change")
 	}
 	// Its machine goes down and up: without a leader, what ran last runs again.
@@ -688,7 +689,7 @@
 	m.config.Listen, m.config.Advertise, m.config.Plain = "127.0.0.1:0", "127.0.0.1:0", true
 	m.start()
 	other := newMachine(t, "a2", true, []string{m.config.Listen}, instances(t, "g1")...).start()
-	if m, err := m.client.AddMember(context.Background(), ChangeRequest{"a2", other.config.Listen}); err != nil || m.Behind != nil {
+	if m, err := m.client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a2", Address: other.config.Listen}); err != nil || m.Behind != nil {
 		t.Fatal(m, err)
 	}
 	list, err := other.client.Members(context.Background())
@@ -701,6 +702,27 @@
 	})
 }
 
+// postReport posts a report with a certificate, and returns the agent's failure.
+func postReport(t *testing.T, files pki.Files, to *machine, report agentapi.Report) error {
+	t.Helper()
+	config, err := files.Client()
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.Marshal(report)
+	if err != nil {
+		t.Fatal(err)
+	}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{TLSClientConfig: config}}
+	defer client.CloseIdleConnections()
+	response, err := client.Post("https://"+to.config.Listen+agentapi.ReportPath, "application/json", bytes.NewReader(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	return agentapi.ReadResponse(response, &agentapi.Orders{})
+}
+
 func TestRolesAllowOnlyTheirCalls(t *testing.T) {
 	t.Parallel()
 	ca := filepath.Join(t.TempDir(), "ca")
@@ -722,11 +744,11 @@
 	}
 	m := secure(newMachine(t, "a1", true, nil, instances(t, "g0")...)).start()
 	other := secure(newMachine(t, "a2", true, []string{m.config.Listen}, instances(t, "g1")...)).start()
-	if m, err := m.client.AddMember(context.Background(), ChangeRequest{"a2", other.config.Listen}); err != nil || m.Behind != nil {
+	if m, err := m.client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a2", Address: other.config.Listen}); err != nil || m.Behind != nil {
 		t.Fatal(m, err)
 	}
-	as := func(name string, at *machine) *Client {
-		c, err := NewClient(Target{Address: at.config.Listen, Files: files(name)})
+	as := func(name string, at *machine) *agentapi.Client {
+		c, err := agentapi.NewClient(agentapi.Target{Address: at.config.Listen, Files: files(name)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -734,9 +756,9 @@
 		return c
 	}
 	ctx := context.Background()
-	call := ApplyRequest{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}}
+	call := agentapi.ApplyRequest{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}}
 	_, err := as("vic", other).Apply(ctx, call)
-	var f *Failure
+	var f *agentapi.Failure
 	if !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("a viewer applied: %v", err)
 	}
@@ -751,10 +773,10 @@
 		}
 	}
 	m.is(m.ended(1), rollout.Applied, 1)
-	if err := as("ann", m).call(ctx, http.MethodPost, "/v1/report", agentapi.Report{}, &agentapi.Orders{}); !errors.As(err, &f) || !f.Forbidden() {
+	if err := postReport(t, files("ann"), m, agentapi.Report{}); !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("an operator reported as an agent: %v", err)
 	}
-	if err := as("a2", m).call(ctx, http.MethodPost, "/v1/report", agentapi.Report{Agent: fleet.Agent{Name: "a1"}}, &agentapi.Orders{}); !errors.As(err, &f) || !f.Forbidden() {
+	if err := postReport(t, files("a2"), m, agentapi.Report{Agent: fleet.Agent{Name: "a1"}}); !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("one agent reported as another: %v", err)
 	}
 	// A stranger speaks for nobody.
@@ -842,13 +864,13 @@
 		m.config.Timing.Heartbeat = strict.Duration(leaderTimeout/10 + 200*time.Millisecond) // a call between voters may outlast leaderTimeout
 		list = append(list, m.start())
 		if i == 1 || i == 2 {
-			if c, err := list[0].client.AddMember(context.Background(), ChangeRequest{m.config.Name, m.config.Listen}); err != nil || c.Behind != nil {
+			if c, err := list[0].client.AddMember(context.Background(), agentapi.ChangeRequest{Name: m.config.Name, Address: m.config.Listen}); err != nil || c.Behind != nil {
 				t.Fatal(c, err)
 			}
 		}
 	}
 	list[2].end()
-	c, err := list[1].client.AddMember(context.Background(), ChangeRequest{"a3", list[3].config.Listen})
+	c, err := list[1].client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a3", Address: list[3].config.Listen})
 	if err != nil || len(c.Behind) != 1 || c.Behind[0] != "a2" {
 		t.Fatalf("%+v, %v", c, err)
 	}
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -16,15 +16,6 @@
 	"elderyard/rollout"
 )
 
-// ApplyRequest is an apply as the tool sends it.
-type ApplyRequest struct {
-	Request string             `json:"request"`
-	Parent  uint64             `json:"parent"`
-	Restore uint64             `json:"restore,omitempty"`
-	Content *revisions.Content `json:"content,omitempty"`
-	Message string             `json:"message,omitempty"`
-}
-
 func (a *Agent) handleReport(ctx context.Context, request *call) (any, error) {
 	var r agentapi.Report
 	if err := request.read(&r); err != nil {
@@ -32,7 +23,7 @@
 	}
 	// Danger: an agent could speak for the instances of another.
 	if request.name != r.Agent.Name && !a.config.Plain {
-		return nil, &Failure{codeForbidden, fmt.Sprintf("%s reports as %s", request.name, r.Agent.Name)}
+		return nil, &agentapi.Failure{Code: agentapi.CodeForbidden, Text: fmt.Sprintf("%s reports as %s", request.name, r.Agent.Name)}
 	}
 	var got *agentapi.Orders
 	err := a.inTerm(ctx, func(t *term) (err error) {
@@ -46,7 +37,7 @@
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	var s Status
+	var s agentapi.Status
 	err := a.inTerm(ctx, func(t *term) error { s = t.status(); return nil })
 	if err := a.store.DiskError(); err != nil {
 		s.Store = err.Error()
@@ -56,21 +47,21 @@
 
 // staleStatus is what this agent knows by itself.
 func (a *Agent) staleStatus(why string) any {
-	s := Status{Agent: a.self.Name, Stale: why, At: time.Now().UTC(), Instances: []InstanceStatus{}}
+	s := agentapi.Status{Agent: a.self.Name, Stale: why, At: time.Now().UTC(), Instances: []agentapi.InstanceStatus{}}
 	if a.store != nil {
-		a.store.View(func(f *fleet.State) { fill(&s, f) })
+		a.store.View(s.SetDesired)
 		if err := a.store.DiskError(); err != nil {
 			s.Store = err.Error()
 		}
 	}
 	// Of its own instances it knows all.
 	for _, o := range a.buildReport().Instances {
-		n := slices.IndexFunc(s.Instances, func(i InstanceStatus) bool { return i.Name == o.Name })
+		n := slices.IndexFunc(s.Instances, func(i agentapi.InstanceStatus) bool { return i.Name == o.Name })
 		if n < 0 {
 			n = len(s.Instances)
-			s.Instances = append(s.Instances, InstanceStatus{Name: o.Name, Agent: a.self.Name})
+			s.Instances = append(s.Instances, agentapi.InstanceStatus{Name: o.Name, Agent: a.self.Name})
 		}
-		s.Instances[n].setReport(&o, s.At)
+		s.Instances[n].SetReport(&o, s.At)
 		s.Instances[n].Assigned = o.Target
 	}
 	return s
@@ -84,7 +75,7 @@
 }
 
 func (a *Agent) staleRevisions(why string) any {
-	list := Revisions{Stale: why, Revisions: []revisions.Revision{}}
+	list := agentapi.Revisions{Stale: why, Revisions: []revisions.Revision{}}
 	if a.store == nil {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -107,7 +98,7 @@
 func (a *Agent) handleRevision(_ context.Context, request *call) (any, error) {
 	n, err := strconv.ParseUint(request.r.PathValue("n"), 10, 64)
 	if err != nil || n == 0 {
-		return nil, &Failure{codeBadRequest, fmt.Sprintf("%q is no revision's number", request.r.PathValue("n"))}
+		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: fmt.Sprintf("%q is no revision's number", request.r.PathValue("n"))}
 	}
 	// A revision never changes: one that is here is as good as the leader's.
 	var r revisions.Revision
@@ -119,25 +110,28 @@
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	return nil, &Failure{codeNotFound, fmt.Sprintf("revision %d is not in the history", n)}
+	return nil, &agentapi.Failure{Code: agentapi.CodeNotFound, Text: fmt.Sprintf("revision %d is not in the history", n)}
 }
 
 func (a *Agent) handleMembers(_ context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	m := a.staleMembers("").(Members)
+	m := a.staleMembers("").(agentapi.Members)
 	return m, nil
 }
 
 func (a *Agent) staleMembers(why string) any {
-	m := Members{Stale: why, Voters: []replica.Member{}, Agents: []fleet.Agent{}}
+	m := agentapi.Members{Stale: why, Voters: []agentapi.Member{}, Agents: []fleet.Agent{}}
 	if a.store == nil {
 		m.Agents = append(m.Agents, a.self)
 		return m
 	}
 	if list, err := a.store.Members(); err == nil {
-		m.Voters = list
+		m.Voters = nil // a voter that has not joined yet knows none, and sends null
+		for _, member := range list {
+			m.Voters = append(m.Voters, agentapi.Member(member))
+		}
 	}
 	a.store.View(func(s *fleet.State) { m.Agents = append(m.Agents, s.Agents()...) })
 	return m
@@ -151,7 +145,7 @@
 }
 
 func (a *Agent) staleAudit(why string) any {
-	l := Audit{Stale: why, Changes: []fleet.Event{}, Refused: []fleet.Event{}}
+	l := agentapi.Audit{Stale: why, Changes: []fleet.Event{}, Refused: []fleet.Event{}}
 	if a.store != nil {
 		a.store.View(func(s *fleet.State) { l.Changes = append(l.Changes, s.Events()...) })
 	}
@@ -160,7 +154,7 @@
 
 func (a *Agent) handleRefused(context.Context, *call) (any, error) {
 	list, err := a.refusals.list()
-	return Audit{Changes: []fleet.Event{}, Refused: list}, err
+	return agentapi.Audit{Changes: []fleet.Event{}, Refused: list}, err
 }
 
 func (a *Agent) handleSaveSnapshot(context.Context, *call) (any, error) {
@@ -176,7 +170,7 @@
 func (a *Agent) handleRestoreSnapshot(ctx context.Context, c *call) (any, error) {
 	var probe fleet.State
 	if err := probe.Restore(c.body); err != nil {
-		return nil, &Failure{codeBadRequest, err.Error()}
+		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 	}
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -197,28 +191,28 @@
 }
 
 func (a *Agent) handleApply(ctx context.Context, request *call) (any, error) {
-	var got ApplyRequest
+	var got agentapi.ApplyRequest
 	if err := request.read(&got); err != nil {
 		return nil, err
 	}
 	command := revisions.Command{Request: got.Request, Parent: got.Parent, Restore: got.Restore, Content: got.Content, Author: request.name,
 		Message: got.Message, At: time.Now().UTC()}
 	if err := command.Check(); err != nil {
-		return nil, &Failure{codeBadRequest, err.Error()}
+		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 	}
 	if !a.store.IsLeader() {
 		return nil, errNotLeading
 	}
 	if got.Content != nil {
 		if err := a.parse(ctx, "file", *got.Content); err != nil {
-			return nil, &Failure{codeBadRequest, err.Error()}
+			return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 		}
 	}
 	out, err := a.propose(ctx, fleet.Entry{Command: &command})
 	if err != nil {
 		return nil, err
 	}
-	answer := ApplyResult{Answer: out.Result.Status, Revision: out.Result.Revision}
+	answer := agentapi.ApplyResult{Answer: out.Result.Status, Revision: out.Result.Revision}
 	if answer.Answer == fleet.Busy {
 		var now fleet.Rollout
 		a.store.View(func(s *fleet.State) { now = s.Rollout() })
@@ -255,7 +249,7 @@
 
 func (a *Agent) handleDrain(on bool) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
-		var v ChangeRequest
+		var v agentapi.ChangeRequest
 		if err := c.read(&v); err != nil {
 			return nil, err
 		}
@@ -274,18 +268,18 @@
 
 func (a *Agent) handleAddMember(as suffrage) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
-		var v ChangeRequest
+		var v agentapi.ChangeRequest
 		if err := c.read(&v); err != nil {
 			return nil, err
 		}
 		if err := fleet.CheckName("agent", v.Name); err != nil {
-			return nil, &Failure{codeBadRequest, err.Error()}
+			return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 		}
 		if err := a.store.VerifyLeader(); err != nil {
 			return nil, err
 		}
 		if a.port == nil {
-			return nil, &Failure{codeRefused, "this voter has no port: set listen in its file before others join"}
+			return nil, &agentapi.Failure{Code: agentapi.CodeRefused, Text: "this voter has no port: set listen in its file before others join"}
 		}
 		add := a.store.AddVoter
 		if as == nonVoter {
@@ -309,11 +303,11 @@
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout/2)
 	defer cancel()
 	behind, err := a.store.LaggingVoters(ctx, change)
-	return MemberChange{behind}, err
+	return agentapi.MemberChange{Behind: behind}, err
 }
 
 func (a *Agent) handleRemoveMember(ctx context.Context, request *call) (any, error) {
-	var v ChangeRequest
+	var v agentapi.ChangeRequest
 	if err := request.read(&v); err != nil {
 		return nil, err
 	}
@@ -332,7 +326,7 @@
 }
 
 func (a *Agent) handleRemoveAgent(ctx context.Context, c *call) (any, error) {
-	var v ChangeRequest
+	var v agentapi.ChangeRequest
 	if err := c.read(&v); err != nil {
 		return nil, err
 	}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -135,7 +135,7 @@
 	}
 	var decoded T
 	response := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(readGolden(t, name)))}
-	if err := readResponse(response, &decoded); err != nil {
+	if err := agentapi.ReadResponse(response, &decoded); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !reflect.DeepEqual(decoded, answer) {
@@ -171,23 +171,23 @@
 }
 
 func TestGoldenAnswers(t *testing.T) {
-	checkAnswer(t, "status.json", Status{Agent: "a1", Leader: "a2", Stale: "no leader is known", At: goldenTime, Head: 5, Wanted: 4,
+	checkAnswer(t, "status.json", agentapi.Status{Agent: "a1", Leader: "a2", Stale: "no leader is known", At: goldenTime, Head: 5, Wanted: 4,
 		Rollout: fleet.Rollout{New: 5, Previous: 4, State: rollout.Advancing, Reason: "wave 2", By: "ann", At: goldenTime}, Wave: 2, Waves: 3,
-		Instances: []InstanceStatus{{Name: "g0", Agent: "a1", Running: 4, Assigned: 5, State: supervise.Ready, Ready: true, Phase: rollout.PhaseSoaking,
+		Instances: []agentapi.InstanceStatus{{Name: "g0", Agent: "a1", Running: 4, Assigned: 5, State: supervise.Ready, Ready: true, Phase: rollout.PhaseSoaking,
 			Why: "it ended", Crashes: 2, PID: 4711, Drained: true, Silent: true, ReportedAt: goldenTime, MembershipView: "3 of 4 there", UnreachableFrom: []string{"g7"}}},
 		Store: "the disk is full"})
-	checkAnswerOf(t, "status-minimal.json", Status{Agent: "a1", Instances: []InstanceStatus{{Name: "g0"}}})
-	checkAnswer(t, "applied.json", ApplyResult{Answer: revisions.Conflict, Revision: goldenRevision(), Why: "the rollout of revision 4 is advancing"})
-	checkAnswer(t, "probes.json", []Probe{{Agent: "a1", Instance: "g0", Step: supervise.StepRestart, Error: "no such key", Silent: true}})
-	checkAnswerOf(t, "probes-minimal.json", []Probe{{Agent: "a1"}})
-	checkAnswer(t, "revisions.json", Revisions{Stale: "no leader is known", Wanted: 4, Revisions: []revisions.Revision{goldenRevision()}})
+	checkAnswerOf(t, "status-minimal.json", agentapi.Status{Agent: "a1", Instances: []agentapi.InstanceStatus{{Name: "g0"}}})
+	checkAnswer(t, "applied.json", agentapi.ApplyResult{Answer: revisions.Conflict, Revision: goldenRevision(), Why: "the rollout of revision 4 is advancing"})
+	checkAnswer(t, "probes.json", []agentapi.Probe{{Agent: "a1", Instance: "g0", Step: supervise.StepRestart, Error: "no such key", Silent: true}})
+	checkAnswerOf(t, "probes-minimal.json", []agentapi.Probe{{Agent: "a1"}})
+	checkAnswer(t, "revisions.json", agentapi.Revisions{Stale: "no leader is known", Wanted: 4, Revisions: []revisions.Revision{goldenRevision()}})
 	checkAnswer(t, "revision.json", goldenRevision())
-	checkAnswer(t, "members.json", Members{Stale: "no leader is known", Voters: []replica.Member{{Name: "a1", Address: "10.0.0.1:7946", Leader: true, NonVoter: true}},
+	checkAnswer(t, "members.json", agentapi.Members{Stale: "no leader is known", Voters: []agentapi.Member{{Name: "a1", Address: "10.0.0.1:7946", Leader: true, NonVoter: true}},
 		Agents: []fleet.Agent{{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}}}})
-	checkAnswerOf(t, "members-minimal.json", Members{Voters: []replica.Member{{}}, Agents: []fleet.Agent{}})
-	checkAnswer(t, "member-change.json", MemberChange{Behind: []string{"a3"}})
-	checkAnswerOf(t, "member-change-minimal.json", MemberChange{})
-	checkAnswer(t, "audit.json", Audit{Stale: "no leader is known", Changes: []fleet.Event{{At: goldenTime, Who: "ann", What: "drained g0"}},
+	checkAnswerOf(t, "members-minimal.json", agentapi.Members{Voters: []agentapi.Member{{}}, Agents: []fleet.Agent{}})
+	checkAnswer(t, "member-change.json", agentapi.MemberChange{Behind: []string{"a3"}})
+	checkAnswerOf(t, "member-change-minimal.json", agentapi.MemberChange{})
+	checkAnswer(t, "audit.json", agentapi.Audit{Stale: "no leader is known", Changes: []fleet.Event{{At: goldenTime, Who: "ann", What: "drained g0"}},
 		Refused: []fleet.Event{{At: goldenTime, Who: "vic", What: "POST /v1/apply, which the role \"viewer\" may not"}}})
 	checkAnswer(t, "records-result.json", records.Result{Status: records.Invalid, Version: 7,
 		Problem: &records.Problem{Key: "plan/gold", Field: "burst", Reason: "it is negative"}})
@@ -196,22 +196,22 @@
 
 func TestGoldenRequests(t *testing.T) {
 	content := goldenRevision().Content
-	checkRequest(t, "apply.json", ApplyRequest{Request: "r1", Parent: 4, Restore: 3, Content: &content, Message: "why"})
-	checkRequest(t, "verb.json", ChangeRequest{Name: "g0", Address: "10.0.0.1:7946"})
+	checkRequest(t, "apply.json", agentapi.ApplyRequest{Request: "r1", Parent: 4, Restore: 3, Content: &content, Message: "why"})
+	checkRequest(t, "verb.json", agentapi.ChangeRequest{Name: "g0", Address: "10.0.0.1:7946"})
 	checkRequest(t, "probe-content.json", content)
 
 	// Calls of older tools lack the optional keys; an unknown key refuses the call.
 	for text, want := range map[string]any{
-		`{"request":"r1","parent":0}`: ApplyRequest{Request: "r1"},
-		`{}`:                          ChangeRequest{},
+		`{"request":"r1","parent":0}`: agentapi.ApplyRequest{Request: "r1"},
+		`{}`:                          agentapi.ChangeRequest{},
 	} {
 		got := reflect.New(reflect.TypeOf(want))
 		if err := (&call{body: []byte(text)}).read(got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%s: %v, %v", text, got, err)
 		}
 	}
-	err := (&call{body: []byte(`{"name":"g0","mood":1}`)}).read(&ChangeRequest{})
-	var f *Failure
+	err := (&call{body: []byte(`{"name":"g0","mood":1}`)}).read(&agentapi.ChangeRequest{})
+	var f *agentapi.Failure
 	if !errors.As(err, &f) || f.Code != "bad request" || f.Text != `json: unknown field "mood"` {
 		t.Errorf("an unknown key: %v", err)
 	}
@@ -221,14 +221,14 @@
 // unknown one is passed over.
 func TestAnswersOfOtherReleases(t *testing.T) {
 	for text, want := range map[string]any{
-		`{"agent":"a1","leader":"a1","at":"2026-03-04T05:06:07.0000008Z","head":1,"wanted":1,"rollout":{"new":1,"before":0,"state":"applied","why":"","by":"ann","at":"2026-03-04T05:06:07.0000008Z"},"wave":1,"waves":1,"instances":[{"name":"g0","agent":"a1","running":1,"told":1,"state":"ready","ready":true,"crashes":0,"heard":"2026-03-04T05:06:07.0000008Z"}]}`: Status{Agent: "a1", Leader: "a1", At: goldenTime, Head: 1, Wanted: 1, Wave: 1, Waves: 1, Rollout: fleet.Rollout{New: 1, State: rollout.Applied, By: "ann", At: goldenTime},
-			Instances: []InstanceStatus{{Name: "g0", Agent: "a1", Running: 1, Assigned: 1, State: supervise.Ready, Ready: true, ReportedAt: goldenTime}}},
-		`{"voters":[{"name":"a1","address":"","leader":true}],"agents":[],"mood":{"x":1}}`: Members{Voters: []replica.Member{{Name: "a1", Leader: true}}, Agents: []fleet.Agent{}},
-		`{}`: MemberChange{},
+		`{"agent":"a1","leader":"a1","at":"2026-03-04T05:06:07.0000008Z","head":1,"wanted":1,"rollout":{"new":1,"before":0,"state":"applied","why":"","by":"ann","at":"2026-03-04T05:06:07.0000008Z"},"wave":1,"waves":1,"instances":[{"name":"g0","agent":"a1","running":1,"told":1,"state":"ready","ready":true,"crashes":0,"heard":"2026-03-04T05:06:07.0000008Z"}]}`: agentapi.Status{Agent: "a1", Leader: "a1", At: goldenTime, Head: 1, Wanted: 1, Wave: 1, Waves: 1, Rollout: fleet.Rollout{New: 1, State: rollout.Applied, By: "ann", At: goldenTime},
+			Instances: []agentapi.InstanceStatus{{Name: "g0", Agent: "a1", Running: 1, Assigned: 1, State: supervise.Ready, Ready: true, ReportedAt: goldenTime}}},
+		`{"voters":[{"name":"a1","address":"","leader":true}],"agents":[],"mood":{"x":1}}`: agentapi.Members{Voters: []agentapi.Member{{Name: "a1", Leader: true}}, Agents: []fleet.Agent{}},
+		`{}`: agentapi.MemberChange{},
 	} {
 		got := reflect.New(reflect.TypeOf(want))
 		response := &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}
-		if err := readResponse(response, got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
+		if err := agentapi.ReadResponse(response, got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%s: %+v, %v", text, got, err)
 		}
 	}
@@ -242,14 +242,14 @@
 		name string
 		err  error
 	}{
-		{"bad request", &Failure{Code: codeBadRequest, Text: "it is bad"}},
-		{"refused", &Failure{Code: codeRefused, Text: "it is refused"}},
-		{"forbidden", &Failure{Code: codeForbidden, Text: "it is forbidden"}},
-		{"not found", &Failure{Code: codeNotFound, Text: "it is not there"}},
-		{"unreachable", &Failure{Code: codeUnreachable, Text: "it can't be reached"}},
-		{"in doubt", &Failure{Code: codeOutcomeUnknown, Text: "it is in doubt"}},
-		{"wrapped failure", fmt.Errorf("first: %w", &Failure{Code: codeRefused, Text: "it is refused"})},
-		{"failure of a later release", &Failure{Code: "moody", Text: "it is moody"}},
+		{"bad request", &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: "it is bad"}},
+		{"refused", &agentapi.Failure{Code: agentapi.CodeRefused, Text: "it is refused"}},
+		{"forbidden", &agentapi.Failure{Code: agentapi.CodeForbidden, Text: "it is forbidden"}},
+		{"not found", &agentapi.Failure{Code: agentapi.CodeNotFound, Text: "it is not there"}},
+		{"unreachable", &agentapi.Failure{Code: agentapi.CodeUnreachable, Text: "it can't be reached"}},
+		{"in doubt", &agentapi.Failure{Code: agentapi.CodeOutcomeUnknown, Text: "it is in doubt"}},
+		{"wrapped failure", fmt.Errorf("first: %w", &agentapi.Failure{Code: agentapi.CodeRefused, Text: "it is refused"})},
+		{"failure of a later release", &agentapi.Failure{Code: "moody", Text: "it is moody"}},
 		{"refused by the site's state", &refusedError{"it fits no more"}},
 		{"refused by the machine", fmt.Errorf("first: %w", &refusedError{"it fits no more"})},
 		{"store does not know", fmt.Errorf("first: %w", replica.ErrUnknown)},
@@ -262,8 +262,8 @@
 		recorder := httptest.NewRecorder()
 		writeJSON(recorder, status, f)
 		fmt.Fprintf(&lines, "%s: %d %s", one.name, status, recorder.Body)
-		var read *Failure
-		if err := readResponse(recorder.Result(), &struct{}{}); !errors.As(err, &read) || *read != *f {
+		var read *agentapi.Failure
+		if err := agentapi.ReadResponse(recorder.Result(), &struct{}{}); !errors.As(err, &read) || *read != *f {
 			t.Errorf("%s is read as %v", one.name, err)
 		}
 		fmt.Fprintf(&lines, "    refused %v, bad %v, forbidden %v, in doubt %v\n", read.Refused(), read.BadRequest(), read.Forbidden(), read.OutcomeUnknown())
@@ -275,8 +275,8 @@
 		recorder := httptest.NewRecorder()
 		recorder.WriteHeader(one.status)
 		recorder.WriteString(one.body)
-		var read *Failure
-		if err := readResponse(recorder.Result(), &struct{}{}); !errors.As(err, &read) {
+		var read *agentapi.Failure
+		if err := agentapi.ReadResponse(recorder.Result(), &struct{}{}); !errors.As(err, &read) {
 			t.Fatal(err)
 		}
 		text, _, _ := strings.Cut(read.Text, ":") // what follows is the decoder's
@@ -376,7 +376,7 @@
 // TestGoldenStaleStatus pins what an agent without a leader tells of itself.
 func TestGoldenStaleStatus(t *testing.T) {
 	got := answerTo(goldenAgent(t, true), caller{"x", pki.Viewer}, http.MethodGet, "/v1/status", nil)
-	var s Status
+	var s agentapi.Status
 	if err := json.Unmarshal(got.Body.Bytes(), &s); err != nil || time.Since(s.At) > time.Hour {
 		t.Fatalf("%v %+v", err, s)
 	}
@@ -404,13 +404,13 @@
 		io.WriteString(w, "null")
 	}))
 	defer server.Close()
-	c, err := NewClient(Target{Address: server.Listener.Addr().String(), Plain: true})
+	c, err := agentapi.NewClient(agentapi.Target{Address: server.Listener.Addr().String(), Plain: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	ctx, content := t.Context(), goldenRevision().Content
-	verb := ChangeRequest{Name: "a3", Address: "10.0.0.3:7946"}
+	verb := agentapi.ChangeRequest{Name: "a3", Address: "10.0.0.3:7946"}
 	check := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -423,14 +423,14 @@
 	call(c.Revision(ctx, 4))
 	call(c.Members(ctx))
 	call(c.Audit(ctx))
-	call(c.Apply(ctx, ApplyRequest{Request: "r1", Parent: 4, Content: &content, Message: "why"}))
+	call(c.Apply(ctx, agentapi.ApplyRequest{Request: "r1", Parent: 4, Content: &content, Message: "why"}))
 	call(c.Probe(ctx, content))
 	for _, name := range []string{"pause", "resume", "abort", "drain", "undrain", "agents/remove"} {
-		check(c.Do(ctx, name, ChangeRequest{Name: "g0"}))
+		check(c.Do(ctx, name, agentapi.ChangeRequest{Name: "g0"}))
 	}
 	call(c.AddMember(ctx, verb))
 	call(c.AddNonVoter(ctx, verb))
-	call(c.RemoveMember(ctx, ChangeRequest{Name: "a3"}))
+	call(c.RemoveMember(ctx, agentapi.ChangeRequest{Name: "a3"}))
 	call(c.Snapshot(ctx))
 	check(c.Restore(ctx, []byte(`{"form":1}`)))
 	call(c.ChangeRecords(ctx, agentapi.RecordsChange{Request: "r1", Message: "why"}))
--- a/internal/agent/lead.go
+++ b/internal/agent/lead.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"log/slog"
 	"slices"
-	"strings"
 	"time"
 
 	"elderyard/fleet"
@@ -395,9 +394,9 @@
 }
 
 // status is the site as this leader sees it.
-func (t *term) status() Status {
-	s := Status{Agent: t.name, Leader: t.name, At: time.Now().UTC()}
-	t.store.View(func(f *fleet.State) { fill(&s, f) })
+func (t *term) status() agentapi.Status {
+	s := agentapi.Status{Agent: t.name, Leader: t.name, At: time.Now().UTC()}
+	t.store.View(s.SetDesired)
 	phases := map[string]rollout.InstanceStatus{}
 	if t.machine != nil {
 		m := t.machine.Status()
@@ -411,7 +410,7 @@
 		i := &s.Instances[n]
 		i.UnreachableFrom = doubts[i.Name]
 		if h := t.lastReports[i.Name]; h != nil {
-			i.setReport(&h.Observed, h.receivedAt)
+			i.SetReport(&h.Observed, h.receivedAt)
 		}
 		if p, found := phases[i.Name]; found {
 			i.Phase, i.Assigned, i.Silent = p.Phase, uint64(p.Assigned), p.Silent
@@ -421,16 +420,3 @@
 	}
 	return s
 }
-
-// fill tells what the state alone knows.
-func fill(s *Status, f *fleet.State) {
-	head, _ := f.Head()
-	s.Rollout = f.Rollout()
-	s.Head, s.Wanted = head.Number, s.Rollout.Wanted()
-	for _, a := range f.Agents() {
-		for _, name := range a.Instances {
-			s.Instances = append(s.Instances, InstanceStatus{Name: name, Agent: a.Name, Drained: f.Drained(name)})
-		}
-	}
-	slices.SortFunc(s.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.Name, b.Name) })
-}
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -31,7 +31,7 @@
 			e.hop = agentapi.HopMayForward // it may send this on
 		}
 		err := a.callAgent(ctx, address, e, answer)
-		if err == nil || isAnswer(err) {
+		if err == nil || agentapi.IsAnswer(err) {
 			return err
 		}
 		if first == nil {
@@ -44,13 +44,6 @@
 	return first
 }
 
-// isAnswer tells whether an error is an agent's answer, and no other need be
-// asked.
-func isAnswer(err error) bool {
-	var f *Failure
-	return errors.As(err, &f) && f.Code != codeUnreachable
-}
-
 // callAgent asks one agent. Danger: one that is there and does nothing, as a
 // stopped one, would take all the time that is meant for the others.
 func (a *Agent) callAgent(ctx context.Context, address string, e peerCall, answer any) error {
@@ -66,7 +59,7 @@
 	if e.onBehalfOf != nil {
 		req.Header.Set(onBehalfHeader, e.onBehalfOf.name+";"+string(e.onBehalfOf.role))
 	}
-	if err = a.doPeer(req, answer); err != nil && !isAnswer(err) {
+	if err = a.doPeer(req, answer); err != nil && !agentapi.IsAnswer(err) {
 		a.forgetLeader(address)
 	}
 	return err
@@ -135,5 +128,5 @@
 		return err
 	}
 	defer resp.Body.Close()
-	return readResponse(resp, answer)
+	return agentapi.ReadResponse(resp, answer)
 }
--- a/internal/agent/records.go
+++ b/internal/agent/records.go
@@ -16,17 +16,6 @@
 	"elderyard/records"
 )
 
-// The calls of the records, beside those that followers make.
-const (
-	recordsPrefix       = "/v1/records/"
-	recordsChangePath   = recordsPrefix + "change"
-	recordsGetPath      = recordsPrefix + "get"
-	recordsListPath     = recordsPrefix + "list"
-	recordsVersionsPath = recordsPrefix + "versions"
-	recordsDiffPath     = recordsPrefix + "diff"
-	recordsLagPath      = recordsPrefix + "lag"
-)
-
 const (
 	maxRecordsChangeBytes = 2 * fleet.MaxRecordsChangeBytes // bytes of a call's body
 	maxRecordsListed      = 5000
@@ -35,20 +24,20 @@
 // recordsEndpoints are the calls of operators on the records.
 func (a *Agent) recordsEndpoints() map[string]endpoint {
 	return map[string]endpoint{
-		"POST " + recordsChangePath:  {minRole: pki.Operator, maxBody: maxRecordsChangeBytes, handle: a.handleChangeRecords},
-		"GET " + recordsGetPath:      {minRole: pki.Viewer, handle: a.confirmed(a.getRecord)},
-		"GET " + recordsListPath:     {minRole: pki.Viewer, handle: a.confirmed(a.listRecords)},
-		"GET " + recordsVersionsPath: {minRole: pki.Viewer, handle: a.confirmed(a.listRecordsVersions)},
-		"GET " + recordsDiffPath:     {minRole: pki.Viewer, handle: a.confirmed(a.diffRecords)},
-		"GET " + recordsLagPath:      {minRole: pki.Viewer, handle: a.handleRecordsLag, stale: a.staleRecordsLag},
+		"POST " + agentapi.RecordsChangePath:  {minRole: pki.Operator, maxBody: maxRecordsChangeBytes, handle: a.handleChangeRecords},
+		"GET " + agentapi.RecordsGetPath:      {minRole: pki.Viewer, handle: a.confirmed(a.getRecord)},
+		"GET " + agentapi.RecordsListPath:     {minRole: pki.Viewer, handle: a.confirmed(a.listRecords)},
+		"GET " + agentapi.RecordsVersionsPath: {minRole: pki.Viewer, handle: a.confirmed(a.listRecordsVersions)},
+		"GET " + agentapi.RecordsDiffPath:     {minRole: pki.Viewer, handle: a.confirmed(a.diffRecords)},
+		"GET " + agentapi.RecordsLagPath:      {minRole: pki.Viewer, handle: a.handleRecordsLag, stale: a.staleRecordsLag},
 	}
 }
 
 // addRecordsEndpoints adds the calls of the records, where this agent's file has them on.
 func (a *Agent) addRecordsEndpoints(mux *http.ServeMux, add func(pattern string, e endpoint)) {
 	if !a.config.Records {
-		mux.HandleFunc(recordsPrefix, func(w http.ResponseWriter, _ *http.Request) {
-			writeJSON(w, http.StatusNotFound, Failure{codeNotFound, fmt.Sprintf("agent %s keeps no records: set records = true in its file", a.self.Name)})
+		mux.HandleFunc(agentapi.RecordsPrefix, func(w http.ResponseWriter, _ *http.Request) {
+			writeJSON(w, http.StatusNotFound, agentapi.Failure{Code: agentapi.CodeNotFound, Text: fmt.Sprintf("agent %s keeps no records: set records = true in its file", a.self.Name)})
 		})
 		return
 	}
@@ -66,7 +55,7 @@
 		return recordsync.NewHandler(a.store)
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusServiceUnavailable, Failure{codeUnreachable, fmt.Sprintf("agent %s is no voter and answers no follower", a.self.Name)})
+		writeJSON(w, http.StatusServiceUnavailable, agentapi.Failure{Code: agentapi.CodeUnreachable, Text: fmt.Sprintf("agent %s is no voter and answers no follower", a.self.Name)})
 	})
 }
 
@@ -76,7 +65,7 @@
 		c := callerOf(r.Context())
 		if !c.role.Covers(pki.Agent) {
 			a.refusals.add(c.name, fmt.Sprintf("%s %s, which the role %q may not", r.Method, r.URL.Path, c.role))
-			writeJSON(w, http.StatusForbidden, Failure{codeForbidden, fmt.Sprintf("%s has the role %q, and %s is needed", c.name, c.role, pki.Agent)})
+			writeJSON(w, http.StatusForbidden, agentapi.Failure{Code: agentapi.CodeForbidden, Text: fmt.Sprintf("%s has the role %q, and %s is needed", c.name, c.role, pki.Agent)})
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -91,13 +80,13 @@
 		return nil, err
 	}
 	if got.Request == "" {
-		return nil, &Failure{codeBadRequest, "request: a change needs a key, so that a repeat is known for one"}
+		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: "request: a change needs a key, so that a repeat is known for one"}
 	}
 	change := &records.Change{IdempotencyKey: got.Request, Author: fleet.Truncate(request.name, records.MaxNameBytes), Message: got.Message,
 		At: time.Now().UTC(), Operations: got.Operations}
 	entry := fleet.Entry{Records: change}
 	if _, err := entry.Encode(); err != nil {
-		return nil, &Failure{codeBadRequest, err.Error()}
+		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 	}
 	out, err := a.propose(ctx, entry)
 	if err != nil {
@@ -131,7 +120,7 @@
 func (a *Agent) getRecord(query url.Values, store *records.Store) (any, error) {
 	key, err := records.ParseKey(query.Get("key"))
 	if err != nil {
-		return nil, &Failure{codeBadRequest, err.Error()}
+		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 	}
 	list := newRecordsList(store)
 	if record, found := store.Get(key); found {
@@ -143,7 +132,7 @@
 func (a *Agent) listRecords(query url.Values, store *records.Store) (any, error) {
 	kind, err := records.ParseKind(query.Get("kind"))
 	if err != nil {
-		return nil, &Failure{codeBadRequest, err.Error()}
+		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 	}
 	limit, err := queryNumber(query, "limit")
 	if err != nil {
@@ -180,7 +169,7 @@
 	}
 	changes, err := store.KeysChanged(from, to)
 	if err != nil {
-		return nil, &Failure{codeNotFound, err.Error()}
+		return nil, &agentapi.Failure{Code: agentapi.CodeNotFound, Text: err.Error()}
 	}
 	return agentapi.RecordsDiff{From: from, To: to, Changes: changes}, nil
 }
@@ -193,7 +182,7 @@
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, &Failure{codeBadRequest, fmt.Sprintf("%s: %.32q is no number", name, text)}
+		return 0, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: fmt.Sprintf("%s: %.32q is no number", name, text)}
 	}
 	return n, nil
 }
--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -46,7 +46,7 @@
 	return result
 }
 
-func sendChange(c *Client, request string, operations ...records.Operation) (records.Result, error) {
+func sendChange(c *agentapi.Client, request string, operations ...records.Operation) (records.Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return c.ChangeRecords(ctx, agentapi.RecordsChange{Request: request, Message: "test", Operations: operations})
@@ -65,7 +65,7 @@
 		m.config.Records, m.config.RecordBytes = true, testBudget
 		m.start()
 		if i > 0 && i < voters {
-			if c, err := list[0].client.AddMember(context.Background(), ChangeRequest{m.config.Name, m.config.Listen}); err != nil || c.Behind != nil {
+			if c, err := list[0].client.AddMember(context.Background(), agentapi.ChangeRequest{Name: m.config.Name, Address: m.config.Listen}); err != nil || c.Behind != nil {
 				t.Fatal(c, err)
 			}
 		}
@@ -78,7 +78,7 @@
 }
 
 // inForce waits until a version is in force at so many agents, and nobody else is known.
-func inForce(t testing.TB, c *Client, version uint64, agents int) agentapi.RecordsLag {
+func inForce(t testing.TB, c *agentapi.Client, version uint64, agents int) agentapi.RecordsLag {
 	t.Helper()
 	var lag agentapi.RecordsLag
 	until(t, fmt.Sprintf("version %d is in force at %d agents", version, agents), func() bool {
@@ -183,7 +183,7 @@
 func TestRecordsAreOff(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t, "a0", true, nil).start()
-	var f *Failure
+	var f *agentapi.Failure
 	_, err := sendChange(m.client, "1", putOf(t, "plan/gold", goldPlan))
 	if !errors.As(err, &f) || !f.Refused() || !strings.Contains(err.Error(), "set records = true") {
 		t.Fatalf("%v", err)
@@ -303,7 +303,7 @@
 	name   string
 	at     string
 	file   string
-	client *Client
+	client *agentapi.Client
 	cmd    *exec.Cmd // nil: it does not run
 }
 
@@ -326,7 +326,7 @@
 	if err := os.WriteFile(v.file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if v.client, err = NewClient(Target{Socket: filepath.Join(dir, "agent.sock")}); err != nil {
+	if v.client, err = agentapi.NewClient(agentapi.Target{Socket: filepath.Join(dir, "agent.sock")}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -365,7 +365,7 @@
 		v := newVoterProcess(t, fmt.Sprint("v", i), addresses)
 		if i > 0 {
 			until(t, v.name+" is a voter", func() bool {
-				c, err := voters[0].client.AddMember(context.Background(), ChangeRequest{v.name, v.at})
+				c, err := voters[0].client.AddMember(context.Background(), agentapi.ChangeRequest{Name: v.name, Address: v.at})
 				return err == nil && c.Behind == nil
 			})
 		}
@@ -411,7 +411,7 @@
 	list, followers := processSite(t, 1)
 	follower := followers[0]
 	answers := map[string]records.Result{}
-	send := func(from *Client, request string) (records.Result, error) {
+	send := func(from *agentapi.Client, request string) (records.Result, error) {
 		return sendChange(from, request, putOf(t, "plan/"+request, goldPlan))
 	}
 	for round := range 2 {
@@ -468,7 +468,7 @@
 	replica := newMachine(t, "r0", true, []string{list[0].config.Listen})
 	replica.config.Records, replica.config.RecordBytes = true, testBudget
 	replica.start()
-	if c, err := list[0].client.AddNonVoter(t.Context(), ChangeRequest{replica.config.Name, replica.config.Listen}); err != nil || c.Behind != nil {
+	if c, err := list[0].client.AddNonVoter(t.Context(), agentapi.ChangeRequest{Name: replica.config.Name, Address: replica.config.Listen}); err != nil || c.Behind != nil {
 		t.Fatal(c, err)
 	}
 	follower := newMachine(t, "a1", false, []string{replica.config.Listen})
@@ -570,8 +570,8 @@
 	}
 	voter := secure("a1", true)
 	follower := secure("a2", false, voter.config.Listen)
-	as := func(name string) *Client {
-		c, err := NewClient(Target{Address: follower.config.Listen, Files: files(name)})
+	as := func(name string) *agentapi.Client {
+		c, err := agentapi.NewClient(agentapi.Target{Address: follower.config.Listen, Files: files(name)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -583,7 +583,7 @@
 		t.Fatalf("%+v, %v", result, err)
 	}
 	inForce(t, as("vic"), result.Version, 2)
-	var f *Failure
+	var f *agentapi.Failure
 	if _, err := sendChange(as("vic"), "2", putOf(t, "plan/gold", goldPlan)); !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("a viewer changes records: %v", err)
 	}
--- a/internal/agent/scale_linux_test.go
+++ b/internal/agent/scale_linux_test.go
@@ -101,7 +101,7 @@
 		cmd.Process.Signal(syscall.SIGTERM)
 		cmd.Wait()
 	}()
-	client, err := NewClient(Target{Socket: filepath.Join(dir, "agent.sock")})
+	client, err := agentapi.NewClient(agentapi.Target{Socket: filepath.Join(dir, "agent.sock")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 			text = strings.Replace(text, change[0], change[1], 1)
 		}
 		began := time.Now()
-		if a, err := client.Apply(ctx, ApplyRequest{Request: plan, Parent: n - 1, Content: &revisions.Content{File: text}}); err != nil || a.Answer != revisions.Accepted {
+		if a, err := client.Apply(ctx, agentapi.ApplyRequest{Request: plan, Parent: n - 1, Content: &revisions.Content{File: text}}); err != nil || a.Answer != revisions.Accepted {
 			t.Fatalf("%v %+v", err, a)
 		}
 		until(t, "the end", func() bool {
@@ -167,7 +167,7 @@
 		}
 		if resp, err := client.Do(req); err == nil {
 			var got agentapi.Orders
-			if readResponse(resp, &got) == nil {
+			if agentapi.ReadResponse(resp, &got) == nil {
 				calls.Add(1)
 				if o := got.Orders[name]; o.Revision != 0 {
 					r.Instances[0].Running, r.Instances[0].Target, r.Instances[0].State = o.Revision, o.Revision, supervise.Ready
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -53,7 +53,7 @@
 
 func (c *call) read(v any) error {
 	if err := revisions.DecodeStrict(c.body, v); err != nil {
-		return &Failure{codeBadRequest, err.Error()}
+		return &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 	}
 	a.addRecordsEndpoints(mux, add)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		writeJSON(w, http.StatusNotFound, Failure{codeNotFound, "there is no such call: " + r.Method + " " + r.URL.Path})
+		writeJSON(w, http.StatusNotFound, agentapi.Failure{Code: agentapi.CodeNotFound, Text: "there is no such call: " + r.Method + " " + r.URL.Path})
 	})
 	return mux
 }
@@ -107,12 +107,12 @@
 	}
 	if !c.role.Covers(target.minRole) {
 		a.refusals.add(c.name, fmt.Sprintf("%s %s, which the role %q may not", request.Method, request.URL.Path, c.role))
-		writeJSON(response, http.StatusForbidden, Failure{codeForbidden, fmt.Sprintf("%s has the role %q, and %s is needed", c.name, c.role, target.minRole)})
+		writeJSON(response, http.StatusForbidden, agentapi.Failure{Code: agentapi.CodeForbidden, Text: fmt.Sprintf("%s has the role %q, and %s is needed", c.name, c.role, target.minRole)})
 		return
 	}
 	var err error
 	if c.body, err = io.ReadAll(http.MaxBytesReader(response, request.Body, target.maxBody)); err != nil {
-		writeJSON(response, http.StatusRequestEntityTooLarge, Failure{codeBadRequest, fmt.Sprintf("the call's body: %v", err)})
+		writeJSON(response, http.StatusRequestEntityTooLarge, agentapi.Failure{Code: agentapi.CodeBadRequest, Text: fmt.Sprintf("the call's body: %v", err)})
 		return
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), callTimeout)
@@ -134,7 +134,7 @@
 			return
 		}
 		err = sent
-		if target.stale != nil && !isAnswer(sent) {
+		if target.stale != nil && !agentapi.IsAnswer(sent) {
 			answer, err = target.stale(sent.Error()), nil
 		}
 	}
@@ -143,7 +143,7 @@
 		return
 	}
 	f, status := asFailure(err)
-	if f.Code == codeBadRequest || f.Code == codeRefused || f.Code == codeForbidden {
+	if f.Code == agentapi.CodeBadRequest || f.Code == agentapi.CodeRefused || f.Code == agentapi.CodeForbidden {
 		a.refusals.add(c.name, request.Method+" "+request.URL.Path+": "+f.Text)
 	}
 	writeJSON(response, status, f)
@@ -163,25 +163,25 @@
 	}
 }
 
-func asFailure(err error) (*Failure, int) {
-	var f *Failure
+func asFailure(err error) (*agentapi.Failure, int) {
+	var f *agentapi.Failure
 	var r *refusedError
 	switch {
 	case errors.As(err, &f):
-		status := map[string]int{codeBadRequest: http.StatusBadRequest, codeRefused: http.StatusConflict, codeForbidden: http.StatusForbidden,
-			codeNotFound: http.StatusNotFound, codeOutcomeUnknown: http.StatusGatewayTimeout}[f.Code]
+		status := map[string]int{agentapi.CodeBadRequest: http.StatusBadRequest, agentapi.CodeRefused: http.StatusConflict, agentapi.CodeForbidden: http.StatusForbidden,
+			agentapi.CodeNotFound: http.StatusNotFound, agentapi.CodeOutcomeUnknown: http.StatusGatewayTimeout}[f.Code]
 		if status == 0 {
 			status = http.StatusServiceUnavailable
 		}
 		return f, status
 	case errors.As(err, &r):
-		return &Failure{codeRefused, r.text}, http.StatusConflict
+		return &agentapi.Failure{Code: agentapi.CodeRefused, Text: r.text}, http.StatusConflict
 	case errors.Is(err, replica.ErrUnknown), errors.Is(err, context.DeadlineExceeded):
-		return &Failure{codeOutcomeUnknown, err.Error()}, http.StatusGatewayTimeout
+		return &agentapi.Failure{Code: agentapi.CodeOutcomeUnknown, Text: err.Error()}, http.StatusGatewayTimeout
 	case errors.Is(err, errNotLeading), errors.Is(err, replica.ErrNoLeader):
-		return &Failure{codeUnreachable, err.Error()}, http.StatusServiceUnavailable
+		return &agentapi.Failure{Code: agentapi.CodeUnreachable, Text: err.Error()}, http.StatusServiceUnavailable
 	}
-	return &Failure{codeRefused, err.Error()}, http.StatusConflict
+	return &agentapi.Failure{Code: agentapi.CodeRefused, Text: err.Error()}, http.StatusConflict
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
@@ -194,7 +194,7 @@
 func (a *Agent) forward(ctx context.Context, request *call) ([]byte, error) {
 	hop := request.r.Header.Get(agentapi.HopHeader)
 	if hop != "" && hop != agentapi.HopMayForward || hop == agentapi.HopMayForward && a.store == nil {
-		return nil, &Failure{codeUnreachable, "this agent does not lead either"}
+		return nil, &agentapi.Failure{Code: agentapi.CodeUnreachable, Text: "this agent does not lead either"}
 	}
 	addresses := a.voterAddresses()
 	if a.store != nil { // a voter knows the leader, or nobody does
@@ -204,7 +204,7 @@
 			addresses = []string{address}
 		}
 	}
-	err := error(&Failure{codeUnreachable, "no leader is known"})
+	err := error(&agentapi.Failure{Code: agentapi.CodeUnreachable, Text: "no leader is known"})
 	for _, address := range addresses {
 		e := peerCall{method: request.r.Method, path: request.r.URL.RequestURI(), body: request.body, hop: agentapi.HopMayForward, onBehalfOf: &request.caller, timeout: leaderTimeout}
 		if request.r.Method == http.MethodGet {
@@ -214,16 +214,16 @@
 			e.hop = "1"
 		}
 		var text json.RawMessage
-		if err = a.callAgent(ctx, address, e, &text); err == nil || isAnswer(err) {
+		if err = a.callAgent(ctx, address, e, &text); err == nil || agentapi.IsAnswer(err) {
 			return text, err
 		}
 		var netError interface{ Timeout() bool }
 		if request.r.Method != http.MethodGet && errors.As(err, &netError) && netError.Timeout() {
-			return nil, &Failure{codeOutcomeUnknown, fmt.Sprintf("%s did not answer: %v", address, err)}
+			return nil, &agentapi.Failure{Code: agentapi.CodeOutcomeUnknown, Text: fmt.Sprintf("%s did not answer: %v", address, err)}
 		}
 	}
-	if f := (*Failure)(nil); !errors.As(err, &f) {
-		err = &Failure{codeUnreachable, err.Error()}
+	if f := (*agentapi.Failure)(nil); !errors.As(err, &f) {
+		err = &agentapi.Failure{Code: agentapi.CodeUnreachable, Text: err.Error()}
 	}
 	return nil, err
 }
--- /dev/null
+++ b/internal/agentapi/calls.go
@@ -0,0 +1,73 @@
+package agentapi
+
+import (
+	"elderyard/fleet"
+	"elderyard/revisions"
+	"elderyard/supervise"
+)
+
+// ApplyRequest applies a content or an old revision. A repeat with the same Request
+// is answered as the first one was.
+type ApplyRequest struct {
+	Request string             `json:"request"`           // idempotency key
+	Parent  uint64             `json:"parent"`            // head that the caller has seen
+	Restore uint64             `json:"restore,omitempty"` // revision whose content is applied anew; 0: Content is
+	Content *revisions.Content `json:"content,omitempty"`
+	Message string             `json:"message,omitempty"`
+}
+
+// ApplyResult answers an ApplyRequest.
+type ApplyResult struct {
+	Answer   revisions.Status   `json:"answer"`
+	Revision revisions.Revision `json:"revision"`
+	Why      string             `json:"why,omitempty"`
+}
+
+// Probe is what one instance would do to run a content.
+type Probe struct {
+	Agent    string         `json:"agent"`
+	Instance string         `json:"instance,omitempty"`
+	Step     supervise.Step `json:"step,omitempty"`
+	Error    string         `json:"error,omitempty"`
+	Silent   bool           `json:"silent,omitempty"` // the agent did not answer
+}
+
+// Revisions is the history, newest first, without the contents.
+type Revisions struct {
+	Stale     string               `json:"stale,omitempty"`
+	Wanted    uint64               `json:"wanted"`
+	Revisions []revisions.Revision `json:"revisions"`
+}
+
+// Member is one store of the site's desired state.
+type Member struct {
+	Name     string `json:"name"`
+	Address  string `json:"address"`
+	Leader   bool   `json:"leader"`
+	NonVoter bool   `json:"non_voter,omitempty"`
+}
+
+// Members are the voters and the agents.
+type Members struct {
+	Stale  string        `json:"stale,omitempty"`
+	Voters []Member      `json:"voters"`
+	Agents []fleet.Agent `json:"agents"`
+}
+
+// MemberChange answers a change of the voters that a majority has accepted.
+type MemberChange struct {
+	Behind []string `json:"lacking,omitempty"` // names of voters that have not applied it yet
+}
+
+// Audit is the log of accepted changes, and of calls that one agent refused.
+type Audit struct {
+	Stale   string        `json:"stale,omitempty"`
+	Changes []fleet.Event `json:"changes"`
+	Refused []fleet.Event `json:"refused"` // by the queried agent
+}
+
+// ChangeRequest names the instance, agent or voter that a call changes.
+type ChangeRequest struct {
+	Name    string `json:"name,omitempty"`
+	Address string `json:"address,omitempty"`
+}
--- a/internal/agent/client.go
+++ b/internal/agentapi/client.go
@@ -1,4 +1,4 @@
-package agent
+package agentapi
 
 import (
 	"bytes"
@@ -15,44 +15,33 @@
 	"elderyard/revisions"
 )
 
-// Failure is an agent's answer that it can't, or won't, do what it was asked.
-type Failure struct {
-	Code string `json:"code"`
-	Text string `json:"error"`
-}
-
-func (f *Failure) Error() string { return f.Text }
-
-// Refused tells whether nothing was changed, and asking again would not help.
-func (f *Failure) Refused() bool {
-	return f.Code == codeRefused || f.Code == codeForbidden || f.Code == codeNotFound
-}
-
-// BadRequest tells whether the call itself was wrong.
-func (f *Failure) BadRequest() bool { return f.Code == codeBadRequest }
-
-// Forbidden tells whether the caller's role does not allow it.
-func (f *Failure) Forbidden() bool { return f.Code == codeForbidden }
-
-// OutcomeUnknown tells whether a change may yet be carried out.
-func (f *Failure) OutcomeUnknown() bool { return f.Code == codeOutcomeUnknown }
+const (
+	dialTimeout      = 3 * time.Second
+	idleTimeout      = 2 * time.Minute // of a connection
+	callTimeout      = time.Minute     // of one call, beside the dial
+	retryInterval    = 200 * time.Millisecond
+	maxResponseBytes = 1 << 30
+)
 
-// Target is the agent that a Client asks: a local socket, or an address.
+// Target is the agent that a Client calls: a local socket, or an address.
 type Target struct {
-	Socket  string
-	Address string
-	Plain   bool
-	Files   pki.Files
+	Socket  string    // path; used where Address is ""
+	Address string    // host:port
+	Plain   bool      // without TLS; a loopback address only
+	Files   pki.Files // of the caller's certificate, where TLS is used
 }
 
-// Client asks one agent.
+// Client calls one agent. Its methods return a *Failure where the agent did not carry
+// out the call, and may be called from several goroutines.
 type Client struct {
 	http *http.Client
-	base string
-	name string
+	base string // URL before the path
+	name string // of the agent, in errors
 }
 
-// NewClient makes a client of one agent. It does not connect yet.
+// NewClient returns a client of one agent. It does not connect yet. It returns an
+// error if the certificate can't be read, or if Plain is set for an address that is
+// not of the loopback.
 func NewClient(target Target) (*Client, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout}
@@ -79,9 +68,10 @@
 	return c, nil
 }
 
-// Close gives the client's connections back.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
+// call makes one call. A body of []byte is sent as it is, any other as JSON.
 func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
 	var text []byte
 	switch b := body.(type) {
@@ -102,56 +92,58 @@
 	if err != nil {
 		var inner *net.OpError
 		if errors.As(err, &inner) && inner.Op == "dial" {
-			return &Failure{codeUnreachable, fmt.Sprintf("agent %s can't be reached: %v", c.name, inner.Err)}
+			return &Failure{CodeUnreachable, fmt.Sprintf("agent %s can't be reached: %v", c.name, inner.Err)}
 		}
 		if method != http.MethodGet {
-			return &Failure{codeOutcomeUnknown, fmt.Sprintf("agent %s did not answer: %v", c.name, err)}
+			return &Failure{CodeOutcomeUnknown, fmt.Sprintf("agent %s did not answer: %v", c.name, err)}
 		}
-		return &Failure{codeUnreachable, fmt.Sprintf("agent %s did not answer: %v", c.name, err)}
+		return &Failure{CodeUnreachable, fmt.Sprintf("agent %s did not answer: %v", c.name, err)}
 	}
 	defer resp.Body.Close()
-	return readResponse(resp, answer)
+	return ReadResponse(resp, answer)
 }
 
-func readResponse(resp *http.Response, answer any) error {
-	text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<30))
+// ReadResponse decodes the answer of an agent, and returns a *Failure if the agent
+// answered with one or the response is not an agent's. The caller closes the body.
+func ReadResponse(resp *http.Response, answer any) error {
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return &Failure{codeOutcomeUnknown, fmt.Sprintf("the answer was cut short: %v", err)}
+		return &Failure{CodeOutcomeUnknown, fmt.Sprintf("the answer was cut short: %v", err)}
 	}
 	if resp.StatusCode != http.StatusOK {
 		var f Failure
 		if json.Unmarshal(text, &f) != nil || f.Code == "" {
-			return &Failure{codeUnreachable, fmt.Sprintf("the answer is %s, and not an agent's", resp.Status)}
+			return &Failure{CodeUnreachable, fmt.Sprintf("the answer is %s, and not an agent's", resp.Status)}
 		}
 		return &f
 	}
 	if err := json.Unmarshal(text, answer); err != nil {
-		return &Failure{codeUnreachable, fmt.Sprintf("the answer is not an agent's: %v", err)}
+		return &Failure{CodeUnreachable, fmt.Sprintf("the answer is not an agent's: %v", err)}
 	}
 	return nil
 }
 
-// Status tells how the site is.
+// Status returns the state of the site.
 func (c *Client) Status(ctx context.Context) (s Status, err error) {
 	return s, c.call(ctx, http.MethodGet, "/v1/status", nil, &s)
 }
 
-// Revisions lists the history.
+// Revisions returns the history, without the contents.
 func (c *Client) Revisions(ctx context.Context) (l Revisions, err error) {
 	return l, c.call(ctx, http.MethodGet, "/v1/revisions", nil, &l)
 }
 
-// Revision gets one revision whole.
+// Revision returns one revision with its content.
 func (c *Client) Revision(ctx context.Context, n uint64) (r revisions.Revision, err error) {
 	return r, c.call(ctx, http.MethodGet, fmt.Sprintf("/v1/revisions/%d", n), nil, &r)
 }
 
-// Members lists voters and agents.
+// Members returns the voters and the agents.
 func (c *Client) Members(ctx context.Context) (m Members, err error) {
 	return m, c.call(ctx, http.MethodGet, "/v1/members", nil, &m)
 }
 
-// Audit reads the audit log, with the calls that the asked agent refused.
+// Audit returns the audit log, with the calls that the called agent refused.
 func (c *Client) Audit(ctx context.Context) (l Audit, err error) {
 	if err := c.call(ctx, http.MethodGet, "/v1/audit", nil, &l); err != nil {
 		return l, err
@@ -162,26 +154,24 @@
 	return l, err
 }
 
-// Apply applies a content or an old revision. A call whose answer is lost is
-// repeated under its request's name for as long as ctx holds.
+// Apply applies a content or an old revision. A call whose answer is lost is retried
+// with the same idempotency key until ctx ends.
 func (c *Client) Apply(ctx context.Context, a ApplyRequest) (out ApplyResult, err error) {
 	for {
 		err = c.call(ctx, http.MethodPost, "/v1/apply", a, &out)
 		var f *Failure
-		if err == nil || !errors.As(err, &f) || f.Code != codeOutcomeUnknown && f.Code != codeUnreachable {
+		if err == nil || !errors.As(err, &f) || f.Code != CodeOutcomeUnknown && f.Code != CodeUnreachable {
 			return out, err
 		}
 		select {
 		case <-ctx.Done():
 			return out, err
-		case <-time.After(retryDelay):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-const retryDelay = 200 * time.Millisecond
-
-// Probe asks all agents what they would make of a content.
+// Probe has all agents check a content, and returns what each instance would do.
 func (c *Client) Probe(ctx context.Context, content revisions.Content) (l []Probe, err error) {
 	return l, c.call(ctx, http.MethodPost, "/v1/probe", content, &l)
 }
@@ -191,29 +181,30 @@
 	return c.call(ctx, http.MethodPost, "/v1/"+verb, v, &struct{}{})
 }
 
-// AddMember makes an agent a voter, and tells which voters have yet to note it.
+// AddMember makes an agent a voter, and returns which voters have not applied that yet.
 func (c *Client) AddMember(ctx context.Context, v ChangeRequest) (m MemberChange, err error) {
 	return m, c.call(ctx, http.MethodPost, "/v1/members/add", v, &m)
 }
 
-// AddNonVoter makes an agent a replica that answers reads and has no vote, and tells which stores have yet to note it.
+// AddNonVoter makes an agent a replica that answers reads and has no vote, and returns
+// which stores have not applied that yet.
 func (c *Client) AddNonVoter(ctx context.Context, v ChangeRequest) (m MemberChange, err error) {
 	return m, c.call(ctx, http.MethodPost, "/v1/replicas/add", v, &m)
 }
 
-// RemoveMember takes a voter out, and tells the same.
+// RemoveMember removes a voter, and returns the same.
 func (c *Client) RemoveMember(ctx context.Context, v ChangeRequest) (m MemberChange, err error) {
 	return m, c.call(ctx, http.MethodPost, "/v1/members/remove", v, &m)
 }
 
-// Snapshot saves the site's state.
+// Snapshot returns the site's state, encoded.
 func (c *Client) Snapshot(ctx context.Context) ([]byte, error) {
 	var text json.RawMessage
 	err := c.call(ctx, http.MethodGet, "/v1/snapshot", nil, &text)
 	return text, err
 }
 
-// Restore puts a saved state in the place of the site's.
+// Restore replaces the site's state with a saved one.
 func (c *Client) Restore(ctx context.Context, text []byte) error {
 	return c.call(ctx, http.MethodPost, "/v1/snapshot", text, &struct{}{})
 }
--- a/internal/agentapi/records.go
+++ b/internal/agentapi/records.go
@@ -6,6 +6,17 @@
 	"elderyard/records"
 )
 
+// The paths of the calls on records, beside those that followers make.
+const (
+	RecordsPrefix       = "/v1/records/"
+	RecordsChangePath   = RecordsPrefix + "change"
+	RecordsGetPath      = RecordsPrefix + "get"
+	RecordsListPath     = RecordsPrefix + "list"
+	RecordsVersionsPath = RecordsPrefix + "versions"
+	RecordsDiffPath     = RecordsPrefix + "diff"
+	RecordsLagPath      = RecordsPrefix + "lag"
+)
+
 // RecordsChange is a change of records as an operator's tool sends it. A repeat
 // under the same request key is answered as the first one was.
 type RecordsChange struct {
@@ -44,10 +55,10 @@
 	// AgeSeconds is for how long the copy has not been confirmed to be the newest;
 	// nil: it never was.
 	AgeSeconds *float64 `json:"age_s,omitempty"`
-	Why        string   `json:"why,omitempty"` // why it is not being confirmed, or not kept on disk
+	Why        string   `json:"why,omitempty"` // why it is not being confirmed, or not saved on disk
 }
 
-// RecordsHead is what the leader tells of the site's records.
+// RecordsHead is the version of the site's records, as the leader knows it.
 type RecordsHead struct {
 	Version uint64 `json:"version"`
 }
@@ -60,21 +71,21 @@
 	RecordsInForce   RecordsState = "in force" // it has the newest version
 	RecordsBehind    RecordsState = "behind"
 	RecordsDiffer    RecordsState = "differs" // at a version whose content was another
-	RecordsSilent    RecordsState = "silent"  // the agent is not heard of
+	RecordsSilent    RecordsState = "silent"  // the leader has no recent report of the agent
 	RecordsNoReports RecordsState = "off"     // the agent reports no records
 	RecordsUnknown   RecordsState = "unknown" // there is no leader to compare it with
 )
 
 // RecordsLag is which agents have the newest records, and which have not, and why.
 type RecordsLag struct {
-	Stale   string         `json:"stale,omitempty"` // why this is the asked agent's copy alone; "": it is the leader's answer
+	Stale   string         `json:"stale,omitempty"` // why this is the called agent's copy alone; "": it is the leader's answer
 	Version uint64         `json:"version"`
 	Digest  records.Digest `json:"digest"`
 	InForce int            `json:"in_force"` // agents
 	Agents  []AgentRecords `json:"agents"`   // by name
 }
 
-// Everywhere tells whether all agents that keep records have the newest.
+// Everywhere reports whether all agents with a copy of the records have the newest.
 func (l RecordsLag) Everywhere() bool {
 	for _, a := range l.Agents {
 		if a.State != RecordsInForce && a.State != RecordsNoReports {
