--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/leader"
 	"elderyard/internal/process"
 	"elderyard/internal/recordsync"
 	"elderyard/internal/replica"
@@ -36,7 +37,7 @@
 	processes      map[string]*process.Process
 	self           fleet.Agent
 	store          *replica.Store // nil: no voter
-	leader         *leader        // nil: no voter
+	leader         *leader.Leader // nil: no voter
 	port           *port          // nil: the local socket alone
 	peerClient     *http.Client
 	loopback       *connListener        // connections of this agent to itself
@@ -123,10 +124,10 @@
 		defer a.store.Close()
 		defer wg.Wait() // the lead uses the store
 		defer stop()
-		a.leader = newLeader(c.Name, c.Advertise, a.store, time.Duration(c.Timing.Settle), c.Roster, o.Log)
-		wg.Go(func() { a.leader.run(inner) })
+		a.leader = leader.New(leader.Options{Name: c.Name, Address: c.Advertise, Store: a.store, SettleTime: time.Duration(c.Timing.Settle), Roster: c.Roster, Log: o.Log})
+		wg.Go(func() { a.leader.Run(inner) })
 		if c.ServiceFrom != "" {
-			wg.Go(func() { a.watchService(inner) })
+			wg.Go(func() { a.leader.WatchService(inner, c.ServiceFrom) })
 		}
 	}
 	a.loopback = newConnListener(advertisedAddr(localServer))
--- a/internal/agent/agent_linux_test.go
+++ b/internal/agent/agent_linux_test.go
@@ -22,6 +22,7 @@
 
 	"elderyard/fleet"
 	"elderyard/internal/agentapi"
+	"elderyard/internal/leader"
 	"elderyard/internal/loopback"
 	"elderyard/internal/pki"
 	"elderyard/internal/process"
@@ -384,9 +385,9 @@
 	m.apply("1", 0, file(fine, "basic"))
 	m.is(m.ended(1), rollout.Applied, 1)
 	level.Store("nonsense") // says nothing
-	time.Sleep(2 * servicePollInterval)
+	time.Sleep(2 * leader.ServicePollInterval)
 	level.Store("0.94")
-	time.Sleep(2 * servicePollInterval)
+	time.Sleep(2 * leader.ServicePollInterval)
 	m.apply("2", 1, text("gold"))
 	until(t, "the canary has it", func() bool { return m.status().Instances[0].Running == 2 })
 	level.Store("0.7")
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -11,6 +11,7 @@
 	"elderyard/fleet"
 	"elderyard/internal/agentapi"
 	"elderyard/internal/document"
+	"elderyard/internal/leader"
 	"elderyard/internal/replica"
 	"elderyard/revisions"
 	"elderyard/rollout"
@@ -25,20 +26,14 @@
 	if request.name != r.Agent.Name && !a.config.Plain {
 		return nil, &agentapi.Failure{Code: agentapi.CodeForbidden, Text: fmt.Sprintf("%s reports as %s", request.name, r.Agent.Name)}
 	}
-	var got *agentapi.Orders
-	err := a.inTerm(ctx, func(t *term) (err error) {
-		got, err = t.report(ctx, &r)
-		return err
-	})
-	return got, err
+	return a.leader.Report(ctx, &r)
 }
 
 func (a *Agent) handleStatus(ctx context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	var s agentapi.Status
-	err := a.inTerm(ctx, func(t *term) error { s = t.status(); return nil })
+	s, err := a.leader.Status(ctx)
 	if err := a.store.DiskError(); err != nil {
 		s.Store = err.Error()
 	}
@@ -185,7 +180,7 @@
 func (a *Agent) propose(ctx context.Context, e fleet.Entry) (fleet.Outcome, error) {
 	out, err := a.store.Propose(ctx, e)
 	if err == nil && out.Rejected != "" {
-		err = &refusedError{out.Rejected}
+		err = &leader.RejectedError{Reason: out.Rejected}
 	}
 	return out, err
 }
@@ -201,7 +196,7 @@
 		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 	}
 	if !a.store.IsLeader() {
-		return nil, errNotLeading
+		return nil, leader.ErrNotLeading
 	}
 	if got.Content != nil {
 		if err := a.parse(ctx, "file", *got.Content); err != nil {
@@ -237,13 +232,7 @@
 
 func (a *Agent) handleRolloutEvent(ev func(by string) rollout.Event) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
-		err := a.inTerm(ctx, func(t *term) error {
-			if t.machine == nil {
-				return &refusedError{"no rollout is on its way, or the leader has yet to hear from the agents"}
-			}
-			return t.step(ctx, ev(c.name), c.name)
-		})
-		return struct{}{}, err
+		return struct{}{}, a.leader.HandleRolloutEvent(ctx, ev(c.name), c.name)
 	}
 }
 
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -27,6 +27,7 @@
 
 	"elderyard/fleet"
 	"elderyard/internal/agentapi"
+	"elderyard/internal/leader"
 	"elderyard/internal/pki"
 	"elderyard/internal/replica"
 	"elderyard/internal/site"
@@ -250,11 +251,11 @@
 		{"in doubt", &agentapi.Failure{Code: agentapi.CodeOutcomeUnknown, Text: "it is in doubt"}},
 		{"wrapped failure", fmt.Errorf("first: %w", &agentapi.Failure{Code: agentapi.CodeRefused, Text: "it is refused"})},
 		{"failure of a later release", &agentapi.Failure{Code: "moody", Text: "it is moody"}},
-		{"refused by the site's state", &refusedError{"it fits no more"}},
-		{"refused by the machine", fmt.Errorf("first: %w", &refusedError{"it fits no more"})},
+		{"refused by the site's state", &leader.RejectedError{Reason: "it fits no more"}},
+		{"refused by the machine", fmt.Errorf("first: %w", &leader.RejectedError{Reason: "it fits no more"})},
 		{"store does not know", fmt.Errorf("first: %w", replica.ErrUnknown)},
 		{"time limit", context.DeadlineExceeded},
-		{"does not lead", errNotLeading},
+		{"does not lead", leader.ErrNotLeading},
 		{"store has no leader", fmt.Errorf("first: %w", replica.ErrNoLeader)},
 		{"anything else", errors.New("the store is closed")},
 	} {
--- a/internal/agent/records.go
+++ b/internal/agent/records.go
@@ -186,3 +186,10 @@
 	}
 	return n, nil
 }
+
+func (a *Agent) handleRecordsLag(ctx context.Context, _ *call) (any, error) {
+	if err := a.store.VerifyLeader(); err != nil {
+		return nil, err
+	}
+	return a.leader.RecordsLag(ctx)
+}
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -11,6 +11,7 @@
 	"elderyard/fleet"
 	"elderyard/internal/agentapi"
 	"elderyard/internal/document"
+	"elderyard/internal/leader"
 	"elderyard/internal/process"
 	"elderyard/internal/wait"
 	"elderyard/revisions"
@@ -92,12 +93,8 @@
 	defer cancel()
 	r := a.buildReport()
 	if a.leader != nil {
-		var got *agentapi.Orders
-		err := a.leader.do(ctx, func(t *term) (err error) {
-			got, err = t.report(ctx, &r)
-			return err
-		})
-		if err == nil || !errors.Is(err, errNotLeading) {
+		got, err := a.leader.Report(ctx, &r)
+		if err == nil || !errors.Is(err, leader.ErrNotLeading) {
 			return got, err
 		}
 	}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"elderyard/internal/agentapi"
+	"elderyard/internal/leader"
 	"elderyard/internal/pki"
 	"elderyard/internal/replica"
 	"elderyard/internal/wait"
@@ -124,9 +125,9 @@
 	case a.store != nil:
 		answer, err = a.whenLeading(ctx, target, c)
 	default:
-		err = errNotLeading
+		err = leader.ErrNotLeading
 	}
-	if errors.Is(err, errNotLeading) || errors.Is(err, replica.ErrNoLeader) {
+	if errors.Is(err, leader.ErrNotLeading) || errors.Is(err, replica.ErrNoLeader) {
 		text, sent := a.forward(ctx, c)
 		if sent == nil {
 			response.Header().Set("Content-Type", "application/json")
@@ -154,7 +155,7 @@
 func (a *Agent) whenLeading(ctx context.Context, e *endpoint, c *call) (answer any, err error) {
 	for limit := time.Now().Add(electionTimeout); ; wait.For(ctx, electionPollInterval) {
 		answer, err = e.handle(ctx, c)
-		if !errors.Is(err, errNotLeading) && !errors.Is(err, replica.ErrNoLeader) || ctx.Err() != nil || time.Now().After(limit) {
+		if !errors.Is(err, leader.ErrNotLeading) && !errors.Is(err, replica.ErrNoLeader) || ctx.Err() != nil || time.Now().After(limit) {
 			return answer, err
 		}
 		if _, address := a.store.Leader(); address != "" && address != a.self.Address {
@@ -165,7 +166,7 @@
 
 func asFailure(err error) (*agentapi.Failure, int) {
 	var f *agentapi.Failure
-	var r *refusedError
+	var r *leader.RejectedError
 	switch {
 	case errors.As(err, &f):
 		status := map[string]int{agentapi.CodeBadRequest: http.StatusBadRequest, agentapi.CodeRefused: http.StatusConflict, agentapi.CodeForbidden: http.StatusForbidden,
@@ -175,10 +176,10 @@
 		}
 		return f, status
 	case errors.As(err, &r):
-		return &agentapi.Failure{Code: agentapi.CodeRefused, Text: r.text}, http.StatusConflict
+		return &agentapi.Failure{Code: agentapi.CodeRefused, Text: r.Reason}, http.StatusConflict
 	case errors.Is(err, replica.ErrUnknown), errors.Is(err, context.DeadlineExceeded):
 		return &agentapi.Failure{Code: agentapi.CodeOutcomeUnknown, Text: err.Error()}, http.StatusGatewayTimeout
-	case errors.Is(err, errNotLeading), errors.Is(err, replica.ErrNoLeader):
+	case errors.Is(err, leader.ErrNotLeading), errors.Is(err, replica.ErrNoLeader):
 		return &agentapi.Failure{Code: agentapi.CodeUnreachable, Text: err.Error()}, http.StatusServiceUnavailable
 	}
 	return &agentapi.Failure{Code: agentapi.CodeRefused, Text: err.Error()}, http.StatusConflict
@@ -227,10 +228,3 @@
 	}
 	return nil, err
 }
-
-// inTerm does something where this voter leads.
-func (a *Agent) inTerm(ctx context.Context, do func(*term) error) error {
-	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
-	defer cancel()
-	return a.leader.do(ctx, do)
-}
--- a/internal/agent/records_lag.go
+++ b/internal/leader/records.go
@@ -1,7 +1,6 @@
-package agent
+package leader
 
 import (
-	"context"
 	"maps"
 	"slices"
 	"time"
@@ -10,18 +9,15 @@
 	"elderyard/records"
 )
 
-// recordsReport is what the leader knows of an agent's copy of the records.
+// recordsReport is the last report on an agent's copy of the records.
 type recordsReport struct {
-	status     *agentapi.RecordsStatus // nil: the agent keeps none
+	status     *agentapi.RecordsStatus // nil: the agent has none
 	receivedAt time.Time
 }
 
-// receiveRecords notes what a report says of an agent's copy, and returns what the
-// agent is told of the site's records; nil: it keeps none.
+// receiveRecords records the report on an agent's copy and returns the head of the
+// site's records; nil: the agent has no copy.
 func (t *term) receiveRecords(agent string, status *agentapi.RecordsStatus) *agentapi.RecordsHead {
-	if t.recordsReports == nil {
-		t.recordsReports = map[string]recordsReport{}
-	}
 	t.recordsReports[agent] = recordsReport{status: status, receivedAt: time.Now()}
 	if status == nil {
 		return nil
@@ -54,7 +50,8 @@
 	return lag
 }
 
-// compareRecords finds how one agent's copy stands to the store's content.
+// compareRecords compares an agent's copy with the store, whose history is the newest
+// change first.
 func compareRecords(name string, report recordsReport, store *records.Store, history []records.ChangeInfo) agentapi.AgentRecords {
 	at := report.receivedAt.UTC()
 	one := agentapi.AgentRecords{Agent: name, ReportedAt: &at}
@@ -78,8 +75,8 @@
 	return one
 }
 
-// firstMissingAt tells when the first change above a version was accepted, as far as
-// the history, newest first, goes back.
+// firstMissingAt returns when the first change above a version was accepted, as far as
+// the history, newest first, reaches; nil: there is none.
 func firstMissingAt(version uint64, history []records.ChangeInfo) *time.Time {
 	n, _ := slices.BinarySearchFunc(history, version, func(info records.ChangeInfo, version uint64) int {
 		if info.Version > version {
@@ -94,16 +91,7 @@
 	return &at
 }
 
-func (a *Agent) handleRecordsLag(ctx context.Context, _ *call) (any, error) {
-	if err := a.store.VerifyLeader(); err != nil {
-		return nil, err
-	}
-	var lag agentapi.RecordsLag
-	err := a.inTerm(ctx, func(t *term) error { lag = t.recordsLag(); return nil })
-	return lag, err
-}
-
-// dropRecords drops what was heard of agents that no longer belong to the site.
+// dropRecords drops the reports of agents that are no longer in the site.
 func (t *term) dropRecords() {
 	for name := range t.recordsReports {
 		if _, inSite := t.agents[name]; !inSite {
--- /dev/null
+++ b/internal/leader/report.go
@@ -0,0 +1,117 @@
+package leader
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"time"
+
+	"elderyard/fleet"
+	"elderyard/internal/agentapi"
+	"elderyard/rollout"
+	"elderyard/supervise"
+)
+
+// report records an agent's report and returns its orders.
+func (t *term) report(ctx context.Context, report *agentapi.Report) (*agentapi.Orders, error) {
+	t.refresh()
+	if err := t.enroll(ctx, report.Agent); err != nil {
+		return nil, err
+	}
+	orders := &agentapi.Orders{Leader: t.name, Address: t.address, Orders: map[string]agentapi.Order{}, Roster: t.newerRoster(report), Records: t.receiveRecords(report.Agent.Name, report.Records)}
+	for _, o := range report.Instances {
+		if _, found := slices.BinarySearch(report.Agent.Instances, o.Name); !found {
+			return nil, &RejectedError{fmt.Sprintf("agent %s has no instance %s", report.Agent.Name, o.Name)}
+		}
+		t.lastReports[o.Name] = &instanceReport{o, time.Now()}
+	}
+	if err := t.followState(ctx); err != nil {
+		return nil, err
+	}
+	for _, o := range report.Instances {
+		if err := t.stepReported(ctx, &o); err != nil {
+			return nil, err
+		}
+	}
+	if t.machine == nil {
+		orders.Wait = t.currentRollout.New != 0
+		return orders, nil
+	}
+	for _, o := range report.Instances {
+		if order, is := t.order(&o); is {
+			orders.Orders[o.Name] = order
+		}
+	}
+	return orders, nil
+}
+
+// enroll commits an agent that is new, or whose address or instances have changed.
+func (t *term) enroll(ctx context.Context, agent fleet.Agent) error {
+	known := t.agents[agent.Name]
+	if known.Name != "" && known.Address == agent.Address && slices.Equal(known.Instances, agent.Instances) {
+		return nil
+	}
+	out, err := t.store.Propose(ctx, fleet.Entry{Enroll: &fleet.Enroll{Agent: agent, At: time.Now().UTC()}})
+	if err != nil {
+		return err
+	}
+	if out.Rejected != "" {
+		return &RejectedError{out.Rejected}
+	}
+	return nil
+}
+
+// stepReported passes the report on an instance to the machine. Drained instances
+// take no part in a rollout.
+func (t *term) stepReported(ctx context.Context, o *agentapi.Observed) error {
+	if t.machine == nil || t.drained[o.Name] {
+		return nil
+	}
+	if err := t.step(ctx, rollout.InstanceReported{Instance: o.Name, Observed: t.observed(o)}, ""); err != nil {
+		return err
+	}
+	if o.Refused == 0 {
+		return nil
+	}
+	return t.step(ctx, rollout.Rejected{Instance: o.Name, Revision: rollout.Revision(o.Refused), Reason: o.Refusal}, "")
+}
+
+// observed converts the report on an instance for the machine. An instance whose
+// content has another checksum runs a revision of another site with the same number,
+// and none of this one's.
+func (t *term) observed(o *agentapi.Observed) rollout.Observed {
+	observed := rollout.Observed{Revision: rollout.Revision(o.Running), Ready: o.State == supervise.Ready, Crashes: o.Crashes}
+	if o.Content != t.checksum(o.Running) {
+		observed.Revision = 0
+	}
+	return observed
+}
+
+// order returns what an instance is to run, and whether there is an order at all. An
+// instance that the first rollout of a site has not reached gets none and goes on as
+// it is: an order to run nothing would stop all gateways that ran before the site was
+// founded anew.
+func (t *term) order(o *agentapi.Observed) (agentapi.Order, bool) {
+	order := agentapi.Order{Revision: uint64(t.machine.InstanceRevision(o.Name)), Drained: t.drained[o.Name]}
+	if order.Revision == 0 {
+		rolledBack := t.machine.Status().State == rollout.RolledBack && o.Target == t.machineRevision
+		return order, rolledBack || order.Drained
+	}
+	order.Checksum = t.checksum(order.Revision)
+	return order, true
+}
+
+// checksum returns the checksum of a revision; "": there is no such revision.
+func (t *term) checksum(revision uint64) string {
+	sum, found := t.checksums[revision]
+	if !found {
+		t.store.View(func(s *fleet.State) {
+			r, _ := s.Revision(revision)
+			sum = r.Checksum
+		})
+		if len(t.checksums) < maxCachedChecksums {
+			t.checksums[revision] = sum
+		}
+	}
+	return sum
+}
--- a/internal/agent/belong_test.go
+++ b/internal/leader/roster_test.go
@@ -1,4 +1,4 @@
-package agent
+package leader
 
 import (
 	"bytes"
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// An instance whose name no roster can have, enrolled by an agent that does not ask
-// for one, must not cost the leader its lead: it is said once, and the roster stays.
+// An instance whose name no roster can have, enrolled by an agent that does not want
+// one, does not end the term: it is logged once, and the roster stays.
 func TestNameInvalidForRosterKeepsLeadership(t *testing.T) {
 	var logged bytes.Buffer
 	long := strings.Repeat("g", 65)
-	lead := &leader{rosterEnabled: true, log: slog.New(slog.NewTextHandler(&logged, nil))}
-	now := &term{leader: lead, drained: map[string]bool{long: false}, rosterCandidates: []string{long}, candidatesSince: time.Now().Add(-time.Minute)}
+	lead := &Leader{rosterEnabled: true, log: slog.New(slog.NewTextHandler(&logged, nil))}
+	now := &term{Leader: lead, drained: map[string]bool{long: false}, rosterCandidates: []string{long}, candidatesSince: time.Now().Add(-time.Minute)}
 	for range 3 {
 		if err := now.updateRoster(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if strings.Count(logged.String(), "the roster stays") != 1 {
-		t.Errorf("it says %q", logged.String())
+	if strings.Count(logged.String(), "keeping the agreed one") != 1 {
+		t.Errorf("it logs %q", logged.String())
 	}
 }
--- a/internal/agent/service.go
+++ b/internal/leader/service.go
@@ -1,4 +1,4 @@
-package agent
+package leader
 
 import (
 	"context"
@@ -10,42 +10,39 @@
 	"time"
 
 	"elderyard/internal/wait"
-	"elderyard/rollout"
 )
 
 const (
-	servicePollInterval = time.Second
+	// ServicePollInterval is the time between two reads of the service level.
+	ServicePollInterval = time.Second
 	serviceTimeout      = 2 * time.Second
 	maxServiceBytes     = 64 // bytes of an answer
 )
 
-// watchService reads the site's level of service while this voter leads, until
-// ctx ends. What can't be read says nothing: a rollout is not held up, nor
-// turned back, by a monitor that is away.
-func (a *Agent) watchService(ctx context.Context) {
+// WatchService polls the site's service level from a URL while this voter leads, until
+// ctx ends. A level that can't be read is not reported: an unavailable monitor neither
+// delays a rollout nor rolls it back.
+func (l *Leader) WatchService(ctx context.Context, url string) {
 	client := &http.Client{Timeout: serviceTimeout}
 	defer client.CloseIdleConnections()
-	silent := false
-	for wait.For(ctx, servicePollInterval) {
-		if !a.store.IsLeader() {
+	known := true
+	for wait.For(ctx, ServicePollInterval) {
+		if !l.store.IsLeader() {
 			continue
 		}
-		level, err := readService(ctx, client, a.config.ServiceFrom)
-		if (err != nil) != silent {
-			silent = err != nil
-			a.log.Warn("the site's level of service", "known", !silent, "error", err)
+		level, err := readService(ctx, client, url)
+		if (err == nil) != known {
+			known = err == nil
+			l.log.Warn("service level monitor changed state", "known", known, "error", err)
 		}
 		if err == nil {
-			// A refusal is of a voter that leads no more, or has no rollout.
-			_ = a.inTerm(ctx, func(t *term) error {
-				t.serviceLevel = level
-				return t.step(ctx, rollout.ServiceReported{Level: level}, "")
-			})
+			// An error means that this voter leads no more; the next leader polls as well.
+			_ = l.setServiceLevel(ctx, level)
 		}
 	}
 }
 
-// readService gets one number from 0 to 1 as plain text.
+// readService reads the service level from a URL: a number from 0 to 1 as plain text.
 func readService(ctx context.Context, client *http.Client, url string) (float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
