--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"sync"
 	"time"
 
@@ -23,177 +24,267 @@
 
 // Options are what an agent is started with beside its file.
 type Options struct {
-	Recover      bool // become the only voter
-	StopGateways bool // end the gateways when the agent is asked to end
+	Recover      bool // make this voter the only one, after a majority was lost
+	StopGateways bool // stop the gateways when ctx ends
 	Log          *slog.Logger
-	// Started, where it is set, is told the port's address.
+	// Started, where it is set, is called with the address of the agent's port.
 	Started func(address string)
 }
 
-// Agent is one agent.
+// Agent is one agent. Run owns it; the fields below mu are shared by the reports and
+// the calls.
 type Agent struct {
 	config         Config
 	log            *slog.Logger
-	processes      map[string]*process.Process
-	self           fleet.Agent
-	store          *replica.Store // nil: no voter
-	leader         *leader.Leader // nil: no voter
-	port           *port          // nil: the local socket alone
+	processes      map[string]*process.Process // by instance
+	self           fleet.Agent                 // as others know this agent
+	store          *replica.Store              // nil: no voter
+	leader         *leader.Leader              // nil: no voter
+	port           *port                       // nil: the local socket alone
 	peerClient     *http.Client
 	loopback       *connListener        // connections of this agent to itself
 	recordsHandler http.Handler         // answers followers of the records; nil: records are off
 	records        *recordsync.Follower // this agent's copy; nil: records are off
 	refusals       *refusals
-	checkSlots     chan struct{} // bounds what is parsed at once
+	checkSlots     chan struct{} // bounds concurrent checks of contents
 
-	rosterEpoch uint64 // of the roster that is kept for the gateways, 0: none is; of the goroutine that reports
+	goroutines sync.WaitGroup // all end with the context of Run's steps
+	failed     chan error     // of the servers
+	closers    []func()       // of what the steps have opened
+
+	rosterEpoch uint64 // of the roster file, 0: there is none; owned by the goroutine of runReports
 
 	mu              sync.Mutex
-	leaderAddress   string                        // its address, as last heard
-	leaderError     string                        // why this agent has no leader; "": it has
+	leaderAddress   string                        // as last reported; "": unknown
+	leaderError     string                        // why no leader can be reached; "": one is
 	rejected        map[string]rejectedRevision   // by instance
-	cachedRevisions map[uint64]revisions.Revision // contents that instances here are told
+	cachedRevisions map[uint64]revisions.Revision // by number
 }
 
+// rejectedRevision is an ordered revision that an instance can't run.
 type rejectedRevision struct {
 	revision uint64
-	why      string
+	reason   string
 }
 
 const (
-	reportTimeout       = 10 * time.Second // over all voters
-	voterTimeout        = 2 * time.Second  // of one
-	maxCachedRevisions  = 8                // contents
+	reportTimeout       = 10 * time.Second // of a report, over all voters
+	voterTimeout        = 2 * time.Second  // of a report to one voter
+	maxCachedRevisions  = 8
 	maxConcurrentChecks = 2
-	stopTimeout         = time.Minute
+	stopTimeout         = time.Minute // of all gateways
 	revisionsFile       = "revision.json"
+	refusalsFile        = "refused.log"
 )
 
-// Run runs an agent until ctx ends. Its gateways stay, unless Options say
-// otherwise.
-func Run(ctx context.Context, c Config, o Options) (err error) {
-	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
+// Run runs an agent until ctx ends or a part of it fails, and returns why it failed;
+// nil: ctx has ended. The gateways go on unless Options.StopGateways is set.
+//
+// It opens the agent's parts step by step; an error of a step names what could not be
+// opened. At the end all goroutines are stopped and awaited first, and then the parts
+// are closed, the last opened first: the store outlives the leader that uses it, and
+// the lock of the folder is released when nothing writes there any more.
+func Run(ctx context.Context, c Config, o Options) error {
+	a := &Agent{config: c, log: o.Log, processes: map[string]*process.Process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
+		checkSlots: make(chan struct{}, maxConcurrentChecks), failed: make(chan error, 2),
+		self: fleet.Agent{Name: c.Name, Address: c.Advertise, Instances: []string{}}}
+	// The parts do not end with ctx: they are needed to stop the gateways.
+	running, stop := context.WithCancel(context.Background())
+	defer a.close()
+	defer a.goroutines.Wait()
+	defer stop()
+	for _, step := range []func() error{
+		a.openFolder,
+		func() error { return a.listen(o.Started) },
+		a.openProcesses,
+		a.openPeerClient,
+		func() error { return a.startVoter(running, o.Recover) },
+		func() error { return a.startRecords(running) },
+		func() error { return a.startServers(running) },
+	} {
+		if err := step(); err != nil {
+			return err
+		}
+	}
+	a.startInstances(running)
+	o.Log.Info("agent started", "name", c.Name, "listen", a.self.Address, "socket", c.Socket, "voter", c.Voter, "instances", len(a.processes))
+	err := a.awaitEnd(ctx)
+	if o.StopGateways && err == nil {
+		a.stopGateways(running)
+	}
+	return err
+}
+
+// onClose adds a function to those that close calls.
+func (a *Agent) onClose(closer func()) { a.closers = append(a.closers, closer) }
+
+// close closes what the steps of Run have opened, the last first.
+func (a *Agent) close() {
+	for _, closer := range slices.Backward(a.closers) {
+		closer()
+	}
+}
+
+// openFolder creates and locks the agent's folder, and opens its files.
+func (a *Agent) openFolder() error {
+	if err := os.MkdirAll(a.config.Dir, 0o700); err != nil {
 		return fmt.Errorf("agent's folder: %w", err)
 	}
-	unlock, err := lockFolder(c.Dir)
+	unlock, err := lockFolder(a.config.Dir)
 	if err != nil {
 		return err
 	}
-	defer unlock()
-	if info, err := os.Stat(c.Gateway); len(c.Instances) > 0 && (err != nil || info.IsDir()) {
-		return fmt.Errorf("gateway's program: %s is not there", c.Gateway)
+	a.onClose(unlock)
+	if info, err := os.Stat(a.config.Gateway); len(a.config.Instances) > 0 && (err != nil || info.IsDir()) {
+		return fmt.Errorf("gateway's program: %s is not there", a.config.Gateway)
 	}
-	a := &Agent{config: c, log: o.Log, processes: map[string]*process.Process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
-		checkSlots: make(chan struct{}, maxConcurrentChecks)}
-	if a.refusals, err = openRefusals(filepath.Join(c.Dir, "refused.log")); err != nil {
+	if a.refusals, err = openRefusals(filepath.Join(a.config.Dir, refusalsFile)); err != nil {
 		return err
 	}
-	defer a.refusals.close()
+	a.onClose(a.refusals.close)
 	a.loadCachedRevisions()
-	if c.Listen != "" {
-		if a.port, err = openPort(&c, a.refusals.add); err != nil {
-			return err
-		}
-		defer a.port.close()
-		if o.Started != nil {
-			o.Started(a.port.listener.Addr().String())
-		}
-		if _, port, _ := net.SplitHostPort(c.Advertise); port == "0" {
-			c.Advertise = a.port.listener.Addr().String()
-			a.port.raft.addr = advertisedAddr(c.Advertise)
-		}
+	return nil
+}
+
+// listen opens the agent's port, if its file has one. With port 0 others know the
+// agent by the address that the system has assigned.
+func (a *Agent) listen(started func(address string)) (err error) {
+	if a.config.Listen == "" {
+		return nil
+	}
+	if a.port, err = openPort(&a.config, a.refusals.add); err != nil {
+		return err
+	}
+	a.onClose(a.port.close)
+	address := a.port.listener.Addr().String()
+	if started != nil {
+		started(address)
 	}
-	a.self = fleet.Agent{Name: c.Name, Address: c.Advertise, Instances: []string{}}
-	for _, e := range c.Instances {
-		a.self.Instances = append(a.self.Instances, e.Name)
-		if a.processes[e.Name], err = process.Open(a.processOptions(e)); err != nil {
+	if _, port, _ := net.SplitHostPort(a.config.Advertise); port == "0" {
+		a.self.Address = address
+		a.port.raft.addr = advertisedAddr(address)
+	}
+	return nil
+}
+
+// openProcesses opens the instances' processes, and adopts the gateways that run.
+func (a *Agent) openProcesses() (err error) {
+	for _, entry := range a.config.Instances {
+		a.self.Instances = append(a.self.Instances, entry.Name)
+		if a.processes[entry.Name], err = process.Open(a.processOptions(entry)); err != nil {
 			return err
 		}
 	}
+	return nil
+}
+
+// openPeerClient opens the client by which other agents are called.
+func (a *Agent) openPeerClient() error {
 	a.peerClient = &http.Client{Transport: a.transport()}
-	defer a.peerClient.CloseIdleConnections()
+	a.onClose(a.peerClient.CloseIdleConnections)
+	return nil
+}
 
-	inner, stop := context.WithCancel(context.Background())
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	defer stop()
-	if c.Voter {
-		if a.store, err = a.openStore(o.Recover); err != nil {
-			return err
-		}
-		defer a.store.Close()
-		defer wg.Wait() // the lead uses the store
-		defer stop()
-		a.leader = leader.New(leader.Options{Name: c.Name, Address: c.Advertise, Store: a.store, SettleTime: time.Duration(c.Timing.Settle), Roster: c.Roster, Log: o.Log})
-		wg.Go(func() { a.leader.Run(inner) })
-		if c.ServiceFrom != "" {
-			wg.Go(func() { a.leader.WatchService(inner, c.ServiceFrom) })
-		}
+// startVoter opens the store of a voter and starts its leader.
+func (a *Agent) startVoter(ctx context.Context, recover bool) (err error) {
+	if !a.config.Voter {
+		return nil
 	}
+	if a.store, err = a.openStore(recover); err != nil {
+		return err
+	}
+	a.onClose(func() { a.store.Close() })
+	a.leader = leader.New(leader.Options{Name: a.self.Name, Address: a.self.Address, Store: a.store, SettleTime: time.Duration(a.config.Timing.Settle),
+		Roster: a.config.Roster, Log: a.log})
+	a.goroutines.Go(func() { a.leader.Run(ctx) })
+	if url := a.config.ServiceFrom; url != "" {
+		a.goroutines.Go(func() { a.leader.WatchService(ctx, url) })
+	}
+	return nil
+}
+
+// openStore opens the voter's store.
+func (a *Agent) openStore(recover bool) (*replica.Store, error) {
+	c := replica.Config{Dir: filepath.Join(a.config.Dir, "voter"), ID: a.config.Name, Bootstrap: len(a.config.Voters) == 0, Recover: recover,
+		HeartbeatTimeout: time.Duration(a.config.Timing.Heartbeat), Log: newRaftLogFilter(a.log)}
+	if a.port != nil {
+		c.Streams = raftStreams{a.port.raft, a.port}
+	} else {
+		c.Streams = noStreams{newConnListener(advertisedAddr(a.config.Name))}
+	}
+	return replica.Open(c)
+}
+
+// startRecords opens and follows the copy of the records, if the file has them on.
+func (a *Agent) startRecords(ctx context.Context) (err error) {
 	a.loopback = newConnListener(advertisedAddr(localServer))
-	if c.Records {
-		a.recordsHandler = a.newRecordsHandler()
-		if a.records, err = a.openRecords(); err != nil {
-			return err
-		}
-		wg.Go(func() { a.records.Run(inner) })
+	if !a.config.Records {
+		return nil
+	}
+	a.recordsHandler = a.newRecordsHandler()
+	if a.records, err = a.openRecords(); err != nil {
+		return err
 	}
-	local, err := listenLocal(c.Socket)
+	a.goroutines.Go(func() { a.records.Run(ctx) })
+	return nil
+}
+
+// startServers serves calls on the local socket, on connections of this agent to
+// itself and on the port.
+func (a *Agent) startServers(ctx context.Context) error {
+	local, err := listenLocal(a.config.Socket)
 	if err != nil {
 		return err
 	}
-	failed := make(chan error, 2)
-	serve := func(l net.Listener) {
-		s := a.server()
-		wg.Go(func() {
-			if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-				failed <- fmt.Errorf("serve: %w", err)
-			}
-		})
-		wg.Go(func() { <-inner.Done(); s.Close() })
-	}
-	serve(local)
-	serve(a.loopback)
+	a.serve(ctx, local)
+	a.serve(ctx, a.loopback)
 	if a.port != nil {
-		serve(a.port.http)
+		a.serve(ctx, a.port.http)
 	}
+	return nil
+}
+
+// serve serves calls on a listener until ctx ends. An earlier end is sent to failed.
+func (a *Agent) serve(ctx context.Context, l net.Listener) {
+	s := a.server()
+	a.goroutines.Go(func() {
+		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			a.failed <- fmt.Errorf("serve: %w", err)
+		}
+	})
+	a.goroutines.Go(func() { <-ctx.Done(); s.Close() })
+}
+
+// startInstances runs the processes, the reports by which they get their orders, and
+// the limit commands.
+func (a *Agent) startInstances(ctx context.Context) {
 	for _, p := range a.processes {
-		wg.Go(func() { p.Run(inner) })
+		a.goroutines.Go(func() { p.Run(ctx) })
 	}
-	wg.Go(func() { a.runReports(inner) })
-	if c.RESP.Listen != "" {
-		limits := &limitFront{a: a, instance: c.Instances[0].Name}
-		wg.Go(func() { limits.run(inner) })
+	a.goroutines.Go(func() { a.runReports(ctx) })
+	if a.config.RESP.Listen != "" {
+		limits := &limitFront{a: a, instance: a.config.Instances[0].Name}
+		a.goroutines.Go(func() { limits.run(ctx) })
 	}
-	o.Log.Info("agent", "name", c.Name, "listen", c.Advertise, "socket", c.Socket, "voter", c.Voter, "instances", len(a.processes))
-	var broken <-chan struct{}
+}
+
+// awaitEnd waits for the end of ctx or the failure of a part, and returns the latter.
+func (a *Agent) awaitEnd(ctx context.Context) error {
+	var storeFailed <-chan struct{}
 	if a.store != nil {
-		broken = a.store.Failed()
+		storeFailed = a.store.Failed()
 	}
 	select {
-	case err = <-failed:
-	case <-broken:
-		err = fmt.Errorf("voter's store in %s: %w: the voter has stopped, and the agent must be started anew; gateways go on", c.Dir, a.store.DiskError())
+	case err := <-a.failed:
+		return err
+	case <-storeFailed:
+		return fmt.Errorf("voter's store in %s: %w: the voter has stopped, and the agent must be started anew; gateways go on", a.config.Dir, a.store.DiskError())
 	case <-ctx.Done():
+		return nil
 	}
-	if o.StopGateways && err == nil {
-		a.stopGateways(inner)
-	}
-	return err
-}
-
-func (a *Agent) openStore(recover bool) (*replica.Store, error) {
-	c := replica.Config{Dir: filepath.Join(a.config.Dir, "voter"), ID: a.config.Name, Bootstrap: len(a.config.Voters) == 0, Recover: recover,
-		HeartbeatTimeout: time.Duration(a.config.Timing.Heartbeat), Log: newRaftLogFilter(a.log)}
-	if a.port != nil {
-		c.Streams = raftStreams{a.port.raft, a.port}
-	} else {
-		c.Streams = noStreams{newConnListener(advertisedAddr(a.config.Name))}
-	}
-	return replica.Open(c)
 }
 
-// stopGateways ends the gateways.
+// stopGateways terminates the gateways and waits for their end, at most stopTimeout.
 func (a *Agent) stopGateways(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
@@ -201,10 +292,7 @@
 		p.SetDesired(ctx, nil)
 	}
 	for _, p := range a.processes {
-		for ctx.Err() == nil {
-			if s := p.State(); s.PID == 0 {
-				break
-			}
+		for ctx.Err() == nil && p.State().PID != 0 {
 			wait.For(ctx, 10*time.Millisecond)
 		}
 	}
--- a/internal/agent/agent_linux_test.go
+++ b/internal/agent/agent_linux_test.go
@@ -207,6 +207,8 @@
 	case a := <-started:
 		m.config.Listen, m.config.Advertise = a, a
 	case err := <-m.done:
+		m.cancel = nil // it has ended: the cleanup must not wait for it
+		cancel()
 		m.t.Fatal(err)
 	}
 	var err error
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -1,7 +1,14 @@
-// Package agent runs the gateways of one machine and takes its part in the
-// fleet: it holds each gateway to the revision that is wanted of it, tells the
-// leader what it sees, and, where it is a voter, keeps the site's desired state
-// and leads its rollouts.
+// Package agent composes the parts that run in one agent: the processes of the
+// machine's gateways (internal/process), the reports to the leader and the orders that
+// answer them, the agents' HTTP interface, the copy of the records
+// (internal/recordsync), limit commands and, in a voter, the replicated desired state
+// (internal/replica) with the leader that drives rollouts (internal/leader).
+//
+// It holds each gateway to the revision that the leader orders and goes on with the
+// last committed one while no leader can be reached. It does not decide what a gateway
+// runs. Run owns all goroutines; the reports' goroutine owns the roster file, and a
+// mutex guards what calls and reports share. Two agents must not share a folder: Run
+// locks it.
 package agent
 
 import (
@@ -24,7 +31,7 @@
 	"elderyard/supervise"
 )
 
-// Config is an agent's file.
+// Config is an agent's file, agent.toml. ReadConfig returns it complete and checked.
 type Config struct {
 	Name        string          `toml:"name" doc:"the agent's name, one in the site"`
 	Dir         string          `toml:"dir" doc:"folder of all that the agent keeps"`
@@ -45,14 +52,15 @@
 	Instances   []InstanceEntry `toml:"instance" doc:"the gateways of this machine"`
 }
 
-// TLS names an agent's certificate.
+// TLS names the files of an agent's certificate. It is needed where Listen is set and
+// Plain is not.
 type TLS struct {
 	CA   string `toml:"ca" doc:"certificate of the site's authority"`
 	Cert string `toml:"cert" doc:"this agent's certificate"`
 	Key  string `toml:"key" doc:"its key"`
 }
 
-// Timing is how often and how long.
+// Timing are the agent's intervals and time limits.
 type Timing struct {
 	Report            strict.Duration `toml:"report" doc:"between two reports to the leader; default 2s"`
 	FetchTimeout      strict.Duration `toml:"fetch_within" doc:"a start waits so long for the committed revision before it takes the last one known; default 15s"`
@@ -64,17 +72,18 @@
 	KillMargin        strict.Duration `toml:"kill_margin" doc:"a gateway that was asked to end has its longest deadline and so long; default 2s"`
 }
 
-// InstanceEntry is one gateway.
+// InstanceEntry is one gateway of the agent's machine.
 type InstanceEntry struct {
 	Name   string   `toml:"name" doc:"the instance's name, one in the site"`
 	Listen string   `toml:"listen" doc:"address for clients"`
 	Env    []string `toml:"env" doc:"further KEY=VALUE of its environment"`
 }
 
-// minRecordBytes is the least budget: one poll a second and its answer.
+// minRecordBytes is the smallest budget of the copy of the records, in bytes a second:
+// one poll a second and its answer.
 const minRecordBytes = 1000
 
-// Keys lists the keys of the file with what they mean.
+// Keys returns the keys of the file with their descriptions.
 func Keys() [][2]string { return strict.Keys(Config{}) }
 
 func defaults() Config {
@@ -83,7 +92,8 @@
 		InitialBackoff: d(500 * time.Millisecond), MaxBackoff: d(30 * time.Second), BackoffResetAfter: d(time.Minute), KillMargin: d(2 * time.Second)}}
 }
 
-// ReadConfig reads an agent's file. Relative paths in it are from its folder.
+// ReadConfig reads an agent's file, sets defaults and checks it. Relative paths in it
+// are from its folder. An error names the file and, where it can, line and key.
 func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -135,29 +145,48 @@
 	return host, nil
 }
 
-// check returns the key at fault.
+// check returns the first key at fault and what is wrong with it.
 func (c *Config) check() (key string, err error) {
+	for _, check := range []func() (string, error){c.checkFolder, c.checkListen, c.checkSettings, c.checkVoters, c.checkInstances, c.checkRESP, c.checkTiming} {
+		if key, err := check(); err != nil {
+			return key, err
+		}
+	}
+	return "", nil
+}
+
+func (c *Config) checkFolder() (key string, err error) {
 	if err := fleet.CheckName("agent", c.Name); err != nil {
 		return "name", err
 	}
 	if c.Dir == "" {
 		return "dir", errors.New("is missing")
 	}
-	if c.Listen != "" {
-		host, err := splitHost(c.Listen)
-		if err != nil {
-			return "listen", err
-		}
-		if ip := net.ParseIP(host); c.Plain && (ip == nil || !ip.IsLoopback()) {
-			return "plain", fmt.Errorf("without TLS the agent listens on a loopback address only, such as 127.0.0.1, and %q is none", host)
-		}
-		if !c.Plain && (c.TLS.CA == "" || c.TLS.Cert == "" || c.TLS.Key == "") {
-			return "tls", errors.New("ca, cert and key are needed where listen is set (elderctl ca makes them)")
-		}
-		if ip := net.ParseIP(host); c.Advertise == "" && (host == "" || ip != nil && ip.IsUnspecified()) {
-			return "listen", fmt.Errorf("%q is no address for others: set advertise as well", c.Listen)
-		}
+	return "", nil
+}
+
+func (c *Config) checkListen() (key string, err error) {
+	if c.Listen == "" {
+		return "", nil
+	}
+	host, err := splitHost(c.Listen)
+	if err != nil {
+		return "listen", err
+	}
+	ip := net.ParseIP(host)
+	if c.Plain && (ip == nil || !ip.IsLoopback()) {
+		return "plain", fmt.Errorf("without TLS the agent listens on a loopback address only, such as 127.0.0.1, and %q is none", host)
+	}
+	if !c.Plain && (c.TLS.CA == "" || c.TLS.Cert == "" || c.TLS.Key == "") {
+		return "tls", errors.New("ca, cert and key are needed where listen is set (elderctl ca makes them)")
 	}
+	if c.Advertise == "" && (host == "" || ip != nil && ip.IsUnspecified()) {
+		return "listen", fmt.Errorf("%q is no address for others: set advertise as well", c.Listen)
+	}
+	return "", nil
+}
+
+func (c *Config) checkSettings() (key string, err error) {
 	if c.Advertise != "" {
 		if _, err := splitHost(c.Advertise); err != nil {
 			return "advertise", err
@@ -169,6 +198,10 @@
 	if c.RecordBytes < minRecordBytes {
 		return "records_bytes", fmt.Errorf("%d is below %d", c.RecordBytes, minRecordBytes)
 	}
+	return "", nil
+}
+
+func (c *Config) checkVoters() (key string, err error) {
 	for i, address := range c.Voters {
 		if _, err := splitHost(address); err != nil {
 			return "voters", fmt.Errorf("number %d, %q, is not an address with a port", i+1, address)
@@ -180,7 +213,11 @@
 	if len(c.Voters) > 0 && c.Listen == "" {
 		return "listen", errors.New("an agent of a site with others needs an address")
 	}
-	names, listens := map[string]bool{}, map[string]bool{}
+	return "", nil
+}
+
+func (c *Config) checkInstances() (key string, err error) {
+	names, addresses := map[string]bool{}, map[string]bool{}
 	for i, e := range c.Instances {
 		at := fmt.Sprintf("instance[%d]", i)
 		if err := fleet.CheckName("instance", e.Name); err != nil {
@@ -192,24 +229,32 @@
 		if err := members.CheckName(e.Name); c.Roster && err != nil {
 			return at + ".name", fmt.Errorf("with roster: %w", err)
 		}
-		if names[e.Name] || listens[e.Listen] {
+		if names[e.Name] || addresses[e.Listen] {
 			return at, fmt.Errorf("%s or %s stands twice", e.Name, e.Listen)
 		}
-		names[e.Name], listens[e.Listen] = true, true
+		names[e.Name], addresses[e.Listen] = true, true
 		for _, v := range e.Env {
 			if !strings.Contains(v, "=") {
 				return at + ".env", fmt.Errorf("%q is not KEY=VALUE", v)
 			}
 		}
 	}
+	return "", nil
+}
+
+func (c *Config) checkRESP() (key string, err error) {
 	if key, err := c.RESP.Check(); err != nil {
 		return key, err
 	}
 	if c.RESP.Listen != "" && len(c.Instances) == 0 {
 		return "resp.listen", errors.New("limit commands need an instance on this machine, whose plans and counter they go by")
 	}
-	p := c.supervision()
-	if err := p.Validate(); err != nil {
+	return "", nil
+}
+
+func (c *Config) checkTiming() (key string, err error) {
+	policy := c.supervision()
+	if err := policy.Validate(); err != nil {
 		return "timing", err
 	}
 	if t := c.Timing; t.Report <= 0 || t.FetchTimeout <= 0 || time.Duration(t.Heartbeat) < 50*time.Millisecond || t.Settle <= 0 {
@@ -218,10 +263,12 @@
 	return "", nil
 }
 
+// supervision returns the policy by which the instances' processes are restarted.
 func (c *Config) supervision() supervise.Policy {
 	t := &c.Timing
 	return supervise.Policy{InitialBackoff: time.Duration(t.InitialBackoff), MaxBackoff: time.Duration(t.MaxBackoff),
 		BackoffResetUptime: time.Duration(t.BackoffResetAfter), KillDelay: time.Duration(t.KillMargin)}
 }
 
+// files returns the files of the agent's certificate.
 func (c *Config) files() pki.Files { return pki.Files{CA: c.TLS.CA, Cert: c.TLS.Cert, Key: c.TLS.Key} }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -12,12 +12,14 @@
 	"io"
 	"io/fs"
 	"log/slog"
+	"maps"
 	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -326,6 +328,13 @@
 		// Not calls: another method, another path.
 		"GET /v1/apply", "POST /v1/status", "DELETE /v1/agents/remove", "GET /v1", "GET /", "GET /v1/records/mood", "POST /v1/records/list"}
 	for name, a := range map[string]*Agent{"endpoints.txt": goldenAgent(t, true), "endpoints-without-records.txt": goldenAgent(t, false)} {
+		// The reverse: no call is served that the list lacks.
+		served := slices.AppendSeq(slices.Collect(maps.Keys(a.endpoints())), maps.Keys(a.followerHandlers()))
+		for _, pattern := range served {
+			if one := strings.Replace(pattern, "{n}", "1", 1); !slices.Contains(calls, one) {
+				t.Errorf("%s is served and not in the list of calls", pattern)
+			}
+		}
 		var lines bytes.Buffer
 		for _, one := range calls {
 			method, path, _ := strings.Cut(one, " ")
--- a/internal/agent/records.go
+++ b/internal/agent/records_handlers.go
@@ -33,20 +33,16 @@
 	}
 }
 
-// addRecordsEndpoints adds the calls of the records, where this agent's file has them on.
-func (a *Agent) addRecordsEndpoints(mux *http.ServeMux, add func(pattern string, e endpoint)) {
-	if !a.config.Records {
-		mux.HandleFunc(agentapi.RecordsPrefix, func(w http.ResponseWriter, _ *http.Request) {
-			writeJSON(w, http.StatusNotFound, agentapi.Failure{Code: agentapi.CodeNotFound, Text: fmt.Sprintf("agent %s keeps no records: set records = true in its file", a.self.Name)})
-		})
-		return
-	}
-	for pattern, e := range a.recordsEndpoints() {
-		add(pattern, e)
-	}
-	for _, path := range []string{recordsync.ChangesPath, recordsync.RangesPath, recordsync.ContentPath} {
-		mux.Handle("GET "+path, a.onlyAgents(a.recordsHandler))
+// followerHandlers returns the handlers of the calls that other agents' copies of the
+// records make, by method and path. There are none where records are off.
+func (a *Agent) followerHandlers() map[string]http.Handler {
+	list := map[string]http.Handler{}
+	if a.config.Records {
+		for _, path := range []string{recordsync.ChangesPath, recordsync.RangesPath, recordsync.ContentPath} {
+			list["GET "+path] = a.onlyAgents(a.recordsHandler)
+		}
 	}
+	return list
 }
 
 // newRecordsHandler answers followers from this voter's store, or says that this agent has none.
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -35,7 +35,7 @@
 		}
 		a.mu.Lock()
 		if f, found := a.rejected[name]; found {
-			o.Refused, o.Refusal = f.revision, f.why
+			o.Refused, o.Refusal = f.revision, f.reason
 		}
 		a.mu.Unlock()
 		r.Instances = append(r.Instances, o)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"net/http"
 	"strings"
 	"time"
@@ -59,15 +60,10 @@
 	return nil
 }
 
-func (a *Agent) routes() http.Handler {
-	mux := http.NewServeMux()
-	add := func(pattern string, e endpoint) {
-		if e.maxBody == 0 {
-			e.maxBody = maxBodyBytes
-		}
-		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { a.serveCall(w, r, &e) })
-	}
-	for pattern, e := range map[string]endpoint{
+// endpoints returns the calls that this agent serves, by method and path, beside
+// those of followerHandlers.
+func (a *Agent) endpoints() map[string]endpoint {
+	list := map[string]endpoint{
 		"POST " + agentapi.ReportPath: {minRole: pki.Agent, maxBody: maxReportBytes, handle: a.handleReport},
 		"GET /v1/status":              {minRole: pki.Viewer, handle: a.handleStatus, stale: a.staleStatus},
 		"GET /v1/revisions":           {minRole: pki.Viewer, handle: a.handleRevisions, stale: a.staleRevisions},
@@ -89,10 +85,30 @@
 		"POST /v1/replicas/add":       {minRole: pki.Operator, handle: a.handleAddMember(nonVoter)},
 		"POST /v1/members/remove":     {minRole: pki.Operator, handle: a.handleRemoveMember},
 		"POST /v1/agents/remove":      {minRole: pki.Operator, handle: a.handleRemoveAgent},
-	} {
-		add(pattern, e)
 	}
-	a.addRecordsEndpoints(mux, add)
+	if a.config.Records {
+		maps.Copy(list, a.recordsEndpoints())
+	}
+	return list
+}
+
+// routes returns the handler of the agents' interface.
+func (a *Agent) routes() http.Handler {
+	mux := http.NewServeMux()
+	for pattern, e := range a.endpoints() {
+		if e.maxBody == 0 {
+			e.maxBody = maxBodyBytes
+		}
+		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { a.serveCall(w, r, &e) })
+	}
+	for pattern, handler := range a.followerHandlers() {
+		mux.Handle(pattern, handler)
+	}
+	if !a.config.Records {
+		mux.HandleFunc(agentapi.RecordsPrefix, func(w http.ResponseWriter, _ *http.Request) {
+			writeJSON(w, http.StatusNotFound, agentapi.Failure{Code: agentapi.CodeNotFound, Text: fmt.Sprintf("agent %s keeps no records: set records = true in its file", a.self.Name)})
+		})
+	}
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusNotFound, agentapi.Failure{Code: agentapi.CodeNotFound, Text: "there is no such call: " + r.Method + " " + r.URL.Path})
 	})
