--- a/internal/agent/cached_revisions.go
+++ b/internal/agent/cached_revisions.go
@@ -16,7 +16,9 @@
 	"elderyard/supervise"
 )
 
-// fetchRevision gets a revision, and keeps it on disk for a day without a leader.
+// fetchRevision returns an ordered revision: from the cache, the store or the leader.
+// It caches the revision on disk, so that a start without a leader can use it. An error
+// means that the revision was not received; a failure to write the file is only logged.
 func (a *Agent) fetchRevision(ctx context.Context, order agentapi.Order) (revision revisions.Revision, err error) {
 	number := order.Revision
 	a.mu.Lock()
@@ -59,12 +61,12 @@
 		err = files.Replace(filepath.Join(a.config.Dir, revisionsFile), text, 0o600)
 	}
 	if err != nil {
-		a.log.Error("revisions can't be kept for a start without a leader", "error", err)
+		a.log.Error("failed to cache revisions, a start without a leader may lack them", "error", err)
 	}
 	return revision, nil
 }
 
-// revisionInUse tells whether an instance here runs a revision.
+// revisionInUse reports whether an instance of this agent runs a revision or is to.
 func (a *Agent) revisionInUse(number uint64) bool {
 	for _, p := range a.processes {
 		s := p.State().Status
@@ -77,6 +79,8 @@
 	return false
 }
 
+// loadCachedRevisions reads the cache file. A revision that does not fit its checksum is
+// dropped.
 func (a *Agent) loadCachedRevisions() {
 	path := filepath.Join(a.config.Dir, revisionsFile)
 	text, err := os.ReadFile(path)
@@ -93,7 +97,7 @@
 		}
 	}
 	if err != nil {
-		a.log.Warn("kept revisions can't all be read; they are fetched again", "file", path, "error", err)
+		a.log.Warn("failed to read all cached revisions, they are fetched again", "file", path, "error", err)
 	}
 	if a.cachedRevisions == nil {
 		a.cachedRevisions = map[uint64]revisions.Revision{}
--- /dev/null
+++ b/internal/agent/golden_calls_test.go
@@ -0,0 +1,249 @@
+package agent
+
+import (
+	"bytes"
+	"cmp"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"elderyard/fleet"
+	"elderyard/internal/agentapi"
+	"elderyard/internal/pki"
+	"elderyard/records"
+	"elderyard/revisions"
+)
+
+// goldenAgent is an agent without a store, processes or a port: as much as the HTTP
+// interface needs to say who may call what.
+func goldenAgent(t *testing.T, withRecords bool) *Agent {
+	t.Helper()
+	dir := t.TempDir()
+	log, err := openRefusals(filepath.Join(dir, "refused.log"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(log.close)
+	a := &Agent{config: Config{Name: "a1", Dir: dir, Plain: true, Records: withRecords}, self: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{}},
+		log: slog.New(slog.DiscardHandler), refusals: log, checkSlots: make(chan struct{}, maxConcurrentChecks), cachedRevisions: map[uint64]revisions.Revision{}}
+	if withRecords {
+		a.recordsHandler = a.newRecordsHandler()
+	}
+	return a
+}
+
+func answerTo(a *Agent, c caller, method, path string, header http.Header) *httptest.ResponseRecorder {
+	r := httptest.NewRequest(method, path, nil)
+	r = r.WithContext(context.WithValue(r.Context(), callerKey{}, c))
+	for key, values := range header {
+		r.Header[key] = values
+	}
+	recorder := httptest.NewRecorder()
+	a.routes().ServeHTTP(recorder, r)
+	return recorder
+}
+
+// Each call has its method, its path, the least role that may make it and, where no
+// leader is known, a stale answer or none.
+func TestGoldenEndpoints(t *testing.T) {
+	calls := []string{"POST /v1/report", "GET /v1/status", "GET /v1/revisions", "GET /v1/revisions/1", "GET /v1/members", "GET /v1/audit", "GET /v1/refused",
+		"GET /v1/snapshot", "POST /v1/snapshot", "POST /v1/apply", "POST /v1/probe", "POST /v1/probe-here", "POST /v1/pause", "POST /v1/resume", "POST /v1/abort",
+		"POST /v1/drain", "POST /v1/undrain", "POST /v1/members/add", "POST /v1/replicas/add", "POST /v1/members/remove", "POST /v1/agents/remove",
+		"POST /v1/records/change", "GET /v1/records/get", "GET /v1/records/list", "GET /v1/records/versions", "GET /v1/records/diff", "GET /v1/records/lag",
+		"GET /v1/records/changes", "GET /v1/records/ranges", "GET /v1/records/ranges/content",
+		// Not calls: another method, another path.
+		"GET /v1/apply", "POST /v1/status", "DELETE /v1/agents/remove", "GET /v1", "GET /", "GET /v1/records/mood", "POST /v1/records/list"}
+	for name, a := range map[string]*Agent{"endpoints.txt": goldenAgent(t, true), "endpoints-without-records.txt": goldenAgent(t, false)} {
+		// The reverse: no call is served that the list lacks.
+		served := slices.AppendSeq(slices.Collect(maps.Keys(a.endpoints())), maps.Keys(a.followerHandlers()))
+		for _, pattern := range served {
+			if one := strings.Replace(pattern, "{n}", "1", 1); !slices.Contains(calls, one) {
+				t.Errorf("%s is served and not in the list of calls", pattern)
+			}
+		}
+		var lines bytes.Buffer
+		for _, one := range calls {
+			method, path, _ := strings.Cut(one, " ")
+			fmt.Fprintf(&lines, "%s:", one)
+			for _, role := range append([]pki.Role{""}, pki.Roles()...) {
+				fmt.Fprintf(&lines, " %s %d", cmp.Or(string(role), "nobody"), answerTo(a, caller{"x", role}, method, path, nil).Code)
+			}
+			fmt.Fprintln(&lines)
+		}
+		checkGolden(t, name, lines.Bytes())
+	}
+}
+
+// The answers of the interface's own, with the headers between agents that change them.
+func TestGoldenRefusals(t *testing.T) {
+	on, off := goldenAgent(t, true), goldenAgent(t, false)
+	var lines bytes.Buffer
+	for _, one := range []struct {
+		name   string
+		a      *Agent
+		role   pki.Role
+		call   string
+		header http.Header
+	}{
+		{"role too low", on, pki.Viewer, "POST /v1/pause", nil},
+		{"agent speaks for a viewer", on, pki.Agent, "POST /v1/pause", http.Header{"X-Elderyard-For": {"vic;viewer"}}},
+		{"agent speaks for an operator", on, pki.Agent, "POST /v1/pause", http.Header{"X-Elderyard-For": {"ann;operator"}}},
+		{"agent speaks for an unknown role", on, pki.Agent, "POST /v1/pause", http.Header{"X-Elderyard-For": {"ann;king"}}},
+		{"operator can't speak for an agent", on, pki.Operator, "POST /v1/report", http.Header{"X-Elderyard-For": {"a2;agent"}}},
+		{"no leader is known", on, pki.Operator, "POST /v1/pause", nil},
+		{"first hop to one that is no voter", on, pki.Operator, "POST /v1/pause", http.Header{"X-Elderyard-Hop": {"0"}}},
+		{"second hop", on, pki.Operator, "POST /v1/pause", http.Header{"X-Elderyard-Hop": {"1"}}},
+		{"stale revisions", on, pki.Viewer, "GET /v1/revisions", nil},
+		{"stale members", on, pki.Viewer, "GET /v1/members", nil},
+		{"stale audit", on, pki.Viewer, "GET /v1/audit", nil},
+		{"stale records", on, pki.Viewer, "GET /v1/records/lag", nil},
+		{"no such call", on, pki.Viewer, "GET /v1/mood", nil},
+		{"records are off", off, pki.Viewer, "GET /v1/records/lag", nil},
+		{"follower asks one that is no voter", on, pki.Agent, "GET /v1/records/changes", nil},
+		{"viewer asks as a follower", on, pki.Viewer, "GET /v1/records/changes", nil},
+	} {
+		method, path, _ := strings.Cut(one.call, " ")
+		got := answerTo(one.a, caller{"x", one.role}, method, path, one.header)
+		fmt.Fprintf(&lines, "%s: %d %s", one.name, got.Code, got.Body)
+	}
+	checkGolden(t, "refusals.txt", lines.Bytes())
+}
+
+// TestGoldenStaleStatus pins what an agent without a leader tells of itself.
+func TestGoldenStaleStatus(t *testing.T) {
+	got := answerTo(goldenAgent(t, true), caller{"x", pki.Viewer}, http.MethodGet, "/v1/status", nil)
+	var s agentapi.Status
+	if err := json.Unmarshal(got.Body.Bytes(), &s); err != nil || time.Since(s.At) > time.Hour {
+		t.Fatalf("%v %+v", err, s)
+	}
+	s.At = goldenTime
+	checkAnswerOf(t, "status-stale.json", s)
+}
+
+// recordedCall is an HTTP request as a server saw it.
+func recordedCall(r *http.Request) string {
+	body, _ := io.ReadAll(r.Body)
+	text := fmt.Sprintf("%s %s %s", r.Method, r.RequestURI, body)
+	for _, key := range []string{"Content-Type", "X-Elderyard-Hop", "X-Elderyard-For"} {
+		if value := r.Header.Get(key); value != "" {
+			text += fmt.Sprintf(" %s=%s", key, value)
+		}
+	}
+	return text
+}
+
+// Each method of the client makes one call: its method, path, query and body.
+func TestGoldenClientCalls(t *testing.T) {
+	var lines bytes.Buffer
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		fmt.Fprintln(&lines, recordedCall(r))
+		io.WriteString(w, "null")
+	}))
+	defer server.Close()
+	c, err := agentapi.NewClient(agentapi.Target{Address: server.Listener.Addr().String(), Plain: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	ctx, content := t.Context(), goldenRevision().Content
+	verb := agentapi.ChangeRequest{Name: "a3", Address: "10.0.0.3:7946"}
+	check := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Error(err)
+		}
+	}
+	call := func(_ any, err error) { t.Helper(); check(err) }
+	call(c.Status(ctx))
+	call(c.Revisions(ctx))
+	call(c.Revision(ctx, 4))
+	call(c.Members(ctx))
+	call(c.Audit(ctx))
+	call(c.Apply(ctx, agentapi.ApplyRequest{Request: "r1", Parent: 4, Content: &content, Message: "why"}))
+	call(c.Probe(ctx, content))
+	for _, name := range []string{"pause", "resume", "abort", "drain", "undrain", "agents/remove"} {
+		check(c.Do(ctx, name, agentapi.ChangeRequest{Name: "g0"}))
+	}
+	call(c.AddMember(ctx, verb))
+	call(c.AddNonVoter(ctx, verb))
+	call(c.RemoveMember(ctx, agentapi.ChangeRequest{Name: "a3"}))
+	call(c.Snapshot(ctx))
+	check(c.Restore(ctx, []byte(`{"form":1}`)))
+	call(c.ChangeRecords(ctx, agentapi.RecordsChange{Request: "r1", Message: "why"}))
+	call(c.Record(ctx, records.Key{Kind: records.Plan, Name: "gold"}))
+	call(c.RecordsOf(ctx, records.Tenant, "ac", 10))
+	call(c.RecordsVersions(ctx, 3))
+	call(c.RecordsDiff(ctx, 5, 7))
+	call(c.RecordsLag(ctx))
+	checkGolden(t, "client-calls.txt", lines.Bytes())
+}
+
+// The calls between agents, with the headers that say how far and for whom.
+func TestGoldenPeerCalls(t *testing.T) {
+	var lines bytes.Buffer
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		fmt.Fprintln(&lines, recordedCall(r))
+		io.WriteString(w, "{}")
+	}))
+	defer server.Close()
+	address := server.Listener.Addr().String()
+	a := goldenAgent(t, false)
+	a.config.Voters, a.peerClient = []string{address}, http.DefaultClient
+	send := func(c caller, method, path string, hop string) {
+		t.Helper()
+		header := http.Header{}
+		if hop != "" {
+			header.Set("X-Elderyard-Hop", hop)
+		}
+		if got := answerTo(a, c, method, path, header); got.Code != http.StatusOK || got.Body.String() != "{}" {
+			t.Errorf("%s %s: %d %s", method, path, got.Code, got.Body)
+		}
+	}
+	send(caller{"ann", pki.Operator}, http.MethodPost, "/v1/pause", "")
+	send(caller{"vic", pki.Viewer}, http.MethodGet, "/v1/status?x=1", "")
+	if _, err := a.reportOnce(t.Context()); err != nil {
+		t.Error(err)
+	}
+	a.leaderAddress = address // one that is known to lead may not forward the call
+	send(caller{"ann", pki.Operator}, http.MethodPost, "/v1/pause", "")
+	if _, err := a.reportOnce(t.Context()); err != nil {
+		t.Error(err)
+	}
+	checkGolden(t, "peer-calls.txt", lines.Bytes())
+}
+
+// A stream between voters begins with a byte that no HTTP request begins with.
+func TestGoldenStreamByte(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	outgoing, err := raftStreams{port: &port{}}.Dial(raft.ServerAddress(listener.Addr().String()), time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer outgoing.Close()
+	incoming, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer incoming.Close()
+	first := []byte{0xff}
+	if _, err := incoming.Read(first); err != nil || first[0] != 0 {
+		t.Errorf("the first byte is %d, %v", first[0], err)
+	}
+}
--- a/internal/agent/handlers.go
+++ b/internal/agent/handlers.go
@@ -17,18 +17,19 @@
 	"elderyard/rollout"
 )
 
+// handleReport answers a report. An agent may report its own instances only.
 func (a *Agent) handleReport(ctx context.Context, request *call) (any, error) {
 	var r agentapi.Report
 	if err := request.read(&r); err != nil {
 		return nil, err
 	}
-	// Danger: an agent could speak for the instances of another.
 	if request.name != r.Agent.Name && !a.config.Plain {
 		return nil, &agentapi.Failure{Code: agentapi.CodeForbidden, Text: fmt.Sprintf("%s reports as %s", request.name, r.Agent.Name)}
 	}
 	return a.leader.Report(ctx, &r)
 }
 
+// handleStatus answers with the site as this leader sees it.
 func (a *Agent) handleStatus(ctx context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -40,7 +41,8 @@
 	return s, err
 }
 
-// staleStatus is what this agent knows by itself.
+// staleStatus returns what this agent knows without the leader: the store's state if it
+// is a voter, and its own instances.
 func (a *Agent) staleStatus(why string) any {
 	s := agentapi.Status{Agent: a.self.Name, Stale: why, At: time.Now().UTC(), Instances: []agentapi.InstanceStatus{}}
 	if a.store != nil {
@@ -49,7 +51,6 @@
 			s.Store = err.Error()
 		}
 	}
-	// Of its own instances it knows all.
 	for _, o := range a.buildReport().Instances {
 		n := slices.IndexFunc(s.Instances, func(i agentapi.InstanceStatus) bool { return i.Name == o.Name })
 		if n < 0 {
@@ -62,6 +63,7 @@
 	return s
 }
 
+// handleRevisions answers with the history, without the contents.
 func (a *Agent) handleRevisions(_ context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -69,6 +71,7 @@
 	return a.staleRevisions(""), nil
 }
 
+// staleRevisions returns the history of this voter's store, or the cached revisions.
 func (a *Agent) staleRevisions(why string) any {
 	list := agentapi.Revisions{Stale: why, Revisions: []revisions.Revision{}}
 	if a.store == nil {
@@ -90,12 +93,13 @@
 	return list
 }
 
+// handleRevision answers with one revision.
 func (a *Agent) handleRevision(_ context.Context, request *call) (any, error) {
 	n, err := strconv.ParseUint(request.r.PathValue("n"), 10, 64)
 	if err != nil || n == 0 {
 		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: fmt.Sprintf("%q is no revision's number", request.r.PathValue("n"))}
 	}
-	// A revision never changes: one that is here is as good as the leader's.
+	// A revision never changes, so this voter's copy needs no confirmation by the leader.
 	var r revisions.Revision
 	found := false
 	a.store.View(func(s *fleet.State) { r, found = s.Revision(n) })
@@ -108,6 +112,7 @@
 	return nil, &agentapi.Failure{Code: agentapi.CodeNotFound, Text: fmt.Sprintf("revision %d is not in the history", n)}
 }
 
+// handleMembers answers with the voters and the agents.
 func (a *Agent) handleMembers(_ context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -116,6 +121,7 @@
 	return m, nil
 }
 
+// staleMembers returns the voters and agents of this voter's store, or this agent alone.
 func (a *Agent) staleMembers(why string) any {
 	m := agentapi.Members{Stale: why, Voters: []agentapi.Member{}, Agents: []fleet.Agent{}}
 	if a.store == nil {
@@ -132,6 +138,7 @@
 	return m
 }
 
+// handleAudit answers with the log of accepted changes.
 func (a *Agent) handleAudit(_ context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -139,6 +146,7 @@
 	return a.staleAudit(""), nil
 }
 
+// staleAudit returns the log of this voter's store.
 func (a *Agent) staleAudit(why string) any {
 	l := agentapi.Audit{Stale: why, Changes: []fleet.Event{}, Refused: []fleet.Event{}}
 	if a.store != nil {
@@ -147,11 +155,13 @@
 	return l
 }
 
+// handleRefused answers with the calls that this agent refused.
 func (a *Agent) handleRefused(context.Context, *call) (any, error) {
 	list, err := a.refusals.list()
 	return agentapi.Audit{Changes: []fleet.Event{}, Refused: list}, err
 }
 
+// handleSaveSnapshot answers with the encoded state of the site.
 func (a *Agent) handleSaveSnapshot(context.Context, *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -162,6 +172,7 @@
 	return json.RawMessage(text), err
 }
 
+// handleRestoreSnapshot replaces the state of the site by a saved one.
 func (a *Agent) handleRestoreSnapshot(ctx context.Context, c *call) (any, error) {
 	var probe fleet.State
 	if err := probe.Restore(c.body); err != nil {
@@ -177,6 +188,8 @@
 	return struct{}{}, err
 }
 
+// propose has the voters agree on an entry. It returns a *leader.RejectedError where the
+// site's state does not allow it.
 func (a *Agent) propose(ctx context.Context, e fleet.Entry) (fleet.Outcome, error) {
 	out, err := a.store.Propose(ctx, e)
 	if err == nil && out.Rejected != "" {
@@ -185,6 +198,7 @@
 	return out, err
 }
 
+// handleApply has the voters agree on a new revision, and answers with what they decided.
 func (a *Agent) handleApply(ctx context.Context, request *call) (any, error) {
 	var got agentapi.ApplyRequest
 	if err := request.read(&got); err != nil {
@@ -219,7 +233,8 @@
 	return answer, nil
 }
 
-// parse checks a content, a few at a time: it costs more than the call did.
+// parse checks a content by the gateway's parsers. At most maxConcurrentChecks run at
+// once: a check costs more than the call that asks for it.
 func (a *Agent) parse(ctx context.Context, name string, c revisions.Content) error {
 	select {
 	case a.checkSlots <- struct{}{}:
@@ -230,12 +245,14 @@
 	return document.Check(name, c)
 }
 
+// handleRolloutEvent returns the handler of an operator's event of the rollout.
 func (a *Agent) handleRolloutEvent(ev func(by string) rollout.Event) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
 		return struct{}{}, a.leader.HandleRolloutEvent(ctx, ev(c.name), c.name)
 	}
 }
 
+// handleDrain returns the handler that drains an instance, or ends that.
 func (a *Agent) handleDrain(on bool) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
 		var v agentapi.ChangeRequest
@@ -247,7 +264,7 @@
 	}
 }
 
-// suffrage is whether a store of the site counts for its majorities.
+// suffrage is whether a store of the site has a vote, as the audit log writes it.
 type suffrage string
 
 const (
@@ -255,6 +272,7 @@
 	nonVoter suffrage = "replica without a vote"
 )
 
+// handleAddMember returns the handler that adds a store to the site.
 func (a *Agent) handleAddMember(as suffrage) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
 		var v agentapi.ChangeRequest
@@ -286,8 +304,9 @@
 	}
 }
 
-// memberChange tells which voters have yet to note a change of the voters. Danger: the agent that sent the call on waits
-// leaderTimeout for the whole of it, and would call a change that stands in doubt.
+// memberChange returns which voters have not applied an accepted change of the voters
+// yet. It must return within leaderTimeout, after which the agent that has forwarded the
+// call would report the outcome of an accepted change as unknown.
 func (a *Agent) memberChange(ctx context.Context, change replica.Change) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout/2)
 	defer cancel()
@@ -295,6 +314,7 @@
 	return agentapi.MemberChange{Behind: behind}, err
 }
 
+// handleRemoveMember removes a store from the site.
 func (a *Agent) handleRemoveMember(ctx context.Context, request *call) (any, error) {
 	var v agentapi.ChangeRequest
 	if err := request.read(&v); err != nil {
@@ -303,7 +323,7 @@
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	// The word comes first: a leader that removes itself can say nothing after.
+	// The audit entry comes first: a leader that removes itself can propose nothing after.
 	if _, err := a.propose(ctx, fleet.Entry{Audit: &fleet.Event{At: time.Now().UTC(), Who: request.name, What: fmt.Sprintf("voter %s is to be removed", v.Name)}}); err != nil {
 		return nil, err
 	}
@@ -314,6 +334,7 @@
 	return a.memberChange(ctx, change)
 }
 
+// handleRemoveAgent removes an agent and its instances from the site.
 func (a *Agent) handleRemoveAgent(ctx context.Context, c *call) (any, error) {
 	var v agentapi.ChangeRequest
 	if err := c.read(&v); err != nil {
--- a/internal/agent/limit_commands.go
+++ b/internal/agent/limit_commands.go
@@ -22,23 +22,23 @@
 	"elderyard/internal/wait"
 )
 
-const limitsPollInterval = 250 * time.Millisecond // between looks for other files of the instance
+const limitsPollInterval = 250 * time.Millisecond // between two reads of the instance's files
 
-// errNotCounted tells of a site whose gateways would give away the local shares
-// that this front needs.
+// errNotCounted is returned for a site whose gateways would use up the local quotas of
+// this front.
 var errNotCounted = errors.New("quotas.fronts of the revision is 0: gateways must count the fronts that grant units beside them")
 
 // limitFront serves limit commands with the settings that an instance of this
-// machine runs with: the same plans, the same counter. It follows that instance's files, so
-// that it knows them after its own restart as well, and when no leader can be asked.
+// machine runs with: the same plans, the same counter. It reads them from that instance's
+// files, which also exist after the agent's restart and while there is no leader.
 type limitFront struct {
 	a           *Agent
 	instance    string
-	servedFiles [][]byte // the files that the running front was made of
-	stop        func()   // ends the running front; nil: none runs
+	servedFiles [][]byte // contents that the running front was started with
+	stop        func()   // stops the running front; nil: none runs
 }
 
-// run follows the files until ctx ends.
+// run follows the files until ctx ends, and then stops the front.
 func (f *limitFront) run(ctx context.Context) {
 	defer f.end()
 	for {
@@ -49,6 +49,7 @@
 	}
 }
 
+// end stops the running front, if there is one.
 func (f *limitFront) end() {
 	if f.stop != nil {
 		f.stop()
@@ -56,8 +57,8 @@
 	}
 }
 
-// poll starts the front anew if the files are others. Danger: both are replaced one
-// after the other; two looks must agree before they count.
+// poll restarts the front if the files have changed. The two files are replaced one
+// after the other, so two reads, a poll interval apart, must agree before they are used.
 func (f *limitFront) poll(ctx context.Context) {
 	files, err := f.read()
 	if err != nil {
@@ -73,13 +74,14 @@
 	f.servedFiles = files
 	stop, err := f.start(files[0], files[1])
 	if err != nil {
-		f.a.log.Error("limit commands are not served", "instance", f.instance, "error", err)
+		f.a.log.Error("failed to serve limit commands", "instance", f.instance, "error", err)
 		return
 	}
-	f.a.log.Info("limit commands are served", "listen", f.a.config.RESP.Listen, "as", f.instance)
+	f.a.log.Info("serving limit commands", "listen", f.a.config.RESP.Listen, "instance", f.instance)
 	f.stop = stop
 }
 
+// read returns the contents of the instance's files.
 func (f *limitFront) read() (list [][]byte, err error) {
 	for _, name := range []string{process.ConfigFile, process.SiteFile} {
 		text, err := os.ReadFile(filepath.Join(f.a.config.instanceDir(f.instance), name))
@@ -103,7 +105,7 @@
 	return true
 }
 
-// start serves with these files and returns what ends that.
+// start serves with these files. The returned function stops that and waits for it.
 func (f *limitFront) start(platforms, operators []byte) (stop func(), err error) {
 	c, err := config.Parse(platforms)
 	if err != nil {
@@ -147,7 +149,7 @@
 	}
 	above.Go(func() { front.Serve(serving, l) })
 	return func() {
-		unserve() // the front ends before what answers it
+		unserve() // the front must end before the owner that answers it
 		above.Wait()
 		cancel()
 		below.Wait()
--- a/internal/agent/local_socket.go
+++ b/internal/agent/local_socket.go
@@ -13,7 +13,7 @@
 	"elderyard/internal/pki"
 )
 
-// lockFolder keeps a second agent off the folder.
+// lockFolder locks the folder against a second agent.
 func lockFolder(dir string) (unlock func(), err error) {
 	path := filepath.Join(dir, "lock")
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -24,16 +24,16 @@
 		f.Close()
 		return nil, fmt.Errorf("%s: another agent runs on this folder", dir)
 	}
-	// Danger: a child that has been forked and not yet executed its program shares the open
-	// file, and a close alone would leave the folder locked until then.
+	// The explicit unlock is needed: a child that has been forked and has not executed its
+	// program yet shares the open file, and a close alone would leave the folder locked.
 	return func() {
 		syscall.Flock(int(f.Fd()), syscall.LOCK_UN)
 		f.Close()
 	}, nil
 }
 
-// listenLocal listens on the socket that the file permissions guard. The lock of
-// the folder is held, so a socket that is there is one left behind.
+// listenLocal listens on the local socket, which file permissions protect. The folder
+// must be locked: an existing socket is then a stale one, and is replaced.
 func listenLocal(path string) (net.Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("local socket: %w", err)
@@ -47,7 +47,7 @@
 	return l, nil
 }
 
-// withCaller tells a server who a connection belongs to.
+// withCaller adds the caller of a connection to the context of its calls.
 func withCaller(ctx context.Context, c net.Conn) context.Context {
 	switch c := c.(type) {
 	case *identifiedConn:
--- a/internal/agent/local_user_other.go
+++ b/internal/agent/local_user_other.go
@@ -4,6 +4,6 @@
 
 import "net"
 
-// localUser is the user at the other end of a local socket, as far as the system
-// tells.
+// localUser returns the name of the user at the other end of a local socket, which is
+// not known on this system.
 func localUser(*net.UnixConn) string { return "local" }
--- a/internal/agent/peer_calls.go
+++ b/internal/agent/peer_calls.go
@@ -17,18 +17,19 @@
 type peerCall struct {
 	method, path string
 	body         []byte
-	hop          string  // see agentapi.HopHeader
-	onBehalfOf   *caller // for whom this agent speaks; nil: itself
+	hop          string  // value of agentapi.HopHeader; "": none
+	onBehalfOf   *caller // whose call is forwarded; nil: it is this agent's
 	timeout      time.Duration
 }
 
-// callLeader has the leader answer, by way of any voter that knows it.
+// callLeader calls the leader, directly or through a voter that forwards the call. It
+// returns the first voter's error where none answered.
 func (a *Agent) callLeader(ctx context.Context, method, path string, body []byte, answer any) error {
 	var first error
 	for _, address := range a.voterAddresses() {
 		e := peerCall{method: method, path: path, body: body, timeout: voterTimeout}
 		if address != a.knownLeader() {
-			e.hop = agentapi.HopMayForward // it may send this on
+			e.hop = agentapi.HopMayForward // this voter may forward it
 		}
 		err := a.callAgent(ctx, address, e, answer)
 		if err == nil || agentapi.IsAnswer(err) {
@@ -44,8 +45,8 @@
 	return first
 }
 
-// callAgent asks one agent. Danger: one that is there and does nothing, as a
-// stopped one, would take all the time that is meant for the others.
+// callAgent calls one agent within the call's own time limit: an agent that accepts
+// connections and does not answer must not use up the time for the others.
 func (a *Agent) callAgent(ctx context.Context, address string, e peerCall, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
@@ -65,7 +66,7 @@
 	return err
 }
 
-// forgetLeader gives up a leader that did not answer.
+// forgetLeader forgets the leader's address if it is this one, which did not answer.
 func (a *Agent) forgetLeader(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,6 +75,7 @@
 	}
 }
 
+// knownLeader returns the address of the leader as this agent knows it; "": unknown.
 func (a *Agent) knownLeader() string {
 	if a.store != nil {
 		_, address := a.store.Leader()
@@ -84,7 +86,7 @@
 	return a.leaderAddress
 }
 
-// voterAddresses are the addresses to ask, the likeliest first.
+// voterAddresses returns the addresses to call for the leader, the likeliest first.
 func (a *Agent) voterAddresses() (list []string) {
 	add := func(address string) {
 		if address != "" && address != a.self.Address && !slices.Contains(list, address) {
@@ -105,6 +107,7 @@
 	return list
 }
 
+// url returns the URL of a path at another agent.
 func (a *Agent) url(address, path string) string {
 	if a.config.Plain {
 		return "http://" + address + path
@@ -112,6 +115,7 @@
 	return "https://" + address + path
 }
 
+// transport returns the transport of calls to other agents.
 func (a *Agent) transport() *http.Transport {
 	t := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: time.Minute}
 	if a.port != nil {
@@ -121,6 +125,7 @@
 	return t
 }
 
+// doPeer sends a request to another agent and decodes its answer.
 func (a *Agent) doPeer(req *http.Request, answer any) error {
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := a.peerClient.Do(req)
--- a/internal/agent/port.go
+++ b/internal/agent/port.go
@@ -26,7 +26,7 @@
 	maxPendingConns  = 16
 )
 
-// caller is who is at the other end.
+// caller is the identity at the other end of a connection.
 type caller struct {
 	name string
 	role pki.Role
@@ -34,7 +34,7 @@
 
 type callerKey struct{}
 
-// callerOf tells who makes a call.
+// callerOf returns the caller of a call; the zero value, without a role, if it is unknown.
 func callerOf(ctx context.Context) caller {
 	c, _ := ctx.Value(callerKey{}).(caller)
 	return c
@@ -57,7 +57,7 @@
 	return c.Conn.Close()
 }
 
-// port is the agent's TCP port.
+// port is the agent's TCP port. Its goroutines end with close.
 type port struct {
 	listener net.Listener
 	server   *tls.Config // nil: plain
@@ -70,7 +70,7 @@
 	stop     context.CancelFunc
 }
 
-// connListener is a listener of connections that something else has accepted.
+// connListener is a listener of connections that were accepted elsewhere.
 type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -101,6 +101,7 @@
 // Addr returns the address that the listener was made with.
 func (h *connListener) Addr() net.Addr { return h.addr }
 
+// handOver passes a connection to Accept, or closes it if the listener is closed.
 func (h *connListener) handOver(c net.Conn) {
 	select {
 	case h.conns <- c:
@@ -109,7 +110,8 @@
 	}
 }
 
-// openPort listens. The advertised address is what voters call each other by.
+// openPort listens and accepts connections until close. The advertised address is that
+// by which voters call each other.
 func openPort(c *Config, refused func(who, what string)) (*port, error) {
 	p := &port{refused: refused, slots: make(chan struct{}, maxOpenConns)}
 	if !c.Plain {
@@ -133,7 +135,7 @@
 	return p, nil
 }
 
-// advertisedAddr is an address as it is told to others.
+// advertisedAddr is the address by which other agents reach this one.
 type advertisedAddr string
 
 // Network returns "tcp".
@@ -142,6 +144,7 @@
 // String returns the address as host:port.
 func (a advertisedAddr) String() string { return string(a) }
 
+// close closes the port and waits for its goroutines.
 func (p *port) close() {
 	p.stop()
 	p.listener.Close()
@@ -150,13 +153,14 @@
 	p.wg.Wait()
 }
 
+// accept accepts connections until the listener is closed.
 func (p *port) accept(ctx context.Context) {
 	for {
 		c, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors: others will close
+		if err != nil { // out of descriptors: retry when others have closed
 			select {
 			case <-ctx.Done():
 				return
@@ -174,7 +178,8 @@
 	}
 }
 
-// identify finds out who calls and for what, and hands the connection over.
+// identify authenticates the caller, reads the first byte and passes the connection to
+// the voters' streams or to HTTP.
 func (p *port) identify(ctx context.Context, raw net.Conn) {
 	var once sync.Once
 	free := func() { once.Do(func() { <-p.slots }) }
@@ -216,7 +221,7 @@
 	p.raft.handOver(c)
 }
 
-// dial reaches another agent.
+// dial opens a connection to another agent.
 func (p *port) dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	if p.client == nil {
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -12,7 +12,8 @@
 	"elderyard/supervise"
 )
 
-// handleProbe asks every agent what it would make of a content. Nothing is taken.
+// handleProbe has all agents check a content and answers with what each instance would
+// do. Nothing is applied. An agent that does not answer is part of the answer.
 func (a *Agent) handleProbe(ctx context.Context, request *call) (any, error) {
 	var content revisions.Content
 	if err := request.read(&content); err != nil {
@@ -51,6 +52,7 @@
 	return list, nil
 }
 
+// handleProbeHere answers for the instances of this agent.
 func (a *Agent) handleProbeHere(ctx context.Context, c *call) (any, error) {
 	var content revisions.Content
 	if err := c.read(&content); err != nil {
@@ -59,7 +61,7 @@
 	return a.probeAll(ctx, content)
 }
 
-// probeAll tells what the instances here would have to do.
+// probeAll returns what the instances of this agent would do to run a content.
 func (a *Agent) probeAll(ctx context.Context, content revisions.Content) ([]agentapi.Probe, error) {
 	if err := a.parse(ctx, "file", content); err != nil {
 		return []agentapi.Probe{{Agent: a.self.Name, Error: err.Error()}}, nil
--- a/internal/agent/records_copy.go
+++ b/internal/agent/records_copy.go
@@ -16,11 +16,11 @@
 
 const (
 	recordsFolder = "records"
-	burstSeconds  = 4 // of the budget that may be saved up
-	// localServer is the name by which a voter's copy asks the voter itself.
+	burstSeconds  = 4 // of the budget that may be sent at once
+	// localServer is the server name by which a voter's copy calls the voter itself.
 	localServer    = "local"
 	localAddress   = localServer + ":80" // as an HTTP client dials it
-	maxReasonBytes = 512                 // bytes of the reason in a report
+	maxReasonBytes = 512                 // of the reason in a report
 	ageResolution  = 100 * time.Millisecond
 )
 
@@ -31,8 +31,8 @@
 		Dial: a.dialRecords, BaseURL: a.recordsURL, Log: a.log})
 }
 
-// recordsServers are the voters that this agent's file names; for a voter, those
-// that it knows of at its start as well, and itself.
+// recordsServers returns the voters that this agent's file names; for a voter also those
+// in its store at the start, and itself.
 func (a *Agent) recordsServers() (servers []string) {
 	add := func(address string) {
 		if address != a.self.Address && !slices.Contains(servers, address) {
@@ -47,7 +47,7 @@
 	}
 	members, err := a.store.Members()
 	if err != nil {
-		a.log.Warn("the copy of the records asks the voters of the file alone", "error", err)
+		a.log.Warn("failed to list voters, the copy of the records uses those of the file", "error", err)
 	}
 	for _, m := range members {
 		if m.Name != a.config.Name {
@@ -57,7 +57,7 @@
 	return append(servers, localServer)
 }
 
-// recordsURL is where a server answers, without a path.
+// recordsURL returns the URL of a server, without a path.
 func (a *Agent) recordsURL(server string) string {
 	if server == localServer {
 		return "http://" + localServer
@@ -65,7 +65,7 @@
 	return a.url(server, "")
 }
 
-// dialRecords reaches another agent, or this one without the network.
+// dialRecords opens a connection to another agent, or to this one without the network.
 func (a *Agent) dialRecords(ctx context.Context, _, address string) (net.Conn, error) {
 	if address != localAddress {
 		return a.port.dial(ctx, address)
@@ -75,7 +75,7 @@
 	return near, nil
 }
 
-// recordsStatus is what this agent reports of its copy; nil: it keeps none.
+// recordsStatus returns the status of this agent's copy for a report; nil: it has none.
 func (a *Agent) recordsStatus() *agentapi.RecordsStatus {
 	if a.records == nil {
 		return nil
@@ -93,14 +93,14 @@
 	return status
 }
 
-// receiveRecordsHead takes in what the leader tells of the site's records.
+// receiveRecordsHead notifies the copy of the version of the site's records.
 func (a *Agent) receiveRecordsHead(head *agentapi.RecordsHead) {
 	if a.records != nil && head != nil {
 		a.records.NotifyHead(head.Version)
 	}
 }
 
-// staleRecordsLag is what this agent knows by itself.
+// staleRecordsLag returns what this agent knows without the leader: its own copy.
 func (a *Agent) staleRecordsLag(why string) any {
 	lag := agentapi.RecordsLag{Stale: why, Agents: []agentapi.AgentRecords{}}
 	if status := a.recordsStatus(); status != nil {
--- a/internal/agent/records_handlers.go
+++ b/internal/agent/records_handlers.go
@@ -21,7 +21,7 @@
 	maxRecordsListed      = 5000
 )
 
-// recordsEndpoints are the calls of operators on the records.
+// recordsEndpoints returns the operators' calls on the records, by method and path.
 func (a *Agent) recordsEndpoints() map[string]endpoint {
 	return map[string]endpoint{
 		"POST " + agentapi.RecordsChangePath:  {minRole: pki.Operator, maxBody: maxRecordsChangeBytes, handle: a.handleChangeRecords},
@@ -45,7 +45,8 @@
 	return list
 }
 
-// newRecordsHandler answers followers from this voter's store, or says that this agent has none.
+// newRecordsHandler returns the handler of followers' calls: from this voter's store, or
+// the failure of an agent that has none.
 func (a *Agent) newRecordsHandler() http.Handler {
 	if a.store != nil {
 		return recordsync.NewHandler(a.store)
@@ -55,7 +56,7 @@
 	})
 }
 
-// onlyAgents turns callers away that have not the role of an agent.
+// onlyAgents rejects callers that do not have the role of an agent.
 func (a *Agent) onlyAgents(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := callerOf(r.Context())
@@ -68,8 +69,8 @@
 	})
 }
 
-// handleChangeRecords has the voters agree on a change. What they make of it is the
-// answer, also where it is refused.
+// handleChangeRecords has the voters agree on a change of the records, and answers with
+// what they decided, a rejection included.
 func (a *Agent) handleChangeRecords(ctx context.Context, request *call) (any, error) {
 	var got agentapi.RecordsChange
 	if err := request.read(&got); err != nil {
@@ -97,8 +98,8 @@
 	return *out.Records, nil
 }
 
-// confirmed answers a reading call from this voter's records once they are known to
-// hold all that was committed before.
+// confirmed returns the handler of a reading call. It answers from this voter's records
+// after it has verified that they contain all that was committed before the call.
 func (a *Agent) confirmed(read func(url.Values, *records.Store) (any, error)) func(context.Context, *call) (any, error) {
 	return func(_ context.Context, c *call) (answer any, err error) {
 		if err := a.store.VerifyLeader(); err != nil {
@@ -109,10 +110,12 @@
 	}
 }
 
+// newRecordsList returns an empty list as of the store's version.
 func newRecordsList(store *records.Store) agentapi.RecordsList {
 	return agentapi.RecordsList{Version: store.Version(), Digest: store.Digest(), Total: store.Len(), Records: []records.Record{}}
 }
 
+// getRecord returns the record with the key of the query, in a list.
 func (a *Agent) getRecord(query url.Values, store *records.Store) (any, error) {
 	key, err := records.ParseKey(query.Get("key"))
 	if err != nil {
@@ -125,6 +128,7 @@
 	return list, nil
 }
 
+// listRecords returns records by kind and prefix, at most maxRecordsListed.
 func (a *Agent) listRecords(query url.Values, store *records.Store) (any, error) {
 	kind, err := records.ParseKind(query.Get("kind"))
 	if err != nil {
@@ -142,6 +146,7 @@
 	return list, nil
 }
 
+// listRecordsVersions returns the newest accepted changes.
 func (a *Agent) listRecordsVersions(query url.Values, store *records.Store) (any, error) {
 	limit, err := queryNumber(query, "limit")
 	if err != nil {
@@ -151,6 +156,7 @@
 	return agentapi.RecordsVersions{Version: store.Version(), Digest: store.Digest(), Changes: store.History(int(limit))}, nil
 }
 
+// diffRecords returns the records that changed between two versions.
 func (a *Agent) diffRecords(query url.Values, store *records.Store) (any, error) {
 	from, err := queryNumber(query, "from")
 	if err != nil {
@@ -170,7 +176,7 @@
 	return agentapi.RecordsDiff{From: from, To: to, Changes: changes}, nil
 }
 
-// queryNumber reads a number of a query; a missing one is 0.
+// queryNumber returns a number of a query; a missing one is 0.
 func queryNumber(query url.Values, name string) (uint64, error) {
 	text := query.Get(name)
 	if text == "" {
@@ -183,6 +189,7 @@
 	return n, nil
 }
 
+// handleRecordsLag compares the agents' copies with the site's records.
 func (a *Agent) handleRecordsLag(ctx context.Context, _ *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
--- a/internal/agent/refusals.go
+++ b/internal/agent/refusals.go
@@ -12,26 +12,27 @@
 	"elderyard/fleet"
 )
 
-// refusals is the audit log of calls that this agent refused, one line each. It
-// stays with the agent: what a stranger can make grow must not go through the
-// voters.
+// refusals is the audit log of calls that this agent refused, one line each. It is a file
+// of the agent and not part of the site's state: unauthenticated callers can make it
+// grow. It is bounded in lines a second and in size, and is safe for concurrent use.
 type refusals struct {
 	path string
 
 	mu      sync.Mutex
 	file    *os.File
 	size    int64
-	dropped int // lines that were left out in this second
+	dropped int // lines dropped in this second
 	lines   int
 	since   time.Time
 }
 
 const (
-	maxRefusalsBytes     = 1 << 20 // bytes; then the file is set aside, in place of the one before
+	maxRefusalsBytes     = 1 << 20 // then the file is rotated, over the previous one
 	maxRefusalsPerSecond = 50
 	maxRefusalTextBytes  = 200
 )
 
+// openRefusals opens the log for appending.
 func openRefusals(path string) (*refusals, error) {
 	r := &refusals{path: path}
 	if err := r.open(); err != nil {
@@ -40,6 +41,7 @@
 	return r, nil
 }
 
+// open opens the file and reads its size.
 func (r *refusals) open() (err error) {
 	if r.file, err = os.OpenFile(r.path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
 		return err
@@ -51,6 +53,7 @@
 	return err
 }
 
+// add logs one refusal, within the limit of lines a second.
 func (r *refusals) add(who, what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,6 +71,7 @@
 	r.write(fleet.Event{At: now.UTC(), Who: fleet.Truncate(who, maxRefusalTextBytes), What: fleet.Truncate(what, maxRefusalTextBytes)})
 }
 
+// write appends one line, and rotates the file first if it is too large.
 func (r *refusals) write(event fleet.Event) {
 	if r.size > maxRefusalsBytes {
 		r.file.Close()
@@ -85,7 +89,8 @@
 	r.size += int64(n)
 }
 
-// list returns what is kept, the oldest first.
+// list returns the events of the log and its previous file, the oldest first, at most
+// fleet.MaxEvents.
 func (r *refusals) list() ([]fleet.Event, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,6 +115,7 @@
 	return list[max(0, len(list)-fleet.MaxEvents):], nil
 }
 
+// close closes the file. Nothing may be added after.
 func (r *refusals) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -17,7 +17,7 @@
 	"elderyard/revisions"
 )
 
-// buildReport is this agent's report.
+// buildReport returns the state of this agent and its instances.
 func (a *Agent) buildReport() agentapi.Report {
 	r := agentapi.Report{Agent: a.self, Records: a.recordsStatus()}
 	if a.config.Roster {
@@ -43,14 +43,14 @@
 	return r
 }
 
-// runReports tells the leader what runs here and does what it orders, until ctx
-// ends.
+// runReports sends reports to the leader and applies its orders until ctx ends. If no
+// orders have come within the fetch timeout of a start, it starts the last revisions.
 func (a *Agent) runReports(ctx context.Context) {
 	if a.config.Roster {
 		a.rosterEpoch = a.cachedRosterEpoch()
 	}
 	began := time.Now()
-	started := false // the instances that did not run have been told to
+	started := false // orders were applied, or the last revisions started
 	for ctx.Err() == nil {
 		got, err := a.reportOnce(ctx)
 		switch {
@@ -58,7 +58,7 @@
 			a.applyOrders(ctx, got)
 			started = true
 		case !started && time.Since(began) >= time.Duration(a.config.Timing.FetchTimeout):
-			// Cut off, or the leader knows no more than this agent: what ran last serves.
+			// No leader, or one without a decision: serve with the last revisions.
 			a.startLastRevisions(ctx)
 			started = true
 		}
@@ -70,7 +70,7 @@
 	}
 }
 
-// recordLeader remembers who leads, or why nobody could be asked.
+// recordLeader records the leader's address, or why no leader could be reached.
 func (a *Agent) recordLeader(got *agentapi.Orders, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -78,16 +78,17 @@
 	if err != nil {
 		a.leaderError = err.Error()
 		if before == "" {
-			a.log.Warn("no leader can be reached; gateways go on with the last committed revision", "error", err)
+			a.log.Warn("no leader reachable, gateways go on with the last committed revision", "error", err)
 		}
 		return
 	}
 	a.leaderError, a.leaderAddress = "", got.Address
 	if before != "" {
-		a.log.Info("a leader is reached again", "leader", got.Leader)
+		a.log.Info("leader reachable again", "leader", got.Leader)
 	}
 }
 
+// reportOnce sends one report and returns the orders that answer it.
 func (a *Agent) reportOnce(ctx context.Context) (*agentapi.Orders, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -109,7 +110,7 @@
 	return &got, nil
 }
 
-// applyOrders does what the leader ordered.
+// applyOrders applies the leader's orders. Gateways with membership wait for a roster.
 func (a *Agent) applyOrders(ctx context.Context, got *agentapi.Orders) {
 	if got.Roster != nil {
 		a.cacheRoster(got.Roster)
@@ -131,28 +132,28 @@
 		case now == nil || now.Revision != o.Revision || now.Content != o.Checksum:
 			a.applyOrder(ctx, p, o)
 		default:
-			a.clearRejection(name) // what was refused is not ordered any more
+			a.clearRejection(name) // the rejected revision is not ordered any more
 		}
 	}
 }
 
-// applyOrder has an instance go to a revision, if its gateway's parsers take it.
+// applyOrder has an instance run an ordered revision, if the gateway's parsers accept it.
 func (a *Agent) applyOrder(ctx context.Context, proc *process.Process, order agentapi.Order) {
 	name, number := proc.Name(), order.Revision
 	a.mu.Lock()
 	again := a.rejected[name].revision == number
 	a.mu.Unlock()
 	if again {
-		return // it has been refused, and does not change
+		return // a revision never changes: it would be rejected again
 	}
 	r, err := a.fetchRevision(ctx, order)
 	if err != nil {
-		a.log.Warn("a revision can't be fetched", "revision", number, "error", err)
+		a.log.Warn("failed to fetch revision", "revision", number, "error", err)
 		return // the next report brings the order again
 	}
 	rendered, err := a.render(r, proc)
 	if err != nil {
-		a.log.Error("a revision is refused", "instance", name, "revision", number, "error", err)
+		a.log.Error("rejected revision", "instance", name, "revision", number, "error", err)
 		a.mu.Lock()
 		a.rejected[name] = rejectedRevision{number, fleet.Truncate(err.Error(), fleet.MaxTextBytes/2)}
 		a.mu.Unlock()
@@ -162,12 +163,14 @@
 	proc.SetDesired(ctx, rendered)
 }
 
+// clearRejection forgets the revision that an instance rejected.
 func (a *Agent) clearRejection(instance string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.rejected, instance)
 }
 
+// render returns the files of a revision for an instance.
 func (a *Agent) render(r revisions.Revision, p *process.Process) (*document.Rendered, error) {
 	d, err := document.Parse(fmt.Sprintf("revision %d", r.Number), r.Content)
 	if err != nil {
@@ -176,7 +179,8 @@
 	return d.Render(r.Number, document.Instance{Name: p.Name(), Listen: p.Listen()})
 }
 
-// startLastRevisions starts what ran last.
+// startLastRevisions starts each instance that has no orders with the revision that it
+// ran last, if that is cached.
 func (a *Agent) startLastRevisions(ctx context.Context) {
 	for _, p := range a.processes {
 		last := p.LastSpec()
@@ -187,15 +191,15 @@
 		r, found := a.cachedRevisions[last.Revision]
 		a.mu.Unlock()
 		if !found {
-			a.log.Warn("what ran last is not known any more; the gateway waits for a leader", "instance", p.Name(), "revision", last.Revision)
+			a.log.Warn("last revision is not cached, the gateway waits for a leader", "instance", p.Name(), "revision", last.Revision)
 			continue
 		}
 		rendered, err := a.render(r, p)
 		if err != nil {
-			a.log.Error("what ran last can't be started", "instance", p.Name(), "error", err)
+			a.log.Error("failed to render the last revision", "instance", p.Name(), "error", err)
 			continue
 		}
-		a.log.Warn("no leader says what to run; what ran last is started", "instance", p.Name(), "revision", last.Revision)
+		a.log.Warn("no orders from a leader, starting the last revision", "instance", p.Name(), "revision", last.Revision)
 		p.SetDesired(ctx, rendered)
 	}
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -27,32 +27,33 @@
 	maxReportBytes      = 4 << 20
 	maxSnapshotBytes    = 256 << 20
 	leaderTimeout       = 10 * time.Second
-	readTimeout         = 3 * time.Second // of one agent that a reading call is sent on to
+	readTimeout         = 3 * time.Second // of one agent to which a reading call is forwarded
 	probeTimeout        = 10 * time.Second
 	maxConcurrentProbes = 32
 
-	electionTimeout      = 5 * time.Second // an election is over by then, or there is no majority
+	electionTimeout      = 5 * time.Second // after it there is no majority
 	electionPollInterval = 50 * time.Millisecond
 
-	onBehalfHeader = "X-Elderyard-For" // for whom an agent speaks
+	onBehalfHeader = "X-Elderyard-For" // whose call an agent forwards: name;role
 )
 
-// endpoint is one call of the agents' interface.
+// endpoint is one kind of call of the agents' interface.
 type endpoint struct {
 	minRole pki.Role
-	local   bool // this agent answers itself, whoever leads
+	local   bool // this agent answers, whoever leads
 	maxBody int64
 	handle  func(context.Context, *call) (any, error)
-	stale   func(why string) any // what this agent can tell without the leader; nil: nothing
+	stale   func(why string) any // the answer without the leader; nil: there is none
 }
 
-// call is one call on its way.
+// call is one call in progress.
 type call struct {
 	caller
 	body []byte
 	r    *http.Request
 }
 
+// read decodes the body. An unknown key is a bad request.
 func (c *call) read(v any) error {
 	if err := revisions.DecodeStrict(c.body, v); err != nil {
 		return &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
@@ -115,10 +116,11 @@
 	return mux
 }
 
-// serveCall finds out who calls and who answers.
+// serveCall checks the caller's role, and answers the call here, at the leader or, where
+// none can be reached, with a stale answer.
 func (a *Agent) serveCall(response http.ResponseWriter, request *http.Request, target *endpoint) {
 	c := &call{caller: callerOf(request.Context()), r: request}
-	// An agent speaks for those whose calls it sends on, never for more than they may.
+	// An agent forwards calls under the caller's identity, and so under the caller's role.
 	if name, role, found := strings.Cut(request.Header.Get(onBehalfHeader), ";"); found && c.role.Covers(pki.Agent) {
 		c.caller = caller{name, pki.Role(role)}
 	}
@@ -166,8 +168,8 @@
 	writeJSON(response, status, f)
 }
 
-// whenLeading does a call if this voter leads. Where it is only about to, as
-// after a start or an election, that is waited for.
+// whenLeading answers a call if this voter leads. Where no leader is known, as after a
+// start or during an election, it retries for electionTimeout.
 func (a *Agent) whenLeading(ctx context.Context, e *endpoint, c *call) (answer any, err error) {
 	for limit := time.Now().Add(electionTimeout); ; wait.For(ctx, electionPollInterval) {
 		answer, err = e.handle(ctx, c)
@@ -180,6 +182,7 @@
 	}
 }
 
+// asFailure returns the failure and the HTTP status by which an error is answered.
 func asFailure(err error) (*agentapi.Failure, int) {
 	var f *agentapi.Failure
 	var r *leader.RejectedError
@@ -201,13 +204,15 @@
 	return &agentapi.Failure{Code: agentapi.CodeRefused, Text: err.Error()}, http.StatusConflict
 }
 
+// writeJSON answers with a value.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-// forward has the leader answer a call in this agent's place.
+// forward has the leader answer a call. Each call is forwarded at most twice: to a voter,
+// and by that to the leader.
 func (a *Agent) forward(ctx context.Context, request *call) ([]byte, error) {
 	hop := request.r.Header.Get(agentapi.HopHeader)
 	if hop != "" && hop != agentapi.HopMayForward || hop == agentapi.HopMayForward && a.store == nil {
