--- a/records/delta_test.go
+++ b/records/delta_test.go
@@ -100,50 +100,6 @@
 	}
 }
 
-func TestCompaction(t *testing.T) {
-	store := smallStore(t)
-	for i := range MaxLogChanges + 10 {
-		apply(t, store, uint64(i+2), change(put("plan/free", fmt.Sprintf(`{"price_weight":1,"requests_per_second":%d}`, i+1))), Accepted)
-	}
-	newest := store.Version()
-	oldest := newest - MaxLogChanges
-	if _, err := store.ChangesSince(oldest - 1); !errors.Is(err, ErrCompacted) {
-		t.Errorf("below the log: %v", err)
-	}
-	if delta := since(t, store, oldest); len(delta.Puts) != 1 {
-		t.Errorf("%d puts", len(delta.Puts))
-	}
-	if _, found := store.DigestAt(oldest - 1); found {
-		t.Error("a compacted version has a digest")
-	}
-	if _, found := store.DigestAt(oldest); !found || len(store.History(0)) != MaxLogChanges {
-		t.Error("the log does not go back as far as it should")
-	}
-}
-
-// The log is bounded in bytes too, and a change of any size fits into it.
-func TestLogBytes(t *testing.T) {
-	store := largeStore(t, 4)
-	version := store.Version()
-	for round := range 8 {
-		var operations []Operation
-		for i := range 5000 {
-			operations = append(operations, put(fmt.Sprintf("plan/p%0100d", i), fmt.Sprintf(`{"price_weight":1,"requests_per_second":%d}`, round+1)))
-		}
-		version++
-		apply(t, store, version, change(operations...), Accepted)
-		if store.log.bytes > MaxLogBytes {
-			t.Fatalf("the log has %d bytes", store.log.bytes)
-		}
-		if delta := since(t, store, version-1); len(delta.Puts) != 5000 {
-			t.Fatalf("%d puts", len(delta.Puts))
-		}
-	}
-	if kept := len(store.History(0)); kept != 6 {
-		t.Errorf("%d changes are kept", kept)
-	}
-}
-
 func TestDifference(t *testing.T) {
 	from, to := smallStore(t), smallStore(t)
 	if delta := Difference(from, to); !delta.Empty() {
@@ -159,40 +115,3 @@
 		t.Errorf("back: %+v", back)
 	}
 }
-
-func TestHandleChanges(t *testing.T) {
-	store := smallStore(t)
-	old := store.Digest()
-	apply(t, store, 5, change(put("plan/free", planValue)), Accepted)
-	wrong := Digest{1}
-	for _, test := range []struct {
-		name    string
-		request ChangesRequest
-		want    ChangesResponse
-	}{
-		{"nothing new", ChangesRequest{Since: 5}, ChangesResponse{}},
-		{"a change", ChangesRequest{Since: 1, Digest: &old}, ChangesResponse{Delta: &Delta{}}},
-		{"from the beginning", ChangesRequest{}, ChangesResponse{Delta: &Delta{}}},
-		{"another digest", ChangesRequest{Since: 1, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
-		{"another digest of the newest", ChangesRequest{Since: 5, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
-		{"no such version", ChangesRequest{Since: 3, Digest: &old}, ChangesResponse{Repair: RepairDigest}},
-		{"the future", ChangesRequest{Since: 6}, ChangesResponse{Behind: true}},
-	} {
-		answer := store.HandleChanges(test.request)
-		if (answer.Delta == nil) != (test.want.Delta == nil) || answer.Repair != test.want.Repair || answer.Behind != test.want.Behind {
-			t.Errorf("%s: %+v", test.name, answer)
-		}
-		data, err := EncodeChangesResponse(answer)
-		if err != nil {
-			t.Fatal(err)
-		}
-		decoded, err := DecodeChangesResponse(data)
-		if err != nil || decoded.Version != 5 || decoded.Digest != store.Digest() || (decoded.Delta == nil) != (answer.Delta == nil) {
-			t.Errorf("%s: decoded %+v, %v", test.name, decoded, err)
-		}
-	}
-	large := largeStore(t, 26_000)
-	if answer := large.HandleChanges(ChangesRequest{}); answer.Repair != RepairTooLarge {
-		t.Errorf("26,000 records: %s", answer.Repair)
-	}
-}
--- a/records/doc.go
+++ b/records/doc.go
@@ -11,21 +11,3 @@
 // The package does no I/O, starts no goroutine and reads no clock. None of its
 // types may be used by several goroutines at once.
 package records
-
-// Bounds of what is accepted and kept.
-const (
-	MaxRecords    = 1 << 16  // records of a state
-	MaxStateBytes = 16 << 20 // keys and values of a state, in bytes
-	MaxOperations = 10_000   // operations of a change
-	MaxNameBytes  = 128      // of a record's name, and of any name in a value
-	MaxValueBytes = 4 << 10  // of a record's value in canonical form
-	MaxTextBytes  = 1 << 10  // of a change's message
-	MaxLogChanges = 4096     // changes kept in a store's log; the oldest are compacted
-	MaxLogBytes   = 4 << 20  // of the log's keys and texts; the oldest are compacted
-	MaxRequests   = 1024     // request keys whose results are remembered
-	MaxDeltaBytes = 1 << 20  // of an answer's delta before compression; beyond it a replica repairs by ranges
-)
-
-// recordOverhead is what a record counts for beside its key and value, in bytes,
-// where encoded sizes are bounded.
-const recordOverhead = 48
--- a/records/advance.go
+++ b/records/key_changes.go
@@ -2,23 +2,6 @@
 
 import "fmt"
 
-// Applied returns the version of the newest change that the store has judged,
-// whatever became of it; 0: there was none.
-func (s *Store) Applied() uint64 { return s.applied }
-
-// Advance gives the present content a new version without changing a record, as
-// after the restore of a saved state: replicas that have gone past that state must
-// see a version above theirs, and find by its digest that they differ. The error
-// is ErrVersion if the version is not above all before; nothing is done then.
-func (s *Store) Advance(info ChangeInfo) error {
-	if info.Version <= s.applied {
-		return fmt.Errorf("%w: %d is not above %d", ErrVersion, info.Version, s.applied)
-	}
-	s.applied, s.version = info.Version, info.Version
-	s.log.add(logEntry{Info: info, Digest: s.Digest(), Keys: []Key{}})
-	return nil
-}
-
 // KeyChange is the last change of one record between two versions.
 type KeyChange struct {
 	Key     Key    `json:"key"`
--- a/records/advance_test.go
+++ b/records/key_changes_test.go
@@ -5,36 +5,6 @@
 	"testing"
 )
 
-func TestAdvance(t *testing.T) {
-	store := smallStore(t)
-	digest := store.Digest()
-	if err := store.Advance(ChangeInfo{Version: 1, Author: "restore"}); !errors.Is(err, ErrVersion) {
-		t.Fatalf("%v", err)
-	}
-	if err := store.Advance(ChangeInfo{Version: 9, Author: "restore"}); err != nil {
-		t.Fatal(err)
-	}
-	if store.Version() != 9 || store.Digest() != digest || store.Applied() != 9 {
-		t.Fatalf("version %d, applied %d, digest %s", store.Version(), store.Applied(), store.Digest())
-	}
-	// Who had the same content has nothing to put; who had gone further has other content.
-	if a := store.HandleChanges(ChangesRequest{Since: 1, Digest: &digest}); a.Delta == nil || !a.Delta.Empty() || a.Delta.To != 9 {
-		t.Fatalf("%+v", a)
-	}
-	if a := store.HandleChanges(ChangesRequest{Since: 5, Digest: &Digest{1}}); a.Repair != RepairDigest {
-		t.Fatalf("%+v", a)
-	}
-	snapshot, err := store.Snapshot()
-	if err != nil {
-		t.Fatal(err)
-	}
-	var restored Store
-	if err := restored.Restore(snapshot); err != nil || restored.Version() != 9 {
-		t.Fatalf("version %d, %v", restored.Version(), err)
-	}
-	apply(t, store, 10, change(remove("tenant/acme")), Accepted)
-}
-
 func TestKeysChanged(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 5, change(put("tenant/acme", `{"plan":"gold"}`), put("plan/silver", planValue)), Accepted)
--- a/records/store.go
+++ b/records/store.go
@@ -34,6 +34,10 @@
 // Version returns the version of the newest accepted change; 0: there is none.
 func (s *Store) Version() uint64 { return s.version }
 
+// Applied returns the version of the newest change that the store has judged,
+// whatever became of it; 0: there was none.
+func (s *Store) Applied() uint64 { return s.applied }
+
 // Digest identifies the present content.
 func (s *Store) Digest() Digest { return s.current().digest }
 
@@ -83,6 +87,19 @@
 	return result, nil
 }
 
+// Advance gives the present content a new version without changing a record, as
+// after the restore of a saved state: replicas that have gone past that state must
+// see a version above theirs, and find by its digest that they differ. The error
+// is ErrVersion if the version is not above all before; nothing is done then.
+func (s *Store) Advance(info ChangeInfo) error {
+	if info.Version <= s.applied {
+		return fmt.Errorf("%w: %d is not above %d", ErrVersion, info.Version, s.applied)
+	}
+	s.applied, s.version = info.Version, info.Version
+	s.log.add(logEntry{Info: info, Digest: s.Digest(), Keys: []Key{}})
+	return nil
+}
+
 func (s *Store) apply(version uint64, change Change) Result {
 	evaluation, status, problem := s.evaluate(version, change)
 	if problem != nil {
