--- a/records/bounded_list.go
+++ b/records/bounded_list.go
@@ -6,14 +6,16 @@
 	"fmt"
 )
 
-// minElementBytes is less than any element of a List takes as JSON.
+// minElementBytes is a lower bound of the size of any valid List element as JSON.
 const minElementBytes = 16
 
-// List is a list that reads at most MaxRecords elements from JSON, so that a small
-// message cannot make a program allocate much, and none with unknown fields.
+// List is a list that decodes at most MaxRecords elements from JSON, and rejects unknown
+// fields in them. The bound also depends on the size of the text, so that a small message
+// cannot make a program allocate much memory.
 type List[Element any] []Element
 
-// UnmarshalJSON reads the list element by element.
+// UnmarshalJSON implements json.Unmarshaler. It decodes element by element; null is the
+// empty list.
 func (l *List[Element]) UnmarshalJSON(data []byte) error {
 	if bytes.Equal(data, []byte("null")) {
 		*l = nil
@@ -24,11 +26,11 @@
 	if start, err := decoder.Token(); err != nil || start != json.Delim('[') {
 		return fmt.Errorf("want a list, not %.32q", data)
 	}
-	highest := min(MaxRecords, len(data)/minElementBytes)
+	maxElements := min(MaxRecords, len(data)/minElementBytes)
 	var list List[Element]
 	for decoder.More() {
-		if len(list) == highest {
-			return fmt.Errorf("a list of %d bytes has more than %d elements", len(data), highest)
+		if len(list) == maxElements {
+			return fmt.Errorf("a list of %d bytes has more than %d elements", len(data), maxElements)
 		}
 		var element Element
 		if err := decoder.Decode(&element); err != nil {
--- a/records/change.go
+++ b/records/change.go
@@ -12,24 +12,24 @@
 	Value   json.RawMessage `json:"value"` // canonical JSON
 }
 
-// size is what a record counts for in bounds, in bytes.
+// size returns the size of the key and value in bytes, which the bounds limit.
 func (r Record) size() int { return len(r.Key.Kind) + len(r.Key.Name) + len(r.Value) }
 
-// Operation writes or deletes one record. Writing the value that a record already
-// has, and deleting a record that is not there, change nothing.
+// Operation puts or deletes one record. Putting the value that a record already has
+// and deleting a record that does not exist have no effect.
 type Operation struct {
 	Key    Key             `json:"key"`
 	Delete bool            `json:"delete,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
 	// IfVersion makes the change conditional on the record's version: 0 means that the
-	// record must not exist, nil that any version will do.
+	// record must not exist, nil that there is no condition.
 	IfVersion *uint64 `json:"if,omitempty"`
 }
 
-// Change is a set of operations that take effect together or not at all.
+// Change is a set of operations that are applied atomically.
 type Change struct {
-	// IdempotencyKey makes a repeat harmless: a store answers a request key that it
-	// remembers with the result it gave. Empty: the change is not remembered.
+	// IdempotencyKey makes the change safe to retry: a store returns the cached result of
+	// the first attempt. If it is empty, no result is cached.
 	IdempotencyKey string      `json:"request,omitempty"`
 	Author         string      `json:"author"`
 	Message        string      `json:"message,omitempty"`
@@ -37,32 +37,32 @@
 	Operations     []Operation `json:"operations"`
 }
 
-// Status is what became of a change.
+// Status is the outcome of a change.
 type Status string
 
 // The outcomes of a change.
 const (
 	Accepted  Status = "accepted"
-	Unchanged Status = "unchanged" // valid, but the records already are as it wants them
+	Unchanged Status = "unchanged" // valid, but without effect on any record
 	Conflict  Status = "conflict"  // a record is not at the version that the change expects
 	Invalid   Status = "invalid"
 )
 
-// Result is a store's answer to a change.
+// Result is a store's response to a change.
 type Result struct {
 	Status  Status   `json:"status"`
-	Version uint64   `json:"version"` // of the store after the change
-	Problem *Problem `json:"problem,omitempty"`
+	Version uint64   `json:"version"`           // of the store after the change
+	Problem *Problem `json:"problem,omitempty"` // nil if the status is Accepted or Unchanged
 }
 
-// Problem is why a change was refused.
+// Problem is why a change was rejected.
 type Problem struct {
-	Key    string `json:"key,omitempty"`   // KIND/NAME; empty: the change as a whole
+	Key    string `json:"key,omitempty"`   // KIND/NAME; empty if it is not about one record
 	Field  string `json:"field,omitempty"` // of the record's value, or of the change
 	Reason string `json:"reason"`
 }
 
-// Error names the key, the field and the reason.
+// Error returns the key, the field and the reason.
 func (p *Problem) Error() string {
 	text := p.Reason
 	if p.Field != "" {
@@ -80,5 +80,5 @@
 	Author     string    `json:"author"`
 	Message    string    `json:"message,omitempty"`
 	At         time.Time `json:"at"`
-	Operations int       `json:"operations"` // records that it changed
+	Operations int       `json:"operations"` // number of records that it changed
 }
--- a/records/change_log.go
+++ b/records/change_log.go
@@ -1,15 +1,13 @@
 package records
 
-import (
-	"slices"
-)
+import "slices"
 
-// changeLog is what is kept of the newest accepted changes, oldest first. Values
-// are not kept: the present state has those that still count.
+// changeLog has the newest accepted changes, oldest first. It has no values: those that
+// are still in force are in the present state.
 type changeLog struct {
 	entries []logEntry
-	bytes   int
-	// The state before the oldest entry.
+	bytes   int // sum of the entries' sizes
+	// Version and digest of the state before the oldest entry.
 	floorVersion uint64
 	floorDigest  Digest
 }
@@ -21,9 +19,11 @@
 	Keys   []Key      `json:"keys"`   // that it put or deleted
 }
 
-// entryOverhead is what an entry or a key counts for beside its text, in bytes.
+// entryOverhead is added for each key, and four times for each entry, to the size of the
+// texts, in bytes.
 const entryOverhead = 32
 
+// size returns about how many bytes the entry takes in memory.
 func (e *logEntry) size() int {
 	size := 4*entryOverhead + len(e.Info.Author) + len(e.Info.Message)
 	for _, key := range e.Keys {
@@ -32,7 +32,7 @@
 	return size
 }
 
-// add appends an entry and compacts what is beyond the bounds.
+// add appends an entry and compacts the oldest ones until the log is within its bounds.
 func (l *changeLog) add(entry logEntry) {
 	l.entries = append(l.entries, entry)
 	l.bytes += entry.size()
@@ -44,7 +44,7 @@
 	l.compact(drop)
 }
 
-// compact forgets the oldest entries.
+// compact drops the oldest entries.
 func (l *changeLog) compact(count int) {
 	if count == 0 {
 		return
@@ -54,7 +54,7 @@
 	l.entries = slices.Delete(l.entries, 0, count)
 }
 
-// after returns the entries above a version.
+// after returns the entries above a version. They are only valid until the next add.
 func (l *changeLog) after(version uint64) []logEntry {
 	position, found := l.find(version)
 	if found {
@@ -63,6 +63,7 @@
 	return l.entries[position:]
 }
 
+// find returns the position of a version's entry, or where it would be inserted.
 func (l *changeLog) find(version uint64) (int, bool) {
 	return slices.BinarySearchFunc(l.entries, version, func(entry logEntry, version uint64) int {
 		switch {
@@ -75,6 +76,7 @@
 	})
 }
 
+// digestAt returns the digest at a version that is in the log, or just before it.
 func (l *changeLog) digestAt(version uint64) (Digest, bool) {
 	if version == l.floorVersion {
 		return l.floorDigest, true
@@ -86,6 +88,7 @@
 	return l.entries[position].Digest, true
 }
 
+// history returns up to limit changes, newest first; all if the limit is 0 or less.
 func (l *changeLog) history(limit int) []ChangeInfo {
 	count := len(l.entries)
 	if limit > 0 {
--- a/records/changes.go
+++ b/records/changes.go
@@ -6,60 +6,62 @@
 	"time"
 )
 
-// MaxWait is how long a server holds a request for changes open at most.
+// MaxWait is the longest time for which a server lets a request for changes wait.
 const MaxWait = 10 * time.Second
 
-// ChangesRequest asks a server for the changes above a version.
+// ChangesRequest requests the changes above a version.
 type ChangesRequest struct {
 	Since  uint64
-	Digest *Digest       // of the asker's content at Since; nil: not checked
-	Wait   time.Duration // how long to wait if there are none, at most MaxWait
+	Digest *Digest       // of the replica's content at Since; nil if it is not to be checked
+	Wait   time.Duration // how long the server waits for a change if there is none; at most MaxWait
 }
 
-// RepairReason is why a server cannot give changes.
+// RepairReason is why a server cannot send changes.
 type RepairReason string
 
 // The reasons for a repair by ranges.
 const (
-	RepairCompacted RepairReason = "compacted" // the log does not go back so far
-	RepairDigest    RepairReason = "digest"    // the asker's content is not what the server had at that version
-	RepairTooLarge  RepairReason = "too_large" // the changes are over the bound of an answer
+	RepairCompacted RepairReason = "compacted" // the log does not go back to the version
+	RepairDigest    RepairReason = "digest"    // the replica's content is not what the server had at that version
+	RepairTooLarge  RepairReason = "too_large" // the changes are over MaxDeltaBytes
 )
 
-// ChangesResponse is a server's answer to a ChangesRequest. At most one of Delta, Repair and
-// Behind is set; none: there is nothing new.
+// ChangesResponse is a server's response to a ChangesRequest. At most one of Delta, Repair
+// and Behind is set; if none is, the replica is at the server's version.
 type ChangesResponse struct {
 	Version uint64       `json:"version"` // the server's
 	Digest  Digest       `json:"digest"`  // of the server's content
 	Delta   *Delta       `json:"delta,omitempty"`
 	Repair  RepairReason `json:"repair,omitempty"`
-	Behind  bool         `json:"behind,omitempty"` // the server has not come to the asker's version
+	Behind  bool         `json:"behind,omitempty"` // the server is below the requested version
 }
 
-// NothingNew tells whether the asker has all that the server has: the server may
-// wait for a change before it answers.
-func (a ChangesResponse) NothingNew() bool { return a.Delta == nil && a.Repair == "" && !a.Behind }
+// NothingNew reports whether the replica is at the server's version, so that the server may
+// wait for a change before it responds.
+func (r ChangesResponse) NothingNew() bool { return r.Delta == nil && r.Repair == "" && !r.Behind }
 
-// HandleChanges answers a request from the store's present state.
+// HandleChanges returns the response to a request in the store's present state. It does not
+// wait: that is for the caller, which calls it again after the next change.
 func (s *Store) HandleChanges(request ChangesRequest) ChangesResponse {
-	answer := ChangesResponse{Version: s.version, Digest: s.Digest()}
+	response := ChangesResponse{Version: s.version, Digest: s.Digest()}
 	delta, err := s.ChangesSince(request.Since)
 	switch {
 	case errors.Is(err, ErrFuture):
-		answer.Behind = true
+		response.Behind = true
 	case err != nil:
-		answer.Repair = RepairCompacted
-	case !s.digestFits(request):
-		answer.Repair = RepairDigest
+		response.Repair = RepairCompacted
+	case !s.digestMatches(request):
+		response.Repair = RepairDigest
 	case delta.Size() > MaxDeltaBytes:
-		answer.Repair = RepairTooLarge
+		response.Repair = RepairTooLarge
 	case delta.To > delta.From:
-		answer.Delta = &delta
+		response.Delta = &delta
 	}
-	return answer
+	return response
 }
 
-func (s *Store) digestFits(request ChangesRequest) bool {
+// digestMatches reports whether the content had the request's digest at its version.
+func (s *Store) digestMatches(request ChangesRequest) bool {
 	if request.Digest == nil {
 		return true
 	}
@@ -67,30 +69,30 @@
 	return found && digest == *request.Digest
 }
 
-// validate returns what is contradictory in an answer.
-func (a ChangesResponse) validate() error {
-	if a.Digest == (Digest{}) {
+// validate implements validator.
+func (r ChangesResponse) validate() error {
+	if r.Digest == (Digest{}) {
 		return errNoDigest
 	}
-	set := 0
-	for _, each := range []bool{a.Delta != nil, a.Repair != "", a.Behind} {
-		if each {
-			set++
+	count := 0
+	for _, set := range []bool{r.Delta != nil, r.Repair != "", r.Behind} {
+		if set {
+			count++
 		}
 	}
-	if set > 1 {
+	if count > 1 {
 		return errors.New("more than one of delta, repair and behind is set")
 	}
-	switch a.Repair {
+	switch r.Repair {
 	case "", RepairCompacted, RepairDigest, RepairTooLarge:
 	default:
-		return fmt.Errorf("unknown reason for a repair %.32q", a.Repair)
+		return fmt.Errorf("unknown reason for a repair %.32q", r.Repair)
 	}
-	if a.Delta == nil {
+	if r.Delta == nil {
 		return nil
 	}
-	if a.Delta.To != a.Version || a.Delta.Digest != a.Digest {
-		return fmt.Errorf("the delta leads to version %d, the answer says %d", a.Delta.To, a.Version)
+	if r.Delta.To != r.Version || r.Delta.Digest != r.Digest {
+		return fmt.Errorf("the delta leads to version %d, the answer says %d", r.Delta.To, r.Version)
 	}
-	return a.Delta.validate()
+	return r.Delta.validate()
 }
--- a/records/delta.go
+++ b/records/delta.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Tombstone is a record that has been deleted, and the version of the change that
-// did so.
+// Tombstone is the key of a deleted record and the version of the change that deleted it.
 type Tombstone struct {
 	Key     Key    `json:"key"`
 	Version uint64 `json:"version"`
 }
 
-// Delta is the net effect of the changes above one version up to another.
+// Delta is the net effect of the changes above version From up to version To. A record that
+// several changes wrote is in it once, as it is at To.
 type Delta struct {
 	From    uint64          `json:"from"`
 	To      uint64          `json:"to"`
@@ -21,10 +21,10 @@
 	Deletes List[Tombstone] `json:"deletes,omitempty"`
 }
 
-// Empty tells whether the delta changes no record.
+// Empty reports whether the delta changes no record.
 func (d Delta) Empty() bool { return len(d.Puts) == 0 && len(d.Deletes) == 0 }
 
-// Size is about how many bytes the delta takes before compression.
+// Size returns about how many bytes the delta takes on the wire before compression.
 func (d Delta) Size() int {
 	size := 0
 	for _, record := range d.Puts {
@@ -36,7 +36,7 @@
 	return size
 }
 
-// validate returns what is contradictory in a delta that came from elsewhere.
+// validate implements validator.
 func (d Delta) validate() error {
 	if d.From > d.To {
 		return fmt.Errorf("the delta leads from version %d back to %d", d.From, d.To)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// apply lays the delta over a state.
+// apply applies the delta to a draft.
 func (d Delta) apply(draft *draft) {
 	for _, tombstone := range d.Deletes {
 		draft.remove(tombstone.Key)
@@ -83,8 +83,8 @@
 }
 
 // ChangesSince returns the net effect of the changes above a version. The error is
-// ErrCompacted if the log does not go back so far, ErrFuture if the store has not
-// come to that version.
+// ErrCompacted if the log does not go back to the version, and ErrFuture if the version is
+// above the store's.
 func (s *Store) ChangesSince(version uint64) (Delta, error) {
 	if version > s.version {
 		return Delta{}, fmt.Errorf("%w: asked for the changes since %d, the newest is %d", ErrFuture, version, s.version)
@@ -112,22 +112,22 @@
 	return delta, nil
 }
 
-// Difference returns what makes one store's content into another's. A deleted
-// record is told at the other's version.
+// Difference returns the delta from one store's content to another's. The tombstones have
+// the other store's version.
 func Difference(from, to *Store) Delta {
 	delta := Delta{From: from.version, To: to.version, Digest: to.Digest()}
-	old, wanted := from.current(), to.current()
+	old, target := from.current(), to.current()
 	for i := range RangeCount {
-		if old.ranges[i].sum == wanted.ranges[i].sum {
+		if old.ranges[i].sum == target.ranges[i].sum {
 			continue
 		}
-		for _, record := range wanted.ranges[i].records {
+		for _, record := range target.ranges[i].records {
 			if before, found := old.get(record.Key); !found || hashRecord(before) != hashRecord(record) {
 				delta.Puts = append(delta.Puts, record)
 			}
 		}
 		for _, record := range old.ranges[i].records {
-			if _, found := wanted.get(record.Key); !found {
+			if _, found := target.get(record.Key); !found {
 				delta.Deletes = append(delta.Deletes, Tombstone{Key: record.Key, Version: to.version})
 			}
 		}
--- a/records/digest.go
+++ b/records/digest.go
@@ -9,24 +9,25 @@
 	"math/bits"
 )
 
-// RangeCount is the number of ranges into which the hash of the key divides a state.
+// RangeCount is the number of ranges into which a state is divided by a hash of the key.
 const RangeCount = 1024
 
 // Digest identifies the content of a state: keys, versions and values.
 //
-// Each record is hashed by itself, and the hashes of a range are added, so that a
-// change costs what it touches. This guards against accidents (damage, lost or
-// repeated changes, faults of a program); it does not withstand somebody who
-// searches for records whose hashes add up to a given sum.
+// Each record is hashed by itself, and the hashes of a range are added, so that the cost of
+// a change depends on the records that it writes and not on the size of the state. A digest
+// detects accidents (corruption, lost or repeated changes, programming errors). It is no
+// protection against an adversary, who could search for records whose hashes add up to a
+// given sum.
 type Digest [16]byte
 
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// errNoDigest is that a message lacks its digest: no content has the digest 0.
+// errNoDigest: a message has no digest, since no content has the digest 0.
 var errNoDigest = errors.New("the digest is missing")
 
-// ParseDigest reads the hexadecimal form.
+// ParseDigest returns the digest with the hexadecimal form.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	if len(text) != hex.EncodedLen(len(digest)) {
@@ -38,10 +39,10 @@
 	return digest, nil
 }
 
-// MarshalText writes the hexadecimal form.
+// MarshalText implements encoding.TextMarshaler with the hexadecimal form.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads the hexadecimal form.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Digest) UnmarshalText(text []byte) error {
 	digest, err := ParseDigest(string(text))
 	if err != nil {
@@ -66,8 +67,8 @@
 	return sum{high: high, low: low}
 }
 
-// hashRecord hashes key, version and value. A key has no zero byte, so that
-// different records give different input.
+// hashRecord returns the hash of key, version and value. A key has no zero byte, so
+// different records have different input.
 func hashRecord(record Record) sum {
 	buffer := make([]byte, 0, 512)
 	buffer = append(buffer, record.Key.Kind...)
@@ -80,6 +81,7 @@
 	return sum{high: binary.BigEndian.Uint64(hash[0:8]), low: binary.BigEndian.Uint64(hash[8:16])}
 }
 
+// hashRecords returns the sum of the records' hashes.
 func hashRecords(records []Record) sum {
 	var total sum
 	for _, record := range records {
@@ -100,7 +102,7 @@
 			hash = (hash ^ uint64(text[i])) * prime
 		}
 	}
-	// FNV's bits depend on the text unevenly: mix them as MurmurHash3 ends.
+	// The low bits of FNV-1a alone are unevenly distributed: mix with MurmurHash3's finalizer.
 	hash = (hash ^ hash>>33) * 0xff51afd7ed558ccd
 	return int((hash ^ hash>>33) % RangeCount)
 }
--- a/records/draft.go
+++ b/records/draft.go
@@ -6,21 +6,23 @@
 	"slices"
 )
 
-// draft is a state in the making.
+// draft is a mutable copy of a state. The state that it was made from does not change.
 type draft struct {
 	state *state
-	owned [RangeCount]bool // ranges whose records are the draft's own
+	owned [RangeCount]bool // ranges whose records are copied already
 }
 
+// edit returns a draft that begins with the state.
 func (s *state) edit() *draft { return new(draft).begin(s) }
 
+// begin makes the draft one of the state, and returns it.
 func (d *draft) begin(from *state) *draft {
 	copied := *from
 	d.state = &copied
 	return d
 }
 
-// mutableRange returns a range for changing.
+// mutableRange returns a range that is safe to change, copied on its first use.
 func (d *draft) mutableRange(index int) *keyRange {
 	keys := &d.state.ranges[index]
 	if !d.owned[index] {
@@ -30,6 +32,7 @@
 	return keys
 }
 
+// put inserts or replaces a record.
 func (d *draft) put(record Record) {
 	keys := d.mutableRange(RangeOf(record.Key))
 	position, found := keys.find(record.Key)
@@ -46,6 +49,7 @@
 	d.state.bytes += record.size()
 }
 
+// remove deletes a record if it exists.
 func (d *draft) remove(key Key) {
 	index := RangeOf(key)
 	position, found := d.state.ranges[index].find(key)
@@ -60,7 +64,7 @@
 	d.state.bytes -= old.size()
 }
 
-// replace sets all records of a range; they are in order of key.
+// replace sets the records of a range, which must be in order of key.
 func (d *draft) replace(index int, records []Record) {
 	keys := &d.state.ranges[index]
 	for _, old := range keys.records {
@@ -75,7 +79,8 @@
 	d.owned[index] = true
 }
 
-// finish computes the digest and returns the state; the draft is not used any more.
+// finish computes the digest and returns the state. The draft must not be used afterwards:
+// it shares all with the state.
 func (d *draft) finish() *state {
 	const sumBytes = 16
 	buffer := make([]byte, 0, RangeCount*sumBytes)
--- a/records/evaluate.go
+++ b/records/evaluate.go
@@ -8,14 +8,16 @@
 	"unicode/utf8"
 )
 
-// evaluation is what a valid change would make of a store.
+// evaluation is the effect that a valid change would have on a store.
 type evaluation struct {
 	draft      *draft
 	changed    []Key       // in the order of the operations
-	references map[Key]int // how the counts of references would change
+	references map[Key]int // differences to the counts of references
 }
 
-// Check tells what Apply would refuse in a change on the store as it is, or nil.
+// Check returns the status and the problem that Apply would return for a change in the
+// store's present state, and changes nothing. The problem is nil if the status is Accepted
+// or Unchanged. Idempotency keys are not considered.
 func (s *Store) Check(change Change) (Status, *Problem) {
 	evaluation, status, problem := s.evaluate(s.applied+1, change)
 	if problem != nil {
@@ -27,7 +29,8 @@
 	return Accepted, nil
 }
 
-// evaluate works out a change without touching the store.
+// evaluate computes the effect of a change without changing the store. On a problem the
+// status is Invalid or Conflict.
 func (s *Store) evaluate(version uint64, change Change) (evaluation, Status, *Problem) {
 	if problem := checkText(change); problem != nil {
 		return evaluation{}, Invalid, problem
@@ -49,12 +52,13 @@
 	return result, Accepted, nil
 }
 
-// parsedValue is an operation's value, read and in canonical form.
+// parsedValue is an operation's value, decoded and in canonical form.
 type parsedValue struct {
-	value     Value // nil: a delete
+	value     Value // nil for a delete
 	canonical json.RawMessage
 }
 
+// checkText checks the fields of a change that do not depend on its operations' keys.
 func checkText(change Change) *Problem {
 	texts := []struct {
 		field, text string
@@ -87,6 +91,8 @@
 	return nil
 }
 
+// parseOperations validates keys and values, and returns the values by index of the
+// operation.
 func parseOperations(operations []Operation) ([]parsedValue, *Problem) {
 	values := make([]parsedValue, len(operations))
 	seen := make(map[Key]bool, len(operations))
@@ -114,6 +120,7 @@
 	return values, nil
 }
 
+// checkConditions compares the versions that the operations expect with the present ones.
 func (s *Store) checkConditions(operations []Operation) *Problem {
 	for _, operation := range operations {
 		if operation.IfVersion == nil {
@@ -133,7 +140,8 @@
 	return nil
 }
 
-// perform makes the draft of the state after the operations.
+// perform returns the draft of the state after the operations, without the operations
+// that have no effect.
 func (s *Store) perform(version uint64, operations []Operation, values []parsedValue) evaluation {
 	result := evaluation{draft: s.current().edit(), references: map[Key]int{}}
 	for i, operation := range operations {
@@ -155,7 +163,7 @@
 	return result
 }
 
-// addReference adds to the number of references to the record that a value needs.
+// addReference adds delta to the count of references to the record that a value refers to.
 func (e *evaluation) addReference(value Value, delta int) {
 	if value == nil {
 		return
@@ -165,7 +173,8 @@
 	}
 }
 
-// referenceOf parses the value of a stored record; nil if it is not valid any more.
+// referenceOf returns the decoded value of a stored record, or nil if the value is not
+// valid.
 func referenceOf(record Record) Value {
 	value, _, problem := ParseValue(record.Key.Kind, record.Value)
 	if problem != nil {
@@ -174,6 +183,8 @@
 	return value
 }
 
+// checkBounds rejects a change that grows the state beyond a bound. A state that is over a
+// bound already may shrink: otherwise it could never come below the bound again.
 func (s *Store) checkBounds(after *state) *Problem {
 	if after.count > MaxRecords && after.count > s.Len() {
 		return newProblem("", "operations", fmt.Sprintf("%d records after the change, at most %d are allowed", after.count, MaxRecords))
@@ -184,7 +195,8 @@
 	return nil
 }
 
-// checkReferences holds the state after a change to what its records need.
+// checkReferences checks that every record which the change puts finds the record that it
+// refers to, and that no record is deleted that others still refer to.
 func (s *Store) checkReferences(after evaluation, operations []Operation, values []parsedValue) *Problem {
 	for i, operation := range operations {
 		if operation.Delete {
@@ -205,9 +217,10 @@
 	return nil
 }
 
-// maxProblemBytes bounds each text of a problem, which is remembered.
+// maxProblemBytes bounds each text of a problem: results are cached and stored.
 const maxProblemBytes = 256
 
+// newProblem returns a problem whose texts are truncated to maxProblemBytes.
 func newProblem(key, field, reason string) *Problem {
 	return &Problem{Key: truncateText(key), Field: truncateText(field), Reason: truncateText(reason)}
 }
--- a/records/key.go
+++ b/records/key.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"strings"
 )
@@ -17,10 +18,10 @@
 	Service Kind = "service"
 )
 
-// Kinds lists all kinds.
+// Kinds returns all kinds.
 func Kinds() []Kind { return []Kind{Route, Tenant, Plan, Service} }
 
-// ParseKind reads a kind; any other text is an error.
+// ParseKind returns the kind with this text, or an error that names the text.
 func ParseKind(text string) (Kind, error) {
 	for _, kind := range Kinds() {
 		if text == string(kind) {
@@ -30,13 +31,13 @@
 	return "", fmt.Errorf("unknown kind %q: want route, tenant, plan or service", text)
 }
 
-// Key names a record.
+// Key identifies a record.
 type Key struct {
 	Kind Kind
 	Name string
 }
 
-// ParseKey reads the text form KIND/NAME.
+// ParseKey returns the key with the text form KIND/NAME.
 func ParseKey(text string) (Key, error) {
 	kindText, name, found := strings.Cut(text, "/")
 	if !found {
@@ -61,15 +62,16 @@
 	return err
 }
 
-// Compare orders keys by kind, then by name.
+// Compare returns -1, 0 or 1 if the key sorts before, equal to or after the other: by
+// kind, then by name.
 func (k Key) Compare(other Key) int {
 	return cmp.Or(cmp.Compare(k.Kind, other.Kind), cmp.Compare(k.Name, other.Name))
 }
 
-// MarshalText writes the text form.
+// MarshalText implements encoding.TextMarshaler with the text form.
 func (k Key) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads the text form.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (k *Key) UnmarshalText(text []byte) error {
 	key, err := ParseKey(string(text))
 	if err != nil {
@@ -83,7 +85,7 @@
 // which the first is a letter or a digit.
 func checkName(name string) error {
 	if name == "" {
-		return fmt.Errorf("the name is empty")
+		return errors.New("the name is empty")
 	}
 	if len(name) > MaxNameBytes {
 		return fmt.Errorf("the name has %d bytes, at most %d are allowed", len(name), MaxNameBytes)
@@ -96,6 +98,7 @@
 	return nil
 }
 
+// nameByte reports whether a name may contain the byte, as its first one or later.
 func nameByte(b byte, first bool) bool {
 	switch {
 	case 'a' <= b && b <= 'z', 'A' <= b && b <= 'Z', '0' <= b && b <= '9':
--- a/records/key_changes.go
+++ b/records/key_changes.go
@@ -2,20 +2,21 @@
 
 import "fmt"
 
-// KeyChange is the last change of one record between two versions.
+// KeyChange is the last change of one record within a span of versions.
 type KeyChange struct {
 	Key     Key    `json:"key"`
 	Version uint64 `json:"version"`
-	// Record is what the change wrote; nil: it deleted the record, or a later change
-	// has written it anew, and the value in between is not kept.
+	// Record is what the change wrote. It is nil if the change deleted the record, or if
+	// a later change overwrote it: the log has no values.
 	Record *Record `json:"record,omitempty"`
-	// SupersededBy is the version of the present record where that is above Version.
+	// SupersededBy is the version of the present record if that is above Version, else 0.
 	SupersededBy uint64 `json:"later,omitempty"`
 }
 
-// KeysChanged lists the records that changes above one version and up to another
-// put or deleted, in the order of their last change. The errors are those of
-// ChangesSince.
+// KeysChanged returns the records that the changes above version from, up to version to,
+// put or deleted, in the order of their last change. The error is ErrFuture if to is
+// above the store's version or below from, and ErrCompacted if the log does not go back
+// to from.
 func (s *Store) KeysChanged(from, to uint64) ([]KeyChange, error) {
 	if from > to || to > s.version {
 		return nil, fmt.Errorf("%w: asked for the changes from %d to %d, the newest is %d", ErrFuture, from, to, s.version)
--- a/records/limits.go
+++ b/records/limits.go
@@ -1,6 +1,6 @@
 package records
 
-// Bounds of what is accepted and kept.
+// Bounds of what is accepted and stored.
 const (
 	MaxRecords    = 1 << 16  // records of a state
 	MaxStateBytes = 16 << 20 // keys and values of a state, in bytes
@@ -8,12 +8,12 @@
 	MaxNameBytes  = 128      // of a record's name, and of any name in a value
 	MaxValueBytes = 4 << 10  // of a record's value in canonical form
 	MaxTextBytes  = 1 << 10  // of a change's message
-	MaxLogChanges = 4096     // changes kept in a store's log; the oldest are compacted
+	MaxLogChanges = 4096     // changes in a store's log; the oldest are compacted
 	MaxLogBytes   = 4 << 20  // of the log's keys and texts; the oldest are compacted
-	MaxRequests   = 1024     // request keys whose results are remembered
-	MaxDeltaBytes = 1 << 20  // of an answer's delta before compression; beyond it a replica repairs by ranges
+	MaxRequests   = 1024     // idempotency keys whose results are cached
+	MaxDeltaBytes = 1 << 20  // of a response's delta before compression; beyond it a replica repairs by ranges
 )
 
-// recordOverhead is what a record counts for beside its key and value, in bytes,
+// recordOverhead is added for each record, in bytes, to the size of its key and value
 // where encoded sizes are bounded.
 const recordOverhead = 48
--- a/records/range_list.go
+++ b/records/range_list.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// FormatRanges writes ascending ranges in short, such as "0-9,12".
+// FormatRanges returns the text of ascending ranges, such as "0-9,12".
 func FormatRanges(ranges []int) string {
 	var text strings.Builder
 	for i := 0; i < len(ranges); {
@@ -27,23 +27,23 @@
 	return text.String()
 }
 
-// ParseRanges reads what FormatRanges has written: at least one range, all of them
-// existing and in ascending order.
+// ParseRanges parses what FormatRanges returns. Anything but one or more existing ranges in
+// ascending order is an error.
 func ParseRanges(text string) ([]int, error) {
 	var ranges []int
 	next := 0
-	for part := range strings.SplitSeq(text, ",") {
-		firstText, lastText, several := strings.Cut(part, "-")
-		if !several {
+	for item := range strings.SplitSeq(text, ",") {
+		firstText, lastText, isSpan := strings.Cut(item, "-")
+		if !isSpan {
 			lastText = firstText
 		}
 		first, firstErr := strconv.Atoi(firstText)
 		last, lastErr := strconv.Atoi(lastText)
 		if firstErr != nil || lastErr != nil {
-			return nil, fmt.Errorf("ranges: %.32q: want a number or FIRST-LAST", part)
+			return nil, fmt.Errorf("ranges: %.32q: want a number or FIRST-LAST", item)
 		}
 		if first < next || last < first || last >= RangeCount {
-			return nil, fmt.Errorf("ranges: %.32q: want numbers in ascending order from 0 to %d", part, RangeCount-1)
+			return nil, fmt.Errorf("ranges: %.32q: want numbers in ascending order from 0 to %d", item, RangeCount-1)
 		}
 		for index := first; index <= last; index++ {
 			ranges = append(ranges, index)
--- a/records/ranges.go
+++ b/records/ranges.go
@@ -7,17 +7,17 @@
 	"fmt"
 )
 
-// MaxChunkBytes bounds the ranges of a chunk before compression. A single range is
-// always given whole.
+// MaxChunkBytes bounds the ranges of a chunk in bytes before compression. A single range is
+// never divided, and may be over the bound.
 const MaxChunkBytes = 256 << 10
 
-// DigestList is the short digests of all ranges: the low halves of their sums. The
-// digest of an empty range is 0.
+// DigestList has the short digests of all ranges: the low halves of the sums of their
+// records' hashes. That of a range without records is 0.
 type DigestList [RangeCount]uint64
 
 const digestListBytes = RangeCount * 8
 
-// MarshalText writes the list in base64.
+// MarshalText implements encoding.TextMarshaler: base64 of the digests in big-endian order.
 func (l DigestList) MarshalText() ([]byte, error) {
 	raw := make([]byte, 0, digestListBytes)
 	for _, digest := range l {
@@ -26,7 +26,7 @@
 	return base64.RawStdEncoding.AppendEncode(nil, raw), nil
 }
 
-// UnmarshalText reads what MarshalText has written.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (l *DigestList) UnmarshalText(text []byte) error {
 	if want := base64.RawStdEncoding.EncodedLen(digestListBytes); len(text) != want {
 		return fmt.Errorf("digests of ranges: %d characters instead of %d", len(text), want)
@@ -44,14 +44,15 @@
 	return nil
 }
 
-// RangeDigests tells the digests of a server's ranges at its version.
+// RangeDigests is a server's response to a DigestsRequest: the digests of its ranges at one
+// version.
 type RangeDigests struct {
 	Version uint64      `json:"version"`
-	Digest  Digest      `json:"digest"` // of the whole content
+	Digest  Digest      `json:"digest"` // of the complete content
 	Ranges  *DigestList `json:"ranges"`
 }
 
-// validate returns what is contradictory in the message.
+// validate implements validator.
 func (d RangeDigests) validate() error {
 	if d.Digest == (Digest{}) {
 		return errNoDigest
@@ -62,14 +63,14 @@
 	return nil
 }
 
-// RangeContent is all records of one range, in order of key.
+// RangeContent has all records of one range, in order of key.
 type RangeContent struct {
 	Range   int          `json:"range"`
 	Digest  uint64       `json:"digest"` // as in DigestList
 	Records List[Record] `json:"records"`
 }
 
-// validate returns what is contradictory in the content of a range at a version.
+// validate returns an error if the content cannot be that of its range at a version.
 func (c RangeContent) validate(version uint64) error {
 	if c.Range < 0 || c.Range >= RangeCount {
 		return fmt.Errorf("there is no range %d", c.Range)
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// size is about how many bytes the content takes before compression.
+// size returns about how many bytes the content takes on the wire before compression.
 func (c RangeContent) size() int {
 	size := recordOverhead
 	for _, record := range c.Records {
@@ -100,20 +101,21 @@
 	return size
 }
 
-// ContentRequest asks a server for the content of ranges.
+// ContentRequest requests the content of ranges.
 type ContentRequest struct {
 	Ranges   []int // in ascending order
-	MaxBytes int   // before compression; the rest is asked for again
+	MaxBytes int   // before compression; the client requests the remaining ranges again
 }
 
-// Chunk is the content of some ranges, all read at one version of a server.
+// Chunk is a server's response to a ContentRequest: the content of some ranges, all read at
+// one version.
 type Chunk struct {
 	Version uint64             `json:"version"`
-	Digest  Digest             `json:"digest"` // of the server's whole content
+	Digest  Digest             `json:"digest"` // of the server's complete content
 	Ranges  List[RangeContent] `json:"ranges"` // in ascending order
 }
 
-// validate returns what is contradictory in a chunk.
+// validate implements validator.
 func (c Chunk) validate() error {
 	if c.Digest == (Digest{}) {
 		return errNoDigest
@@ -134,11 +136,12 @@
 	return nil
 }
 
-// RangeDigests tells the digests of all ranges.
+// RangeDigests returns the digests of all ranges at the store's version.
 func (s *Store) RangeDigests() RangeDigests {
 	return RangeDigests{Version: s.version, Digest: s.Digest(), Ranges: s.current().digests()}
 }
 
+// digests returns the short digests of all ranges.
 func (s *state) digests() *DigestList {
 	var list DigestList
 	for i := range s.ranges {
@@ -147,25 +150,25 @@
 	return &list
 }
 
-// Range returns the content of a range, from 0 to RangeCount-1, at the store's
-// version. Its records are not to be changed; later changes leave them as they are.
+// Range returns the content of a range, from 0 to RangeCount-1, at the store's version. The
+// caller must not change its records; later changes of the store do not affect them.
 func (s *Store) Range(index int) RangeContent {
 	keys := &s.current().ranges[index]
 	return RangeContent{Range: index, Digest: keys.sum.low, Records: keys.records}
 }
 
-// Chunk returns the first of the ranges that a request names: at least one, more
-// while they fit its bound and MaxChunkBytes. Ranges that do not exist are left out.
+// Chunk returns the first of the requested ranges: at least one, and more while they are
+// within the request's bound and MaxChunkBytes. Ranges that do not exist are skipped.
 func (s *Store) Chunk(request ContentRequest) Chunk {
 	chunk := Chunk{Version: s.version, Digest: s.Digest()}
-	room := min(request.MaxBytes, MaxChunkBytes)
+	remaining := min(request.MaxBytes, MaxChunkBytes)
 	for _, index := range request.Ranges {
 		if index < 0 || index >= RangeCount {
 			continue
 		}
 		content := s.Range(index)
-		room -= content.size()
-		if room < 0 && len(chunk.Ranges) > 0 {
+		remaining -= content.size()
+		if remaining < 0 && len(chunk.Ranges) > 0 {
 			break
 		}
 		chunk.Ranges = append(chunk.Ranges, content)
--- a/records/replica.go
+++ b/records/replica.go
@@ -7,20 +7,24 @@
 	"fmt"
 )
 
-// Errors of a replica.
+// Errors of a replica, which its methods and those of Repair wrap.
 var (
-	ErrGap    = errors.New("changes are missing between the replica and the delta")
+	// ErrGap: a delta begins above the replica's version.
+	ErrGap = errors.New("changes are missing between the replica and the delta")
+	// ErrBehind: a delta, a snapshot or ranges are of a version below the replica's.
 	ErrBehind = errors.New("the replica is past that version")
+	// ErrDigest: the resulting content has another digest than the sender states.
 	ErrDigest = errors.New("the content does not fit the digest")
 )
 
-// Replica is a whole copy of the records at one version, which never goes back. Its
-// zero value is the empty copy at version 0.
+// Replica is a complete copy of the records at one version, which never decreases. Its zero
+// value is the empty copy at version 0. It belongs to one goroutine.
 type Replica struct {
 	state   *state
 	version uint64
 }
 
+// current returns the content, also of the zero value.
 func (r *Replica) current() *state {
 	if r.state == nil {
 		return emptyState
@@ -31,27 +35,28 @@
 // Version returns the version of the copy.
 func (r *Replica) Version() uint64 { return r.version }
 
-// Digest identifies the content of the copy.
+// Digest returns the digest of the content.
 func (r *Replica) Digest() Digest { return r.current().digest }
 
 // Len returns the number of records.
 func (r *Replica) Len() int { return r.current().count }
 
-// Get returns a record.
+// Get returns the record with the key, and whether it exists.
 func (r *Replica) Get(key Key) (Record, bool) { return r.current().get(key) }
 
 // List returns up to limit records of a kind whose names begin with the prefix, in
-// order of name; a limit of 0 or less means all.
+// order of name. A limit of 0 or less means all.
 func (r *Replica) List(kind Kind, prefix string, limit int) []Record {
 	return r.current().list(kind, prefix, limit)
 }
 
-// All yields the records in no particular order.
+// All is an iterator over the records, in an unspecified order.
 func (r *Replica) All(yield func(Record) bool) { r.current().all(yield) }
 
-// ApplyDelta brings the copy to the delta's version as a whole. On an error the copy
-// is as before: ErrGap if the delta begins above the copy's version, ErrBehind if it
-// ends below, ErrDigest if the result is not what the server has.
+// ApplyDelta applies a delta atomically; the copy is at version delta.To afterwards. On an
+// error it is unchanged. The error is ErrGap if the delta begins above the copy's version,
+// ErrBehind if it ends below, ErrDigest if the result does not have the delta's digest, and
+// any other if the delta contradicts itself.
 func (r *Replica) ApplyDelta(delta Delta) error {
 	if err := delta.validate(); err != nil {
 		return err
@@ -72,9 +77,9 @@
 	return nil
 }
 
-// checkRecord holds a record that came from elsewhere to the form in which a store
-// gives it. The value's fields are not checked: the store has done so, and may know
-// more of them than this program.
+// checkRecord validates a received record: key, version and that the value is in canonical
+// form. The fields of the value are not checked, since a newer store may have fields that
+// this program does not know.
 func checkRecord(record Record, newest uint64) error {
 	if err := record.Key.Validate(); err != nil {
 		return err
--- a/records/result_cache.go
+++ b/records/result_cache.go
@@ -8,61 +8,64 @@
 	"unicode/utf8"
 )
 
-// resultCache remembers the results of the newest requests, oldest first.
+// resultCache has the results of the newest MaxRequests changes with an idempotency key.
+// It is part of a store's replicated state: every store evicts the same result at the same
+// version.
 type resultCache struct {
-	order []string
+	order []string // idempotency keys, oldest first
 	byKey map[string]cachedResult
 }
 
-// cachedResult is what a request was answered, and what it had asked for.
+// cachedResult is the result of a change, and the hash of its content.
 type cachedResult struct {
 	IdempotencyKey string   `json:"request"`
 	Content        [16]byte `json:"content"` // hash of the change
 	Result         Result   `json:"result"`
 }
 
-// validIdempotencyKey tells whether a request key is one that a change may have.
-func validIdempotencyKey(request string) bool {
-	return request != "" && len(request) <= MaxNameBytes && utf8.ValidString(request)
+// validIdempotencyKey reports whether the results of changes with this key are cached.
+func validIdempotencyKey(key string) bool {
+	return key != "" && len(key) <= MaxNameBytes && utf8.ValidString(key)
 }
 
-// lookup returns the result of a request that is remembered. The same key with
-// another content is a mistake of the caller.
-func (l *resultCache) lookup(request string, content [16]byte) (Result, bool) {
-	remembered, found := l.byKey[request]
+// lookup returns the cached result of a key, and whether there is one. If the key was used
+// for another content, that is the caller's mistake, and the result is Invalid.
+func (c *resultCache) lookup(key string, content [16]byte) (Result, bool) {
+	cached, found := c.byKey[key]
 	if !found {
 		return Result{}, false
 	}
-	if remembered.Content != content {
-		reason := fmt.Sprintf("%q has been used for another change", request)
-		return Result{Status: Invalid, Version: remembered.Result.Version, Problem: &Problem{Field: "request", Reason: reason}}, true
+	if cached.Content != content {
+		reason := fmt.Sprintf("%q has been used for another change", key)
+		return Result{Status: Invalid, Version: cached.Result.Version, Problem: &Problem{Field: "request", Reason: reason}}, true
 	}
-	return remembered.Result, true
+	return cached.Result, true
 }
 
-func (l *resultCache) add(remembered cachedResult) {
-	if l.byKey == nil {
-		l.byKey = map[string]cachedResult{}
+// add caches a result, and evicts the oldest one at the bound.
+func (c *resultCache) add(cached cachedResult) {
+	if c.byKey == nil {
+		c.byKey = map[string]cachedResult{}
 	}
-	if len(l.order) == MaxRequests {
-		delete(l.byKey, l.order[0])
-		l.order = slices.Delete(l.order, 0, 1)
+	if len(c.order) == MaxRequests {
+		delete(c.byKey, c.order[0])
+		c.order = slices.Delete(c.order, 0, 1)
 	}
-	l.order = append(l.order, remembered.IdempotencyKey)
-	l.byKey[remembered.IdempotencyKey] = remembered
+	c.order = append(c.order, cached.IdempotencyKey)
+	c.byKey[cached.IdempotencyKey] = cached
 }
 
-// list returns what is remembered, oldest first.
-func (l *resultCache) list() []cachedResult {
-	list := make([]cachedResult, 0, len(l.order))
-	for _, request := range l.order {
-		list = append(list, l.byKey[request])
+// list returns the cached results, oldest first.
+func (c *resultCache) list() []cachedResult {
+	list := make([]cachedResult, 0, len(c.order))
+	for _, key := range c.order {
+		list = append(list, c.byKey[key])
 	}
 	return list
 }
 
-// contentHash identifies what a change asks for. The time is left out: a repeat
-// may be stamped anew.
+// contentHash identifies what a change does. It leaves out the time, which may differ
+// between attempts.
 func contentHash(change Change) [16]byte {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q %q", change.Author, change.Message)
--- a/records/state.go
+++ b/records/state.go
@@ -6,29 +6,33 @@
 	"strings"
 )
 
-// state is a set of records in ranges of their keys' hash. It is immutable once
-// made: a draft shares the ranges that it does not touch.
+// state is a set of records, divided into ranges by a hash of the key. It is immutable:
+// a draft copies the ranges that it changes and shares the others.
 type state struct {
 	ranges [RangeCount]keyRange
 	count  int
-	bytes  int // keys and values
+	bytes  int // size of all keys and values
 	digest Digest
 }
 
-// keyRange is the records of one range in order of key, with the sum of their hashes.
+// keyRange has the records of one range in order of key, and the sum of their hashes.
 type keyRange struct {
 	records []Record
 	sum     sum
 }
 
+// find returns the position of the key, or where it would be inserted, and whether it is
+// there.
 func (r *keyRange) find(key Key) (int, bool) {
 	return slices.BinarySearchFunc(r.records, key, func(record Record, key Key) int {
 		return record.Key.Compare(key)
 	})
 }
 
+// emptyState is the content of the zero Store and Replica.
 var emptyState = new(draft).begin(&state{}).finish()
 
+// get returns the record with the key, and whether it exists.
 func (s *state) get(key Key) (Record, bool) {
 	keys := &s.ranges[RangeOf(key)]
 	position, found := keys.find(key)
@@ -38,7 +42,7 @@
 	return keys.records[position], true
 }
 
-// all yields the records, range by range.
+// all is an iterator over the records, range by range.
 func (s *state) all(yield func(Record) bool) {
 	for i := range s.ranges {
 		for _, record := range s.ranges[i].records {
@@ -50,7 +54,7 @@
 }
 
 // list returns up to limit records of a kind whose names begin with the prefix, in
-// order of name; a limit of 0 or less means all.
+// order of name. A limit of 0 or less means all.
 func (s *state) list(kind Kind, prefix string, limit int) []Record {
 	var found []Record
 	for record := range s.all {
--- a/records/store.go
+++ b/records/store.go
@@ -5,25 +5,30 @@
 	"fmt"
 )
 
-// Errors of a store.
+// Errors of a store, which its methods wrap.
 var (
-	ErrVersion   = errors.New("the version does not follow the store's")
+	// ErrVersion: the version of a change is not above that of the newest applied one.
+	ErrVersion = errors.New("the version does not follow the store's")
+	// ErrCompacted: the log does not go back to the requested version.
 	ErrCompacted = errors.New("the changes since that version have been compacted")
-	ErrFuture    = errors.New("the store has not come to that version")
+	// ErrFuture: the requested version is above the store's.
+	ErrFuture = errors.New("the store has not come to that version")
 )
 
-// Store is the authority on the records: a state machine that gives the same
-// results for the same changes. Its zero value is empty and ready for use.
+// Store is the authority on the records: a deterministic state machine, so that every
+// store to which the same changes are applied has the same content, results and digest.
+// Its zero value is empty and ready for use. It belongs to one goroutine.
 type Store struct {
 	state   *state
 	version uint64 // of the newest accepted change
 	applied uint64 // of the newest change, whatever its result
 	log     changeLog
 	results resultCache
-	// references counts, for each record that others need, how many do.
+	// references has, for each record that others refer to, how many do.
 	references map[Key]int
 }
 
+// current returns the present content, also of the zero value.
 func (s *Store) current() *state {
 	if s.state == nil {
 		return emptyState
@@ -31,30 +36,31 @@
 	return s.state
 }
 
-// Version returns the version of the newest accepted change; 0: there is none.
+// Version returns the version of the newest accepted change, 0 if there is none.
 func (s *Store) Version() uint64 { return s.version }
 
-// Applied returns the version of the newest change that the store has judged,
-// whatever became of it; 0: there was none.
+// Applied returns the version of the newest change that was applied, whatever its
+// result, 0 if there was none.
 func (s *Store) Applied() uint64 { return s.applied }
 
-// Digest identifies the present content.
+// Digest returns the digest of the present content.
 func (s *Store) Digest() Digest { return s.current().digest }
 
 // Len returns the number of records.
 func (s *Store) Len() int { return s.current().count }
 
-// Get returns a record.
+// Get returns the record with the key, and whether it exists.
 func (s *Store) Get(key Key) (Record, bool) { return s.current().get(key) }
 
 // List returns up to limit records of a kind whose names begin with the prefix, in
-// order of name; a limit of 0 or less means all.
+// order of name. A limit of 0 or less means all.
 func (s *Store) List(kind Kind, prefix string, limit int) []Record {
 	return s.current().list(kind, prefix, limit)
 }
 
-// DigestAt returns the digest that the content had at the version of an accepted
-// change which is still in the log, or just before it.
+// DigestAt returns the digest that the content had at a version, and whether it is
+// known: it is for version 0, for the changes in the log and for the newest one that has
+// been compacted.
 func (s *Store) DigestAt(version uint64) (Digest, bool) {
 	if version == 0 {
 		return emptyState.digest, true
@@ -62,14 +68,15 @@
 	return s.log.digestAt(version)
 }
 
-// History describes the newest accepted changes, newest first, as far as the log
-// goes back; a limit of 0 or less means all of them.
+// History returns up to limit accepted changes, newest first, as far as the log goes
+// back. A limit of 0 or less means all.
 func (s *Store) History(limit int) []ChangeInfo { return s.log.history(limit) }
 
-// Apply validates a change and carries it out as a whole or not at all. The
-// version is the change's index in the replicated log and must exceed that of all
-// before, or the error is ErrVersion and nothing is done. What is wrong with the
-// change itself is told by the result.
+// Apply validates a change and applies it atomically. The version is the change's
+// index in the replicated log; if it is not above that of all changes before, the error
+// is ErrVersion and nothing is done. A change that is rejected is no error: the Result
+// has its status and problem. A change with a cached idempotency key is not applied
+// again: the result is the first one's.
 func (s *Store) Apply(version uint64, change Change) (Result, error) {
 	if version <= s.applied {
 		return Result{}, fmt.Errorf("%w: %d is not above %d", ErrVersion, version, s.applied)
@@ -87,10 +94,10 @@
 	return result, nil
 }
 
-// Advance gives the present content a new version without changing a record, as
-// after the restore of a saved state: replicas that have gone past that state must
-// see a version above theirs, and find by its digest that they differ. The error
-// is ErrVersion if the version is not above all before; nothing is done then.
+// Advance sets a new version without changing a record, as after the restore of a
+// backup: replicas that are past the restored state must see a version above theirs, and
+// detect by its digest that they differ. If the version is not above all before, the
+// error is ErrVersion and nothing is done.
 func (s *Store) Advance(info ChangeInfo) error {
 	if info.Version <= s.applied {
 		return fmt.Errorf("%w: %d is not above %d", ErrVersion, info.Version, s.applied)
@@ -100,6 +107,8 @@
 	return nil
 }
 
+// apply evaluates a change whose version and idempotency key are checked, and commits it
+// if it is accepted.
 func (s *Store) apply(version uint64, change Change) Result {
 	evaluation, status, problem := s.evaluate(version, change)
 	if problem != nil {
@@ -125,6 +134,7 @@
 	return Result{Status: Accepted, Version: version}
 }
 
+// adjustReferences adds the differences to the counts of references.
 func (s *Store) adjustReferences(difference map[Key]int) {
 	if s.references == nil {
 		s.references = map[Key]int{}
--- a/records/value.go
+++ b/records/value.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// FieldError is what is wrong with one field of a value.
+// FieldError is a problem with one field of a value.
 type FieldError struct {
-	Field  string // empty: the value as a whole
+	Field  string // empty if it is not about one field
 	Reason string
 }
 
-// Error names the field and the reason.
+// Error returns the field and the reason.
 func (e *FieldError) Error() string {
 	if e.Field == "" {
 		return e.Reason
@@ -29,14 +29,16 @@
 
 // Value is the typed content of a record.
 type Value interface {
-	// Validate returns the first problem of the value by itself, or nil.
+	// Validate returns the first problem of the value, or nil. It does not look at other
+	// records.
 	Validate() *FieldError
-	// Reference returns the record that must exist beside this one, if any.
+	// Reference returns the key of the record that must exist for this one to be valid,
+	// and the field that names it. If ok is false, the value refers to no record.
 	Reference() (key Key, field string, ok bool)
 }
 
-// ParseValue reads and validates the value of a record of a kind, and returns it
-// with its canonical JSON form.
+// ParseValue decodes and validates the value of a record of a kind, and returns it with
+// its canonical JSON. Unknown fields are rejected. The error names the field at fault.
 func ParseValue(kind Kind, data []byte) (Value, json.RawMessage, *FieldError) {
 	value, problem := newValue(kind)
 	if problem != nil {
@@ -61,6 +63,7 @@
 	return value, canonical, nil
 }
 
+// newValue returns an empty value of a kind.
 func newValue(kind Kind) (Value, *FieldError) {
 	switch kind {
 	case Route:
@@ -75,7 +78,7 @@
 	return nil, fieldError("", "unknown kind %q", kind)
 }
 
-// decodeStrict reads just one JSON value without unknown fields.
+// decodeStrict decodes exactly one JSON value, and rejects unknown fields.
 func decodeStrict(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -88,9 +91,11 @@
 	return nil
 }
 
-// unknownFieldPrefix begins encoding/json's message on a field that the type lacks.
+// unknownFieldPrefix begins the text of encoding/json's error for an unknown field, which
+// has no type of its own.
 const unknownFieldPrefix = `json: unknown field "`
 
+// decodeProblem returns the field that a decoding error is about, where it is known.
 func decodeProblem(err error) *FieldError {
 	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		return fieldError(wrongType.Field, "cannot be a JSON %s", wrongType.Value)
--- a/records/value_types.go
+++ b/records/value_types.go
@@ -18,12 +18,12 @@
 	maxHostBytes         = 253
 )
 
-// RouteValue sends requests of a host and path prefix to a service.
+// RouteValue routes requests for a host and path prefix to a service.
 type RouteValue struct {
 	Service       string `json:"service"`
-	Host          string `json:"host,omitempty"`       // empty: any host
-	Prefix        string `json:"prefix"`               // of the path, begins with "/"
-	TimeoutMillis int    `json:"timeout_ms,omitempty"` // 0: the gateway's own default
+	Host          string `json:"host,omitempty"`       // empty means any host
+	Prefix        string `json:"prefix"`               // of the path; begins with "/"
+	TimeoutMillis int    `json:"timeout_ms,omitempty"` // 0 means the gateway's default
 	Retries       int    `json:"retries,omitempty"`
 }
 
@@ -44,16 +44,16 @@
 	return checkRange("retries", v.Retries, MaxRetries)
 }
 
-// Reference implements Value: a route needs its service.
+// Reference implements Value: a route refers to its service.
 func (v *RouteValue) Reference() (Key, string, bool) {
 	return Key{Kind: Service, Name: v.Service}, "service", true
 }
 
-// TenantValue is a customer and the plan it is on.
+// TenantValue is a customer and its plan.
 type TenantValue struct {
 	Plan              string `json:"plan"`
-	RequestsPerSecond int    `json:"requests_per_second,omitempty"` // 0: the plan's limit
-	Burst             int    `json:"burst,omitempty"`               // requests; 0: the plan's burst
+	RequestsPerSecond int    `json:"requests_per_second,omitempty"` // 0 means the plan's limit
+	Burst             int    `json:"burst,omitempty"`               // in requests; 0 means the plan's burst
 }
 
 // Validate implements Value.
@@ -67,16 +67,16 @@
 	return checkRange("burst", v.Burst, MaxBurst)
 }
 
-// Reference implements Value: a tenant needs its plan.
+// Reference implements Value: a tenant refers to its plan.
 func (v *TenantValue) Reference() (Key, string, bool) {
 	return Key{Kind: Plan, Name: v.Plan}, "plan", true
 }
 
-// PlanValue is what a class of customers pays and may use.
+// PlanValue is the price weight and the rate limit of a class of customers.
 type PlanValue struct {
 	PriceWeight       float64 `json:"price_weight"`
 	RequestsPerSecond int     `json:"requests_per_second"`
-	Burst             int     `json:"burst,omitempty"` // requests; 0: one second's worth
+	Burst             int     `json:"burst,omitempty"` // in requests; 0 means the requests of one second
 }
 
 // Validate implements Value.
@@ -93,13 +93,13 @@
 	return checkRange("burst", v.Burst, MaxBurst)
 }
 
-// Reference implements Value: a plan stands by itself.
+// Reference implements Value: a plan refers to no record.
 func (v *PlanValue) Reference() (Key, string, bool) { return Key{}, "", false }
 
 // ServiceValue is a group of backends.
 type ServiceValue struct {
 	Class string   `json:"class"`
-	Zones []string `json:"zones,omitempty"` // preferred first; empty: no preference
+	Zones []string `json:"zones,omitempty"` // preferred first; empty means no preference
 }
 
 // Validate implements Value.
@@ -121,9 +121,10 @@
 	return nil
 }
 
-// Reference implements Value: a service stands by itself.
+// Reference implements Value: a service refers to no record.
 func (v *ServiceValue) Reference() (Key, string, bool) { return Key{}, "", false }
 
+// checkRange returns an error unless the value is between 0 and maxValue.
 func checkRange(field string, value, maxValue int) *FieldError {
 	if value < 0 || value > maxValue {
 		return fieldError(field, "%d is not between 0 and %d", value, maxValue)
@@ -131,6 +132,7 @@
 	return nil
 }
 
+// checkHost accepts the empty host and host names in lower case.
 func checkHost(host string) error {
 	if host == "" {
 		return nil
@@ -146,6 +148,7 @@
 	return nil
 }
 
+// checkPath accepts a path of printable ASCII characters without query and fragment.
 func checkPath(path string) error {
 	if !strings.HasPrefix(path, "/") {
 		return fmt.Errorf("%q does not begin with /", path)
