--- a/records/budget.go
+++ b/records/budget.go
@@ -2,24 +2,26 @@
 
 import "time"
 
-// Defaults of a follower's budget.
+// Defaults of a follower's budget, in bytes a second and in bytes.
 const (
 	DefaultBytesPerSecond = 6000
 	DefaultBurstBytes     = 4 * DefaultBytesPerSecond
 )
 
-// maxBudgetDebt is how much of the budget, in time, changes may be ahead of it.
+// maxBudgetDebt bounds the debt, as the time in which it is paid off, at which a follower still
+// requests changes.
 const maxBudgetDebt = time.Minute
 
-// budget is a token bucket of bytes that may go into debt: what has come has come,
-// and is paid off afterwards.
+// budget is a token bucket of bytes. It may go into debt, since the size of a response is known
+// only after it was received; the debt delays later requests.
 type budget struct {
 	perSecond  float64
 	burst      float64
 	tokens     float64
-	refilledAt time.Time // of the last refill
+	refilledAt time.Time
 }
 
+// newBudget returns a full budget. Values of 0 or less mean the defaults.
 func newBudget(bytesPerSecond, burstBytes int, now time.Time) budget {
 	if bytesPerSecond <= 0 {
 		bytesPerSecond = DefaultBytesPerSecond
@@ -30,8 +32,7 @@
 	return budget{perSecond: float64(bytesPerSecond), burst: float64(burstBytes), tokens: float64(burstBytes), refilledAt: now}
 }
 
-// refill adds what the time since the last refill is worth; a clock that goes back
-// adds nothing.
+// refill adds the tokens for the time since the last refill. A clock that goes back adds none.
 func (b *budget) refill(now time.Time) {
 	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
 		b.tokens = min(b.burst, b.tokens+elapsed.Seconds()*b.perSecond)
@@ -39,9 +40,10 @@
 	b.refilledAt = now
 }
 
+// spend removes tokens, into debt if need be.
 func (b *budget) spend(bytes int) { b.tokens -= float64(bytes) }
 
-// readyAt returns when the budget is out of a debt of more than the given time.
+// readyAt returns when the debt will be at most what the given time pays off.
 func (b *budget) readyAt(debt time.Duration) time.Time {
 	missing := -b.tokens - debt.Seconds()*b.perSecond
 	if missing <= 0 {
--- a/records/codec.go
+++ b/records/codec.go
@@ -6,36 +6,41 @@
 	"fmt"
 )
 
-// MaxMessageBytes bounds a message on the wire, before and after compression.
+// MaxMessageBytes bounds a message on the wire in bytes, before and after compression.
 const MaxMessageBytes = 2 << 20
 
-// ErrMessage is that a message is damaged, too large or contradicts itself.
+// ErrMessage means that a message is damaged, too large or contradicts itself.
 var ErrMessage = errors.New("unusable message about records")
 
-// validator is a message that can be held to its own rules.
-type validator interface{ validate() error }
+// validator is a message from another program.
+type validator interface {
+	// validate returns an error if the message contradicts itself.
+	validate() error
+}
 
-// EncodeChangesResponse returns the answer as it goes over the wire.
-func EncodeChangesResponse(answer ChangesResponse) ([]byte, error) { return encode(answer) }
+// EncodeChangesResponse returns the response in its form on the wire. The error is for a
+// message over MaxMessageBytes.
+func EncodeChangesResponse(response ChangesResponse) ([]byte, error) { return encode(response) }
 
-// DecodeChangesResponse reads what EncodeChangesResponse has written; the error wraps ErrMessage.
+// DecodeChangesResponse decodes and validates a response. The error wraps ErrMessage.
 func DecodeChangesResponse(data []byte) (ChangesResponse, error) {
 	return decode[ChangesResponse](data)
 }
 
-// EncodeRangeDigests returns the digests as they go over the wire.
+// EncodeRangeDigests returns the digests in their form on the wire.
 func EncodeRangeDigests(digests RangeDigests) ([]byte, error) { return encode(digests) }
 
-// DecodeRangeDigests reads what EncodeRangeDigests has written; the error wraps
-// ErrMessage.
+// DecodeRangeDigests decodes and validates digests. The error wraps ErrMessage.
 func DecodeRangeDigests(data []byte) (RangeDigests, error) { return decode[RangeDigests](data) }
 
-// EncodeChunk returns the chunk as it goes over the wire.
+// EncodeChunk returns the chunk in its form on the wire. The error is for a message over
+// MaxMessageBytes.
 func EncodeChunk(chunk Chunk) ([]byte, error) { return encode(chunk) }
 
-// DecodeChunk reads what EncodeChunk has written; the error wraps ErrMessage.
+// DecodeChunk decodes and validates a chunk. The error wraps ErrMessage.
 func DecodeChunk(data []byte) (Chunk, error) { return decode[Chunk](data) }
 
+// encode returns the message as JSON, compressed if it is large.
 func encode(message any) ([]byte, error) {
 	text, err := json.Marshal(message)
 	if err != nil {
@@ -47,6 +52,8 @@
 	return compress(text), nil
 }
 
+// decode decodes a message strictly, with bounded memory, and validates it. The error wraps
+// ErrMessage.
 func decode[Message validator](data []byte) (Message, error) {
 	var message, none Message
 	text, err := decompress(data, MaxMessageBytes)
--- a/records/compress.go
+++ b/records/compress.go
@@ -11,12 +11,13 @@
 // minCompressBytes is the size in bytes from which a message is compressed.
 const minCompressBytes = 512
 
-// zstdMagic begins every Zstandard frame; no JSON text begins so.
+// zstdMagic begins every Zstandard frame, and no JSON text.
 var zstdMagic = []byte{0x28, 0xb5, 0x2f, 0xfd}
 
 // encoderWindow bounds the encoder's memory, in bytes.
 const encoderWindow = 1 << 20
 
+// encoder is shared by all callers: its EncodeAll is safe for concurrent use.
 var encoder = sync.OnceValue(func() *zstd.Encoder {
 	encoder, err := zstd.NewWriter(nil,
 		zstd.WithEncoderLevel(zstd.SpeedBetterCompression),
@@ -29,7 +30,7 @@
 	return encoder
 })
 
-// compress returns the data as a Zstandard frame if that is worth it.
+// compress returns the data as a Zstandard frame if it is large enough, else unchanged.
 func compress(data []byte) []byte {
 	if len(data) < minCompressBytes {
 		return data
@@ -37,8 +38,9 @@
 	return encoder().EncodeAll(data, nil)
 }
 
-// decompress undoes compress and refuses more than limit bytes before it makes room for
-// them.
+// decompress reverses compress. It rejects data that expands to more than limit bytes before
+// it allocates memory for them. A decoder is made for each call, since its memory is bounded by the
+// limit.
 func decompress(data []byte, limit int) ([]byte, error) {
 	if !bytes.HasPrefix(data, zstdMagic) {
 		if len(data) > limit {
--- a/records/follower.go
+++ b/records/follower.go
@@ -6,35 +6,48 @@
 	"time"
 )
 
-// Times of a follower.
+// Time limits of a follower.
 const (
-	LongPollWait       = 8 * time.Second // that a server may wait for a change
-	requestTimeout     = 5 * time.Second // for an answer, beside what the server may wait
-	headGracePeriod    = 2 * time.Second // for a server to give a version that is known to exist
-	minPollInterval    = time.Second     // after an answer without changes that came at once
+	// LongPollWait is how long a server may wait for a change before it responds.
+	LongPollWait = 8 * time.Second
+	// CutOffTimeout is the time without a useful response after which a follower is CutOff.
+	CutOffTimeout = 30 * time.Second
+
+	requestTimeout     = 5 * time.Second // for a response, in addition to the server's wait
+	headGracePeriod    = 2 * time.Second // for a server to have a version that is known to exist
+	minPollInterval    = time.Second     // after a response without changes that came at once
 	repairPollInterval = 3 * time.Second // between requests for changes during a repair
-	maxStartDelay      = time.Second     // within which followers that start together ask first
+	maxStartDelay      = time.Second     // spreads the first requests of followers that start together
 	initialBackoff     = 300 * time.Millisecond
 	maxBackoff         = 5 * time.Second
-	CutOffTimeout      = 30 * time.Second // without a useful answer
 )
 
-// chunkRequestBytes is how much of the ranges is asked for at once, before compression.
+// chunkRequestBytes is the bound on the ranges of one request, in bytes before compression.
 const chunkRequestBytes = 64 << 10
 
-// FollowerConfig is what a follower needs to know.
+// FollowerConfig is the configuration of a follower.
 type FollowerConfig struct {
-	Name           string   // of the gateway: it spreads requests over servers and time
-	Servers        []string // names of the servers, any of which may be asked
-	BytesPerSecond int      // budget of what comes in; 0: DefaultBytesPerSecond
-	BurstBytes     int      // 0: DefaultBurstBytes
-	// ConfirmedAt is when the replica's present version was last known to be the
-	// newest, as kept with it on disk; zero: not known.
+	Name           string   // of the gateway; spreads the requests of followers over servers and time
+	Servers        []string // names of the servers, all of which have the same records
+	BytesPerSecond int      // budget of traffic; 0 means DefaultBytesPerSecond
+	BurstBytes     int      // 0 means DefaultBurstBytes
+	// ConfirmedAt is when the replica's present version was last known to be the newest,
+	// as stored with it on disk. It is zero if that is not known.
 	ConfirmedAt time.Time
 }
 
-// Follower decides how one replica follows the servers: whom to ask for what and
-// when, within a budget of bytes, and whom to leave.
+// Follower decides how one replica follows the servers: what to request from which server and
+// when, within a budget of bytes, and which servers to eject.
+//
+// It is driven by events: the driver passes each one to Handle with the present time, carries
+// out the actions that Handle returns in their order, and sends a Tick at the time that Wake
+// returns. At most one request is in flight. Times never come from a clock of the follower, so
+// the same events at the same times have the same actions.
+//
+// A server whose response is late, invalid or below the head is ejected for a while, and the
+// next request goes to another. A response is applied only if its digest verifies the result.
+// Where a delta is not available, a Repair fetches the ranges that differ; changes that any
+// server can send go before the repair's ranges.
 type Follower struct {
 	replica *Replica
 	servers servers
@@ -43,32 +56,32 @@
 	now     time.Time
 
 	lastID        uint64
-	inFlight      *inFlightRequest // nil: nothing is asked
-	nextRequestAt time.Time        // when something may be asked again
-	failures      int              // in a row
+	inFlight      *inFlightRequest // nil if there is none
+	nextRequestAt time.Time        // earliest time of the next request, apart from the budget
+	failures      int              // consecutive failed requests
 
 	head        uint64    // newest version known to exist
-	behindSince time.Time // zero: the replica is at the head
+	behindSince time.Time // zero if the replica is at the head
 
-	repair             *Repair // nil: none is under way
+	repair             *Repair // nil if there is none
 	repairReason       RepairReason
-	changesRequestedAt time.Time // during a repair
-	digestDisputed     bool      // a server takes the replica's content for wrong
+	changesRequestedAt time.Time // when changes were last requested; paces them during a repair
+	digestDisputed     bool      // a server has another digest of the replica's version
 
-	lastContact time.Time // of the last useful answer
+	lastContact time.Time // of the last useful response
 	confirmedAt time.Time // when the replica was last known to be at the newest version
-	lastFault   string    // the last one; empty after a useful answer
+	lastFault   string    // empty after a useful response
 }
 
-// inFlightRequest is a request that has not been answered.
+// inFlightRequest is a request without a response so far.
 type inFlightRequest struct {
 	Send
 	sentAt         time.Time
-	finishesRepair bool // the changes are those that finish the repair
+	finishesRepair bool // the changes are for Repair.Finish
 }
 
-// NewFollower makes a follower of a replica, which only the follower changes from
-// now on. The caller sends a Tick when the time that Wake returns has come.
+// NewFollower returns a follower of a replica, which only the follower may change from then
+// on. The first event is a Tick at the time that Wake returns.
 func NewFollower(config FollowerConfig, replica *Replica, now time.Time) *Follower {
 	follower := &Follower{
 		replica:     replica,
@@ -84,7 +97,8 @@
 	return follower
 }
 
-// Handle takes in an event and returns what is to be done, in order.
+// Handle processes an event and returns the actions that the driver must carry out, in their
+// order. Responses to a request that is no longer in flight only count against the budget.
 func (f *Follower) Handle(now time.Time, event Event) []Action {
 	f.now = now
 	f.budget.refill(now)
@@ -94,8 +108,8 @@
 		actions = f.handleResponse(event)
 	case RequestFailed:
 		f.budget.spend(event.Bytes)
-		if ask := f.clearInFlight(event.ID); ask != nil {
-			f.ejectServer(ask.Server, failedEjectionTime, fmt.Errorf("no answer: %s", event.Reason))
+		if sent := f.clearInFlight(event.ID); sent != nil {
+			f.ejectServer(sent.Server, failedEjectionTime, fmt.Errorf("no answer: %s", event.Reason))
 		}
 	case HeadReceived:
 		f.updateHead(event.Version)
@@ -104,7 +118,8 @@
 	return append(actions, f.sendNext()...)
 }
 
-// Wake returns when the follower wants a Tick.
+// Wake returns the time at which the driver must send a Tick; it may be in the past. It
+// changes with every event.
 func (f *Follower) Wake() time.Time {
 	if f.inFlight != nil {
 		return f.requestDeadline()
@@ -116,12 +131,13 @@
 	return ready
 }
 
+// updateHead raises the newest version that is known to exist.
 func (f *Follower) updateHead(version uint64) {
 	f.head = max(f.head, version)
 	f.updateBehindSince()
 }
 
-// updateBehindSince keeps since when the replica has been behind the head.
+// updateBehindSince maintains the time since which the replica has been behind the head.
 func (f *Follower) updateBehindSince() {
 	switch {
 	case f.replica.Version() >= f.head:
@@ -131,10 +147,10 @@
 	}
 }
 
-// errLagging is that a server has not come to a version that exists.
+// errLagging means that a server is below a version that is known to exist.
 var errLagging = errors.New("the server is behind")
 
-// ejectServer turns away from a server for a while.
+// ejectServer ejects a server after a failed request, and backs off.
 func (f *Follower) ejectServer(server string, period time.Duration, fault error) {
 	f.servers.eject(server, f.now.Add(f.jitter.shorten(period)))
 	f.lastFault = fmt.Sprintf("%s: %v", server, fault)
@@ -142,15 +158,15 @@
 	f.nextRequestAt = f.now.Add(f.jitter.shorten(f.backoff()))
 }
 
-// backoff is short while there are servers that have not had their turn, and
-// doubles from then on.
+// backoff returns the pause before the next request. It is short until every server has been
+// tried, and doubles from then on.
 func (f *Follower) backoff() time.Duration {
 	const maxDoublings = 10
 	doublings := min(max(0, f.failures-len(f.servers.order)), maxDoublings)
 	return min(maxBackoff, initialBackoff<<doublings)
 }
 
-// recordSuccess notes a good answer.
+// recordSuccess resets the backoff after a useful response.
 func (f *Follower) recordSuccess() {
 	f.failures = 0
 	f.lastFault = ""
--- a/records/follower_events.go
+++ b/records/follower_events.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Event is something that has happened to a follower: Tick, Answered, Failed or
-// HeadReceived.
+// Event is an input of a follower: Tick, ResponseReceived, RequestFailed or HeadReceived.
 type Event interface{ event() }
 
-// Tick tells that the time that Wake returned has come.
+// Tick is the event that the time which Wake returned has come.
 type Tick struct{}
 
-// ResponseReceived is a server's answer to an Ask.
+// ResponseReceived is the event that a server has responded to a Send.
 type ResponseReceived struct {
-	ID    uint64 // of the Ask
-	Body  []byte // as it came over the wire
-	Bytes int    // that it cost with all around it; 0: the length of the body
+	ID    uint64 // of the Send
+	Body  []byte // as received
+	Bytes int    // traffic that it caused, protocol overhead included; 0 means the length of the body
 }
 
-// RequestFailed tells that an Ask got no answer.
+// RequestFailed is the event that a Send has no response.
 type RequestFailed struct {
 	ID     uint64
 	Reason string
-	Bytes  int // that it cost nonetheless
+	Bytes  int // traffic that it caused all the same
 }
 
-// HeadReceived tells of a version that has been accepted, from whoever knows.
+// HeadReceived is the event that a version is known to exist, from any source: the follower
+// expects servers to have it soon.
 type HeadReceived struct{ Version uint64 }
 
 func (Tick) event()             {}
@@ -31,35 +31,34 @@
 func (RequestFailed) event()    {}
 func (HeadReceived) event()     {}
 
-// Action is what the driver of a follower is to do: Ask, Cancel or Save.
+// Action is an output of a follower, which its driver carries out: Send, Cancel or Persist.
 type Action interface{ action() }
 
-// Request is what a server is asked for: ChangesRequest, DigestsRequest or
-// ContentRequest.
+// Request is a request to a server: ChangesRequest, DigestsRequest or ContentRequest.
 type Request interface{ request() }
 
-// DigestsRequest asks a server for the digests of its ranges.
+// DigestsRequest requests the digests of a server's ranges.
 type DigestsRequest struct{}
 
 func (ChangesRequest) request() {}
 func (DigestsRequest) request() {}
 func (ContentRequest) request() {}
 
-// Send sends a request to a server; there is at most one at a time. It ends with
-// Answered or Failed, or with a Cancel.
+// Send is the action to send a request to a server. There is at most one at a time: it ends
+// with the event ResponseReceived or RequestFailed with its ID, or with the action Cancel.
 type Send struct {
 	ID      uint64
 	Server  string
 	Request Request
-	Timeout time.Duration // after which the follower cancels it
+	Timeout time.Duration // after which the follower cancels it; the driver needs no timer for it
 }
 
-// Cancel ends an Ask; what still comes of it is ignored.
+// Cancel is the action to abandon a Send. Later events with its ID are ignored.
 type Cancel struct{ ID uint64 }
 
-// Persist tells that the replica has come to a version, which is now in force and is
-// to be kept on disk. Delta is what led there from the last one, for the journal;
-// nil after a repair: the replica has to be written whole.
+// Persist is the action to store the replica, which has come to a version. Delta is the change
+// since the last Persist, for the journal. After a repair Delta is nil: the driver must write a
+// snapshot.
 type Persist struct {
 	Version uint64
 	Delta   *Delta
--- a/records/follower_request.go
+++ b/records/follower_request.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// clearInFlight takes back the open request if it has this ID.
+// clearInFlight removes and returns the request in flight if it has this ID, else it returns
+// nil.
 func (f *Follower) clearInFlight(id uint64) *inFlightRequest {
 	if f.inFlight == nil || f.inFlight.ID != id {
 		return nil
 	}
-	ask := f.inFlight
+	sent := f.inFlight
 	f.inFlight = nil
-	return ask
+	return sent
 }
 
-// requestDeadline returns until when the open request may take.
+// requestDeadline returns when the request in flight expires. A long poll expires early if the
+// head has moved and the server does not send it: the server may be stalled or lagging.
 func (f *Follower) requestDeadline() time.Time {
 	until := f.inFlight.sentAt.Add(f.inFlight.Timeout)
 	if changes, ok := f.inFlight.Request.(ChangesRequest); !ok || changes.Wait == 0 || f.behindSince.IsZero() {
@@ -31,38 +33,39 @@
 	return until
 }
 
-// expireRequest gives up the open request if it takes too long.
+// expireRequest cancels the request in flight if its deadline has passed, and ejects the server.
 func (f *Follower) expireRequest() []Action {
 	if f.inFlight == nil || f.now.Before(f.requestDeadline()) {
 		return nil
 	}
-	late := f.now.Sub(f.inFlight.sentAt)
-	ask := f.clearInFlight(f.inFlight.ID)
-	if late < ask.Timeout {
-		f.ejectServer(ask.Server, behindEjectionTime, fmt.Errorf("%w: it does not give version %d", errLagging, f.head))
+	elapsed := f.now.Sub(f.inFlight.sentAt)
+	sent := f.clearInFlight(f.inFlight.ID)
+	if elapsed < sent.Timeout {
+		f.ejectServer(sent.Server, behindEjectionTime, fmt.Errorf("%w: it does not give version %d", errLagging, f.head))
 	} else {
-		f.ejectServer(ask.Server, failedEjectionTime, fmt.Errorf("no answer within %v", ask.Timeout))
+		f.ejectServer(sent.Server, failedEjectionTime, fmt.Errorf("no answer within %v", sent.Timeout))
 	}
-	return []Action{Cancel{ID: ask.ID}}
+	return []Action{Cancel{ID: sent.ID}}
 }
 
-// planRequest returns what is to be asked next, and from when on.
+// planRequest returns the next request and the earliest time for it.
 func (f *Follower) planRequest() (inFlightRequest, time.Time) {
-	request, finish, debt := f.chooseRequest()
-	ask := inFlightRequest{Send: Send{Request: request, Timeout: requestTimeout}, finishesRepair: finish}
+	request, finishesRepair, debt := f.chooseRequest()
+	planned := inFlightRequest{Send: Send{Request: request, Timeout: requestTimeout}, finishesRepair: finishesRepair}
 	if changes, ok := request.(ChangesRequest); ok {
-		ask.Timeout += changes.Wait
+		planned.Timeout += changes.Wait
 	}
 	ready := f.nextRequestAt
-	if paid := f.budget.readyAt(debt); paid.After(ready) {
-		ready = paid
+	if paidOff := f.budget.readyAt(debt); paidOff.After(ready) {
+		ready = paidOff
 	}
-	return ask, ready
+	return planned, ready
 }
 
-// chooseRequest returns the request, whether it finishes the repair, and how much debt
-// the budget may have for it. Changes go before the ranges of a repair.
-func (f *Follower) chooseRequest() (request Request, finish bool, debt time.Duration) {
+// chooseRequest returns the next request, whether it finishes the repair, and the debt of the
+// budget at which it may still be sent. Changes go before the ranges of a repair, and may be
+// requested in debt, so that what a repair has spent does not delay them.
+func (f *Follower) chooseRequest() (request Request, finishesRepair bool, debt time.Duration) {
 	digest := f.replica.Digest()
 	changes := ChangesRequest{Since: f.replica.Version(), Digest: &digest}
 	if f.repair == nil {
@@ -81,7 +84,7 @@
 	return ChangesRequest{Since: f.repair.Since()}, true, maxBudgetDebt
 }
 
-// sendNext asks for what is next if its time has come.
+// sendNext sends the next request if none is in flight and its time has come.
 func (f *Follower) sendNext() []Action {
 	if f.inFlight != nil || len(f.servers.order) == 0 {
 		return nil
--- a/records/follower_response.go
+++ b/records/follower_response.go
@@ -6,44 +6,47 @@
 	"time"
 )
 
-// handleResponse takes in the answer to the open request.
+// handleResponse processes a response. If its request is no longer in flight, only its size
+// counts.
 func (f *Follower) handleResponse(event ResponseReceived) []Action {
 	if event.Bytes > 0 {
 		f.budget.spend(event.Bytes)
 	} else {
 		f.budget.spend(len(event.Body))
 	}
-	ask := f.clearInFlight(event.ID)
-	if ask == nil {
+	sent := f.clearInFlight(event.ID)
+	if sent == nil {
 		return nil
 	}
-	var saved []Action
+	var actions []Action
 	var err error
-	switch request := ask.Request.(type) {
+	switch request := sent.Request.(type) {
 	case ChangesRequest:
-		saved, err = f.acceptChanges(ask, request, event.Body)
+		actions, err = f.acceptChanges(sent, request, event.Body)
 	case DigestsRequest:
 		err = f.acceptDigests(event.Body)
 	case ContentRequest:
 		err = f.acceptChunk(event.Body)
 	}
-	f.recordOutcome(ask, err)
+	f.recordOutcome(sent, err)
 	f.updateBehindSince()
-	return saved
+	return actions
 }
 
-// recordOutcome stays with the server that has answered, or leaves it.
-func (f *Follower) recordOutcome(ask *inFlightRequest, err error) {
+// recordOutcome ejects the server if its response was of no use: for a short time if the server
+// lags or disputes the digest, for a long one if the response is invalid.
+func (f *Follower) recordOutcome(sent *inFlightRequest, err error) {
 	switch {
 	case err == nil:
 		f.recordSuccess()
 	case errors.Is(err, ErrBehind), errors.Is(err, errLagging), errors.Is(err, errDigestDisputed):
-		f.ejectServer(ask.Server, behindEjectionTime, err)
+		f.ejectServer(sent.Server, behindEjectionTime, err)
 	default:
-		f.ejectServer(ask.Server, corruptEjectionTime, err)
+		f.ejectServer(sent.Server, corruptEjectionTime, err)
 	}
 }
 
+// acceptDigests passes a server's digests to the repair.
 func (f *Follower) acceptDigests(body []byte) error {
 	digests, err := DecodeRangeDigests(body)
 	if err != nil {
@@ -52,6 +55,7 @@
 	return f.repair.CompareDigests(digests)
 }
 
+// acceptChunk passes a chunk to the repair.
 func (f *Follower) acceptChunk(body []byte) error {
 	chunk, err := DecodeChunk(body)
 	if err != nil {
@@ -60,68 +64,69 @@
 	return f.repair.StageChunk(chunk)
 }
 
-func (f *Follower) acceptChanges(ask *inFlightRequest, request ChangesRequest, body []byte) ([]Action, error) {
-	answer, err := DecodeChangesResponse(body)
+// acceptChanges processes a response to a request for changes.
+func (f *Follower) acceptChanges(sent *inFlightRequest, request ChangesRequest, body []byte) ([]Action, error) {
+	response, err := DecodeChangesResponse(body)
 	if err != nil {
 		return nil, err
 	}
-	if answer.Behind || answer.Version < request.Since {
-		if ask.finishesRepair {
+	if response.Behind || response.Version < request.Since {
+		if sent.finishesRepair {
 			f.repair.Recompare()
 		}
-		return nil, fmt.Errorf("%w: it is at version %d", errLagging, answer.Version)
+		return nil, fmt.Errorf("%w: it is at version %d", errLagging, response.Version)
 	}
-	if ask.finishesRepair {
-		return f.finishRepair(request, answer)
+	if sent.finishesRepair {
+		return f.finishRepair(request, response)
 	}
-	return f.applyChanges(ask, answer)
+	return f.applyChanges(sent, response)
 }
 
-// errDigestDisputed is that a server takes the replica's content for wrong. Another one is
-// asked before that is believed.
+// errDigestDisputed means that a server has another digest of the replica's version. A repair begins only
+// if a second server confirms it, since the first one's content may be the wrong one.
 var errDigestDisputed = errors.New("the server has another digest of the replica's version")
 
-// applyChanges takes an answer to a request for the changes above the replica's version.
-func (f *Follower) applyChanges(ask *inFlightRequest, answer ChangesResponse) ([]Action, error) {
-	if answer.Repair == RepairDigest && f.repair == nil && !f.digestDisputed && len(f.servers.order) > 1 {
+// applyChanges applies the changes above the replica's version, or begins a repair.
+func (f *Follower) applyChanges(sent *inFlightRequest, response ChangesResponse) ([]Action, error) {
+	if response.Repair == RepairDigest && f.repair == nil && !f.digestDisputed && len(f.servers.order) > 1 {
 		f.digestDisputed = true
 		return nil, errDigestDisputed
 	}
-	if answer.Repair != "" {
-		f.beginRepair(answer.Repair)
+	if response.Repair != "" {
+		f.beginRepair(response.Repair)
 		return nil, nil
 	}
-	if answer.Delta != nil {
-		if err := f.replica.ApplyDelta(*answer.Delta); err != nil {
+	if response.Delta != nil {
+		if err := f.replica.ApplyDelta(*response.Delta); err != nil {
 			return nil, err
 		}
 		f.markApplied()
-		return []Action{Persist{Version: f.replica.Version(), Delta: answer.Delta}}, nil
+		return []Action{Persist{Version: f.replica.Version(), Delta: response.Delta}}, nil
 	}
-	if answer.Version != f.replica.Version() || answer.Digest != f.replica.Digest() {
-		return nil, fmt.Errorf("%w: nothing new, but version %d with %s", ErrDigest, answer.Version, answer.Digest)
+	if response.Version != f.replica.Version() || response.Digest != f.replica.Digest() {
+		return nil, fmt.Errorf("%w: nothing new, but version %d with %s", ErrDigest, response.Version, response.Digest)
 	}
 	f.markApplied()
 	if f.replica.Version() >= f.head {
-		f.delayRequests(ask, minPollInterval)
+		f.delayRequests(sent, minPollInterval)
 		return nil, nil
 	}
 	if f.now.Sub(f.behindSince) >= headGracePeriod {
 		return nil, fmt.Errorf("%w: it does not give version %d", errLagging, f.head)
 	}
-	f.delayRequests(ask, initialBackoff)
+	f.delayRequests(sent, initialBackoff)
 	return nil, nil
 }
 
-// delayRequests spaces requests whose answers came sooner than that.
-func (f *Follower) delayRequests(ask *inFlightRequest, pause time.Duration) {
-	if f.now.Sub(ask.sentAt) < pause {
-		f.nextRequestAt = f.now.Add(f.jitter.shorten(pause))
+// delayRequests paces requests to a server that responds at once instead of waiting.
+func (f *Follower) delayRequests(sent *inFlightRequest, interval time.Duration) {
+	if f.now.Sub(sent.sentAt) < interval {
+		f.nextRequestAt = f.now.Add(f.jitter.shorten(interval))
 	}
 }
 
-// markApplied notes that the replica is what a server has as its newest. A repair that
-// would not lead further is not needed any more.
+// markApplied records that the replica is at a server's newest version. It drops a repair that
+// would not lead to a newer one.
 func (f *Follower) markApplied() {
 	f.digestDisputed = false
 	if f.replica.Version() >= f.head {
@@ -132,6 +137,7 @@
 	}
 }
 
+// beginRepair begins a repair unless there is one.
 func (f *Follower) beginRepair(reason RepairReason) {
 	if f.repair != nil {
 		return
@@ -140,15 +146,16 @@
 	f.repairReason = reason
 }
 
-// finishRepair takes the changes that complete what has been staged.
-func (f *Follower) finishRepair(request ChangesRequest, answer ChangesResponse) ([]Action, error) {
-	if answer.Repair != "" {
+// finishRepair completes the repair with the changes above its staged ranges. If the server has
+// compacted them, the ranges are compared again.
+func (f *Follower) finishRepair(request ChangesRequest, response ChangesResponse) ([]Action, error) {
+	if response.Repair != "" {
 		f.repair.Recompare()
 		return nil, nil
 	}
-	delta := Delta{From: request.Since, To: answer.Version, Digest: answer.Digest}
-	if answer.Delta != nil {
-		delta = *answer.Delta
+	delta := Delta{From: request.Since, To: response.Version, Digest: response.Digest}
+	if response.Delta != nil {
+		delta = *response.Delta
 	}
 	if err := f.repair.Finish(f.replica, delta); err != nil {
 		f.repair.Recompare()
--- a/records/follower_status.go
+++ b/records/follower_status.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// FollowerState is what a follower is doing.
+// FollowerState is the state of a follower.
 type FollowerState string
 
 // The states of a follower.
 const (
-	Following FollowerState = "following" // the changes as they come
-	Repairing FollowerState = "repairing"
-	CutOff    FollowerState = "cut_off" // no useful answer for CutOffTimeout
+	Following FollowerState = "following" // applies changes as they come
+	Repairing FollowerState = "repairing" // fetches the ranges that differ
+	CutOff    FollowerState = "cut_off"   // no useful response for CutOffTimeout
 )
 
-// FollowerStatus is what a follower says of itself.
+// FollowerStatus is a report of a follower's state.
 type FollowerStatus struct {
 	State   FollowerState `json:"state"`
 	Version uint64        `json:"version"`
 	Digest  Digest        `json:"digest"`
 	Head    uint64        `json:"head"` // newest version known to exist
 	Records int           `json:"records"`
-	// ConfirmedAt is when the copy was last known to be at the newest version; zero:
-	// never since it was read from disk.
+	// ConfirmedAt is when the replica was last known to be at the newest version. It is
+	// zero if that is not known.
 	ConfirmedAt time.Time `json:"confirmed,omitzero"`
-	LastContact time.Time `json:"contact"`          // last useful answer, or the start
-	Server      string    `json:"server,omitempty"` // that is being asked
-	Reason      string    `json:"reason,omitempty"` // why the copy may be behind
-	// Ranges of a repair: those whose content has come, and those still wanted.
+	LastContact time.Time `json:"contact"`          // last useful response, or the start
+	Server      string    `json:"server,omitempty"` // of the request in flight
+	Reason      string    `json:"reason,omitempty"` // why the replica may be behind
+	// Ranges of a repair: those that have been fetched, and those that are pending.
 	RangesFetched int `json:"ranges_taken,omitempty"`
 	RangesMissing int `json:"ranges_wanted,omitempty"`
 }
 
-// Age returns for how long the copy has not been known to be at the newest version;
-// false: that is not known.
+// Age returns the time since the replica was last known to be at the newest version, and
+// whether that is known.
 func (s FollowerStatus) Age(now time.Time) (time.Duration, bool) {
 	if s.ConfirmedAt.IsZero() {
 		return 0, false
@@ -39,7 +39,7 @@
 	return now.Sub(s.ConfirmedAt), true
 }
 
-// Status returns the present state.
+// Status returns the follower's state at a time, which may be later than the last event's.
 func (f *Follower) Status(now time.Time) FollowerStatus {
 	status := FollowerStatus{
 		State:       Following,
--- a/records/journal.go
+++ b/records/journal.go
@@ -8,22 +8,23 @@
 	"slices"
 )
 
-// ErrJournal is that a journal is damaged or cut short at some entry.
+// ErrJournal means that an entry of a journal is damaged, truncated or cannot be applied.
 var ErrJournal = errors.New("unusable entry in the journal of records")
 
-// MaxJournalBytes is the size of a journal from which the replica should be written
-// whole instead, and the journal begun anew.
+// MaxJournalBytes is the size of a journal in bytes from which the caller should write a new
+// snapshot and start a new journal.
 const MaxJournalBytes = 256 << 10
 
-// An entry is its body's length, the beginning of the body's checksum, and the body.
+// An entry is its body's length in big-endian order, the beginning of the body's SHA-256, and
+// the body.
 const (
 	journalLengthBytes   = 4
 	journalChecksumBytes = 8
 	journalHeaderBytes   = journalLengthBytes + journalChecksumBytes
 )
 
-// EncodeJournalEntry returns a delta in the form in which it is appended to the
-// journal that lies beside a replica's snapshot.
+// EncodeJournalEntry returns the journal entry of a delta, to be appended to the journal beside
+// a replica's snapshot.
 func EncodeJournalEntry(delta Delta) ([]byte, error) {
 	body, err := encode(delta)
 	if err != nil {
@@ -34,33 +35,33 @@
 	return slices.Concat(entry, checksum[:journalChecksumBytes], body), nil
 }
 
-// Replay applies the entries of a journal in order. Entries that the copy is past
-// are left out. It returns how many bytes belong to whole entries; if that is not
-// all, the error wraps ErrJournal, and the copy is at the version of the last whole
-// entry.
+// Replay applies the entries of a journal in order and skips those that end below the replica's
+// version. It returns the size in bytes of the entries that were applied or skipped; if that is
+// not the entire journal, the error wraps ErrJournal, and the replica is at the version of the
+// last usable entry.
 func (r *Replica) Replay(journal []byte) (int, error) {
-	whole := 0
-	for whole < len(journal) {
-		size, err := r.replayEntry(journal[whole:])
+	applied := 0
+	for applied < len(journal) {
+		size, err := r.replayEntry(journal[applied:])
 		if err != nil {
-			return whole, fmt.Errorf("%w: at byte %d: %w", ErrJournal, whole, err)
+			return applied, fmt.Errorf("%w: at byte %d: %w", ErrJournal, applied, err)
 		}
-		whole += size
+		applied += size
 	}
-	return whole, nil
+	return applied, nil
 }
 
-// replayEntry applies the first entry and returns its size.
+// replayEntry applies or skips the first entry and returns its size in bytes.
 func (r *Replica) replayEntry(journal []byte) (int, error) {
 	if len(journal) < journalHeaderBytes {
 		return 0, errors.New("the entry is cut short")
 	}
 	length := binary.BigEndian.Uint32(journal)
-	rest := journal[journalHeaderBytes:]
-	if uint64(length) > uint64(len(rest)) {
-		return 0, fmt.Errorf("the entry has %d bytes, only %d are left", length, len(rest))
+	content := journal[journalHeaderBytes:]
+	if uint64(length) > uint64(len(content)) {
+		return 0, fmt.Errorf("the entry has %d bytes, only %d are left", length, len(content))
 	}
-	body := rest[:length]
+	body := content[:length]
 	checksum := sha256.Sum256(body)
 	if [journalChecksumBytes]byte(checksum[:]) != [journalChecksumBytes]byte(journal[journalLengthBytes:]) {
 		return 0, errors.New("the checksum does not fit")
--- a/records/repair.go
+++ b/records/repair.go
@@ -10,27 +10,29 @@
 
 // The steps of a repair.
 const (
-	NeedDigests RepairStep = iota // CompareDigests
-	NeedContent                   // StageChunk, of the ranges that Pending returns
-	NeedChanges                   // Finish, with the changes above Since
+	NeedDigests RepairStep = iota // for CompareDigests
+	NeedContent                   // for StageChunk, of the ranges that Pending returns
+	NeedChanges                   // for Finish, the changes above Since
 )
 
-// Repair builds a new copy beside the one in force from ranges of keys, which may
-// come in any number of chunks, at different versions, from different servers. The
-// changes above the lowest of these versions make it whole, and its digest tells
-// whether it is.
+// Repair builds a new copy beside a replica's present one from ranges of keys. These may
+// come in any number of chunks, at different versions, from different servers. The changes
+// above the lowest of these versions bring all ranges to one version, and the server's digest
+// at that version verifies the result: no content comes into force unverified.
+//
+// The caller does what Next returns until Finish succeeds.
 type Repair struct {
-	base     uint64 // the version of the copy in force when the repair began
+	base     uint64 // the replica's version when the repair began
 	staged   *draft
-	versions [RangeCount]uint64 // at which each range was read, or found to be the same
-	pending  [RangeCount]bool   // ranges whose content is wanted
+	versions [RangeCount]uint64 // at which a server had the staged content of each range
+	pending  [RangeCount]bool   // ranges whose content is to be fetched
 	missing  int                // how many ranges are pending
-	compared bool               // with the digests of a server
-	fetched  int                // ranges whose content has been taken
+	compared bool               // with a server's digests
+	fetched  int                // how many ranges have been staged from chunks
 }
 
-// NewRepair begins with what the replica has. An empty one needs no digests: it
-// wants every range.
+// NewRepair returns a repair that begins with the replica's content. If that is empty, no
+// digests are needed: every range is pending.
 func NewRepair(replica *Replica) *Repair {
 	repair := &Repair{base: replica.Version(), staged: replica.current().edit()}
 	if replica.Len() == 0 {
@@ -42,6 +44,7 @@
 	return repair
 }
 
+// markMissing makes a range pending.
 func (r *Repair) markMissing(index int) {
 	if !r.pending[index] {
 		r.pending[index] = true
@@ -49,6 +52,7 @@
 	}
 }
 
+// markCurrent records that a server has the staged content of a range at the version.
 func (r *Repair) markCurrent(index int, version uint64) {
 	if r.pending[index] {
 		r.pending[index] = false
@@ -57,7 +61,7 @@
 	r.versions[index] = version
 }
 
-// Next returns what is needed next.
+// Next returns what the repair needs next.
 func (r *Repair) Next() RepairStep {
 	switch {
 	case !r.compared:
@@ -68,21 +72,21 @@
 	return NeedChanges
 }
 
-// Pending returns the ranges whose content is wanted, in ascending order.
+// Pending returns the ranges whose content is to be fetched, in ascending order.
 func (r *Repair) Pending() []int {
 	ranges := make([]int, 0, r.missing)
-	for i, wanted := range r.pending {
-		if wanted {
+	for i, pending := range r.pending {
+		if pending {
 			ranges = append(ranges, i)
 		}
 	}
 	return ranges
 }
 
-// Progress returns how many ranges have been taken and how many are still wanted.
+// Progress returns how many ranges have been fetched and how many are pending.
 func (r *Repair) Progress() (fetched, missing int) { return r.fetched, r.missing }
 
-// Since returns the version above which the changes are needed at the end.
+// Since returns the version above which Finish needs the changes.
 func (r *Repair) Since() uint64 {
 	lowest := r.versions[0]
 	for _, version := range r.versions {
@@ -91,6 +95,8 @@
 	return lowest
 }
 
+// maxVersion returns the highest version of the staged ranges and of the replica's content
+// when the repair began.
 func (r *Repair) maxVersion() uint64 {
 	highest := r.base
 	for _, version := range r.versions {
@@ -99,12 +105,13 @@
 	return highest
 }
 
-// Recompare has the digests asked for again, since the changes that would finish
-// the repair are not to be had. What is staged already stays.
+// Recompare returns to NeedDigests, for when no server has the changes that would finish the
+// repair. The staged ranges are reused.
 func (r *Repair) Recompare() { r.compared = false }
 
-// CompareDigests compares the staged ranges with a server's and marks those that
-// differ. The error is ErrBehind if the server is below the copy in force.
+// CompareDigests compares the staged ranges with a server's; those that differ become
+// pending. The error is ErrBehind if the server is below the replica's version when the
+// repair began.
 func (r *Repair) CompareDigests(digests RangeDigests) error {
 	if err := digests.validate(); err != nil {
 		return err
@@ -123,9 +130,9 @@
 	return nil
 }
 
-// StageChunk stages the ranges of a chunk that are wanted. The error is ErrBehind if
-// the server is below the copy in force, and ErrDigest if a range does not fit its
-// digest; nothing is staged then.
+// StageChunk stages the pending ranges of a chunk. On an error nothing is staged: ErrBehind if
+// the server is below the replica's version when the repair began, ErrDigest if a range does
+// not have its digest, and any other if the chunk contradicts itself or has no pending range.
 func (r *Repair) StageChunk(chunk Chunk) error {
 	if err := chunk.validate(); err != nil {
 		return err
@@ -149,11 +156,11 @@
 	return nil
 }
 
-// Finish lays the changes above Since over the staged ranges, and puts the result
-// in force in the replica if its digest fits. On an error the replica is as before:
-// ErrGap if the changes begin too late, ErrBehind if they end below what is staged
-// or in force, ErrDigest if the result is not what the server has; the digests of
-// the ranges are to be compared again then.
+// Finish applies the changes above Since to the staged ranges and, if the result has the
+// delta's digest, makes it the replica's content. The replica must be the one that the repair
+// began with. On an error the replica is unchanged: ErrGap if the changes begin above Since,
+// ErrBehind if they end below a staged range or the replica, ErrDigest if the result has
+// another digest. After ErrDigest the repair continues with NeedDigests.
 func (r *Repair) Finish(replica *Replica, delta Delta) error {
 	if r.Next() != NeedChanges {
 		return errors.New("the repair still needs ranges")
--- a/records/replica.go
+++ b/records/replica.go
@@ -9,11 +9,11 @@
 
 // Errors of a replica, which its methods and those of Repair wrap.
 var (
-	// ErrGap: a delta begins above the replica's version.
+	// ErrGap means that a delta begins above the replica's version.
 	ErrGap = errors.New("changes are missing between the replica and the delta")
-	// ErrBehind: a delta, a snapshot or ranges are of a version below the replica's.
+	// ErrBehind means that a delta, a snapshot or ranges are of a version below the replica's.
 	ErrBehind = errors.New("the replica is past that version")
-	// ErrDigest: the resulting content has another digest than the sender states.
+	// ErrDigest means that the resulting content has another digest than the sender states.
 	ErrDigest = errors.New("the content does not fit the digest")
 )
 
--- a/records/servers.go
+++ b/records/servers.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// How long a server is left alone after a fault; each is shortened by up to half so
-// that followers do not come back together.
+// How long a server is ejected after a fault. Each time is shortened by up to half, so that
+// followers do not return to the server together.
 const (
 	behindEjectionTime  = 10 * time.Second
 	failedEjectionTime  = 15 * time.Second
 	corruptEjectionTime = time.Minute
 )
 
-// servers is a follower's picture of the servers: in an order of its own, the first
-// that has not shown a fault lately is asked.
+// servers is a follower's view of the servers, in the follower's own order of preference: it
+// requests from the first one that is not ejected.
 type servers struct {
 	order []server
 }
 
 type server struct {
 	name         string
-	ejectedUntil time.Time // until when
+	ejectedUntil time.Time // zero: it never was ejected
 }
 
-// newServers orders the servers by a hash of the follower's name and theirs, so
-// that followers spread evenly over them.
+// newServers orders the servers by rendezvous hashing of the follower's name and theirs, so
+// that followers are spread evenly over them.
 func newServers(follower string, names []string) servers {
 	var all servers
 	for _, name := range names {
@@ -38,9 +38,9 @@
 	return all
 }
 
-// pick returns the server to ask: the first that is not avoided. If all are, or if
-// the last one asked was at fault, it is the one whose time is up first, so that all
-// have their turn. No servers: an empty name.
+// pick returns the server for the next request: the first one that is not ejected. If all are,
+// or if the last request failed, it is the one whose ejection ends first, so that every server
+// is tried. Without servers the name is empty.
 func (s *servers) pick(now time.Time, afterFault bool) string {
 	var best server
 	for i, each := range s.order {
@@ -54,6 +54,7 @@
 	return best.name
 }
 
+// eject ejects a server until a time.
 func (s *servers) eject(name string, until time.Time) {
 	for i := range s.order {
 		if s.order[i].name == name {
--- a/records/snapshot.go
+++ b/records/snapshot.go
@@ -9,26 +9,26 @@
 	"slices"
 )
 
-// ErrSnapshot is that a snapshot is damaged, cut short or contradicts itself.
+// ErrSnapshot means that a snapshot is damaged, truncated or contradicts itself.
 var ErrSnapshot = errors.New("unusable snapshot of records")
 
-// First lines of the files: what they hold, and the version of the form.
+// First lines of the files: their content and the version of the format.
 const (
 	storeHeader   = "elderyard records store 1\n"
 	replicaHeader = "elderyard records replica 1\n"
 )
 
-// maxSnapshotBytes bounds a snapshot before compression.
+// maxSnapshotBytes bounds a snapshot in bytes before compression.
 const maxSnapshotBytes = 64 << 20
 
-// replicaSnapshot is what a replica's file holds.
+// replicaSnapshot is the content of a replica's file.
 type replicaSnapshot struct {
 	Version uint64       `json:"version"`
 	Digest  Digest       `json:"digest"`
 	Records List[Record] `json:"records"`
 }
 
-// storeSnapshot is what a store's snapshot holds.
+// storeSnapshot is the content of a store's snapshot.
 type storeSnapshot struct {
 	replicaSnapshot
 	Applied      uint64             `json:"applied"`
@@ -38,13 +38,14 @@
 	Requests     List[cachedResult] `json:"requests"`
 }
 
-// Snapshot returns the copy in the form that Restore reads.
+// Snapshot returns the replica in the form that Restore reads.
 func (r *Replica) Snapshot() ([]byte, error) {
 	return encodeSnapshot(replicaHeader, replicaSnapshot{Version: r.version, Digest: r.Digest(), Records: r.current().sorted()})
 }
 
-// Restore replaces the copy by a snapshot's. The error wraps ErrSnapshot if it is
-// not whole, or ErrBehind if it is older than the copy; the copy is then as before.
+// Restore replaces the replica's content by a snapshot's. On an error the replica is unchanged:
+// ErrSnapshot if the snapshot is unusable, ErrBehind if it is of a lower version than the
+// replica.
 func (r *Replica) Restore(data []byte) error {
 	var snapshot replicaSnapshot
 	if err := decodeSnapshot(replicaHeader, data, &snapshot); err != nil {
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// Snapshot returns the store with its log and its remembered results in the form
-// that Restore reads.
+// Snapshot returns the store with its log and its cached results in the form that Restore
+// reads.
 func (s *Store) Snapshot() ([]byte, error) {
 	return encodeSnapshot(storeHeader, storeSnapshot{
 		replicaSnapshot: replicaSnapshot{Version: s.version, Digest: s.Digest(), Records: s.current().sorted()},
@@ -74,8 +75,8 @@
 	})
 }
 
-// Restore replaces the store by a snapshot's. The error wraps ErrSnapshot if it is
-// not whole; the store is then as before.
+// Restore replaces the store by a snapshot's. On an error, which wraps ErrSnapshot, the store
+// is unchanged.
 func (s *Store) Restore(data []byte) error {
 	var snapshot storeSnapshot
 	if err := decodeSnapshot(storeHeader, data, &snapshot); err != nil {
@@ -89,6 +90,7 @@
 	return nil
 }
 
+// sorted returns the records in order of key.
 func (s *state) sorted() []Record {
 	sorted := make([]Record, 0, s.count)
 	for record := range s.all {
@@ -98,7 +100,7 @@
 	return sorted
 }
 
-// state builds the records and holds them to the digest.
+// state builds the state of the records and verifies its digest.
 func (s *replicaSnapshot) state() (*state, error) {
 	if len(s.Records) > MaxRecords {
 		return nil, fmt.Errorf("%d records, at most %d are allowed", len(s.Records), MaxRecords)
@@ -120,7 +122,7 @@
 	return built, nil
 }
 
-// store builds a store and holds its parts to each other.
+// store builds a store and checks that its parts are consistent with each other.
 func (s *storeSnapshot) store() (*Store, error) {
 	built, err := s.state()
 	if err != nil {
@@ -134,14 +136,15 @@
 	if err != nil {
 		return nil, err
 	}
-	requests, err := s.resultCache()
+	results, err := s.resultCache()
 	if err != nil {
 		return nil, err
 	}
-	return &Store{state: built, version: s.Version, applied: s.Applied, log: *log, results: *requests, references: references}, nil
+	return &Store{state: built, version: s.Version, applied: s.Applied, log: *log, results: *results, references: references}, nil
 }
 
-// countReferences validates every record as Apply does.
+// countReferences validates every record as Apply does, and returns for each record that
+// others refer to how many do.
 func countReferences(built *state) (map[Key]int, error) {
 	references := map[Key]int{}
 	for record := range built.all {
@@ -164,6 +167,7 @@
 	return references, nil
 }
 
+// changeLog builds the log and checks that it leads to the snapshot's version and digest.
 func (s *storeSnapshot) changeLog() (*changeLog, error) {
 	if s.Applied < s.Version {
 		return nil, fmt.Errorf("applied up to %d, but at version %d", s.Applied, s.Version)
@@ -196,21 +200,22 @@
 	return log, nil
 }
 
+// resultCache builds the cache and checks that no key is in it twice.
 func (s *storeSnapshot) resultCache() (*resultCache, error) {
 	if len(s.Requests) > MaxRequests {
 		return nil, fmt.Errorf("%d requests, at most %d are allowed", len(s.Requests), MaxRequests)
 	}
-	log := &resultCache{}
-	for _, remembered := range s.Requests {
-		if _, found := log.byKey[remembered.IdempotencyKey]; found {
-			return nil, fmt.Errorf("the request %q is there twice", remembered.IdempotencyKey)
+	cache := &resultCache{}
+	for _, cached := range s.Requests {
+		if _, found := cache.byKey[cached.IdempotencyKey]; found {
+			return nil, fmt.Errorf("the request %q is there twice", cached.IdempotencyKey)
 		}
-		log.add(remembered)
+		cache.add(cached)
 	}
-	return log, nil
+	return cache, nil
 }
 
-// encodeSnapshot writes the header, a checksum of what follows, and the content.
+// encodeSnapshot returns the header, the checksum of the body, and the content as the body.
 func encodeSnapshot(header string, content any) ([]byte, error) {
 	text, err := json.Marshal(content)
 	if err != nil {
@@ -221,17 +226,17 @@
 	return slices.Concat([]byte(header), checksum[:], body), nil
 }
 
-// decodeSnapshot reads what seal has written.
+// decodeSnapshot decodes what encodeSnapshot returns. The error wraps ErrSnapshot.
 func decodeSnapshot(header string, data []byte, into any) error {
-	rest, found := bytes.CutPrefix(data, []byte(header))
+	payload, found := bytes.CutPrefix(data, []byte(header))
 	if !found {
 		return fmt.Errorf("%w: it does not begin with %q", ErrSnapshot, header)
 	}
-	if len(rest) < sha256.Size {
+	if len(payload) < sha256.Size {
 		return fmt.Errorf("%w: it ends within the checksum", ErrSnapshot)
 	}
-	body := rest[sha256.Size:]
-	if sha256.Sum256(body) != [sha256.Size]byte(rest) {
+	body := payload[sha256.Size:]
+	if sha256.Sum256(body) != [sha256.Size]byte(payload) {
 		return fmt.Errorf("%w: the checksum does not fit", ErrSnapshot)
 	}
 	text, err := decompress(body, maxSnapshotBytes)
--- a/records/store.go
+++ b/records/store.go
@@ -7,11 +7,11 @@
 
 // Errors of a store, which its methods wrap.
 var (
-	// ErrVersion: the version of a change is not above that of the newest applied one.
+	// ErrVersion means that the version of a change is not above that of the newest applied one.
 	ErrVersion = errors.New("the version does not follow the store's")
-	// ErrCompacted: the log does not go back to the requested version.
+	// ErrCompacted means that the log does not go back to the requested version.
 	ErrCompacted = errors.New("the changes since that version have been compacted")
-	// ErrFuture: the requested version is above the store's.
+	// ErrFuture means that the requested version is above the store's.
 	ErrFuture = errors.New("the store has not come to that version")
 )
 
