--- a/records/golden_follower_test.go
+++ b/records/golden_follower_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"elderyard/internal/golden"
 )
 
 // Time limits, bounds and sizes are part of how old and new programs work together.
@@ -31,7 +33,7 @@
 	} {
 		fmt.Fprintf(&text, "%s: %v\n", each.name, each.value)
 	}
-	requireGolden(t, "constants.txt", []byte(text.String()))
+	golden.Text(t, "constants.txt", text.String())
 }
 
 // traceServer answers a traced follower.
@@ -262,5 +264,5 @@
 	if f.replica.Version() != f.reference().store.Version() || f.replica.Digest() != f.reference().store.Digest() {
 		t.Errorf("at version %d of %d", f.replica.Version(), f.reference().store.Version())
 	}
-	requireGolden(t, "follower_decisions.txt", []byte(f.text.String()))
+	golden.Text(t, "follower_decisions.txt", f.text.String())
 }
--- a/records/golden_helpers_test.go
+++ b/records/golden_helpers_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,26 +12,18 @@
 	"strings"
 	"testing"
 	"time"
-)
 
-// The files in testdata/golden are what released programs have stored and sent. They
-// may be written only for a form that has no file yet: a difference from an existing
-// file means that old and new programs do not understand each other. With
-// -update-golden, which never overwrites, missing files are written.
-var updateGolden = flag.Bool("update-golden", false, "write golden files that do not exist")
+	"elderyard/internal/golden"
+)
 
-// readGolden returns a golden file; missing is what it holds if it is written now.
+// readGolden returns the content of testdata/golden/name. If the run creates golden files and
+// there is none, it is created with the content missing.
 func readGolden(t testing.TB, name string, missing []byte) []byte {
 	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	data, err := os.ReadFile(path)
-	if errors.Is(err, os.ErrNotExist) && *updateGolden {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, missing, 0o644); err != nil {
-			t.Fatal(err)
-		}
+	path := filepath.Join("golden", name)
+	data, err := os.ReadFile(filepath.Join("testdata", path))
+	if errors.Is(err, os.ErrNotExist) && golden.Creating() {
+		golden.File(t, path, missing)
 		return missing
 	}
 	if err != nil {
@@ -41,23 +32,16 @@
 	return data
 }
 
-// requireGolden requires that data is what the golden file holds, byte for byte.
+// requireGolden fails the test unless testdata/golden/name holds these very bytes.
 func requireGolden(t testing.TB, name string, data []byte) {
 	t.Helper()
-	want := readGolden(t, name, data)
-	if bytes.Equal(data, want) {
-		return
-	}
-	at := 0
-	for at < min(len(data), len(want)) && data[at] == want[at] {
-		at++
-	}
-	excerpt := func(text []byte) []byte { return text[max(0, at-40):min(len(text), at+40)] }
-	t.Errorf("%s differs at byte %d: got %q, want %q", name, at, excerpt(data), excerpt(want))
+	golden.File(t, filepath.Join("golden", name), data)
 }
 
-// requireEveryField requires that each field of a value, at any depth, is set; in a
-// list, in one element at least. A new field must be added to the value.
+// requireEveryField fails the test unless each field of a value, at any depth, is set; in a
+// list, in at least one element. A new field must be added to the value. It is stricter than
+// golden.Complete: it also looks into fields that are not exported and into types that encode
+// themselves.
 func requireEveryField(t testing.TB, value any) {
 	t.Helper()
 	set := map[string]bool{}
@@ -69,6 +53,7 @@
 	}
 }
 
+// recordFields records for the path of each field below a value whether it is set.
 func recordFields(value reflect.Value, path string, set map[string]bool) {
 	set[path] = set[path] || !value.IsZero()
 	switch {
@@ -86,8 +71,8 @@
 	}
 }
 
-// withUnknownFields returns a JSON text with a field that no type has, once in each
-// object but the values of records.
+// withUnknownFields returns variants of a JSON text, each with a field that no type has in one
+// of the objects, except in the values of records.
 func withUnknownFields(text []byte) [][]byte {
 	var variants [][]byte
 	for i := range text {
@@ -98,7 +83,8 @@
 	return variants
 }
 
-// pinJSON pins the form of a value that others embed in their messages.
+// pinJSON pins the encoding of a value that other packages embed in their messages: unknown
+// fields are ignored when it is decoded.
 func pinJSON[T any](t *testing.T, name string, value T) {
 	t.Run(name, func(t *testing.T) {
 		requireEveryField(t, value)
@@ -107,8 +93,8 @@
 			t.Fatal(err)
 		}
 		requireGolden(t, name, text)
-		golden := readGolden(t, name, text)
-		for _, text := range append(withUnknownFields(golden), golden) {
+		stored := readGolden(t, name, text)
+		for _, text := range append(withUnknownFields(stored), stored) {
 			var decoded T
 			if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(decoded, value) {
 				t.Errorf("%s is read as %+v, %v; want %+v", text, decoded, err, value)
@@ -117,9 +103,9 @@
 	})
 }
 
-// pinMessage pins a message in the form in which it goes over the wire: its text, and
-// that text and today's compressed bytes are read. Compressed bytes may differ from
-// one version of the library to the next, so they are not compared.
+// pinMessage pins the encoding of a message on the wire: its text is compared, and both the text
+// and the stored compressed bytes are decoded. Compressed bytes may differ between versions of
+// the library, so they are not compared. Unknown fields are rejected.
 func pinMessage[T any](t *testing.T, name string, message T, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
 	t.Run(name, func(t *testing.T) {
 		data, err := encode(message)
@@ -151,8 +137,8 @@
 	})
 }
 
-// pinSnapshot pins a snapshot's text, that today's file is restored to the same, and
-// that unknown fields are rejected. A file that is not compressed is pinned itself.
+// pinSnapshot pins a snapshot's text, that the stored file restores to the same, and that
+// unknown fields are rejected. The bytes of a file that is not compressed are compared too.
 func pinSnapshot(t *testing.T, name, header string, data []byte, restore func([]byte) ([]byte, error)) {
 	t.Run(name, func(t *testing.T) {
 		text := func(data []byte) []byte {
@@ -166,16 +152,16 @@
 			return text
 		}
 		requireGolden(t, name+".json", text(data))
-		golden := readGolden(t, name+".bin", data)
+		stored := readGolden(t, name+".bin", data)
 		if len(text(data)) < 512 {
 			requireGolden(t, name+".bin", data)
 		}
-		again, err := restore(golden)
+		again, err := restore(stored)
 		if err != nil {
 			t.Fatal(err)
 		}
 		requireGolden(t, name+".json", text(again))
-		for _, unknown := range withUnknownFields(text(golden)) {
+		for _, unknown := range withUnknownFields(text(stored)) {
 			if _, err := restore(sealed(header, unknown)); !errors.Is(err, ErrSnapshot) || !strings.Contains(err.Error(), "unknown_field") {
 				t.Errorf("with an unknown field: %v", err)
 			}
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"elderyard/internal/golden"
 )
 
 var goldenTime = time.Date(2026, 12, 2, 5, 0, 1, 123456789, time.UTC)
@@ -36,12 +38,12 @@
 			t.Fatal(err)
 		}
 		requireGolden(t, name, text)
-		golden := readGolden(t, name, text)
-		parsed, canonical, problem := ParseValue(kind, golden)
-		if problem != nil || !reflect.DeepEqual(parsed, value) || !bytes.Equal(canonical, golden) {
+		stored := readGolden(t, name, text)
+		parsed, canonical, problem := ParseValue(kind, stored)
+		if problem != nil || !reflect.DeepEqual(parsed, value) || !bytes.Equal(canonical, stored) {
 			t.Errorf("%s: read as %+v, %s, %v", kind, parsed, canonical, problem)
 		}
-		for _, text := range withUnknownFields(golden) {
+		for _, text := range withUnknownFields(stored) {
 			if _, _, problem := ParseValue(kind, text); problem == nil || problem.Error() != "unknown_field: unknown field" {
 				t.Errorf("%s: with an unknown field: %v", kind, problem)
 			}
@@ -212,7 +214,7 @@
 	expected := uint64(7)
 	hash := contentHash(Change{Author: "anna", Message: "raise", Operations: []Operation{put("plan/gold", planValue), {Key: key("plan/old"), Delete: true, IfVersion: &expected}}})
 	fmt.Fprintf(&text, "change %x\n", hash)
-	requireGolden(t, "digests.txt", []byte(text.String()))
+	golden.Text(t, "digests.txt", text.String())
 }
 
 func TestGoldenJournal(t *testing.T) {
