--- a/records/bench_test.go
+++ b/records/bench_test.go
@@ -6,18 +6,9 @@
 	"testing"
 )
 
-// The size to be carried: records of a site in two years.
+// siteRecords is the size of a site that the product is designed for.
 const siteRecords = 26_000
 
-func fullReplica(t testing.TB, store *Store) *Replica {
-	t.Helper()
-	replica := &Replica{}
-	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
-		t.Fatal(err)
-	}
-	return replica
-}
-
 // heap returns the bytes of live objects.
 func heap() uint64 {
 	runtime.GC()
@@ -27,7 +18,7 @@
 	return stats.HeapAlloc
 }
 
-// A replica of a whole site, read from its snapshot, stays well under 16 MB.
+// A replica of a complete site, restored from its snapshot, is bounded in memory.
 func TestReplicaMemory(t *testing.T) {
 	data, err := fullReplica(t, largeStore(t, siteRecords)).Snapshot()
 	if err != nil {
@@ -38,10 +29,10 @@
 	if err := replica.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	held := int64(heap()) - int64(before)
-	t.Logf("a replica of %d records holds %.1f MB; its file has %d bytes", replica.Len(), float64(held)/1e6, len(data))
-	if held > 12<<20 {
-		t.Errorf("%d bytes", held)
+	retained := int64(heap()) - int64(before)
+	t.Logf("a replica of %d records has %.1f MB; its file has %d bytes", replica.Len(), float64(retained)/1e6, len(data))
+	if retained > 12<<20 {
+		t.Errorf("%d bytes", retained)
 	}
 	runtime.KeepAlive(data)
 	runtime.KeepAlive(replica)
@@ -72,14 +63,14 @@
 			total, chunks := 0, 0
 			for b.Loop() {
 				total, chunks = 0, 0
-				for rest := all; len(rest) > 0; chunks++ {
-					chunk := store.Chunk(ContentRequest{Ranges: rest, MaxBytes: maxBytes})
+				for remaining := all; len(remaining) > 0; chunks++ {
+					chunk := store.Chunk(ContentRequest{Ranges: remaining, MaxBytes: maxBytes})
 					data, err := EncodeChunk(chunk)
 					if err != nil {
 						b.Fatal(err)
 					}
 					total += len(data)
-					rest = rest[len(chunk.Ranges):]
+					remaining = remaining[len(chunk.Ranges):]
 				}
 			}
 			b.ReportMetric(float64(total), "wire-bytes")
@@ -114,6 +105,7 @@
 	b.ReportMetric(float64(size), "wire-bytes")
 }
 
+// BenchmarkApply measures a change at a store of the full size.
 func BenchmarkApply(b *testing.B) {
 	for _, count := range []int{1, 5000} {
 		b.Run(fmt.Sprintf("%d operations", count), func(b *testing.B) {
@@ -132,6 +124,7 @@
 	}
 }
 
+// BenchmarkReplicaApply measures a change of one record at a store and a replica of the full size.
 func BenchmarkReplicaApply(b *testing.B) {
 	store := largeStore(b, siteRecords)
 	version := store.Version()
@@ -146,6 +139,7 @@
 	}
 }
 
+// BenchmarkSnapshot measures writing and reading snapshots of the full size.
 func BenchmarkSnapshot(b *testing.B) {
 	store := largeStore(b, siteRecords)
 	replica := fullReplica(b, store)
@@ -184,6 +178,7 @@
 	}
 }
 
+// BenchmarkDifference measures the comparison of two stores of the full size.
 func BenchmarkDifference(b *testing.B) {
 	from, to := largeStore(b, siteRecords), largeStore(b, siteRecords)
 	apply(b, to, 100, change(remove("plan/free")), Accepted)
--- a/records/change_log_test.go
+++ b/records/change_log_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-func TestCompaction(t *testing.T) {
+// The log is bounded by MaxLogChanges.
+func TestLogIsBoundedInChanges(t *testing.T) {
 	store := smallStore(t)
 	for i := range MaxLogChanges + 10 {
 		apply(t, store, uint64(i+2), change(put("plan/free", fmt.Sprintf(`{"price_weight":1,"requests_per_second":%d}`, i+1))), Accepted)
@@ -27,8 +28,8 @@
 	}
 }
 
-// The log is bounded in bytes too, and a change of any size fits into it.
-func TestLogBytes(t *testing.T) {
+// The log is bounded by MaxLogBytes, and a change of any size fits into it.
+func TestLogIsBoundedInBytes(t *testing.T) {
 	store := largeStore(t, 4)
 	version := store.Version()
 	for round := range 8 {
@@ -45,7 +46,7 @@
 			t.Fatalf("%d puts", len(delta.Puts))
 		}
 	}
-	if kept := len(store.History(0)); kept != 6 {
-		t.Errorf("%d changes are kept", kept)
+	if logged := len(store.History(0)); logged != 6 {
+		t.Errorf("the log has %d changes", logged)
 	}
 }
--- a/records/changes_test.go
+++ b/records/changes_test.go
@@ -4,6 +4,7 @@
 	"testing"
 )
 
+// A response has a delta, a reason for a repair, or nothing.
 func TestHandleChanges(t *testing.T) {
 	store := smallStore(t)
 	old := store.Digest()
@@ -22,21 +23,21 @@
 		{"no such version", ChangesRequest{Since: 3, Digest: &old}, ChangesResponse{Repair: RepairDigest}},
 		{"the future", ChangesRequest{Since: 6}, ChangesResponse{Behind: true}},
 	} {
-		answer := store.HandleChanges(test.request)
-		if (answer.Delta == nil) != (test.want.Delta == nil) || answer.Repair != test.want.Repair || answer.Behind != test.want.Behind {
-			t.Errorf("%s: %+v", test.name, answer)
+		response := store.HandleChanges(test.request)
+		if (response.Delta == nil) != (test.want.Delta == nil) || response.Repair != test.want.Repair || response.Behind != test.want.Behind {
+			t.Errorf("%s: %+v", test.name, response)
 		}
-		data, err := EncodeChangesResponse(answer)
+		data, err := EncodeChangesResponse(response)
 		if err != nil {
 			t.Fatal(err)
 		}
 		decoded, err := DecodeChangesResponse(data)
-		if err != nil || decoded.Version != 5 || decoded.Digest != store.Digest() || (decoded.Delta == nil) != (answer.Delta == nil) {
+		if err != nil || decoded.Version != 5 || decoded.Digest != store.Digest() || (decoded.Delta == nil) != (response.Delta == nil) {
 			t.Errorf("%s: decoded %+v, %v", test.name, decoded, err)
 		}
 	}
 	large := largeStore(t, 26_000)
-	if answer := large.HandleChanges(ChangesRequest{}); answer.Repair != RepairTooLarge {
-		t.Errorf("26,000 records: %s", answer.Repair)
+	if response := large.HandleChanges(ChangesRequest{}); response.Repair != RepairTooLarge {
+		t.Errorf("26,000 records: %s", response.Repair)
 	}
 }
--- a/records/codec_test.go
+++ b/records/codec_test.go
@@ -9,6 +9,7 @@
 	"testing"
 )
 
+// Messages decode to what was encoded.
 func TestMessagesRoundTrip(t *testing.T) {
 	store := largeStore(t, 300)
 	chunk := store.Chunk(ContentRequest{Ranges: []int{1, 2, 3, 9}, MaxBytes: MaxChunkBytes})
@@ -30,7 +31,7 @@
 	}
 }
 
-// Messages that cannot be right are refused, large ones before they take memory.
+// Invalid messages are rejected, and large ones before memory is allocated for them.
 func TestInvalidMessages(t *testing.T) {
 	const bombBytes = 100 << 20
 	bomb := compress(make([]byte, bombBytes))
@@ -53,13 +54,13 @@
 		"many records":  many,
 		"no list":       []byte(`{"version":1,"ranges":7,"delta":{"puts":7}}`),
 		"short digest":  []byte(`{"version":1,"digest":"00"}`),
-		"two answers":   []byte(`{"version":1,"repair":"digest","behind":true}`),
+		"two responses": []byte(`{"version":1,"repair":"digest","behind":true}`),
 	} {
 		before := allocated()
 		_, chunkErr := DecodeChunk(data)
 		_, digestsErr := DecodeRangeDigests(data)
-		_, answerErr := DecodeChangesResponse(data)
-		for _, err := range []error{chunkErr, digestsErr, answerErr} {
+		_, responseErr := DecodeChangesResponse(data)
+		for _, err := range []error{chunkErr, digestsErr, responseErr} {
 			if !errors.Is(err, ErrMessage) {
 				t.Errorf("%s: %v", name, err)
 			}
@@ -80,9 +81,10 @@
 	return stats.TotalAlloc
 }
 
+// Chunks and deltas that contradict themselves are rejected.
 func TestInvalidChunksAndDeltas(t *testing.T) {
 	store := largeStore(t, 5000)
-	whole := func() Chunk {
+	valid := func() Chunk {
 		chunk := store.Chunk(ContentRequest{Ranges: []int{4, 5}, MaxBytes: MaxChunkBytes})
 		for i := range chunk.Ranges {
 			chunk.Ranges[i].Records = slices.Clone(chunk.Ranges[i].Records)
@@ -98,7 +100,7 @@
 		"version":          func(c *Chunk) { c.Ranges[0].Records[0].Version = c.Version + 1 },
 		"value":            func(c *Chunk) { c.Ranges[0].Records[0].Value = []byte("{}") },
 	} {
-		chunk := whole()
+		chunk := valid()
 		change(&chunk)
 		data, err := EncodeChunk(chunk)
 		if err != nil {
@@ -126,6 +128,6 @@
 		}
 	}
 	if err := (ChangesResponse{Version: 3, Digest: Digest{1}, Delta: &Delta{To: 2, Digest: Digest{1}}}).validate(); err == nil {
-		t.Error("a delta to another version than the answer's")
+		t.Error("a delta to another version than the response's")
 	}
 }
--- a/records/delta_test.go
+++ b/records/delta_test.go
@@ -7,15 +7,7 @@
 	"testing"
 )
 
-func since(t testing.TB, store *Store, version uint64) Delta {
-	t.Helper()
-	delta, err := store.ChangesSince(version)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return delta
-}
-
+// A delta has each record once, as it is at the end.
 func TestDeltaIsTheNetEffect(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 2, change(put("plan/free", planValue), put("plan/brief", planValue), put("tenant/acme", `{"plan":"gold"}`)), Accepted)
@@ -42,7 +34,8 @@
 	}
 }
 
-func TestReplicaAppliesADeltaCompletelyOrNotAtAll(t *testing.T) {
+// A delta that does not fit leaves the replica unchanged.
+func TestApplyDeltaIsAtomic(t *testing.T) {
 	store := smallStore(t)
 	replica := &Replica{}
 	first := since(t, store, 0)
@@ -55,7 +48,7 @@
 	third := since(t, store, 2)
 	both := since(t, store, 1)
 
-	refuse := func(name string, delta Delta, want error) {
+	reject := func(name string, delta Delta, want error) {
 		t.Helper()
 		version, digest, count := replica.Version(), replica.Digest(), replica.Len()
 		err := replica.ApplyDelta(delta)
@@ -66,21 +59,21 @@
 			t.Errorf("%s: the copy has changed", name)
 		}
 	}
-	refuse("a version skipped", third, ErrGap)
+	reject("a version skipped", third, ErrGap)
 	damaged := second
 	damaged.Puts = slices.Clone(second.Puts)
 	damaged.Puts[0].Value = []byte(`{"price_weight":9,"requests_per_second":1}`)
-	refuse("damaged", damaged, ErrDigest)
+	reject("damaged", damaged, ErrDigest)
 	missing := both
 	missing.Deletes = nil
-	refuse("a delete is missing", missing, ErrDigest)
+	reject("a delete is missing", missing, ErrDigest)
 	twice := both
 	twice.Puts = append(slices.Clone(both.Puts), both.Puts...)
-	refuse("a record is there twice", twice, nil)
+	reject("a record is there twice", twice, nil)
 	loose := second
 	loose.Puts = slices.Clone(second.Puts)
 	loose.Puts[0].Value = []byte(planValue + " ")
-	refuse("not canonical", loose, nil)
+	reject("not canonical", loose, nil)
 
 	if err := replica.ApplyDelta(both); err != nil {
 		t.Fatal(err)
@@ -88,10 +81,10 @@
 	if err := replica.ApplyDelta(both); err != nil {
 		t.Errorf("twice: %v", err)
 	}
-	refuse("an old one", second, ErrBehind)
+	reject("an old one", second, ErrBehind)
 	wrong := third
 	wrong.Digest[0]++
-	refuse("the same version with another digest", wrong, ErrDigest)
+	reject("the same version with another digest", wrong, ErrDigest)
 	if replica.Digest() != store.Digest() || replica.Version() != 3 {
 		t.Errorf("at %d", replica.Version())
 	}
@@ -100,6 +93,7 @@
 	}
 }
 
+// Difference leads from one store to another, whatever their logs.
 func TestDifference(t *testing.T) {
 	from, to := smallStore(t), smallStore(t)
 	if delta := Difference(from, to); !delta.Empty() {
--- a/records/digest_test.go
+++ b/records/digest_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// A digest depends on the content, not on the order of writes.
 func TestDigestDoesNotDependOnTheOrder(t *testing.T) {
 	store := largeStore(t, 500)
 	sorted := store.current().sorted()
@@ -15,7 +16,7 @@
 	draft := store.current().edit()
 	record := sorted[7]
 	draft.put(Record{Key: record.Key, Version: 99, Value: record.Value})
-	if draft.state.clone().digest == store.Digest() {
+	if draft.state.edit().finish().digest == store.Digest() {
 		t.Error("another version gives the same digest")
 	}
 	draft.put(record)
--- a/records/evaluate_test.go
+++ b/records/evaluate_test.go
@@ -5,16 +5,18 @@
 	"testing"
 )
 
-// A bad change is refused whole, with the record and the field named.
-func TestInvalidChange(t *testing.T) {
+// invalidChange is a change that a store with one record of each kind rejects.
+type invalidChange struct {
+	name       string
+	change     Change
+	status     Status
+	key, field string
+	reason     string
+}
+
+func invalidChanges() []invalidChange {
 	long := strings.Repeat("x", 2*MaxValueBytes)
-	for _, test := range []struct {
-		name       string
-		change     Change
-		status     Status
-		key, field string
-		reason     string
-	}{
+	return []invalidChange{
 		{"no operations", change(), Invalid, "", "operations", "none"},
 		{"no author", Change{Operations: []Operation{remove("plan/x")}}, Invalid, "", "author", "missing"},
 		{"author", Change{Author: "\xff", Operations: []Operation{remove("plan/x")}}, Invalid, "", "author", "UTF-8"},
@@ -51,19 +53,24 @@
 		{"must not exist", change(onlyIf(0, put("plan/gold", planValue))), Conflict, "plan/gold", "", "exists at version 1"},
 		{"other version", change(onlyIf(7, remove("route/search"))), Conflict, "route/search", "", "at version 1, the change expects 7"},
 		{"must exist", change(onlyIf(1, remove("route/other"))), Conflict, "route/other", "", "does not exist"},
-	} {
+	}
+}
+
+// An invalid change is rejected entirely, and the problem names the record and the field.
+func TestInvalidChange(t *testing.T) {
+	for _, test := range invalidChanges() {
 		t.Run(test.name, func(t *testing.T) {
 			store := smallStore(t)
 			before := store.Digest()
-			bad := test.change
-			if len(bad.Operations) > 0 && len(bad.Operations) < MaxOperations && bad.Operations[0].Key.Validate() == nil {
-				// A good operation ahead of the bad one must not take effect either.
-				bad.Operations = append([]Operation{put("service/good", serviceValue)}, bad.Operations...)
+			invalid := test.change
+			if len(invalid.Operations) > 0 && len(invalid.Operations) < MaxOperations && invalid.Operations[0].Key.Validate() == nil {
+				// A valid operation before the invalid one must have no effect either.
+				invalid.Operations = append([]Operation{put("service/good", serviceValue)}, invalid.Operations...)
 			}
-			if status, problem := store.Check(bad); status != test.status || problem == nil {
+			if status, problem := store.Check(invalid); status != test.status || problem == nil {
 				t.Errorf("checked as %s (%v)", status, problem)
 			}
-			result := apply(t, store, 2, bad, test.status)
+			result := apply(t, store, 2, invalid, test.status)
 			problem := result.Problem
 			if problem.Key != test.key || problem.Field != test.field || !strings.Contains(problem.Reason, test.reason) {
 				t.Errorf("problem %+v", problem)
--- a/records/follower_repair_test.go
+++ b/records/follower_repair_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A follower that is cut off goes on with what it has, says so, and comes back by
-// the ranges that differ when the log has been compacted between.
-func TestCutOff(t *testing.T) {
+// A follower that is cut off retains its version and reports the state, and afterwards repairs
+// the ranges that differ, since the log has been compacted meanwhile.
+func TestFollowerReturnsAfterBeingCutOff(t *testing.T) {
 	w := newWorld(t, 3, 4, largeStore(t, 1000))
 	w.mustReach(2 * time.Minute)
 	w.run(time.Minute)
@@ -27,7 +27,7 @@
 		t.Errorf("%+v, age %v", status, age)
 	}
 	if f.requests > 400 {
-		t.Errorf("asked %d times", f.requests)
+		t.Errorf("sent %d requests", f.requests)
 	}
 	for _, server := range w.servers {
 		server.store.log.compact(len(server.store.log.entries))
@@ -44,9 +44,9 @@
 	}
 }
 
-// An empty replica is repaired within its budget, goes on where it was when servers
-// die, and keeps what it has fetched.
-func TestBudgetOfARepair(t *testing.T) {
+// An empty replica is repaired within its budget, and resumes with the ranges that it has
+// fetched when servers fail.
+func TestRepairStaysWithinBudget(t *testing.T) {
 	const bytesPerSecond = 1000
 	w := newWorld(t, 3, 0, largeStore(t, 3000))
 	w.bytesPerSecond = bytesPerSecond
@@ -56,7 +56,7 @@
 	for i := range 3 {
 		w.addFollower(fmt.Sprintf("gateway-%d", i), &Replica{})
 	}
-	// One answer may go beyond the budget: a chunk, compressed.
+	// One response may go beyond the budget: a chunk, compressed.
 	budget := func(elapsed time.Duration) int {
 		return 4*bytesPerSecond + int(elapsed.Seconds()*bytesPerSecond) + chunkRequestBytes/4
 	}
@@ -65,7 +65,7 @@
 		if w.everywhere() {
 			break
 		}
-		// Every server dies in turn and comes back.
+		// Every server fails in turn and recovers.
 		for i, server := range w.servers {
 			w.setFault(server, healthy)
 			if second/7%3 == i {
@@ -77,8 +77,8 @@
 		}
 		w.run(time.Second)
 		for _, f := range w.followers {
-			if most := budget(w.now.Sub(start)); f.received > most {
-				t.Fatalf("%s received %d bytes in %v, the budget is %d", f.name, f.received, w.now.Sub(start), most)
+			if limit := budget(w.now.Sub(start)); f.received > limit {
+				t.Fatalf("%s received %d bytes in %v, the budget is %d", f.name, f.received, w.now.Sub(start), limit)
 			}
 		}
 	}
@@ -91,29 +91,26 @@
 	t.Logf("3,000 records in %v, %d bytes", w.now.Sub(start), w.followers[0].received)
 }
 
-// While a repair is under way that takes long, a server that can give the changes
-// since the replica's version is found, and they come first.
-func TestChangesGoBeforeARepair(t *testing.T) {
+// During a long repair, a server that has the changes since the replica's version is found, and
+// they are applied first.
+func TestChangesGoBeforeRepairRanges(t *testing.T) {
 	w := newWorld(t, 2, 0, largeStore(t, 2000))
 	w.bytesPerSecond = 500
-	replica := &Replica{}
-	if err := replica.ApplyDelta(since(t, w.newest, 0)); err != nil {
-		t.Fatal(err)
-	}
+	replica := fullReplica(t, w.newest)
 	var bulk []Operation
 	for i := range 2000 {
 		bulk = append(bulk, put(fmt.Sprintf("tenant/bulk-%d", i), fmt.Sprintf(`{"plan":"free","burst":%d}`, i+1)))
 	}
 	w.change(bulk...)
-	compacted, whole := w.servers[0], w.servers[1]
+	compacted, complete := w.servers[0], w.servers[1]
 	compacted.store.log.compact(len(compacted.store.log.entries))
-	w.setFault(whole, refusing)
+	w.setFault(complete, refusing)
 	f := w.addFollower("gateway", replica)
 	w.run(10 * time.Second)
 	if status := f.follower.Status(w.now); status.State != Repairing || status.RangesMissing == 0 {
 		t.Fatalf("%+v", status)
 	}
-	w.setFault(whole, healthy)
+	w.setFault(complete, healthy)
 	w.setFault(compacted, refusing)
 	w.change(urgent(1))
 	w.announceHead()
@@ -123,8 +120,8 @@
 	}
 }
 
-// One change of 5,000 records is everywhere in time, and so is an urgent one behind it.
-func TestLargeChange(t *testing.T) {
+// One change of 5,000 records is everywhere in time, and so is an urgent one after it.
+func TestLargeChangeDelaysNoUrgentOne(t *testing.T) {
 	w := settledWorld(t, 6, 6)
 	var bulk []Operation
 	for i := range 5000 {
@@ -136,18 +133,15 @@
 	w.mustReach(maxPropagation)
 }
 
-// A replica whose content is not what all servers had is repaired.
-func TestReplicaWithAnotherDigest(t *testing.T) {
+// A replica whose digest is disputed by all servers is repaired.
+func TestReplicaWithAnotherDigestIsRepaired(t *testing.T) {
 	w := newWorld(t, 3, 0, smallStore(t))
 	forged := smallStore(t)
 	apply(t, forged, 2, change(urgent(99)), Accepted)
-	replica := &Replica{}
-	if err := replica.ApplyDelta(since(t, forged, 0)); err != nil {
-		t.Fatal(err)
-	}
+	replica := fullReplica(t, forged)
 	w.change(urgent(1))
 	w.change(urgent(2))
-	w.accepted[2] = forged.Digest() // where the replica stands
+	w.accepted[2] = forged.Digest() // the version of the replica
 	f := w.addFollower("gateway", replica)
 	w.mustReach(maxPropagation)
 	if status := f.follower.Status(w.now); status.State != Following || status.Reason != "" {
--- a/records/follower_script_test.go
+++ b/records/follower_script_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// converse answers a follower's requests at once, until a condition holds or it has
-// asked so many times, and returns what it asked.
-func converse(t *testing.T, follower *Follower, maxRequests int, answer func(Send) any, done func() bool) []Send {
+// converse responds to a follower's requests at once, until a condition holds or it has sent
+// maxRequests, and returns the requests.
+func converse(t *testing.T, follower *Follower, maxRequests int, respond func(Send) any, done func() bool) []Send {
 	t.Helper()
 	var sent []Send
 	actions := follower.Handle(follower.Wake(), Tick{})
@@ -18,20 +18,20 @@
 			actions = follower.Handle(follower.Wake(), Tick{})
 			continue
 		}
-		ask := actions[position].(Send)
-		sent = append(sent, ask)
-		body, err := encode(answer(ask))
+		send := actions[position].(Send)
+		sent = append(sent, send)
+		body, err := encode(respond(send))
 		if err != nil {
 			t.Fatal(err)
 		}
-		actions = follower.Handle(follower.now.Add(latency), ResponseReceived{ID: ask.ID, Body: body})
+		actions = follower.Handle(follower.now.Add(latency), ResponseReceived{ID: send.ID, Body: body})
 	}
 	return sent
 }
 
-// answerFrom answers as a server with this store does, without waiting.
-func answerFrom(store *Store, ask Send) any {
-	switch request := ask.Request.(type) {
+// responseFrom returns the response of a server with this store that does not wait.
+func responseFrom(store *Store, send Send) any {
+	switch request := send.Request.(type) {
 	case ChangesRequest:
 		return store.HandleChanges(request)
 	case ContentRequest:
@@ -53,29 +53,29 @@
 
 func countDigests(sent []Send) int {
 	count := 0
-	for _, ask := range sent {
-		if _, ok := ask.Request.(DigestsRequest); ok {
+	for _, send := range sent {
+		if _, ok := send.Request.(DigestsRequest); ok {
 			count++
 		}
 	}
 	return count
 }
 
-// A server that told a version far too high is found out when no other has come to
-// it: the ranges are compared again.
+// If a server states a version that is far too high, no other server reaches it, and the ranges
+// are compared again.
 func TestRepairFromAServerWithTooHighAVersion(t *testing.T) {
 	store := compactedStore(t)
 	replica := &Replica{}
-	asked := converse(t, twoServers(replica), 20, func(ask Send) any {
-		answer := answerFrom(store, ask)
-		if chunk, ok := answer.(Chunk); ok {
+	requests := converse(t, twoServers(replica), 20, func(send Send) any {
+		response := responseFrom(store, send)
+		if chunk, ok := response.(Chunk); ok {
 			chunk.Version = 1000
 			return chunk
 		}
-		return answer
+		return response
 	}, func() bool { return replica.Version() > 0 })
-	if countDigests(asked) != 1 || replica.Version() != 1 || replica.Digest() != store.Digest() {
-		t.Errorf("asked %+v, the replica is at %d", asked, replica.Version())
+	if countDigests(requests) != 1 || replica.Version() != 1 || replica.Digest() != store.Digest() {
+		t.Errorf("asked %+v, the replica is at %d", requests, replica.Version())
 	}
 }
 
@@ -84,61 +84,61 @@
 func TestRepairOutlivesCompaction(t *testing.T) {
 	store := compactedStore(t)
 	replica := &Replica{}
-	asked := converse(t, twoServers(replica), 20, func(ask Send) any {
-		answer := answerFrom(store, ask)
-		if _, ok := answer.(Chunk); ok && store.Version() == 1 {
+	requests := converse(t, twoServers(replica), 20, func(send Send) any {
+		response := responseFrom(store, send)
+		if _, ok := response.(Chunk); ok && store.Version() == 1 {
 			apply(t, store, 2, change(urgent(1)), Accepted)
 			store.log.compact(1)
 		}
-		return answer
+		return response
 	}, func() bool { return replica.Version() > 0 })
-	if countDigests(asked) != 1 || replica.Version() != 2 || replica.Digest() != store.Digest() {
-		t.Errorf("asked %+v, the replica is at %d", asked, replica.Version())
+	if countDigests(requests) != 1 || replica.Version() != 2 || replica.Digest() != store.Digest() {
+		t.Errorf("asked %+v, the replica is at %d", requests, replica.Version())
 	}
 }
 
-// A server that claims to have nothing new at another content is left.
+// A server that reports nothing new with another version or digest is ejected.
 func TestNothingNewAtAnotherDigest(t *testing.T) {
 	store := smallStore(t)
 	replica := fullReplica(t, store)
-	for _, answer := range []ChangesResponse{
+	for _, response := range []ChangesResponse{
 		{Version: 1, Digest: Digest{1}},
 		{Version: 2, Digest: store.Digest()},
 	} {
 		follower := twoServers(replica)
-		asked := converse(t, follower, 2, func(Send) any { return answer }, func() bool { return false })
-		if asked[0].Server == asked[1].Server || follower.Status(follower.now).Reason == "" {
-			t.Errorf("%+v: asked %+v, %+v", answer, asked, follower.Status(follower.now))
+		requests := converse(t, follower, 2, func(Send) any { return response }, func() bool { return false })
+		if requests[0].Server == requests[1].Server || follower.Status(follower.now).Reason == "" {
+			t.Errorf("%+v: requests %+v, %+v", response, requests, follower.Status(follower.now))
 		}
 	}
 }
 
-// A server that answers at once that there is nothing new is not asked all the time,
-// and is left when a newer version is known to exist.
+// A server that responds at once instead of waiting is not polled without pause, and is ejected
+// when a newer version is known to exist.
 func TestServerThatDoesNotWait(t *testing.T) {
 	store := smallStore(t)
 	follower := twoServers(fullReplica(t, store))
-	answer := func(ask Send) any { return answerFrom(store, ask) }
+	respond := func(send Send) any { return responseFrom(store, send) }
 	end := testTime.Add(20 * time.Second)
-	asked := converse(t, follower, 1000, answer, func() bool { return follower.now.After(end) })
-	if len(asked) < 15 || len(asked) > 45 {
-		t.Errorf("asked %d times in 20 s", len(asked))
+	requests := converse(t, follower, 1000, respond, func() bool { return follower.now.After(end) })
+	if len(requests) < 15 || len(requests) > 45 {
+		t.Errorf("asked %d times in 20 s", len(requests))
 	}
 	if confirmed := follower.Status(follower.now).ConfirmedAt; follower.now.Sub(confirmed) > 2*minPollInterval {
 		t.Errorf("confirmed at %v", confirmed)
 	}
-	told := follower.now
-	follower.Handle(told, HeadReceived{Version: 7})
-	asked = converse(t, follower, 1000, answer, func() bool { return follower.now.After(told.Add(4 * time.Second)) })
+	announcedAt := follower.now
+	follower.Handle(announcedAt, HeadReceived{Version: 7})
+	requests = converse(t, follower, 1000, respond, func() bool { return follower.now.After(announcedAt.Add(4 * time.Second)) })
 	servers := map[string]bool{}
-	for _, ask := range asked {
-		servers[ask.Server] = true
+	for _, send := range requests {
+		servers[send.Server] = true
 	}
-	if len(servers) != 2 || len(asked) > 20 {
-		t.Errorf("asked %d servers, %d times in all", len(servers), len(asked))
+	if len(servers) != 2 || len(requests) > 20 {
+		t.Errorf("asked %d servers, %d times in all", len(servers), len(requests))
 	}
 	status := follower.Status(follower.now)
-	if status.ConfirmedAt.After(told) || status.Head != 7 || status.Reason == "" {
+	if status.ConfirmedAt.After(announcedAt) || status.Head != 7 || status.Reason == "" {
 		t.Errorf("%+v", status)
 	}
 }
--- a/records/follower_test.go
+++ b/records/follower_test.go
@@ -21,7 +21,9 @@
 	return w
 }
 
-func TestIdleFollowers(t *testing.T) {
+// Followers without changes poll once per LongPollWait, are spread over the servers, and
+// receive a change at once.
+func TestIdleFollowersPollSparingly(t *testing.T) {
 	w := settledWorld(t, 6, 60)
 	for _, server := range w.servers {
 		server.requests = 0
@@ -31,14 +33,14 @@
 	}
 	w.run(10 * time.Minute)
 	for _, server := range w.servers {
-		// 60 followers that ask every 8 seconds, spread over six servers.
+		// 60 followers with a request every 8 seconds, spread over six servers.
 		if server.requests < 200 || server.requests > 1800 {
-			t.Errorf("%s was asked %d times", server.name, server.requests)
+			t.Errorf("%s received %d requests", server.name, server.requests)
 		}
 	}
 	for _, f := range w.followers {
 		if f.requests > 80 || f.received > 80*200 {
-			t.Errorf("%s asked %d times and received %d bytes", f.name, f.requests, f.received)
+			t.Errorf("%s sent %d requests and received %d bytes", f.name, f.requests, f.received)
 		}
 		status := f.follower.Status(w.now)
 		if age, known := status.Age(w.now); status.State != Following || !known || age > 10*time.Second || status.Reason != "" {
@@ -54,6 +56,7 @@
 	}
 }
 
+// A change each second is everywhere within a second, at a bounded cost.
 func TestAChangeEachSecond(t *testing.T) {
 	w := settledWorld(t, 6, 6)
 	for _, f := range w.followers {
@@ -75,10 +78,10 @@
 }
 
 // With all servers but one at fault in any one way, a change is everywhere in time
-// once its version has been told.
-func TestServersAtFault(t *testing.T) {
+// once its version is announced.
+func TestChangeArrivesDespiteFaultyServers(t *testing.T) {
 	for _, fault := range faults() {
-		t.Run(fmt.Sprint(int(fault)), func(t *testing.T) {
+		t.Run(fault.String(), func(t *testing.T) {
 			w := settledWorld(t, 6, 30)
 			for _, server := range w.servers[1:] {
 				w.setFault(server, fault)
@@ -87,7 +90,7 @@
 			w.change(urgent(1), put("service/new", serviceValue))
 			w.announceHead()
 			w.mustReach(maxPropagation)
-			// Those at fault are left alone for a while.
+			// The servers at fault are ejected for a while.
 			w.change(urgent(2))
 			w.announceHead()
 			w.mustReach(maxPropagation)
@@ -101,8 +104,8 @@
 	}
 }
 
-// A server that stands still is left even if nobody tells of the change.
-func TestUnresponsiveServer(t *testing.T) {
+// A server that does not respond is ejected even if the change is not announced.
+func TestUnresponsiveServerIsEjected(t *testing.T) {
 	w := settledWorld(t, 2, 10)
 	w.setFault(w.servers[0], unresponsive)
 	w.change(urgent(1))
@@ -111,12 +114,12 @@
 	w.servers[0].requests = 0
 	w.run(time.Minute)
 	if w.servers[0].requests == 0 {
-		t.Error("nobody has come back to the server that woke")
+		t.Error("no follower has returned to the server that recovered")
 	}
 }
 
-// A server whose content has gone wrong is not believed against the others.
-func TestServerWithAnotherDigest(t *testing.T) {
+// A server with other content than all others causes no repair.
+func TestServerWithAnotherDigestCausesNoRepair(t *testing.T) {
 	w := settledWorld(t, 3, 9)
 	// At the same version the first server has other content.
 	forged := smallStore(t)
@@ -135,7 +138,7 @@
 }
 
 // Followers of one name and start decide alike; those of other names do not.
-func TestFollowersAreSpread(t *testing.T) {
+func TestFollowersAreSpreadOverServersAndTime(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	first := map[string]int{}
 	wakes := map[time.Time]bool{}
@@ -149,7 +152,7 @@
 		first[follower.servers.pick(testTime, false)]++
 		wakes[follower.Wake()] = true
 		if wait := follower.Wake().Sub(testTime); wait < 0 || wait >= maxStartDelay {
-			t.Fatalf("asks first after %v", wait)
+			t.Fatalf("sends its first request after %v", wait)
 		}
 	}
 	for _, name := range names {
@@ -162,8 +165,8 @@
 	}
 }
 
-// Late, repeated and unknown answers do nothing.
-func TestStrayAnswers(t *testing.T) {
+// Late, repeated and unknown responses have no effect.
+func TestStrayResponsesHaveNoEffect(t *testing.T) {
 	store := smallStore(t)
 	replica := &Replica{}
 	follower := NewFollower(FollowerConfig{Name: "g", Servers: []string{"a", "b"}}, replica, testTime)
@@ -172,31 +175,31 @@
 		t.Fatal(err)
 	}
 	now := follower.Wake()
-	ask := follower.Handle(now, Tick{})[0].(Send)
+	send := follower.Handle(now, Tick{})[0].(Send)
 	if actions := follower.Handle(now, Tick{}); len(actions) != 0 {
 		t.Errorf("a second tick: %v", actions)
 	}
-	if actions := follower.Handle(now, ResponseReceived{ID: ask.ID + 1, Body: body}); len(actions) != 0 || replica.Version() != 0 {
-		t.Errorf("an unknown answer: %v", actions)
+	if actions := follower.Handle(now, ResponseReceived{ID: send.ID + 1, Body: body}); len(actions) != 0 || replica.Version() != 0 {
+		t.Errorf("an unknown response: %v", actions)
 	}
-	late := now.Add(ask.Timeout)
+	late := now.Add(send.Timeout)
 	if follower.Wake() != late {
 		t.Errorf("wants to wake at %v, not at %v", follower.Wake(), late)
 	}
 	actions := follower.Handle(late, Tick{})
-	if len(actions) != 1 || actions[0] != (Cancel{ID: ask.ID}) {
+	if len(actions) != 1 || actions[0] != (Cancel{ID: send.ID}) {
 		t.Fatalf("too late: %v", actions)
 	}
-	if actions := follower.Handle(late, ResponseReceived{ID: ask.ID, Body: body}); len(actions) != 0 || replica.Version() != 0 {
-		t.Errorf("an answer after the cancel: %v", actions)
+	if actions := follower.Handle(late, ResponseReceived{ID: send.ID, Body: body}); len(actions) != 0 || replica.Version() != 0 {
+		t.Errorf("a response after the cancel: %v", actions)
 	}
 	next := follower.Handle(follower.Wake(), Tick{})[0].(Send)
-	if next.Server == ask.Server || next.ID == ask.ID {
-		t.Errorf("asked %+v again", next)
+	if next.Server == send.Server || next.ID == send.ID {
+		t.Errorf("sent %+v again", next)
 	}
 	actions = follower.Handle(follower.now, ResponseReceived{ID: next.ID, Body: body})
 	if save, ok := actions[0].(Persist); !ok || save.Version != 1 || save.Delta == nil || replica.Version() != 1 {
-		t.Errorf("the right answer: %+v", actions)
+		t.Errorf("the right response: %+v", actions)
 	}
 	none := NewFollower(FollowerConfig{Name: "g"}, &Replica{}, testTime)
 	if actions := none.Handle(testTime.Add(time.Minute), Tick{}); len(actions) != 0 || !none.Wake().After(testTime.Add(time.Minute)) {
--- a/records/fuzz_test.go
+++ b/records/fuzz_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// reencode requires that a message which has been read is written and read again.
+// reencode fails the test unless a decoded message can be encoded and decoded again.
 func reencode[Message any](t *testing.T, message Message, encode func(Message) ([]byte, error), decode func([]byte) (Message, error)) {
 	t.Helper()
 	data, err := encode(message)
@@ -16,6 +16,7 @@
 	}
 }
 
+// seed adds a message, half of it and its text before compression to the corpus.
 func seed(f *testing.F, message []byte, err error) {
 	f.Helper()
 	if err != nil {
@@ -32,6 +33,7 @@
 	f.Add(text)
 }
 
+// A response that is decoded can be encoded, and its delta is verified.
 func FuzzDecodeChangesResponse(f *testing.F) {
 	store := largeStore(f, 40)
 	apply(f, store, 9, change(remove("plan/free")), Accepted)
@@ -40,21 +42,22 @@
 		seed(f, data, err)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		answer, err := DecodeChangesResponse(data)
+		response, err := DecodeChangesResponse(data)
 		if err != nil {
 			return
 		}
-		reencode(t, answer, EncodeChangesResponse, DecodeChangesResponse)
-		if answer.Delta == nil {
+		reencode(t, response, EncodeChangesResponse, DecodeChangesResponse)
+		if response.Delta == nil {
 			return
 		}
 		replica := &Replica{}
-		if err := replica.ApplyDelta(*answer.Delta); err == nil && replica.Digest() != answer.Digest {
-			t.Fatal("took a delta whose digest does not fit")
+		if err := replica.ApplyDelta(*response.Delta); err == nil && replica.Digest() != response.Digest {
+			t.Fatal("accepted a delta with another digest")
 		}
 	})
 }
 
+// Digests that are decoded can be encoded and compared.
 func FuzzDecodeRangeDigests(f *testing.F) {
 	data, err := EncodeRangeDigests(largeStore(f, 40).RangeDigests())
 	seed(f, data, err)
@@ -70,6 +73,7 @@
 	})
 }
 
+// A chunk that is decoded can be encoded and staged.
 func FuzzDecodeChunk(f *testing.F) {
 	store := largeStore(f, 200)
 	for _, ranges := range [][]int{{0}, {1, 2, 3, 4, 5, 6, 7, 8, 9, 10}} {
@@ -84,13 +88,12 @@
 		reencode(t, chunk, EncodeChunk, DecodeChunk)
 		repair := NewRepair(&Replica{})
 		if err := repair.StageChunk(chunk); err == nil && len(repair.Pending()) != RangeCount-len(chunk.Ranges) {
-			t.Fatal("the ranges of the chunk have not been settled")
+			t.Fatal("the ranges of the chunk are still pending")
 		}
 	})
 }
 
-// The checksum would turn away nearly all of a fuzzer's inputs, so that it is made
-// to fit.
+// The checksum would reject nearly all inputs of a fuzzer, so the test adds the right one.
 func FuzzRestoreStore(f *testing.F) {
 	store := largeStore(f, 20)
 	request := change(put("plan/x", planValue))
@@ -108,7 +111,7 @@
 		restored := &Store{}
 		if err := restored.Restore(sealed(storeHeader, body)); err != nil {
 			if restored.Version() != 0 || restored.Len() != 0 {
-				t.Fatal("a refused snapshot has left something")
+				t.Fatal("a rejected snapshot has changed the store")
 			}
 			return
 		}
@@ -123,11 +126,9 @@
 	})
 }
 
+// A replica that is restored can be stored and restored again.
 func FuzzRestoreReplica(f *testing.F) {
-	replica := &Replica{}
-	if err := replica.ApplyDelta(since(f, largeStore(f, 20), 0)); err != nil {
-		f.Fatal(err)
-	}
+	replica := fullReplica(f, largeStore(f, 20))
 	data, err := replica.Snapshot()
 	if err != nil {
 		f.Fatal(err)
@@ -149,6 +150,7 @@
 	})
 }
 
+// A key that is parsed has the same text.
 func FuzzParseKey(f *testing.F) {
 	f.Add("route/a")
 	f.Add("tenant/00ff:x")
@@ -159,6 +161,7 @@
 	})
 }
 
+// Ranges that are parsed can be formatted and parsed again.
 func FuzzParseRanges(f *testing.F) {
 	f.Add("0-9,12,1023")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/records/golden_follower_test.go
+++ b/records/golden_follower_test.go
@@ -43,11 +43,11 @@
 	silent  bool
 	failing bool
 	damaged bool
-	behind  bool // gets no changes
+	behind  bool // receives no changes
 }
 
-// followerTrace plays one follower against servers on a clock of its own, and writes
-// down what it decides and when.
+// followerTrace runs one follower against servers on a clock of its own, and records what it
+// decides and when.
 type followerTrace struct {
 	t        *testing.T
 	text     strings.Builder
@@ -56,12 +56,12 @@
 	replica  *Replica
 	follower *Follower
 	inFlight *Send
-	arrival  time.Time // of the answer; zero: none is on its way
-	answer   Event
+	arrival  time.Time // of the response; zero: none is on its way
+	response Event
 	last     FollowerStatus
 }
 
-// reference returns the server that no fault but the last befalls.
+// reference returns the last server, which only fails together with all others.
 func (f *followerTrace) reference() *traceServer { return f.servers[len(f.servers)-1] }
 
 func (f *followerTrace) printf(format string, arguments ...any) {
@@ -79,7 +79,7 @@
 	f.printf("start %s at version %d", config.Name, replica.Version())
 }
 
-// run lets time pass.
+// run advances the clock and delivers all that is due in between.
 func (f *followerTrace) run(duration time.Duration) {
 	for end := f.now.Add(duration); ; {
 		wake := f.follower.Wake()
@@ -96,7 +96,7 @@
 		}
 		event := Event(Tick{})
 		if arriving {
-			event = f.answer
+			event = f.response
 			f.inFlight, f.arrival = nil, time.Time{}
 		}
 		f.handle(event)
@@ -142,7 +142,7 @@
 	return "digests"
 }
 
-// serve answers the open request after 20 ms, or when the time to wait is over.
+// serve responds to the request in flight after 20 ms, or when the time to wait is over.
 func (f *followerTrace) serve() {
 	var server *traceServer
 	for _, each := range f.servers {
@@ -152,17 +152,17 @@
 	}
 	f.arrival = f.now.Add(latency)
 	if server.failing {
-		f.answer = RequestFailed{ID: f.inFlight.ID, Reason: "connection refused", Bytes: 60}
+		f.response = RequestFailed{ID: f.inFlight.ID, Reason: "connection refused", Bytes: 60}
 		return
 	}
 	var message any
 	switch request := f.inFlight.Request.(type) {
 	case ChangesRequest:
-		answer := server.store.HandleChanges(request)
-		if answer.NothingNew() && request.Wait > 0 {
+		response := server.store.HandleChanges(request)
+		if response.NothingNew() && request.Wait > 0 {
 			f.arrival = f.now.Add(request.Wait)
 		}
-		message = answer
+		message = response
 	case DigestsRequest:
 		message = server.store.RangeDigests()
 	case ContentRequest:
@@ -182,11 +182,11 @@
 	if server.damaged {
 		body = []byte("{")
 	}
-	f.answer = ResponseReceived{ID: f.inFlight.ID, Body: body, Bytes: len(text)/3 + 100}
+	f.response = ResponseReceived{ID: f.inFlight.ID, Body: body, Bytes: len(text)/3 + 100}
 }
 
 // change has all servers but those that are behind accept a change; those that hold
-// a request for changes open answer.
+// a long poll respond.
 func (f *followerTrace) change(operations ...Operation) {
 	f.t.Helper()
 	for _, server := range f.servers {
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -28,6 +28,7 @@
 	}
 }
 
+// Values are encoded in their canonical form.
 func TestGoldenValues(t *testing.T) {
 	for _, kind := range Kinds() {
 		name := "value_" + string(kind) + ".json"
@@ -69,6 +70,7 @@
 		Deletes: List[Tombstone]{{Key: Key{Kind: Tenant, Name: "old_1.x-y:z"}, Version: 43}}}
 }
 
+// Changes, results and statuses are embedded in messages of other packages.
 func TestGoldenChange(t *testing.T) {
 	expected := uint64(7)
 	record := goldenRecord(t, Plan, "gold", 9)
@@ -120,18 +122,19 @@
 	}
 }
 
-func TestGoldenAnswers(t *testing.T) {
+// Responses with changes are exchanged between versions of the program.
+func TestGoldenChangesResponses(t *testing.T) {
 	delta := goldenDelta(t)
 	requireEveryField(t, delta)
 	small := Delta{From: 42, To: 43, Digest: goldenDigest, Deletes: delta.Deletes}
-	for name, answer := range map[string]ChangesResponse{
+	for name, response := range map[string]ChangesResponse{
 		"answer_delta.json":       {Version: 43, Digest: goldenDigest, Delta: &delta},
 		"answer_delta_small.json": {Version: 43, Digest: goldenDigest, Delta: &small},
 		"answer_repair.json":      {Version: 43, Digest: goldenDigest, Repair: RepairTooLarge},
 		"answer_behind.json":      {Version: 43, Digest: goldenDigest, Behind: true},
 		"answer_nothing_new.json": {Version: 43, Digest: goldenDigest},
 	} {
-		pinMessage(t, name, answer, EncodeChangesResponse, DecodeChangesResponse)
+		pinMessage(t, name, response, EncodeChangesResponse, DecodeChangesResponse)
 	}
 	// No server sets all of these at once, and no follower accepts it.
 	every := ChangesResponse{Version: 43, Digest: goldenDigest, Delta: &delta, Repair: RepairDigest, Behind: true}
@@ -148,10 +151,10 @@
 	if _, err := DecodeChangesResponse(text); !errors.Is(err, ErrMessage) {
 		t.Errorf("accepted: %v", err)
 	}
-	// Fields of a value are the business of stores: a follower accepts those that it does not know.
+	// Fields of a value are for stores: a follower accepts those that it does not know.
 	newer := bytes.ReplaceAll(readGolden(t, "answer_delta.json", nil), []byte(`"value":{`), []byte(`"value":{"unknown_field":1,`))
-	answer, err := DecodeChangesResponse(newer)
-	if err != nil || !bytes.HasPrefix(answer.Delta.Puts[0].Value, []byte(`{"unknown_field":1,`)) {
+	response, err := DecodeChangesResponse(newer)
+	if err != nil || !bytes.HasPrefix(response.Delta.Puts[0].Value, []byte(`{"unknown_field":1,`)) {
 		t.Errorf("a value with an unknown field: %v", err)
 	}
 }
@@ -181,6 +184,7 @@
 	return store
 }
 
+// Digests and content of ranges are exchanged between versions of the program.
 func TestGoldenRanges(t *testing.T) {
 	store := goldenStore(t)
 	digests := store.RangeDigests()
@@ -217,6 +221,7 @@
 	golden.Text(t, "digests.txt", text.String())
 }
 
+// Journals are read by later versions of the program.
 func TestGoldenJournal(t *testing.T) {
 	store := goldenStore(t)
 	base := &Replica{state: emptyState, version: 1}
@@ -257,6 +262,7 @@
 	}
 }
 
+// Snapshots are read by later versions of the program.
 func TestGoldenSnapshots(t *testing.T) {
 	store := goldenStore(t)
 	var content storeSnapshot
--- a/records/helpers_test.go
+++ b/records/helpers_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"testing"
 	"time"
 
 	"pgregory.net/rapid"
@@ -33,7 +34,7 @@
 	return Change{Author: "anna", At: testTime, Operations: operations}
 }
 
-// apply applies a change and requires its status.
+// apply applies a change and fails the test unless the result has the status.
 func apply(t rapid.TB, store *Store, version uint64, change Change, want Status) Result {
 	t.Helper()
 	result, err := store.Apply(version, change)
@@ -53,7 +54,7 @@
 	routeValue   = `{"service":"search","prefix":"/v1/search","timeout_ms":2000,"retries":2}`
 )
 
-// smallStore has one record of each kind, all of version 1.
+// smallStore returns a store with one record of each kind, all of version 1.
 func smallStore(t rapid.TB) *Store {
 	t.Helper()
 	store := &Store{}
@@ -66,7 +67,7 @@
 	return store
 }
 
-// largeStore has some 12,000 tenants and 14,000 routes for each 26,000 records.
+// largeStore returns a store with count records: 12,000 tenants and 14,000 routes for each 26,000 records.
 func largeStore(t rapid.TB, count int) *Store {
 	t.Helper()
 	store := &Store{}
@@ -95,3 +96,23 @@
 		fmt.Sprintf(`{"service":"search","host":"shop-%d.example.test","prefix":"/v1/%x","timeout_ms":%d,"retries":%d}`,
 			index, scrambled, 500+scrambled%5000, index%4))
 }
+
+// fullReplica returns a replica with the content of a store.
+func fullReplica(t testing.TB, store *Store) *Replica {
+	t.Helper()
+	replica := &Replica{}
+	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
+		t.Fatal(err)
+	}
+	return replica
+}
+
+// since returns the changes above a version.
+func since(t testing.TB, store *Store, version uint64) Delta {
+	t.Helper()
+	delta, err := store.ChangesSince(version)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return delta
+}
--- a/records/journal_test.go
+++ b/records/journal_test.go
@@ -29,7 +29,8 @@
 	return snapshot, journal, ends, store
 }
 
-func TestJournal(t *testing.T) {
+// A journal is applied up to its first damaged or truncated entry.
+func TestReplayEndsAtDamagedEntry(t *testing.T) {
 	snapshot, journal, ends, store := journalOf(t)
 	restore := func() *Replica {
 		replica := &Replica{}
@@ -39,14 +40,14 @@
 		return replica
 	}
 	replica := restore()
-	if whole, err := replica.Replay(journal); err != nil || whole != len(journal) || replica.Digest() != store.Digest() {
-		t.Fatalf("%d bytes, %v, at version %d", whole, err, replica.Version())
+	if applied, err := replica.Replay(journal); err != nil || applied != len(journal) || replica.Digest() != store.Digest() {
+		t.Fatalf("%d bytes, %v, at version %d", applied, err, replica.Version())
 	}
 	// The snapshot may have been written after the entries.
-	if whole, err := replica.Replay(journal); err != nil || whole != len(journal) || replica.Version() != 4 {
-		t.Errorf("again: %d bytes, %v, at version %d", whole, err, replica.Version())
+	if applied, err := replica.Replay(journal); err != nil || applied != len(journal) || replica.Version() != 4 {
+		t.Errorf("again: %d bytes, %v, at version %d", applied, err, replica.Version())
 	}
-	// Whatever is damaged or cut off, the entries ahead of it count.
+	// The entries before the damage are applied.
 	entriesBefore := func(position int) int {
 		count, _ := slices.BinarySearch(ends, position+1)
 		return count
@@ -58,7 +59,7 @@
 		} {
 			entries := entriesBefore(position)
 			replica := restore()
-			whole, err := replica.Replay(damaged)
+			applied, err := replica.Replay(damaged)
 			atEnd := name == "cut" && (position == 0 || slices.Contains(ends, position))
 			if atEnd != (err == nil) || err != nil && !errors.Is(err, ErrJournal) {
 				t.Fatalf("%s at byte %d: %v", name, position, err)
@@ -67,17 +68,18 @@
 			if entries > 0 {
 				want = ends[entries-1]
 			}
-			if whole != want || replica.Version() != uint64(1+entries) {
-				t.Fatalf("%s at byte %d: %d bytes are whole, want %d; at version %d", name, position, whole, want, replica.Version())
+			if applied != want || replica.Version() != uint64(1+entries) {
+				t.Fatalf("%s at byte %d: %d bytes are usable, want %d; at version %d", name, position, applied, want, replica.Version())
 			}
 		}
 	}
 	missing := restore()
-	if whole, err := missing.Replay(journal[ends[0]:]); !errors.Is(err, ErrGap) || whole != 0 || missing.Version() != 1 {
-		t.Errorf("an entry is missing: %d bytes, %v", whole, err)
+	if applied, err := missing.Replay(journal[ends[0]:]); !errors.Is(err, ErrGap) || applied != 0 || missing.Version() != 1 {
+		t.Errorf("an entry is missing: %d bytes, %v", applied, err)
 	}
 }
 
+// Replay accepts any input without a panic, and never applies a part of an entry.
 func FuzzReplay(f *testing.F) {
 	snapshot, journal, ends, _ := journalOf(f)
 	f.Add(journal)
@@ -88,9 +90,9 @@
 		if err := replica.Restore(snapshot); err != nil {
 			t.Fatal(err)
 		}
-		whole, err := replica.Replay(data)
-		if whole > len(data) || (err == nil) != (whole == len(data)) || replica.Version() < 1 {
-			t.Fatalf("%d of %d bytes, %v, at version %d", whole, len(data), err, replica.Version())
+		applied, err := replica.Replay(data)
+		if applied > len(data) || (err == nil) != (applied == len(data)) || replica.Version() < 1 {
+			t.Fatalf("%d of %d bytes, %v, at version %d", applied, len(data), err, replica.Version())
 		}
 	})
 }
--- a/records/key_test.go
+++ b/records/key_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Keys are parsed from and formatted as KIND/NAME.
 func TestKeyText(t *testing.T) {
 	for _, text := range []string{"route/a", "tenant/00ff", "plan/Gold_2.x-y:z", "service/" + strings.Repeat("a", MaxNameBytes)} {
 		parsed, err := ParseKey(text)
--- a/records/range_list_test.go
+++ b/records/range_list_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Lists of ranges have one text form.
 func TestRangesText(t *testing.T) {
 	for text, want := range map[string][]int{
 		"0":          {0},
--- a/records/ranges_test.go
+++ b/records/ranges_test.go
@@ -1,9 +1,8 @@
 package records
 
-import (
-	"testing"
-)
+import "testing"
 
+// A chunk has at least one range, and is otherwise within its bounds.
 func TestChunkBounds(t *testing.T) {
 	store := largeStore(t, 3000)
 	all := make([]int, RangeCount)
@@ -14,9 +13,9 @@
 	if len(one.Ranges) != 1 {
 		t.Errorf("%d ranges", len(one.Ranges))
 	}
-	most := store.Chunk(ContentRequest{Ranges: all, MaxBytes: 1 << 30})
+	largest := store.Chunk(ContentRequest{Ranges: all, MaxBytes: 1 << 30})
 	size := 0
-	for _, content := range most.Ranges {
+	for _, content := range largest.Ranges {
 		size += content.size()
 	}
 	if size > MaxChunkBytes || size < MaxChunkBytes/2 {
@@ -30,15 +29,15 @@
 // Records are spread evenly over the ranges.
 func TestRangesAreEven(t *testing.T) {
 	store := largeStore(t, 26_000)
-	fullest, empty := 0, 0
+	fullest, withoutRecords := 0, 0
 	for i := range RangeCount {
 		count := len(store.Range(i).Records)
 		fullest = max(fullest, count)
 		if count == 0 {
-			empty++
+			withoutRecords++
 		}
 	}
-	if fullest > 60 || empty > 0 {
-		t.Errorf("the fullest range has %d records of 26,000, %d are empty", fullest, empty)
+	if fullest > 60 || withoutRecords > 0 {
+		t.Errorf("the fullest range has %d records of 26,000, %d are empty", fullest, withoutRecords)
 	}
 }
--- a/records/repair_test.go
+++ b/records/repair_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fetch takes one chunk over the wire's form.
+// fetch stages one chunk, encoded and decoded as on the wire.
 func fetch(t testing.TB, repair *Repair, store *Store, maxBytes int) {
 	t.Helper()
 	data, err := EncodeChunk(store.Chunk(ContentRequest{Ranges: repair.Pending(), MaxBytes: maxBytes}))
@@ -23,6 +23,7 @@
 	}
 }
 
+// compare compares the digests, encoded and decoded as on the wire.
 func compare(t testing.TB, repair *Repair, store *Store) {
 	t.Helper()
 	data, err := EncodeRangeDigests(store.RangeDigests())
@@ -38,6 +39,7 @@
 	}
 }
 
+// An empty replica is repaired while the store changes.
 func TestRepairOfAnEmptyReplica(t *testing.T) {
 	store := largeStore(t, 2000)
 	replica := &Replica{}
@@ -73,25 +75,22 @@
 // compacted above the replica's version.
 func TestRepairFetchesWhatDiffers(t *testing.T) {
 	store := largeStore(t, 3000)
-	replica := &Replica{}
-	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
-		t.Fatal(err)
-	}
+	replica := fullReplica(t, store)
 	apply(t, store, 100, change(put("plan/a", planValue), put("plan/b", planValue), remove("plan/free"), put("plan/gold", `{"price_weight":3,"requests_per_second":1}`)), Accepted)
 	store.log.compact(len(store.log.entries))
-	if answer := store.HandleChanges(ChangesRequest{Since: replica.Version()}); answer.Repair != RepairCompacted {
-		t.Fatalf("answer %+v", answer)
+	if response := store.HandleChanges(ChangesRequest{Since: replica.Version()}); response.Repair != RepairCompacted {
+		t.Fatalf("response %+v", response)
 	}
 	repair := NewRepair(replica)
 	if repair.Next() != NeedDigests {
-		t.Fatal("digests are not wanted")
+		t.Fatal("digests are not needed")
 	}
 	compare(t, repair, store)
 	if pending := repair.Pending(); len(pending) != 4 {
 		t.Errorf("%d ranges differ", len(pending))
 	}
 	fetch(t, repair, store, MaxChunkBytes)
-	// The changes lead to where the server is already.
+	// There are no changes above the ranges: the delta is empty.
 	if err := repair.Finish(replica, Delta{From: 100, To: 100, Digest: store.Digest()}); err != nil {
 		t.Fatal(err)
 	}
@@ -100,8 +99,8 @@
 	}
 }
 
-// Chunks may come from servers at different versions, the later one behind the
-// first: the changes above the lowest version make them one.
+// Chunks may come from servers at different versions: the changes above the lowest version
+// bring them to one.
 func TestRepairAcrossServers(t *testing.T) {
 	ahead := smallStore(t)
 	behind := smallStore(t)
@@ -122,7 +121,7 @@
 		fetch(t, repair, from, 1)
 	}
 	if since := repair.Since(); since != 1 {
-		t.Errorf("the changes since %d are wanted", since)
+		t.Errorf("the changes since %d are needed", since)
 	}
 	if err := repair.Finish(replica, Delta{From: 1, To: 1, Digest: behind.Digest()}); !errors.Is(err, ErrBehind) {
 		t.Errorf("finished by the server that is behind: %v", err)
@@ -135,19 +134,24 @@
 	}
 }
 
-func TestRepairRefuses(t *testing.T) {
-	store := smallStore(t)
-	replica := &Replica{}
-	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
-		t.Fatal(err)
-	}
-	stale := smallStore(t)
+// newerStore returns a store at version 3, a replica of it at version 2 and a stale store at
+// version 1.
+func newerStore(t *testing.T) (store, stale *Store, replica *Replica) {
+	t.Helper()
+	store = smallStore(t)
+	replica = fullReplica(t, store)
+	stale = smallStore(t)
 	apply(t, store, 2, change(put("plan/free", planValue)), Accepted)
 	if err := replica.ApplyDelta(since(t, store, 1)); err != nil {
 		t.Fatal(err)
 	}
 	apply(t, store, 3, change(put("plan/other", planValue), remove("plan/free")), Accepted)
+	return store, stale, replica
+}
 
+// Digests and chunks of a stale server, and invalid chunks, are rejected and stage nothing.
+func TestRepairRejectsStaleAndInvalidRanges(t *testing.T) {
+	store, stale, replica := newerStore(t)
 	repair := NewRepair(replica)
 	if err := repair.Finish(replica, since(t, store, 2)); err == nil {
 		t.Error("finished without a comparison")
@@ -156,12 +160,12 @@
 		t.Errorf("digests of a stale server: %v", err)
 	}
 	compare(t, repair, store)
-	wanted := repair.Pending()
-	if err := repair.StageChunk(stale.Chunk(ContentRequest{Ranges: wanted})); !errors.Is(err, ErrBehind) {
+	pending := repair.Pending()
+	if err := repair.StageChunk(stale.Chunk(ContentRequest{Ranges: pending})); !errors.Is(err, ErrBehind) {
 		t.Errorf("a chunk of a stale server: %v", err)
 	}
 	if err := repair.StageChunk(Chunk{Version: 3, Digest: store.Digest()}); err == nil {
-		t.Error("took an empty chunk")
+		t.Error("accepted an empty chunk")
 	}
 	changed := store.Chunk(ContentRequest{Ranges: []int{RangeOf(key("plan/other"))}})
 	changed.Ranges[0].Records = slices.Clone(changed.Ranges[0].Records)
@@ -169,12 +173,25 @@
 	if err := repair.StageChunk(changed); !errors.Is(err, ErrDigest) {
 		t.Errorf("a changed chunk: %v", err)
 	}
-	if !slices.Equal(repair.Pending(), wanted) {
-		t.Error("a refused chunk has been staged")
+	if !slices.Equal(repair.Pending(), pending) {
+		t.Error("a rejected chunk has been staged")
 	}
 	for repair.Next() == NeedContent {
 		fetch(t, repair, store, 1)
 	}
+	if err := repair.Finish(replica, since(t, store, repair.Since())); err != nil || replica.Digest() != store.Digest() {
+		t.Errorf("%v, at version %d", err, replica.Version())
+	}
+}
+
+// Changes that do not complete the staged ranges are rejected, and the replica is unchanged.
+func TestRepairRejectsInvalidChanges(t *testing.T) {
+	store, _, replica := newerStore(t)
+	repair := NewRepair(replica)
+	compare(t, repair, store)
+	for repair.Next() == NeedContent {
+		fetch(t, repair, store, 1)
+	}
 	apply(t, store, 4, change(put("plan/last", planValue)), Accepted)
 	delta := since(t, store, 3)
 	if err := repair.Finish(replica, Delta{From: 4, To: 5}); !errors.Is(err, ErrGap) {
@@ -190,7 +207,7 @@
 		t.Errorf("damaged changes: %v, at version %d", err, replica.Version())
 	}
 	if repair.Next() != NeedDigests {
-		t.Error("the ranges are not to be compared again")
+		t.Error("the ranges are not compared again")
 	}
 	// The ranges that differ now are fetched again, and no more.
 	compare(t, repair, store)
@@ -202,5 +219,3 @@
 		t.Errorf("%v, at version %d", err, replica.Version())
 	}
 }
-
-func (s *state) clone() *state { return s.edit().finish() }
--- a/records/result_cache_test.go
+++ b/records/result_cache_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// A repeat of a request gets the answer that the first got, also if the store has
-// changed since and after a snapshot, as long as it is remembered.
+// A change with a cached idempotency key has the result of the first attempt, also if the store
+// has changed since, and after a snapshot.
 func TestRepeatedIdempotencyKey(t *testing.T) {
 	store := smallStore(t)
 	first := change(onlyIf(1, put("tenant/acme", `{"plan":"gold"}`)))
 	first.IdempotencyKey = "r-1"
-	refused := change(remove("plan/gold"))
-	refused.IdempotencyKey = "r-2"
+	rejected := change(remove("plan/gold"))
+	rejected.IdempotencyKey = "r-2"
 	apply(t, store, 2, first, Accepted)
-	apply(t, store, 3, refused, Invalid)
+	apply(t, store, 3, rejected, Invalid)
 	snapshot, err := store.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -27,8 +27,8 @@
 		if result := apply(t, each, 4, first, Accepted); result.Version != 2 || each.Version() != 2 {
 			t.Errorf("repeated at version %d", result.Version)
 		}
-		if result := apply(t, each, 5, refused, Invalid); result.Problem == nil || result.Problem.Key != "plan/gold" {
-			t.Errorf("repeat of a refused one: %+v", result)
+		if result := apply(t, each, 5, rejected, Invalid); result.Problem == nil || result.Problem.Key != "plan/gold" {
+			t.Errorf("repeat of a rejected one: %+v", result)
 		}
 		other := change(remove("tenant/acme"))
 		other.IdempotencyKey = "r-1"
@@ -43,6 +43,6 @@
 	}
 	apply(t, store, 5000, first, Conflict)
 	if len(store.results.order) != MaxRequests || len(store.results.byKey) != MaxRequests {
-		t.Errorf("%d requests are remembered", len(store.results.order))
+		t.Errorf("%d results are cached", len(store.results.order))
 	}
 }
--- a/records/snapshot_test.go
+++ b/records/snapshot_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-func TestSnapshot(t *testing.T) {
+// A restored store has the content, log and results of the original.
+func TestSnapshotRestoresStore(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 4, change(remove("route/search"), put("plan/free", planValue)), Accepted)
 	apply(t, store, 6, change(remove("plan/gold")), Invalid)
@@ -42,13 +43,10 @@
 	}
 }
 
-// A file that is cut short or changed anywhere is refused, and the copy stays.
-func TestDamagedSnapshot(t *testing.T) {
+// A snapshot that is truncated or changed anywhere is rejected, and the content is unchanged.
+func TestDamagedSnapshotIsRejected(t *testing.T) {
 	store := smallStore(t)
-	replica := &Replica{}
-	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
-		t.Fatal(err)
-	}
+	replica := fullReplica(t, store)
 	ofStore, err := store.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -85,17 +83,15 @@
 			t.Fatalf("%s: the copy has changed", test.name)
 		}
 		if err := test.restore(test.data); err != nil {
-			t.Errorf("%s whole: %v", test.name, err)
+			t.Errorf("%s undamaged: %v", test.name, err)
 		}
 	}
 }
 
-func TestSnapshotNeverGoesBack(t *testing.T) {
+// A replica does not go back to an older version.
+func TestRestoreRejectsOlderSnapshot(t *testing.T) {
 	store := smallStore(t)
-	replica := &Replica{}
-	if err := replica.ApplyDelta(since(t, store, 0)); err != nil {
-		t.Fatal(err)
-	}
+	replica := fullReplica(t, store)
 	old, err := replica.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -109,18 +105,18 @@
 	}
 }
 
-// A snapshot whose checksum fits may still contradict itself.
-func TestContradictorySnapshot(t *testing.T) {
+// A snapshot with the right checksum is rejected if it contradicts itself.
+func TestContradictorySnapshotIsRejected(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 4, change(remove("route/search"), put("plan/free", planValue)), Accepted)
-	whole := func() storeSnapshot {
+	valid := func() storeSnapshot {
 		return storeSnapshot{
 			replicaSnapshot: replicaSnapshot{Version: 4, Digest: store.Digest(), Records: store.current().sorted()},
 			Applied:         4,
 			Log:             append(List[logEntry]{}, store.log.entries...),
 		}
 	}
-	// forge makes the digests fit what the records have been changed to.
+	// forge recomputes the digests after a change of the records.
 	forge := func(s *storeSnapshot) {
 		s.Digest = digestOf(s.Records)
 		s.Log[len(s.Log)-1].Digest = s.Digest
@@ -150,25 +146,31 @@
 		{"requests twice", func(s *storeSnapshot) { s.Requests = make(List[cachedResult], 2) }, "there twice"},
 		{"long log", func(s *storeSnapshot) { s.Log = longLog() }, "beyond the bounds"},
 	} {
-		snapshot := whole()
+		snapshot := valid()
 		test.change(&snapshot)
-		if _, err := snapshot.store(); err == nil || !strings.Contains(err.Error(), test.reason) {
-			t.Errorf("%s: %v, want %q", test.name, err, test.reason)
-		}
-		data, err := encodeSnapshot(storeHeader, snapshot)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := (&Store{}).Restore(data); !errors.Is(err, ErrSnapshot) {
-			t.Errorf("%s: %v", test.name, err)
-		}
+		t.Run(test.name, func(t *testing.T) { requireContradiction(t, snapshot, test.reason) })
 	}
-	data, err := encodeSnapshot(storeHeader, whole())
+	data, err := encodeSnapshot(storeHeader, valid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := (&Store{}).Restore(data); err != nil {
-		t.Errorf("the whole one: %v", err)
+		t.Errorf("the valid one: %v", err)
+	}
+}
+
+// requireContradiction fails the test unless a snapshot is rejected for the reason.
+func requireContradiction(t *testing.T, snapshot storeSnapshot, reason string) {
+	t.Helper()
+	if _, err := snapshot.store(); err == nil || !strings.Contains(err.Error(), reason) {
+		t.Errorf("%v, want %q", err, reason)
+	}
+	data, err := encodeSnapshot(storeHeader, snapshot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := (&Store{}).Restore(data); !errors.Is(err, ErrSnapshot) {
+		t.Errorf("restored: %v", err)
 	}
 }
 
--- a/records/store_machine_test.go
+++ b/records/store_machine_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// machine is a store, its model, and replicas that meet every fault.
+// machine has a store, its model, and replicas whose deltas are lost, repeated and damaged.
 type machine struct {
 	store           *Store
 	model           model
@@ -76,11 +76,12 @@
 	}
 }
 
+// pick draws a replica.
 func (m *machine) pick(t *rapid.T) int {
 	return rapid.IntRange(0, len(m.replicas)-1).Draw(t, "replica")
 }
 
-// send gives a replica the changes since any version.
+// send applies the changes since any version to a replica.
 func (m *machine) send(t *rapid.T) {
 	replica := m.replicas[m.pick(t)]
 	from := replica.Version()
@@ -101,7 +102,7 @@
 	}
 }
 
-// resend gives a replica something that has been sent before, perhaps damaged.
+// resend applies an earlier delta to a replica, sometimes damaged.
 func (m *machine) resend(t *rapid.T) {
 	if len(m.deltas) == 0 {
 		t.Skip("nothing has been sent")
@@ -119,13 +120,15 @@
 	case 3:
 		delta.From = min(delta.From+1, delta.To)
 	}
-	_ = m.replicas[m.pick(t)].ApplyDelta(delta) // check looks at what has become of it
+	_ = m.replicas[m.pick(t)].ApplyDelta(delta) // check verifies the outcome
 }
 
+// compact drops some of the oldest entries of the log.
 func (m *machine) compact(t *rapid.T) {
 	m.store.log.compact(rapid.IntRange(0, len(m.store.log.entries)).Draw(t, "count"))
 }
 
+// restart restores the store and a replica from their snapshots.
 func (m *machine) restart(t *rapid.T) {
 	data, err := m.store.Snapshot()
 	if err != nil {
@@ -147,7 +150,7 @@
 	}
 }
 
-// repair takes one step of a replica's repair, the wrong one at times.
+// repair performs one step of a replica's repair.
 func (m *machine) repair(t *rapid.T) {
 	i := m.pick(t)
 	if m.repairs[i] == nil {
@@ -181,7 +184,7 @@
 	}
 }
 
-// check holds the store to the model, and each replica to a version that there was.
+// check compares the store with the model, and each replica with the accepted versions.
 func (m *machine) check(t *rapid.T) {
 	if m.store.Len() != len(m.model.values) {
 		t.Fatalf("%d records, want %d", m.store.Len(), len(m.model.values))
@@ -204,9 +207,8 @@
 	}
 }
 
-// Whatever happens to the changes on their way, a replica is always exactly one of
-// the versions that were accepted, never goes back, and comes to the newest in the
-// end.
+// Whatever happens to deltas in transit, a replica is always at one of the accepted versions,
+// never goes back, and reaches the newest one in the end.
 func TestReplicasAreAcceptedVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
--- a/records/store_model_test.go
+++ b/records/store_model_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is what the store should hold, kept in the plainest way.
+// model is the expected content of the store, in the simplest form.
 type model struct {
 	values   map[Key]string
 	versions map[Key]uint64
@@ -18,7 +18,7 @@
 	return model{values: maps.Clone(m.values), versions: maps.Clone(m.versions)}
 }
 
-// allows tells whether every record is valid and has what it needs.
+// allows reports whether every record is valid and finds the record that it refers to.
 func (m model) allows() bool {
 	for key, value := range m.values {
 		parsed, _, problem := ParseValue(key.Kind, []byte(value))
--- a/records/store_test.go
+++ b/records/store_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// Changes are applied atomically, in order of version.
 func TestApply(t *testing.T) {
 	store := smallStore(t)
 	one := store.Digest()
@@ -34,10 +35,11 @@
 		t.Errorf("digest at 1: %v, %t", digest, found)
 	}
 	if _, found := store.DigestAt(5); found {
-		t.Error("a refused change has a digest")
+		t.Error("a rejected change has a digest")
 	}
 }
 
+// A list is filtered by kind and prefix, and limited.
 func TestList(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 2, change(put("tenant/b2", tenantValue), put("tenant/b1", tenantValue), put("tenant/a", tenantValue)), Accepted)
@@ -59,6 +61,7 @@
 	}
 }
 
+// Advance changes the version and no record.
 func TestAdvance(t *testing.T) {
 	store := smallStore(t)
 	digest := store.Digest()
@@ -71,7 +74,8 @@
 	if store.Version() != 9 || store.Digest() != digest || store.Applied() != 9 {
 		t.Fatalf("version %d, applied %d, digest %s", store.Version(), store.Applied(), store.Digest())
 	}
-	// Who had the same content has nothing to put; who had gone further has other content.
+	// A replica with the same content needs no puts; one that is past the restored state is
+	// repaired.
 	if a := store.HandleChanges(ChangesRequest{Since: 1, Digest: &digest}); a.Delta == nil || !a.Delta.Empty() || a.Delta.To != 9 {
 		t.Fatalf("%+v", a)
 	}
--- a/records/world_faults_test.go
+++ b/records/world_faults_test.go
@@ -7,9 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is wrong with the servers, the logs, the followers and their files, a
-// replica is always one of the versions that were accepted and does not go back,
-// and after the last fault all come to the newest.
+// Whatever faults servers, logs, followers and their files have, a replica is always at one of
+// the accepted versions and does not go back, and after the last fault all reach the newest one.
 func TestFollowersConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 4, 4, smallStore(t))
--- a/records/world_run_test.go
+++ b/records/world_run_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// run runs the world for a time.
+// run advances the clock and delivers all that is due in between.
 func (w *world) run(duration time.Duration) {
 	w.runUntil(duration, func() bool { return false })
 }
 
-// runUntil runs until the condition holds, and tells whether it did in time.
+// runUntil runs until the condition holds, and reports whether it did in time.
 func (w *world) runUntil(duration time.Duration, condition func() bool) bool {
 	end := w.now.Add(duration)
 	for !condition() {
@@ -31,7 +31,7 @@
 // due returns when something happens next for the follower.
 func (f *worldFollower) due() time.Time {
 	due := f.follower.Wake()
-	for _, each := range []time.Time{f.answerAt, f.pollEnd} {
+	for _, each := range []time.Time{f.responseAt, f.pollEnd} {
 		if !each.IsZero() && each.Before(due) {
 			due = each
 		}
@@ -39,6 +39,7 @@
 	return due
 }
 
+// nextFollower returns the follower for which something is due first.
 func (w *world) nextFollower() (*worldFollower, time.Time) {
 	var next *worldFollower
 	earliest := time.Unix(math.MaxInt32, 0)
@@ -50,15 +51,16 @@
 	return next, earliest
 }
 
+// step delivers a response, ends a poll or sends a tick.
 func (w *world) step(f *worldFollower) {
 	switch {
-	case !f.answerAt.IsZero() && !f.answerAt.After(w.now):
-		answer := f.answer
-		if answered, ok := answer.(ResponseReceived); ok {
-			f.received += len(answered.Body)
+	case !f.responseAt.IsZero() && !f.responseAt.After(w.now):
+		response := f.response
+		if received, ok := response.(ResponseReceived); ok {
+			f.received += len(received.Body)
 		}
 		w.dropRequest(f)
-		w.handle(f, answer)
+		w.handle(f, response)
 	case !f.pollEnd.IsZero() && !f.pollEnd.After(w.now):
 		w.endPoll(f)
 	default:
@@ -66,25 +68,25 @@
 	}
 }
 
-// endPoll answers a request that has waited in vain.
+// endPoll ends a long poll without a change: the server responds that there is nothing new.
 func (w *world) endPoll(f *worldFollower) {
 	for _, server := range w.servers {
 		if !slices.Contains(server.polls, f) {
 			continue
 		}
-		ask := *f.inFlight
+		send := *f.inFlight
 		w.dropRequest(f)
-		request := ask.Request.(ChangesRequest)
+		request := send.Request.(ChangesRequest)
 		request.Wait = 0
-		ask.Request = request
-		f.inFlight = &ask
+		send.Request = request
+		f.inFlight = &send
 		w.serve(server, f)
 		return
 	}
 	w.t.Fatalf("%s waits at no server", f.name)
 }
 
-// everywhere tells whether the newest version is in force everywhere.
+// everywhere reports whether all followers that are connected are at the newest version.
 func (w *world) everywhere() bool {
 	for _, f := range w.followers {
 		if !f.disconnected && f.replica.Version() != w.version {
--- a/records/world_test.go
+++ b/records/world_test.go
@@ -8,18 +8,23 @@
 	"pgregory.net/rapid"
 )
 
-// fault is what is wrong with a server of a world.
+// fault is a way in which a server of a world fails.
 type fault int
 
 const (
-	healthy fault = iota
-	refusing
-	unresponsive // takes requests and never answers
-	damaged      // every answer has a changed byte
-	forging      // as damaged, but inside the compression: only digests tell
-	stale        // gets no changes
+	healthy      fault = iota
+	refusing           // refuses connections
+	unresponsive       // accepts requests and never responds
+	damaged            // every response has a changed byte
+	forging            // as damaged, but in the content: only digests detect it
+	stale              // receives no changes
 )
 
+// String returns the name of the fault, for names of subtests.
+func (f fault) String() string {
+	return [...]string{"healthy", "refusing", "unresponsive", "damaged", "forging", "stale"}[f]
+}
+
 func faults() []fault { return []fault{healthy, refusing, unresponsive, damaged, forging, stale} }
 
 // world runs followers and servers on a clock of its own.
@@ -57,8 +62,8 @@
 	disconnected     bool // from all servers
 	inFlight         *Send
 	pollEnd          time.Time // zero: it does not wait at a server
-	answerAt         time.Time // zero: nothing is on its way
-	answer           Event
+	responseAt       time.Time // zero: nothing is on its way
+	response         Event
 	persistedVersion uint64
 	persists         int
 	requests         int
@@ -68,6 +73,7 @@
 
 const latency = 20 * time.Millisecond
 
+// newWorld returns servers with copies of a store, and followers with empty replicas.
 func newWorld(t rapid.TB, servers, followers int, start *Store) *world {
 	t.Helper()
 	w := &world{t: t, now: testTime, version: start.Version(), newest: copyStore(t, start), accepted: map[uint64]Digest{0: emptyState.digest}}
@@ -127,13 +133,13 @@
 }
 
 func (w *world) dropRequest(f *worldFollower) {
-	f.inFlight, f.answer, f.answerAt, f.pollEnd = nil, nil, time.Time{}, time.Time{}
+	f.inFlight, f.response, f.responseAt, f.pollEnd = nil, nil, time.Time{}, time.Time{}
 	for _, server := range w.servers {
 		server.polls = slices.DeleteFunc(server.polls, func(each *worldFollower) bool { return each == f })
 	}
 }
 
-// change has a change accepted and given to all servers that get changes.
+// change applies a change, and replicates it to the servers that are not stale.
 func (w *world) change(operations ...Operation) uint64 {
 	w.version++
 	each := versionedChange{w.version, change(operations...)}
@@ -144,6 +150,7 @@
 	return w.version
 }
 
+// replicate applies the missing changes at each server that is not stale, and ends its long polls.
 func (w *world) replicate() {
 	for _, server := range w.servers {
 		if server.fault == stale || server.applied == len(w.changes) {
@@ -172,7 +179,7 @@
 	}
 }
 
-// handle gives an event to a follower and carries out its actions.
+// handle passes an event to a follower and carries out its actions.
 func (w *world) handle(f *worldFollower, event Event) {
 	for _, action := range f.follower.Handle(w.now, event) {
 		switch action := action.(type) {
@@ -186,7 +193,7 @@
 			f.persistedVersion = action.Version
 		case Send:
 			if f.inFlight != nil {
-				w.t.Fatalf("%s asks two things at once", f.name)
+				w.t.Fatalf("%s has two requests in flight", f.name)
 			}
 			f.requests++
 			f.inFlight = &action
@@ -196,7 +203,7 @@
 	w.check(f)
 }
 
-// check holds a replica to the versions that there were.
+// check fails the test unless a replica is at an accepted version that is not below its last one.
 func (w *world) check(f *worldFollower) {
 	digest, found := w.accepted[f.replica.Version()]
 	if !found || digest != f.replica.Digest() {
@@ -217,7 +224,7 @@
 	}
 }
 
-// serve has a server answer a follower, or keep it waiting.
+// serve lets a server respond to a follower, or begin a long poll.
 func (w *world) serve(server *worldServer, f *worldFollower) {
 	f.pollEnd = time.Time{}
 	switch {
@@ -231,13 +238,13 @@
 	var err error
 	switch request := f.inFlight.Request.(type) {
 	case ChangesRequest:
-		answer := server.store.HandleChanges(request)
-		if answer.NothingNew() && request.Wait > 0 {
+		response := server.store.HandleChanges(request)
+		if response.NothingNew() && request.Wait > 0 {
 			f.pollEnd = w.now.Add(request.Wait)
 			server.polls = append(server.polls, f)
 			return
 		}
-		message, err = EncodeChangesResponse(w.forge(server, answer))
+		message, err = EncodeChangesResponse(w.forge(server, response))
 	case DigestsRequest:
 		message, err = EncodeRangeDigests(server.store.RangeDigests())
 	case ContentRequest:
@@ -258,19 +265,19 @@
 	w.deliver(f, ResponseReceived{ID: f.inFlight.ID, Body: message})
 }
 
-// forge changes what a server says so that only digests tell.
-func (w *world) forge(server *worldServer, answer ChangesResponse) ChangesResponse {
-	if server.fault != forging || answer.Delta == nil || len(answer.Delta.Puts) == 0 {
-		return answer
+// forge changes the content of a response so that only digests detect it.
+func (w *world) forge(server *worldServer, response ChangesResponse) ChangesResponse {
+	if server.fault != forging || response.Delta == nil || len(response.Delta.Puts) == 0 {
+		return response
 	}
-	delta := *answer.Delta
+	delta := *response.Delta
 	delta.Puts = slices.Clone(delta.Puts)
 	delta.Puts[0].Value = []byte(`{"class":"lie"}`)
-	answer.Delta = &delta
-	return answer
+	response.Delta = &delta
+	return response
 }
 
-func (w *world) deliver(f *worldFollower, answer Event) {
-	f.answer = answer
-	f.answerAt = w.now.Add(latency)
+func (w *world) deliver(f *worldFollower, response Event) {
+	f.response = response
+	f.responseAt = w.now.Add(latency)
 }
