--- a/tools/testgate/main.go
+++ b/tools/testgate/main.go
@@ -225,6 +225,7 @@
 	if passed == 0 {
 		problem("no test passed")
 	}
+	fmt.Fprintf(out, "%d tests and subtests ran, %d of them passed or were skipped\n", len(r.order), passed)
 	if testErr != nil && len(explained) == 0 && len(problems) == 0 {
 		problem("go test: %v", testErr)
 	}
--- a/tools/testgate/main_test.go
+++ b/tools/testgate/main_test.go
@@ -70,6 +70,9 @@
 			case c.problem != "" && (err == nil || !strings.Contains(err.Error(), c.problem)):
 				t.Errorf("judge: %v, want %q", err, c.problem)
 			}
+			if !strings.Contains(out.String(), " tests and subtests ran, ") {
+				t.Errorf("printed %q, want the number of tests", out.String())
+			}
 			if !strings.Contains(out.String(), c.printed) {
 				t.Errorf("printed %q, want %q", out.String(), c.printed)
 			}
