--- a/internal/recordsync/client.go
+++ b/internal/recordsync/client.go
@@ -5,11 +5,9 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/url"
 	"strings"
-	"sync/atomic"
 
 	"elderyard/records"
 )
@@ -17,47 +15,6 @@
 // maxErrorTextBytes bounds what is read of a server's error, in bytes.
 const maxErrorTextBytes = 256
 
-// Traffic counts the bytes of connections, heads included. Its zero value is ready;
-// it may be used by several goroutines.
-type Traffic struct{ read, written atomic.Int64 }
-
-// Read returns how many bytes have come in.
-func (t *Traffic) Read() int64 { return t.read.Load() }
-
-// Written returns how many bytes have gone out.
-func (t *Traffic) Written() int64 { return t.written.Load() }
-
-// Dialer opens a connection, as net.Dialer.DialContext does.
-type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
-
-// Count returns a dialer whose connections are counted.
-func (t *Traffic) Count(dial Dialer) Dialer {
-	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		conn, err := dial(ctx, network, address)
-		if err != nil {
-			return nil, err
-		}
-		return &countedConn{Conn: conn, traffic: t}, nil
-	}
-}
-
-type countedConn struct {
-	net.Conn
-	traffic *Traffic
-}
-
-func (c *countedConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	c.traffic.read.Add(int64(n))
-	return n, err
-}
-
-func (c *countedConn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
-	c.traffic.written.Add(int64(n))
-	return n, err
-}
-
 // serverClient asks servers.
 type serverClient struct {
 	http *http.Client
@@ -99,16 +56,3 @@
 	}
 	return err
 }
-
-// requestTarget returns the path and query of a request.
-func requestTarget(query records.Request) (string, error) {
-	switch asked := query.(type) {
-	case records.ChangesRequest:
-		return ChangesPath + "?" + formatChangesQuery(asked).Encode(), nil
-	case records.DigestsRequest:
-		return RangesPath, nil
-	case records.ContentRequest:
-		return ContentPath + "?" + formatContentQuery(asked).Encode(), nil
-	}
-	return "", fmt.Errorf("a request of type %T is not known", query)
-}
--- a/internal/recordsync/follower.go
+++ b/internal/recordsync/follower.go
@@ -192,7 +192,7 @@
 
 // addCost adds what an answer has cost: all bytes of the connections since the last one.
 func (f *Follower) addCost(event records.Event) records.Event {
-	total := f.traffic.Read() + f.traffic.Written()
+	total := f.traffic.Received() + f.traffic.Sent()
 	bytes := int(total - f.countedBytes)
 	f.countedBytes = total
 	switch event := event.(type) {
--- a/internal/recordsync/follower_test.go
+++ b/internal/recordsync/follower_test.go
@@ -78,7 +78,7 @@
 	if age, known := status.Age(time.Now()); names != 105 || !known || age < 0 || status.Reason != "" {
 		t.Fatalf("%d records, %+v", names, status)
 	}
-	if first.Traffic().Read() == 0 || first.Traffic().Written() == 0 {
+	if first.Traffic().Received() == 0 || first.Traffic().Sent() == 0 {
 		t.Fatal("nothing was counted")
 	}
 	first.stop()
@@ -245,7 +245,7 @@
 	first := start(t, options(dir, server))
 	first.awaitVersionOf(source)
 	first.stop()
-	whole := first.Traffic().Read()
+	whole := first.Traffic().Received()
 	for i := range records.MaxLogChanges + 1 {
 		source.apply(t, plan("changing", 1+i))
 	}
@@ -259,7 +259,7 @@
 		t.Fatalf("%+v", second.Status())
 	}
 	second.awaitVersionOf(source)
-	if part := second.Traffic().Read(); part >= whole/2 {
+	if part := second.Traffic().Received(); part >= whole/2 {
 		t.Fatalf("%d bytes for one record, %d for all", part, whole)
 	}
 }
@@ -336,7 +336,7 @@
 	began := time.Now()
 	f := start(t, o)
 	held := func() bool {
-		taken := f.Traffic().Read() + f.Traffic().Written()
+		taken := f.Traffic().Received() + f.Traffic().Sent()
 		most := burst + maxResponseBytes + int64(bytesPerSecond*time.Since(began).Seconds())
 		if taken > most {
 			t.Fatalf("%d bytes, %d may be", taken, most)
