--- a/internal/recordsync/client.go
+++ b/internal/recordsync/client.go
@@ -12,34 +12,45 @@
 	"elderyard/records"
 )
 
-// maxErrorTextBytes bounds what is read of a server's error, in bytes.
+// maxErrorTextBytes bounds the text of a server's error in bytes.
 const maxErrorTextBytes = 256
 
-// serverClient asks servers.
+// serverClient sends requests to servers.
 type serverClient struct {
 	http *http.Client
-	base func(server string) string // the URL of a server, without a path
+	base func(server string) string // returns the URL of a server without a path
 }
 
-// do sends a request to a server and returns the answer's body as it came. The
-// body is bounded; whether it makes sense is for the follower to judge.
-func (c *serverClient) do(ctx context.Context, server string, query records.Request) ([]byte, error) {
-	target, err := requestTarget(query)
+// statusError means that a server responded with another status than 200.
+type statusError struct {
+	code   int
+	status string // code and text
+	body   string // truncated to maxErrorTextBytes
+}
+
+// Error returns the status and the body.
+func (e *statusError) Error() string { return e.status + ": " + e.body }
+
+// do sends a request to a server and returns the body of the response, of at most
+// records.MaxMessageBytes+1 bytes. It does not decode it. The error is a *statusError if the
+// server responded with another status than 200.
+func (c *serverClient) do(ctx context.Context, server string, request records.Request) ([]byte, error) {
+	target, err := requestTarget(request)
 	if err != nil {
 		return nil, err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base(server)+target, nil)
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base(server)+target, nil)
 	if err != nil {
 		return nil, fmt.Errorf("ask %s: %w", server, err)
 	}
-	response, err := c.http.Do(request)
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
-		return nil, withoutURL(err) // the follower names the server
+		return nil, withoutURL(err) // the follower adds the server's name
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorTextBytes))
-		return nil, fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(text)))
+		return nil, &statusError{code: response.StatusCode, status: response.Status, body: strings.TrimSpace(string(text))}
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, records.MaxMessageBytes+1))
 	if err != nil {
@@ -48,10 +59,9 @@
 	return body, nil
 }
 
-// withoutURL takes off what an HTTP client says of the call beside the cause.
+// withoutURL returns the cause of an HTTP client's error, without method and URL.
 func withoutURL(err error) error {
-	var inner *url.Error
-	if errors.As(err, &inner) {
+	if inner, ok := errors.AsType[*url.Error](err); ok {
 		return inner.Err
 	}
 	return err
--- a/internal/recordsync/disk.go
+++ b/internal/recordsync/disk.go
@@ -14,14 +14,14 @@
 	"elderyard/records"
 )
 
-// The files of a follower's folder. The copy is a replica's snapshot; the journal
-// has the changes that came after it, so that a change costs its own size; the
-// third says when the copy was last known to be the newest.
+// Files of a follower's directory: the replica's snapshot; the journal of the changes after it,
+// so that the cost of a change does not depend on the size of the replica; and the time at which
+// the replica was last known to be at the newest version.
 const (
 	snapshotName  = "records"
 	journalName   = "records.journal"
 	confirmedName = "records.confirmed"
-	// damagedSuffix is added to the name of a file that can't be used.
+	// damagedSuffix is appended to the name of a quarantined file.
 	damagedSuffix = ".damaged"
 )
 
@@ -29,64 +29,67 @@
 	dirMode  = 0o700
 	fileMode = 0o600
 
-	maxFileBytes = 64 << 20 // a larger file is none of ours
-	// confirmInterval is how often the time of the last confirmation is written.
+	maxFileBytes = 64 << 20 // larger than any file that this package writes
+	// confirmInterval is the shortest time between two writes of the confirmation.
 	confirmInterval = 30 * time.Second
 )
 
-// diskStore keeps a follower's copy across restarts. It belongs to one goroutine.
+// diskStore persists a follower's replica across restarts. It belongs to one goroutine.
 type diskStore struct {
 	dir string
 	log *slog.Logger
 
-	journal      *os.File // nil: the copy has to be written whole
+	journal      *os.File // nil if the next change needs a new snapshot
 	journalBytes int
 
-	confirmedAt time.Time // as written
+	confirmedAt time.Time // time of the last confirmation in the file
 }
 
-// confirmation says when a version was last known to be the newest.
+// confirmation is the time at which a version was last known to be the newest.
 type confirmation struct {
 	Version uint64    `json:"version"`
 	At      time.Time `json:"at"`
 }
 
-func (f *diskStore) path(name string) string { return filepath.Join(f.dir, name) }
+// path returns the path of a file of the directory.
+func (s *diskStore) path(name string) string { return filepath.Join(s.dir, name) }
 
-// openDiskStore reads the copy that an earlier run kept. Files that are damaged or cut
-// off are set aside for a look: without a usable copy the replica is empty, and of
-// the journal all that comes before the damage is used.
+// openDiskStore returns the replica that an earlier run has persisted. Files that are damaged or
+// truncated are quarantined: without a usable snapshot the replica is empty, and of the journal
+// the entries before the damage are applied.
 func openDiskStore(dir string, log *slog.Logger) (*diskStore, *records.Replica, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, nil, fmt.Errorf("records: %w", err)
 	}
-	f := &diskStore{dir: dir, log: log}
+	s := &diskStore{dir: dir, log: log}
 	replica := &records.Replica{}
-	data, err := f.readFile(snapshotName)
+	data, err := s.readFile(snapshotName)
 	if err == nil && data != nil {
 		err = replica.Restore(data)
 	}
 	if err != nil {
 		replica = &records.Replica{}
-		return f, replica, errors.Join(f.quarantine(snapshotName, err), f.quarantine(journalName, errNoSnapshot))
+		return s, replica, errors.Join(s.quarantine(snapshotName, err), s.quarantine(journalName, errNoSnapshot))
 	}
-	if err := f.replayJournal(replica); err != nil {
-		if err := f.quarantine(journalName, err); err != nil {
+	if err := s.replayJournal(replica); err != nil {
+		if err := s.quarantine(journalName, err); err != nil {
 			return nil, nil, err
 		}
-		// What was whole of the journal is in force: the next start must not go back behind it.
-		if err := f.writeSnapshot(replica); err != nil {
+		// The entries before the damage are in force: the next start must not go back behind
+		// them.
+		if err := s.writeSnapshot(replica); err != nil {
 			return nil, nil, fmt.Errorf("records: %w", err)
 		}
 	}
-	return f, replica, nil
+	return s, replica, nil
 }
 
+// errNoSnapshot is the reason for which a journal is quarantined together with its snapshot.
 var errNoSnapshot = errors.New("there is no copy that it follows")
 
-// readFile returns a file's content; nil: there is no file.
-func (f *diskStore) readFile(name string) ([]byte, error) {
-	file, err := os.Open(f.path(name))
+// readFile returns a file's content, or nil if the file does not exist.
+func (s *diskStore) readFile(name string) ([]byte, error) {
+	file, err := os.Open(s.path(name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -101,24 +104,24 @@
 	return data, err
 }
 
-// quarantine renames a file that can't be used. The error is of a file that can't be
-// moved either.
-func (f *diskStore) quarantine(name string, cause error) error {
-	aside := f.path(name) + damagedSuffix
-	err := os.Rename(f.path(name), aside)
+// quarantine renames a file that cannot be used, and logs the cause. The error is that of the
+// renaming; a file that does not exist is none.
+func (s *diskStore) quarantine(name string, cause error) error {
+	quarantined := s.path(name) + damagedSuffix
+	err := os.Rename(s.path(name), quarantined)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("records: set a damaged file aside: %w", err)
 	}
-	f.log.Error("a file of the records can't be used", "file", f.path(name), "set aside as", aside, "error", cause)
+	s.log.Error("quarantined unusable records file", "file", s.path(name), "quarantine", quarantined, "error", cause)
 	return nil
 }
 
-// replayJournal applies the journal's changes that the copy lacks, and opens the journal.
-func (f *diskStore) replayJournal(replica *records.Replica) error {
-	data, err := f.readFile(journalName)
+// replayJournal applies the journal to the snapshot's replica, and opens it for appending.
+func (s *diskStore) replayJournal(replica *records.Replica) error {
+	data, err := s.readFile(journalName)
 	if err != nil {
 		return err
 	}
@@ -126,96 +129,100 @@
 		return fmt.Errorf("behind version %d: %w", replica.Version(), err)
 	}
 	if replica.Version() == 0 {
-		return nil // the first save writes the copy whole
+		return nil // the first persist writes a snapshot
 	}
-	f.journalBytes = len(data)
-	f.journal, err = os.OpenFile(f.path(journalName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
+	s.journalBytes = len(data)
+	s.journal, err = os.OpenFile(s.path(journalName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	return err
 }
 
-// persist writes down that the replica has come to a version.
-func (f *diskStore) persist(replica *records.Replica, saved records.Persist) error {
-	if saved.Delta == nil || f.journal == nil || f.journalBytes > records.MaxJournalBytes {
-		return f.writeSnapshot(replica)
+// persist appends the change to the journal, or writes a snapshot. After an error the next call
+// writes a snapshot.
+func (s *diskStore) persist(replica *records.Replica, action records.Persist) error {
+	if action.Delta == nil || s.journal == nil || s.journalBytes > records.MaxJournalBytes {
+		return s.writeSnapshot(replica)
 	}
-	entry, err := records.EncodeJournalEntry(*saved.Delta)
+	entry, err := records.EncodeJournalEntry(*action.Delta)
 	if err != nil {
 		return err
 	}
-	if _, err = f.journal.Write(entry); err == nil {
-		err = f.journal.Sync()
+	if _, err = s.journal.Write(entry); err == nil {
+		err = s.journal.Sync()
 	}
 	if err != nil {
-		// What is in the journal's end is not known: the next save writes the copy whole.
-		f.closeJournal()
-		return fmt.Errorf("write %s: %w", f.path(journalName), err)
+		// The end of the journal may be a part of the entry: nothing may be appended to it.
+		s.closeJournal()
+		return fmt.Errorf("write %s: %w", s.path(journalName), err)
 	}
-	f.journalBytes += len(entry)
+	s.journalBytes += len(entry)
 	return nil
 }
 
-// writeSnapshot writes the copy, and begins a new journal.
-func (f *diskStore) writeSnapshot(replica *records.Replica) error {
-	f.closeJournal()
+// writeSnapshot replaces the snapshot, and truncates the journal. If it fails in between, the
+// journal's old entries remain: they end at or below the snapshot's version, so the next start
+// can replay them without effect.
+func (s *diskStore) writeSnapshot(replica *records.Replica) error {
+	s.closeJournal()
 	data, err := replica.Snapshot()
 	if err != nil {
 		return err
 	}
-	if err := files.Replace(f.path(snapshotName), data, fileMode); err != nil {
+	if err := files.Replace(s.path(snapshotName), data, fileMode); err != nil {
 		return err
 	}
-	f.journalBytes = 0
-	journal, err := os.OpenFile(f.path(journalName), os.O_CREATE|os.O_TRUNC|os.O_APPEND|os.O_WRONLY, fileMode)
+	s.journalBytes = 0
+	journal, err := os.OpenFile(s.path(journalName), os.O_CREATE|os.O_TRUNC|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
-	if err := syncDir(f.dir); err != nil {
+	if err := syncDir(s.dir); err != nil {
 		journal.Close()
 		return err
 	}
-	f.journal = journal
+	s.journal = journal
 	return nil
 }
 
-// syncDir makes the names of a folder's files last.
+// syncDir makes the directory's entries durable.
 func syncDir(dir string) error {
-	folder, err := os.Open(dir)
+	opened, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(opened.Sync(), opened.Close())
 }
 
-func (f *diskStore) closeJournal() {
-	if f.journal != nil {
-		f.journal.Close()
-		f.journal = nil
+// closeJournal closes the journal if it is open. The next persist writes a snapshot.
+func (s *diskStore) closeJournal() {
+	if s.journal != nil {
+		s.journal.Close()
+		s.journal = nil
 	}
 }
 
-// loadConfirmation returns when a version was last known to be the newest; zero: that is
+// loadConfirmation returns when a version was last known to be the newest, or zero if that is
 // not known.
-func (f *diskStore) loadConfirmation(version uint64) time.Time {
-	data, err := f.readFile(confirmedName)
-	var c confirmation
-	if err != nil || json.Unmarshal(data, &c) != nil || c.Version != version {
+func (s *diskStore) loadConfirmation(version uint64) time.Time {
+	data, err := s.readFile(confirmedName)
+	var stored confirmation
+	if err != nil || json.Unmarshal(data, &stored) != nil || stored.Version != version {
 		return time.Time{}
 	}
-	return c.At
+	return stored.At
 }
 
-// confirmDue tells whether a confirmation is to be written down: each would cost a
-// write where one in confirmInterval does.
-func (f *diskStore) confirmDue(at time.Time) bool {
-	return !at.IsZero() && at.Sub(f.confirmedAt) >= confirmInterval
+// confirmDue reports whether the confirmation in the file is older than confirmInterval. Not
+// every one is written, since one comes with each response.
+func (s *diskStore) confirmDue(at time.Time) bool {
+	return !at.IsZero() && at.Sub(s.confirmedAt) >= confirmInterval
 }
 
-// writeConfirmation writes down that a version is the newest.
-func (f *diskStore) writeConfirmation(version uint64, at time.Time) error {
+// writeConfirmation replaces the confirmation.
+func (s *diskStore) writeConfirmation(version uint64, at time.Time) error {
 	text, err := json.Marshal(confirmation{Version: version, At: at.UTC()})
 	if err != nil {
 		return err
 	}
-	f.confirmedAt = at
-	return files.Replace(f.path(confirmedName), text, fileMode)
+	s.confirmedAt = at
+	return files.Replace(s.path(confirmedName), text, fileMode)
 }
--- a/internal/recordsync/follower.go
+++ b/internal/recordsync/follower.go
@@ -12,79 +12,84 @@
 	"elderyard/records"
 )
 
-// Options are what a follower is opened with.
+// Options configure a follower.
 type Options struct {
-	Name           string   // of the follower, one in the site
-	Servers        []string // any of which may be asked
-	Dir            string   // folder of the copy; it is made if it is not there
-	BytesPerSecond int      // budget; 0: records.DefaultBytesPerSecond
-	BurstBytes     int      // 0: records.DefaultBurstBytes
-	Dial           Dialer   // opens a connection to a server, with TLS where BaseURL says https
-	BaseURL        func(server string) string
+	Name           string                     // of the follower; unique in the site
+	Servers        []string                   // names of the servers, all of which have the same records
+	Dir            string                     // directory of the copy, created if it does not exist
+	BytesPerSecond int                        // budget of traffic; 0 means records.DefaultBytesPerSecond
+	BurstBytes     int                        // 0 means records.DefaultBurstBytes
+	Dial           Dialer                     // opens connections to servers, with TLS if the URL's scheme is https
+	BaseURL        func(server string) string // returns the URL of a server without a path
 	Log            *slog.Logger
 }
 
-// Follower keeps a whole copy of the records up to date. One goroutine, that of
-// Run, owns the machine which decides, the copy and the files; the methods may be
-// called by others.
+// Follower replicates the records of the servers to a complete copy on disk. The goroutine of
+// Run owns the state machine that decides, the replica and the files; all other methods are safe
+// for concurrent use.
 type Follower struct {
-	options       Options
+	// The goroutine of Run owns these.
 	log           *slog.Logger
 	store         *diskStore
 	replica       *records.Replica
 	machine       *records.Follower
 	client        *serverClient
-	closeIdle     func() // closes the connections that are not in use
-	traffic       Traffic
-	countedBytes  int64 // bytes of the traffic that the machine has been told of
+	closeIdle     func() // closes the idle connections
+	countedBytes  int64  // of the traffic that the machine has been charged for
 	cancelRequest context.CancelFunc
-	inFlightID    uint64 // of the request on its way
-	responses     chan records.Event
-	heads         chan uint64
-	views         chan view
+	inFlightID    uint64 // of the request that cancelRequest cancels
 
-	mu        sync.Mutex
+	// Messages to Run, and the counters.
+	responses chan records.Event
+	heads     chan uint64 // buffers the newest one
+	views     chan view
+	traffic   Traffic
+
+	mu        sync.Mutex // guards the fields below
 	status    records.FollowerStatus
-	diskError string        // what the disk said to the last write; "": it was written
-	changed   chan struct{} // closed when the copy changes next
+	diskError string        // text of the last write's error, empty if it succeeded
+	changed   chan struct{} // closed at the copy's next version
 }
 
-// view is a look at the copy by another goroutine.
+// view is a call of a function with the replica on behalf of another goroutine.
 type view struct {
 	read func(*records.Replica)
-	done chan struct{}
+	done chan struct{} // closed when read has returned
 }
 
-// minTickInterval is the shortest time between two ticks.
+// minTickInterval is the shortest time to the next tick: it keeps a wake time in the past from
+// spinning the loop.
 const minTickInterval = time.Millisecond
 
-// idleTimeout is after how long a connection that is not in use is closed.
+// idleTimeout is the time after which an idle connection is closed.
 const idleTimeout = time.Minute
 
-// Open reads the copy that an earlier run kept. Run must be called, or nothing
-// more happens.
-func Open(o Options) (*Follower, error) {
-	if len(o.Servers) == 0 {
+// Open returns a follower with the copy that an earlier run has persisted. The copy can be
+// inspected by Status at once; Run must be called for anything else. The error is for options
+// without servers and for a directory that cannot be created or written.
+func Open(options Options) (*Follower, error) {
+	if len(options.Servers) == 0 {
 		return nil, errors.New("records: no server is named that a copy could follow")
 	}
-	folder, replica, err := openDiskStore(o.Dir, o.Log)
+	store, replica, err := openDiskStore(options.Dir, options.Log)
 	if err != nil {
 		return nil, err
 	}
-	f := &Follower{options: o, log: o.Log, store: folder, replica: replica,
+	f := &Follower{log: options.Log, store: store, replica: replica,
 		responses: make(chan records.Event), heads: make(chan uint64, 1), views: make(chan view), changed: make(chan struct{})}
-	dial := f.traffic.Count(o.Dial)
+	dial := f.traffic.Count(options.Dial)
 	transport := &http.Transport{DialContext: dial, DialTLSContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout}
-	f.client = &serverClient{http: &http.Client{Transport: transport}, base: o.BaseURL}
+	f.client = &serverClient{http: &http.Client{Transport: transport}, base: options.BaseURL}
 	f.closeIdle = transport.CloseIdleConnections
 	now := time.Now()
-	f.machine = records.NewFollower(records.FollowerConfig{Name: o.Name, Servers: o.Servers, BytesPerSecond: o.BytesPerSecond,
-		BurstBytes: o.BurstBytes, ConfirmedAt: folder.loadConfirmation(replica.Version())}, replica, now)
+	f.machine = records.NewFollower(records.FollowerConfig{Name: options.Name, Servers: options.Servers, BytesPerSecond: options.BytesPerSecond,
+		BurstBytes: options.BurstBytes, ConfirmedAt: store.loadConfirmation(replica.Version())}, replica, now)
 	f.status = f.machine.Status(now)
 	return f, nil
 }
 
-// Run follows the servers until ctx ends. It is called once.
+// Run follows the servers until the context ends. It must be called once. When it returns, no
+// goroutine of the follower runs, the journal is closed and the confirmation is written.
 func (f *Follower) Run(ctx context.Context) {
 	var requests sync.WaitGroup
 	defer f.closeIdle()
@@ -105,13 +110,14 @@
 			f.handle(ctx, &requests, f.addCost(event))
 		case head := <-f.heads:
 			f.handle(ctx, &requests, records.HeadReceived{Version: head})
-		case v := <-f.views:
-			v.read(f.replica)
-			close(v.done)
+		case requested := <-f.views:
+			requested.read(f.replica)
+			close(requested.done)
 		}
 	}
 }
 
+// close writes the confirmation, and closes the journal.
 func (f *Follower) close() {
 	if status := f.Status(); !status.ConfirmedAt.IsZero() {
 		f.recordDiskResult(f.store.writeConfirmation(status.Version, status.ConfirmedAt))
@@ -119,10 +125,10 @@
 	f.store.closeJournal()
 }
 
-// handle gives the machine an event and does what it decides.
+// handle passes an event to the machine, and carries out its actions.
 func (f *Follower) handle(ctx context.Context, requests *sync.WaitGroup, event records.Event) {
 	now := time.Now()
-	saved := false
+	persisted := false
 	for _, action := range f.machine.Handle(now, event) {
 		switch action := action.(type) {
 		case records.Send:
@@ -132,19 +138,21 @@
 				f.cancelRequest()
 			}
 		case records.Persist:
-			// Before anybody is told of the version: a restart must not go back behind it.
+			// Must precede publish: otherwise a restart could go back behind a version that was
+			// published.
 			f.recordDiskResult(f.store.persist(f.replica, action))
-			saved = true
+			persisted = true
 		}
 	}
 	status := f.machine.Status(now)
 	if f.store.confirmDue(status.ConfirmedAt) {
 		f.recordDiskResult(f.store.writeConfirmation(status.Version, status.ConfirmedAt))
 	}
-	f.publish(status, saved)
+	f.publish(status, persisted)
 }
 
-// recordDiskResult logs what the disk says, once.
+// recordDiskResult sets the disk error, and logs it if it differs from the last one. The
+// follower goes on without persistence.
 func (f *Follower) recordDiskResult(err error) {
 	text := ""
 	if err != nil {
@@ -155,30 +163,34 @@
 	f.diskError = text
 	f.mu.Unlock()
 	if text != "" && text != before {
-		f.log.Error("records can't be kept across a restart", "error", err)
+		f.log.Error("failed to persist records", "error", err)
 	}
 }
 
-func (f *Follower) publish(status records.FollowerStatus, saved bool) {
+// publish sets the status that other goroutines read, and closes the channel of Changed if the
+// copy is at a new version.
+func (f *Follower) publish(status records.FollowerStatus, changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if status.State != f.status.State {
-		f.log.Info("records", "state", status.State, "version", status.Version, "reason", status.Reason)
+		f.log.Info("records follower changed state", "state", status.State, "version", status.Version, "reason", status.Reason)
 	}
 	f.status = status
-	if saved {
+	if changed {
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
 }
 
-// send sends a request. Its answer comes as an event, unless it is given up before.
+// send sends a request. Its goroutine ends with the response, with the request's cancellation or
+// with Run, which waits for it. The response becomes an event of Run, also after a cancellation:
+// the machine ignores it then, except for its traffic.
 func (f *Follower) send(ctx context.Context, requests *sync.WaitGroup, action records.Send) {
-	asking, cancel := context.WithCancel(ctx)
+	requestCtx, cancel := context.WithCancel(ctx)
 	f.cancelRequest, f.inFlightID = cancel, action.ID
 	requests.Go(func() {
 		defer cancel()
-		body, err := f.client.do(asking, action.Server, action.Request)
+		body, err := f.client.do(requestCtx, action.Server, action.Request)
 		event := records.Event(records.ResponseReceived{ID: action.ID, Body: body})
 		if err != nil {
 			event = records.RequestFailed{ID: action.ID, Reason: err.Error()}
@@ -190,7 +202,8 @@
 	})
 }
 
-// addCost adds what an answer has cost: all bytes of the connections since the last one.
+// addCost sets the bytes of an event to the traffic of all connections since the last event with
+// bytes.
 func (f *Follower) addCost(event records.Event) records.Event {
 	total := f.traffic.Received() + f.traffic.Sent()
 	bytes := int(total - f.countedBytes)
@@ -206,7 +219,7 @@
 	return event
 }
 
-// NotifyHead tells the follower of a version that has been accepted. It does not wait.
+// NotifyHead informs the follower that a version exists. It does not block.
 func (f *Follower) NotifyHead(version uint64) {
 	for {
 		select {
@@ -214,47 +227,49 @@
 			return
 		default:
 		}
-		select { // the newest counts
-		case old := <-f.heads:
-			version = max(version, old)
+		select { // replace a head that Run has not received yet, unless it is newer
+		case pending := <-f.heads:
+			version = max(version, pending)
 		default:
 		}
 	}
 }
 
-// Status returns where the copy is.
+// Status returns the status after the last event.
 func (f *Follower) Status() records.FollowerStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.status
 }
 
-// DiskError returns what the disk said to the last write of the copy; "": it was written.
+// DiskError returns the text of the last write's error, or an empty string if it succeeded.
 func (f *Follower) DiskError() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.diskError
 }
 
-// Changed returns a channel that is closed when the copy comes to its next version.
+// Changed returns a channel that is closed when the copy comes to its next version. A caller
+// gets the channel before it reads the status: otherwise it can miss a version.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// Traffic counts the bytes of all connections to servers.
+// Traffic returns the counters of all connections to servers.
 func (f *Follower) Traffic() *Traffic { return &f.traffic }
 
-// View reads the copy. The replica must be read only, and not be kept. The error is
-// that of ctx, if that ends before Run has come to it.
+// View calls read with the replica in the goroutine of Run, and returns afterwards. The function
+// must neither change nor retain the replica. If the context ends first, also
+// because Run has ended, read is not called, and the error wraps the context's.
 func (f *Follower) View(ctx context.Context, read func(*records.Replica)) error {
-	v := view{read: read, done: make(chan struct{})}
+	requested := view{read: read, done: make(chan struct{})}
 	select {
-	case f.views <- v:
+	case f.views <- requested:
 	case <-ctx.Done():
 		return fmt.Errorf("read the records: %w", ctx.Err())
 	}
-	<-v.done
+	<-requested.done
 	return nil
 }
--- a/internal/recordsync/handler.go
+++ b/internal/recordsync/handler.go
@@ -11,35 +11,37 @@
 	"elderyard/records"
 )
 
-// MaxWaiting is how many requests for changes a handler holds open at once; more
-// are turned away, and go to another server.
+// MaxWaiting is the number of requests for changes that may wait in a handler at once. Further
+// ones are rejected with status 503, and the follower goes to another server.
 const MaxWaiting = 2048
 
-// maxConcurrentContents is how many answers with the content of ranges are made at once.
-// Each takes some hundreds of kB while it is made; further requests wait for their turn.
+// maxConcurrentContents is the number of responses with the content of ranges that are encoded
+// at once. It bounds the memory: each one needs some hundreds of kB. Further requests wait.
 const maxConcurrentContents = 4
 
-// writeTimeout is how long the reader of an answer may take.
+// writeTimeout is the time within which a client must have read a response.
 const writeTimeout = 30 * time.Second
 
-// Source is where a handler reads the records. It is used by several goroutines.
+// Source is the store of a handler. It must be safe for concurrent use.
 type Source interface {
-	// ReadRecords calls read with the present store, which must not be kept.
+	// ReadRecords calls read with the present store, which read must neither change nor
+	// retain.
 	ReadRecords(read func(*records.Store))
-	// RecordsChanged returns a channel that is closed at the next change.
+	// RecordsChanged returns a channel that is closed at the next change after the call.
 	RecordsChanged() <-chan struct{}
 }
 
-// Handler answers followers from one source, whether that leads or not.
+// Handler responds to followers from one source. The source need not be the leader: a response
+// has the version that it was read at.
 type Handler struct {
 	source       Source
-	waitingSlots chan struct{}
-	contentSlots chan struct{} // holds an element for each content that is being made
+	waitingSlots chan struct{} // has an element for each waiting request
+	contentSlots chan struct{} // has an element for each response that is being encoded
 	responses    responseCache
 	mux          *http.ServeMux
 }
 
-// NewHandler makes a handler of a source.
+// NewHandler returns a handler of a source.
 func NewHandler(source Source) *Handler {
 	h := &Handler{
 		source:       source,
@@ -53,67 +55,72 @@
 	return h
 }
 
-// ServeHTTP answers a follower.
+// ServeHTTP implements http.Handler for the paths of this package. The status is 400 for an
+// invalid query, and 503 if MaxWaiting requests wait.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// Waiting returns how many requests for changes are held open.
+// Waiting returns the number of requests for changes that wait.
 func (h *Handler) Waiting() int { return len(h.waitingSlots) }
 
+// serveChanges responds with the changes above a version.
 func (h *Handler) serveChanges(w http.ResponseWriter, r *http.Request) {
 	request, err := parseChangesQuery(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer, err := h.awaitChanges(r.Context(), request)
+	response, err := h.awaitChanges(r.Context(), request)
 	if errors.Is(err, errTooManyWaiting) {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	if err != nil {
-		return // the follower has gone
+		return // the client has closed the connection
 	}
-	data, err := h.responses.encode(request, answer)
+	data, err := h.responses.encode(request, response)
 	writeResponse(w, data, err)
 }
 
+// errTooManyWaiting means that MaxWaiting requests wait.
 var errTooManyWaiting = fmt.Errorf("%d requests for changes are waiting, and no more may", MaxWaiting)
 
-// awaitChanges answers at once if there is something to tell, and else when there is, or
-// when the time that the follower gives is over.
+// awaitChanges returns the response as soon as there is something new, or when the request's
+// wait is over. The error is errTooManyWaiting or that of the context.
 func (h *Handler) awaitChanges(ctx context.Context, request records.ChangesRequest) (records.ChangesResponse, error) {
-	answer, changed := h.currentResponse(request)
-	if !answer.NothingNew() || request.Wait <= 0 {
-		return answer, nil
+	response, changed := h.currentResponse(request)
+	if !response.NothingNew() || request.Wait <= 0 {
+		return response, nil
 	}
 	select {
 	case h.waitingSlots <- struct{}{}:
 		defer func() { <-h.waitingSlots }()
 	default:
-		return answer, errTooManyWaiting
+		return response, errTooManyWaiting
 	}
 	timer := time.NewTimer(request.Wait)
 	defer timer.Stop()
-	for answer.NothingNew() {
+	for response.NothingNew() {
 		select {
 		case <-changed:
-			answer, changed = h.currentResponse(request)
+			response, changed = h.currentResponse(request)
 		case <-timer.C:
-			return answer, nil
+			return response, nil
 		case <-ctx.Done():
-			return answer, ctx.Err()
+			return response, ctx.Err()
 		}
 	}
-	return answer, nil
+	return response, nil
 }
 
-// currentResponse answers from the present state, and returns what is closed when that changes.
-func (h *Handler) currentResponse(request records.ChangesRequest) (answer records.ChangesResponse, changed <-chan struct{}) {
-	changed = h.source.RecordsChanged() // first: a change in between is seen twice, and not missed
-	h.source.ReadRecords(func(store *records.Store) { answer = store.HandleChanges(request) })
-	return answer, changed
+// currentResponse returns the response in the present state, and a channel that is closed when
+// the state changes.
+func (h *Handler) currentResponse(request records.ChangesRequest) (response records.ChangesResponse, changed <-chan struct{}) {
+	changed = h.source.RecordsChanged() // must precede the read: otherwise a change in between is missed
+	h.source.ReadRecords(func(store *records.Store) { response = store.HandleChanges(request) })
+	return response, changed
 }
 
+// serveRanges responds with the digests of all ranges.
 func (h *Handler) serveRanges(w http.ResponseWriter, _ *http.Request) {
 	var digests records.RangeDigests
 	h.source.ReadRecords(func(store *records.Store) { digests = store.RangeDigests() })
@@ -121,6 +128,7 @@
 	writeResponse(w, data, err)
 }
 
+// serveContent responds with the content of ranges, when a slot is free.
 func (h *Handler) serveContent(w http.ResponseWriter, r *http.Request) {
 	request, err := parseContentQuery(r.URL.Query())
 	if err != nil {
@@ -130,13 +138,14 @@
 	select {
 	case h.contentSlots <- struct{}{}:
 	case <-r.Context().Done():
-		return // the follower has gone
+		return // the client has closed the connection
 	}
 	data, err := h.encodeContent(request)
 	writeResponse(w, data, err)
 }
 
-// encodeContent makes the content of ranges, and gives its turn to the next request.
+// encodeContent returns the encoded content of ranges. The caller has taken a slot, which is
+// free afterwards: before the response is written, so that slow clients occupy none.
 func (h *Handler) encodeContent(request records.ContentRequest) ([]byte, error) {
 	defer func() { <-h.contentSlots }()
 	var chunk records.Chunk
@@ -144,14 +153,15 @@
 	return records.EncodeChunk(chunk)
 }
 
+// writeResponse writes the data, or status 500 for an error.
 func writeResponse(w http.ResponseWriter, data []byte, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	// A connection that knows no deadlines has none.
+	// A connection that supports no deadlines has none.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	_, _ = w.Write(data) // the follower notices what is cut short
+	_, _ = w.Write(data) // the follower detects a truncated response
 }
--- a/internal/recordsync/query.go
+++ b/internal/recordsync/query.go
@@ -10,18 +10,20 @@
 )
 
 // requestTarget returns the path and query of a request.
-func requestTarget(query records.Request) (string, error) {
-	switch asked := query.(type) {
+func requestTarget(request records.Request) (string, error) {
+	switch request := request.(type) {
 	case records.ChangesRequest:
-		return ChangesPath + "?" + formatChangesQuery(asked).Encode(), nil
+		return ChangesPath + "?" + formatChangesQuery(request).Encode(), nil
 	case records.DigestsRequest:
 		return RangesPath, nil
 	case records.ContentRequest:
-		return ContentPath + "?" + formatContentQuery(asked).Encode(), nil
+		return ContentPath + "?" + formatContentQuery(request).Encode(), nil
 	}
-	return "", fmt.Errorf("a request of type %T is not known", query)
+	return "", fmt.Errorf("a request of type %T is not known", request)
 }
 
+// parseChangesQuery decodes what formatChangesQuery returns. A longer wait than
+// records.MaxWait is shortened to it.
 func parseChangesQuery(query url.Values) (records.ChangesRequest, error) {
 	since, err := strconv.ParseUint(query.Get("since"), 10, 64)
 	if err != nil {
@@ -45,6 +47,7 @@
 	return request, nil
 }
 
+// formatChangesQuery returns a request for changes as a query.
 func formatChangesQuery(request records.ChangesRequest) url.Values {
 	query := url.Values{"since": {strconv.FormatUint(request.Since, 10)}}
 	if request.Digest != nil {
@@ -56,6 +59,7 @@
 	return query
 }
 
+// parseContentQuery decodes what formatContentQuery returns.
 func parseContentQuery(query url.Values) (records.ContentRequest, error) {
 	ranges, err := records.ParseRanges(query.Get("ranges"))
 	if err != nil {
@@ -68,6 +72,7 @@
 	return records.ContentRequest{Ranges: ranges, MaxBytes: int(maxBytes)}, nil
 }
 
+// formatContentQuery returns a request for content as a query.
 func formatContentQuery(request records.ContentRequest) url.Values {
 	return url.Values{"ranges": {records.FormatRanges(request.Ranges)}, "max_bytes": {strconv.Itoa(request.MaxBytes)}}
 }
--- a/internal/recordsync/response_cache.go
+++ b/internal/recordsync/response_cache.go
@@ -7,43 +7,46 @@
 	"elderyard/records"
 )
 
-// maxCachedResponses is how many encoded answers are kept.
+// maxCachedResponses is the number of encoded responses that are cached.
 const maxCachedResponses = 4
 
-// responseCache keeps the answers that were encoded last. A change wakes hundreds
-// of followers at one version, which are all told the same.
+// responseCache has the responses that were encoded last. A change wakes hundreds of followers
+// at one version, which all receive the same response. It is safe for concurrent use.
 type responseCache struct {
 	mu      sync.Mutex
 	entries []cachedResponse // newest last
 }
 
+// cachedResponse is an encoded response with a delta.
 type cachedResponse struct {
-	since  uint64
-	to     uint64
-	digest records.Digest // of the content at to
+	since  uint64         // version of the request
+	to     uint64         // version of the response
+	digest records.Digest // of the content at version to
 	data   []byte
 }
 
-// encode returns the answer in the wire's form. An answer's delta is decided by
-// the versions that it leads from and to, and by the content there.
-func (e *responseCache) encode(request records.ChangesRequest, answer records.ChangesResponse) ([]byte, error) {
-	if answer.Delta == nil {
-		return records.EncodeChangesResponse(answer)
+// encode returns the response in its form on the wire. Only responses with a delta are cached:
+// the delta is determined by the versions that it leads from and to, and by the digest there.
+// The lock is held while a response is encoded, so that followers that are woken together wait
+// for one encoding instead of each performing it.
+func (c *responseCache) encode(request records.ChangesRequest, response records.ChangesResponse) ([]byte, error) {
+	if response.Delta == nil {
+		return records.EncodeChangesResponse(response)
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, kept := range e.entries {
-		if kept.since == request.Since && kept.to == answer.Version && kept.digest == answer.Digest {
-			return kept.data, nil
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, cached := range c.entries {
+		if cached.since == request.Since && cached.to == response.Version && cached.digest == response.Digest {
+			return cached.data, nil
 		}
 	}
-	data, err := records.EncodeChangesResponse(answer)
+	data, err := records.EncodeChangesResponse(response)
 	if err != nil {
 		return nil, err
 	}
-	e.entries = append(e.entries, cachedResponse{since: request.Since, to: answer.Version, digest: answer.Digest, data: data})
-	if len(e.entries) > maxCachedResponses {
-		e.entries = slices.Delete(e.entries, 0, 1)
+	c.entries = append(c.entries, cachedResponse{since: request.Since, to: response.Version, digest: response.Digest, data: data})
+	if len(c.entries) > maxCachedResponses {
+		c.entries = slices.Delete(c.entries, 0, 1)
 	}
 	return data, nil
 }
