--- a/internal/recordsync/disk_test.go
+++ b/internal/recordsync/disk_test.go
@@ -14,7 +14,7 @@
 
 func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// advance brings a replica to the source's version, and writes that down.
+// advance applies the changes up to the source's version to a replica, and persists them.
 func advance(t testing.TB, f *diskStore, replica *records.Replica, source *memorySource) {
 	t.Helper()
 	source.ReadRecords(func(store *records.Store) {
@@ -25,6 +25,7 @@
 	})
 }
 
+// reopen opens a directory, and closes its journal at the end of the test.
 func reopen(t testing.TB, dir string) (*diskStore, *records.Replica) {
 	t.Helper()
 	f, replica, err := openDiskStore(dir, discard())
@@ -33,7 +34,7 @@
 	return f, replica
 }
 
-// writeTestFolder makes a folder with a copy at version 1 and a journal up to version 5.
+// writeTestFolder returns a directory with a snapshot at version 1 and a journal up to version 5.
 func writeTestFolder(t testing.TB) (dir string, source *memorySource) {
 	t.Helper()
 	source = newMemorySource()
@@ -53,7 +54,8 @@
 	return dir, source
 }
 
-func TestDiskStorePersistsTheCopy(t *testing.T) {
+// The replica survives restarts.
+func TestDiskStorePersistsReplica(t *testing.T) {
 	dir, source := writeTestFolder(t)
 	f, replica := reopen(t, dir)
 	if replica.Version() != 5 || replica.Digest() != source.digest() {
@@ -67,8 +69,8 @@
 	}
 }
 
-// TestDiskStoreRewritesTheSnapshot begins a new journal when the old one has grown.
-func TestDiskStoreRewritesTheSnapshot(t *testing.T) {
+// A journal over its bound is replaced by a new snapshot.
+func TestDiskStoreReplacesLargeJournal(t *testing.T) {
 	dir, source := writeTestFolder(t)
 	f, replica := reopen(t, dir)
 	f.journalBytes = records.MaxJournalBytes + 1
@@ -83,8 +85,8 @@
 	}
 }
 
-// TestDiskStoreStaleJournal passes over what a copy that was just written has already.
-func TestDiskStoreStaleJournal(t *testing.T) {
+// Entries of a journal that the snapshot has already are skipped.
+func TestDiskStoreSkipsStaleJournalEntries(t *testing.T) {
 	dir, source := writeTestFolder(t)
 	journal, err := os.ReadFile(filepath.Join(dir, journalName))
 	must(t, err)
@@ -97,14 +99,14 @@
 	}
 }
 
-// TestDiskStoreDamagedSnapshot sets a copy aside that is damaged anywhere, or cut off.
-func TestDiskStoreDamagedSnapshot(t *testing.T) {
+// A snapshot that is damaged anywhere or truncated is quarantined, together with its journal.
+func TestDiskStoreQuarantinesDamagedSnapshot(t *testing.T) {
 	from, _ := writeTestFolder(t)
-	whole, err := os.ReadFile(filepath.Join(from, snapshotName))
+	snapshot, err := os.ReadFile(filepath.Join(from, snapshotName))
 	must(t, err)
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
 	must(t, err)
-	for _, data := range damaged(whole) {
+	for _, data := range damaged(snapshot) {
 		dir := t.TempDir()
 		must(t, os.WriteFile(filepath.Join(dir, snapshotName), data, fileMode))
 		must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
@@ -112,9 +114,9 @@
 		if replica.Version() != 0 || replica.Len() != 0 {
 			t.Fatalf("version %d of a damaged copy", replica.Version())
 		}
-		aside, err := os.ReadFile(filepath.Join(dir, snapshotName+damagedSuffix))
-		if err != nil || string(aside) != string(data) {
-			t.Fatalf("set aside %d bytes of %d, %v", len(aside), len(data), err)
+		quarantined, err := os.ReadFile(filepath.Join(dir, snapshotName+damagedSuffix))
+		if err != nil || string(quarantined) != string(data) {
+			t.Fatalf("quarantined %d bytes of %d, %v", len(quarantined), len(data), err)
 		}
 		for _, name := range []string{snapshotName, journalName} {
 			if _, err := os.Stat(filepath.Join(dir, name)); !os.IsNotExist(err) {
@@ -124,7 +126,7 @@
 	}
 }
 
-// damaged returns a file's content cut off, or changed, in many places.
+// damaged returns variants of a file's content, truncated and changed in many places.
 func damaged(content []byte) (list [][]byte) {
 	for i := 0; i < len(content); i += max(1, len(content)/40) {
 		changed := append([]byte(nil), content...)
@@ -134,17 +136,16 @@
 	return list
 }
 
-// TestDiskStoreDamagedJournal uses what comes before the damage, and writes it down
-// for good.
-func TestDiskStoreDamagedJournal(t *testing.T) {
+// The entries before a journal's damage are applied, and persisted in a new snapshot.
+func TestDiskStoreAppliesJournalBeforeDamage(t *testing.T) {
 	from, source := writeTestFolder(t)
-	whole, err := os.ReadFile(filepath.Join(from, snapshotName))
+	snapshot, err := os.ReadFile(filepath.Join(from, snapshotName))
 	must(t, err)
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
 	must(t, err)
 	for _, data := range damaged(journal) {
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, snapshotName), whole, fileMode))
+		must(t, os.WriteFile(filepath.Join(dir, snapshotName), snapshot, fileMode))
 		must(t, os.WriteFile(filepath.Join(dir, journalName), data, fileMode))
 		_, replica := reopen(t, dir)
 		first := replica.Version()
@@ -159,7 +160,8 @@
 	}
 }
 
-func TestDiskStoreLoadsItsConfirmation(t *testing.T) {
+// A confirmation is for one version, and is written at most once per confirmInterval.
+func TestDiskStoreLoadsConfirmation(t *testing.T) {
 	dir, _ := writeTestFolder(t)
 	f, _ := reopen(t, dir)
 	if at := f.loadConfirmation(5); !at.IsZero() {
--- a/internal/recordsync/follower_test.go
+++ b/internal/recordsync/follower_test.go
@@ -17,7 +17,7 @@
 	"elderyard/records"
 )
 
-// running is a follower of a test, and the end of its goroutine.
+// running is a follower of a test, and the function that ends its goroutine.
 type running struct {
 	*Follower
 	t    testing.TB
@@ -30,6 +30,7 @@
 		BaseURL: func(server string) string { return "http://" + server }}
 }
 
+// start opens and runs a follower until the end of the test.
 func start(t testing.TB, o Options) *running {
 	t.Helper()
 	f, err := Open(o)
@@ -42,7 +43,7 @@
 	return &running{f, t, stop}
 }
 
-// awaitVersionOf waits until the follower has what the source has.
+// awaitVersionOf waits until the follower is at the source's version.
 func (r *running) awaitVersionOf(source *memorySource) records.FollowerStatus {
 	r.t.Helper()
 	var status records.FollowerStatus
@@ -55,6 +56,7 @@
 
 func addressOf(server *httptest.Server) string { return server.Listener.Addr().String() }
 
+// Changes come into force, and a restart continues with the persisted copy.
 func TestFollowerAppliesChanges(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
@@ -83,8 +85,8 @@
 	}
 	first.stop()
 
-	// A restart has the copy at once, and knows how old it is.
-	source.apply(t, plan("while-it-was-away", 1), plan("another", 1))
+	// A restart has the copy at once, and its age.
+	source.apply(t, plan("during-the-restart", 1), plan("another", 1))
 	again, err := Open(options(dir, servers...))
 	must(t, err)
 	if now := again.Status(); now.Version != status.Version || now.Digest != status.Digest || now.ConfirmedAt.IsZero() {
@@ -98,7 +100,8 @@
 	}
 }
 
-func TestFollowerViewAfterCancel(t *testing.T) {
+// Without Run, a view ends with its context, and announced heads do not block.
+func TestFollowerWithoutRun(t *testing.T) {
 	t.Parallel()
 	if _, err := Open(options(t.TempDir())); err == nil {
 		t.Fatal("opened without a server")
@@ -108,7 +111,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := f.View(ctx, func(*records.Replica) {}); err == nil {
-		t.Fatal("a view without an owner ended well")
+		t.Fatal("a view without Run succeeded")
 	}
 	for v := range uint64(5) {
 		f.NotifyHead(v)
@@ -118,14 +121,13 @@
 	}
 }
 
-// TestFollowerEjectsAFaultyServer has one server of two do wrong, for followers whose
-// names spread them over both.
-func TestFollowerEjectsAFaultyServer(t *testing.T) {
-	t.Parallel()
-	const followers = 24 // who asks which server first goes by a hash of name and address: one in 2^24 runs spares the bad one
+// faultyServers returns servers that each fail in one way, by the name of the fault. They are
+// at the source's version, apart from the one that is behind.
+func faultyServers(t testing.TB) map[string]func(source *memorySource) http.Handler {
+	t.Helper()
 	stale := newMemorySource()
 	stale.apply(t, plan("old", 1))
-	bad := map[string]func(source *memorySource) http.Handler{
+	return map[string]func(source *memorySource) http.Handler{
 		"damaged": func(source *memorySource) http.Handler {
 			inner := NewHandler(source)
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -136,7 +138,7 @@
 				w.Write(body)
 			})
 		},
-		"cut short": func(source *memorySource) http.Handler {
+		"truncated": func(source *memorySource) http.Handler {
 			inner := NewHandler(source)
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				recorded := httptest.NewRecorder()
@@ -144,7 +146,7 @@
 				w.Write(recorded.Body.Bytes()[:recorded.Body.Len()/2])
 			})
 		},
-		"standing still": func(*memorySource) http.Handler {
+		"stalled": func(*memorySource) http.Handler {
 			return http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		},
 		"behind": func(*memorySource) http.Handler { return NewHandler(stale) },
@@ -154,7 +156,13 @@
 			})
 		},
 	}
-	for name, handler := range bad {
+}
+
+// A faulty server of two is ejected, by followers whose names spread them over both.
+func TestFollowerEjectsFaultyServer(t *testing.T) {
+	t.Parallel()
+	const followers = 24 // the first server goes by a hash of name and address: one run in 2^24 sends nothing to the faulty one
+	for name, handler := range faultyServers(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			source := newMemorySource()
@@ -162,14 +170,14 @@
 			source.apply(t, manyPlans(50)...)
 			var requests atomic.Int64
 			inner := handler(source)
-			wrong := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			faulty := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				requests.Add(1)
 				inner.ServeHTTP(w, r)
 			}))
-			good := serve(t, NewHandler(source))
+			healthy := serve(t, NewHandler(source))
 			var list []*running
 			for i := range followers {
-				o := options(t.TempDir(), addressOf(wrong), addressOf(good))
+				o := options(t.TempDir(), addressOf(faulty), addressOf(healthy))
 				o.Name = fmt.Sprint("g", i)
 				f := start(t, o)
 				f.NotifyHead(source.version())
@@ -184,15 +192,15 @@
 				f.awaitVersionOf(source)
 			}
 			if requests.Load() == 0 {
-				t.Fatal("nobody asked the server that does wrong")
+				t.Fatal("no follower sent a request to the faulty server")
 			}
 		})
 	}
 }
 
-// TestFollowerCutOff loses all servers, goes on with what it has, says how old that
-// is, and follows again when one is back.
-func TestFollowerCutOff(t *testing.T) {
+// A follower without servers retains its version and reports its age, and follows again when a
+// server returns.
+func TestFollowerReturnsAfterBeingCutOff(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
 	source.apply(t, manyPlans(10)...)
@@ -211,7 +219,7 @@
 	source.apply(t, plan("later", 1))
 	f.NotifyHead(source.version())
 	var status records.FollowerStatus
-	until(t, "it says why it is behind", func() bool {
+	until(t, "the status has the reason", func() bool {
 		status = f.Status()
 		return status.Reason != "" && status.Head == source.version()
 	})
@@ -226,7 +234,7 @@
 		return f.Status().LastContact.Equal(status.LastContact) && time.Since(older) > time.Second
 	})
 	if now := f.Status(); !now.ConfirmedAt.Equal(older) {
-		t.Fatalf("confirmed at %v, %v before: it got younger without a server", now.ConfirmedAt, older)
+		t.Fatalf("confirmed at %v, %v before: it was confirmed without a server", now.ConfirmedAt, older)
 	}
 	cut.Store(false)
 	if status = f.awaitVersionOf(source); !status.ConfirmedAt.After(older) {
@@ -234,8 +242,7 @@
 	}
 }
 
-// TestFollowerRepairsAcrossACompactedLog loses sight of more changes than the log
-// keeps, and fetches the ranges that differ, not all.
+// A follower that has missed more changes than the log has fetches only the ranges that differ.
 func TestFollowerRepairsAcrossACompactedLog(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
@@ -245,27 +252,27 @@
 	first := start(t, options(dir, server))
 	first.awaitVersionOf(source)
 	first.stop()
-	whole := first.Traffic().Received()
+	complete := first.Traffic().Received()
 	for i := range records.MaxLogChanges + 1 {
 		source.apply(t, plan("changing", 1+i))
 	}
-	var answer records.ChangesResponse
-	source.ReadRecords(func(store *records.Store) { answer = store.HandleChanges(records.ChangesRequest{Since: 1}) })
-	if answer.Repair != records.RepairCompacted {
-		t.Fatalf("%+v", answer)
+	var response records.ChangesResponse
+	source.ReadRecords(func(store *records.Store) { response = store.HandleChanges(records.ChangesRequest{Since: 1}) })
+	if response.Repair != records.RepairCompacted {
+		t.Fatalf("%+v", response)
 	}
 	second := start(t, options(dir, server))
 	if second.Status().Version != 1 {
 		t.Fatalf("%+v", second.Status())
 	}
 	second.awaitVersionOf(source)
-	if part := second.Traffic().Received(); part >= whole/2 {
-		t.Fatalf("%d bytes for one record, %d for all", part, whole)
+	if repair := second.Traffic().Received(); repair >= complete/2 {
+		t.Fatalf("%d bytes for one record, %d for all", repair, complete)
 	}
 }
 
-// TestFollowerRefetchesAfterFileDamage fetches what the disk has lost.
-func TestFollowerRefetchesAfterFileDamage(t *testing.T) {
+// A follower whose snapshot is damaged fetches the records again.
+func TestFollowerRefetchesAfterSnapshotDamage(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
 	source.apply(t, manyPlans(200)...)
@@ -289,8 +296,8 @@
 	}
 }
 
-// TestFollowerWithAnUnwritableFolder goes on with a folder that can't be written, and says so.
-func TestFollowerWithAnUnwritableFolder(t *testing.T) {
+// A follower whose directory cannot be written goes on, and reports the error.
+func TestFollowerGoesOnWithoutDisk(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
 	source.apply(t, manyPlans(20)...)
@@ -304,13 +311,13 @@
 	r := &running{f, t, nil}
 	r.awaitVersionOf(source)
 	if !strings.Contains(f.DiskError(), dir) {
-		t.Fatalf("the disk said %q", f.DiskError())
+		t.Fatalf("the disk error is %q", f.DiskError())
 	}
 	cancel()
 	<-done
 }
 
-// noise returns plans that compress badly, so that a budget of bytes is felt.
+// noise returns plans that compress badly, so that a budget of bytes is reached.
 func noise(count int) (operations []records.Operation) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range count {
@@ -319,14 +326,13 @@
 	return operations
 }
 
-// TestFollowerStaysWithinItsBudget fills an empty copy while changes go on, and never
-// takes more bytes than its budget, but for one answer.
-func TestFollowerStaysWithinItsBudget(t *testing.T) {
+// A repair during changes uses no more bytes than the budget and one response.
+func TestFollowerStaysWithinBudget(t *testing.T) {
 	t.Parallel()
 	const (
 		bytesPerSecond   = 20_000
 		burst            = 20_000
-		maxResponseBytes = 64 << 10 // a chunk before compression, and its heads
+		maxResponseBytes = 64 << 10 // a chunk before compression, and its headers
 	)
 	source := newMemorySource()
 	source.apply(t, noise(3000)...)
@@ -335,17 +341,16 @@
 	o.BytesPerSecond, o.BurstBytes = bytesPerSecond, burst
 	began := time.Now()
 	f := start(t, o)
-	held := func() bool {
-		taken := f.Traffic().Received() + f.Traffic().Sent()
-		most := burst + maxResponseBytes + int64(bytesPerSecond*time.Since(began).Seconds())
-		if taken > most {
-			t.Fatalf("%d bytes, %d may be", taken, most)
+	checkBudget := func() {
+		used := f.Traffic().Received() + f.Traffic().Sent()
+		limit := burst + maxResponseBytes + int64(bytesPerSecond*time.Since(began).Seconds())
+		if used > limit {
+			t.Fatalf("%d bytes, %d may be", used, limit)
 		}
-		return true
 	}
 	urgent := 0
-	until(t, "the copy is whole", func() bool {
-		if held(); urgent < 50 {
+	until(t, "the copy is complete", func() bool {
+		if checkBudget(); urgent < 50 {
 			source.apply(t, plan(fmt.Sprint("urgent", urgent), 1))
 			urgent++
 		}
@@ -354,8 +359,8 @@
 	if urgent < 2 {
 		t.Fatalf("%d changes while the copy was fetched", urgent)
 	}
-	// What is urgent from here on comes by itself, though the budget is spent.
+	// A later change arrives although the budget is spent.
 	source.apply(t, plan("last", 1))
 	f.awaitVersionOf(source)
-	held()
+	checkBudget()
 }
--- a/internal/recordsync/golden_test.go
+++ b/internal/recordsync/golden_test.go
@@ -6,7 +6,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -18,40 +17,32 @@
 	"testing"
 	"time"
 
+	"elderyard/internal/golden"
 	"elderyard/records"
 )
 
-// The files in testdata/golden are what released programs have sent and stored. They
-// may be written only for a form that has no file yet: a difference from an existing
-// file means that old and new programs do not understand each other. With
-// -update-golden, which never overwrites, missing files are written.
-var updateGolden = flag.Bool("update-golden", false, "write golden files that do not exist")
-
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
-
-// readGolden returns a golden file; missing is what it holds if it is written now.
+// readGolden returns the content of testdata/golden/name. If the run creates golden files and
+// there is none, it is created with the content missing.
 func readGolden(t testing.TB, name string, missing []byte) []byte {
 	t.Helper()
-	data, err := os.ReadFile(goldenPath(name))
-	if errors.Is(err, os.ErrNotExist) && *updateGolden {
-		must(t, os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755))
-		must(t, os.WriteFile(goldenPath(name), missing, 0o644))
+	path := filepath.Join("golden", name)
+	data, err := os.ReadFile(filepath.Join("testdata", path))
+	if errors.Is(err, os.ErrNotExist) && golden.Creating() {
+		golden.File(t, path, missing)
 		return missing
 	}
 	must(t, err)
 	return data
 }
 
-// requireGolden requires that data is what the golden file holds, byte for byte.
+// requireGolden fails the test unless testdata/golden/name holds these very bytes.
 func requireGolden(t testing.TB, name string, data []byte) {
 	t.Helper()
-	if want := readGolden(t, name, data); !bytes.Equal(data, want) {
-		t.Errorf("%s differs:\n%q, want\n%q", name, data, want)
-	}
+	golden.File(t, filepath.Join("golden", name), data)
 }
 
-// goldenSource has few and short records: what is sent of them is not compressed, so
-// that its bytes do not depend on a library.
+// goldenSource returns a source with few and short records: messages about them are not
+// compressed, so their bytes do not depend on a library.
 func goldenSource(t testing.TB) *memorySource {
 	t.Helper()
 	source := newMemorySource()
@@ -60,7 +51,7 @@
 	return source
 }
 
-// allRequests has one request of each kind with every field set, and one with none.
+// allRequests returns one request of each kind with every field set, and one with none.
 func allRequests() map[string]records.Request {
 	digest := records.Digest{0x01, 0x23, 0x45, 0x67, 0x89, 0xab, 0xcd, 0xef, 0xfe, 0xdc, 0xba, 0x98, 0x76, 0x54, 0x32, 0x10}
 	return map[string]records.Request{
@@ -71,6 +62,7 @@
 	}
 }
 
+// Requests are the same bytes on the wire, with every field set.
 func TestGoldenRequests(t *testing.T) {
 	for name, request := range allRequests() {
 		t.Run(name, func(t *testing.T) {
@@ -85,7 +77,7 @@
 	}
 }
 
-// sentBytes returns a follower's request as it goes over the connection.
+// sentBytes returns a follower's request as it is sent over the connection.
 func sentBytes(t *testing.T, request records.Request) []byte {
 	t.Helper()
 	client, server := net.Pipe()
@@ -111,7 +103,7 @@
 	return sent
 }
 
-// A server reads the requests of released followers.
+// A server decodes the requests of released followers.
 func TestGoldenRequestsAreRead(t *testing.T) {
 	for name, want := range allRequests() {
 		request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(readGolden(t, "request_"+name+".http", nil))))
@@ -134,6 +126,7 @@
 	}
 }
 
+// Responses are the same bytes on the wire, errors included.
 func TestGoldenResponses(t *testing.T) {
 	source := goldenSource(t)
 	handler := NewHandler(source)
@@ -165,8 +158,8 @@
 	requireGolden(t, "response_too_many_waiting.http", receivedBytes(t, address, "GET", present+"&wait_ms=1"))
 }
 
-// receivedBytes returns a server's response as it comes over the connection, without
-// its date.
+// receivedBytes returns a server's response as it is received over the connection, without its
+// date.
 func receivedBytes(t *testing.T, address, method, target string) []byte {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -187,8 +180,8 @@
 	return []byte(strings.Join(lines, "\r\n") + "\r\n\r\n" + body)
 }
 
-// A change that is larger than what is sent uncompressed, and the digests of all
-// ranges, are compressed by a library: what a released server sent is read.
+// Large changes and the digests of all ranges are compressed by a library: the responses of
+// released servers are decoded.
 func TestGoldenCompressedResponses(t *testing.T) {
 	source := goldenSource(t)
 	source.apply(t, manyPlans(50)...)
@@ -200,25 +193,25 @@
 	} {
 		body, err := client.do(t.Context(), server, request)
 		must(t, err)
-		golden := readGolden(t, name, body)
+		stored := readGolden(t, name, body)
 		if _, ok := request.(records.DigestsRequest); ok {
 			got, err := records.DecodeRangeDigests(body)
 			must(t, err)
-			if want, err := records.DecodeRangeDigests(golden); err != nil || !reflect.DeepEqual(got, want) {
+			if want, err := records.DecodeRangeDigests(stored); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("%s: %v", name, err)
 			}
 			continue
 		}
 		got, err := records.DecodeChangesResponse(body)
 		must(t, err)
-		if want, err := records.DecodeChangesResponse(golden); err != nil || !reflect.DeepEqual(got, want) {
+		if want, err := records.DecodeChangesResponse(stored); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// The files of a follower: their names, their modes and, as they are short enough
-// not to be compressed, their bytes.
+// The files of a follower have the same names, modes and, since they are too short to be
+// compressed, bytes.
 func TestGoldenDisk(t *testing.T) {
 	source := newMemorySource()
 	source.apply(t, plan("gold", 7))
@@ -237,10 +230,10 @@
 		must(t, err)
 		requireGolden(t, "disk/"+name, data)
 	}
-	var stored confirmation
-	must(t, json.Unmarshal(readGolden(t, "disk/records.confirmed", nil), &stored))
-	if reflect.ValueOf(stored).NumField() != 2 || stored.Version == 0 || stored.At.IsZero() {
-		t.Errorf("a field of %+v is not set in the pinned value", stored)
+	var decoded confirmation
+	must(t, json.Unmarshal(readGolden(t, "disk/records.confirmed", nil), &decoded))
+	if reflect.ValueOf(decoded).NumField() != 2 || decoded.Version == 0 || decoded.At.IsZero() {
+		t.Errorf("a field of %+v is not set in the pinned value", decoded)
 	}
 }
 
@@ -260,7 +253,7 @@
 	}
 }
 
-// What a released program has kept is read; what it can't use is set aside.
+// The files of a released program are read; unusable ones are quarantined.
 func TestGoldenDiskIsRead(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "copy")
 	must(t, os.Mkdir(dir, 0o700))
@@ -288,7 +281,7 @@
 	}
 }
 
-// A copy and a journal that a library has compressed are read.
+// A snapshot and a journal that a library has compressed are read.
 func TestGoldenCompressedDisk(t *testing.T) {
 	dir, source := writeTestFolder(t)
 	for _, name := range []string{"records", "records.journal"} {
@@ -301,6 +294,7 @@
 	}
 }
 
+// Bounds and time limits are part of how old and new programs work together.
 func TestGoldenConstants(t *testing.T) {
 	text := fmt.Sprintln(MaxWaiting, maxConcurrentContents, writeTimeout, maxErrorTextBytes, maxFileBytes, confirmInterval, maxCachedResponses, minTickInterval, idleTimeout)
 	if want := "2048 4 30s 256 67108864 30s 4 1ms 1m0s\n"; text != want {
--- a/internal/recordsync/handler_test.go
+++ b/internal/recordsync/handler_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -14,6 +14,7 @@
 	"elderyard/records"
 )
 
+// A response has the changes, nothing, or the reason for which there are none.
 func TestHandlerServesChanges(t *testing.T) {
 	source := newMemorySource()
 	source.apply(t, manyPlans(3)...)
@@ -21,29 +22,30 @@
 	client := newWireClient(t)
 
 	empty := (&records.Store{}).Digest()
-	answer, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
+	response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
 	must(t, err)
-	if answer.Version != 1 || answer.Delta == nil || len(answer.Delta.Puts) != 3 {
-		t.Fatalf("%+v", answer)
+	if response.Version != 1 || response.Delta == nil || len(response.Delta.Puts) != 3 {
+		t.Fatalf("%+v", response)
 	}
-	// The same again is answered from what was encoded before.
+	// A repeat is served from the cache.
 	again, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
 	must(t, err)
-	if again.Delta == nil || again.Delta.Digest != answer.Delta.Digest {
+	if again.Delta == nil || again.Delta.Digest != response.Delta.Digest {
 		t.Fatalf("%+v", again)
 	}
-	if answer, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 5}); err != nil || !answer.Behind || answer.Version != 1 {
-		t.Fatalf("%+v, %v", answer, err)
+	if response, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 5}); err != nil || !response.Behind || response.Version != 1 {
+		t.Fatalf("%+v, %v", response, err)
 	}
-	if answer, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &records.Digest{1}}); err != nil || answer.Repair != records.RepairDigest {
-		t.Fatalf("%+v, %v", answer, err)
+	if response, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &records.Digest{1}}); err != nil || response.Repair != records.RepairDigest {
+		t.Fatalf("%+v, %v", response, err)
 	}
 	digest := source.digest()
-	if answer, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &digest}); err != nil || !answer.NothingNew() {
-		t.Fatalf("%+v, %v", answer, err)
+	if response, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &digest}); err != nil || !response.NothingNew() {
+		t.Fatalf("%+v, %v", response, err)
 	}
 }
 
+// A request waits for a change, at most until its client or its time is gone.
 func TestHandlerWaitsForAChange(t *testing.T) {
 	source := newMemorySource()
 	source.apply(t, plan("gold", 1))
@@ -53,43 +55,44 @@
 	digest := source.digest()
 	request := records.ChangesRequest{Since: 1, Digest: &digest, Wait: records.MaxWait}
 
-	answers := make(chan records.ChangesResponse, 1)
+	responses := make(chan records.ChangesResponse, 1)
 	go func() {
-		answer, err := requestChanges(t.Context(), client, server, request)
+		response, err := requestChanges(t.Context(), client, server, request)
 		if err != nil {
 			t.Error(err)
 		}
-		answers <- answer
+		responses <- response
 	}()
 	until(t, "the request waits", func() bool { return handler.Waiting() == 1 })
 	source.apply(t, plan("silver", 1))
-	if answer := <-answers; answer.Version != 2 || answer.Delta == nil {
-		t.Fatalf("%+v", answer)
+	if response := <-responses; response.Version != 2 || response.Delta == nil {
+		t.Fatalf("%+v", response)
 	}
-	until(t, "nobody waits", func() bool { return handler.Waiting() == 0 })
+	until(t, "no request waits", func() bool { return handler.Waiting() == 0 })
 
-	// One that goes away gives its place back.
+	// A request whose client closes the connection frees its slot.
 	ctx, cancel := context.WithCancel(t.Context())
-	gone := make(chan error, 1)
+	canceled := make(chan error, 1)
 	digest = source.digest()
 	go func() {
 		_, err := requestChanges(ctx, client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: records.MaxWait})
-		gone <- err
+		canceled <- err
 	}()
 	until(t, "the request waits", func() bool { return handler.Waiting() == 1 })
 	cancel()
-	if err := <-gone; err == nil {
-		t.Fatal("a request that was given up was answered")
+	if err := <-canceled; err == nil {
+		t.Fatal("a canceled request received a response")
 	}
-	until(t, "its place is free", func() bool { return handler.Waiting() == 0 })
+	until(t, "its slot is free", func() bool { return handler.Waiting() == 0 })
 
-	// With nothing new the wait ends by itself.
-	answer, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: time.Millisecond})
-	if err != nil || !answer.NothingNew() {
-		t.Fatalf("%+v, %v", answer, err)
+	// Without a change the wait ends in time.
+	response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: time.Millisecond})
+	if err != nil || !response.NothingNew() {
+		t.Fatalf("%+v, %v", response, err)
 	}
 }
 
+// At most MaxWaiting requests wait; others are rejected.
 func TestHandlerBoundsWaiting(t *testing.T) {
 	source := newMemorySource()
 	handler := NewHandler(source)
@@ -99,14 +102,16 @@
 	server := serve(t, handler).Listener.Addr().String()
 	client := newWireClient(t)
 	_, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Wait: records.MaxWait})
-	if err == nil || !strings.Contains(err.Error(), "503") {
+	rejected, ok := errors.AsType[*statusError](err)
+	if !ok || rejected.code != http.StatusServiceUnavailable {
 		t.Fatalf("one more than may wait: %v", err)
 	}
-	if answer, err := requestChanges(t.Context(), client, server, records.ChangesRequest{}); err != nil || !answer.NothingNew() {
-		t.Fatalf("one that does not wait: %+v, %v", answer, err)
+	if response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{}); err != nil || !response.NothingNew() {
+		t.Fatalf("one that does not wait: %+v, %v", response, err)
 	}
 }
 
+// The responses with ranges suffice for a repair.
 func TestHandlerServesRanges(t *testing.T) {
 	source := newMemorySource()
 	source.apply(t, manyPlans(500)...)
@@ -130,15 +135,16 @@
 		must(t, repair.StageChunk(chunk))
 		chunks++
 	}
-	answer, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: repair.Since()})
+	response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: repair.Since()})
 	must(t, err)
-	delta := records.Delta{From: answer.Version, To: answer.Version, Digest: answer.Digest}
+	delta := records.Delta{From: response.Version, To: response.Version, Digest: response.Digest}
 	must(t, repair.Finish(replica, delta))
 	if chunks < 2 || replica.Digest() != source.digest() {
 		t.Fatalf("%d chunks, digest %s", chunks, replica.Digest())
 	}
 }
 
+// An invalid query has status 400 and a text that names the parameter.
 func TestHandlerRejectsInvalidQueries(t *testing.T) {
 	source := newMemorySource()
 	url := serve(t, NewHandler(source)).URL
@@ -170,7 +176,7 @@
 	}
 }
 
-// blockedSource holds every reading until it is released, and counts those under way.
+// blockedSource blocks every read until it is released, and counts the reads in progress.
 type blockedSource struct {
 	*memorySource
 	release    chan struct{}
@@ -178,24 +184,24 @@
 	maxReading atomic.Int64
 }
 
+// ReadRecords implements Source.
 func (s *blockedSource) ReadRecords(read func(*records.Store)) {
 	now := s.reading.Add(1)
 	defer s.reading.Add(-1)
-	for most := s.maxReading.Load(); now > most && !s.maxReading.CompareAndSwap(most, now); most = s.maxReading.Load() {
+	for highest := s.maxReading.Load(); now > highest && !s.maxReading.CompareAndSwap(highest, now); highest = s.maxReading.Load() {
 	}
 	<-s.release
 	s.memorySource.ReadRecords(read)
 }
 
-// However many followers ask for the content of ranges at once, a few answers are made at
-// a time; the others wait for their turn, and all are answered.
+// However many followers request the content of ranges at once, at most maxConcurrentContents
+// responses are encoded at a time; the others wait, and all are served.
 func TestHandlerLimitsConcurrentContents(t *testing.T) {
 	source := &blockedSource{memorySource: newMemorySource(), release: make(chan struct{})}
 	source.apply(t, manyPlans(3)...)
-	server := httptest.NewServer(NewHandler(source))
-	defer server.Close()
+	server := serve(t, NewHandler(source))
 	release := sync.OnceFunc(func() { close(source.release) })
-	defer release() // also where the test fails: the server's end waits for its requests
+	t.Cleanup(release) // also if the test fails: the server's Close waits for its requests
 	const followers = 8 * maxConcurrentContents
 	statuses := make(chan int, followers)
 	query := formatContentQuery(records.ContentRequest{Ranges: []int{0, 1, 2}, MaxBytes: 1 << 16}).Encode()
@@ -212,14 +218,14 @@
 			statuses <- response.StatusCode
 		}()
 	}
-	until(t, "as many as may be are made", func() bool { return source.reading.Load() == maxConcurrentContents })
+	until(t, "all slots are in use", func() bool { return source.reading.Load() == maxConcurrentContents })
 	release()
 	for range followers {
 		if status := <-statuses; status != http.StatusOK {
 			t.Errorf("status %d", status)
 		}
 	}
-	if most := source.maxReading.Load(); most > maxConcurrentContents {
-		t.Errorf("%d were made at once, at most %d may be", most, maxConcurrentContents)
+	if highest := source.maxReading.Load(); highest > maxConcurrentContents {
+		t.Errorf("%d were encoded at once, at most %d may be", highest, maxConcurrentContents)
 	}
 }
--- a/internal/recordsync/helpers_test.go
+++ b/internal/recordsync/helpers_test.go
@@ -17,7 +17,7 @@
 
 var testTime = time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC)
 
-// memorySource is a store without voters.
+// memorySource is a store in memory.
 type memorySource struct {
 	mu      sync.Mutex
 	store   *records.Store
@@ -28,12 +28,14 @@
 	return &memorySource{store: &records.Store{}, changed: make(chan struct{})}
 }
 
+// ReadRecords implements Source.
 func (s *memorySource) ReadRecords(read func(*records.Store)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	read(s.store)
 }
 
+// RecordsChanged implements Source.
 func (s *memorySource) RecordsChanged() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +47,7 @@
 	return digest
 }
 
-// apply makes one change at the next version.
+// apply applies a change at the next version, and fails the test unless it is accepted.
 func (s *memorySource) apply(t testing.TB, operations ...records.Operation) uint64 {
 	t.Helper()
 	s.mu.Lock()
@@ -72,9 +74,10 @@
 	}
 }
 
-func until(t testing.TB, what string, is func() bool) {
+// until waits for a condition, and fails the test after testTimeout.
+func until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(testTimeout); !is(); time.Sleep(5 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatalf("never: %s", what)
 		}
@@ -86,7 +89,7 @@
 	return records.Operation{Key: records.Key{Kind: records.Plan, Name: name}, Value: json.RawMessage(value)}
 }
 
-// manyPlans returns so many plans whose values differ.
+// manyPlans returns count plans whose values differ.
 func manyPlans(count int) (operations []records.Operation) {
 	for i := range count {
 		operations = append(operations, plan(fmt.Sprintf("p%05d", i), 1+i))
@@ -101,6 +104,7 @@
 	return server
 }
 
+// newWireClient returns a client of servers that are named by address.
 func newWireClient(t testing.TB) *serverClient {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{}}
@@ -108,6 +112,7 @@
 	return &serverClient{http: client, base: func(server string) string { return "http://" + server }}
 }
 
+// requestChanges returns the decoded response of a server.
 func requestChanges(ctx context.Context, client *serverClient, server string, request records.ChangesRequest) (records.ChangesResponse, error) {
 	body, err := client.do(ctx, server, request)
 	if err != nil {
