--- a/internal/recordsync/disk_test.go
+++ b/internal/recordsync/disk_test.go
@@ -34,6 +34,16 @@
 	return f, replica
 }
 
+// openFiles writes a snapshot and a journal to a new directory, and opens it.
+func openFiles(t testing.TB, snapshot, journal []byte) (dir string, replica *records.Replica) {
+	t.Helper()
+	dir = t.TempDir()
+	must(t, os.WriteFile(filepath.Join(dir, snapshotName), snapshot, fileMode))
+	must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
+	_, replica = reopen(t, dir)
+	return dir, replica
+}
+
 // writeTestFolder returns a directory with a snapshot at version 1 and a journal up to version 5.
 func writeTestFolder(t testing.TB) (dir string, source *memorySource) {
 	t.Helper()
@@ -107,10 +117,7 @@
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
 	must(t, err)
 	for _, data := range damaged(snapshot) {
-		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, snapshotName), data, fileMode))
-		must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
-		_, replica := reopen(t, dir)
+		dir, replica := openFiles(t, data, journal)
 		if replica.Version() != 0 || replica.Len() != 0 {
 			t.Fatalf("version %d of a damaged copy", replica.Version())
 		}
@@ -144,10 +151,7 @@
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
 	must(t, err)
 	for _, data := range damaged(journal) {
-		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, snapshotName), snapshot, fileMode))
-		must(t, os.WriteFile(filepath.Join(dir, journalName), data, fileMode))
-		_, replica := reopen(t, dir)
+		dir, replica := openFiles(t, snapshot, data)
 		first := replica.Version()
 		var digest records.Digest
 		source.ReadRecords(func(store *records.Store) { digest, _ = store.DigestAt(first) })
--- a/internal/recordsync/follower.go
+++ b/internal/recordsync/follower.go
@@ -57,7 +57,7 @@
 	done chan struct{} // closed when read has returned
 }
 
-// minTickInterval is the shortest time to the next tick: it keeps a wake time in the past from
+// minTickInterval is the shortest time to the next tick: it prevents a wake time in the past from
 // spinning the loop.
 const minTickInterval = time.Millisecond
 
--- a/internal/recordsync/handler.go
+++ b/internal/recordsync/handler.go
@@ -144,8 +144,8 @@
 	writeResponse(w, data, err)
 }
 
-// encodeContent returns the encoded content of ranges. The caller has taken a slot, which is
-// free afterwards: before the response is written, so that slow clients occupy none.
+// encodeContent returns the encoded content of ranges. It releases the slot that the caller
+// has acquired, before the response is written, so that slow clients occupy none.
 func (h *Handler) encodeContent(request records.ContentRequest) ([]byte, error) {
 	defer func() { <-h.contentSlots }()
 	var chunk records.Chunk
--- a/internal/recordsync/handler_test.go
+++ b/internal/recordsync/handler_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A request waits for a change, at most until its client or its time is gone.
+// A request waits for a change, at most until its client closes the connection or its wait ends.
 func TestHandlerWaitsForAChange(t *testing.T) {
 	source := newMemorySource()
 	source.apply(t, plan("gold", 1))
--- a/internal/recordsync/response_cache.go
+++ b/internal/recordsync/response_cache.go
@@ -27,7 +27,7 @@
 
 // encode returns the response in its form on the wire. Only responses with a delta are cached:
 // the delta is determined by the versions that it leads from and to, and by the digest there.
-// The lock is held while a response is encoded, so that followers that are woken together wait
+// The lock spans the encoding, so that followers that are woken together wait
 // for one encoding instead of each performing it.
 func (c *responseCache) encode(request records.ChangesRequest, response records.ChangesResponse) ([]byte, error) {
 	if response.Delta == nil {
--- a/records/digest.go
+++ b/records/digest.go
@@ -24,7 +24,7 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// errNoDigest means that a message has no digest, since no content has the digest 0.
+// errNoDigest means that a message has no digest. No content has the zero digest.
 var errNoDigest = errors.New("the digest is missing")
 
 // ParseDigest returns the digest with the hexadecimal form.
--- a/records/doc.go
+++ b/records/doc.go
@@ -1,5 +1,5 @@
-// Package records holds a site's configuration as typed, keyed records (routes,
-// tenants, plans and services) under one version that only grows, and replicates
+// Package records implements a site's configuration as typed, keyed records (routes,
+// tenants, plans and services) under one version that only grows, and the replication of
 // every change of them to many gateways.
 //
 // It consists of pure state machines. A [Store] is the authority: it applies changes
@@ -11,7 +11,7 @@
 // The package is not for I/O: it opens no socket or file, starts no goroutine and
 // reads no clock; package recordsync does these for followers, and package replica
 // replicates the store. It is not for the desired state of processes either, which
-// packages fleet and revisions hold.
+// is in packages fleet and revisions.
 //
 // # Ownership
 //
--- a/records/follower_response.go
+++ b/records/follower_response.go
@@ -82,8 +82,8 @@
 	return f.applyChanges(sent, response)
 }
 
-// errDigestDisputed means that a server has another digest of the replica's version. A repair begins only
-// if a second server confirms it, since the first one's content may be the wrong one.
+// errDigestDisputed means that a server has another digest of the replica's version. A repair
+// begins only if a second server confirms it, since the first one's content may be wrong.
 var errDigestDisputed = errors.New("the server has another digest of the replica's version")
 
 // applyChanges applies the changes above the replica's version, or begins a repair.
--- a/records/golden_follower_test.go
+++ b/records/golden_follower_test.go
@@ -36,7 +36,7 @@
 	golden.Text(t, "constants.txt", text.String())
 }
 
-// traceServer answers a traced follower.
+// traceServer is a server of a traced follower.
 type traceServer struct {
 	name    string
 	store   *Store
@@ -185,8 +185,7 @@
 	f.response = ResponseReceived{ID: f.inFlight.ID, Body: body, Bytes: len(text)/3 + 100}
 }
 
-// change has all servers but those that are behind accept a change; those that hold
-// a long poll respond.
+// change applies a change at all servers that are not behind, and ends a long poll.
 func (f *followerTrace) change(operations ...Operation) {
 	f.t.Helper()
 	for _, server := range f.servers {
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -87,7 +87,7 @@
 		ConfirmedAt: goldenTime, LastContact: goldenTime.Add(time.Second), Server: "control-1", Reason: "repair: digest", RangesFetched: 3, RangesMissing: 2})
 }
 
-// Fields at their zero value are written or left out as other programs expect.
+// Fields at their zero value are encoded or omitted as other programs expect.
 func TestGoldenZeroFields(t *testing.T) {
 	never := uint64(0)
 	for _, test := range []struct {
--- a/records/repair_test.go
+++ b/records/repair_test.go
@@ -49,7 +49,7 @@
 	for repair.Next() == NeedContent {
 		fetch(t, repair, store, 16<<10)
 		chunks++
-		// The store goes on while the chunks are fetched.
+		// The store changes while the chunks are fetched.
 		version++
 		apply(t, store, version, change(
 			put(fmt.Sprintf("plan/new-%d", chunks), planValue),
--- a/records/replica.go
+++ b/records/replica.go
@@ -25,12 +25,7 @@
 }
 
 // current returns the content, also of the zero value.
-func (r *Replica) current() *state {
-	if r.state == nil {
-		return emptyState
-	}
-	return r.state
-}
+func (r *Replica) current() *state { return r.state.orEmpty() }
 
 // Version returns the version of the copy.
 func (r *Replica) Version() uint64 { return r.version }
--- a/records/state.go
+++ b/records/state.go
@@ -32,6 +32,14 @@
 // emptyState is the content of the zero Store and Replica.
 var emptyState = new(draft).begin(&state{}).finish()
 
+// orEmpty returns the state, or that without records if it is nil.
+func (s *state) orEmpty() *state {
+	if s == nil {
+		return emptyState
+	}
+	return s
+}
+
 // get returns the record with the key, and whether it exists.
 func (s *state) get(key Key) (Record, bool) {
 	keys := &s.ranges[RangeOf(key)]
--- a/records/store.go
+++ b/records/store.go
@@ -29,12 +29,7 @@
 }
 
 // current returns the present content, also of the zero value.
-func (s *Store) current() *state {
-	if s.state == nil {
-		return emptyState
-	}
-	return s.state
-}
+func (s *Store) current() *state { return s.state.orEmpty() }
 
 // Version returns the version of the newest accepted change, 0 if there is none.
 func (s *Store) Version() uint64 { return s.version }
--- a/records/store_test.go
+++ b/records/store_test.go
@@ -16,7 +16,7 @@
 	}
 	apply(t, store, 4, change(onlyIf(1, put("tenant/acme", `{"plan":"gold"}`)), put("tenant/zoo", `{"plan":"gold"}`)), Accepted)
 	apply(t, store, 5, change(onlyIf(1, put("tenant/acme", tenantValue))), Conflict)
-	// The plan goes together with all that need it.
+	// A plan is deleted together with all records that refer to it.
 	apply(t, store, 6, change(remove("plan/gold"), remove("tenant/acme"), put("plan/new", planValue), put("tenant/zoo", `{"plan":"new"}`)), Accepted)
 	if _, found := store.Get(key("tenant/acme")); found || store.Len() != 4 {
 		t.Errorf("%d records", store.Len())
