--- a/lease/granter.go
+++ b/lease/granter.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Granter is the side that keeps a session to one holder. What it grants it does
-// not write down: after a change of granters the next one waits out what the last
-// may have granted (Recover). It belongs to one goroutine.
+// Granter is the side that reserves a session's resource for one holder. It stores nothing: after a change of granters
+// the next one waits until every grant that its predecessor may have made has ended, see Recover. It is not safe for
+// concurrent use; NewGranter makes one.
 type Granter struct {
 	terms    Terms
 	sessions map[Session]*grant
-	last     Session // the highest that was ever opened
+	highest  Session // that was ever opened
 }
 
 type grant struct{ until Time }
 
-// NewGranter makes a granter without sessions.
+// NewGranter returns a granter without sessions. The error matches ErrInvalidTerms.
 func NewGranter(terms Terms) (*Granter, error) {
 	if err := terms.Check(); err != nil {
 		return nil, err
@@ -21,61 +21,56 @@
 	return &Granter{terms: terms, sessions: map[Session]*grant{}}, nil
 }
 
-// Open begins a session under a number above all before it.
-func (g *Granter) Open(now Time, s Session) error {
-	if s <= g.last {
-		return fmt.Errorf("session %d is not above %d", s, g.last)
+// Open begins a session. Its number must be above all before; otherwise nothing changes and the error matches
+// ErrSessionNotNew.
+func (g *Granter) Open(now Time, session Session) error {
+	if session <= g.highest {
+		return fmt.Errorf("%w: %d is not above %d", ErrSessionNotNew, session, g.highest)
 	}
-	g.last = s
-	g.sessions[s] = &grant{until: now + g.terms.Duration}
+	g.highest = session
+	g.sessions[session] = &grant{until: now + g.terms.Duration}
 	return nil
 }
 
-// Recover takes over sessions that another granter had open. Each may have been
-// granted at the other's last moment, which was before now: it is waited out whole.
-func (g *Granter) Recover(now Time, open []Session, last Session) {
-	g.last = max(g.last, last)
-	for _, s := range open {
-		g.last = max(g.last, s)
-		g.sessions[s] = &grant{until: now + g.terms.Duration}
+// Recover takes over the open sessions of another granter, of which highest was its highest number. The predecessor
+// may have granted each at its last moment, which was before now, so each counts as granted now.
+func (g *Granter) Recover(now Time, open []Session, highest Session) {
+	g.highest = max(g.highest, highest)
+	for _, session := range open {
+		g.highest = max(g.highest, session)
+		g.sessions[session] = &grant{until: now + g.terms.Duration}
 	}
 }
 
-// Handle answers a holder. A session that has ended stays ended, whatever comes late
-// or twice.
-func (g *Granter) Handle(now Time, a Request) Response {
-	s := g.sessions[a.Session]
-	if s == nil || now >= s.until {
-		delete(g.sessions, a.Session)
-		return Response{Session: a.Session, Number: a.Number}
+// Handle answers a holder's request. A session that has ended stays ended, whatever arrives late or twice.
+func (g *Granter) Handle(now Time, request Request) Response {
+	current := g.sessions[request.Session]
+	if current == nil || now >= current.until || request.Release {
+		delete(g.sessions, request.Session)
+		return Response{Session: request.Session, Number: request.Number}
 	}
-	if a.Release {
-		delete(g.sessions, a.Session)
-		return Response{Session: a.Session, Number: a.Number}
-	}
-	// An ask that comes late or twice is granted like any other: its holder counts
-	// from when it sent it, and so stops before this.
-	s.until = max(s.until, now+g.terms.Duration)
-	return Response{a.Session, a.Number, true}
+	// A late or repeated request is granted as any other: its holder counts from when it sent it, and so stops earlier.
+	current.until = max(current.until, now+g.terms.Duration)
+	return Response{request.Session, request.Number, true}
 }
 
-// Expire takes out the sessions that have run out, and returns them: what they held
-// may be given to others.
-func (g *Granter) Expire(now Time) (list []Session) {
-	for s, grant := range g.sessions {
+// Expire removes the sessions whose grants have ended and returns them, in no order. Their resources may be granted to
+// others.
+func (g *Granter) Expire(now Time) (expired []Session) {
+	for session, grant := range g.sessions {
 		if now >= grant.until {
-			delete(g.sessions, s)
-			list = append(list, s)
+			delete(g.sessions, session)
+			expired = append(expired, session)
 		}
 	}
-	return list
+	return expired
 }
 
-// Active tells whether a session may still be acting.
-func (g *Granter) Active(now Time, s Session) bool {
-	grant := g.sessions[s]
+// Active reports whether the holder of a session may still be acting.
+func (g *Granter) Active(now Time, session Session) bool {
+	grant := g.sessions[session]
 	return grant != nil && now < grant.until
 }
 
-// Last is the highest number that was ever opened.
-func (g *Granter) Last() Session { return g.last }
+// Last returns the highest session number that was ever opened.
+func (g *Granter) Last() Session { return g.highest }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,13 +1,16 @@
-// Package lease is both sides of a lease on durations: a holder that may act for a
-// while, and a granter that gives the same to nobody else meanwhile. Neither reads
-// the other's clock. The holder counts from before it asked, the granter from after
-// it answered, and a stated drift lies between; so whatever the network does to
-// messages, the holder stops before the granter gives again. It is pure: messages
-// and the time go in, messages come out.
+// Package lease is both sides of a lease that is measured in durations: a Holder that may act on a resource for a while,
+// and a Granter that gives the same resource to nobody else meanwhile. It is for duties that at most one process may
+// perform at a time, on machines whose clocks are not synchronized: neither side reads the other's clock. The holder
+// counts from before it sent a request, the granter from after it received it, and the agreed bound on clock drift lies
+// between the two. So whatever the network does to messages, the holder stops before the granter grants again.
 //
-// What a lease alone can't keep is an effect that was begun in time and arrives
-// late, from a process that was stopped in between. That takes a number that only
-// grows (Session), checked where the effect happens.
+// It is pure: messages and the time go in, messages come out. There is no goroutine, clock or socket, and nothing is
+// stored. A Holder and a Granter are each owned by one goroutine, which calls Valid right before every effect.
+//
+// It is not a fencing mechanism by itself. A lease can't prevent an effect that began in time and arrives late, from a
+// process that was stopped in between: the receiver of the effect must compare its Session, which only grows, and reject
+// one that is lower than the highest it has seen. It does not elect a holder either; an authority, such as a replicated
+// log, assigns the sessions.
 package lease
 
 import (
@@ -16,141 +19,63 @@
 	"time"
 )
 
-// Time is a moment on one side's own monotonic clock, as a duration since some start
-// of its own.
+// Errors that callers tell apart by errors.Is.
+var (
+	// ErrInvalidTerms says that a lease on the terms could not be held or renewed.
+	ErrInvalidTerms = errors.New("invalid lease terms")
+	// ErrSessionNotNew says that a session's number is not above all numbers that were opened before.
+	ErrSessionNotNew = errors.New("session number is not new")
+)
+
+// Time is a moment on one side's own monotonic clock, as a duration since a start of that side's choice. Values of two
+// sides can't be compared.
 type Time = time.Duration
 
-// Terms are what both sides have agreed on before.
+// Terms are what both sides agreed on beforehand. Both must use the same.
 type Terms struct {
-	Duration      time.Duration // a grant, by the granter's clock
-	Drift         float64       // a clock is so much too fast or too slow at most, such as 0.001
-	Margin        time.Duration // the holder stops so long before its end: an effect under way takes that long at most
-	RenewInterval time.Duration // between the holder's asks; several must fit into a grant
-	MaxTickGap    time.Duration // a holder that has not been told the time for so long must have slept
+	Duration      time.Duration // length of a grant by the granter's clock
+	Drift         float64       // share by which a clock runs too fast or too slow at most, such as 0.001
+	Margin        time.Duration // the holder stops this much before its end: the longest that an effect under way takes
+	RenewInterval time.Duration // between two requests of the holder; several must fit into a grant
+	MaxTickGap    time.Duration // a holder without a Tick for this long was suspended
 }
 
-// Check finds terms under which nobody could ever hold, or one lost message would
-// end a lease.
+// Check returns an error that matches ErrInvalidTerms for terms under which nobody could ever hold a lease, or one lost
+// message would end it.
 func (t *Terms) Check() error {
 	switch {
-	case !(t.Drift >= 0 && t.Drift < 0.5):
-		return fmt.Errorf("drift: %g is not between 0 and 0.5", t.Drift)
+	case !(t.Drift >= 0 && t.Drift < 0.5): // in this form it rejects NaN
+		return fmt.Errorf("%w: drift %g is not between 0 and 0.5", ErrInvalidTerms, t.Drift)
 	case t.Duration <= 0 || t.RenewInterval <= 0 || t.MaxTickGap <= 0 || t.Margin < 0:
-		return errors.New("for, renew and stall must be above 0, margin not below")
+		return fmt.Errorf("%w: duration %v, renew interval %v and tick gap %v must be above 0, margin %v not below",
+			ErrInvalidTerms, t.Duration, t.RenewInterval, t.MaxTickGap, t.Margin)
 	case t.holderDuration() < 3*t.RenewInterval:
-		return fmt.Errorf("a grant of %v lasts %v at the holder, which is less than three asks, %v apart", t.Duration, t.holderDuration(), t.RenewInterval)
+		return fmt.Errorf("%w: a grant of %v lasts %v at the holder, which is less than three renew intervals of %v",
+			ErrInvalidTerms, t.Duration, t.holderDuration(), t.RenewInterval)
 	}
 	return nil
 }
 
-// holderDuration is how long a holder may act after it asked, by its own clock. Its clock may
-// be slow and the granter's fast, each by the drift: For by the granter's clock may
-// be as little as this by the holder's.
+// holderDuration returns how long a holder may act after it sent a request, by its own clock. If that clock is slow and
+// the granter's is fast, each by the drift, Duration by the granter's clock is no more than this by the holder's.
 func (t *Terms) holderDuration() time.Duration {
 	return time.Duration(float64(t.Duration)*(1-t.Drift)/(1+t.Drift)) - t.Margin
 }
 
-// Session is the number of one holder's time of holding. The authority gives each
-// its own, above all that it ever gave.
+// Session identifies one uninterrupted tenure of a holder. The authority gives each tenure a number above all that it
+// gave before.
 type Session uint64
 
-// Request is what a holder sends: to go on with a session, or to end it.
+// Request is sent by a holder to renew or to release its session.
 type Request struct {
 	Session Session
-	Number  uint64 // of this ask, among the session's; they only grow
+	Number  uint64 // of this request within the session, rising
 	Release bool
 }
 
-// Response is what comes back.
+// Response is the granter's answer to one request.
 type Response struct {
 	Session Session
-	Number  uint64 // of the ask
-	Granted bool   // for Terms.For from now on; else the session has ended, for good
-}
-
-// Holder is the side that acts. It belongs to one goroutine.
-type Holder struct {
-	terms         Terms
-	session       Session
-	number        uint64
-	pending       map[uint64]Time // asks without an answer, by number
-	lastRequestAt Time
-	until         Time
-	lastTick      Time // the time as last told
-	ended         bool
-}
-
-// maxPendingRequests bounds the asks that are remembered: an answer to an older one would
-// tell of a grant that has run out.
-const maxPendingRequests = 64
-
-// NewHolder makes the holder of a session that was asked for at a time, and given.
-func NewHolder(terms Terms, session Session, requestedAt, now Time) (*Holder, error) {
-	if err := terms.Check(); err != nil {
-		return nil, err
-	}
-	return &Holder{terms: terms, session: session, pending: map[uint64]Time{}, lastRequestAt: requestedAt, until: requestedAt + terms.holderDuration(), lastTick: now}, nil
-}
-
-// Tick tells the time, and returns an ask if one is due.
-func (h *Holder) Tick(now Time) (request Request, due bool) {
-	h.lastTick = max(h.lastTick, now)
-	if h.ended || h.lastTick-h.lastRequestAt < h.terms.RenewInterval {
-		return Request{}, false
-	}
-	return h.newRequest(false), true
-}
-
-func (h *Holder) newRequest(release bool) Request {
-	h.number++
-	h.lastRequestAt = h.lastTick
-	h.pending[h.number] = h.lastTick
-	delete(h.pending, h.number-maxPendingRequests)
-	return Request{h.session, h.number, release}
-}
-
-// HandleResponse takes an answer. One that is old, comes twice or belongs to another
-// session changes nothing that it should not: an end only moves on, and only by
-// what was asked for.
-func (h *Holder) HandleResponse(a Response) {
-	if a.Session != h.session || h.ended {
-		return
-	}
-	if !a.Granted {
-		h.ended = true
-		return
-	}
-	at, known := h.pending[a.Number]
-	if !known {
-		return
-	}
-	delete(h.pending, a.Number)
-	h.until = max(h.until, at+h.terms.holderDuration())
-}
-
-// Valid tells whether the holder may act at this moment, and why not. It is asked
-// right before each effect: a sleep is noticed here, not afterwards.
-func (h *Holder) Valid(now Time) (valid bool, reason string) {
-	switch {
-	case h.ended:
-		return false, "the session has ended"
-	case now >= h.until:
-		return false, "the lease has run out"
-	case now-h.lastTick >= h.terms.MaxTickGap:
-		return false, "this process slept"
-	}
-	return true, ""
-}
-
-// Until is when the holder stops unless it is answered before, by its own clock.
-func (h *Holder) Until() Time { return h.until }
-
-// Session is the number that goes with each effect.
-func (h *Holder) Session() Session { return h.session }
-
-// Release ends the session: the holder has stopped, and the granter need not wait.
-func (h *Holder) Release(now Time) Request {
-	h.lastTick = max(h.lastTick, now)
-	h.ended = true
-	return h.newRequest(true)
+	Number  uint64 // of the request
+	Granted bool   // for Terms.Duration from its receipt; else the session has ended for good
 }
