--- a/supervise/golden_test.go
+++ b/supervise/golden_test.go
@@ -7,8 +7,8 @@
 	"elderyard/internal/golden"
 )
 
-// The golden files of this package are what an agent keeps on its disk of each process
-// and answers about it.
+// The golden files of this package are what an agent stores of each process and answers
+// about it.
 
 func goldenSpec(revision uint64) Spec {
 	return Spec{Revision: revision, Content: "c0ffee", Files: "f11e5", Fixed: "f1bed", MaxRequestDuration: 90 * time.Second}
--- a/supervise/supervise_test.go
+++ b/supervise/supervise_test.go
@@ -12,10 +12,11 @@
 var (
 	policy = Policy{InitialBackoff: time.Second, MaxBackoff: 4 * time.Second, BackoffResetUptime: time.Minute, KillDelay: 5 * time.Second}
 	began  = time.Unix(1_800_000_000, 0)
-	one    = &Spec{1, "", "files-1", "fixed-1", 0}
-	reload = &Spec{2, "", "files-2", "fixed-1", 0}
-	other  = &Spec{3, "", "files-3", "fixed-3", 0}
-	again  = &Spec{4, "", "files-3", "fixed-3", 0}
+
+	first     = &Spec{1, "", "files-1", "fixed-1", 0}
+	reloaded  = &Spec{2, "", "files-2", "fixed-1", 0} // needs a reload after first
+	restarted = &Spec{3, "", "files-3", "fixed-3", 0} // needs a restart after both
+	sameFiles = &Spec{4, "", "files-3", "fixed-3", 0} // needs nothing after restarted
 )
 
 type step struct {
@@ -43,17 +44,17 @@
 func TestStartReloadRestartStop(t *testing.T) {
 	m := play(t,
 		step{0, Tick{}, nil, Down},
-		step{0, DesiredState{one}, []Action{Spawn{*one}}, Starting},
-		step{0, Health{true}, nil, Starting}, // of a process from before
+		step{0, DesiredState{first}, []Action{Spawn{*first}}, Starting},
+		step{0, Health{true}, nil, Starting}, // of an earlier process
 		step{0.1, Started{}, nil, Starting},
 		step{1, Health{true}, nil, Ready},
-		step{2, DesiredState{reload}, []Action{Reload{*reload, *one}}, Ready},
-		step{3, DesiredState{other}, []Action{Terminate{}}, Terminating},
+		step{2, DesiredState{reloaded}, []Action{Reload{*reloaded, *first}}, Ready},
+		step{3, DesiredState{restarted}, []Action{Terminate{}}, Terminating},
 		step{4, Tick{}, nil, Terminating},
-		step{5, Exited{}, []Action{Spawn{*other}}, Starting},
+		step{5, Exited{}, []Action{Spawn{*restarted}}, Starting},
 		step{5, Started{}, nil, Starting},
 		step{6, Health{true}, nil, Ready},
-		step{7, DesiredState{again}, []Action{SetRevision{*again}}, Ready},
+		step{7, DesiredState{sameFiles}, []Action{SetRevision{*sameFiles}}, Ready},
 		step{8, DesiredState{nil}, []Action{Terminate{}}, Terminating},
 		step{9, Exited{}, nil, Down},
 		step{10, Tick{}, nil, Down})
@@ -62,65 +63,65 @@
 	}
 }
 
-func TestAStartAfterACrashWaitsLongerEachTime(t *testing.T) {
+func TestBackoffGrowsWithEachCrash(t *testing.T) {
 	m := play(t,
-		step{0, DesiredState{one}, []Action{Spawn{*one}}, Starting},
+		step{0, DesiredState{first}, []Action{Spawn{*first}}, Starting},
 		step{0, Started{}, nil, Starting},
 		step{0.5, Exited{"exit 2"}, nil, BackingOff},
 		step{1.4, Tick{}, nil, BackingOff},
-		step{1.5, Tick{}, []Action{Spawn{*one}}, Starting},
+		step{1.5, Tick{}, []Action{Spawn{*first}}, Starting},
 		step{1.5, StartFailed{"no such file"}, nil, BackingOff}, // until 3.5
 		step{3.4, Tick{}, nil, BackingOff},
-		step{3.5, Tick{}, []Action{Spawn{*one}}, Starting},
+		step{3.5, Tick{}, []Action{Spawn{*first}}, Starting},
 		step{3.5, Started{}, nil, Starting},
 		step{3.6, Exited{}, nil, BackingOff}, // until 7.6
-		step{7.6, Tick{}, []Action{Spawn{*one}}, Starting},
+		step{7.6, Tick{}, []Action{Spawn{*first}}, Starting},
 		step{7.6, Started{}, nil, Starting},
 		step{8, Health{true}, nil, Ready},
-		step{80, Exited{}, nil, BackingOff}, // it ran for long
-		step{81, Tick{}, []Action{Spawn{*one}}, Starting})
+		step{80, Exited{}, nil, BackingOff}, // it was up long enough to reset the backoff
+		step{81, Tick{}, []Action{Spawn{*first}}, Starting})
 	if s := m.Status(); s.Crashes != 4 {
 		t.Fatalf("%+v", s)
 	}
 }
 
-func TestAnotherRevisionDoesNotWaitForThePauseOfTheOneThatCrashed(t *testing.T) {
+func TestBackoffDoesNotApplyToAnotherRevision(t *testing.T) {
 	play(t,
-		step{0, DesiredState{one}, []Action{Spawn{*one}}, Starting},
+		step{0, DesiredState{first}, []Action{Spawn{*first}}, Starting},
 		step{0, Started{}, nil, Starting},
 		step{0.1, Exited{}, nil, BackingOff},
-		step{0.2, DesiredState{other}, []Action{Spawn{*other}}, Starting})
+		step{0.2, DesiredState{restarted}, []Action{Spawn{*restarted}}, Starting})
 }
 
-func TestOneThatWillNotEndIsKilledOnce(t *testing.T) {
+func TestProcessThatDoesNotTerminateIsKilledOnce(t *testing.T) {
 	m := play(t,
-		step{0, DesiredState{one}, []Action{Spawn{*one}}, Starting},
+		step{0, DesiredState{first}, []Action{Spawn{*first}}, Starting},
 		step{0, Started{}, nil, Starting},
 		step{1, DesiredState{nil}, []Action{Terminate{}}, Terminating},
 		step{5.9, Tick{}, nil, Terminating},
 		step{6, Tick{}, []Action{Kill{}}, Terminating},
 		step{7, Tick{}, nil, Terminating},
-		step{7, DesiredState{other}, nil, Terminating}, // wanted again before it has ended
-		step{8, Exited{}, []Action{Spawn{*other}}, Starting})
+		step{7, DesiredState{restarted}, nil, Terminating}, // desired again before it has ended
+		step{8, Exited{}, []Action{Spawn{*restarted}}, Starting})
 	if m.Status().Crashes != 0 {
-		t.Fatal("an end that was asked for is no crash")
+		t.Fatal("a requested termination counts as a crash")
 	}
 }
 
-func TestOneThatRanBeforeTheAgentIsAdopted(t *testing.T) {
+func TestProcessOfEarlierAgentIsAdopted(t *testing.T) {
 	play(t,
-		step{0, Adopted{*one}, nil, Starting}, // it is wanted until somebody says otherwise
+		step{0, Adopted{*first}, nil, Starting}, // it is desired until DesiredState says otherwise
 		step{0, Health{true}, nil, Ready},
 		step{1, DesiredState{nil}, []Action{Terminate{}}, Terminating})
 	m, _ := New(policy, 7)
-	m.desired = one
-	if a := m.Handle(began, Adopted{*one}); len(a) != 0 || m.state != Starting {
+	m.desired = first
+	if a := m.Handle(began, Adopted{*first}); len(a) != 0 || m.state != Starting {
 		t.Fatalf("%v %s", a, m.state)
 	}
 	if a := m.Handle(began, Health{true}); len(a) != 0 || m.state != Ready {
 		t.Fatalf("%v %s", a, m.state)
 	}
-	if a := m.Handle(began, DesiredState{reload}); !reflect.DeepEqual(a, []Action{Reload{*reload, *one}}) {
+	if a := m.Handle(began, DesiredState{reloaded}); !reflect.DeepEqual(a, []Action{Reload{*reloaded, *first}}) {
 		t.Fatal(a)
 	}
 	m.Handle(began, Exited{"gone"})
@@ -129,25 +130,25 @@
 	}
 }
 
-func TestAClockThatJumpsBackHoldsNothing(t *testing.T) {
+func TestClockSetBackDelaysNothing(t *testing.T) {
 	play(t,
-		step{1000, DesiredState{one}, []Action{Spawn{*one}}, Starting},
+		step{1000, DesiredState{first}, []Action{Spawn{*first}}, Starting},
 		step{1000, Started{}, nil, Starting},
 		step{1000, Exited{}, nil, BackingOff},
 		step{0, Tick{}, nil, BackingOff},
-		step{1, Tick{}, []Action{Spawn{*one}}, Starting},
+		step{1, Tick{}, []Action{Spawn{*first}}, Starting},
 		step{1, Started{}, nil, Starting},
 		step{2000, DesiredState{nil}, []Action{Terminate{}}, Terminating},
 		step{3, Tick{}, nil, Terminating},
 		step{8, Tick{}, []Action{Kill{}}, Terminating})
 }
 
-func TestAReloadThatFailedIsTriedAgain(t *testing.T) {
+func TestFailedReloadIsRetried(t *testing.T) {
 	m := play(t,
-		step{0, Adopted{*one}, nil, Starting},
+		step{0, Adopted{*first}, nil, Starting},
 		step{0, Health{true}, nil, Ready},
-		step{1, DesiredState{reload}, []Action{Reload{*reload, *one}}, Ready},
-		step{1, ReloadFailed{*one, "disk full"}, nil, Ready})
+		step{1, DesiredState{reloaded}, []Action{Reload{*reloaded, *first}}, Ready},
+		step{1, ReloadFailed{*first, "disk full"}, nil, Ready})
 	if s := m.Status(); s.Running.Revision != 1 || s.Reason != "disk full" {
 		t.Fatalf("%+v", s)
 	}
@@ -156,7 +157,7 @@
 	}
 }
 
-func TestALongRequestHasItsTime(t *testing.T) {
+func TestKillWaitsForLongestRequest(t *testing.T) {
 	long := &Spec{9, "", "files-9", "fixed-9", 30 * time.Second}
 	play(t,
 		step{0, Adopted{*long}, nil, Starting},
@@ -165,54 +166,56 @@
 		step{35, Tick{}, []Action{Kill{}}, Terminating})
 }
 
-func TestPolicy(t *testing.T) {
-	for _, p := range []Policy{{}, {time.Second, time.Millisecond, 1, 1}, {1, 1, 0, 1}, {1, 1, 1, 0}} {
+func TestPolicyValidation(t *testing.T) {
+	for name, p := range map[string]Policy{
+		"no backoff": {}, "shrinking backoff": {time.Second, time.Millisecond, 1, 1}, "no reset uptime": {1, 1, 0, 1}, "no kill delay": {1, 1, 1, 0},
+	} {
 		if _, err := New(p, 0); err == nil {
-			t.Errorf("%+v was taken", p)
+			t.Errorf("%s: %+v was accepted", name, p)
 		}
 	}
 }
 
-// TestAnythingMayHappen holds the machine to one process at a time, and to what
-// is wanted once the trouble is over.
-func TestAnythingMayHappen(t *testing.T) {
+// TestAnySequenceOfEvents checks that the machine never runs two processes, and reaches the desired
+// state once events stop.
+func TestAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, _ := New(policy, 0)
 		now := began
-		running, ordered := false, false
+		running, spawning := false, false
 		var has Spec
 		var want *Spec
-		terms, kills := 0, 0
+		terminations, kills := 0, 0
 		do := func(ev Event) {
 			for _, a := range m.Handle(now, ev) {
 				switch a := a.(type) {
 				case Spawn:
-					if running || ordered {
+					if running || spawning {
 						t.Fatal("a second process is started")
 					}
-					ordered, has, terms, kills = true, a.Spec, 0, 0
+					spawning, has, terminations, kills = true, a.Spec, 0, 0
 				case Reload:
 					if !running || a.Spec.Fixed != has.Fixed {
-						t.Fatal("a reload can't do that")
+						t.Fatal("a reload where a restart is needed")
 					}
 					has = a.Spec
 				case SetRevision:
 					if a.Spec.Files != has.Files {
-						t.Fatal("another number for something else")
+						t.Fatal("a new revision number for other files")
 					}
 					has = a.Spec
 				case Terminate:
-					if terms++; !running || terms > 1 {
-						t.Fatal("it was asked to end more than once, or does not run")
+					if terminations++; !running || terminations > 1 {
+						t.Fatal("terminated more than once, or without a process")
 					}
 				case Kill:
-					if kills++; !running || terms == 0 || kills > 1 {
-						t.Fatal("killed unasked, or twice")
+					if kills++; !running || terminations == 0 || kills > 1 {
+						t.Fatal("killed before it was terminated, or twice")
 					}
 				}
 			}
 		}
-		specs := []*Spec{nil, one, reload, other, again}
+		specs := []*Spec{nil, first, reloaded, restarted, sameFiles}
 		events := rapid.SliceOfN(rapid.IntRange(0, 6), 1, 120).Draw(t, "events")
 		for n, k := range events {
 			now = now.Add(time.Duration(rapid.IntRange(-500, 3000).Draw(t, fmt.Sprint("gap", n))) * time.Millisecond)
@@ -221,13 +224,13 @@
 				want = rapid.SampledFrom(specs).Draw(t, fmt.Sprint("want", n))
 				do(DesiredState{want})
 			case 2:
-				if ordered {
-					ordered, running = false, true
+				if spawning {
+					spawning, running = false, true
 					do(Started{})
 				}
 			case 3:
-				if ordered {
-					ordered = false
+				if spawning {
+					spawning = false
 					do(StartFailed{"no"})
 				}
 			case 4:
@@ -243,11 +246,11 @@
 		}
 		for range 20 {
 			now = now.Add(10 * time.Second)
-			if ordered {
-				ordered, running = false, true
+			if spawning {
+				spawning, running = false, true
 				do(Started{})
 			}
-			if running && terms > 0 {
+			if running && terminations > 0 {
 				running = false
 				do(Exited{})
 			}
@@ -255,7 +258,7 @@
 			do(Tick{})
 		}
 		if running != (want != nil) || running && (has != *want || m.state != Ready) {
-			t.Fatalf("in the end: runs %v with %+v, %s; wanted %+v", running, has, m.state, want)
+			t.Fatalf("in the end: running %v with %+v, %s; desired %+v", running, has, m.state, want)
 		}
 	})
 }
