--- a/revisions/golden_test.go
+++ b/revisions/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // The golden files of this package are what the voters' logs and snapshots of
-// existing sites hold, and what the agents' interface answers.
+// existing sites contain, and what the agents' interface answers.
 
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
@@ -49,12 +49,12 @@
 	}
 }
 
-// TestUnknownKeyIsRefused: a voter that skipped a key would come to another state than
+// TestUnknownKeyIsRejected: a voter that skipped a key would reach another state than
 // one that knows it.
-func TestUnknownKeyIsRefused(t *testing.T) {
+func TestUnknownKeyIsRejected(t *testing.T) {
 	golden.Decode(t, "command-content.json", func(text []byte) error {
 		if _, err := Decode(append([]byte(`{"later":1,`), text[1:]...)); err == nil {
-			t.Error("a command with an unknown key was taken")
+			t.Error("a command with an unknown key was accepted")
 		}
 		return nil
 	})
@@ -72,7 +72,7 @@
 	golden.JSON(t, "result.json", result)
 }
 
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenStatuses(t *testing.T) {
 	golden.Constants(t, map[string]string{
 		string(Accepted):        "accepted",
 		string(Unchanged):       "no change",
@@ -81,8 +81,8 @@
 	})
 }
 
-// goldenHistory has revisions with and without a parent, one that was restored, and an
-// answer of each kind.
+// goldenHistory has revisions with and without a parent, one that was restored, and a
+// result of each kind.
 func goldenHistory(t *testing.T) *History {
 	t.Helper()
 	content := goldenContent()
--- a/revisions/revisions_test.go
+++ b/revisions/revisions_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"reflect"
 	"strings"
@@ -26,7 +27,7 @@
 	return r
 }
 
-func TestTwoOperatorsAtOnce(t *testing.T) {
+func TestConcurrentCommandsConflict(t *testing.T) {
 	var h History
 	if r := apply(t, &h, command("1", 0, "a")); r.Status != Accepted || r.Revision.Number != 1 {
 		t.Fatalf("%+v", r)
@@ -35,14 +36,14 @@
 	lost := command("3", 1, "c")
 	lost.Author = "bob"
 	if r := apply(t, &h, lost); r.Status != Conflict || r.Revision.Number != won.Revision.Number || r.Revision.Author != "ann" || !r.Revision.At.Equal(at) {
-		t.Fatalf("the loser is told %+v", r)
+		t.Fatalf("the second command's result is %+v", r)
 	}
 	if head, _ := h.Head(); head.Number != 2 || head.Content.File != "b" || head.Parent != 1 {
 		t.Fatalf("%+v", head)
 	}
 }
 
-func TestARepeatMakesNoSecondRevision(t *testing.T) {
+func TestRepeatedCommandCreatesNoSecondRevision(t *testing.T) {
 	var h History
 	first := apply(t, &h, command("1", 0, "a"))
 	apply(t, &h, command("2", 1, "b"))
@@ -54,7 +55,7 @@
 	}
 }
 
-func TestNoChangeMakesNoRevision(t *testing.T) {
+func TestUnchangedContentCreatesNoRevision(t *testing.T) {
 	var h History
 	apply(t, &h, command("1", 0, "a"))
 	if r := apply(t, &h, command("2", 1, "a")); r.Status != Unchanged || r.Revision.Number != 1 {
@@ -62,7 +63,7 @@
 	}
 }
 
-func TestRestoreIsANewRevisionWithOldContent(t *testing.T) {
+func TestRestoreCreatesRevisionWithOldContent(t *testing.T) {
 	var h History
 	apply(t, &h, command("1", 0, "a"))
 	apply(t, &h, command("2", 1, "b"))
@@ -83,7 +84,7 @@
 	}
 	list := h.List()
 	if len(list) != MaxRevisions || len(h.results) != MaxRequests || list[0].Number != MaxRequests+50 {
-		t.Fatalf("%d kept, %d answered, head %d", len(list), len(h.results), list[0].Number)
+		t.Fatalf("%d revisions, %d results, head %d", len(list), len(h.results), list[0].Number)
 	}
 	if _, found := h.Get(1); found {
 		t.Error("the first revision is still there")
@@ -93,7 +94,7 @@
 	}
 }
 
-func TestASnapshotHoldsAllAndABrokenOneChangesNothing(t *testing.T) {
+func TestSnapshotIsCompleteAndInvalidOneChangesNothing(t *testing.T) {
 	var h History
 	c := command("1", 0, "a = 1\n")
 	c.Content.Overlays = map[string]string{"g1": "b = 2"}
@@ -120,8 +121,8 @@
 	}
 }
 
-func TestBadCommandsAreRefusedWithTheKeyAtFault(t *testing.T) {
-	for says, change := range map[string]func(*Command){
+func TestInvalidCommandsAreRejectedWithTheirField(t *testing.T) {
+	for field, change := range map[string]func(*Command){
 		"request":  func(c *Command) { c.Request = "" },
 		"author":   func(c *Command) { c.Author = "a\nb" },
 		"message":  func(c *Command) { c.Message = strings.Repeat("m", MaxMessageBytes+1) },
@@ -134,25 +135,30 @@
 		c := command("1", 0, "a")
 		change(&c)
 		var h History
-		if _, err := h.Apply(c); err == nil || !strings.HasPrefix(err.Error(), says+":") || len(h.revisions)+len(h.results) > 0 {
-			t.Errorf("%s: %v", says, err)
+		_, err := h.Apply(c)
+		var invalid *FieldError
+		if !errors.As(err, &invalid) || invalid.Field != field || !strings.HasPrefix(err.Error(), field+":") || len(h.revisions)+len(h.results) > 0 {
+			t.Errorf("%s: %v", field, err)
 		}
 		if _, err := c.Encode(); err == nil {
-			t.Errorf("%s was encoded", says)
+			t.Errorf("%s was encoded", field)
 		}
 	}
 	good, err := (&Command{Request: "1", Content: &Content{File: "a"}, Author: "ann", At: at}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []string{"", "{", string(good) + "x", strings.Replace(string(good), `"author"`, `"auhtor"`, 1), strings.Repeat(" ", maxEncodedBytes+1)} {
-		if _, err := Decode([]byte(bad)); err == nil {
-			t.Errorf("%.60q was taken", bad)
+	for name, text := range map[string]string{
+		"empty": "", "cut short": "{", "followed": string(good) + "x", "too long": strings.Repeat(" ", maxEncodedBytes+1),
+		"unknown key": strings.Replace(string(good), `"author"`, `"auhtor"`, 1),
+	} {
+		if _, err := Decode([]byte(text)); err == nil {
+			t.Errorf("%s: %.60q was accepted", name, text)
 		}
 	}
 }
 
-func TestNoTwoContentsHaveOneChecksum(t *testing.T) {
+func TestDifferentContentsHaveDifferentChecksums(t *testing.T) {
 	seen := map[string]Content{}
 	for _, c := range []Content{{}, {File: "ab"}, {File: "a", Overlays: map[string]string{"b": ""}}, {File: "a", Overlays: map[string]string{"": "b"}},
 		{File: "", Overlays: map[string]string{"a": "b"}}, {File: "1:a1:b"}, {File: "", Overlays: map[string]string{"a": "", "b": ""}}} {
@@ -163,13 +169,13 @@
 	}
 }
 
-// TestAnyCommandsKeepTheChain runs random commands against a model that is one
+// TestAnyCommandsKeepChainOfRevisions runs random commands against a model that is one
 // number and one text, with snapshots in between.
-func TestAnyCommandsKeepTheChain(t *testing.T) {
+func TestAnyCommandsKeepChainOfRevisions(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := &History{}
 		number, file := uint64(0), ""
-		given := map[string]Result{}
+		results := map[string]Result{}
 		for range rapid.IntRange(1, 60).Draw(r, "commands") {
 			request := fmt.Sprint(rapid.IntRange(0, 80).Draw(r, "request"))
 			parent := uint64(rapid.IntRange(max(0, int(number)-2), int(number)+1).Draw(r, "parent"))
@@ -178,11 +184,11 @@
 			if err != nil {
 				r.Fatal(err)
 			}
-			before, repeat := given[request]
+			before, repeat := results[request]
 			switch {
 			case repeat:
 				if !reflect.DeepEqual(got, before) {
-					r.Fatalf("a repeat got %+v after %+v", got, before)
+					r.Fatalf("a repeat's result is %+v after %+v", got, before)
 				}
 			case parent != number:
 				if got.Status != Conflict || got.Revision.Number != number {
@@ -198,7 +204,7 @@
 					r.Fatalf("%+v, want number %d", got, number)
 				}
 			}
-			given[request] = got
+			results[request] = got
 			if rapid.IntRange(0, 9).Draw(r, "snapshot") == 0 {
 				s, err := h.Snapshot()
 				if err != nil {
@@ -229,7 +235,7 @@
 		}
 		again, err := c.Encode()
 		if err != nil {
-			t.Fatalf("what was read can't be written: %v", err)
+			t.Fatalf("what was decoded can't be encoded: %v", err)
 		}
 		d, err := Decode(again)
 		if err != nil || d.Request != c.Request || !d.At.Equal(c.At) || (c.Content != nil && d.Content.Sum() != c.Content.Sum()) {
@@ -251,12 +257,12 @@
 			return
 		}
 		if head, any := h.Head(); any && head.Checksum != head.Content.Sum() {
-			t.Fatal("a revision without its checksum was taken")
+			t.Fatal("a revision with a wrong checksum was accepted")
 		}
 	})
 }
 
-func TestTheHistoryIsBoundedInBytes(t *testing.T) {
+func TestHistoryIsBoundedInBytes(t *testing.T) {
 	var h History
 	big := map[string]string{}
 	for i := range 12 {
