--- a/rollout/finish.go
+++ b/rollout/finish.go
@@ -1,31 +1,29 @@
 package rollout
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// finish ends the rollout, with the state whole if all instances are ready with the wanted revision r, else with partly.
-func (m *Machine) finish(complete, partial State, r Revision) {
+// finish ends the rollout, in the state complete if all instances are ready with the wanted revision, else in partial.
+func (m *Machine) finish(complete, partial State, wanted Revision) {
 	var missing []string
 	for _, name := range m.order {
-		if i := m.instances[name]; i.silent || i.observed.Revision != r || !i.observed.Ready {
+		if inst := m.instances[name]; inst.silent || inst.observed.Revision != wanted || !inst.observed.Ready {
 			missing = append(missing, name)
 		}
 	}
 	state := complete
-	why := fmt.Sprintf("all %d instances have revision %d", len(m.order), r)
+	reason := fmt.Sprintf("all %d instances have revision %d", len(m.order), wanted)
 	if len(missing) > 0 {
 		state = partial
-		why = fmt.Sprintf("revision %d is wanted everywhere; these have yet to take it: %v", r, missing)
+		reason = fmt.Sprintf("revision %d is wanted everywhere; these have yet to take it: %v", wanted, missing)
 	}
 	if state == RolledBack || state == PartlyRolledBack {
-		why += "; " + m.reason
+		reason += "; " + m.reason
 	}
-	m.setState(state, why)
+	m.setState(state, reason)
 }
 
-// Wanted returns the revision that every instance is to have in the end, as far as is decided; 0 before the first
-// rollout.
+// Wanted returns the revision that all instances converge to by the present state: the previous one once the rollout is
+// rolled back, else the new one. It is 0 before the first rollout.
 func (m *Machine) Wanted() Revision {
 	switch m.state {
 	case RollingBack, RolledBack, PartlyRolledBack:
@@ -34,10 +32,11 @@
 	return m.target
 }
 
-// InstanceRevision returns the revision that one instance is to run now, 0 for none.
+// InstanceRevision returns the revision that an instance should run now, 0 for none. An instance that is unknown gets the
+// previous revision until the rollout has ended.
 func (m *Machine) InstanceRevision(instance string) Revision {
-	if i := m.instances[instance]; i != nil && i.assigned != 0 {
-		return i.assigned
+	if inst := m.instances[instance]; inst != nil && inst.assigned != 0 {
+		return inst.assigned
 	}
 	if m.state.Ended() {
 		return m.Wanted()
@@ -45,13 +44,13 @@
 	return m.previous
 }
 
-// converge assigns the wanted revision to instances that return or join after the end, within MostAway. Instances that
-// have it are not assigned it again.
+// converge assigns the wanted revision to instances that return or join after the end, within MaxUnavailable. Instances
+// that have it are not assigned it again.
 func (m *Machine) converge() {
 	list := m.participants()
 	converged := true
-	for _, i := range list {
-		if !m.convergeInstance(i, list) {
+	for _, inst := range list {
+		if !m.convergeInstance(inst, list) {
 			converged = false
 		}
 	}
@@ -68,40 +67,40 @@
 
 // convergeInstance assigns the wanted revision to an instance of the list if it needs it, and reports whether the
 // instance has it.
-func (m *Machine) convergeInstance(i *instance, list []*instance) bool {
-	r := m.Wanted()
+func (m *Machine) convergeInstance(inst *instance, list []*instance) bool {
+	wanted := m.Wanted()
 	switch {
-	case r == 0:
+	case wanted == 0:
 		return true // nothing is to run
-	case i.silent:
+	case inst.silent:
 		return false
-	case i.observed.Revision == r:
-		if !i.observed.Ready {
+	case inst.observed.Revision == wanted:
+		if !inst.observed.Ready {
 			return false
 		}
-		if i.phase != PhaseUpdated && i.phase != PhaseRolledBack && i.phase != PhasePending {
-			m.settle(i, r)
+		if inst.phase != PhaseUpdated && inst.phase != PhaseRolledBack && inst.phase != PhasePending {
+			m.settle(inst, wanted)
 		}
 		return true
-	case i.assigned == r && m.elapsed-i.assignedAt < m.policy.ReadyTimeout:
-		return false // it is taking it; if it fails to, it is assigned again later
-	case !m.mayAssign(i, list):
+	case inst.assigned == wanted && m.elapsed-inst.assignedAt < m.policy.ReadyTimeout:
+		return false // it is updating; if it does not become ready in time, it is assigned again
+	case !m.mayAssign(inst, list):
 		return false
 	}
 	phase := PhaseUpdating
-	if r == m.previous {
+	if wanted == m.previous {
 		phase = PhaseRollingBack
 	}
-	m.assign(i, r)
-	m.setPhase(i, phase, "told after the end")
+	m.assign(inst, wanted)
+	m.setPhase(inst, phase, "told after the end")
 	return false
 }
 
 // settle sets the phase of an instance that is ready with the wanted revision after the end.
-func (m *Machine) settle(i *instance, r Revision) {
+func (m *Machine) settle(inst *instance, wanted Revision) {
 	phase := PhaseUpdated
-	if r == m.previous {
+	if wanted == m.previous {
 		phase = PhaseRolledBack
 	}
-	m.setPhase(i, phase, fmt.Sprintf("ready with revision %d", r))
+	m.setPhase(inst, phase, fmt.Sprintf("ready with revision %d", wanted))
 }
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Policy says how a rollout proceeds.
+// Policy bounds a rollout. Times are of the machine's clock, see Machine.Handle.
 type Policy struct {
 	Canaries         int           // instances of the first wave
-	Waves            []float64     // shares of all instances that are assigned by the end of each further wave, rising to 1
-	MaxUnavailable   int           // instances that may be unavailable at once for any cause, except silent and lost ones
-	ReadyTimeout     time.Duration // from an assignment until the instance must be ready again; else it is lost
-	SoakDuration     time.Duration // how long it must then stay ready without a crash
-	SilenceTimeout   time.Duration // how long after it was last heard of an instance is silent
+	Waves            []float64     // fractions of all instances that are assigned by the end of each further wave, rising to 1
+	MaxUnavailable   int           // instances that may be unavailable at once for any cause, except silent ones and those past ReadyTimeout
+	ReadyTimeout     time.Duration // from an assignment until the instance must be ready; otherwise the rollout is rolled back
+	SoakDuration     time.Duration // how long it must then be ready without a crash
+	SilenceTimeout   time.Duration // how long after its last report an instance is silent
 	MaxSilent        int           // assigned instances that may be silent
-	MaxServiceDrop   float64       // share by which the service level may fall; 0: it is not checked
-	LowServiceWindow time.Duration // how long the level may be lower than that
+	MaxServiceDrop   float64       // fraction by which the service level may be below that at the start; 0: it is not checked
+	LowServiceWindow time.Duration // how long it may be below that
 	Deadline         time.Duration // from the start to the end, pauses included
-	RollbackTimeout  time.Duration // how long a rollback waits for instances
+	RollbackTimeout  time.Duration // from the start of a rollback until it ends without the instances that are missing
 }
 
-// Validate returns an error if a rollout with the policy could not begin or not end.
+// Validate returns an error if a rollout with the policy could not begin or not end. The error names the setting by the
+// operators' words.
 func (p *Policy) Validate() error {
 	switch {
 	case p.Canaries < 1:
@@ -36,8 +37,8 @@
 	case p.MaxServiceDrop < 0 || p.MaxServiceDrop >= 1:
 		return fmt.Errorf("service fall: %g is not from 0 to below 1", p.MaxServiceDrop)
 	}
-	for i, w := range p.Waves {
-		if w <= 0 || w > 1 || i > 0 && w <= p.Waves[i-1] {
+	for i, fraction := range p.Waves {
+		if fraction <= 0 || fraction > 1 || i > 0 && fraction <= p.Waves[i-1] {
 			return fmt.Errorf("waves: %v do not rise to 1", p.Waves)
 		}
 	}
--- a/rollout/rollback.go
+++ b/rollout/rollback.go
@@ -1,25 +1,24 @@
 package rollout
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// rollBack starts a rollback for all instances that may have the new revision.
-func (m *Machine) rollBack(why string) {
-	m.setState(RollingBack, why)
+// rollBack begins a rollback. Instances are assigned the previous revision by continueRollback: with the same event if that
+// event demanded the rollback, with the next one if a gate did.
+func (m *Machine) rollBack(reason string) {
+	m.setState(RollingBack, reason)
 	m.directionStart = m.elapsed
 	for _, name := range m.order {
-		i := m.instances[name]
-		if i.assigned == 0 {
+		inst := m.instances[name]
+		if inst.assigned == 0 {
 			continue
 		}
-		i.unconfirmed = i.readySince < 0
-		i.assigned = 0 // until continueRollback assigns the previous revision
-		i.readySince = noTime
+		inst.unconfirmed = inst.readySince < 0
+		inst.assigned = 0 // until continueRollback assigns the previous revision
+		inst.readySince = noTime
 	}
 }
 
-// continueRollback assigns the previous revision to instances that may have the new one, within MostAway.
+// continueRollback assigns the previous revision to instances that may have the new one, within MaxUnavailable.
 func (m *Machine) continueRollback() {
 	if m.previous == 0 {
 		m.setState(RolledBack, "there is no revision before: nothing is to run; "+m.reason)
@@ -27,8 +26,8 @@
 	}
 	list := m.participants()
 	pending := 0
-	for _, i := range list {
-		if m.rollBackInstance(i, list) {
+	for _, inst := range list {
+		if m.rollBackInstance(inst, list) {
 			pending++
 		}
 	}
@@ -38,24 +37,25 @@
 	}
 }
 
-// rollBackInstance rolls back one instance of the list if it needs to, and reports whether it must be waited for.
-func (m *Machine) rollBackInstance(i *instance, list []*instance) (pending bool) {
+// rollBackInstance rolls back one instance of the list if it needs to, and reports whether the rollback must wait
+// for it.
+func (m *Machine) rollBackInstance(inst *instance, list []*instance) (pending bool) {
 	switch {
-	case i.assigned == m.previous && i.readySince >= 0:
-		if i.phase != PhaseRolledBack {
-			m.setPhase(i, PhaseRolledBack, fmt.Sprintf("ready with revision %d", m.previous))
+	case inst.assigned == m.previous && inst.readySince >= 0:
+		if inst.phase != PhaseRolledBack {
+			m.setPhase(inst, PhaseRolledBack, fmt.Sprintf("ready with revision %d", m.previous))
 		}
 		return false
-	case i.silent:
+	case inst.silent:
 		return false
-	case i.assigned == m.previous:
+	case inst.assigned == m.previous:
 		return true
-	case i.reported && i.observed.Revision == m.previous && i.phase == PhasePending:
+	case inst.reported && inst.observed.Revision == m.previous && inst.phase == PhasePending:
 		return false // it was never assigned the new revision
-	case !m.mayAssign(i, list):
+	case !m.mayAssign(inst, list):
 		return true
 	}
-	m.assign(i, m.previous)
-	m.setPhase(i, PhaseRollingBack, fmt.Sprintf("told to go back to revision %d", m.previous))
+	m.assign(inst, m.previous)
+	m.setPhase(inst, PhaseRollingBack, fmt.Sprintf("told to go back to revision %d", m.previous))
 	return true
 }
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -11,9 +11,9 @@
 	Reason    string
 	New       Revision
 	Previous  Revision
-	Wanted    Revision
-	Wave      int // from 1
-	Waves     int
+	Wanted    Revision         // see Machine.Wanted
+	Wave      int              // from 1, the canaries
+	Waves     int              // number of waves, the canaries' included
 	Instances []InstanceStatus // by name
 }
 
@@ -21,17 +21,17 @@
 type InstanceStatus struct {
 	Name     string
 	Phase    Phase
-	Assigned Revision // assigned revision; 0: none
+	Assigned Revision // 0: none
 	Observed Observed
-	Silent   bool
+	Silent   bool // it has not reported for Policy.SilenceTimeout
 }
 
-// Status returns the present state of the rollout.
+// Status returns the present state of the rollout, or of the last one.
 func (m *Machine) Status() Status {
-	s := Status{State: m.state, Reason: m.reason, New: m.target, Previous: m.previous, Wanted: m.Wanted(), Wave: m.wave + 1, Waves: len(m.policy.Waves) + 1}
-	for _, i := range m.instances {
-		s.Instances = append(s.Instances, InstanceStatus{i.name, i.phase, i.assigned, i.observed, i.silent})
+	status := Status{State: m.state, Reason: m.reason, New: m.target, Previous: m.previous, Wanted: m.Wanted(), Wave: m.wave + 1, Waves: len(m.policy.Waves) + 1}
+	for _, inst := range m.instances {
+		status.Instances = append(status.Instances, InstanceStatus{inst.name, inst.phase, inst.assigned, inst.observed, inst.silent})
 	}
-	slices.SortFunc(s.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.Name, b.Name) })
-	return s
+	slices.SortFunc(status.Instances, func(a, b InstanceStatus) int { return strings.Compare(a.Name, b.Name) })
+	return status
 }
--- a/rollout/types.go
+++ b/rollout/types.go
@@ -3,7 +3,13 @@
 // clock: events go in with the time at which they happened, actions come out.
 //
 // A rollout ends with one revision that is wanted everywhere: the new one or the previous one. Instances that do not
-// have it yet are named in the status, and are assigned it as soon as they are heard of again.
+// have it yet are named in the status, and are assigned it as soon as they report again.
+//
+// It knows revisions by number alone: what they contain, whether they are valid, and how an instance is updated is not its
+// concern. The driver, package internal/agent, owns the Machine in one goroutine. It passes on the reports of all instances
+// and a Tick at least every half Policy.SilenceTimeout, has each instance run its InstanceRevision, whose changes Assign
+// announces, and stores every Changed of the rollout, so that another machine can take over with Start. It must not use
+// two machines for one site at a time: each would allow MaxUnavailable instances.
 package rollout
 
 // Revision is the number of a revision; 0 is none.
@@ -12,19 +18,20 @@
 // State is the state of a rollout.
 type State string
 
-// The states of a rollout. The last four are final.
+// The states of a rollout. The last four are ends. One with instances missing becomes the complete one as soon as they have
+// the revision.
 const (
 	Idle             State = "idle"         // none has been started
 	Advancing        State = "advancing"    // waves are being assigned
-	Paused           State = "paused"       // by an operator; there are no new assignments
-	RollingBack      State = "rolling back" // assigned instances are assigned the previous revision
+	Paused           State = "paused"       // by an operator, see Pause
+	RollingBack      State = "rolling back" // instances that may have the new revision are assigned the previous one
 	Applied          State = "applied"      // all have the new revision
 	PartlyApplied    State = "applied, some missing"
 	RolledBack       State = "rolled back" // all have the previous revision
 	PartlyRolledBack State = "rolled back, some missing"
 )
 
-// Ended reports whether a state is final.
+// Ended reports whether a state is an end, from which a rollout goes neither forward nor back.
 func (s State) Ended() bool {
 	return s == Applied || s == PartlyApplied || s == RolledBack || s == PartlyRolledBack
 }
@@ -34,112 +41,20 @@
 
 // The phases of an instance.
 const (
-	PhasePending     Phase = "waiting" // it has the previous revision and no assignment yet
-	PhaseUpdating    Phase = "taking"  // it was assigned a revision and is not ready with it yet
-	PhaseSoaking     Phase = "being watched"
-	PhaseUpdated     Phase = "took it"
-	PhaseRejected    Phase = "refused it"
-	PhaseFailed      Phase = "broke" // it crashed, or was not ready in time
-	PhaseSilent      Phase = "silent"
-	PhaseRollingBack Phase = "going back"
-	PhaseRolledBack  Phase = "went back"
+	PhasePending     Phase = "waiting"       // it has the previous revision and no assignment yet
+	PhaseUpdating    Phase = "taking"        // it was assigned a revision and is not ready with it yet
+	PhaseSoaking     Phase = "being watched" // it is ready, for less than Policy.SoakDuration so far
+	PhaseUpdated     Phase = "took it"       // it has been ready for Policy.SoakDuration
+	PhaseRejected    Phase = "refused it"    // it can't run the revision it was assigned
+	PhaseFailed      Phase = "broke"         // it crashed, or was not ready in time
+	PhaseSilent      Phase = "silent"        // it has not reported for Policy.SilenceTimeout
+	PhaseRollingBack Phase = "going back"    // it was assigned the previous revision and is not ready with it yet
+	PhaseRolledBack  Phase = "went back"     // it is ready with the previous revision
 )
 
 // Observed is what an instance reports.
 type Observed struct {
-	Revision Revision // running
+	Revision Revision // that it runs
 	Ready    bool
 	Crashes  int // since its first start; never decreases
 }
-
-// Event is something that happened.
-type Event interface{ event() }
-
-// Start begins a rollout of New in place of Before. Instances are all instances of the site with what was last heard of
-// each; one that has not been heard of lately is away, and left out until it returns.
-//
-// If State is set, Start takes over a rollout that another machine began, in that state: instances that have New already
-// count as assigned.
-type Start struct {
-	New, Previous Revision
-	Instances     map[string]InitialInstance
-	ServiceLevel  float64 // service level at the start; 0: unknown
-	State         State   // "": a new rollout
-	Reason        string
-}
-
-// InitialInstance is an instance at the start of a rollout.
-type InitialInstance struct {
-	Observed
-	Assigned    Revision // assigned
-	Unreachable bool
-}
-
-// InstanceReported is news of an instance. It adds an instance that is new to the site.
-type InstanceReported struct {
-	Instance string
-	Observed
-}
-
-// Rejected says that an instance rejects a revision, and why.
-type Rejected struct {
-	Instance string
-	Revision Revision
-	Reason   string
-}
-
-// InstanceRemoved says that an instance no longer belongs to the site.
-type InstanceRemoved struct{ Instance string }
-
-// ServiceReported is the site's present service level.
-type ServiceReported struct{ Level float64 }
-
-// Tick says that time has passed.
-type Tick struct{}
-
-// Pause is an operator's command to begin no further instance.
-type Pause struct{ By string }
-
-// Resume is an operator's command that ends a pause.
-type Resume struct{ By string }
-
-// Abort is an operator's command to roll back.
-type Abort struct{ By string }
-
-func (Start) event() {}
-
-func (InstanceReported) event() {}
-
-func (Rejected) event() {}
-
-func (InstanceRemoved) event() {}
-
-func (ServiceReported) event() {}
-
-func (Tick) event() {}
-
-func (Pause) event() {}
-
-func (Resume) event() {}
-
-func (Abort) event() {}
-
-// Action is something to be done.
-type Action interface{ action() }
-
-// Assign assigns a revision to an instance. It may repeat an assignment, which changes nothing.
-type Assign struct {
-	Instance string
-	Revision Revision
-}
-
-// Changed reports that the rollout, or one instance in it, has changed its state, and why.
-type Changed struct {
-	Instance string // "": the rollout
-	From, To string
-	Reason   string
-}
-
-func (Assign) action() {}
-
-func (Changed) action() {}
