--- a/fleet/records.go
+++ b/fleet/records.go
@@ -6,15 +6,14 @@
 	"elderyard/records"
 )
 
-// MaxRecordsChangeBytes bounds the names, values and conditions of a change of
-// records, so that an entry stays well below what the voters' log takes.
+// MaxRecordsChangeBytes bounds the names, values and conditions of a change of records, so that an entry stays well below
+// what the replicated log accepts.
 const MaxRecordsChangeBytes = 8 << 20
 
-// operationOverhead is what an operation counts for beside its name and value, in bytes.
+// operationOverhead is the size of an operation beside its name and value, in bytes.
 const operationOverhead = 48
 
-// checkRecordsChange holds a change to the bounds of an entry. What it would do to the
-// records is for the state to judge.
+// checkRecordsChange checks a change against the bounds of an entry. Its operations are validated when it is applied.
 func checkRecordsChange(change *records.Change) error {
 	if len(change.Operations) > records.MaxOperations {
 		return fmt.Errorf("records change: %d operations, at most %d are allowed", len(change.Operations), records.MaxOperations)
@@ -29,23 +28,22 @@
 	return nil
 }
 
-// Records returns the site's records. They must be read only, and not be kept.
+// Records returns the site's records. The caller must not change them, nor use them after the state's next change.
 func (s *State) Records() *records.Store { return &s.records }
 
-// applyRecordsChange applies a change whole or not at all, and notes an accepted one in
-// the audit log.
+// applyRecordsChange applies a change completely or not at all, and logs an accepted one in the audit log.
 func (s *State) applyRecordsChange(index uint64, change records.Change) (Outcome, error) {
 	result, err := s.records.Apply(index, change)
 	if err != nil {
 		return Outcome{}, fmt.Errorf("records change: %w", err)
 	}
-	if result.Status == records.Accepted && result.Version == index { // else it is the answer to a repeat
+	if result.Status == records.Accepted && result.Version == index { // else it is the result of a repeat
 		s.logEvent(change.At, change.Author, describeChange(index, change))
 	}
 	return Outcome{Records: &result}, nil
 }
 
-// maxNamedKeys is how many records an event of the audit log names.
+// maxNamedKeys is the number of records that an event of the audit log names.
 const maxNamedKeys = 3
 
 func describeChange(version uint64, change records.Change) string {
@@ -71,8 +69,8 @@
 	return text
 }
 
-// snapshotRecords returns nil where no change of records has been applied: the
-// snapshot of such a site is the one that earlier programs wrote.
+// snapshotRecords returns nil if no change of records has been applied. A site without records thus has the snapshots that
+// programs without support for records can read.
 func (s *State) snapshotRecords() ([]byte, error) {
 	if s.records.Applied() == 0 {
 		return nil, nil
