--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -13,7 +13,7 @@
 )
 
 // The golden files of this package are what the voters' logs and snapshots of existing
-// sites hold, and what the agents' interface answers.
+// sites contain, and what the agents' interface answers.
 
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
@@ -61,13 +61,13 @@
 	golden.Complete(t, all...)
 }
 
-// TestUnknownKeyIsRefused: a voter that skipped a key would come to another state than
+// TestUnknownKeyIsRejected: a voter that skipped a key would reach another state than
 // one that knows it.
-func TestUnknownKeyIsRefused(t *testing.T) {
+func TestUnknownKeyIsRejected(t *testing.T) {
 	for kind := range goldenEntries() {
 		golden.Decode(t, "entry-"+kind+".json", func(text []byte) error {
 			if _, err := Decode(append([]byte(`{"later":1,`), text[1:]...)); err == nil {
-				t.Errorf("%s: an entry with an unknown key was taken", kind)
+				t.Errorf("%s: an entry with an unknown key was accepted", kind)
 			}
 			return nil
 		})
--- a/fleet/records.go
+++ b/fleet/records.go
@@ -13,17 +13,28 @@
 // operationOverhead is the size of an operation beside its name and value, in bytes.
 const operationOverhead = 48
 
-// checkRecordsChange checks a change against the bounds of an entry. Its operations are validated when it is applied.
+// RecordsLimitError says that a change of records is beyond a bound of an entry.
+type RecordsLimitError struct {
+	Value, Limit int
+	Unit         string // "operations" or "bytes"
+}
+
+// Error returns the value and its limit.
+func (e *RecordsLimitError) Error() string {
+	return fmt.Sprintf("records change: %d %s, at most %d are allowed", e.Value, e.Unit, e.Limit)
+}
+
+// checkRecordsChange returns a *RecordsLimitError for a change beyond the bounds of an entry. Its operations are validated when it is applied.
 func checkRecordsChange(change *records.Change) error {
 	if len(change.Operations) > records.MaxOperations {
-		return fmt.Errorf("records change: %d operations, at most %d are allowed", len(change.Operations), records.MaxOperations)
+		return &RecordsLimitError{len(change.Operations), records.MaxOperations, "operations"}
 	}
 	size := 0
 	for _, operation := range change.Operations {
 		size += operationOverhead + len(operation.Key.Name) + len(operation.Value)
 	}
 	if size > MaxRecordsChangeBytes {
-		return fmt.Errorf("records change: %d bytes, at most %d are allowed", size, MaxRecordsChangeBytes)
+		return &RecordsLimitError{size, MaxRecordsChangeBytes, "bytes"}
 	}
 	return nil
 }
--- a/fleet/records_test.go
+++ b/fleet/records_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -51,10 +52,10 @@
 		t.Fatalf("version %d at index 7", got.Version)
 	}
 	if got := applyRecords(t, &s, 8, first, records.Accepted); got.Version != 7 {
-		t.Fatalf("a repeat was answered with version %d", got.Version)
+		t.Fatalf("a repeat's result has version %d", got.Version)
 	}
-	bad := recordsEntry("2", putRecord("plan/silver", goldPlan), putRecord("tenant/zed", `{"plan":"copper"}`))
-	got := applyRecords(t, &s, 9, bad, records.Invalid)
+	invalid := recordsEntry("2", putRecord("plan/silver", goldPlan), putRecord("tenant/zed", `{"plan":"copper"}`))
+	got := applyRecords(t, &s, 9, invalid, records.Invalid)
 	if got.Problem.Key != "tenant/zed" || got.Problem.Field != "plan" {
 		t.Fatalf("%+v", got.Problem)
 	}
@@ -66,7 +67,7 @@
 		t.Fatalf("%+v", events)
 	}
 	if _, err := s.Apply(9, recordsEntry("3", putRecord("plan/silver", goldPlan))); err == nil {
-		t.Fatal("an index was taken twice")
+		t.Fatal("an index was accepted twice")
 	}
 }
 
@@ -88,28 +89,28 @@
 	if r := restored.Records(); r.Version() != 3 || r.Digest() != s.Records().Digest() {
 		t.Fatalf("version %d, digest %s", r.Version(), r.Digest())
 	}
-	// A repeat that crosses the snapshot is still known.
+	// A repeat is recognized after a restore.
 	applyRecords(t, &restored, 4, recordsEntry("1", putRecord("plan/gold", goldPlan)), records.Accepted)
 	if restored.Records().Version() != 3 {
-		t.Fatal("a repeat was applied anew behind a snapshot")
+		t.Fatal("a repeat was applied again after a restore")
 	}
-	// A snapshot of a program that knew no records takes the place of all.
+	// A snapshot of a program without support for records replaces all records.
 	if err := restored.Restore(without); err != nil || restored.Records().Len() != 0 {
 		t.Fatalf("%d records, %v", restored.Records().Len(), err)
 	}
-	var shot map[string]json.RawMessage
-	if err := json.Unmarshal(with, &shot); err != nil {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(with, &fields); err != nil {
 		t.Fatal(err)
 	}
 	var stored []byte
-	if err := json.Unmarshal(shot["records"], &stored); err != nil {
+	if err := json.Unmarshal(fields["records"], &stored); err != nil {
 		t.Fatal(err)
 	}
 	stored[len(stored)/2] ^= 1
-	if shot["records"], err = json.Marshal(stored); err != nil {
+	if fields["records"], err = json.Marshal(stored); err != nil {
 		t.Fatal(err)
 	}
-	damaged, err := json.Marshal(shot)
+	damaged, err := json.Marshal(fields)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,9 +125,11 @@
 		many[i] = putRecord(fmt.Sprintf("plan/p%d", i), goldPlan)
 	}
 	large := putRecord("plan/gold", `"`+strings.Repeat("x", MaxRecordsChangeBytes)+`"`)
-	for _, e := range []Entry{recordsEntry("1", many...), recordsEntry("1", large)} {
-		if _, err := e.Encode(); err == nil || !strings.Contains(err.Error(), "allowed") {
-			t.Errorf("%v", err)
+	for unit, e := range map[string]Entry{"operations": recordsEntry("1", many...), "bytes": recordsEntry("1", large)} {
+		_, err := e.Encode()
+		var limit *RecordsLimitError
+		if !errors.As(err, &limit) || limit.Unit != unit || limit.Value <= limit.Limit || !strings.Contains(err.Error(), "allowed") {
+			t.Errorf("too many %s: %v", unit, err)
 		}
 	}
 	e := recordsEntry("1", many[:records.MaxOperations]...)
--- a/fleet/roster_test.go
+++ b/fleet/roster_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRosterIsAgreed(t *testing.T) {
+func TestRosterChanges(t *testing.T) {
 	var s State
 	apply := func(names ...string) {
 		t.Helper()
@@ -28,22 +28,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var other State
-	if err := other.Restore(text); err != nil || !reflect.DeepEqual(other.Roster(), r) {
-		t.Errorf("after a snapshot: %+v, %v", other.Roster(), err)
+	var restored State
+	if err := restored.Restore(text); err != nil || !reflect.DeepEqual(restored.Roster(), r) {
+		t.Errorf("after a snapshot: %+v, %v", restored.Roster(), err)
 	}
 	for _, bad := range [][]string{{}, {"b", "a"}, {"a", "a"}, {"a b"}} {
 		if _, err := s.Apply(1, Entry{RosterChange: &RosterChange{Names: bad}}); err == nil {
-			t.Errorf("%v was taken", bad)
+			t.Errorf("%v was accepted", bad)
 		}
 	}
 	if s.Roster().Epoch != 3 {
-		t.Error("what was refused changed the roster")
+		t.Error("a rejected change changed the roster")
 	}
 }
 
-// A site without a roster writes the snapshots that it wrote before.
-func TestSnapshotWithoutRosterIsAsBefore(t *testing.T) {
+// TestSnapshotWithoutRoster: a site without a roster has the snapshots of programs without support for rosters.
+func TestSnapshotWithoutRoster(t *testing.T) {
 	var s State
 	text, err := s.Snapshot()
 	if err != nil || string(text) != `{"form":1,"history":`+string(historyOf(t, &s))+`,"rollout":{"new":0,"before":0,"state":"","why":"","by":"","at":"0001-01-01T00:00:00Z"},"agents":null,"drained":null,"events":null}` {
