--- a/internal/replica/check.go
+++ b/internal/replica/verify.go
@@ -14,7 +14,7 @@
 
 func boltOptions() *bbolt.Options { return &bbolt.Options{Timeout: boltOpenTimeout} }
 
-// What bbolt's file format puts into its two first pages.
+// Layout of the two meta pages with which a file of bbolt begins.
 const (
 	boltMagic        = 0xED0CDAED
 	pageHeaderBytes  = 16
@@ -22,33 +22,31 @@
 	metaPages        = 2
 	minPageBytes     = 512
 	maxPageBytes     = 64 << 10
-	checksummedBytes = 56 // bytes of the meta data that its checksum covers
-	metaPageSize     = 8
-	metaPageCount    = 40 // where the number of pages stands
-	metaTransaction  = 48
+	checksummedBytes = 56 // of the meta data that its checksum covers
+	metaPageSize     = 8  // offset of the page size in the meta data
+	metaPageCount    = 40 // offset of the number of pages
+	metaTransaction  = 48 // offset of the transaction's number
 )
 
-// verifyLogFile looks at a log's file before it is mapped into memory. Danger: the
-// library reads a file that was cut short through its map, and a read behind the
-// end kills the process instead of being an error. A file that is not there is
-// no fault.
+// verifyLogFile returns an error if a log's file is damaged. It must run before bbolt maps the file into memory: a read of
+// the map behind the end of a file that was cut short kills the process. A file that does not exist is no error.
 func verifyLogFile(path string) error {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	info, err := f.Stat()
+	defer file.Close()
+	info, err := file.Stat()
 	if err != nil {
 		return err
 	}
 	if info.Size() == 0 {
 		return errors.New("it is empty")
 	}
-	pages, pageSize, err := readExtent(f)
+	pages, pageSize, err := readExtent(file)
 	if err != nil {
 		return err
 	}
@@ -58,25 +56,25 @@
 	return verifyPages(path)
 }
 
-// readExtent reads how many pages the newest good meta page speaks of.
-func readExtent(f io.ReaderAt) (pages uint64, pageSize uint32, err error) {
+// readExtent returns the number and size of the pages of a file, by its newest meta page that is intact.
+func readExtent(file io.ReaderAt) (pages uint64, pageSize uint32, err error) {
 	newest, found := uint64(0), false
 	page := make([]byte, pageHeaderBytes+metaBytes)
-	// The second meta page stands one page behind the first, whose size only the
-	// first tells, if that is whole; else sizes are tried.
+	// The second meta page follows one page after the first. The page size stands in the first, which may be damaged, so
+	// all sizes are tried.
 	for size := int64(minPageBytes); size <= maxPageBytes; size *= 2 {
 		for n := range int64(metaPages) {
-			if _, err := f.ReadAt(page, n*size); err != nil {
+			if _, err := file.ReadAt(page, n*size); err != nil {
 				continue
 			}
 			meta := page[pageHeaderBytes:]
-			h := fnv.New64a()
-			h.Write(meta[:checksummedBytes])
-			if binary.NativeEndian.Uint32(meta) != boltMagic || binary.NativeEndian.Uint64(meta[checksummedBytes:]) != h.Sum64() {
+			checksum := fnv.New64a()
+			checksum.Write(meta[:checksummedBytes])
+			if binary.NativeEndian.Uint32(meta) != boltMagic || binary.NativeEndian.Uint64(meta[checksummedBytes:]) != checksum.Sum64() {
 				continue
 			}
-			if tx := binary.NativeEndian.Uint64(meta[metaTransaction:]); !found || tx > newest {
-				found, newest = true, tx
+			if transaction := binary.NativeEndian.Uint64(meta[metaTransaction:]); !found || transaction > newest {
+				found, newest = true, transaction
 				pageSize, pages = binary.NativeEndian.Uint32(meta[metaPageSize:]), binary.NativeEndian.Uint64(meta[metaPageCount:])
 			}
 		}
@@ -87,26 +85,26 @@
 	return pages, pageSize, nil
 }
 
-// verifyPages reads every page once.
+// verifyPages has bbolt check every page, and returns the first error.
 func verifyPages(path string) (err error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: boltOpenTimeout, ReadOnly: true})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil // another process has it; who opens it next says so
+		return nil // another process has locked the file, and the next open reports that
 	}
 	if err != nil {
 		return err
 	}
 	defer func() {
-		// The library panics at pages that make no sense.
-		if p := recover(); p != nil {
-			err = fmt.Errorf("%v", p)
+		// bbolt panics at pages that contradict each other.
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("%v", cause)
 		}
 	}()
 	defer db.Close()
 	return db.View(func(tx *bbolt.Tx) (first error) {
-		for e := range tx.Check() {
+		for err := range tx.Check() { // to the end: bbolt's goroutine sends until the channel is drained
 			if first == nil {
-				first = e
+				first = err
 			}
 		}
 		return first
