--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -24,16 +24,15 @@
 )
 
 const (
-	operators   = 3
-	callsEach   = 14
-	faultsEach  = 7
-	proposeTime = 3 * time.Second
+	faultClients   = 3
+	callsPerClient = 14
+	faultsPerRun   = 7
+	requestTimeout = 3 * time.Second
 )
 
-// TestFaults plays seeded faults (death, a partition, a silent voter, a full
-// disk) to three voters while operators apply and show. No revision that was
-// acknowledged may be lost, none may be there that nobody asked for, all voters
-// come to one state, and the history is linearizable.
+// TestFaults injects seeded faults (crash, partition, isolated voter, full disk) into three voters while clients write and
+// read revisions. No acknowledged revision may be lost, none may exist that was not requested, all voters must reach the
+// same state, and the history must be linearizable.
 func TestFaults(t *testing.T) {
 	for run := range *faultRuns {
 		seed := *faultSeed + uint64(run)
@@ -41,41 +40,42 @@
 	}
 }
 
-// trial is one run.
-type trial struct {
-	mu   sync.RWMutex // stores are replaced under it
-	list []*voter
-	bad  []atomic.Bool // the disk of each is full
+// faultRun is one run.
+type faultRun struct {
+	mu       sync.RWMutex // guards the stores of list
+	list     []*voter
+	diskFull []atomic.Bool // by voter
 
-	record  sync.Mutex
-	ops     []porcupine.Operation
-	asked   map[string]bool // content that anybody asked for
-	claimed map[uint64]string
+	record       sync.Mutex // guards the fields below
+	operations   []porcupine.Operation
+	requested    map[string]bool   // contents
+	acknowledged map[uint64]string // contents by revision
 }
 
-// action and answer are an operation of the history.
-type action struct {
-	show    bool
+// call and reply are the input and output of an operation of the history.
+type call struct {
+	read    bool
 	request string
 	parent  uint64
 	file    string
 }
 
-type answer struct {
+type reply struct {
 	unknown bool
-	answer  revisions.Status
+	status  revisions.Status
 	number  uint64
 	file    string
 }
 
 func playFaults(t *testing.T, seed uint64) {
-	r := rand.New(rand.NewPCG(seed, 0))
-	n, list := three(t)
-	tr := &trial{list: list, bad: make([]atomic.Bool, len(list)), asked: map[string]bool{}, claimed: map[uint64]string{}}
+	t.Helper()
+	random := rand.New(rand.NewPCG(seed, 0))
+	n, list := startThree(t)
+	run := &faultRun{list: list, diskFull: make([]atomic.Bool, len(list)), requested: map[string]bool{}, acknowledged: map[uint64]string{}}
 	for i, v := range list {
 		v.stop()
-		v.spoil = func() error {
-			if tr.bad[i].Load() {
+		v.injectWriteError = func() error {
+			if run.diskFull[i].Load() {
 				return errors.New("no space left on device")
 			}
 			return nil
@@ -83,54 +83,54 @@
 		must(t, v.start(t))
 	}
 	leader(t, list)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	began := time.Now()
 	var wg sync.WaitGroup
-	for op := range operators {
-		choose := rand.New(rand.NewPCG(seed, uint64(op)+1))
-		wg.Go(func() { tr.operate(ctx, op, choose, began) })
+	for client := range faultClients {
+		choose := rand.New(rand.NewPCG(seed, uint64(client)+1))
+		wg.Go(func() { run.runClient(ctx, client, choose, began) })
 	}
-	for range faultsEach {
-		at := r.IntN(len(list))
-		switch kind := r.IntN(5); kind {
-		case 0, 1: // killed, and back
-			tr.mu.Lock()
+	for range faultsPerRun {
+		at := random.IntN(len(list))
+		switch kind := random.IntN(5); kind {
+		case 0, 1: // crash and restart
+			run.mu.Lock()
 			list[at].stop()
-			tr.mu.Unlock()
-			wait.For(ctx, time.Duration(r.IntN(600))*time.Millisecond)
-			tr.mu.Lock()
+			run.mu.Unlock()
+			wait.For(ctx, time.Duration(random.IntN(600))*time.Millisecond)
+			run.mu.Lock()
 			must(t, list[at].start(t))
-			tr.mu.Unlock()
-		case 2, 3: // cut off from one of the others, or from both: as silent as one that is stopped
+			run.mu.Unlock()
+		case 2, 3: // partition from one of the others, or isolation
 			for other := range list {
 				if other != at && (kind == 3 || other == (at+1)%len(list)) {
 					n.set(list[at].name, list[other].name, true)
 				}
 			}
-			wait.For(ctx, time.Duration(r.IntN(900))*time.Millisecond)
+			wait.For(ctx, time.Duration(random.IntN(900))*time.Millisecond)
 			n.healAll()
-		case 4:
-			tr.bad[at].Store(true)
-			wait.For(ctx, time.Duration(r.IntN(600))*time.Millisecond)
-			tr.bad[at].Store(false)
+		case 4: // full disk
+			run.diskFull[at].Store(true)
+			wait.For(ctx, time.Duration(random.IntN(600))*time.Millisecond)
+			run.diskFull[at].Store(false)
 		}
-		tr.restartBroken(t)
-		wait.For(ctx, time.Duration(r.IntN(300))*time.Millisecond)
+		run.restartFailed(t)
+		wait.For(ctx, time.Duration(random.IntN(300))*time.Millisecond)
 	}
 	wg.Wait()
-	tr.restartBroken(t)
+	run.restartFailed(t)
 	if ctx.Err() != nil {
-		t.Fatal("the operators did not come to an end")
+		t.Fatal("the clients did not finish")
 	}
-	tr.judge(t)
+	run.check(t)
 }
 
-// restartBroken does what a service manager does with an agent that has ended.
-func (tr *trial) restartBroken(t *testing.T) {
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	for _, v := range tr.list {
+// restartFailed restarts voters that have stopped for good, as a service manager does.
+func (run *faultRun) restartFailed(t *testing.T) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	for _, v := range run.list {
 		select {
 		case <-v.store.Failed():
 			t.Logf("%s stopped: %v", v.name, v.store.DiskError())
@@ -141,114 +141,115 @@
 	}
 }
 
-// operate applies and shows at any voter.
-func (tr *trial) operate(ctx context.Context, op int, choose *rand.Rand, began time.Time) {
-	known := uint64(0)
-	for n := 0; n < callsEach && ctx.Err() == nil; n++ {
+// runClient writes and reads revisions at random voters.
+func (run *faultRun) runClient(ctx context.Context, client int, choose *rand.Rand, began time.Time) {
+	head := uint64(0) // as far as the client knows
+	for n := 0; n < callsPerClient && ctx.Err() == nil; n++ {
 		wait.For(ctx, time.Duration(choose.IntN(250))*time.Millisecond)
-		a := action{show: choose.IntN(3) == 0, parent: known}
-		if !a.show {
-			a.request = fmt.Sprintf("%d-%d", op, n)
-			a.file = "by " + a.request
-			tr.record.Lock()
-			tr.asked[a.file] = true
-			tr.record.Unlock()
+		c := call{read: choose.IntN(3) == 0, parent: head}
+		if !c.read {
+			c.request = fmt.Sprintf("%d-%d", client, n)
+			c.file = "by " + c.request
+			run.record.Lock()
+			run.requested[c.file] = true
+			run.record.Unlock()
 		}
-		call := time.Since(began)
-		got := tr.ask(ctx, a, choose)
-		back := time.Since(began)
+		calledAt := time.Since(began)
+		got := run.do(ctx, c, choose)
+		returnedAt := time.Since(began)
 		if got.unknown {
-			back = time.Hour // it may still be carried out
-			if a.show {
-				continue // and changes nothing
+			returnedAt = time.Hour // it may be committed later
+			if c.read {
+				continue // it has no effect
 			}
 		} else {
-			known = got.number
+			head = got.number
 		}
-		tr.record.Lock()
-		tr.ops = append(tr.ops, porcupine.Operation{ClientId: op, Input: a, Call: int64(call), Output: got, Return: int64(back)})
-		if got.answer == revisions.Accepted {
-			tr.claimed[got.number] = a.file
+		run.record.Lock()
+		run.operations = append(run.operations, porcupine.Operation{ClientId: client, Input: c, Call: int64(calledAt), Output: got, Return: int64(returnedAt)})
+		if got.status == revisions.Accepted {
+			run.acknowledged[got.number] = c.file
 		}
-		tr.record.Unlock()
+		run.record.Unlock()
 	}
 }
 
-// ask goes from voter to voter until one has answered, as the tool does with
-// one request; its fate is unknown when the time is over.
-func (tr *trial) ask(ctx context.Context, a action, choose *rand.Rand) answer {
-	for limit := time.Now().Add(proposeTime); time.Now().Before(limit); wait.For(ctx, 20*time.Millisecond) {
-		tr.mu.RLock()
-		got, err := tr.askOne(ctx, tr.list[choose.IntN(len(tr.list))].store, a)
-		tr.mu.RUnlock()
+// do sends a call to random voters until one has answered, as elderctl does with one request. Its fate is unknown after
+// requestTimeout.
+func (run *faultRun) do(ctx context.Context, c call, choose *rand.Rand) reply {
+	for limit := time.Now().Add(requestTimeout); time.Now().Before(limit); wait.For(ctx, 20*time.Millisecond) {
+		run.mu.RLock()
+		got, err := doAt(ctx, run.list[choose.IntN(len(run.list))].store, c)
+		run.mu.RUnlock()
 		if err == nil {
 			return got
 		}
 	}
-	return answer{unknown: true}
+	return reply{unknown: true}
 }
 
-func (tr *trial) askOne(ctx context.Context, s *Store, a action) (got answer, err error) {
+func doAt(ctx context.Context, s *Store, c call) (got reply, err error) {
 	if s == nil {
 		return got, ErrNoLeader
 	}
-	if a.show {
+	if c.read {
 		if err := s.VerifyLeader(); err != nil {
 			return got, err
 		}
 		h := head(s)
-		return answer{number: h.Number, file: h.Content.File}, nil
+		return reply{number: h.Number, file: h.Content.File}, nil
 	}
-	out, err := s.Propose(ctx, command(a.request, a.parent, a.file))
+	out, err := s.Propose(ctx, command(c.request, c.parent, c.file))
 	if err != nil {
 		return got, err
 	}
 	if out.Result.Status == fleet.Busy {
 		// Ends the rollout, which is no part of this history.
-		if _, err := s.Propose(ctx, turn(out.Result.Revision.Number)); err != nil {
+		if _, err := s.Propose(ctx, rolloutApplied(out.Result.Revision.Number)); err != nil {
 			return got, err
 		}
-		return got, errors.New("again")
+		return got, errors.New("busy: retry")
 	}
-	return answer{answer: out.Result.Status, number: out.Result.Revision.Number, file: out.Result.Revision.Content.File}, nil
+	return reply{status: out.Result.Status, number: out.Result.Revision.Number, file: out.Result.Revision.Content.File}, nil
 }
 
-// register is the model: the head, and the answers that were given, which a
-// repeat gets again.
+// register is the model of the history: a compare-and-swap register with the head's number and content.
 var register = porcupine.Model{
-	Init: func() any { return answer{} },
+	Init: func() any { return reply{} },
 	Step: func(state, in, out any) (bool, any) {
-		head, a, got := state.(answer), in.(action), out.(answer)
-		next := answer{number: head.number + 1, file: a.file}
+		head, c, got := state.(reply), in.(call), out.(reply)
+		next := reply{number: head.number + 1, file: c.file}
 		switch {
-		case a.show:
+		case c.read:
 			return got.number == head.number && got.file == head.file, head
 		case got.unknown:
-			if a.parent == head.number {
+			if c.parent == head.number {
 				return true, next
 			}
 			return true, head
-		case got.answer == revisions.Accepted:
-			return a.parent == head.number && got.number == next.number && got.file == a.file, next
-		case got.answer == revisions.Conflict:
-			return a.parent != head.number && got.number == head.number, head
+		case got.status == revisions.Accepted:
+			return c.parent == head.number && got.number == next.number && got.file == c.file, next
+		case got.status == revisions.Conflict:
+			return c.parent != head.number && got.number == head.number, head
 		}
 		return false, head
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func (tr *trial) judge(t *testing.T) {
-	l := leader(t, tr.list)
+// check compares the voters' states with the operations of the clients.
+func (run *faultRun) check(t *testing.T) {
+	t.Helper()
+	l := leader(t, run.list)
 	propose(t, l.store, fleet.Entry{Audit: &fleet.Event{At: at, Who: "ann", What: "the end"}})
 	must(t, l.store.VerifyLeader())
-	shots := make([]string, len(tr.list))
-	for i, v := range tr.list {
-		until(t, v.name+" has all", func() bool {
+	snapshots := make([]string, len(run.list))
+	for i, v := range run.list {
+		until(t, v.name+" has all entries", func() bool {
 			var last fleet.Event
 			v.store.View(func(s *fleet.State) {
 				text, _ := s.Snapshot()
-				shots[i] = string(text)
+				snapshots[i] = string(text)
 				if all := s.Events(); len(all) > 0 {
 					last = all[len(all)-1]
 				}
@@ -256,33 +257,33 @@
 			return last.What == "the end"
 		})
 	}
-	for i := range shots {
-		if shots[i] != shots[0] {
-			t.Errorf("%s and %s have come to two states", tr.list[0].name, tr.list[i].name)
+	for i := range snapshots {
+		if snapshots[i] != snapshots[0] {
+			t.Errorf("%s and %s have different states", run.list[0].name, run.list[i].name)
 		}
 	}
 	var all []revisions.Revision
 	l.store.View(func(s *fleet.State) { all = s.Revisions() })
-	there := map[uint64]string{}
+	stored := map[uint64]string{}
 	for _, r := range all {
-		there[r.Number] = r.Content.File
-		if !tr.asked[r.Content.File] {
-			t.Errorf("revision %d was asked for by nobody: %s", r.Number, r.Content.File)
+		stored[r.Number] = r.Content.File
+		if !run.requested[r.Content.File] {
+			t.Errorf("revision %d was not requested: %s", r.Number, r.Content.File)
 		}
 	}
-	for number, file := range tr.claimed {
-		if there[number] != file {
-			t.Errorf("revision %d was acknowledged as %q and is %q", number, file, there[number])
+	for number, file := range run.acknowledged {
+		if stored[number] != file {
+			t.Errorf("revision %d was acknowledged as %q and is %q", number, file, stored[number])
 		}
 	}
-	switch result := porcupine.CheckOperationsTimeout(register, tr.ops, time.Minute); result {
+	switch result := porcupine.CheckOperationsTimeout(register, run.operations, time.Minute); result {
 	case porcupine.Illegal:
-		t.Errorf("the history of %d calls is not linearizable", len(tr.ops))
+		t.Errorf("the history of %d calls is not linearizable", len(run.operations))
 	case porcupine.Unknown:
-		t.Error("whether the history is linearizable was not found out")
+		t.Error("the check of the history timed out")
 	}
-	t.Logf("%d calls, %d revisions, %d acknowledged", len(tr.ops), len(all), len(tr.claimed))
-	if len(tr.claimed) == 0 {
-		t.Error("nothing was applied at all")
+	t.Logf("%d calls, %d revisions, %d acknowledged", len(run.operations), len(all), len(run.acknowledged))
+	if len(run.acknowledged) == 0 {
+		t.Error("no revision was acknowledged")
 	}
 }
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -48,7 +48,7 @@
 		{Key: records.Key{Kind: records.Plan, Name: name}, Value: json.RawMessage(`{"price_weight":1.5,"requests_per_second":100}`)}}}
 }
 
-// goldenEntries returns the entries that the folder's voter took, before its snapshot
+// goldenEntries returns the entries that the folder's voter committed, before its snapshot
 // and after it.
 func goldenEntries() (before, after []fleet.Entry) {
 	before = []fleet.Entry{
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestGoldenFolderOpens starts a voter on a folder that an earlier program left, and
-// finds everything that was stored; what it takes then stands behind that.
+// TestGoldenFolderOpens starts a voter on the folder of an earlier program. It finds
+// everything that was stored, and appends to it.
 func TestGoldenFolderOpens(t *testing.T) {
 	v := newVoter(t, newNetwork(), "v0")
 	v.dir = copyGoldenFolder(t)
@@ -193,13 +193,13 @@
 	}
 	v.store.View(func(s *fleet.State) { checkGoldenState(t, s) })
 
-	// A repeat of a request that an earlier program took makes no second revision.
+	// A repeat of a request to an earlier program creates no second revision.
 	_, after := goldenEntries()
 	if out := propose(t, v.store, after[0]); out.Result.Status != revisions.Accepted || out.Result.Revision.Number != 2 {
 		t.Errorf("a repeated command: %+v", out)
 	}
 	out := propose(t, v.store, fleet.Entry{Records: goldenPlan("silver")})
-	if version := standOf(v.store).version; out.Records == nil || out.Records.Status != records.Accepted || out.Records.Version != version {
+	if version := recordsStateOf(v.store).version; out.Records == nil || out.Records.Status != records.Accepted || out.Records.Version != version {
 		t.Errorf("a repeated change of records at version %d: %+v", version, out.Records)
 	}
 	propose(t, v.store, fleet.Entry{RolloutChange: &fleet.RolloutChange{New: 3, State: rollout.Applied, Reason: "all have it", At: goldenTime}})
@@ -217,7 +217,7 @@
 
 var storedRecords = regexp.MustCompile(`"records":"[^"]*",`)
 
-// checkGoldenState holds a state to all that the folder's entries say.
+// checkGoldenState compares a state with all that the folder's entries say.
 func checkGoldenState(t *testing.T, s *fleet.State) {
 	t.Helper()
 	var contents []revisions.Content
--- /dev/null
+++ b/internal/replica/monitored_log_test.go
@@ -0,0 +1,48 @@
+package replica
+
+import (
+	"errors"
+	"testing"
+
+	"github.com/hashicorp/raft"
+)
+
+// TestFailedWriteAfterTruncationBlocks: raft itself would go on with a log whose content it does not know.
+func TestFailedWriteAfterTruncationBlocks(t *testing.T) {
+	full := false
+	log := newMonitoredLog(raft.NewInmemStore(), func() error {
+		if full {
+			return errors.New("no space left on device")
+		}
+		return nil
+	})
+	for i := range uint64(5) {
+		must(t, log.StoreLog(&raft.Log{Index: i + 1, Term: 1}))
+	}
+	must(t, log.DeleteRange(1, 2)) // compaction: a write that fails after it returns its error
+	full = true
+	if err := log.StoreLog(&raft.Log{Index: 6, Term: 2}); err == nil {
+		t.Fatal("the write succeeded")
+	}
+	full = false
+	must(t, log.DeleteRange(4, 5))
+	must(t, log.StoreLog(&raft.Log{Index: 4, Term: 2})) // a write after the truncation ends its effect
+	must(t, log.DeleteRange(4, 4))
+	full = true
+	done := make(chan error, 1)
+	go func() { done <- log.StoreLog(&raft.Log{Index: 4, Term: 3}) }()
+	select {
+	case <-log.failed:
+	case err := <-done:
+		t.Fatalf("the write returned: %v", err)
+	}
+	select {
+	case err := <-done:
+		t.Fatalf("the write returned: %v", err)
+	default:
+	}
+	close(log.released)
+	if err := <-done; err == nil {
+		t.Fatal("the write succeeded")
+	}
+}
--- a/internal/replica/net_test.go
+++ b/internal/replica/net_test.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// network carries the voters' streams over loopback and can cut pairs of them
-// apart: what is sent then vanishes, without an error, until the cut is healed.
+// network connects voters over loopback and can partition pairs of them: what is sent then
+// vanishes, without an error, until the partition is healed.
 type network struct {
 	mu    sync.Mutex
 	names map[string]string // by address
@@ -21,16 +21,18 @@
 	return &network{names: map[string]string{}, cut: map[[2]string]bool{}, conns: map[*conn]bool{}}
 }
 
-func (n *network) apart(a, b string) bool { return n.cut[[2]string{a, b}] || n.cut[[2]string{b, a}] }
+func (n *network) partitioned(a, b string) bool {
+	return n.cut[[2]string{a, b}] || n.cut[[2]string{b, a}]
+}
 
-// set cuts two voters apart, or heals that; their connections do not outlive it.
+// set partitions two voters, or heals the partition, which closes their connections.
 func (n *network) set(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = cut, cut
 	for c := range n.conns {
 		if c.from == a && c.to == b || c.from == b && c.to == a {
-			c.black = cut
+			c.blackhole = cut
 			if !cut {
 				c.Conn.Close()
 				delete(n.conns, c)
@@ -55,23 +57,23 @@
 
 type conn struct {
 	net.Conn
-	n        *network
-	from, to string
-	black    bool
+	n         *network
+	from, to  string
+	blackhole bool
 }
 
 func (c *conn) Write(p []byte) (int, error) {
 	c.n.mu.Lock()
-	black := c.black
+	blackhole := c.blackhole
 	c.n.mu.Unlock()
-	if black {
+	if blackhole {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// streams is one voter's end. Only dialled connections are known to the network,
-// and raft sends its calls on those alone; a lost call is a lost answer too.
+// streams is one voter's StreamLayer. The network knows dialled connections alone: raft
+// sends its calls on them, and a lost call has no response.
 type streams struct {
 	net.Listener
 	n    *network
@@ -92,9 +94,9 @@
 func (s *streams) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	s.n.mu.Lock()
 	to := s.n.names[string(address)]
-	apart := s.n.apart(s.name, to)
+	partitioned := s.n.partitioned(s.name, to)
 	s.n.mu.Unlock()
-	if apart {
+	if partitioned {
 		time.Sleep(min(timeout, 20*time.Millisecond))
 		return nil, &net.OpError{Op: "dial", Err: net.ErrClosed}
 	}
@@ -105,7 +107,7 @@
 	wrapped := &conn{Conn: c, n: s.n, from: s.name, to: to}
 	s.n.mu.Lock()
 	defer s.n.mu.Unlock()
-	wrapped.black = s.n.apart(s.name, to)
+	wrapped.blackhole = s.n.partitioned(s.name, to)
 	s.n.conns[wrapped] = true
 	return wrapped, nil
 }
--- a/internal/replica/nonvoter_test.go
+++ b/internal/replica/nonvoter_test.go
@@ -1,29 +1,28 @@
 package replica
 
 import (
-	"context"
+	"errors"
 	"strings"
 	"testing"
 
 	"elderyard/fleet"
 )
 
-// TestNonVoter adds a replica without a vote: it follows the log, no majority
-// needs it, and it makes no majority up.
+// TestNonVoter adds a replica without a vote: it follows the log, and counts for no majority.
 func TestNonVoter(t *testing.T) {
 	t.Parallel()
-	n, list := three(t)
+	n, list := startThree(t)
 	replica := newVoter(t, n, "r0")
 	must(t, replica.start(t))
 	until(t, "the replica is added", func() bool {
 		_, err := leader(t, list).store.AddNonVoter(replica.name, replica.address)
 		return err == nil
 	})
-	if _, err := leader(t, list).store.AddNonVoter(list[0].name, list[0].address); err == nil || !strings.Contains(err.Error(), "is a voter") {
-		t.Fatalf("a voter is demoted: %v", err)
+	if _, err := leader(t, list).store.AddNonVoter(list[0].name, list[0].address); !errors.Is(err, ErrVoter) || !strings.Contains(err.Error(), "is a voter") {
+		t.Fatalf("demotion of a voter: %v", err)
 	}
-	agree(t, list, command("1", 0, "a"))
-	until(t, "the replica has it", func() (has bool) {
+	commit(t, list, command("1", 0, "a"))
+	until(t, "the replica has the revision", func() (has bool) {
 		replica.store.View(func(s *fleet.State) { r, found := s.Head(); has = found && r.Number == 1 })
 		return has
 	})
@@ -48,19 +47,17 @@
 	}
 }
 
-// TestLastVoterStays refuses to take the only voter out, though a replica stays.
-func TestLastVoterStays(t *testing.T) {
+// TestOnlyVoterIsNotRemoved: the only voter can't be removed, though a replica remains.
+func TestOnlyVoterIsNotRemoved(t *testing.T) {
 	t.Parallel()
-	n, list := apart(t)
+	n, list := startSeparate(t)
 	replica := newVoter(t, n, "r0")
 	must(t, replica.start(t))
 	change, err := list[0].store.AddNonVoter(replica.name, replica.address)
 	must(t, err)
-	if lacking, err := list[0].store.LaggingVoters(context.Background(), change); err != nil || lacking != nil {
-		t.Fatalf("%v lack it, %v", lacking, err)
-	}
-	if _, err := list[0].store.Remove(list[0].name); err == nil || !strings.Contains(err.Error(), "only voter") {
-		t.Fatalf("the only voter was taken out: %v", err)
+	expectNoneLagging(t, list[0], change)
+	if _, err := list[0].store.Remove(list[0].name); !errors.Is(err, ErrOnlyVoter) || !strings.Contains(err.Error(), "only voter") {
+		t.Fatalf("removal of the only voter: %v", err)
 	}
 	_, err = list[0].store.Remove(replica.name)
 	must(t, err)
--- a/internal/replica/records_test.go
+++ b/internal/replica/records_test.go
@@ -25,43 +25,43 @@
 	return fleet.Entry{Records: change}
 }
 
-// stand is where a store's records are.
-type stand struct {
+// recordsState identifies the records of a store.
+type recordsState struct {
 	version uint64
 	digest  records.Digest
 	count   int
 }
 
-func standOf(s *Store) (now stand) {
-	s.ReadRecords(func(r *records.Store) { now = stand{r.Version(), r.Digest(), r.Len()} })
+func recordsStateOf(s *Store) (now recordsState) {
+	s.ReadRecords(func(r *records.Store) { now = recordsState{r.Version(), r.Digest(), r.Len()} })
 	return now
 }
 
-// TestRecordsVersionIsIndex has every voter come to the same version and digest,
-// and wakes those that wait for the records, not those of other changes.
+// TestRecordsVersionIsIndex: every voter reaches the same version and digest, and RecordsChanged fires for changes of the
+// records alone.
 func TestRecordsVersionIsIndex(t *testing.T) {
 	t.Parallel()
-	_, list := three(t)
-	agree(t, list, command("1", 0, "a"))
+	_, list := startThree(t)
+	commit(t, list, command("1", 0, "a"))
 	first := list[0]
 	until(t, "the first has the revision", func() bool { return head(first.store).Number == 1 })
 	changed := first.store.RecordsChanged()
-	agree(t, list, turn(1))
+	commit(t, list, rolloutApplied(1))
 	until(t, "the first has the rollout's end", func() (has bool) {
 		first.store.View(func(s *fleet.State) { has = s.Rollout().State == rollout.Applied })
 		return has
 	})
 	select {
 	case <-changed:
-		t.Fatal("a change of something else woke those that wait for records")
+		t.Fatal("a change of something else woke the receivers of RecordsChanged")
 	default:
 	}
-	out := agree(t, list, plans("r1", "gold", "silver"))
+	out := commit(t, list, plans("r1", "gold", "silver"))
 	<-changed
 	var digest records.Digest
 	for i, v := range list {
-		until(t, v.name+" has the records", func() bool { return standOf(v.store).version == out.Records.Version })
-		if now := standOf(v.store); i == 0 {
+		until(t, v.name+" has the records", func() bool { return recordsStateOf(v.store).version == out.Records.Version })
+		if now := recordsStateOf(v.store); i == 0 {
 			digest = now.digest
 		} else if now.digest != digest {
 			t.Fatalf("%s has %s, the first %s", v.name, now.digest, digest)
@@ -72,7 +72,7 @@
 	if e, err := fleet.Decode(stored.Data); err != nil || e.Records == nil || e.Records.IdempotencyKey != "r1" {
 		t.Fatalf("entry %d is %+v, %v", out.Records.Version, e, err)
 	}
-	next := agree(t, list, plans("r2", "copper"))
+	next := commit(t, list, plans("r2", "copper"))
 	for _, v := range list {
 		v.stop()
 	}
@@ -80,17 +80,20 @@
 		must(t, v.start(t))
 	}
 	for _, v := range list {
-		until(t, v.name+" has the records after a restart", func() bool { now := standOf(v.store); return now.version == next.Records.Version && now.count == 3 })
+		until(t, v.name+" has the records after a restart", func() bool {
+			now := recordsStateOf(v.store)
+			return now.version == next.Records.Version && now.count == 3
+		})
 	}
 }
 
-// load has a saved state restored by whoever leads.
+// load has the leader restore a saved state.
 func load(t testing.TB, list []*voter, text []byte) {
 	t.Helper()
 	until(t, "a state is restored", func() bool { return leader(t, list).store.RestoreState(text) == nil })
 }
 
-// save returns the state as one has it that leads.
+// save returns the leader's encoded state.
 func save(t testing.TB, list []*voter) (text []byte) {
 	t.Helper()
 	var err error
@@ -99,30 +102,30 @@
 	return text
 }
 
-// TestRestoreGoesOn restores a saved state in place of a newer one, and in a site
-// whose log is far shorter: the records' version goes on above both.
-func TestRestoreGoesOn(t *testing.T) {
+// TestRestoreRaisesRecordsVersion restores a saved state in place of a newer one, and in a site whose log is far shorter:
+// the records' version goes on above both.
+func TestRestoreRaisesRecordsVersion(t *testing.T) {
 	t.Parallel()
-	_, list := three(t)
-	agree(t, list, plans("r1", "gold"))
+	_, list := startThree(t)
+	commit(t, list, plans("r1", "gold"))
 	text := save(t, list)
-	saved := standOf(leader(t, list).store)
+	saved := recordsStateOf(leader(t, list).store)
 	for i := range 20 {
-		agree(t, list, plans(fmt.Sprint("more", i), fmt.Sprint("more", i)))
+		commit(t, list, plans(fmt.Sprint("more", i), fmt.Sprint("more", i)))
 	}
-	newest := standOf(leader(t, list).store)
+	newest := recordsStateOf(leader(t, list).store)
 	load(t, list, text)
-	restored := standOf(leader(t, list).store)
+	restored := recordsStateOf(leader(t, list).store)
 	if restored.version <= newest.version || restored.digest != saved.digest || restored.count != 1 {
 		t.Fatalf("%+v after the restore of %+v over %+v", restored, saved, newest)
 	}
-	agree(t, list, plans("r2", "silver"))
-	want := standOf(leader(t, list).store)
+	commit(t, list, plans("r2", "silver"))
+	want := recordsStateOf(leader(t, list).store)
 	if want.version <= restored.version || want.count != 2 {
 		t.Fatalf("%+v behind %+v", want, restored)
 	}
 	for _, v := range list {
-		until(t, v.name+" follows", func() bool { return standOf(v.store) == want })
+		until(t, v.name+" follows", func() bool { return recordsStateOf(v.store) == want })
 	}
 
 	text = save(t, list)
@@ -131,33 +134,29 @@
 	must(t, fresh.start(t))
 	alone := []*voter{fresh}
 	load(t, alone, text)
-	if now := standOf(fresh.store); now.version <= want.version || now.digest != want.digest {
+	if now := recordsStateOf(fresh.store); now.version <= want.version || now.digest != want.digest {
 		t.Fatalf("%+v in a new site, %+v was saved", now, want)
 	}
-	agree(t, alone, plans("r3", "copper"))
-	if now := standOf(fresh.store); now.count != 3 {
+	commit(t, alone, plans("r3", "copper"))
+	if now := recordsStateOf(fresh.store); now.count != 3 {
 		t.Fatalf("%+v", now)
 	}
 }
 
-// TestRecordsRegionCut cuts the leader off and asks both sides for changes: the
-// minority takes none and shows what it had; healed, it has what the others agreed
-// on, though the log in between is compacted away.
-func TestRecordsRegionCut(t *testing.T) {
+// TestRecordsAfterPartition cuts the leader off and proposes changes on both sides: the minority accepts none and serves the
+// records that it had. Healed, it has those of the majority, though the log in between is compacted.
+func TestRecordsAfterPartition(t *testing.T) {
 	t.Parallel()
-	n, list := three(t)
-	agree(t, list, plans("r1", "gold"))
+	n, list := startThree(t)
+	commit(t, list, plans("r1", "gold"))
 	old := leader(t, list)
-	before := standOf(old.store)
-	var rest []*voter
-	for _, v := range list {
-		if v != old {
-			n.set(old.name, v.name, true)
-			rest = append(rest, v)
-		}
+	before := recordsStateOf(old.store)
+	rest := followers(list, old)
+	for _, v := range rest {
+		n.set(old.name, v.name, true)
 	}
 	if _, err := old.store.Propose(t.Context(), plans("lost", "lost")); !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrNoLeader) {
-		t.Fatalf("a minority took a change: %v", err)
+		t.Fatalf("a minority accepted a change: %v", err)
 	}
 	const (
 		changes = snapshotThreshold + 2*trailingLogs
@@ -169,7 +168,7 @@
 		wg.Go(func() {
 			for i := range numbers {
 				request := fmt.Sprint("more", i)
-				if _, err := insist(rest, plans(request, request)); err != nil {
+				if _, err := proposeAnywhere(rest, plans(request, request)); err != nil {
 					t.Error(err)
 				}
 			}
@@ -181,7 +180,7 @@
 	close(numbers)
 	wg.Wait()
 	next := leader(t, rest)
-	if now := standOf(old.store); now != before {
+	if now := recordsStateOf(old.store); now != before {
 		t.Fatalf("the minority is at %+v, %+v before the cut", now, before)
 	}
 	must(t, next.store.raft.Snapshot().Error())
@@ -189,17 +188,17 @@
 		t.Fatalf("the log begins at %d, %v: it is not compacted", first, err)
 	}
 	n.healAll()
-	want := standOf(next.store)
+	want := recordsStateOf(next.store)
 	if want.count != changes+1 {
 		t.Fatalf("%+v", want)
 	}
-	until(t, "the minority has what was agreed on", func() bool { return standOf(old.store) == want })
+	until(t, "the minority has the majority's records", func() bool { return recordsStateOf(old.store) == want })
 }
 
-// insist asks voters in turn until one has had an entry agreed on. A repeat of what
-// was in doubt is harmless.
-func insist(voters []*voter, e fleet.Entry) (out fleet.Outcome, err error) {
-	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(heartbeat / 20) {
+// proposeAnywhere proposes an entry to voters in turn until it is committed. A retry of an entry whose fate is unknown is
+// harmless: its result is repeated.
+func proposeAnywhere(voters []*voter, e fleet.Entry) (out fleet.Outcome, err error) {
+	for limit := time.Now().Add(testTimeout); time.Now().Before(limit); time.Sleep(heartbeat / 20) {
 		for _, v := range voters {
 			if out, err = v.store.Propose(context.Background(), e); err != nil {
 				continue
@@ -213,10 +212,10 @@
 	return out, err
 }
 
-// agree has an entry agreed on by whoever leads.
-func agree(t testing.TB, voters []*voter, e fleet.Entry) fleet.Outcome {
+// commit has the leader commit an entry.
+func commit(t testing.TB, voters []*voter, e fleet.Entry) fleet.Outcome {
 	t.Helper()
-	out, err := insist(voters, e)
+	out, err := proposeAnywhere(voters, e)
 	must(t, err)
 	return out
 }
