--- a/fleet/agents.go
+++ b/fleet/agents.go
@@ -75,24 +75,24 @@
 	return nil
 }
 
-func (s *State) applyEnroll(e *Enroll) Outcome {
-	previous, known := s.agents[e.Agent.Name]
+func (s *State) applyEnroll(enroll *Enroll) Outcome {
+	previous, known := s.agents[enroll.Agent.Name]
 	if !known && len(s.agents) >= MaxAgents {
 		return Outcome{Rejected: fmt.Sprintf("the site has %d agents, and no more may be", len(s.agents))}
 	}
-	if reason := s.instanceConflict(e.Agent); reason != "" {
+	if reason := s.instanceConflict(enroll.Agent); reason != "" {
 		return Outcome{Rejected: reason}
 	}
 	if s.agents == nil {
 		s.agents = map[string]Agent{}
 	}
-	s.agents[e.Agent.Name] = e.Agent
+	s.agents[enroll.Agent.Name] = enroll.Agent
 	for _, name := range previous.Instances {
-		if _, found := slices.BinarySearch(e.Agent.Instances, name); !found {
+		if _, found := slices.BinarySearch(enroll.Agent.Instances, name); !found {
 			delete(s.drained, name)
 		}
 	}
-	s.logEvent(e.At, e.Agent.Name, fmt.Sprintf("agent %s at %s has instances %v", e.Agent.Name, e.Agent.Address, e.Agent.Instances))
+	s.logEvent(enroll.At, enroll.Agent.Name, fmt.Sprintf("agent %s at %s has instances %v", enroll.Agent.Name, enroll.Agent.Address, enroll.Agent.Instances))
 	return Outcome{}
 }
 
@@ -129,21 +129,21 @@
 	return Outcome{}
 }
 
-func (s *State) applyDrain(d *Drain) Outcome {
-	if _, found := s.AgentOf(d.Instance); !found {
-		return Outcome{Rejected: fmt.Sprintf("there is no instance %s", d.Instance)}
+func (s *State) applyDrain(drain *Drain) Outcome {
+	if _, found := s.AgentOf(drain.Instance); !found {
+		return Outcome{Rejected: fmt.Sprintf("there is no instance %s", drain.Instance)}
 	}
-	if s.drained[d.Instance] == d.On {
+	if s.drained[drain.Instance] == drain.On {
 		return Outcome{}
 	}
 	if s.drained == nil {
 		s.drained = map[string]bool{}
 	}
-	what := "instance " + d.Instance + " was drained"
-	if s.drained[d.Instance] = d.On; !d.On {
-		delete(s.drained, d.Instance)
-		what = "instance " + d.Instance + " was let back into service"
+	what := "instance " + drain.Instance + " was drained"
+	if s.drained[drain.Instance] = drain.On; !drain.On {
+		delete(s.drained, drain.Instance)
+		what = "instance " + drain.Instance + " was let back into service"
 	}
-	s.logEvent(d.At, d.By, what)
+	s.logEvent(drain.At, drain.By, what)
 	return Outcome{}
 }
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -76,8 +76,8 @@
 
 // Open starts a voter, which Close ends. If its folder can't be read, the error names the file, and nothing in the folder
 // is replaced: errors.Is tells ErrDamaged and ErrNothingToRecover.
-func Open(c Config) (s *Store, err error) {
-	logs, err := openLog(c.Dir)
+func Open(config Config) (s *Store, err error) {
+	logs, err := openLog(config.Dir)
 	if err != nil {
 		return nil, err
 	}
@@ -86,28 +86,28 @@
 			logs.Close()
 		}
 	}()
-	logger := hclog.New(&hclog.LoggerOptions{Name: "voter", Level: hclog.Warn, Output: c.Log, DisableTime: true})
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Dir, retainedSnapshots, logger)
+	logger := hclog.New(&hclog.LoggerOptions{Name: "voter", Level: hclog.Warn, Output: config.Log, DisableTime: true})
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(config.Dir, retainedSnapshots, logger)
 	if err != nil {
 		return nil, fmt.Errorf("voter's snapshots: %w", err)
 	}
 	// One call at a time to a voter, because only calls that are not pipelined pass through the methods of transport.
 	// That is enough for a state that changes once in seconds.
-	callTimeout := 10 * c.HeartbeatTimeout
-	transport := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: c.Streams, MaxPool: maxPooledConns,
+	callTimeout := 10 * config.HeartbeatTimeout
+	transport := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: config.Streams, MaxPool: maxPooledConns,
 		MaxRPCsInFlight: 1, Timeout: callTimeout, Logger: logger}))
 	defer func() {
 		if err != nil {
 			transport.Close()
 		}
 	}()
-	s = &Store{transport: transport, logs: logs, log: newMonitoredLog(logs, c.InjectWriteError), fsm: newStateMachine(), id: c.ID, callTimeout: callTimeout}
-	config := raftConfig(c, logger)
-	if err := s.initialize(c, config, snapshots); err != nil {
+	s = &Store{transport: transport, logs: logs, log: newMonitoredLog(logs, config.InjectWriteError), fsm: newStateMachine(), id: config.ID, callTimeout: callTimeout}
+	raftConfig := newRaftConfig(config, logger)
+	if err := s.initialize(config, raftConfig, snapshots); err != nil {
 		return nil, err
 	}
-	if s.raft, err = raft.NewRaft(config, s.fsm, s.log, logs, snapshots, s.transport); err != nil {
-		return nil, fmt.Errorf("voter's store in %s: %w; see \"A voter's store is damaged\" on the operators' page", c.Dir, err)
+	if s.raft, err = raft.NewRaft(raftConfig, s.fsm, s.log, logs, snapshots, s.transport); err != nil {
+		return nil, fmt.Errorf("voter's store in %s: %w; see \"A voter's store is damaged\" on the operators' page", config.Dir, err)
 	}
 	return s, nil
 }
@@ -128,38 +128,38 @@
 	return logs, nil
 }
 
-func raftConfig(c Config, logger hclog.Logger) *raft.Config {
-	config := raft.DefaultConfig()
-	config.LocalID = raft.ServerID(c.ID)
-	config.Logger = logger
-	config.HeartbeatTimeout = c.HeartbeatTimeout
-	config.ElectionTimeout = c.HeartbeatTimeout
-	config.LeaderLeaseTimeout = c.HeartbeatTimeout / 2
-	config.CommitTimeout = c.HeartbeatTimeout / 20
-	config.SnapshotThreshold = snapshotThreshold
-	config.TrailingLogs = trailingLogs
-	config.MaxAppendEntries = maxAppendEntries
-	config.ShutdownOnRemove = false
-	return config
+func newRaftConfig(config Config, logger hclog.Logger) *raft.Config {
+	raftConfig := raft.DefaultConfig()
+	raftConfig.LocalID = raft.ServerID(config.ID)
+	raftConfig.Logger = logger
+	raftConfig.HeartbeatTimeout = config.HeartbeatTimeout
+	raftConfig.ElectionTimeout = config.HeartbeatTimeout
+	raftConfig.LeaderLeaseTimeout = config.HeartbeatTimeout / 2
+	raftConfig.CommitTimeout = config.HeartbeatTimeout / 20
+	raftConfig.SnapshotThreshold = snapshotThreshold
+	raftConfig.TrailingLogs = trailingLogs
+	raftConfig.MaxAppendEntries = maxAppendEntries
+	raftConfig.ShutdownOnRemove = false
+	return raftConfig
 }
 
 // initialize recovers or bootstraps the folder, if the configuration says so and the folder allows it.
-func (s *Store) initialize(c Config, config *raft.Config, snapshots raft.SnapshotStore) error {
+func (s *Store) initialize(config Config, raftConfig *raft.Config, snapshots raft.SnapshotStore) error {
 	hasState, err := raft.HasExistingState(s.logs, s.logs, snapshots)
 	if err != nil {
-		return fmt.Errorf("%s: %w", filepath.Join(c.Dir, LogFileName), err)
+		return fmt.Errorf("%s: %w", filepath.Join(config.Dir, LogFileName), err)
 	}
-	alone := raft.Configuration{Servers: []raft.Server{{ID: config.LocalID, Address: s.transport.LocalAddr()}}}
+	alone := raft.Configuration{Servers: []raft.Server{{ID: raftConfig.LocalID, Address: s.transport.LocalAddr()}}}
 	switch {
-	case c.Recover && !hasState:
-		return fmt.Errorf("%s %w", c.Dir, ErrNothingToRecover)
-	case c.Recover:
+	case config.Recover && !hasState:
+		return fmt.Errorf("%s %w", config.Dir, ErrNothingToRecover)
+	case config.Recover:
 		// RecoverCluster replays the log on a state machine of its own, which is not used afterwards.
-		if err := raft.RecoverCluster(config, newStateMachine(), s.logs, s.logs, snapshots, s.transport, alone); err != nil {
+		if err := raft.RecoverCluster(raftConfig, newStateMachine(), s.logs, s.logs, snapshots, s.transport, alone); err != nil {
 			return fmt.Errorf("recover: %w", err)
 		}
-	case c.Bootstrap && !hasState:
-		if err := raft.BootstrapCluster(config, s.logs, s.logs, snapshots, s.transport, alone); err != nil {
+	case config.Bootstrap && !hasState:
+		if err := raft.BootstrapCluster(raftConfig, s.logs, s.logs, snapshots, s.transport, alone); err != nil {
 			return fmt.Errorf("found a site: %w", err)
 		}
 	}
--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -36,82 +36,111 @@
 	})
 }
 
+// history is one drawn history of a holder and its granter.
+type history struct {
+	t                       *rapid.T
+	now                     time.Duration
+	holderSide, granterSide side
+	holder                  *Holder
+	granter                 *Granter
+	inTransit               []message
+	suspended               bool // the holder
+}
+
+const session Session = 7
+
 // play draws one history of a holder with the given terms, and returns the violation in it, if any. valid decides
 // whether the holder acts.
 func play(t *rapid.T, holderTerms Terms, valid func(*Holder, Time) bool) (violation string) {
-	drift := rapid.Float64Range(-terms.Drift, terms.Drift)
-	holderSide := side{1 + drift.Draw(t, "holder's drift"), time.Duration(rapid.IntRange(0, 1e9).Draw(t, "holder's start"))}
-	granterSide := side{1 + drift.Draw(t, "granter's drift"), time.Duration(rapid.IntRange(0, 1e9).Draw(t, "granter's start"))}
-	g, err := NewGranter(terms)
-	if err != nil {
-		t.Fatalf("%v", err)
-	}
-	real := time.Duration(0)
-	requestedAt := holderSide.at(real)
-	real += time.Duration(rapid.IntRange(0, 3000).Draw(t, "transit")) * time.Millisecond
-	if err := g.Open(granterSide.at(real), 7); err != nil {
-		t.Fatalf("%v", err)
-	}
-	real += time.Duration(rapid.IntRange(0, 3000).Draw(t, "transit")) * time.Millisecond
-	h, err := NewHolder(holderTerms, 7, requestedAt, holderSide.at(real))
-	if err != nil {
-		t.Fatalf("%v", err)
-	}
-	var inTransit []message
-	send := func(m message) {
-		for range rapid.SampledFrom([]int{1, 1, 1, 0, 2}).Draw(t, "copies") {
-			m.due = real + time.Duration(rapid.SampledFrom([]int{0, 5, 50, 900, 4000, 12000}).Draw(t, "delay"))*time.Millisecond
-			inTransit = append(inTransit, m)
-		}
-	}
-	suspended := false
+	h := &history{t: t}
+	h.holderSide, h.granterSide = h.drawSide("holder"), h.drawSide("granter")
+	h.open(holderTerms)
 	for range rapid.IntRange(1, 150).Draw(t, "steps") {
-		real += time.Duration(rapid.SampledFrom([]int{10, 100, 300, 900}).Draw(t, "pass")) * time.Millisecond
+		h.now += time.Duration(rapid.SampledFrom([]int{10, 100, 300, 900}).Draw(t, "pass")) * time.Millisecond
 		if rapid.IntRange(0, 19).Draw(t, "suspension") == 0 {
-			suspended = !suspended
+			h.suspended = !h.suspended
 		}
-		if !suspended {
-			if request, due := h.Tick(holderSide.at(real)); due {
-				send(message{request: &request})
+		if !h.suspended {
+			if request, due := h.holder.Tick(h.holderSide.at(h.now)); due {
+				h.send(message{request: &request})
 			}
 		}
-		slices.SortStableFunc(inTransit, func(a, b message) int { return int(a.due - b.due) })
-		for len(inTransit) > 0 && inTransit[0].due <= real {
-			m := inTransit[0]
-			inTransit = inTransit[1:]
-			switch {
-			case m.request != nil:
-				response := g.Handle(granterSide.at(real), *m.request)
-				send(message{response: &response})
-			case !suspended:
-				h.HandleResponse(*m.response)
-			}
-		}
-		switch rapid.IntRange(0, 79).Draw(t, "change") {
-		case 0: // another granter, with a clock of its own
-			granterSide = side{1 + drift.Draw(t, "granter's drift"), time.Duration(rapid.IntRange(0, 1e9).Draw(t, "granter's start"))}
-			open := slices.Collect(func(yield func(Session) bool) {
-				if g.sessions[7] != nil {
-					yield(7)
-				}
-			})
-			next, _ := NewGranter(terms)
-			next.Recover(granterSide.at(real), open, g.Last())
-			g = next
-		case 1:
-			request := h.Release(holderSide.at(real))
-			send(message{request: &request})
-		}
-		g.Expire(granterSide.at(real))
+		h.deliver()
+		h.change()
+		h.granter.Expire(h.granterSide.at(h.now))
 		// Acting takes up to the margin.
-		end := real + terms.Margin/2
-		if valid(h, holderSide.at(real)) && !g.Active(granterSide.at(end), 7) {
+		end := h.now + terms.Margin/2
+		if valid(h.holder, h.holderSide.at(h.now)) && !h.granter.Active(h.granterSide.at(end), session) {
 			return "the holder may act, and the granter would grant its session's resource to another"
 		}
 	}
 	return ""
 }
 
+func (h *history) drawSide(name string) side {
+	drift := rapid.Float64Range(-terms.Drift, terms.Drift).Draw(h.t, name+"'s drift")
+	return side{1 + drift, time.Duration(rapid.IntRange(0, 1e9).Draw(h.t, name+"'s start"))}
+}
+
+// open opens the session, by messages that take up to 3 s each.
+func (h *history) open(holderTerms Terms) {
+	var err error
+	if h.granter, err = NewGranter(terms); err != nil {
+		h.t.Fatalf("%v", err)
+	}
+	requestedAt := h.holderSide.at(h.now)
+	h.now += time.Duration(rapid.IntRange(0, 3000).Draw(h.t, "transit")) * time.Millisecond
+	if err := h.granter.Open(h.granterSide.at(h.now), session); err != nil {
+		h.t.Fatalf("%v", err)
+	}
+	h.now += time.Duration(rapid.IntRange(0, 3000).Draw(h.t, "transit")) * time.Millisecond
+	if h.holder, err = NewHolder(holderTerms, session, requestedAt, h.holderSide.at(h.now)); err != nil {
+		h.t.Fatalf("%v", err)
+	}
+}
+
+// send puts a message in transit, or loses or duplicates it.
+func (h *history) send(m message) {
+	for range rapid.SampledFrom([]int{1, 1, 1, 0, 2}).Draw(h.t, "copies") {
+		m.due = h.now + time.Duration(rapid.SampledFrom([]int{0, 5, 50, 900, 4000, 12000}).Draw(h.t, "delay"))*time.Millisecond
+		h.inTransit = append(h.inTransit, m)
+	}
+}
+
+// deliver delivers the messages that are due. A response to a holder that is suspended is lost.
+func (h *history) deliver() {
+	slices.SortStableFunc(h.inTransit, func(a, b message) int { return int(a.due - b.due) })
+	for len(h.inTransit) > 0 && h.inTransit[0].due <= h.now {
+		m := h.inTransit[0]
+		h.inTransit = h.inTransit[1:]
+		switch {
+		case m.request != nil:
+			response := h.granter.Handle(h.granterSide.at(h.now), *m.request)
+			h.send(message{response: &response})
+		case !h.suspended:
+			h.holder.HandleResponse(*m.response)
+		}
+	}
+}
+
+// change replaces the granter by one with a clock of its own, or releases the session, or does neither.
+func (h *history) change() {
+	switch rapid.IntRange(0, 79).Draw(h.t, "change") {
+	case 0:
+		h.granterSide = h.drawSide("granter")
+		var open []Session
+		if h.granter.sessions[session] != nil {
+			open = []Session{session}
+		}
+		next, _ := NewGranter(terms)
+		next.Recover(h.granterSide.at(h.now), open, h.granter.Last())
+		h.granter = next
+	case 1:
+		request := h.holder.Release(h.holderSide.at(h.now))
+		h.send(message{request: &request})
+	}
+}
+
 // TestLeaseEndIsNeeded: where the holder does not observe the end of its lease, a history is found in which it acts after
 // its session expired at the granter.
 func TestLeaseEndIsNeeded(t *testing.T) {
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestOldRepeatedAndForeignResponsesAreIgnored(t *testing.T) {
+func TestLateRepeatedAndForeignResponsesAreIgnored(t *testing.T) {
 	h := newTestHolder(t)
 	first, _ := h.Tick(2 * time.Second)
 	second, _ := h.Tick(4 * time.Second)
--- a/revisions/revisions_test.go
+++ b/revisions/revisions_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRestoreCreatesRevisionWithOldContent(t *testing.T) {
+func TestRestoreCreatesRevisionWithEarlierContent(t *testing.T) {
 	var h History
 	apply(t, &h, command("1", 0, "a"))
 	apply(t, &h, command("2", 1, "b"))
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestAnyCommandsKeepChainOfRevisions runs random commands against a model that is one
+// TestAnyCommandsMakeUnbrokenChain runs random commands against a model that is one
 // number and one text, with snapshots in between.
-func TestAnyCommandsKeepChainOfRevisions(t *testing.T) {
+func TestAnyCommandsMakeUnbrokenChain(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := &History{}
 		number, file := uint64(0), ""
--- a/supervise/supervise_test.go
+++ b/supervise/supervise_test.go
@@ -181,84 +181,98 @@
 func TestAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, _ := New(policy, 0)
-		now := began
-		running, spawning := false, false
-		var has Spec
-		var want *Spec
-		terminations, kills := 0, 0
-		do := func(ev Event) {
-			for _, a := range m.Handle(now, ev) {
-				switch a := a.(type) {
-				case Spawn:
-					if running || spawning {
-						t.Fatal("a second process is started")
-					}
-					spawning, has, terminations, kills = true, a.Spec, 0, 0
-				case Reload:
-					if !running || a.Spec.Fixed != has.Fixed {
-						t.Fatal("a reload where a restart is needed")
-					}
-					has = a.Spec
-				case SetRevision:
-					if a.Spec.Files != has.Files {
-						t.Fatal("a new revision number for other files")
-					}
-					has = a.Spec
-				case Terminate:
-					if terminations++; !running || terminations > 1 {
-						t.Fatal("terminated more than once, or without a process")
-					}
-				case Kill:
-					if kills++; !running || terminations == 0 || kills > 1 {
-						t.Fatal("killed before it was terminated, or twice")
-					}
-				}
-			}
-		}
+		p := &fakeProcess{t: t, m: m, now: began}
+		var desired *Spec
 		specs := []*Spec{nil, first, reloaded, restarted, sameFiles}
 		events := rapid.SliceOfN(rapid.IntRange(0, 6), 1, 120).Draw(t, "events")
-		for n, k := range events {
-			now = now.Add(time.Duration(rapid.IntRange(-500, 3000).Draw(t, fmt.Sprint("gap", n))) * time.Millisecond)
-			switch k {
+		for n, kind := range events {
+			p.now = p.now.Add(time.Duration(rapid.IntRange(-500, 3000).Draw(t, fmt.Sprint("gap", n))) * time.Millisecond)
+			switch kind {
 			case 0, 1:
-				want = rapid.SampledFrom(specs).Draw(t, fmt.Sprint("want", n))
-				do(DesiredState{want})
+				desired = rapid.SampledFrom(specs).Draw(t, fmt.Sprint("desired", n))
+				p.handle(DesiredState{desired})
 			case 2:
-				if spawning {
-					spawning, running = false, true
-					do(Started{})
-				}
+				p.start()
 			case 3:
-				if spawning {
-					spawning = false
-					do(StartFailed{"no"})
+				if p.spawning {
+					p.spawning = false
+					p.handle(StartFailed{"no"})
 				}
 			case 4:
-				if running {
-					running = false
-					do(Exited{"gone"})
-				}
+				p.exit("gone")
 			case 5:
-				do(Health{rapid.Bool().Draw(t, fmt.Sprint("ready", n))})
+				p.handle(Health{rapid.Bool().Draw(t, fmt.Sprint("ready", n))})
 			case 6:
-				do(Tick{})
+				p.handle(Tick{})
 			}
 		}
 		for range 20 {
-			now = now.Add(10 * time.Second)
-			if spawning {
-				spawning, running = false, true
-				do(Started{})
-			}
-			if running && terminations > 0 {
-				running = false
-				do(Exited{})
+			p.now = p.now.Add(10 * time.Second)
+			p.start()
+			if p.terminations > 0 {
+				p.exit("")
 			}
-			do(Health{running})
-			do(Tick{})
+			p.handle(Health{p.running})
+			p.handle(Tick{})
 		}
-		if running != (want != nil) || running && (has != *want || m.state != Ready) {
-			t.Fatalf("in the end: running %v with %+v, %s; desired %+v", running, has, m.state, want)
+		if p.running != (desired != nil) || p.running && (p.spec != *desired || m.state != Ready) {
+			t.Fatalf("in the end: running %v with %+v, %s; desired %+v", p.running, p.spec, m.state, desired)
 		}
 	})
 }
+
+// fakeProcess carries out the machine's actions, and fails the test at one that must not occur.
+type fakeProcess struct {
+	t                   *rapid.T
+	m                   *Machine
+	now                 time.Time
+	spawning, running   bool
+	spec                Spec
+	terminations, kills int // of the present process
+}
+
+func (p *fakeProcess) handle(event Event) {
+	for _, action := range p.m.Handle(p.now, event) {
+		switch a := action.(type) {
+		case Spawn:
+			if p.running || p.spawning {
+				p.t.Fatal("a second process is started")
+			}
+			p.spawning, p.spec, p.terminations, p.kills = true, a.Spec, 0, 0
+		case Reload:
+			if !p.running || a.Spec.Fixed != p.spec.Fixed {
+				p.t.Fatal("a reload where a restart is needed")
+			}
+			p.spec = a.Spec
+		case SetRevision:
+			if a.Spec.Files != p.spec.Files {
+				p.t.Fatal("a new revision number for other files")
+			}
+			p.spec = a.Spec
+		case Terminate:
+			if p.terminations++; !p.running || p.terminations > 1 {
+				p.t.Fatal("terminated more than once, or without a process")
+			}
+		case Kill:
+			if p.kills++; !p.running || p.terminations == 0 || p.kills > 1 {
+				p.t.Fatal("killed before it was terminated, or twice")
+			}
+		}
+	}
+}
+
+// start completes a spawn, if there is one.
+func (p *fakeProcess) start() {
+	if p.spawning {
+		p.spawning, p.running = false, true
+		p.handle(Started{})
+	}
+}
+
+// exit ends the process, if there is one.
+func (p *fakeProcess) exit(reason string) {
+	if p.running {
+		p.running = false
+		p.handle(Exited{reason})
+	}
+}
