--- a/fleet/records.go
+++ b/fleet/records.go
@@ -13,7 +13,7 @@
 // operationOverhead is the size of an operation beside its name and value, in bytes.
 const operationOverhead = 48
 
-// RecordsLimitError says that a change of records is beyond a bound of an entry.
+// RecordsLimitError reports that a change of records is beyond a bound of an entry.
 type RecordsLimitError struct {
 	Value, Limit int
 	Unit         string // "operations" or "bytes"
--- a/internal/replica/leader_test.go
+++ b/internal/replica/leader_test.go
@@ -31,8 +31,8 @@
 func TestRemovedVoterDisturbsNobody(t *testing.T) {
 	n, list := startThree(t)
 	l := leader(t, list)
-	rest := followers(list, l)
-	removed, other := rest[0], rest[1]
+	others := followers(list, l)
+	removed, other := others[0], others[1]
 	n.set(l.name, removed.name, true) // its removal does not reach it
 	change, err := l.store.Remove(removed.name)
 	must(t, err)
@@ -56,8 +56,8 @@
 	n, list := startThree(t)
 	old := leader(t, list)
 	propose(t, old.store, command("1", 0, "a"))
-	rest := followers(list, old)
-	for _, v := range rest {
+	others := followers(list, old)
+	for _, v := range others {
 		n.set(old.name, v.name, true)
 	}
 	if _, err := old.store.Propose(t.Context(), rolloutApplied(1)); !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrNoLeader) {
@@ -69,7 +69,7 @@
 	if head(old.store).Number != 1 {
 		t.Fatal("it does not serve its state")
 	}
-	next := leader(t, rest)
+	next := leader(t, others)
 	propose(t, next.store, rolloutApplied(1))
 	propose(t, next.store, command("2", 1, "b"))
 	n.healAll()
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -12,11 +12,11 @@
 
 // Errors of changes of the members, to be told apart by errors.Is. Nothing was changed.
 var (
-	// ErrNotMember says that a store to be removed is not a member.
+	// ErrNotMember reports that a store to be removed is not a member.
 	ErrNotMember = errors.New("is no voter")
-	// ErrVoter says that a store to be added without a vote is a voter.
+	// ErrVoter reports that a store to be added without a vote is a voter.
 	ErrVoter = errors.New("is a voter: remove it before it is added without a vote")
-	// ErrOnlyVoter says that a store to be removed is the only voter.
+	// ErrOnlyVoter reports that a store to be removed is the only voter.
 	ErrOnlyVoter = errors.New("is the only voter: a site needs one")
 )
 
--- a/internal/replica/records_test.go
+++ b/internal/replica/records_test.go
@@ -151,8 +151,8 @@
 	commit(t, list, plans("r1", "gold"))
 	old := leader(t, list)
 	before := recordsStateOf(old.store)
-	rest := followers(list, old)
-	for _, v := range rest {
+	others := followers(list, old)
+	for _, v := range others {
 		n.set(old.name, v.name, true)
 	}
 	if _, err := old.store.Propose(t.Context(), plans("lost", "lost")); !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrNoLeader) {
@@ -168,7 +168,7 @@
 		wg.Go(func() {
 			for i := range numbers {
 				request := fmt.Sprint("more", i)
-				if _, err := proposeAnywhere(rest, plans(request, request)); err != nil {
+				if _, err := proposeAnywhere(others, plans(request, request)); err != nil {
 					t.Error(err)
 				}
 			}
@@ -179,7 +179,7 @@
 	}
 	close(numbers)
 	wg.Wait()
-	next := leader(t, rest)
+	next := leader(t, others)
 	if now := recordsStateOf(old.store); now != before {
 		t.Fatalf("the minority is at %+v, %+v before the cut", now, before)
 	}
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -27,15 +27,15 @@
 
 // Errors that callers tell apart by errors.Is.
 var (
-	// ErrNoLeader says that this voter does not lead, or lost its leadership before it proposed the change. Nothing was
+	// ErrNoLeader reports that this voter does not lead, or lost its leadership before it proposed the change. Nothing was
 	// changed.
 	ErrNoLeader = errors.New("this voter does not lead")
-	// ErrUnknown says that the leadership was lost, or time ran out, while a change was in flight: it may be committed
+	// ErrUnknown reports that the leadership was lost, or time ran out, while a change was in flight: it may be committed
 	// later or never. The same request may be retried.
 	ErrUnknown = errors.New("it is not known whether the change was committed")
-	// ErrDamaged says that the log's file is damaged, so that the voter can't start.
+	// ErrDamaged reports that the log's file is damaged, so that the voter can't start.
 	ErrDamaged = errors.New("is damaged")
-	// ErrNothingToRecover says that Config.Recover is set and the folder is empty.
+	// ErrNothingToRecover reports that Config.Recover is set and the folder is empty.
 	ErrNothingToRecover = errors.New("holds nothing to recover")
 )
 
--- a/internal/replica/voter_test.go
+++ b/internal/replica/voter_test.go
@@ -119,13 +119,13 @@
 }
 
 // followers returns the voters but the one.
-func followers(list []*voter, l *voter) (rest []*voter) {
+func followers(list []*voter, l *voter) (others []*voter) {
 	for _, v := range list {
 		if v != l {
-			rest = append(rest, v)
+			others = append(others, v)
 		}
 	}
-	return rest
+	return others
 }
 
 // leader waits until one of the voters leads, and returns it.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -21,9 +21,9 @@
 
 // Errors that callers tell apart by errors.Is.
 var (
-	// ErrInvalidTerms says that a lease on the terms could not be held or renewed.
+	// ErrInvalidTerms reports that a lease on the terms could not be held or renewed.
 	ErrInvalidTerms = errors.New("invalid lease terms")
-	// ErrSessionNotNew says that a session's number is not above all numbers that were opened before.
+	// ErrSessionNotNew reports that a session's number is not above all numbers that were opened before.
 	ErrSessionNotNew = errors.New("session number is not new")
 )
 
--- a/revisions/revision.go
+++ b/revisions/revision.go
@@ -71,7 +71,7 @@
 	return total
 }
 
-// FieldError says that a field of a command, by its JSON key, has an invalid value.
+// FieldError reports that a field of a command, by its JSON key, has an invalid value.
 type FieldError struct {
 	Field  string
 	Reason string
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -66,7 +66,7 @@
 	return m.actions, nil
 }
 
-// EventError says that an event is not possible in the state that a machine is in.
+// EventError reports that an event is not possible in the state that a machine is in.
 type EventError struct {
 	Event  Event
 	State  State
