--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -68,7 +68,6 @@
 }
 
 func playFaults(t *testing.T, seed uint64) {
-	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 0))
 	n, list := startThree(t)
 	run := &faultRun{list: list, diskFull: make([]atomic.Bool, len(list)), requested: map[string]bool{}, acknowledged: map[uint64]string{}}
@@ -239,7 +238,6 @@
 
 // check compares the voters' states with the operations of the clients.
 func (run *faultRun) check(t *testing.T) {
-	t.Helper()
 	l := leader(t, run.list)
 	propose(t, l.store, fleet.Entry{Audit: &fleet.Event{At: at, Who: "ann", What: "the end"}})
 	must(t, l.store.VerifyLeader())
