--- a/members/contacts.go
+++ b/members/contacts.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	maxJoinTargets      = 4  // at a time: any of them knows all the others
-	firstJoinIntervals  = 2  // intervals; the pause between requests doubles
-	maxJoinIntervals    = 20 // intervals
-	rosterSendIntervals = 5  // intervals between rosters sent to one member
+	maxJoinTargets      = 4  // per attempt: any of them knows all the others
+	firstJoinIntervals  = 2  // probe intervals; the backoff between attempts doubles
+	maxJoinIntervals    = 20 // probe intervals
+	rosterSendIntervals = 5  // probe intervals between rosters sent to one member
 )
 
-// Contacts decides which addresses a process asks to rejoin, and which members it sends its roster, in addition to what
-// the failure detector does. It is not safe for concurrent use.
+// Contacts decides to which addresses a process sends join requests, and to which members its roster, in addition to what
+// the failure detector sends. It is not safe for concurrent use.
 type Contacts struct {
-	interval     time.Duration // the detector's interval
+	interval     time.Duration // between probes
 	nextJoin     Time
 	joinDelay    time.Duration
 	rosterSentAt map[string]Time
 }
 
-// NewContacts returns Contacts whose first request is due at once.
+// NewContacts returns Contacts whose first join request is due at once. Interval is the probe interval.
 func NewContacts(interval time.Duration, now Time) *Contacts {
 	return &Contacts{interval: interval, nextJoin: now, joinDelay: firstJoinIntervals * interval, rosterSentAt: map[string]Time{}}
 }
 
-// JoinTargets returns the addresses to ask now, in any order: of members that are not heard of, as the failure detector forgets
-// members after a long partition, and seeds while too few are known. Address returns the last known address of a member,
-// "" for none. The pauses grow while members are missing.
+// JoinTargets returns the addresses to send join requests to now, in any order: those of members that are not alive, since
+// the failure detector forgets members after a long partition, and the seeds while too few members are known. The function
+// address returns the last known address of a member, "" for none. The delay between attempts backs off while members are
+// missing.
 func (c *Contacts) JoinTargets(now Time, view *View, address func(name string) string, seeds []string, rng *rand.Rand) (targets []string) {
 	if now < c.nextJoin {
 		return nil
@@ -54,10 +55,10 @@
 	return targets[:min(len(targets), maxJoinTargets)]
 }
 
-// ShouldSendRoster reports whether to send a member this process's roster: it has an older or different one, and was not sent it
-// lately.
-func (c *Contacts) ShouldSendRoster(now Time, mine Roster, a Alive) bool {
-	if a.Epoch > mine.Epoch || a.Epoch == mine.Epoch && a.Sum == mine.Sum() {
+// ShouldSendRoster reports whether to send a member this process's roster: it has an older or a conflicting one, and was
+// sent none in the last intervals. If so, it records the roster as sent.
+func (c *Contacts) ShouldSendRoster(now Time, own Roster, a Alive) bool {
+	if a.Epoch > own.Epoch || a.Epoch == own.Epoch && a.Sum == own.Sum() {
 		return false
 	}
 	if last, sent := c.rosterSentAt[a.Name]; sent && now-last < rosterSendIntervals*c.interval {
--- a/members/diff.go
+++ b/members/difference.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// Difference is something on which pictures disagree.
+// Difference is something on which views disagree.
 type Difference struct {
-	What        string      `json:"what"`           // such as "epoch", or "g3"
-	Groups      []ViewGroup `json:"groups"`         // who says what, the largest group first
+	What        string      `json:"what"`           // "roster", "verdict" or the name of a member
+	Groups      []ViewGroup `json:"groups"`         // the largest one first
 	LikelyCause string      `json:"belief"`         // the most likely cause
-	Name        string      `json:"name,omitempty"` // member concerned
+	Name        string      `json:"name,omitempty"` // of the member, "" for others
 }
 
-// ViewGroup is what a group of pictures says.
+// ViewGroup is a group of views that agree.
 type ViewGroup struct {
 	Value string   `json:"says"`
 	By    []string `json:"by"`
 }
 
-// Differences returns the differences between pictures of a site, except for times.
+// Differences returns the differences between views of a site, except for times: none if all views agree.
 func Differences(views []View) (list []Difference) {
 	compare := func(what, name, likelyCause string, value func(*View) string) {
 		var groups []ViewGroup
--- a/members/events.go
+++ b/members/events.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Time is a time on this process's own clock: the duration since the process started. It runs on while the process is
-// stopped.
+// Time is a time on this process's own clock: the duration since the process started. It continues while the process is
+// suspended.
 type Time = time.Duration
 
-// Event is something that a process learned of its peers.
+// Event is an input of Machine.Handle: what a process learned of its peers, or that time has passed.
 type Event interface{ event() }
 
-// Tick says that time has passed. It must be handled every Settings.Tick; a much later one shows that this process was
-// suspended.
+// Tick reports that time has passed. It must be handled every Settings.TickInterval: a Tick that is late by
+// Settings.StallThreshold shows that this process was suspended.
 type Tick struct{}
 
-// Answered says that a member answered this process directly.
+// Answered reports that a member answered a probe of this process.
 type Answered struct {
 	Name        string
 	Incarnation Incarnation
 }
 
-// Alive says that a life of a name is alive, from whatever source, and what it reports of itself.
+// Alive reports that an incarnation of a name is alive, from whatever source, and what it announces of itself.
 type Alive struct {
 	Name         string
 	Incarnation  Incarnation
@@ -29,50 +29,58 @@
 	Sum          uint64 // of its roster
 }
 
-// Suspected says that a probe of a member by By was not answered.
+// Suspected reports that a probe of a member by the member By was not answered.
 type Suspected struct {
 	Name        string
 	Incarnation Incarnation
 	By          string
 }
 
-// Refuted says that a member denied By's report that it is gone.
+// Refuted reports that a member denied By's suspicion.
 type Refuted struct {
 	Name        string
 	Incarnation Incarnation
 	By          string
 }
 
-// Failed says that the failure detector counts a member as gone.
+// Failed reports that the failure detector gave a member up, which proves nothing.
 type Failed struct {
 	Name        string
 	Incarnation Incarnation
 }
 
-// Left says that a member announced its own end.
+// Left reports that a member announced its graceful shutdown.
 type Left struct {
 	Name        string
 	Incarnation Incarnation
 }
 
-// IncarnationLearned says that a life of a name existed; it may be over.
+// IncarnationLearned reports that an incarnation of a name existed; it may have ended. Peers exchange it as JSON.
 type IncarnationLearned struct {
 	Name        string      `json:"Name"`
 	Incarnation Incarnation `json:"Life"`
 }
 
-// RosterReceived is a roster that was received.
+// RosterReceived reports a roster that a peer sent or a file holds.
 type RosterReceived struct {
 	Roster Roster
-	By     string // the sender: a member, or another source
+	By     string // the sender: a member, or the name of the file
 }
 
-func (Tick) event()               {}
-func (Answered) event()           {}
-func (Alive) event()              {}
-func (Suspected) event()          {}
-func (Refuted) event()            {}
-func (Failed) event()             {}
-func (Left) event()               {}
+func (Tick) event() {}
+
+func (Answered) event() {}
+
+func (Alive) event() {}
+
+func (Suspected) event() {}
+
+func (Refuted) event() {}
+
+func (Failed) event() {}
+
+func (Left) event() {}
+
 func (IncarnationLearned) event() {}
-func (RosterReceived) event()     {}
+
+func (RosterReceived) event() {}
--- a/members/handle.go
+++ b/members/handle.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// handleAnswered handles an answer to this process.
+// handleAnswered records an answer to a probe of this process.
 func (m *Machine) handleAnswered(e Answered) {
 	if e.Name == m.settings.Self {
 		return
@@ -22,11 +22,11 @@
 	}
 }
 
-// handleAlive handles what a life says of itself.
+// handleAlive records what an incarnation announces of itself.
 func (m *Machine) handleAlive(e Alive) {
 	if e.Name == m.settings.Self {
 		if e.Incarnation < m.settings.Incarnation {
-			// An earlier life of this name still runs; it will learn that it is superseded.
+			// An earlier incarnation of this name still runs; it will learn that it is superseded.
 			if p := m.peerNamed(e.Name); p != nil {
 				m.recordEarlierIncarnation(p, e.Incarnation, true)
 			}
@@ -44,7 +44,7 @@
 		return
 	}
 	if p.state == StateLeft {
-		return // it has left: this news of it is old
+		return // a delayed message: an incarnation that has left does not come back
 	}
 	if p.epoch != e.Epoch || p.sum != e.Sum || p.address != e.Address || p.adminAddress != e.AdminAddress {
 		p.epoch, p.sum, p.address, p.adminAddress = e.Epoch, e.Sum, e.Address, e.AdminAddress
@@ -53,7 +53,7 @@
 	m.setState(p, StateAlive, "is there", "")
 }
 
-// supersede notes a life of this process's own name.
+// supersede records a later incarnation of this process's own name.
 func (m *Machine) supersede(incarnation Incarnation) {
 	if incarnation > m.settings.Incarnation && incarnation > m.superseded {
 		m.superseded = incarnation
@@ -62,7 +62,7 @@
 	}
 }
 
-// handleSuspected handles an unanswered probe.
+// handleSuspected records an unanswered probe.
 func (m *Machine) handleSuspected(e Suspected) {
 	if e.By == m.settings.Self {
 		m.recordProbe(e.Name, false)
@@ -74,7 +74,7 @@
 	m.setState(p, StateSuspect, "did not answer a probe", e.By)
 }
 
-// recordProbe notes the result of a probe by this process.
+// recordProbe records the result of a probe by this process and drops the oldest one.
 func (m *Machine) recordProbe(name string, answered bool) {
 	if len(m.probes) >= maxProbes {
 		m.probes = slices.Delete(m.probes, 0, 1)
@@ -82,7 +82,7 @@
 	m.probes = append(m.probes, probe{name: name, answered: answered})
 }
 
-// markEnded sets the state of a life that is gone or has ended.
+// markEnded sets the state of an incarnation that has failed or left.
 func (m *Machine) markEnded(name string, incarnation Incarnation, to State, what string) {
 	p := m.peers[name]
 	if p == nil {
@@ -98,7 +98,7 @@
 	m.setState(p, to, what, "")
 }
 
-// handleIncarnationLearned notes a life, which may be over.
+// handleIncarnationLearned records an incarnation that may have ended.
 func (m *Machine) handleIncarnationLearned(e IncarnationLearned) {
 	if e.Name == m.settings.Self {
 		m.supersede(e.Incarnation)
@@ -110,8 +110,8 @@
 	}
 }
 
-// handleRoster adopts a roster of a higher epoch. A different roster of the same epoch is a mistake of the operators,
-// which is noted.
+// handleRoster adopts a roster of a higher epoch. A different roster of the same epoch is an operator's error and is
+// recorded as a conflict.
 func (m *Machine) handleRoster(e RosterReceived) {
 	if _, err := e.Roster.Check(); err != nil || e.Roster.Epoch < m.roster.Epoch {
 		return
@@ -145,7 +145,7 @@
 	m.addEvidence(m.settings.Self, m.settings.Incarnation, fmt.Sprintf("another roster of epoch %d goes round", e.Roster.Epoch), e.By)
 }
 
-// forgetRemoved forgets names outside the roster that no longer live.
+// forgetRemoved drops the peers outside the roster of which no incarnation is alive.
 func (m *Machine) forgetRemoved() {
 	for name, p := range m.peers {
 		if !m.roster.Has(name) && !p.state.Alive() && !p.hasEarlierIncarnation() {
@@ -154,7 +154,8 @@
 	}
 }
 
-// sinceEpoch returns the epoch in which a name became a member; 0: it is none.
+// sinceEpoch returns the epoch in which a name became a member, 0 for a name outside the roster and for a member of the
+// first roster.
 func sinceEpoch(r Roster, name string) uint64 {
 	for _, m := range r.Members {
 		if m.Name == name {
--- a/members/machine.go
+++ b/members/machine.go
@@ -1,9 +1,3 @@
-// Package members tracks the membership of a site as one process sees it: which members the site has, which of them are
-// alive, and what the process may do while views differ. The members are agreed and numbered (Roster); whether they are
-// alive is each process's own opinion. Package members is a pure state machine: events and times go in, pictures come
-// out; it has no clock, socket or goroutine.
-//
-// Safety rests on the safe count, on Machine.May and on leases granted by others, never on the failure detector.
 package members
 
 import (
@@ -11,18 +5,8 @@
 	"time"
 )
 
-// probe is the result of one probe by this process.
-type probe struct {
-	name     string
-	answered bool
-}
-
-const (
-	maxProbes = 6 // latest probes, from which this process sees whether it is cut off
-	minProbes = 4 // fewer prove nothing
-)
-
-// Machine is the membership state of one process. It is not safe for concurrent use.
+// Machine is the membership state of one process: roster, peers, verdict and quota divisor. It is not safe for concurrent
+// use.
 type Machine struct {
 	settings           Settings
 	now                Time
@@ -31,12 +15,12 @@
 	peers              map[string]*peer  // by name
 
 	lastTick   Time
-	awakeSince Time // since it started, or noticed that it was suspended
+	awakeSince Time // when it started, or detected that it was suspended
 	lastSleep  time.Duration
 	lastAnswer Time // of any peer
 	probes     []probe
-	superseded Incarnation // later life of this process's name; 0: none
-	joined     bool        // all members have known of this one once
+	superseded Incarnation // later incarnation of this process's name; 0: none
+	joined     bool        // every member has been seen with a roster that includes this one
 
 	divisor      int
 	verdict      Verdict
@@ -44,15 +28,27 @@
 	since        Time
 	likely       int
 	allowedSince [verdictCount]Time // since when the evidence has supported this verdict or a better one
-	recentFalls  int                // times that the verdict fell lately, which delay its next rise
+	recentFalls  int                // falls of the verdict, halved each MaxSettleTime; they delay its next rise
 	changedAt    Time
 
 	version  uint64
 	evidence []Evidence
-	dropped  uint64 // names that did not fit
+	dropped  uint64 // events of names beyond the limits
 }
 
-// New returns the machine of a process that starts now with a roster. It fails if settings or roster are invalid.
+const (
+	maxProbes = 6 // latest ones, which show whether this process itself is partitioned
+	minProbes = 4 // fewer are no evidence
+)
+
+// probe is the result of one probe by this process.
+type probe struct {
+	name     string
+	answered bool
+}
+
+// New returns the machine of a process that starts at now with a roster. It returns an error if the settings or the
+// roster are invalid.
 func New(settings Settings, roster Roster, now Time) (*Machine, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -80,10 +76,14 @@
 	return m, nil
 }
 
-// Handle handles an event and reports whether the picture has changed.
+// Roster returns the roster with the highest epoch that this process has received.
+func (m *Machine) Roster() Roster { return m.roster }
+
+// Handle applies an event that arrived at now and reports whether the View has changed. Events may arrive in any order
+// and more than once.
 func (m *Machine) Handle(now Time, ev Event) (changed bool) {
 	before := m.version
-	m.now = max(m.now, now) // time never goes back
+	m.now = max(m.now, now) // time never decreases
 	m.detectSleep()
 	switch e := ev.(type) {
 	case Tick:
@@ -109,7 +109,7 @@
 	return m.version != before
 }
 
-// handleTick ends suspicions that nobody confirmed.
+// handleTick ends suspicions that were not confirmed within the silence timeout.
 func (m *Machine) handleTick() {
 	m.lastTick = m.now
 	for _, p := range m.peers {
--- a/members/table.go
+++ b/members/operation.go
@@ -1,50 +1,41 @@
 package members
 
-// Verdict says how much of its roster a process hears of.
-type Verdict int
-
-// The verdicts, the least permissive first. Exactly half is less than a majority: the other half may think the same.
-const (
-	Unsure   Verdict = iota // its state may be outdated: it was suspended, just started, or rosters conflict
-	Alone                   // it hears of nobody
-	Minority                // it hears of less than half, itself included
-	Even                    // exactly half
-	Majority                // more than half, and not all
-	Complete                // all
-	verdictCount
-)
-
-var verdictNames = [verdictCount]string{"unsure", "alone", "minority", "even", "majority", "whole"}
-
-func (v Verdict) String() string { return verdictNames[v] }
-
-// Operation is something that depends on what is known of the other members.
+// Operation is an action that depends on what is known of the other members.
 type Operation int
 
-// The uses.
+// The operations. Their texts, returned by String, are part of elderctl's output.
 const (
-	ExerciseLease        Operation = iota // continue an exclusive duty; its lease is granted elsewhere
-	RaiseQuota                            // take a larger local share of a quota, by the safe count
-	CountPeerUsage                        // count what others report as spent
-	DivideWarmUpCapacity                  // divide a cold backend's capacity by the likely count
-	EjectForAll                           // take a backend out for all gateways
-	AnswerOperator                        // report the state with its verdict and age
+	ExerciseLease        Operation = iota // act as the holder of a lease that is granted elsewhere
+	RaiseQuota                            // decrease the divisor of quotas to the safe count
+	CountPeerUsage                        // count what peers report as spent
+	DivideWarmUpCapacity                  // divide the capacity of a backend that warms up by the likely count
+	EjectForAll                           // eject a backend on behalf of all gateways
+	AnswerOperator                        // report the view with its verdict and age
 	operationCount
 )
 
 var operationNames = [operationCount]string{"hold a duty", "widen a local share", "count another's use", "hand out a cold backend's share",
 	"take a backend out for all", "answer an operator"}
 
-func (u Operation) String() string { return operationNames[u] }
+// String returns the operation's text in JSON and in elderctl's output.
+func (op Operation) String() string { return operationNames[op] }
+
+// Operations returns all operations, in order.
+func Operations() (list []Operation) {
+	for op := range operationCount {
+		list = append(list, op)
+	}
+	return list
+}
 
-// decision is an entry of the table, with its reason.
+// decision is one entry of the table of decisions.
 type decision struct {
 	allowed bool
 	reason  string
 }
 
-// decisions says which uses each verdict allows. All code that acts on what is known of other members asks it, through May or
-// Machine.May.
+// decisions states which operations each verdict allows. All code that acts on what is known of other members consults it,
+// through Permission.Allows or Machine.Allows. A better verdict never forbids what a worse one allows.
 var decisions = [operationCount][verdictCount]decision{
 	ExerciseLease: {
 		Unsure:   {false, "the lease may have run out while this one slept, and another may hold the duty"},
@@ -96,16 +87,8 @@
 	},
 }
 
-// Allows reports whether a verdict allows a use, and why.
-func Allows(u Operation, v Verdict) (allowed bool, reason string) {
-	d := decisions[u][v]
+// Allows reports whether a verdict allows an operation, and the reason.
+func Allows(op Operation, v Verdict) (allowed bool, reason string) {
+	d := decisions[op][v]
 	return d.allowed, d.reason
 }
-
-// Operations lists all uses.
-func Operations() (list []Operation) {
-	for u := range operationCount {
-		list = append(list, u)
-	}
-	return list
-}
--- a/members/peer.go
+++ b/members/peer.go
@@ -4,41 +4,42 @@
 	"slices"
 )
 
-// earlierIncarnation is an earlier life of a name, which may still be heard of.
+// earlierIncarnation is an earlier incarnation of a name, which may still be alive.
 type earlierIncarnation struct {
 	incarnation Incarnation
 	alive       bool
 }
 
-// peer is what is known of one name.
+// peer is what is known of one name: its latest incarnation, and earlier ones that may still be alive.
 type peer struct {
 	name                string
-	incarnation         Incarnation // latest known
+	incarnation         Incarnation // latest known; 0: none
 	state               State
 	since               Time
 	lastAnswer          Time // to this process; 0: none
 	epoch               uint64
 	sum                 uint64
-	highestEpoch        uint64 // of the rosters that any of its lives had
+	highestEpoch        uint64 // of the rosters that any of its incarnations had
 	address             string
 	adminAddress        string
 	earlierIncarnations []earlierIncarnation
 }
 
-// hasEarlierIncarnation reports whether an earlier life of the name is still heard of.
+// hasEarlierIncarnation reports whether an earlier incarnation of the name is still alive.
 func (p *peer) hasEarlierIncarnation() bool { return p.countEarlierIncarnations() > 0 }
 
-// countEarlierIncarnations returns how many earlier lives of the name are still heard of.
+// countEarlierIncarnations returns how many earlier incarnations of the name are still alive.
 func (p *peer) countEarlierIncarnations() (n int) {
-	for _, o := range p.earlierIncarnations {
-		if o.alive {
+	for _, earlier := range p.earlierIncarnations {
+		if earlier.alive {
 			n++
 		}
 	}
 	return n
 }
 
-// peerNamed returns the peer of that name, which is added if need be; nil if the name is invalid or there is no room.
+// peerNamed returns the peer of that name and adds it if it is new. It returns nil if the name is invalid, or if it is
+// outside the roster and maxStrangers such names are tracked already.
 func (m *Machine) peerNamed(name string) *peer {
 	p := m.peers[name]
 	if p != nil {
@@ -59,8 +60,8 @@
 	return p
 }
 
-// advanceIncarnation notes a life and reports whether it is the latest of its name. Lives only grow: an earlier one never
-// becomes the latest again.
+// advanceIncarnation records an incarnation and reports whether it is the latest of its name. Incarnations only increase:
+// an earlier one never becomes the latest again.
 func (m *Machine) advanceIncarnation(p *peer, incarnation Incarnation) bool {
 	if incarnation < p.incarnation {
 		return false
@@ -74,7 +75,7 @@
 	return true
 }
 
-// recordEarlierIncarnation notes whether an earlier life of a name is alive.
+// recordEarlierIncarnation records whether an earlier incarnation of a name is alive.
 func (m *Machine) recordEarlierIncarnation(p *peer, incarnation Incarnation, alive bool) {
 	i := slices.IndexFunc(p.earlierIncarnations, func(o earlierIncarnation) bool { return o.incarnation == incarnation })
 	switch {
@@ -90,7 +91,7 @@
 	}
 }
 
-// setState sets the state of a peer's latest life.
+// setState sets the state of a peer's latest incarnation and records the change as evidence.
 func (m *Machine) setState(p *peer, to State, what, by string) {
 	if p.state == to {
 		return
--- a/members/roster.go
+++ b/members/roster.go
@@ -9,20 +9,17 @@
 	"strings"
 )
 
-// Limits of what is kept, whatever peers send.
+// Limits of what a machine holds, whatever peers send.
 const (
-	MaxRosterSize = 512 // in a roster
-	MaxNameBytes  = 64  // bytes of a name: every datagram holds names
+	MaxRosterSize = 512 // members
+	MaxNameBytes  = 64  // every datagram contains names
 
 	maxStrangers           = 64  // tracked names outside the roster
-	maxEarlierIncarnations = 4   // tracked earlier lives of one name
+	maxEarlierIncarnations = 4   // tracked earlier incarnations of one name
 	maxEvidence            = 512 // entries; the oldest are dropped
 )
 
-// Incarnation is the incarnation number of a name: each start of a process has a higher one.
-type Incarnation uint64
-
-// Member is one name of a roster.
+// Member is one member of a roster.
 type Member struct {
 	Name  string `toml:"name" json:"name" doc:"name of a gateway (needed)"`
 	Since uint64 `toml:"since" json:"since,omitempty" doc:"epoch in which it was added; 0, the default: it was there from the start"`
@@ -41,7 +38,7 @@
 	return r
 }
 
-// Check returns an error if the roster is invalid, and the key of the offending value.
+// Check returns nil for a valid roster, otherwise an error and the key of the offending value in the roster's file.
 func (r Roster) Check() (key string, err error) {
 	switch {
 	case r.Epoch == 0:
@@ -68,7 +65,7 @@
 	return "", nil
 }
 
-// CheckName returns an error if a name is not valid for a member.
+// CheckName returns an error that quotes the name if it is not valid for a member.
 func CheckName(name string) error {
 	if name == "" || len(name) > MaxNameBytes || !HasOnlyNameCharacters(name) {
 		return fmt.Errorf("%.80q: a name has letters, digits, '-', '_' and '.', 1 to %d of them", name, MaxNameBytes)
@@ -83,7 +80,7 @@
 	})
 }
 
-// Has reports whether a name is a member.
+// Has reports whether a name is a member of the roster.
 func (r Roster) Has(name string) bool {
 	return slices.ContainsFunc(r.Members, func(m Member) bool { return m.Name == name })
 }
@@ -99,7 +96,8 @@
 	return h.Sum64()
 }
 
-// Next returns the roster of the next epoch with these names. New names are members since that epoch, others keep theirs.
+// Next returns the roster of the next epoch with these names. New names are members since that epoch, others keep the
+// epoch in which they were added.
 func (r Roster) Next(names []string) Roster {
 	next := Roster{Epoch: r.Epoch + 1}
 	for _, name := range names {
--- a/members/settings.go
+++ b/members/settings.go
@@ -1,35 +1,36 @@
 package members
 
 import (
+	"errors"
 	"fmt"
 	"time"
 )
 
-// Settings are the parameters of a machine.
+// Settings are the parameters of a Machine. The driver derives all durations from its probe interval.
 type Settings struct {
-	Self           string
-	Incarnation    Incarnation
-	TickInterval   time.Duration // interval of Tick events
+	Self           string        // name of this process
+	Incarnation    Incarnation   // of this process, not 0
+	TickInterval   time.Duration // between Tick events
 	StallThreshold time.Duration // a tick that is later by this much shows that the process was suspended
 	MinSettleTime  time.Duration // how long the evidence must support a better verdict before it is adopted
-	MaxSettleTime  time.Duration // its maximum, reached if verdicts keep changing
-	SilenceTimeout time.Duration // time without an answer after which the silence of others counts; also the longest suspicion
+	MaxSettleTime  time.Duration // limit of the settle time, which doubles while verdicts keep falling
+	SilenceTimeout time.Duration // without any answer, after which the others count as failed; also the longest suspicion
 }
 
-// Check returns an error if the settings are invalid.
+// Check returns an error that names the first invalid setting, nil if there is none.
 func (s *Settings) Check() error {
 	if err := CheckName(s.Self); err != nil {
 		return fmt.Errorf("own name: %w", err)
 	}
 	switch {
 	case s.Incarnation == 0:
-		return fmt.Errorf("life: it is 0")
+		return errors.New("incarnation: it is 0")
 	case s.TickInterval <= 0 || s.StallThreshold < 2*s.TickInterval:
-		return fmt.Errorf("stall: %v is less than two ticks of %v", s.StallThreshold, s.TickInterval)
+		return fmt.Errorf("stall threshold: %v is less than two ticks of %v", s.StallThreshold, s.TickInterval)
 	case s.MinSettleTime <= 0 || s.MaxSettleTime < s.MinSettleTime:
-		return fmt.Errorf("settle: %v, at most %v, is not in order", s.MinSettleTime, s.MaxSettleTime)
+		return fmt.Errorf("settle time: the minimum %v and the maximum %v are not in order", s.MinSettleTime, s.MaxSettleTime)
 	case s.SilenceTimeout < s.MinSettleTime:
-		return fmt.Errorf("blind: %v is less than the %v of a verdict", s.SilenceTimeout, s.MinSettleTime)
+		return fmt.Errorf("silence timeout: %v is less than the minimum settle time of %v", s.SilenceTimeout, s.MinSettleTime)
 	}
 	return nil
 }
--- a/members/verdict.go
+++ b/members/verdict.go
@@ -2,45 +2,48 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 )
 
-// reasonStarted is the reason of the first verdict.
-const reasonStarted = "it has just begun"
+// Verdict classifies how many members of its roster a process believes to be alive.
+type Verdict int
+
+// The verdicts, the least permissive first. Exactly half is less than a majority: the other half may think the same.
+const (
+	Unsure   Verdict = iota // its state may be stale: it was suspended, just started, or rosters conflict
+	Alone                   // no other member is alive
+	Minority                // less than half of the members are alive, itself included
+	Even                    // exactly half of them
+	Majority                // more than half of them, not all
+	Complete                // all of them
+	verdictCount
+)
 
-// Permission says what a process may do. It is a copy that is safe for concurrent use and needs only a clock.
-type Permission struct {
-	verdict    Verdict
-	superseded bool
-	validUntil Time // later than this, the process must have been suspended
-}
+var verdictNames = [verdictCount]string{"unsure", "alone", "minority", "even", "majority", "whole"}
 
-// Permission returns what this process may do now.
-func (m *Machine) Permission() Permission {
-	return Permission{m.verdict, m.superseded != 0, m.lastTick + m.settings.TickInterval + m.settings.StallThreshold}
-}
+// String returns the verdict's name in JSON and in elderctl's output.
+func (v Verdict) String() string { return verdictNames[v] }
 
-// Allows reports whether a use is allowed now, and why. Callers ask right before the effect: a process that was suspended
-// since its last tick may hold nothing, and finds out here.
-func (p Permission) Allows(now Time, u Operation) (allowed bool, reason string) {
-	v := p.verdict
-	if now >= p.validUntil {
-		v = Unsure
-	}
-	if p.superseded && u != AnswerOperator && u != CountPeerUsage {
-		return false, "a later life of this name is there"
+// MarshalText returns the verdict's name.
+func (v Verdict) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
+
+// UnmarshalText parses a verdict's name.
+func (v *Verdict) UnmarshalText(text []byte) error {
+	i := slices.Index(verdictNames[:], string(text))
+	if i < 0 {
+		return fmt.Errorf("%.20q is no verdict", text)
 	}
-	return Allows(u, v)
+	*v = Verdict(i)
+	return nil
 }
 
-// Allows is like Permit.May.
-func (m *Machine) Allows(now Time, u Operation) (allowed bool, reason string) {
-	return m.Permission().Allows(now, u)
-}
+// reasonStarted is the reason of the first verdict.
+const reasonStarted = "it has just begun"
 
-// updateVerdict adapts the verdict to the evidence. A worse verdict is adopted at once. A better one is adopted after the
-// evidence has supported it for a while, the longer the more often the verdict fell lately, so that a flapping link
-// changes it seldom.
+// updateVerdict adapts the verdict and the quota divisor to the evidence. A worse verdict is adopted at once. A better one
+// is adopted after the evidence has supported it for settleTime, which grows with each recent fall, so that a flapping link
+// changes the verdict seldom.
 func (m *Machine) updateVerdict() {
 	raw, reason := m.currentVerdict()
 	if raw != Unsure {
@@ -65,7 +68,7 @@
 	case raw == m.verdict:
 		m.reason = reason
 	}
-	// A smaller share is taken at once, a larger one only if the verdict allows it.
+	// A larger divisor is adopted at once, a smaller one only if the verdict allows it.
 	if divisor := m.targetQuotaDivisor(); divisor > m.divisor || divisor < m.divisor && m.mayRaiseQuota() {
 		m.divisor = divisor
 		m.version++
@@ -81,12 +84,6 @@
 	return v
 }
 
-// mayRaiseQuota reports whether a larger share of quotas is allowed.
-func (m *Machine) mayRaiseQuota() bool {
-	allowed, _ := m.Allows(m.now, RaiseQuota)
-	return allowed
-}
-
 // settleTime returns how long the evidence must support a better verdict.
 func (m *Machine) settleTime() time.Duration {
 	d := m.settings.MinSettleTime
@@ -147,8 +144,8 @@
 	return Unsure, reasonStarted + ", and nobody has answered yet"
 }
 
-// failedProbes returns how many of the latest probes were not answered. Peers that count as gone are not expected to
-// answer.
+// failedProbes returns how many of the latest probes were not answered. Peers that have failed or left are not expected
+// to answer.
 func (m *Machine) failedProbes() int {
 	failed := 0
 	for _, probe := range m.probes {
