--- a/members/golden_test.go
+++ b/members/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -12,34 +11,13 @@
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
+
+	"elderyard/internal/golden"
 )
 
 // The files in testdata are what gateways, agents and the operators' tool of all versions store, send and print. They were
-// written by the code that first had the value, and never change: -update writes only files that are missing, for a form
-// that is new. A field that is added gets a golden file of its own, beside the one that older versions write.
-var updateGolden = flag.Bool("update", false, "write the golden files that are missing; existing ones are never written")
-
-// requireGolden fails the test if got is not, byte for byte, the content of a golden file.
-func requireGolden(t *testing.T, file string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && *updateGolden {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Fatalf("%s has\n%s\nand the code writes\n%s", path, want, got)
-	}
-}
+// written by the code that first had the value, and never change. A field that is added gets a golden file of its own,
+// beside the one that older versions write.
 
 // requireEveryField fails the test if any field in v is zero, or any slice or map is empty: a field that is added must be
 // added to the golden value too.
@@ -73,14 +51,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireGolden(t, file, append(text, '\n'))
-	golden, err := os.ReadFile(filepath.Join("testdata", file))
+	golden.File(t, file, append(text, '\n'))
+	stored, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string][]byte{
-		"the golden file":                golden,
-		"the golden file with a new key": bytes.Replace(golden, []byte("{"), []byte(`{"added later":{"a":[1]},`), 1),
+		"the golden file":                stored,
+		"the golden file with a new key": bytes.Replace(stored, []byte("{"), []byte(`{"added later":{"a":[1]},`), 1),
 	} {
 		var decoded T
 		if err := json.Unmarshal(text, &decoded); err != nil {
@@ -96,7 +74,7 @@
 	return Roster{Epoch: 7, Members: []Member{{Name: "g0", Since: 1}, {Name: "g-1_b.c", Since: 7}}}
 }
 
-func goldenPicture() View {
+func goldenView() View {
 	return View{
 		Version:       1 << 60,
 		At:            90 * time.Second,
@@ -133,7 +111,7 @@
 
 func TestGoldenForms(t *testing.T) {
 	t.Run("roster", func(t *testing.T) { requireJSON(t, "roster.json", goldenRoster()) })
-	t.Run("picture", func(t *testing.T) { requireJSON(t, "picture.json", goldenPicture()) })
+	t.Run("view", func(t *testing.T) { requireJSON(t, "picture.json", goldenView()) })
 	t.Run("evidence", func(t *testing.T) {
 		requireJSON(t, "evidence.json", Evidence{At: 3 * time.Second, Name: "g1", Incarnation: 1<<60 + 5, What: "did not answer a probe", By: "g0"})
 	})
@@ -141,7 +119,7 @@
 		requireJSON(t, "difference.json", Difference{What: "g1", Groups: []ViewGroup{{Value: "not there", By: []string{"g0", "g2"}}},
 			LikelyCause: "a way between gateways is cut, or news of it is under way", Name: "g1"})
 	})
-	t.Run("life", func(t *testing.T) {
+	t.Run("incarnation learned", func(t *testing.T) {
 		requireJSON(t, "life.json", IncarnationLearned{Name: "g1", Incarnation: 1<<60 + 5})
 	})
 }
@@ -156,7 +134,7 @@
 		}
 		text = append(append(text, line...), '\n')
 	}
-	requireGolden(t, "zero.jsonl", text)
+	golden.File(t, "zero.jsonl", text)
 }
 
 // An agent writes the roster's file for its gateways, and operators write it by hand.
@@ -166,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireGolden(t, "roster.toml", text)
+	golden.File(t, "roster.toml", text)
 	var got Roster
 	if err := toml.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("decoded to %+v (%v), want %+v", got, err, want)
@@ -176,10 +154,10 @@
 // Members compare sums that others computed.
 func TestGoldenRosterSum(t *testing.T) {
 	text := fmt.Appendf(nil, "%016x\n%016x\n", goldenRoster().Sum(), Roster{Epoch: 1, Members: []Member{{Name: "a"}}}.Sum())
-	requireGolden(t, "sums.txt", text)
+	golden.File(t, "sums.txt", text)
 }
 
-// The names of states, verdicts and uses, and the reasons of the table, are keys and texts of operators' JSON.
+// The names of states, verdicts and operations, and the reasons of decisions, are keys and texts of operators' JSON.
 func TestGoldenNames(t *testing.T) {
 	var text []byte
 	for s := StateUnknown; s <= StateLeft; s++ {
@@ -198,21 +176,21 @@
 		}
 		text = fmt.Appendf(text, "verdict %s %v\n", encoded, err)
 	}
-	for _, u := range Operations() {
+	for _, op := range Operations() {
 		for v := Unsure; v <= Complete; v++ {
-			may, why := Allows(u, v)
-			text = fmt.Appendf(text, "use %v while %v: %v, %s\n", u, v, may, why)
+			allowed, reason := Allows(op, v)
+			text = fmt.Appendf(text, "use %v while %v: %v, %s\n", op, v, allowed, reason)
 		}
 	}
 	for _, err := range []error{new(State).UnmarshalText([]byte("x")), new(Verdict).UnmarshalText([]byte("x"))} {
 		text = fmt.Appendf(text, "%v\n", err)
 	}
-	requireGolden(t, "names.txt", text)
+	golden.File(t, "names.txt", text)
 }
 
-// A machine's answers to a script of events that reaches every verdict, reason and text of evidence, step by step.
+// A machine's views after each event of a script that reaches every verdict, reason and text of evidence.
 func TestGoldenScript(t *testing.T) {
-	m := begin(t, roster(4))
+	m := newTestMachine(t, rosterOf(4))
 	var text []byte
 	step := func(what string, events ...Event) {
 		changed := false
@@ -220,58 +198,58 @@
 			changed = m.Handle(m.now, ev) || changed
 		}
 		p := m.View(m.now)
-		may, why := m.Allows(m.now, ExerciseLease)
+		allowed, reason := m.Allows(m.now, ExerciseLease)
 		encoded, err := json.Marshal(struct {
-			Step    string               `json:"step"`
-			Changed bool                 `json:"changed"`
-			Picture View                 `json:"picture"`
-			Line    string               `json:"line"`
-			May     bool                 `json:"may"`
-			Why     string               `json:"why"`
-			Share   int                  `json:"share"`
-			Senders int                  `json:"senders"`
-			Lives   []IncarnationLearned `json:"lives"`
-		}{what, changed, p, p.Line(m.now + s(1.234)), may, why, m.QuotaDivisor(), m.Senders(), m.Incarnations()})
+			Step         string               `json:"step"`
+			Changed      bool                 `json:"changed"`
+			View         View                 `json:"picture"`
+			Line         string               `json:"line"`
+			Allowed      bool                 `json:"may"`
+			Reason       string               `json:"why"`
+			QuotaDivisor int                  `json:"share"`
+			Senders      int                  `json:"senders"`
+			Incarnations []IncarnationLearned `json:"lives"`
+		}{what, changed, p, p.Line(m.now + seconds(1.234)), allowed, reason, m.QuotaDivisor(), m.Senders(), m.Incarnations()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		text = append(append(text, encoded...), '\n')
 	}
-	alive := func(name string, life Incarnation, r Roster) Alive {
-		return Alive{Name: name, Incarnation: life, Address: name + ":7000", AdminAddress: name + ":8000", Epoch: r.Epoch, Sum: r.Sum()}
+	alive := func(name string, incarnation Incarnation, r Roster) Alive {
+		return Alive{Name: name, Incarnation: incarnation, Address: name + ":7000", AdminAddress: name + ":8000", Epoch: r.Epoch, Sum: r.Sum()}
 	}
 	first := m.Roster()
 	step("start")
-	m.pass(s(15))
+	m.advance(seconds(15))
 	step("nobody has answered for long")
 	step("g1 is alive, g2 answers", alive("g1", 100, first), Answered{"g2", 100}, Answered{"g1", 100})
 	step("g3 is learned of", IncarnationLearned{"g3", 90}, IncarnationLearned{"g3", 89})
-	m.pass(s(3), "g1", "g2")
+	m.advance(seconds(3), "g1", "g2")
 	step("two of them answer for a while")
 	step("g3 answers", alive("g3", 100, first), Answered{"g3", 100})
-	m.pass(s(9), "g1", "g2", "g3")
+	m.advance(seconds(9), "g1", "g2", "g3")
 	step("all answer for a while")
 	step("g1 is suspected", Suspected{"g1", 100, "g2"})
 	step("g1 denies it", Refuted{"g1", 100, "g2"})
-	m.pass(s(13), "g2", "g3")
+	m.advance(seconds(13), "g2", "g3")
 	step("nobody confirms the suspicion")
 	step("g1 has failed", Failed{"g1", 100})
 	step("g2 leaves", Left{"g2", 100}, alive("g2", 100, first), Answered{"g2", 100})
 	step("g3 has failed", Failed{"g3", 100})
-	m.now += s(20)
+	m.now += seconds(20)
 	step("asleep", Tick{})
 	step("they answer again", Answered{"g1", 100}, Answered{"g3", 100}, alive("g2", 101, first), Answered{"g2", 101})
-	m.pass(s(30), "g1", "g2", "g3")
+	m.advance(seconds(30), "g1", "g2", "g3")
 	step("all answer for a while again")
 	step("own probes fail", Suspected{"g1", 100, "g0"}, Suspected{"g2", 101, "g0"}, Suspected{"g3", 100, "g0"}, Suspected{"g1", 100, "g0"}, Suspected{"g2", 101, "g0"})
-	m.pass(s(100), "g1", "g2", "g3")
+	m.advance(seconds(100), "g1", "g2", "g3")
 	step("all answer once more")
 	step("another roster of the epoch", RosterReceived{Roster{}.Next([]string{"g0", "x1"}), "x1"})
-	step("a roster of the next epoch", RosterReceived{first.Next(append(names(4), "g4")), "file"}, RosterReceived{first, "g1"})
+	step("a roster of the next epoch", RosterReceived{first.Next(append(memberNames(4), "g4")), "file"}, RosterReceived{first, "g1"})
 	step("g1 starts again", alive("g1", 200, m.Roster()))
 	step("the earlier g1 goes on", alive("g1", 100, first))
 	step("the earlier g1 has failed", Failed{"g1", 100})
-	m.pass(s(100), "g1", "g2", "g3")
+	m.advance(seconds(100), "g1", "g2", "g3")
 	step("all but g4 answer for a while")
 	step("two more have failed", Failed{"g1", 200}, Failed{"g2", 101})
 	step("they answer after all", Answered{"g1", 200}, Answered{"g2", 101})
@@ -280,16 +258,16 @@
 	step("a roster without this one", RosterReceived{m.Roster().Next([]string{"g1", "g2", "g3"}), "g3"})
 	step("a roster with it again", RosterReceived{m.Roster().Next([]string{"g3", "g2", "g1", "g0"}), "g3"})
 	step("all know of it", alive("g1", 200, m.Roster()), alive("g2", 101, m.Roster()), alive("g3", 100, m.Roster()))
-	m.pass(s(200), "g1", "g2", "g3")
+	m.advance(seconds(200), "g1", "g2", "g3")
 	step("all answer after long")
 	before := m.View(m.now)
 	step("a later life of this one", IncarnationLearned{"g0", 200})
-	for _, v := range []any{m.Evidence("g0"), m.Evidence("g1"), m.Evidence(""), Differences([]View{before, goldenPicture(), m.View(m.now)})} {
+	for _, v := range []any{m.Evidence("g0"), m.Evidence("g1"), m.Evidence(""), Differences([]View{before, goldenView(), m.View(m.now)})} {
 		encoded, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
 		text = append(append(text, encoded...), '\n')
 	}
-	requireGolden(t, "script.jsonl", text)
+	golden.File(t, "script.jsonl", text)
 }
--- a/members/property_test.go
+++ b/members/property_test.go
@@ -1,21 +1,19 @@
 package members
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// Whatever comes in whatever order: epochs and lives only grow, the safe count is
-// never under the roster, nothing that is kept grows without bound, a better verdict
-// has held, and what a verdict forbids is forbidden.
-func TestPropertiesOfAnyHistory(t *testing.T) {
+// For events in any order: epochs and incarnations only increase, the safe count is never below the size of the roster,
+// the state is bounded, a better verdict has settled, and no operation is allowed that the verdict forbids.
+func TestInvariantsOfAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(t, "members")
-		all := append(names(n), "x1", "x2")
-		m, err := New(settings("g0", 100), roster(n), 0)
+		all := append(memberNames(n), "x1", "x2")
+		m, err := New(testSettings("g0", 100), rosterOf(n), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -23,8 +21,8 @@
 		incarnation := rapid.Map(rapid.IntRange(98, 103), func(i int) Incarnation { return Incarnation(i) })
 		now, fell := Time(0), Time(0)
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
-			now += rapid.SampledFrom([]time.Duration{0, s(0.1), s(0.25), s(0.25), s(0.25), s(1), s(5)}).Draw(t, "pass")
-			who, l := name.Draw(t, "name"), incarnation.Draw(t, "life")
+			now += rapid.SampledFrom([]time.Duration{0, seconds(0.1), seconds(0.25), seconds(0.25), seconds(0.25), seconds(1), seconds(5)}).Draw(t, "delay")
+			who, l := name.Draw(t, "name"), incarnation.Draw(t, "incarnation")
 			before, incarnations := m.View(now), map[string]Incarnation{}
 			for _, v := range before.Members {
 				incarnations[v.Name] = v.Incarnation
@@ -46,7 +44,7 @@
 			case 8:
 				ev = IncarnationLearned{who, l}
 			case 9:
-				r := Roster{Epoch: uint64(rapid.IntRange(0, 4).Draw(t, "epoch"))}.Next(rapid.SliceOfNDistinct(name, 1, len(all), rapid.ID[string]).Draw(t, "belong"))
+				r := Roster{Epoch: uint64(rapid.IntRange(0, 4).Draw(t, "epoch"))}.Next(rapid.SliceOfNDistinct(name, 1, len(all), rapid.ID[string]).Draw(t, "members"))
 				ev = RosterReceived{r, who}
 			}
 			changed := m.Handle(now, ev)
@@ -58,11 +56,11 @@
 				t.Fatalf("epoch %d after %d, superseded %d after %d", p.Epoch, before.Epoch, p.SupersededBy, before.SupersededBy)
 			}
 			if p.SafeCount < p.RosterSize || p.QuotaDivisor < p.SafeCount {
-				t.Fatalf("safe %d of %d, share by %d", p.SafeCount, p.RosterSize, p.QuotaDivisor)
+				t.Fatalf("safe %d of %d, quota divisor %d", p.SafeCount, p.RosterSize, p.QuotaDivisor)
 			}
 			for _, v := range p.Members {
 				if v.Incarnation != 0 && v.Incarnation < incarnations[v.Name] && v.IsMember {
-					t.Fatalf("%s went back from life %d to %d", v.Name, incarnations[v.Name], v.Incarnation)
+					t.Fatalf("%s went back from incarnation %d to %d", v.Name, incarnations[v.Name], v.Incarnation)
 				}
 			}
 			if len(p.Members) > MaxRosterSize+maxStrangers+1 {
@@ -71,51 +69,19 @@
 			if p.Verdict < before.Verdict {
 				fell = now
 			}
-			if p.Verdict > before.Verdict && now-fell < s(2) {
+			if p.Verdict > before.Verdict && now-fell < seconds(2) {
 				t.Fatalf("%v %v after it fell", p.Verdict, now-fell)
 			}
 			for _, u := range Operations() {
 				allowed, reason := m.Allows(now, u)
 				table, _ := Allows(u, p.Verdict)
 				if allowed && !table || reason == "" {
-					t.Fatalf("%v: may %v while %v (%s)", u, allowed, p.Verdict, reason)
+					t.Fatalf("%v: allowed %v while %v (%s)", u, allowed, p.Verdict, reason)
 				}
 			}
 			if m.QuotaDivisor() < p.SafeCount {
-				t.Fatalf("it divides by %d, and the safe count is %d", m.QuotaDivisor(), p.SafeCount)
+				t.Fatalf("quota divisor %d below the safe count %d", m.QuotaDivisor(), p.SafeCount)
 			}
 		}
 	})
 }
-
-// However rosters and pictures come round, two machines that have been told the same
-// rosters have the same one.
-func TestRostersMergeInAnyOrder(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var told []Roster
-		r := roster(3)
-		for i := range rapid.IntRange(1, 6).Draw(t, "rosters") {
-			r = r.Next(append(names(2), fmt.Sprintf("n%d", i)))
-			told = append(told, r)
-		}
-		a, _ := New(settings("g0", 1), roster(3), 0)
-		b, _ := New(settings("g1", 1), roster(3), 0)
-		for _, i := range rapid.Permutation(indices(len(told))).Draw(t, "order of a") {
-			a.Handle(0, RosterReceived{told[i], "a"})
-		}
-		for _, i := range rapid.Permutation(indices(len(told))).Draw(t, "order of b") {
-			b.Handle(0, RosterReceived{told[i], "b"})
-			b.Handle(0, RosterReceived{told[i], "b"})
-		}
-		if a.Roster().Sum() != b.Roster().Sum() || a.Roster().Epoch != r.Epoch {
-			t.Fatalf("%+v and %+v", a.Roster(), b.Roster())
-		}
-	})
-}
-
-func indices(n int) (list []int) {
-	for i := range n {
-		list = append(list, i)
-	}
-	return list
-}
