--- a/internal/peers/ask.go
+++ b/internal/peers/query.go
@@ -43,33 +43,6 @@
 	return w, err
 }
 
-func getJSON(ctx context.Context, at, path string, v any) error {
-	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+path, nil)
-	if err != nil {
-		return fmt.Errorf("%s: %w", at, err)
-	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return fmt.Errorf("%s: %w", at, err)
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	switch {
-	case err != nil:
-		return fmt.Errorf("%s: %w", at, err)
-	case resp.StatusCode == http.StatusNotFound:
-		return fmt.Errorf("%s: it knows no other gateways: it is not elderyard-peers, or has no [peers]", at)
-	case resp.StatusCode != http.StatusOK:
-		return fmt.Errorf("%s: %s: %s", at, resp.Status, strings.TrimSpace(string(text)))
-	}
-	if err := json.Unmarshal(text, v); err != nil {
-		return fmt.Errorf("%s: what it told can't be read: %w", at, err)
-	}
-	return nil
-}
-
 // QueryAllStatus asks processes at some addresses, and all others that these know of.
 func QueryAllStatus(ctx context.Context, first []string) []QueryResult {
 	var list []QueryResult
@@ -104,6 +77,56 @@
 	return list
 }
 
+// QueryAllEvidence asks all that Gather finds what they learned of a member.
+func QueryAllEvidence(ctx context.Context, first []string, name string) []QueryResult {
+	all := QueryAllStatus(ctx, first)
+	by := map[string]int{}
+	var at []string
+	for i, a := range all {
+		if a.Status != nil {
+			by[a.Address] = i
+			at = append(at, a.Address)
+		}
+	}
+	for _, result := range inParallel(at, func(at string) QueryResult {
+		w, err := QueryEvidence(ctx, at, name)
+		if err != nil {
+			return QueryResult{Address: at, Error: err.Error()}
+		}
+		return QueryResult{Address: at, Evidence: &w}
+	}) {
+		all[by[result.Address]].Evidence, all[by[result.Address]].Error = result.Evidence, result.Error
+	}
+	return all
+}
+
+func getJSON(ctx context.Context, at, path string, v any) error {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+path, nil)
+	if err != nil {
+		return fmt.Errorf("%s: %w", at, err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return fmt.Errorf("%s: %w", at, err)
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	switch {
+	case err != nil:
+		return fmt.Errorf("%s: %w", at, err)
+	case resp.StatusCode == http.StatusNotFound:
+		return fmt.Errorf("%s: it knows no other gateways: it is not elderyard-peers, or has no [peers]", at)
+	case resp.StatusCode != http.StatusOK:
+		return fmt.Errorf("%s: %s: %s", at, resp.Status, strings.TrimSpace(string(text)))
+	}
+	if err := json.Unmarshal(text, v); err != nil {
+		return fmt.Errorf("%s: what it told can't be read: %w", at, err)
+	}
+	return nil
+}
+
 // adminAddressOf is where a member's operators call. One that listens on all addresses is
 // found at that which others reach it at.
 func adminAddressOf(v members.MemberView) string {
@@ -133,26 +156,3 @@
 	wg.Wait()
 	return results
 }
-
-// QueryAllEvidence asks all that Gather finds what they learned of a member.
-func QueryAllEvidence(ctx context.Context, first []string, name string) []QueryResult {
-	all := QueryAllStatus(ctx, first)
-	by := map[string]int{}
-	var at []string
-	for i, a := range all {
-		if a.Status != nil {
-			by[a.Address] = i
-			at = append(at, a.Address)
-		}
-	}
-	for _, result := range inParallel(at, func(at string) QueryResult {
-		w, err := QueryEvidence(ctx, at, name)
-		if err != nil {
-			return QueryResult{Address: at, Error: err.Error()}
-		}
-		return QueryResult{Address: at, Evidence: &w}
-	}) {
-		all[by[result.Address]].Evidence, all[by[result.Address]].Error = result.Evidence, result.Error
-	}
-	return all
-}
--- /dev/null
+++ b/internal/peers/roster_file.go
@@ -0,0 +1,42 @@
+package peers
+
+import (
+	"fmt"
+	"os"
+
+	"elderyard/internal/strict"
+	"elderyard/members"
+)
+
+const maxFileBytes = 1 << 20 // bytes of a file that is read
+
+// readRoster reads a roster's file. An error names file, line and key.
+func readRoster(path string) (members.Roster, error) {
+	text, err := readFile(path)
+	if err != nil {
+		return members.Roster{}, fmt.Errorf("roster: %w", err)
+	}
+	return ParseRoster(path, text)
+}
+
+// ParseRoster reads a roster's text. File names it in errors.
+func ParseRoster(file string, text []byte) (r members.Roster, err error) {
+	if err := strict.Decode(file, text, &r); err != nil {
+		return members.Roster{}, err
+	}
+	if key, err := r.Check(); err != nil {
+		return members.Roster{}, strict.At(file, text, key, "%v", err)
+	}
+	return r, nil
+}
+
+func readFile(path string) ([]byte, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: %d bytes, and %d may be", path, info.Size(), maxFileBytes)
+	}
+	return os.ReadFile(path)
+}
--- a/internal/peers/disk.go
+++ b/internal/peers/saved_state.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"os"
 
 	"elderyard/internal/files"
@@ -46,3 +47,27 @@
 	}
 	return files.Replace(s.path("peers.json"), text, 0o600)
 }
+
+// persist writes down what must outlive a start, where it has changed.
+func (p *Peers) persist() {
+	addresses, changed := maps.Clone(p.saved.Addresses), false
+	roster := p.machine.Roster()
+	for _, v := range p.published.Load().view.Members {
+		if !v.Self && v.IsMember && v.State.Alive() && v.Address != "" && addresses[v.Name] != v.Address {
+			addresses[v.Name], changed = v.Address, true
+		}
+	}
+	for name := range addresses {
+		if !roster.Has(name) {
+			delete(addresses, name)
+			changed = true
+		}
+	}
+	if roster.Epoch == p.saved.Roster.Epoch && !changed {
+		return
+	}
+	p.saved.Roster, p.saved.Addresses = roster, addresses
+	if err := p.settings.store(p.saved); err != nil {
+		p.settings.Log("peers: %v", err)
+	}
+}
--- a/internal/peers/settings.go
+++ b/internal/peers/settings.go
@@ -1,7 +1,3 @@
-// Package peers takes part in a site's membership: it drives a members.Machine with
-// what hashicorp/memberlist (SWIM with Lifeguard) hears, keeps on disk what must
-// outlive a start, and tells what it believes. One goroutine owns the machine;
-// others read what it last published.
 package peers
 
 import (
@@ -12,7 +8,6 @@
 	"time"
 
 	"elderyard/internal/site"
-	"elderyard/internal/strict"
 	"elderyard/members"
 )
 
@@ -40,6 +35,14 @@
 // it; it goes before the operator's file.
 const RosterVariable = "ELDERYARD_ROSTER"
 
+// The detector's times, in intervals between probes.
+const (
+	suspicionMult         = 4 // a suspicion lasts so many intervals, times log10 of the members, where others confirm it
+	suspicionMaxMult      = 3 // so many times as long where nobody does
+	pushPullIntervals     = 20
+	gossipToDeadIntervals = 60 // who has gone is still told so, and may deny it
+)
+
 // FromSite reads the operator's settings. It returns nil where the process is to
 // take no part. Desk is its operators' address.
 func FromSite(p site.Peers, self, adminAddress string, env func(string) string, log func(string, ...any)) (*Settings, error) {
@@ -70,47 +73,6 @@
 		MaxSettleTime: 60 * s.ProbeInterval, SilenceTimeout: suspicionMult * suspicionMaxMult * s.ProbeInterval}
 }
 
-// The detector's times, in intervals between probes.
-const (
-	suspicionMult         = 4 // a suspicion lasts so many intervals, times log10 of the members, where others confirm it
-	suspicionMaxMult      = 3 // so many times as long where nobody does
-	pushPullIntervals     = 20
-	gossipToDeadIntervals = 60 // who has gone is still told so, and may deny it
-)
-
-const maxFileBytes = 1 << 20 // bytes of a file that is read
-
-// readRoster reads a roster's file. An error names file, line and key.
-func readRoster(path string) (members.Roster, error) {
-	text, err := readFile(path)
-	if err != nil {
-		return members.Roster{}, fmt.Errorf("roster: %w", err)
-	}
-	return ParseRoster(path, text)
-}
-
-// ParseRoster reads a roster's text. File names it in errors.
-func ParseRoster(file string, text []byte) (r members.Roster, err error) {
-	if err := strict.Decode(file, text, &r); err != nil {
-		return members.Roster{}, err
-	}
-	if key, err := r.Check(); err != nil {
-		return members.Roster{}, strict.At(file, text, key, "%v", err)
-	}
-	return r, nil
-}
-
-func readFile(path string) ([]byte, error) {
-	info, err := os.Stat(path)
-	if err != nil {
-		return nil, err
-	}
-	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%s: %d bytes, and %d may be", path, info.Size(), maxFileBytes)
-	}
-	return os.ReadFile(path)
-}
-
 // check finds what is wrong before any socket is opened.
 func (s *Settings) check() error {
 	if err := members.CheckName(s.Self); err != nil {
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -5,10 +5,8 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/hashicorp/memberlist"
@@ -31,31 +29,6 @@
 
 var errShutDown = errors.New("peers have ended")
 
-// Traffic counts what went over the sockets, and what was dropped and why.
-type Traffic struct {
-	PacketsIn   uint64 `json:"packets_in"`
-	PacketsOut  uint64 `json:"packets_out"`
-	BytesIn     uint64 `json:"bytes_in"`  // of datagrams and connections
-	BytesOut    uint64 `json:"bytes_out"` // of datagrams and connections
-	StreamsIn   uint64 `json:"streams_in"`
-	StreamsOut  uint64 `json:"streams_out"`
-	Foreign     uint64 `json:"foreign"`   // datagrams of another site, or of none
-	Oversized   uint64 `json:"oversized"` // datagrams longer than any of ours
-	Unsealed    uint64 `json:"unsealed"`  // datagrams and connections of another key, or spoilt
-	QueueFull   uint64 `json:"crowded"`   // datagrams and connections that there was no room for
-	RateLimited uint64 `json:"over"`      // datagrams not sent, over the bytes a second
-}
-
-type trafficCounters struct {
-	packetsIn, packetsOut, bytesIn, bytesOut, streamsIn, streamsOut atomic.Uint64
-	foreign, oversized, unsealed, queueFull, rateLimited            atomic.Uint64
-}
-
-func (t *trafficCounters) snapshot() Traffic {
-	return Traffic{t.packetsIn.Load(), t.packetsOut.Load(), t.bytesIn.Load(), t.bytesOut.Load(), t.streamsIn.Load(), t.streamsOut.Load(),
-		t.foreign.Load(), t.oversized.Load(), t.unsealed.Load(), t.queueFull.Load(), t.rateLimited.Load()}
-}
-
 // transport carries the library's datagrams and connections on one address, in
 // bounds: descriptors, bytes waiting, bytes a second. It knows by name at which
 // address a member is reached from here.
@@ -275,92 +248,3 @@
 	t.wg.Wait()
 	return nil
 }
-
-// stream is a connection in bounds of bytes and time.
-type stream struct {
-	*net.TCPConn
-	t                       *transport
-	inbound                 bool // others have made it
-	deadline                time.Time
-	readBudget, writeBudget int // bytes that may still come and go
-	inMu                    sync.Mutex
-	outMu                   sync.Mutex
-	closeOnce               sync.Once
-}
-
-func newStream(conn *net.TCPConn, t *transport, inbound bool) *stream {
-	s := &stream{TCPConn: conn, t: t, inbound: inbound, deadline: time.Now().Add(streamTimeout), readBudget: maxStreamBytes, writeBudget: maxStreamBytes}
-	s.TCPConn.SetDeadline(s.deadline)
-	return s
-}
-
-// The library's own deadlines hold, but none beyond the connection's time.
-func (s *stream) clampDeadline(at time.Time) time.Time {
-	if at.IsZero() || at.After(s.deadline) {
-		return s.deadline
-	}
-	return at
-}
-
-// SetDeadline bounds both ways.
-func (s *stream) SetDeadline(at time.Time) error { return s.TCPConn.SetDeadline(s.clampDeadline(at)) }
-
-// SetReadDeadline bounds what comes.
-func (s *stream) SetReadDeadline(at time.Time) error {
-	return s.TCPConn.SetReadDeadline(s.clampDeadline(at))
-}
-
-// SetWriteDeadline bounds what goes.
-func (s *stream) SetWriteDeadline(at time.Time) error {
-	return s.TCPConn.SetWriteDeadline(s.clampDeadline(at))
-}
-
-// Read reads within the connection's bytes.
-func (s *stream) Read(b []byte) (int, error) {
-	s.inMu.Lock()
-	defer s.inMu.Unlock()
-	if s.readBudget == 0 {
-		return 0, io.ErrUnexpectedEOF
-	}
-	n, err := s.TCPConn.Read(b[:min(len(b), s.readBudget)])
-	s.readBudget -= n
-	s.t.counts.bytesIn.Add(uint64(n))
-	return n, err
-}
-
-// Write writes within the connection's bytes, and waits for its share of the bytes
-// a second.
-func (s *stream) Write(b []byte) (int, error) {
-	s.outMu.Lock()
-	defer s.outMu.Unlock()
-	if len(b) > s.writeBudget {
-		return 0, io.ErrShortWrite
-	}
-	ctx, cancel := context.WithDeadline(s.t.ctx, s.deadline)
-	defer cancel()
-	for left := len(b); left > 0; {
-		piece := min(left, s.t.limiter.Burst())
-		if err := s.t.limiter.WaitN(ctx, piece); err != nil {
-			return 0, fmt.Errorf("over the bytes a second that peers may send: %w", err)
-		}
-		left -= piece
-	}
-	n, err := s.TCPConn.Write(b)
-	s.writeBudget -= n
-	s.t.counts.bytesOut.Add(uint64(n))
-	return n, err
-}
-
-// Close closes it once.
-func (s *stream) Close() (err error) {
-	s.closeOnce.Do(func() {
-		err = s.TCPConn.Close()
-		s.t.mu.Lock()
-		delete(s.t.openStreams, s)
-		if s.inbound {
-			s.t.inboundStreams--
-		}
-		s.t.mu.Unlock()
-	})
-	return err
-}
