--- a/cmd/elderyard-peers/main.go
+++ b/cmd/elderyard-peers/main.go
@@ -4,7 +4,7 @@
 package main
 
 import (
-	"log"
+	"log/slog"
 	"os"
 
 	"elderyard/internal/config"
@@ -15,7 +15,7 @@
 
 func main() {
 	launch.Main(func(c *config.Config) (gateway.Fellows, error) {
-		set, err := peers.FromSite(c.Site.Peers, c.Name, c.Operator, os.Getenv, log.Printf)
+		set, err := peers.FromSite(c.Site.Peers, c.Name, c.Operator, os.Getenv, slog.Default())
 		if set == nil || err != nil {
 			return nil, err
 		}
--- a/internal/peers/admin.go
+++ b/internal/peers/admin.go
@@ -8,54 +8,54 @@
 	"elderyard/members"
 )
 
-// StatusPath is where a process's operators ask what it believes; EvidencePath, with name,
-// what it learned of a member.
+// Paths of the admin interface. StatusPath returns a Status; EvidencePath an EvidenceReport on the member in the query
+// parameter name, on all without it.
 const (
 	StatusPath   = "/_peers"
 	EvidencePath = "/_peers/why"
 )
 
-// Status is what one process tells its operators.
+// Status is the response at StatusPath.
 type Status struct {
 	Version     int                   `json:"version"`
 	Site        string                `json:"site"`
-	Clock       time.Time             `json:"clock"` // of the process, wall clock
+	Clock       time.Time             `json:"clock"` // wall clock of the process
 	View        members.View          `json:"picture"`
 	Permissions []OperationPermission `json:"may"`
 	Traffic     Traffic               `json:"traffic"`
 }
 
-// OperationPermission is one use and whether it may be made of the picture.
+// OperationPermission reports whether an operation is allowed now, and the reason.
 type OperationPermission struct {
 	Operation string `json:"use"`
 	Allowed   bool   `json:"may"`
 	Reason    string `json:"why"`
 }
 
-// EvidenceReport is what one process learned of a member.
+// EvidenceReport is the response at EvidencePath.
 type EvidenceReport struct {
 	Self     string             `json:"self"`
-	At       members.Time       `json:"at_ns"`
+	At       members.Time       `json:"at_ns"` // now, on the process's own clock
 	Evidence []members.Evidence `json:"evidence"`
 }
 
-// Status is what this process tells at this moment.
+// Status returns this process's present status for operators.
 func (p *Peers) Status() Status {
-	a := Status{Version: protocolVersion, Site: p.settings.Site, Clock: time.Now().UTC(), View: p.View(), Traffic: p.Traffic()}
-	for _, u := range members.Operations() {
-		allowed, reason := p.Allows(u)
-		a.Permissions = append(a.Permissions, OperationPermission{u.String(), allowed, reason})
+	status := Status{Version: protocolVersion, Site: p.settings.Site, Clock: time.Now().UTC(), View: p.View(), Traffic: p.Traffic()}
+	for _, op := range members.Operations() {
+		allowed, reason := p.Allows(op)
+		status.Permissions = append(status.Permissions, OperationPermission{op.String(), allowed, reason})
 	}
-	return a
+	return status
 }
 
-// Summary is one line of what this process believes, and how old that is.
+// Summary returns the latest view in one line, with its ages.
 func (p *Peers) Summary() string {
 	view := p.View()
 	return "peers: " + view.Line(p.clock.now())
 }
 
-// AdminHandler answers this process's operators.
+// AdminHandler returns the handler of StatusPath and EvidencePath. Both answer GET with JSON.
 func (p *Peers) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+StatusPath, func(w http.ResponseWriter, r *http.Request) { writeJSON(w, p.Status()) })
@@ -75,6 +75,7 @@
 	return mux
 }
 
+// writeJSON responds with a value and a newline.
 func writeJSON(w http.ResponseWriter, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/peers/clock_linux.go
+++ b/internal/peers/clock_linux.go
@@ -8,18 +8,18 @@
 	"elderyard/members"
 )
 
-// clock counts from the process's start, and on while it or its machine sleeps;
-// the wall clock may be set as it likes.
-type clock struct{ began time.Duration }
+// clock counts from its creation, also while the process or the machine is suspended, and independently of the wall clock.
+type clock struct{ start time.Duration }
 
 func newClock() clock { return clock{sinceBoot()} }
 
-func (c clock) now() members.Time { return sinceBoot() - c.began }
+func (c clock) now() members.Time { return sinceBoot() - c.start }
 
+// sinceBoot returns the time since the machine started, including the time that it was suspended.
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		return 0 // never: every Linux that runs this program has that clock
+		return 0 // unreachable: the Go runtime needs a newer kernel than this clock
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/peers/clock_other.go
+++ b/internal/peers/clock_other.go
@@ -8,10 +8,10 @@
 	"elderyard/members"
 )
 
-// clock counts from the process's start. Where the system's monotonic clock stops
-// while the machine sleeps, such a sleep is not noticed.
-type clock struct{ began time.Time }
+// clock counts from its creation. Where the system's monotonic clock stops while the machine is suspended, package members
+// does not detect that.
+type clock struct{ start time.Time }
 
 func newClock() clock { return clock{time.Now()} }
 
-func (c clock) now() members.Time { return time.Since(c.began) }
+func (c clock) now() members.Time { return time.Since(c.start) }
--- a/internal/peers/detector.go
+++ b/internal/peers/detector.go
@@ -19,25 +19,27 @@
 
 const (
 	eventQueueSize   = 1024
-	handoffQueueSize = 256 // datagrams that the library holds
+	handoffQueueSize = 256 // received messages queued in the library
 	leaveTimeout     = 500 * time.Millisecond
 )
 
-// detector runs the library for one life and turns what it hears into events.
+// detector runs memberlist for one incarnation and turns its callbacks into events. The library calls the methods of its
+// delegate interfaces on its own goroutines, some under its locks: they must not block or call the library.
 type detector struct {
 	list          *memberlist.Memberlist
 	self          string
 	incarnation   members.Incarnation
 	events        chan members.Event
-	eventsDropped atomic.Bool // an event found no room: the list must be read whole
+	eventsDropped atomic.Bool // the queue was full: the machine must be reconciled
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	meta          meta
 	pushPullState message
-	aliveNodes    map[string]members.Alive // whom the library counts as living, by its names
+	aliveNodes    map[string]members.Alive // nodes that the library counts as alive, by its names
 }
 
-// startDetector starts the library on a transport. The detector has the transport from then on.
+// startDetector starts the library on a transport, which the detector owns from then on: close shuts it down, and so does
+// an error.
 func startDetector(s *Settings, t *transport, ring *memberlist.Keyring, incarnation members.Incarnation, initialMeta meta, state message) (*detector, error) {
 	d := &detector{self: s.Self, incarnation: incarnation, events: make(chan members.Event, eventQueueSize), meta: initialMeta, pushPullState: state,
 		aliveNodes: map[string]members.Alive{}}
@@ -61,19 +63,20 @@
 	return d, nil
 }
 
-// close says good-bye where that is asked for, and ends the library.
+// close stops the library and its transport. If leave is set, it announces the graceful shutdown first, which takes up to
+// two leaveTimeouts; members that miss the announcement detect a failure.
 func (d *detector) close(leave bool) {
 	if leave {
 		d.mu.Lock()
 		d.meta.Leaving = true
 		d.mu.Unlock()
-		d.list.UpdateNode(leaveTimeout) // the library tells nobody who left and who was given up: this does
-		d.list.Leave(leaveTimeout)      // whoever hears neither finds out by silence
+		d.list.UpdateNode(leaveTimeout) // the library's own Leave looks like a failure to others
+		d.list.Leave(leaveTimeout)
 	}
 	d.list.Shutdown()
 }
 
-// post hands an event on without waiting: it comes from under the library's locks.
+// post queues an event, or drops it if the queue is full. It must not block: callers hold the library's locks.
 func (d *detector) post(ev members.Event) {
 	select {
 	case d.events <- ev:
@@ -82,19 +85,20 @@
 	}
 }
 
-// announce changes what this member says of itself.
+// announce replaces what this member announces of itself and the state that it exchanges. It must not be called from a
+// callback of the library.
 func (d *detector) announce(m meta, state message) {
 	d.mu.Lock()
 	changed := d.meta != m
 	d.meta, d.pushPullState = m, state
 	d.mu.Unlock()
 	if changed {
-		d.list.UpdateNode(time.Millisecond) // it goes round by itself, whether or not this sees it
+		d.list.UpdateNode(time.Millisecond) // gossip spreads it, also after the timeout
 	}
 }
 
-// join asks members at addresses for what they know. It waits for them; whom it
-// does not reach is asked again later.
+// join exchanges state with the members at these addresses, one after the other, until ctx ends. Errors are dropped: what
+// is not reached is a target of a later attempt.
 func (d *detector) join(ctx context.Context, targets []string) {
 	for _, at := range targets {
 		if ctx.Err() != nil {
@@ -104,14 +108,14 @@
 	}
 }
 
-// alive are the members that the library counts as living.
+// alive returns the members that the library counts as alive, in any order.
 func (d *detector) alive() []members.Alive {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Collect(maps.Values(d.aliveNodes))
 }
 
-// send gives a member a message whole.
+// send sends a member a message over a connection.
 func (d *detector) send(to members.Alive, m message) error {
 	at, err := net.ResolveTCPAddr("tcp", to.Address)
 	if err != nil {
@@ -120,7 +124,7 @@
 	return d.list.SendReliable(&memberlist.Node{Name: nodeName(to.Name, to.Incarnation), Addr: at.IP, Port: uint16(at.Port)}, m.encode())
 }
 
-// parseNode reads what the library knows of a member. The library holds its lock.
+// parseNode decodes the name and announcement of a library's node. It reports false for ok if they are invalid.
 func (d *detector) parseNode(n *memberlist.Node) (alive members.Alive, leaving, ok bool) {
 	name, incarnation, ok := splitName(n.Name)
 	if !ok {
@@ -133,9 +137,10 @@
 	return members.Alive{Name: name, Incarnation: incarnation, Address: net.JoinHostPort(n.Addr.String(), fmt.Sprint(n.Port)), AdminAddress: m.AdminAddress, Epoch: m.Epoch, Sum: sum}, m.Leaving, true
 }
 
+// errUnreadable makes the library ignore a node.
 var errUnreadable = errors.New("its name or what it says of itself can't be read")
 
-// NotifyAlive keeps out what can't be read. The library calls it.
+// NotifyAlive returns an error for nodes that can't be decoded, which the library then ignores.
 func (d *detector) NotifyAlive(n *memberlist.Node) error {
 	if _, _, ok := d.parseNode(n); !ok {
 		return errUnreadable
@@ -143,7 +148,7 @@
 	return nil
 }
 
-// NotifyJoin hears of a member. The library calls it.
+// NotifyJoin posts that a node is alive or, by its last announcement, has left.
 func (d *detector) NotifyJoin(n *memberlist.Node) {
 	ev, leaving, ok := d.parseNode(n)
 	if !ok || ev.Name == d.self && ev.Incarnation == d.incarnation {
@@ -162,10 +167,10 @@
 	d.post(ev)
 }
 
-// NotifyUpdate hears what a member says of itself now. The library calls it.
+// NotifyUpdate does as NotifyJoin when a node's announcement has changed.
 func (d *detector) NotifyUpdate(n *memberlist.Node) { d.NotifyJoin(n) }
 
-// NotifyLeave hears that a member has gone. The library calls it.
+// NotifyLeave posts that a node has failed. A graceful shutdown was announced before, in NotifyUpdate.
 func (d *detector) NotifyLeave(n *memberlist.Node) {
 	name, incarnation, ok := splitName(n.Name)
 	if !ok || name == d.self && incarnation == d.incarnation {
@@ -177,46 +182,47 @@
 	d.post(members.Failed{Name: name, Incarnation: incarnation})
 }
 
-// NotifyPingComplete hears an answer. The library calls it.
+// NotifyPingComplete posts that a node answered a probe.
 func (d *detector) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
 	if name, incarnation, ok := splitName(n.Name); ok {
 		d.post(members.Answered{Name: name, Incarnation: incarnation})
 	}
 }
 
-// AckPayload is nothing. The library calls it.
+// AckPayload returns no payload.
 func (d *detector) AckPayload() []byte { return nil }
 
-// NodeMeta is what this member says of itself. The library calls it.
+// NodeMeta returns what this member announces of itself.
 func (d *detector) NodeMeta(int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.meta.encode()
 }
 
-// NotifyMsg takes a message. The library calls it.
+// NotifyMsg receives a message of send.
 func (d *detector) NotifyMsg(text []byte) { d.receive(text) }
 
-// GetBroadcasts are none. The library calls it.
+// GetBroadcasts returns none.
 func (d *detector) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState is what this member tells in an exchange. The library calls it.
+// LocalState returns this member's part in an exchange of states.
 func (d *detector) LocalState(bool) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.pushPullState.encode()
 }
 
-// MergeRemoteState takes what another member tells. The library calls it.
+// MergeRemoteState receives another member's part in an exchange of states.
 func (d *detector) MergeRemoteState(text []byte, _ bool) { d.receive(text) }
 
+// receive posts the incarnations and the roster of a message.
 func (d *detector) receive(text []byte) {
 	m, err := decodeMessage(text)
 	if err != nil {
-		return // whoever has the key and yet says that is of another program's making
+		return // encrypted with a key of the site, so from an incompatible program
 	}
-	for _, l := range m.Incarnations {
-		d.post(l)
+	for _, learned := range m.Incarnations {
+		d.post(learned)
 	}
 	d.post(members.RosterReceived{Roster: m.Roster, By: m.From})
 }
--- a/internal/peers/doc.go
+++ b/internal/peers/doc.go
@@ -4,7 +4,8 @@
 //
 // Peers.Run is the only goroutine that uses the members.Machine, the failure detector and the saved state; it publishes a
 // view and a permission after each change. All other methods read what was published last, or send Run a query, and may
-// be called from any goroutine. All goroutines that the package starts end before Run returns.
+// be called from any goroutine. The goroutines that the package starts end before Run
+// returns.
 //
 // Members authenticate each other by shared keys and the name of the site; the transport limits connections, bytes and
 // bytes per second, whatever arrives. The package does not decide what membership means (package members), who becomes a
--- a/internal/peers/incarnation.go
+++ b/internal/peers/incarnation.go
@@ -6,7 +6,8 @@
 	"elderyard/members"
 )
 
-// startIncarnation starts a life. It is written down before anybody hears of it.
+// startIncarnation starts an incarnation with a new machine. It must save the incarnation before anything is sent:
+// otherwise a restart could use the same one again.
 func (p *Peers) startIncarnation(incarnation members.Incarnation) (err error) {
 	p.saved.Incarnation = incarnation
 	if err := p.settings.store(p.saved); err != nil {
@@ -17,7 +18,7 @@
 	return err
 }
 
-// connect opens the sockets of this life.
+// connect opens the sockets and starts the failure detector of this incarnation.
 func (p *Peers) connect() error {
 	t, err := listen(&p.settings, &p.traffic)
 	if err != nil {
@@ -31,32 +32,32 @@
 	return nil
 }
 
-// announcement is what this process tells of itself.
+// announcement returns what this process announces of itself: to all with each message about it, and in exchanges of state.
 func (p *Peers) announcement() (meta, message) {
 	r := p.machine.Roster()
 	return meta{Version: p.settings.protocolVersion, Epoch: r.Epoch, Sum: fmt.Sprintf("%016x", r.Sum()), AdminAddress: p.settings.AdminAddress},
 		message{Version: p.settings.protocolVersion, From: p.settings.Self, Roster: r, Incarnations: p.machine.Incarnations()}
 }
 
-// resign gives way to a later life of this process's name. One that has only just
-// begun is itself the later one, whatever its clock says: it takes a higher number.
+// resign handles a later incarnation of this process's own name. A process that has only just started is itself the later
+// one, whatever its clock shows: it restarts with a higher incarnation. Any other closes the detector for good.
 func (p *Peers) resign(later members.Incarnation) {
-	if !members.MayRaiseIncarnation(p.raises, p.clock.now()-p.incarnationStarted, p.settings.ProbeInterval) {
-		p.settings.Log("peers: life %d of %s is there; this one, %d, takes no part any more", later, p.settings.Self, p.saved.Incarnation)
+	if !members.MayRaiseIncarnation(p.incarnationRaises, p.clock.now()-p.incarnationStarted, p.settings.ProbeInterval) {
+		p.settings.Log.Warn("peers: superseded by a later incarnation; resigned", "name", p.settings.Self, "incarnation", p.saved.Incarnation, "later", later)
 		p.resigned = true
 		p.stopDetector(true)
 		return
 	}
-	p.raises++
+	p.incarnationRaises++
 	p.stopDetector(true)
-	p.settings.Log("peers: life %d of %s has been; this one begins again above it", later, p.settings.Self)
+	p.settings.Log.Info("peers: restarting above a later incarnation", "name", p.settings.Self, "incarnation", p.saved.Incarnation, "later", later)
 	p.saved.Roster = p.machine.Roster()
 	err := p.startIncarnation(members.IncarnationAbove(later))
 	if err == nil {
 		err = p.connect()
 	}
 	if err != nil {
-		p.settings.Log("peers: %v; this process takes no part any more", err)
+		p.settings.Log.Error("peers: restart with a higher incarnation failed; resigned", "error", err)
 		p.resigned = true
 	}
 }
--- a/internal/peers/join.go
+++ b/internal/peers/join.go
@@ -7,7 +7,8 @@
 	"elderyard/members"
 )
 
-// join asks whom it does not hear to let it in again.
+// join starts a join attempt with members that are not alive, unless one is running or none is due. The goroutine belongs
+// to the background and ends after all targets, or with cancelJoin and the detector.
 func (p *Peers) join() {
 	if p.resigned || p.joinDone != nil {
 		return
@@ -20,7 +21,8 @@
 	}
 	now := p.clock.now()
 	view := p.machine.View(now)
-	targets := p.contacts.JoinTargets(now, &view, func(name string) string { return cmp.Or(p.settings.AddressOverrides[name], p.saved.Addresses[name]) }, seeds, p.rng)
+	addressOf := func(name string) string { return cmp.Or(p.settings.AddressOverrides[name], p.saved.Addresses[name]) }
+	targets := p.contacts.JoinTargets(now, &view, addressOf, seeds, p.rng)
 	if len(targets) == 0 {
 		return
 	}
@@ -30,12 +32,13 @@
 	p.background.Go(func() { defer close(done); defer cancel(); d.join(ctx, targets) })
 }
 
-// sendRoster gives a member this process's roster, where it is to have it.
-func (p *Peers) sendRoster(a members.Alive) {
+// sendRoster sends a member this process's roster if it is due. The goroutine belongs to the background and ends with the
+// detector at the latest.
+func (p *Peers) sendRoster(to members.Alive) {
 	r := p.machine.Roster()
-	if !p.contacts.ShouldSendRoster(p.clock.now(), r, a) {
+	if !p.contacts.ShouldSendRoster(p.clock.now(), r, to) {
 		return
 	}
 	d, m := p.detector, message{Version: p.settings.protocolVersion, From: p.settings.Self, Roster: r}
-	p.background.Go(func() { d.send(a, m) }) // what it misses, the next exchange of states brings
+	p.background.Go(func() { d.send(to, m) }) // if it fails, the next exchange of states brings the roster
 }
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -10,11 +10,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-const maxKeys = 8
+const maxKeys = 8 // in one file
 
-// readKeys reads a file of keys: one a line, as base64 of 16, 24 or 32 bytes. The
-// first seals what is sent; what any of them sealed is taken, so that a key can be
-// changed in service: added last, then put first, then the old one taken out.
+// readKeys reads a file of keys: one per line, as base64 of 16, 24 or 32 bytes. The first one encrypts what is sent; all of
+// them decrypt, so that a key can be rotated without interruption: the new one is added last, then moved to the front,
+// then the old one is removed. An error names the file and the line.
 func readKeys(path string) ([][]byte, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -22,21 +22,21 @@
 	}
 	var keys [][]byte
 	lines := bufio.NewScanner(bytes.NewReader(text))
-	for n := 1; lines.Scan(); n++ {
+	for lineNumber := 1; lines.Scan(); lineNumber++ {
 		line := strings.TrimSpace(lines.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		// Danger: an error must not tell the key.
+		// Errors must not contain the key: they are logged.
 		key, err := base64.StdEncoding.DecodeString(line)
 		if err != nil {
-			return nil, fmt.Errorf("%s:%d: the key is not base64", path, n)
+			return nil, fmt.Errorf("%s:%d: the key is not base64", path, lineNumber)
 		}
 		if err := memberlist.ValidateKey(key); err != nil {
-			return nil, fmt.Errorf("%s:%d: the key has %d bytes, not 16, 24 or 32", path, n, len(key))
+			return nil, fmt.Errorf("%s:%d: the key has %d bytes, not 16, 24 or 32", path, lineNumber, len(key))
 		}
 		if keys = append(keys, key); len(keys) > maxKeys {
-			return nil, fmt.Errorf("%s:%d: more than %d keys", path, n, maxKeys)
+			return nil, fmt.Errorf("%s:%d: more than %d keys", path, lineNumber, maxKeys)
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -48,26 +48,27 @@
 	return keys, nil
 }
 
-// updateKeyring brings a ring to the keys of the file.
+// updateKeyring makes a ring contain exactly these keys, the first one as primary key.
 func updateKeyring(ring *memberlist.Keyring, keys [][]byte) error {
-	for _, k := range keys {
-		if err := ring.AddKey(k); err != nil {
-			return fmt.Errorf("key: %w", err)
+	for _, key := range keys {
+		if err := ring.AddKey(key); err != nil {
+			return fmt.Errorf("add a key: %w", err)
 		}
 	}
 	if err := ring.UseKey(keys[0]); err != nil {
-		return fmt.Errorf("key: %w", err)
+		return fmt.Errorf("use a key: %w", err)
 	}
 	for _, current := range ring.GetKeys() {
 		if !containsKey(keys, current) {
 			if err := ring.RemoveKey(current); err != nil {
-				return fmt.Errorf("key: %w", err)
+				return fmt.Errorf("remove a key: %w", err)
 			}
 		}
 	}
 	return nil
 }
 
+// containsKey reports whether a list has a key.
 func containsKey(keys [][]byte, key []byte) bool {
 	for _, k := range keys {
 		if bytes.Equal(k, key) {
--- a/internal/peers/memberlist_log.go
+++ b/internal/peers/memberlist_log.go
@@ -7,9 +7,9 @@
 	"elderyard/members"
 )
 
-// memberlistLog reads the library's log. The library tells of some things nowhere else: whom
-// it has suspected and why, who has suspected this process, what could not be
-// opened. The lines are those of the version in go.mod; a test provokes each.
+// memberlistLog is the output of the library's logger and turns lines into events and counts. The library reports some facts
+// nowhere else: suspicions and their origin, refutations, and messages that could not be decrypted. The texts are those of
+// the version in go.mod; a test provokes each.
 type memberlistLog struct {
 	detector *detector
 	counts   *trafficCounters
@@ -29,24 +29,24 @@
 	}
 )
 
-// Write takes a line.
-func (t *memberlistLog) Write(line []byte) (int, error) {
+// Write handles one line. It always accepts the complete line.
+func (l *memberlistLog) Write(line []byte) (int, error) {
 	text := string(line)
 	if found := suspectLine.FindStringSubmatch(text); found != nil {
 		if name, incarnation, ok := splitName(found[1]); ok {
-			t.detector.post(members.Suspected{Name: name, Incarnation: incarnation, By: t.detector.self})
+			l.detector.post(members.Suspected{Name: name, Incarnation: incarnation, By: l.detector.self})
 		}
 		return len(line), nil
 	}
 	if found := refuteLine.FindStringSubmatch(text); found != nil {
 		if by, _, ok := splitName(found[1]); ok {
-			t.detector.post(members.Refuted{Name: t.detector.self, Incarnation: t.detector.incarnation, By: by})
+			l.detector.post(members.Refuted{Name: l.detector.self, Incarnation: l.detector.incarnation, By: by})
 		}
 		return len(line), nil
 	}
 	for _, start := range decryptionErrors {
 		if strings.HasPrefix(text, start) {
-			t.counts.unsealed.Add(1)
+			l.counts.unsealed.Add(1)
 			break
 		}
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -15,8 +15,7 @@
 	"elderyard/members"
 )
 
-// Peers is one process's part in its site. Run owns it; the other methods may be
-// called from anywhere.
+// Peers is one process's membership in its site. Run owns it; all other methods may be called from any goroutine.
 type Peers struct {
 	settings        Settings
 	clock           clock
@@ -26,37 +25,40 @@
 	evidenceQueries chan evidenceQuery
 	done            chan struct{}
 
-	// of Run's goroutine
+	// The fields below belong to Run's goroutine.
 	saved              savedState
-	detector           *detector // nil: the sockets are not open yet
+	detector           *detector // nil until the sockets are open
 	machine            *members.Machine
 	contacts           *members.Contacts
 	rng                *rand.Rand
-	rosterFile         fileWatch // the roster's
+	rosterFile         fileWatch
 	keyFile            fileWatch
-	raises             int
-	incarnationStarted members.Time   // of this life
-	joinDone           chan struct{}  // closed when those that are being asked have been; nil: nobody is
-	background         sync.WaitGroup // what asks and tells others; the end of the sockets ends them
+	incarnationRaises  int
+	incarnationStarted members.Time
+	joinDone           chan struct{}  // closed when the running join attempt ends; nil: none runs
+	background         sync.WaitGroup // joins and sent rosters; closing the detector ends them
 	cancelJoin         context.CancelFunc
-	unpublished        bool // what is shown is older than what the machine knows
-	resigned           bool // a later life of the name is there: this one takes no part any more
+	unpublished        bool // the machine has changed since the last publish
+	resigned           bool // superseded by a later incarnation: the detector is closed
 }
 
+// publishedState is what other goroutines read.
 type publishedState struct {
 	view       members.View
 	permission members.Permission
 }
 
+// evidenceQuery asks Run for the evidence on a name.
 type evidenceQuery struct {
 	name string
-	done chan []members.Evidence // has room for one
+	done chan []members.Evidence // has capacity for one: Run must not wait
 }
 
+// errStopped is the error of queries after Run has returned.
 var errStopped = errors.New("peers have stopped")
 
-// Open reads keys, roster and what is kept, and opens the sockets. Others are asked
-// by Run.
+// Open reads the keys, the roster and the saved state, starts an incarnation and, unless Settings.WaitForAddress is set,
+// opens the sockets. It sends nothing of its own accord before Run. Errors name the file or setting that is invalid.
 func Open(settings Settings) (*Peers, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -81,10 +83,10 @@
 		return nil, err
 	}
 	if p.saved.Roster.Epoch > roster.Epoch && validRoster(p.saved.Roster) {
-		roster = p.saved.Roster // the others had it; the file lags behind
+		roster = p.saved.Roster // other members had it; the file is outdated
 	}
 	if !roster.Has(settings.Self) {
-		settings.Log("peers: the roster of epoch %d does not have %s: it holds nothing until one does", roster.Epoch, settings.Self)
+		settings.Log.Warn("peers: this process is not in the roster; it has no lease and no quota", "name", settings.Self, "epoch", roster.Epoch)
 	}
 	p.saved.Roster = roster
 	if p.saved.Addresses == nil {
@@ -102,29 +104,31 @@
 	return p, nil
 }
 
+// validRoster reports whether a saved roster can be used.
 func validRoster(r members.Roster) bool {
 	_, err := r.Check()
 	return err == nil
 }
 
-// View is what this process believes, as old as Picture.At tells.
+// View returns the view of the site that was published last, as old as View.At shows. It must not be modified.
 func (p *Peers) View() members.View { return p.published.Load().view }
 
-// Allows tells whether something may be done at this moment, and why. It is to be
-// asked right before the effect.
-func (p *Peers) Allows(u members.Operation) (allowed bool, reason string) {
-	return p.published.Load().permission.Allows(p.clock.now(), u)
+// Allows reports whether an operation is allowed now, and the reason. It must be called right before the effect: otherwise
+// the process may have been suspended in between.
+func (p *Peers) Allows(op members.Operation) (allowed bool, reason string) {
+	return p.published.Load().permission.Allows(p.clock.now(), op)
 }
 
-// Traffic is what went over the sockets.
+// Traffic returns the counts of what was sent, received and dropped since Open.
 func (p *Peers) Traffic() Traffic { return p.traffic.snapshot() }
 
-// Evidence is what was learned lately of a name, or of all for "".
+// Evidence returns the latest evidence on a name, or on all names for "", oldest first. It waits for Run and returns an
+// error if ctx ends or Run has returned.
 func (p *Peers) Evidence(ctx context.Context, name string) ([]members.Evidence, error) {
-	a := evidenceQuery{name, make(chan []members.Evidence, 1)}
+	query := evidenceQuery{name, make(chan []members.Evidence, 1)}
 	select {
-	case p.evidenceQueries <- a:
-		return <-a.done, nil
+	case p.evidenceQueries <- query:
+		return <-query.done, nil
 	case <-p.done:
 		return nil, errStopped
 	case <-ctx.Done():
@@ -132,6 +136,7 @@
 	}
 }
 
+// publish makes the machine's state visible to other goroutines.
 func (p *Peers) publish() {
 	p.published.Store(&publishedState{p.machine.View(p.clock.now()), p.machine.Permission()})
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -5,6 +5,7 @@
 	"encoding/base64"
 	"flag"
 	"fmt"
+	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -79,7 +80,7 @@
 		s.hosts[name] = at
 	}
 	set := Settings{Self: name, Site: s.name, Listen: s.hosts[name], Advertise: s.hosts[name], Dir: s.dir, KeyFile: filepath.Join(s.dir, "keys"),
-		RosterFile: filepath.Join(s.dir, "roster.toml"), AddressOverrides: map[string]string{}, ProbeInterval: 200 * time.Millisecond, MaxBytesPerSecond: 1 << 20, Log: s.t.Logf}
+		RosterFile: filepath.Join(s.dir, "roster.toml"), AddressOverrides: map[string]string{}, ProbeInterval: 200 * time.Millisecond, MaxBytesPerSecond: 1 << 20, Log: slog.New(slog.NewTextHandler(s.t.Output(), nil))}
 	for _, seed := range seeds {
 		set.Seeds = append(set.Seeds, s.hosts[seed])
 	}
--- a/internal/peers/query.go
+++ b/internal/peers/query.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -22,113 +23,125 @@
 	maxConcurrentQueries = 16
 )
 
-// QueryResult is what one process told, or why it did not.
+// QueryResult is one process's response, or the error of the query.
 type QueryResult struct {
-	Name     string          `json:"name,omitempty"` // of the member; "" where nobody has named it
-	Address  string          `json:"at"`             // its operators' address
+	Name     string          `json:"name,omitempty"` // of the member; "" if no response names it
+	Address  string          `json:"at"`             // of its admin interface
 	Status   *Status         `json:"answer,omitempty"`
 	Evidence *EvidenceReport `json:"why,omitempty"`
 	Error    string          `json:"trouble,omitempty"`
 }
 
-// QueryStatus asks one process what it believes.
-func QueryStatus(ctx context.Context, at string) (a Status, err error) {
-	err = getJSON(ctx, at, StatusPath, &a)
-	return a, err
+// QueryStatus requests the status of the process with that admin address. An error begins with the address.
+func QueryStatus(ctx context.Context, address string) (status Status, err error) {
+	err = getJSON(ctx, address, StatusPath, &status)
+	return status, err
 }
 
-// QueryEvidence asks one process what it learned of a member; of all for "".
-func QueryEvidence(ctx context.Context, at, name string) (w EvidenceReport, err error) {
-	err = getJSON(ctx, at, EvidencePath+"?name="+url.QueryEscape(name), &w)
-	return w, err
+// QueryEvidence requests the evidence on a member, or on all for "", from the process with that admin address. An error
+// begins with the address.
+func QueryEvidence(ctx context.Context, address, name string) (report EvidenceReport, err error) {
+	err = getJSON(ctx, address, EvidencePath+"?name="+url.QueryEscape(name), &report)
+	return report, err
 }
 
-// QueryAllStatus asks processes at some addresses, and all others that these know of.
-func QueryAllStatus(ctx context.Context, first []string) []QueryResult {
-	var list []QueryResult
+// QueryAllStatus requests the status of the processes at these admin addresses and of all members that they know of, until
+// no response names another one. The results are sorted by name and address; a process that does not respond has an Error.
+func QueryAllStatus(ctx context.Context, addresses []string) []QueryResult {
+	var results []QueryResult
 	queried := map[string]bool{}
 	names := map[string]string{} // by address
-	for next := first; len(next) > 0 && len(list) <= members.MaxRosterSize; {
-		next = slices.DeleteFunc(slices.Clone(next), func(at string) bool { was := queried[at]; queried[at] = true; return was })
-		round := inParallel(next, func(at string) QueryResult {
-			a, err := QueryStatus(ctx, at)
+	for next := addresses; len(next) > 0 && len(results) <= members.MaxRosterSize; {
+		next = slices.DeleteFunc(slices.Clone(next), func(address string) bool {
+			seen := queried[address]
+			queried[address] = true
+			return seen
+		})
+		round := inParallel(next, func(address string) QueryResult {
+			status, err := QueryStatus(ctx, address)
 			if err != nil {
-				return QueryResult{Name: names[at], Address: at, Error: err.Error()}
+				return QueryResult{Name: names[address], Address: address, Error: err.Error()}
 			}
-			return QueryResult{Name: a.View.Self, Address: at, Status: &a}
+			return QueryResult{Name: status.View.Self, Address: address, Status: &status}
 		})
-		list = append(list, round...)
+		results = append(results, round...)
 		next = nil
 		for _, r := range round {
 			if r.Status == nil {
 				continue
 			}
 			for _, v := range r.Status.View.Members {
-				if at := adminAddressOf(v); at != "" && !v.Self && !queried[at] {
-					names[at] = v.Name
-					next = append(next, at)
+				if address := adminAddressOf(v); address != "" && !v.Self && !queried[address] {
+					names[address] = v.Name
+					next = append(next, address)
 				}
 			}
 		}
 		slices.Sort(next)
 		next = slices.Compact(next)
 	}
-	slices.SortFunc(list, func(a, b QueryResult) int { return strings.Compare(a.Name+" "+a.Address, b.Name+" "+b.Address) })
-	return list
+	slices.SortFunc(results, func(a, b QueryResult) int { return strings.Compare(a.Name+" "+a.Address, b.Name+" "+b.Address) })
+	return results
 }
 
-// QueryAllEvidence asks all that Gather finds what they learned of a member.
-func QueryAllEvidence(ctx context.Context, first []string, name string) []QueryResult {
-	all := QueryAllStatus(ctx, first)
-	by := map[string]int{}
-	var at []string
-	for i, a := range all {
-		if a.Status != nil {
-			by[a.Address] = i
-			at = append(at, a.Address)
+// QueryAllEvidence finds processes as QueryAllStatus does and requests from each that responds its evidence on a member, or
+// on all for "".
+func QueryAllEvidence(ctx context.Context, addresses []string, name string) []QueryResult {
+	results := QueryAllStatus(ctx, addresses)
+	indexOf := map[string]int{} // by address
+	var responding []string
+	for i, r := range results {
+		if r.Status != nil {
+			indexOf[r.Address] = i
+			responding = append(responding, r.Address)
 		}
 	}
-	for _, result := range inParallel(at, func(at string) QueryResult {
-		w, err := QueryEvidence(ctx, at, name)
+	for _, evidence := range inParallel(responding, func(address string) QueryResult {
+		report, err := QueryEvidence(ctx, address, name)
 		if err != nil {
-			return QueryResult{Address: at, Error: err.Error()}
+			return QueryResult{Address: address, Error: err.Error()}
 		}
-		return QueryResult{Address: at, Evidence: &w}
+		return QueryResult{Address: address, Evidence: &report}
 	}) {
-		all[by[result.Address]].Evidence, all[by[result.Address]].Error = result.Evidence, result.Error
+		r := &results[indexOf[evidence.Address]]
+		r.Evidence, r.Error = evidence.Evidence, evidence.Error
 	}
-	return all
+	return results
 }
 
-func getJSON(ctx context.Context, at, path string, v any) error {
+// errNoMembership is the error for a process that does not serve the admin interface of this package.
+var errNoMembership = errors.New("it knows no other gateways: it is not elderyard-peers, or has no [peers]")
+
+// getJSON requests a path of a process's admin interface and decodes the response.
+func getJSON(ctx context.Context, address, path string, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return fmt.Errorf("%s: %w", at, err)
+		return fmt.Errorf("%s: %w", address, err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return fmt.Errorf("%s: %w", at, err)
+		return fmt.Errorf("%s: %w", address, err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	switch {
 	case err != nil:
-		return fmt.Errorf("%s: %w", at, err)
+		return fmt.Errorf("%s: %w", address, err)
 	case resp.StatusCode == http.StatusNotFound:
-		return fmt.Errorf("%s: it knows no other gateways: it is not elderyard-peers, or has no [peers]", at)
+		return fmt.Errorf("%s: %w", address, errNoMembership)
 	case resp.StatusCode != http.StatusOK:
-		return fmt.Errorf("%s: %s: %s", at, resp.Status, strings.TrimSpace(string(text)))
+		return fmt.Errorf("%s: %s: %s", address, resp.Status, strings.TrimSpace(string(text)))
 	}
-	if err := json.Unmarshal(text, v); err != nil {
-		return fmt.Errorf("%s: what it told can't be read: %w", at, err)
+	if err := json.Unmarshal(text, result); err != nil {
+		return fmt.Errorf("%s: what it told can't be read: %w", address, err)
 	}
 	return nil
 }
 
-// adminAddressOf is where a member's operators call. One that listens on all addresses is
-// found at that which others reach it at.
+// adminAddressOf returns the address of a member's admin interface, "" if it has none or it is invalid. A member whose admin
+// interface listens on all addresses is queried at the address at which other members reach it.
 func adminAddressOf(v members.MemberView) string {
 	host, port, err := net.SplitHostPort(v.AdminAddress)
 	if err != nil {
@@ -142,15 +155,17 @@
 	return net.JoinHostPort(host, port)
 }
 
+// inParallel returns the results of a function for each text, in order. At most maxConcurrentQueries calls run at a time;
+// all have returned when it returns.
 func inParallel[T any](list []string, do func(string) T) []T {
 	results := make([]T, len(list))
 	slots := make(chan struct{}, maxConcurrentQueries)
 	var wg sync.WaitGroup
-	for i, at := range list {
+	for i, text := range list {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			results[i] = do(at)
+			results[i] = do(text)
 		})
 	}
 	wg.Wait()
--- a/internal/peers/reload.go
+++ b/internal/peers/reload.go
@@ -1,21 +1,26 @@
 package peers
 
 import (
+	"fmt"
 	"os"
 	"time"
+
+	"elderyard/members"
 )
 
-// fileWatch tells whether a file has changed since the last look.
+// fileWatch detects changes of a file by its size and time.
 type fileWatch struct {
 	size      int64
 	modified  time.Time
-	lastError string
+	lastError string // of the last reload; "": it succeeded
 }
 
+// changed reports whether the file has changed since the last call. It reports true for a file that can't be examined until
+// an error is recorded, so that the error is logged once.
 func (f *fileWatch) changed(path string) bool {
 	info, err := os.Stat(path)
 	if err != nil {
-		return f.lastError == "" // to be read, and the error told, once
+		return f.lastError == ""
 	}
 	if info.Size() == f.size && info.ModTime().Equal(f.modified) {
 		return false
@@ -24,10 +29,47 @@
 	return true
 }
 
-func (f *fileWatch) report(log func(string, ...any), err error, consequence string) {
+// recordError records the result of a reload.
+func (f *fileWatch) recordError(err error) {
 	f.lastError = ""
 	if err != nil {
 		f.lastError = err.Error()
-		log("peers: %v; %s", err, consequence)
 	}
 }
+
+// reloadKeys reads the file of keys if it has changed. If that fails, the previous keys stay in use.
+func (p *Peers) reloadKeys() {
+	if !p.keyFile.changed(p.settings.KeyFile) {
+		return
+	}
+	keys, err := readKeys(p.settings.KeyFile)
+	if err == nil {
+		err = updateKeyring(p.keyring, keys)
+	}
+	p.keyFile.recordError(err)
+	if err != nil {
+		p.settings.Log.Warn("peers: reloading the keys failed; the previous ones stay in use", "error", err)
+		return
+	}
+	p.settings.Log.Info("peers: reloaded the keys", "file", p.settings.KeyFile, "keys", len(keys))
+}
+
+// reloadRoster reads the roster's file if it has changed. If that fails, or if the roster is not newer than the one in use
+// and differs from it, the previous roster stays in use.
+func (p *Peers) reloadRoster() {
+	if !p.rosterFile.changed(p.settings.RosterFile) {
+		return
+	}
+	roster, err := readRoster(p.settings.RosterFile)
+	if current := p.machine.Roster(); err == nil && roster.Epoch < current.Epoch {
+		err = fmt.Errorf("%s: epoch %d is older than epoch %d, which is in use", p.settings.RosterFile, roster.Epoch, current.Epoch)
+	} else if err == nil && roster.Epoch == current.Epoch && roster.Sum() != current.Sum() {
+		err = fmt.Errorf("%s: it differs from the roster of epoch %d that is in use; a change needs a higher epoch", p.settings.RosterFile, roster.Epoch)
+	}
+	p.rosterFile.recordError(err)
+	if err != nil {
+		p.settings.Log.Warn("peers: reloading the roster failed; the previous one stays in use", "error", err)
+		return
+	}
+	p.handle(members.RosterReceived{Roster: roster, By: p.settings.RosterFile})
+}
--- a/internal/peers/roster_file.go
+++ b/internal/peers/roster_file.go
@@ -8,9 +8,9 @@
 	"elderyard/members"
 )
 
-const maxFileBytes = 1 << 20 // bytes of a file that is read
+const maxFileBytes = 1 << 20 // of any file that is read
 
-// readRoster reads a roster's file. An error names file, line and key.
+// readRoster reads the roster's file. An error names the file and, for invalid content, line and key.
 func readRoster(path string) (members.Roster, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return ParseRoster(path, text)
 }
 
-// ParseRoster reads a roster's text. File names it in errors.
+// ParseRoster parses the text of a roster's file. An error names the file as given, the line and the key.
 func ParseRoster(file string, text []byte) (r members.Roster, err error) {
 	if err := strict.Decode(file, text, &r); err != nil {
 		return members.Roster{}, err
@@ -30,6 +30,7 @@
 	return r, nil
 }
 
+// readFile reads a file of at most maxFileBytes.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -7,27 +7,22 @@
 	"elderyard/members"
 )
 
-const reconcileIntervals = 2 // intervals between looks at the files and the whole list
+// Intervals in units of Settings.ProbeInterval.
+const (
+	ticksPerInterval   = 4
+	reconcileIntervals = 2 // between checks of the files and the failure detector's complete list
+)
 
-// Run takes part until ctx ends, then says good-bye. Told is called in Run's
-// goroutine with each new number that quotas are divided by, and that of the
-// senders to a cold backend; it must not wait.
+// Run takes part in the site until ctx ends, then announces the graceful shutdown and closes the sockets. It must be called
+// once. The function divisorsChanged is called in Run's goroutine with each new quota divisor and number of processes that
+// send to a backend that is warming up; it must not block.
 func (p *Peers) Run(ctx context.Context, divisorsChanged func(quotaDivisor, senders int)) {
 	defer close(p.done)
-	for p.detector == nil {
-		err := p.connect()
-		if err == nil {
-			break
-		}
-		// In an upgrade the process before has the address until it ends.
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(p.settings.ProbeInterval / 4):
-		}
+	if !p.connectWhenFree(ctx) {
+		return
 	}
 	defer func() { p.stopDetector(!p.resigned) }()
-	tick := time.NewTicker(p.settings.ProbeInterval / 4)
+	tick := time.NewTicker(p.settings.ProbeInterval / ticksPerInterval)
 	defer tick.Stop()
 	quotaDivisor, senders, lastReconcile := 0, 0, p.clock.now()
 	for {
@@ -36,12 +31,12 @@
 			return
 		case ev := <-p.detector.events:
 			p.handle(ev)
-		case a := <-p.evidenceQueries:
-			a.done <- p.machine.Evidence(a.name)
+		case query := <-p.evidenceQueries:
+			query.done <- p.machine.Evidence(query.name)
 		case <-p.joinDone:
 			p.joinDone = nil
 		case <-tick.C:
-			p.unpublished = true // with each tick all that is shown is, its age too
+			p.unpublished = true // each tick renews the published ages and the permission
 			p.handle(members.Tick{})
 			if now := p.clock.now(); now-lastReconcile >= reconcileIntervals*p.settings.ProbeInterval {
 				lastReconcile = now
@@ -50,18 +45,35 @@
 			p.join()
 		}
 		if !p.unpublished {
-			continue // an answer like those before it: most events are
+			continue // most events are answers that change nothing
 		}
 		p.unpublished = false
 		p.publish()
 		p.persist()
-		if s, c := p.machine.QuotaDivisor(), p.machine.Senders(); s != quotaDivisor || c != senders {
-			quotaDivisor, senders = s, c
+		if newDivisor, newSenders := p.machine.QuotaDivisor(), p.machine.Senders(); newDivisor != quotaDivisor || newSenders != senders {
+			quotaDivisor, senders = newDivisor, newSenders
 			divisorsChanged(quotaDivisor, senders)
 		}
 	}
 }
 
+// connectWhenFree opens the sockets if they are not open, and retries while that fails: in an upgrade the previous process
+// has the address until it ends. It reports false if ctx ended before.
+func (p *Peers) connectWhenFree(ctx context.Context) bool {
+	for p.detector == nil {
+		if p.connect() == nil {
+			break
+		}
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(p.settings.ProbeInterval / ticksPerInterval):
+		}
+	}
+	return true
+}
+
+// handle applies an event to the machine and what follows from it. A process that has resigned handles ticks alone.
 func (p *Peers) handle(ev members.Event) {
 	if p.resigned {
 		if _, tick := ev.(members.Tick); !tick {
@@ -77,12 +89,13 @@
 		return
 	}
 	p.detector.announce(p.announcement())
-	if a, is := ev.(members.Alive); is {
-		p.sendRoster(a)
+	if alive, ok := ev.(members.Alive); ok {
+		p.sendRoster(alive)
 	}
 }
 
-// stopDetector ends the library.
+// stopDetector closes the failure detector and waits for the goroutines of the background. If leave is set, it announces
+// the graceful shutdown.
 func (p *Peers) stopDetector(leave bool) {
 	if p.cancelJoin != nil {
 		p.cancelJoin()
--- a/internal/peers/saved_state.go
+++ b/internal/peers/saved_state.go
@@ -11,44 +11,45 @@
 	"elderyard/members"
 )
 
-// savedState is what must outlive a start: without the life, one that starts again with
-// its clock set back could take itself for an earlier one; without the roster, it
-// could go back to who belonged long ago; without the addresses, one whose seeds
-// are all dead would find nobody.
+// savedState is what must survive a restart. Without the incarnation, a process that restarts with its clock set back could
+// start below its previous one; without the roster, it could return to an outdated one; without the addresses, it would
+// find no other member if all seeds are down.
 type savedState struct {
 	Incarnation members.Incarnation `json:"life"`
 	Roster      members.Roster      `json:"roster"`
-	Addresses   map[string]string   `json:"addresses"` // of members, as last heard
+	Addresses   map[string]string   `json:"addresses"` // by name of member, as last announced
 }
 
-func (s *Settings) load() (k savedState, err error) {
+// load reads the saved state. It returns the zero state if there is no file.
+func (s *Settings) load() (state savedState, err error) {
 	text, err := readFile(s.path("peers.json"))
 	if errors.Is(err, os.ErrNotExist) {
 		return savedState{}, nil
 	}
 	if err == nil {
-		err = json.Unmarshal(text, &k)
+		err = json.Unmarshal(text, &state)
 	}
 	if err != nil {
-		return savedState{}, fmt.Errorf("%s: %w; what it knew is lost if it is removed: the life goes on by the clock, the roster comes from its file or from the others", s.path("peers.json"), err)
+		return savedState{}, fmt.Errorf("%s: %w; what it knew is lost if it is removed: the incarnation then comes from the clock, the roster from its file or from other members", s.path("peers.json"), err)
 	}
-	return k, nil
+	return state, nil
 }
 
-// store writes it down. Danger: in an upgrade two processes share the folder, and
-// the one that ends must not put its lower number in the place of the other's.
-func (s *Settings) store(k savedState) error {
+// store replaces the saved state. It never lowers the saved incarnation: in an upgrade two processes share the folder, and
+// the one that ends must not replace the higher incarnation of the other.
+func (s *Settings) store(state savedState) error {
 	if previous, err := s.load(); err == nil {
-		k.Incarnation = max(k.Incarnation, previous.Incarnation)
+		state.Incarnation = max(state.Incarnation, previous.Incarnation)
 	}
-	text, err := json.Marshal(k)
+	text, err := json.Marshal(state)
 	if err != nil {
-		return fmt.Errorf("what is kept of peers: %w", err)
+		return fmt.Errorf("encode the saved state of peers: %w", err)
 	}
 	return files.Replace(s.path("peers.json"), text, 0o600)
 }
 
-// persist writes down what must outlive a start, where it has changed.
+// persist saves the roster and the addresses of members if they have changed. If that fails, it logs the error and tries
+// again with the next change.
 func (p *Peers) persist() {
 	addresses, changed := maps.Clone(p.saved.Addresses), false
 	roster := p.machine.Roster()
@@ -68,6 +69,6 @@
 	}
 	p.saved.Roster, p.saved.Addresses = roster, addresses
 	if err := p.settings.store(p.saved); err != nil {
-		p.settings.Log("peers: %v", err)
+		p.settings.Log.Error("peers: saving the state failed", "error", err)
 	}
 }
--- a/internal/peers/settings.go
+++ b/internal/peers/settings.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"time"
@@ -11,41 +12,41 @@
 	"elderyard/members"
 )
 
-// Settings are those of one process.
+// Settings are the parameters of one process's membership.
 type Settings struct {
-	Self              string
-	Site              string
-	Listen            string
-	Advertise         string
-	AdminAddress      string // where this process's operators call; "": nowhere
-	Dir               string
-	KeyFile           string
-	RosterFile        string // the file
-	Seeds             []string
-	AddressOverrides  map[string]string // by name: at which address a member is reached from here
-	ProbeInterval     time.Duration     // between probes
-	MaxBytesPerSecond float64           // bytes a second that may be sent
-	WaitForAddress    bool              // another process may have the address for a while, as in an upgrade
-	Log               func(format string, a ...any)
+	Self              string            // name of this process
+	Site              string            // members of different sites ignore each other
+	Listen            string            // IP address and port, UDP and TCP
+	Advertise         string            // IP address and port at which members reach this process
+	AdminAddress      string            // of this process's admin interface; "": none
+	Dir               string            // existing folder of the saved state
+	KeyFile           string            // see readKeys
+	RosterFile        string            // TOML
+	Seeds             []string          // addresses of members to join first
+	AddressOverrides  map[string]string // by name: address at which this process reaches that member
+	ProbeInterval     time.Duration     // all other times are multiples of it
+	MaxBytesPerSecond float64           // sent, over both protocols
+	WaitForAddress    bool              // Run opens the sockets, once a previous process has closed its own
+	Log               *slog.Logger      // not nil
 
-	protocolVersion int // version; 0: this program's
+	protocolVersion int // 0: that of this program
 }
 
-// RosterVariable names the roster's file in the environment, where an agent keeps
-// it; it goes before the operator's file.
+// RosterVariable is the environment variable with the path of the roster's file, set by an agent that maintains the file.
+// It takes precedence over the operator's setting.
 const RosterVariable = "ELDERYARD_ROSTER"
 
-// The detector's times, in intervals between probes.
+// The failure detector's times, in units of Settings.ProbeInterval.
 const (
-	suspicionMult         = 4 // a suspicion lasts so many intervals, times log10 of the members, where others confirm it
-	suspicionMaxMult      = 3 // so many times as long where nobody does
-	pushPullIntervals     = 20
-	gossipToDeadIntervals = 60 // who has gone is still told so, and may deny it
+	suspicionMult         = 4  // duration of a suspicion that others confirm, times log10 of the number of members
+	suspicionMaxMult      = 3  // factor for a suspicion that nobody confirms
+	pushPullIntervals     = 20 // between exchanges of complete state with a random member
+	gossipToDeadIntervals = 60 // failed members still receive gossip, so that they can refute
 )
 
-// FromSite reads the operator's settings. It returns nil where the process is to
-// take no part. Desk is its operators' address.
-func FromSite(p site.Peers, self, adminAddress string, env func(string) string, log func(string, ...any)) (*Settings, error) {
+// FromSite returns the settings of the process self from the operator's file and the environment, nil if membership is off.
+// It returns an error if no roster file is set.
+func FromSite(p site.Peers, self, adminAddress string, env func(string) string, log *slog.Logger) (*Settings, error) {
 	if p.Listen == "" {
 		return nil, nil
 	}
@@ -66,14 +67,14 @@
 	return s, nil
 }
 
-// machineSettings are the settings of the pure half. The detector's own times are beside
-// them, so that all of them rest on Every.
+// machineSettings returns the settings of the state machine. All of its times and those of the failure detector are
+// multiples of ProbeInterval.
 func (s *Settings) machineSettings(incarnation members.Incarnation) members.Settings {
-	return members.Settings{Self: s.Self, Incarnation: incarnation, TickInterval: s.ProbeInterval / 4, StallThreshold: 3 * s.ProbeInterval / 2, MinSettleTime: 2 * s.ProbeInterval,
+	return members.Settings{Self: s.Self, Incarnation: incarnation, TickInterval: s.ProbeInterval / ticksPerInterval, StallThreshold: 3 * s.ProbeInterval / 2, MinSettleTime: 2 * s.ProbeInterval,
 		MaxSettleTime: 60 * s.ProbeInterval, SilenceTimeout: suspicionMult * suspicionMaxMult * s.ProbeInterval}
 }
 
-// check finds what is wrong before any socket is opened.
+// check returns an error that names the first invalid setting. It opens no socket.
 func (s *Settings) check() error {
 	if err := members.CheckName(s.Self); err != nil {
 		return fmt.Errorf("own name: %w", err)
@@ -89,4 +90,5 @@
 	return nil
 }
 
+// path returns the path of a file of this process in the folder of the saved state.
 func (s *Settings) path(what string) string { return filepath.Join(s.Dir, s.Self+"."+what) }
--- a/internal/peers/stream.go
+++ b/internal/peers/stream.go
@@ -9,25 +9,31 @@
 	"time"
 )
 
-// stream is a connection in bounds of bytes and time.
+const (
+	maxStreamBytes = 1 << 20 // of one connection, in each direction
+	streamTimeout  = 10 * time.Second
+)
+
+// stream is a connection with a limit of bytes in each direction and a deadline that the library can't extend.
 type stream struct {
 	*net.TCPConn
 	t                       *transport
-	inbound                 bool // others have made it
+	inbound                 bool // made by another process
 	deadline                time.Time
-	readBudget, writeBudget int // bytes that may still come and go
-	inMu                    sync.Mutex
-	outMu                   sync.Mutex
+	readBudget, writeBudget int // bytes left
+	readMu                  sync.Mutex
+	writeMu                 sync.Mutex
 	closeOnce               sync.Once
 }
 
+// newStream returns a stream whose deadline starts now.
 func newStream(conn *net.TCPConn, t *transport, inbound bool) *stream {
 	s := &stream{TCPConn: conn, t: t, inbound: inbound, deadline: time.Now().Add(streamTimeout), readBudget: maxStreamBytes, writeBudget: maxStreamBytes}
 	s.TCPConn.SetDeadline(s.deadline)
 	return s
 }
 
-// The library's own deadlines hold, but none beyond the connection's time.
+// clampDeadline returns a deadline of the library, at most that of the stream.
 func (s *stream) clampDeadline(at time.Time) time.Time {
 	if at.IsZero() || at.After(s.deadline) {
 		return s.deadline
@@ -35,23 +41,23 @@
 	return at
 }
 
-// SetDeadline bounds both ways.
+// SetDeadline sets the deadline of reads and writes, at most that of the stream.
 func (s *stream) SetDeadline(at time.Time) error { return s.TCPConn.SetDeadline(s.clampDeadline(at)) }
 
-// SetReadDeadline bounds what comes.
+// SetReadDeadline sets the deadline of reads, at most that of the stream.
 func (s *stream) SetReadDeadline(at time.Time) error {
 	return s.TCPConn.SetReadDeadline(s.clampDeadline(at))
 }
 
-// SetWriteDeadline bounds what goes.
+// SetWriteDeadline sets the deadline of writes, at most that of the stream.
 func (s *stream) SetWriteDeadline(at time.Time) error {
 	return s.TCPConn.SetWriteDeadline(s.clampDeadline(at))
 }
 
-// Read reads within the connection's bytes.
+// Read returns io.ErrUnexpectedEOF once maxStreamBytes were read.
 func (s *stream) Read(b []byte) (int, error) {
-	s.inMu.Lock()
-	defer s.inMu.Unlock()
+	s.readMu.Lock()
+	defer s.readMu.Unlock()
 	if s.readBudget == 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
@@ -61,22 +67,22 @@
 	return n, err
 }
 
-// Write writes within the connection's bytes, and waits for its share of the bytes
-// a second.
+// Write returns io.ErrShortWrite, and writes nothing, beyond maxStreamBytes. It waits for the rate limit until the deadline
+// or Shutdown.
 func (s *stream) Write(b []byte) (int, error) {
-	s.outMu.Lock()
-	defer s.outMu.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	if len(b) > s.writeBudget {
 		return 0, io.ErrShortWrite
 	}
 	ctx, cancel := context.WithDeadline(s.t.ctx, s.deadline)
 	defer cancel()
 	for left := len(b); left > 0; {
-		piece := min(left, s.t.limiter.Burst())
-		if err := s.t.limiter.WaitN(ctx, piece); err != nil {
-			return 0, fmt.Errorf("over the bytes a second that peers may send: %w", err)
+		chunk := min(left, s.t.limiter.Burst())
+		if err := s.t.limiter.WaitN(ctx, chunk); err != nil {
+			return 0, fmt.Errorf("rate limit of peers: %w", err)
 		}
-		left -= piece
+		left -= chunk
 	}
 	n, err := s.TCPConn.Write(b)
 	s.writeBudget -= n
@@ -84,7 +90,7 @@
 	return n, err
 }
 
-// Close closes it once.
+// Close closes the connection and releases its place among the inbound ones. Further calls do nothing.
 func (s *stream) Close() (err error) {
 	s.closeOnce.Do(func() {
 		err = s.TCPConn.Close()
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -14,24 +14,23 @@
 )
 
 const (
-	maxPacketBytes         = 1400 // bytes that the library puts in a datagram
-	maxPacketOverheadBytes = 512  // and what sealing and label may add
+	maxPacketBytes         = 1400 // that the library puts into a datagram
+	maxPacketOverheadBytes = 512  // that encryption and label may add
+	minEncryptedBytes      = 1 + 12 + 16
 	packetQueueSize        = 256
-	maxInboundStreams      = 8       // connections that others have made and that are open
-	maxStreamBytes         = 1 << 20 // bytes of one connection, each way
-	streamTimeout          = 10 * time.Second
-	labelMagic             = 244 // begins what carries a label
-	minSealedBytes         = 1 + 12 + 16
-	acceptRetryDelay       = 20 * time.Millisecond
-	burstSeconds           = 2.0 // of the rate that may go out at once
 	readBufferBytes        = 256 << 10
+	maxInboundStreams      = 8 // open connections that other processes made
+	acceptRetryDelay       = 20 * time.Millisecond
+	burstSeconds           = 2.0 // of Settings.MaxBytesPerSecond that may be sent at once
+	labelMagic             = 244 // first byte of what carries a label, in the library's format
 )
 
+// errShutDown is the error of a connection that is made while the transport shuts down.
 var errShutDown = errors.New("peers have ended")
 
-// transport carries the library's datagrams and connections on one address, in
-// bounds: descriptors, bytes waiting, bytes a second. It knows by name at which
-// address a member is reached from here.
+// transport implements memberlist.NodeAwareTransport: datagrams and connections on one address, with limits on descriptors,
+// queued bytes and bytes per second. It sends to a member at its address in Settings.AddressOverrides if there is one. Two
+// goroutines read the sockets until Shutdown.
 type transport struct {
 	label            []byte
 	addressOverrides map[string]string
@@ -44,51 +43,64 @@
 	limiter          *rate.Limiter
 
 	wg             sync.WaitGroup
-	ctx            context.Context // until Shutdown: nothing that is under way outlives it
+	ctx            context.Context // ends with Shutdown, and with it dialing and waiting writes
 	cancel         context.CancelFunc
 	mu             sync.Mutex
 	openStreams    map[*stream]struct{}
-	inboundStreams int // of those that are open, how many others have made
+	inboundStreams int // those of openStreams that other processes made
 }
 
+// listen opens both sockets and starts to read them. The caller must call Shutdown.
 func listen(s *Settings, counts *trafficCounters) (*transport, error) {
-	advert, err := net.ResolveUDPAddr("udp", s.Advertise)
+	advertised, err := net.ResolveUDPAddr("udp", s.Advertise)
 	if err != nil {
 		return nil, fmt.Errorf("peers.advertise: %w", err)
 	}
-	at, err := net.ResolveUDPAddr("udp", s.Listen)
+	local, err := net.ResolveUDPAddr("udp", s.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	udp, err := net.ListenUDP("udp", at)
+	udp, err := net.ListenUDP("udp", local)
 	if err != nil {
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: at.IP, Port: at.Port, Zone: at.Zone})
+	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: local.IP, Port: local.Port, Zone: local.Zone})
 	if err != nil {
 		udp.Close()
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	udp.SetReadBuffer(readBufferBytes) // less will do: what is lost is sent again
-	t := &transport{label: clusterLabel(s.Site), addressOverrides: s.AddressOverrides, advertised: advert, udp: udp, tcp: tcp, packets: make(chan *memberlist.Packet, packetQueueSize),
-		streams: make(chan net.Conn), counts: counts, limiter: rate.NewLimiter(rate.Limit(s.MaxBytesPerSecond), burstBytes(s.MaxBytesPerSecond)), openStreams: map[*stream]struct{}{}}
+	udp.SetReadBuffer(readBufferBytes) // best effort: what is lost is sent again
+	t := &transport{
+		label:            clusterLabel(s.Site),
+		addressOverrides: s.AddressOverrides,
+		advertised:       advertised,
+		udp:              udp,
+		tcp:              tcp,
+		packets:          make(chan *memberlist.Packet, packetQueueSize),
+		streams:          make(chan net.Conn),
+		counts:           counts,
+		limiter:          rate.NewLimiter(rate.Limit(s.MaxBytesPerSecond), burstBytes(s.MaxBytesPerSecond)),
+		openStreams:      map[*stream]struct{}{},
+	}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	t.wg.Go(t.readPackets)
 	t.wg.Go(t.accept)
 	return t, nil
 }
 
-// burstBytes is what may go out at once, at the least one datagram.
+// burstBytes returns how many bytes may be sent at once, at least one datagram.
 func burstBytes(perSecond float64) int {
 	return max(int(perSecond*burstSeconds), maxPacketBytes+maxPacketOverheadBytes)
 }
 
-// clusterLabel is what every datagram and connection of a site begins with.
+// clusterLabel returns the bytes with which every datagram and connection of a site begins.
 func clusterLabel(site string) []byte {
 	label := "elderyard/" + site
 	return append([]byte{labelMagic, byte(len(label))}, label...)
 }
 
+// readPackets queues the datagrams of this site until the socket is closed. It drops all others before the library spends
+// time on decrypting them.
 func (t *transport) readPackets() {
 	buf := make([]byte, maxPacketBytes+maxPacketOverheadBytes+1)
 	for {
@@ -98,12 +110,10 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // of a datagram that could not be delivered, told to the next read
+			continue // such as an ICMP error for an earlier datagram
 		}
 		t.counts.packetsIn.Add(1)
 		t.counts.bytesIn.Add(uint64(n))
-		// Whatever is not of this site goes no further: whoever can send here must not
-		// keep the library busy with what it could not open.
 		switch {
 		case n == len(buf):
 			t.counts.oversized.Add(1)
@@ -111,7 +121,7 @@
 		case !bytes.HasPrefix(buf[:n], t.label):
 			t.counts.foreign.Add(1)
 			continue
-		case n < len(t.label)+minSealedBytes:
+		case n < len(t.label)+minEncryptedBytes:
 			t.counts.unsealed.Add(1)
 			continue
 		}
@@ -123,6 +133,7 @@
 	}
 }
 
+// accept passes connections to the library until the socket is closed.
 func (t *transport) accept() {
 	for {
 		conn, err := t.tcp.AcceptTCP()
@@ -130,7 +141,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptRetryDelay) // out of descriptors, which others hold
+			time.Sleep(acceptRetryDelay) // the process is out of descriptors
 			continue
 		}
 		s := t.register(conn, true)
@@ -150,8 +161,8 @@
 	}
 }
 
-// register takes note of a connection, and bounds those that others make; nil: it is
-// one too many, or all has ended.
+// register adds a connection to those that Shutdown closes. It returns nil after Shutdown, and for an inbound connection
+// beyond maxInboundStreams.
 func (t *transport) register(conn *net.TCPConn, inbound bool) *stream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,20 +177,19 @@
 	return s
 }
 
-// FinalAdvertiseAddr is what members are told of this one's address.
+// FinalAdvertiseAddr returns the address that members learn of this process.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertised.IP, t.advertised.Port, nil
 }
 
-// WriteTo sends a datagram.
+// WriteTo is like WriteToAddress for a member whose name is not known.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-// WriteToAddress sends a datagram. One over the bytes a second is dropped, as a
-// network drops it.
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	to, err := net.ResolveUDPAddr("udp", t.address(a))
+// WriteToAddress sends a datagram. One beyond the rate limit is counted and dropped without an error, as networks do.
+func (t *transport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+	addr, err := net.ResolveUDPAddr("udp", t.address(to))
 	if err != nil {
 		return time.Time{}, fmt.Errorf("peer: %w", err)
 	}
@@ -188,7 +198,7 @@
 		t.counts.rateLimited.Add(1)
 		return now, nil
 	}
-	n, err := t.udp.WriteToUDP(b, to)
+	n, err := t.udp.WriteToUDP(b, addr)
 	if err != nil {
 		return time.Time{}, fmt.Errorf("peer: %w", err)
 	}
@@ -197,32 +207,32 @@
 	return now, nil
 }
 
-// address is where a member is reached from here.
+// address returns the address at which this process reaches a member.
 func (t *transport) address(a memberlist.Address) string {
 	if name, _, ok := splitName(a.Name); ok {
-		if to, set := t.addressOverrides[name]; set {
-			return to
+		if override, ok := t.addressOverrides[name]; ok {
+			return override
 		}
 	}
 	return a.Addr
 }
 
-// PacketCh is what came.
+// PacketCh returns the received datagrams.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh is who came.
+// StreamCh returns the accepted connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// DialTimeout opens a connection.
-func (t *transport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
-	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, within)
+// DialTimeout is like DialAddressTimeout for a member whose name is not known.
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// DialAddressTimeout opens a connection to a member.
-func (t *transport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	// From the address of its own, as datagrams go: others may tell members by that.
-	from := net.Dialer{Timeout: min(within, streamTimeout), LocalAddr: &net.TCPAddr{IP: t.tcp.Addr().(*net.TCPAddr).IP}}
-	conn, err := from.DialContext(t.ctx, "tcp", t.address(a))
+// DialAddressTimeout connects to a member within the timeout, streamTimeout at most.
+func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	// The source address is that of datagrams, by which others may identify members.
+	dialer := net.Dialer{Timeout: min(timeout, streamTimeout), LocalAddr: &net.TCPAddr{IP: t.tcp.Addr().(*net.TCPAddr).IP}}
+	conn, err := dialer.DialContext(t.ctx, "tcp", t.address(to))
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
@@ -235,7 +245,7 @@
 	return s, nil
 }
 
-// Shutdown closes the sockets and waits for who reads them.
+// Shutdown closes the sockets and all connections and waits for the goroutines that read the sockets.
 func (t *transport) Shutdown() error {
 	t.cancel()
 	t.udp.Close()
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -11,41 +11,42 @@
 	"elderyard/members"
 )
 
-// Versions of what this program says beside the library's own messages. It reads
-// what any version from minProtocolVersion on says; keys that it does not know are left
-// out. So members of neighbouring versions run side by side in an upgrade.
+// Versions of this package's messages inside the library's. Messages of any version from minProtocolVersion on are accepted
+// and unknown keys ignored, so that members of adjacent versions run side by side in an upgrade.
 const (
 	protocolVersion    = 1
 	minProtocolVersion = 1
-	// The library takes no member whose version lies outside what all others state:
-	// this one stays, and what changes goes by the versions above.
+	// The library rejects members whose version is outside the range that all others state. So this one must not change:
+	// changes of messages use the versions above.
 	libraryVersion = 1
 )
 
 const (
 	maxMetaBytes         = memberlist.MetaMaxSize
 	maxMessageBytes      = 256 << 10
-	incarnationSeparator = "#" // no name has it
+	incarnationSeparator = "#" // not valid in names
 )
 
-// meta is what each member tells of itself to all, in each message about it.
+// meta is what a member announces of itself. It is part of every library message about that member.
 type meta struct {
 	Version      int    `json:"v"`
 	Epoch        uint64 `json:"e"`
 	Sum          string `json:"s"`
 	AdminAddress string `json:"d,omitempty"`
-	Leaving      bool   `json:"l,omitempty"` // its last word
+	Leaving      bool   `json:"l,omitempty"` // announced graceful shutdown
 }
 
+// encode returns meta in at most maxMetaBytes. It leaves out an admin address that does not fit.
 func (m meta) encode() []byte {
 	text, err := json.Marshal(m)
 	if err != nil || len(text) > maxMetaBytes {
-		m.AdminAddress = "" // an address of hundreds of bytes
+		m.AdminAddress = ""
 		text, _ = json.Marshal(m)
 	}
 	return text
 }
 
+// decodeMeta decodes meta and the sum of its roster. It returns an error for a version below minProtocolVersion.
 func decodeMeta(text []byte) (m meta, sum uint64, err error) {
 	if err := json.Unmarshal(text, &m); err != nil {
 		return meta{}, 0, fmt.Errorf("what a member says of itself: %w", err)
@@ -59,8 +60,8 @@
 	return m, sum, nil
 }
 
-// message is what members exchange whole: with the library's own exchange of
-// states, and where one sees that another's roster is not its own.
+// message is what members send over connections: in the library's exchange of states, and without incarnations to a member
+// whose roster is older or conflicting.
 type message struct {
 	Version      int                          `json:"v"`
 	From         string                       `json:"from"`
@@ -68,14 +69,16 @@
 	Incarnations []members.IncarnationLearned `json:"lives,omitempty"`
 }
 
+// encode returns nil if the message is longer than maxMessageBytes, which valid names can't cause.
 func (m message) encode() []byte {
 	text, err := json.Marshal(m)
 	if err != nil || len(text) > maxMessageBytes {
-		return nil // it is made of names in bounds
+		return nil
 	}
 	return text
 }
 
+// decodeMessage decodes a message and checks its roster. It returns an error for a version below minProtocolVersion.
 func decodeMessage(text []byte) (m message, err error) {
 	if len(text) > maxMessageBytes {
 		return message{}, fmt.Errorf("a message of %d bytes", len(text))
@@ -92,12 +95,13 @@
 	return m, nil
 }
 
-// nodeName is what the library calls one life of a name. Each life is a member of
-// its own there: so none is ever raised from the dead under another's number.
+// nodeName returns the library's name of an incarnation. Each incarnation is a node of its own there, so that the library
+// never takes an earlier one for a later one.
 func nodeName(name string, incarnation members.Incarnation) string {
 	return name + incarnationSeparator + strconv.FormatUint(uint64(incarnation), 36)
 }
 
+// splitName parses a name that nodeName returned.
 func splitName(node string) (name string, incarnation members.Incarnation, ok bool) {
 	name, number, found := strings.Cut(node, incarnationSeparator)
 	n, err := strconv.ParseUint(number, 36, 64)
--- a/internal/scale/members_linux_test.go
+++ b/internal/scale/members_linux_test.go
@@ -5,6 +5,7 @@
 	"encoding/base64"
 	"flag"
 	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -69,7 +70,7 @@
 		}
 		s.start(peers.Settings{Self: memberName(i), Site: "scale", Listen: address, Advertise: address, Dir: own, KeyFile: filepath.Join(dir, "keys"),
 			RosterFile: filepath.Join(dir, "roster.toml"), Seeds: seedsOf(addresses, i), AddressOverrides: map[string]string{}, ProbeInterval: every, MaxBytesPerSecond: memberRate,
-			Log: func(string, ...any) {}})
+			Log: slog.New(slog.DiscardHandler)})
 	}
 	return s
 }
