--- a/internal/peers/detector.go
+++ b/internal/peers/detector.go
@@ -40,23 +40,23 @@
 
 // startDetector starts the library on a transport, which the detector owns from then on: close shuts it down, and so does
 // an error.
-func startDetector(s *Settings, t *transport, ring *memberlist.Keyring, incarnation members.Incarnation, initialMeta meta, state message) (*detector, error) {
-	d := &detector{self: s.Self, incarnation: incarnation, events: make(chan members.Event, eventQueueSize), meta: initialMeta, pushPullState: state,
+func startDetector(settings *Settings, sockets *transport, ring *memberlist.Keyring, incarnation members.Incarnation, initialMeta meta, state message) (*detector, error) {
+	d := &detector{self: settings.Self, incarnation: incarnation, events: make(chan members.Event, eventQueueSize), meta: initialMeta, pushPullState: state,
 		aliveNodes: map[string]members.Alive{}}
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label = nodeName(s.Self, incarnation), string(t.label[2:])
-	c.Transport, c.Keyring = t, ring
-	c.ProbeInterval, c.ProbeTimeout = s.ProbeInterval, s.ProbeInterval/2
+	c.Name, c.Label = nodeName(settings.Self, incarnation), string(sockets.label[2:])
+	c.Transport, c.Keyring = sockets, ring
+	c.ProbeInterval, c.ProbeTimeout = settings.ProbeInterval, settings.ProbeInterval/2
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxMult
-	c.GossipInterval, c.GossipToTheDeadTime = s.ProbeInterval/5, gossipToDeadIntervals*s.ProbeInterval
-	c.PushPullInterval, c.TCPTimeout = pushPullIntervals*s.ProbeInterval, min(streamTimeout, 10*s.ProbeInterval)
+	c.GossipInterval, c.GossipToTheDeadTime = settings.ProbeInterval/5, gossipToDeadIntervals*settings.ProbeInterval
+	c.PushPullInterval, c.TCPTimeout = pushPullIntervals*settings.ProbeInterval, min(streamTimeout, 10*settings.ProbeInterval)
 	c.EnableCompression, c.UDPBufferSize, c.HandoffQueueDepth = false, maxPacketBytes, handoffQueueSize
 	c.Delegate, c.Events, c.Ping, c.Alive = d, d, d, d
 	c.DelegateProtocolMin, c.DelegateProtocolMax, c.DelegateProtocolVersion = libraryVersion, libraryVersion, libraryVersion
-	c.Logger = log.New(&memberlistLog{detector: d, counts: t.counts}, "", 0)
+	c.Logger = log.New(&memberlistLog{detector: d, counts: sockets.counts}, "", 0)
 	list, err := memberlist.Create(c)
 	if err != nil {
-		t.Shutdown()
+		sockets.Shutdown()
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	d.list = list
@@ -149,15 +149,15 @@
 }
 
 // NotifyJoin posts that a node is alive or, by its last announcement, has left.
-func (d *detector) NotifyJoin(n *memberlist.Node) {
-	ev, leaving, ok := d.parseNode(n)
+func (d *detector) NotifyJoin(node *memberlist.Node) {
+	ev, leaving, ok := d.parseNode(node)
 	if !ok || ev.Name == d.self && ev.Incarnation == d.incarnation {
 		return
 	}
 	d.mu.Lock()
-	delete(d.aliveNodes, n.Name)
+	delete(d.aliveNodes, node.Name)
 	if !leaving {
-		d.aliveNodes[n.Name] = ev
+		d.aliveNodes[node.Name] = ev
 	}
 	d.mu.Unlock()
 	if leaving {
--- a/internal/peers/memberlist_log.go
+++ b/internal/peers/memberlist_log.go
@@ -9,7 +9,7 @@
 
 // memberlistLog is the output of the library's logger and turns lines into events and counts. The library reports some facts
 // nowhere else: suspicions and their origin, refutations, and messages that could not be decrypted. The texts are those of
-// the version in go.mod; a test provokes each.
+// the version in go.mod; an upgrade of the library must check them.
 type memberlistLog struct {
 	detector *detector
 	counts   *trafficCounters
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"elderyard/internal/wait"
 	"elderyard/members"
 )
 
@@ -60,14 +61,9 @@
 // connectWhenFree opens the sockets if they are not open, and retries while that fails: in an upgrade the previous process
 // has the address until it ends. It reports false if ctx ended before.
 func (p *Peers) connectWhenFree(ctx context.Context) bool {
-	for p.detector == nil {
-		if p.connect() == nil {
-			break
-		}
-		select {
-		case <-ctx.Done():
+	for p.detector == nil && p.connect() != nil {
+		if !wait.For(ctx, p.settings.ProbeInterval/ticksPerInterval) {
 			return false
-		case <-time.After(p.settings.ProbeInterval / ticksPerInterval):
 		}
 	}
 	return true
--- a/internal/peers/settings.go
+++ b/internal/peers/settings.go
@@ -46,25 +46,25 @@
 
 // FromSite returns the settings of the process self from the operator's file and the environment, nil if membership is off.
 // It returns an error if no roster file is set.
-func FromSite(p site.Peers, self, adminAddress string, env func(string) string, log *slog.Logger) (*Settings, error) {
-	if p.Listen == "" {
+func FromSite(table site.Peers, self, adminAddress string, env func(string) string, log *slog.Logger) (*Settings, error) {
+	if table.Listen == "" {
 		return nil, nil
 	}
-	s := &Settings{Self: self, Site: p.Site, Listen: p.Listen, Advertise: p.Advertise, AdminAddress: adminAddress, Dir: p.Dir, KeyFile: p.KeyFile,
-		RosterFile: p.Roster, Seeds: p.Seeds, AddressOverrides: map[string]string{}, ProbeInterval: time.Duration(p.Every), MaxBytesPerSecond: float64(p.MostKB) * 1024, Log: log}
+	settings := &Settings{Self: self, Site: table.Site, Listen: table.Listen, Advertise: table.Advertise, AdminAddress: adminAddress, Dir: table.Dir, KeyFile: table.KeyFile,
+		RosterFile: table.Roster, Seeds: table.Seeds, AddressOverrides: map[string]string{}, ProbeInterval: time.Duration(table.Every), MaxBytesPerSecond: float64(table.MostKB) * 1024, Log: log}
 	if file := env(RosterVariable); file != "" {
-		s.RosterFile = file
+		settings.RosterFile = file
 	}
-	if s.RosterFile == "" {
+	if settings.RosterFile == "" {
 		return nil, errors.New("peers.roster: it is missing, and no agent keeps one")
 	}
-	for _, r := range p.Reach {
-		s.AddressOverrides[r.Name] = r.Address
+	for _, r := range table.Reach {
+		settings.AddressOverrides[r.Name] = r.Address
 	}
-	if s.Advertise == "" {
-		s.Advertise = p.Listen
+	if settings.Advertise == "" {
+		settings.Advertise = table.Listen
 	}
-	return s, nil
+	return settings, nil
 }
 
 // machineSettings returns the settings of the state machine. All of its times and those of the failure detector are
--- a/internal/peers/stream.go
+++ b/internal/peers/stream.go
@@ -69,22 +69,22 @@
 
 // Write returns io.ErrShortWrite, and writes nothing, beyond maxStreamBytes. It waits for the rate limit until the deadline
 // or Shutdown.
-func (s *stream) Write(b []byte) (int, error) {
+func (s *stream) Write(data []byte) (int, error) {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
-	if len(b) > s.writeBudget {
+	if len(data) > s.writeBudget {
 		return 0, io.ErrShortWrite
 	}
 	ctx, cancel := context.WithDeadline(s.t.ctx, s.deadline)
 	defer cancel()
-	for left := len(b); left > 0; {
+	for left := len(data); left > 0; {
 		chunk := min(left, s.t.limiter.Burst())
 		if err := s.t.limiter.WaitN(ctx, chunk); err != nil {
 			return 0, fmt.Errorf("rate limit of peers: %w", err)
 		}
 		left -= chunk
 	}
-	n, err := s.TCPConn.Write(b)
+	n, err := s.TCPConn.Write(data)
 	s.writeBudget -= n
 	s.t.counts.bytesOut.Add(uint64(n))
 	return n, err
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -51,12 +51,12 @@
 }
 
 // listen opens both sockets and starts to read them. The caller must call Shutdown.
-func listen(s *Settings, counts *trafficCounters) (*transport, error) {
-	advertised, err := net.ResolveUDPAddr("udp", s.Advertise)
+func listen(settings *Settings, counts *trafficCounters) (*transport, error) {
+	advertised, err := net.ResolveUDPAddr("udp", settings.Advertise)
 	if err != nil {
 		return nil, fmt.Errorf("peers.advertise: %w", err)
 	}
-	local, err := net.ResolveUDPAddr("udp", s.Listen)
+	local, err := net.ResolveUDPAddr("udp", settings.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
@@ -71,15 +71,15 @@
 	}
 	udp.SetReadBuffer(readBufferBytes) // best effort: what is lost is sent again
 	t := &transport{
-		label:            clusterLabel(s.Site),
-		addressOverrides: s.AddressOverrides,
+		label:            clusterLabel(settings.Site),
+		addressOverrides: settings.AddressOverrides,
 		advertised:       advertised,
 		udp:              udp,
 		tcp:              tcp,
 		packets:          make(chan *memberlist.Packet, packetQueueSize),
 		streams:          make(chan net.Conn),
 		counts:           counts,
-		limiter:          rate.NewLimiter(rate.Limit(s.MaxBytesPerSecond), burstBytes(s.MaxBytesPerSecond)),
+		limiter:          rate.NewLimiter(rate.Limit(settings.MaxBytesPerSecond), burstBytes(settings.MaxBytesPerSecond)),
 		openStreams:      map[*stream]struct{}{},
 	}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
@@ -188,17 +188,17 @@
 }
 
 // WriteToAddress sends a datagram. One beyond the rate limit is counted and dropped without an error, as networks do.
-func (t *transport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+func (t *transport) WriteToAddress(packet []byte, to memberlist.Address) (time.Time, error) {
 	addr, err := net.ResolveUDPAddr("udp", t.address(to))
 	if err != nil {
 		return time.Time{}, fmt.Errorf("peer: %w", err)
 	}
 	now := time.Now()
-	if !t.limiter.AllowN(now, len(b)) {
+	if !t.limiter.AllowN(now, len(packet)) {
 		t.counts.rateLimited.Add(1)
 		return now, nil
 	}
-	n, err := t.udp.WriteToUDP(b, addr)
+	n, err := t.udp.WriteToUDP(packet, addr)
 	if err != nil {
 		return time.Time{}, fmt.Errorf("peer: %w", err)
 	}
--- a/members/handle.go
+++ b/members/handle.go
@@ -23,31 +23,31 @@
 }
 
 // handleAlive records what an incarnation announces of itself.
-func (m *Machine) handleAlive(e Alive) {
-	if e.Name == m.settings.Self {
-		if e.Incarnation < m.settings.Incarnation {
+func (m *Machine) handleAlive(event Alive) {
+	if event.Name == m.settings.Self {
+		if event.Incarnation < m.settings.Incarnation {
 			// An earlier incarnation of this name still runs; it will learn that it is superseded.
-			if p := m.peerNamed(e.Name); p != nil {
-				m.recordEarlierIncarnation(p, e.Incarnation, true)
+			if p := m.peerNamed(event.Name); p != nil {
+				m.recordEarlierIncarnation(p, event.Incarnation, true)
 			}
 		}
-		m.supersede(e.Incarnation)
+		m.supersede(event.Incarnation)
 		return
 	}
-	p := m.peerNamed(e.Name)
+	p := m.peerNamed(event.Name)
 	if p == nil {
 		return
 	}
-	p.highestEpoch = max(p.highestEpoch, e.Epoch)
-	if !m.advanceIncarnation(p, e.Incarnation) {
-		m.recordEarlierIncarnation(p, e.Incarnation, true)
+	p.highestEpoch = max(p.highestEpoch, event.Epoch)
+	if !m.advanceIncarnation(p, event.Incarnation) {
+		m.recordEarlierIncarnation(p, event.Incarnation, true)
 		return
 	}
 	if p.state == StateLeft {
 		return // a delayed message: an incarnation that has left does not come back
 	}
-	if p.epoch != e.Epoch || p.sum != e.Sum || p.address != e.Address || p.adminAddress != e.AdminAddress {
-		p.epoch, p.sum, p.address, p.adminAddress = e.Epoch, e.Sum, e.Address, e.AdminAddress
+	if p.epoch != event.Epoch || p.sum != event.Sum || p.address != event.Address || p.adminAddress != event.AdminAddress {
+		p.epoch, p.sum, p.address, p.adminAddress = event.Epoch, event.Sum, event.Address, event.AdminAddress
 		m.version++
 	}
 	m.setState(p, StateAlive, "is there", "")
@@ -112,22 +112,22 @@
 
 // handleRoster adopts a roster of a higher epoch. A different roster of the same epoch is an operator's error and is
 // recorded as a conflict.
-func (m *Machine) handleRoster(e RosterReceived) {
-	if _, err := e.Roster.Check(); err != nil || e.Roster.Epoch < m.roster.Epoch {
+func (m *Machine) handleRoster(received RosterReceived) {
+	if _, err := received.Roster.Check(); err != nil || received.Roster.Epoch < m.roster.Epoch {
 		return
 	}
-	if e.Roster.Epoch == m.roster.Epoch {
-		m.recordConflict(e)
+	if received.Roster.Epoch == m.roster.Epoch {
+		m.recordConflict(received)
 		return
 	}
 	self := m.settings.Self
-	if sinceEpoch(m.roster, self) != sinceEpoch(e.Roster, self) {
+	if sinceEpoch(m.roster, self) != sinceEpoch(received.Roster, self) {
 		m.joined = false // a member that was removed and added again is a newcomer
 	}
-	m.roster = e.Roster.Sorted()
+	m.roster = received.Roster.Sorted()
 	clear(m.conflictingRosters)
 	m.version++
-	m.addEvidence(self, m.settings.Incarnation, fmt.Sprintf("has the roster of epoch %d: %d members", m.roster.Epoch, len(m.roster.Members)), e.By)
+	m.addEvidence(self, m.settings.Incarnation, fmt.Sprintf("has the roster of epoch %d: %d members", m.roster.Epoch, len(m.roster.Members)), received.By)
 	m.forgetRemoved()
 }
 
