--- a/internal/peers/main_test.go
+++ b/internal/peers/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Whatever a process's part among the others began has ended with it.
+// No goroutine outlives the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/peers/wire_test.go
+++ b/internal/peers/wire_test.go
@@ -1,7 +1,6 @@
 package peers
 
 import (
-	"math/rand/v2"
 	"strings"
 	"testing"
 
@@ -10,47 +9,22 @@
 	"elderyard/members"
 )
 
-// garbage makes datagrams: of any bytes, with the site's label before them, cut
-// short, too long.
-type garbage struct{ rng *rand.Rand }
-
-func newGarbage(seed uint64) garbage { return garbage{rand.New(rand.NewPCG(seed, 1))} }
-
-func (g garbage) next(label []byte) []byte {
-	b := make([]byte, g.rng.IntN(300))
-	for i := range b {
-		b[i] = byte(g.rng.Uint32())
-	}
-	switch g.rng.IntN(4) {
-	case 0:
-		return append(append([]byte{}, label...), b...)
-	case 1:
-		return append(append(append([]byte{}, label...), byte(g.rng.IntN(3))), b...)
-	case 2:
-		if g.rng.IntN(8) == 0 {
-			return make([]byte, 3000+g.rng.IntN(3000))
-		}
-	}
-	return b
-}
-
 func TestNodeNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-zA-Z0-9._-]{1,64}`).Draw(t, "name")
-		incarnation := members.Incarnation(rapid.Uint64Min(1).Draw(t, "life"))
+		incarnation := members.Incarnation(rapid.Uint64Min(1).Draw(t, "incarnation"))
 		if n, l, ok := splitName(nodeName(name, incarnation)); !ok || n != name || l != incarnation {
 			t.Fatalf("%q %d: %q %d %v", name, incarnation, n, l, ok)
 		}
 	})
 	for _, bad := range []string{"", "g0", "g0#", "#1", "g0#0", "g0#-1", "g0#zz zz", "g 0#1", "g0#1#2"} {
 		if _, _, ok := splitName(bad); ok {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-// A member of the next version says more: what is known here is read, the rest left
-// out. One of a version that is too old is not.
+// Messages of later versions are accepted without their unknown keys, those of versions that are too old are not.
 func TestMessagesOfOtherVersions(t *testing.T) {
 	m, sum, err := decodeMeta([]byte(`{"v":2,"e":9,"s":"00000000000000ff","new":{"a":[1]}}`))
 	if err != nil || m.Epoch != 9 || sum != 255 {
@@ -62,13 +36,13 @@
 	}
 	for _, bad := range []string{"", "{", `{"v":0,"e":1,"s":"1"}`, `{"v":1,"e":1,"s":"x"}`} {
 		if _, _, err := decodeMeta([]byte(bad)); err == nil {
-			t.Errorf("meta %q was read", bad)
+			t.Errorf("meta %q was accepted", bad)
 		}
 	}
 	for _, bad := range []string{"", "{", `{"v":0}`, `{"v":1,"roster":{"epoch":0}}`, `{"v":1,"roster":{"epoch":1,"members":[{"name":"a"},{"name":"a"}]}}`,
 		`{"v":1,"from":"` + strings.Repeat("x", maxMessageBytes) + `"}`} {
 		if _, err := decodeMessage([]byte(bad)); err == nil {
-			t.Errorf("message %.40q was read", bad)
+			t.Errorf("message %.40q was accepted", bad)
 		}
 	}
 }
@@ -78,7 +52,7 @@
 		m := meta{Version: protocolVersion, Epoch: 1 << 60, Sum: "ffffffffffffffff", AdminAddress: adminAddress, Leaving: true}
 		text := m.encode()
 		if len(text) > maxMetaBytes {
-			t.Errorf("%d bytes", len(text))
+			t.Errorf("meta has %d bytes", len(text))
 		}
 		if _, _, err := decodeMeta(text); err != nil {
 			t.Errorf("%s: %v", text, err)
