--- a/internal/peers/detector.go
+++ b/internal/peers/detector.go
@@ -138,7 +138,7 @@
 }
 
 // errUnreadable makes the library ignore a node.
-var errUnreadable = errors.New("its name or what it says of itself can't be read")
+var errUnreadable = errors.New("invalid name or metadata of a node")
 
 // NotifyAlive returns an error for nodes that can't be decoded, which the library then ignores.
 func (d *detector) NotifyAlive(n *memberlist.Node) error {
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -49,7 +49,7 @@
 // decodeMeta decodes meta and the sum of its roster. It returns an error for a version below minProtocolVersion.
 func decodeMeta(text []byte) (m meta, sum uint64, err error) {
 	if err := json.Unmarshal(text, &m); err != nil {
-		return meta{}, 0, fmt.Errorf("what a member says of itself: %w", err)
+		return meta{}, 0, fmt.Errorf("metadata of a member: %w", err)
 	}
 	if m.Version < minProtocolVersion {
 		return meta{}, 0, fmt.Errorf("a member speaks version %d, and the least is %d", m.Version, minProtocolVersion)
--- a/members/machine.go
+++ b/members/machine.go
@@ -15,25 +15,25 @@
 	peers              map[string]*peer  // by name
 
 	lastTick   Time
-	awakeSince Time // when it started, or detected that it was suspended
-	lastSleep  time.Duration
-	lastAnswer Time // of any peer
-	probes     []probe
-	superseded Incarnation // later incarnation of this process's name; 0: none
-	joined     bool        // every member has been seen with a roster that includes this one
+	awakeSince Time          // when it started, or detected that it was suspended
+	lastSleep  time.Duration // length of the latest suspension; 0: none
+	lastAnswer Time          // of any peer; 0: none
+	probes     []probe       // by this process, oldest first
+	superseded Incarnation   // later incarnation of this process's name; 0: none
+	joined     bool          // every member has been seen with a roster that includes this one
 
-	divisor      int
+	divisor      int // of quotas
 	verdict      Verdict
 	reason       string
-	since        Time
-	likely       int
+	since        Time               // of the verdict
+	likely       int                // likely count, as of the latest evidence that was not Unsure
 	allowedSince [verdictCount]Time // since when the evidence has supported this verdict or a better one
 	recentFalls  int                // falls of the verdict, halved each MaxSettleTime; they delay its next rise
-	changedAt    Time
+	changedAt    Time               // of the latest change of recentFalls
 
-	version  uint64
-	evidence []Evidence
-	dropped  uint64 // events of names beyond the limits
+	version  uint64     // increases with each change of the view
+	evidence []Evidence // oldest first
+	dropped  uint64     // events of names beyond the limits
 }
 
 const (
