--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,6 +13,8 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/leader"
+	"elderyard/internal/process"
 	"elderyard/internal/recordsync"
 	"elderyard/internal/replica"
 	"elderyard/internal/wait"
@@ -32,10 +34,10 @@
 type Agent struct {
 	config         Config
 	log            *slog.Logger
-	processes      map[string]*process
+	processes      map[string]*process.Process
 	self           fleet.Agent
 	store          *replica.Store // nil: no voter
-	leader         *leader        // nil: no voter
+	leader         *leader.Leader // nil: no voter
 	port           *port          // nil: the local socket alone
 	peerClient     *http.Client
 	loopback       *connListener        // connections of this agent to itself
@@ -81,7 +83,7 @@
 	if info, err := os.Stat(c.Gateway); len(c.Instances) > 0 && (err != nil || info.IsDir()) {
 		return fmt.Errorf("gateway's program: %s is not there", c.Gateway)
 	}
-	a := &Agent{config: c, log: o.Log, processes: map[string]*process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
+	a := &Agent{config: c, log: o.Log, processes: map[string]*process.Process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
 		checkSlots: make(chan struct{}, maxConcurrentChecks)}
 	if a.refusals, err = openRefusals(filepath.Join(c.Dir, "refused.log")); err != nil {
 		return err
@@ -104,7 +106,7 @@
 	a.self = fleet.Agent{Name: c.Name, Address: c.Advertise, Instances: []string{}}
 	for _, e := range c.Instances {
 		a.self.Instances = append(a.self.Instances, e.Name)
-		if a.processes[e.Name], err = newProcess(&a.config, e, o.Log); err != nil {
+		if a.processes[e.Name], err = process.Open(a.processOptions(e)); err != nil {
 			return err
 		}
 	}
@@ -122,10 +124,10 @@
 		defer a.store.Close()
 		defer wg.Wait() // the lead uses the store
 		defer stop()
-		a.leader = newLeader(c.Name, c.Advertise, a.store, time.Duration(c.Timing.Settle), c.Roster, o.Log)
-		wg.Go(func() { a.leader.run(inner) })
+		a.leader = leader.New(leader.Options{Name: c.Name, Address: c.Advertise, Store: a.store, SettleTime: time.Duration(c.Timing.Settle), Roster: c.Roster, Log: o.Log})
+		wg.Go(func() { a.leader.Run(inner) })
 		if c.ServiceFrom != "" {
-			wg.Go(func() { a.watchService(inner) })
+			wg.Go(func() { a.leader.WatchService(inner, c.ServiceFrom) })
 		}
 	}
 	a.loopback = newConnListener(advertisedAddr(localServer))
@@ -156,7 +158,7 @@
 		serve(a.port.http)
 	}
 	for _, p := range a.processes {
-		wg.Go(func() { p.run(inner) })
+		wg.Go(func() { p.Run(inner) })
 	}
 	wg.Go(func() { a.runReports(inner) })
 	if c.RESP.Listen != "" {
@@ -196,11 +198,11 @@
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	for _, p := range a.processes {
-		p.setDesired(ctx, nil)
+		p.SetDesired(ctx, nil)
 	}
 	for _, p := range a.processes {
 		for ctx.Err() == nil {
-			if s := p.state(); s.pid == 0 {
+			if s := p.State(); s.PID == 0 {
 				break
 			}
 			wait.For(ctx, 10*time.Millisecond)
