--- a/records/message_test.go
+++ b/records/codec_test.go
@@ -9,71 +9,7 @@
 	"testing"
 )
 
-func TestChunkBounds(t *testing.T) {
-	store := largeStore(t, 3000)
-	all := make([]int, RangeCount)
-	for i := range all {
-		all[i] = i
-	}
-	one := store.Chunk(ContentRequest{Ranges: all, MaxBytes: -5})
-	if len(one.Ranges) != 1 {
-		t.Errorf("%d ranges", len(one.Ranges))
-	}
-	most := store.Chunk(ContentRequest{Ranges: all, MaxBytes: 1 << 30})
-	size := 0
-	for _, content := range most.Ranges {
-		size += content.size()
-	}
-	if size > MaxChunkBytes || size < MaxChunkBytes/2 {
-		t.Errorf("%d bytes", size)
-	}
-	if none := store.Chunk(ContentRequest{Ranges: []int{-1, RangeCount}, MaxBytes: 1000}); len(none.Ranges) != 0 {
-		t.Errorf("%d ranges that do not exist", len(none.Ranges))
-	}
-}
-
-func TestRangesText(t *testing.T) {
-	for text, want := range map[string][]int{
-		"0":          {0},
-		"1023":       {1023},
-		"0-2,5,7-8":  {0, 1, 2, 5, 7, 8},
-		"1020-1023":  {1020, 1021, 1022, 1023},
-		"3,1000-100": nil,
-		"5,5":        nil,
-		"5-7,7":      nil,
-		"1024":       nil,
-		"-1":         nil,
-		"":           nil,
-		"1,":         nil,
-		"a":          nil,
-		"1-2-3":      nil,
-	} {
-		ranges, err := ParseRanges(text)
-		if (err != nil) != (want == nil) || !slices.Equal(ranges, want) {
-			t.Errorf("%q: %v, %v", text, ranges, err)
-		}
-		if err == nil && FormatRanges(ranges) != text {
-			t.Errorf("%q: written as %q", text, FormatRanges(ranges))
-		}
-	}
-}
-
-// Records are spread evenly over the ranges.
-func TestRangesAreEven(t *testing.T) {
-	store := largeStore(t, 26_000)
-	fullest, empty := 0, 0
-	for i := range RangeCount {
-		count := len(store.Range(i).Records)
-		fullest = max(fullest, count)
-		if count == 0 {
-			empty++
-		}
-	}
-	if fullest > 60 || empty > 0 {
-		t.Errorf("the fullest range has %d records of 26,000, %d are empty", fullest, empty)
-	}
-}
-
+// Messages decode to what was encoded.
 func TestMessagesRoundTrip(t *testing.T) {
 	store := largeStore(t, 300)
 	chunk := store.Chunk(ContentRequest{Ranges: []int{1, 2, 3, 9}, MaxBytes: MaxChunkBytes})
@@ -95,7 +31,7 @@
 	}
 }
 
-// Messages that cannot be right are refused, large ones before they take memory.
+// Invalid messages are rejected, and large ones before memory is allocated for them.
 func TestInvalidMessages(t *testing.T) {
 	const bombBytes = 100 << 20
 	bomb := compress(make([]byte, bombBytes))
@@ -118,13 +54,13 @@
 		"many records":  many,
 		"no list":       []byte(`{"version":1,"ranges":7,"delta":{"puts":7}}`),
 		"short digest":  []byte(`{"version":1,"digest":"00"}`),
-		"two answers":   []byte(`{"version":1,"repair":"digest","behind":true}`),
+		"two responses": []byte(`{"version":1,"repair":"digest","behind":true}`),
 	} {
 		before := allocated()
 		_, chunkErr := DecodeChunk(data)
 		_, digestsErr := DecodeRangeDigests(data)
-		_, answerErr := DecodeChangesResponse(data)
-		for _, err := range []error{chunkErr, digestsErr, answerErr} {
+		_, responseErr := DecodeChangesResponse(data)
+		for _, err := range []error{chunkErr, digestsErr, responseErr} {
 			if !errors.Is(err, ErrMessage) {
 				t.Errorf("%s: %v", name, err)
 			}
@@ -145,9 +81,10 @@
 	return stats.TotalAlloc
 }
 
+// Chunks and deltas that contradict themselves are rejected.
 func TestInvalidChunksAndDeltas(t *testing.T) {
 	store := largeStore(t, 5000)
-	whole := func() Chunk {
+	valid := func() Chunk {
 		chunk := store.Chunk(ContentRequest{Ranges: []int{4, 5}, MaxBytes: MaxChunkBytes})
 		for i := range chunk.Ranges {
 			chunk.Ranges[i].Records = slices.Clone(chunk.Ranges[i].Records)
@@ -163,7 +100,7 @@
 		"version":          func(c *Chunk) { c.Ranges[0].Records[0].Version = c.Version + 1 },
 		"value":            func(c *Chunk) { c.Ranges[0].Records[0].Value = []byte("{}") },
 	} {
-		chunk := whole()
+		chunk := valid()
 		change(&chunk)
 		data, err := EncodeChunk(chunk)
 		if err != nil {
@@ -191,6 +128,6 @@
 		}
 	}
 	if err := (ChangesResponse{Version: 3, Digest: Digest{1}, Delta: &Delta{To: 2, Digest: Digest{1}}}).validate(); err == nil {
-		t.Error("a delta to another version than the answer's")
+		t.Error("a delta to another version than the response's")
 	}
 }
