--- a/internal/process/state.go
+++ b/internal/process/state.go
@@ -87,7 +87,7 @@
 
 // StartTime returns when a process was started, in clock ticks of the current boot
 // and with the boot's id: a later process that got the same id has another value.
-// It is "" for a process that does not run, a zombie included.
+// It is "" for a process that has ended, also if its parent has not waited for it yet.
 func StartTime(pid int) string {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
@@ -97,7 +97,7 @@
 	// fields are counted from the last bracket.
 	end := strings.LastIndexByte(string(text), ')')
 	fields := strings.Fields(string(text[end+1:]))
-	if end < 0 || len(fields) < 20 || fields[0] == "Z" || fields[0] == "X" {
+	if end < 0 || len(fields) < 20 || hasEnded(fields) {
 		return ""
 	}
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
@@ -106,3 +106,16 @@
 	}
 	return fields[19] + " " + strings.TrimSpace(string(boot))
 }
+
+// hasEnded reports whether the process with these fields of /proc/PID/stat, from the state on, has ended. A zombie with
+// more than one thread has not: only its first thread has, and the others still hold its sockets.
+func hasEnded(fields []string) bool {
+	const stateField, threadsField = 0, 17
+	switch fields[stateField] {
+	case "X":
+		return true
+	case "Z":
+		return fields[threadsField] == "0" || fields[threadsField] == "1"
+	}
+	return false
+}
