--- a/internal/agent/agent_linux_test.go
+++ b/internal/agent/agent_linux_test.go
@@ -191,30 +191,49 @@
 	return m
 }
 
+// start starts the agent, and waits until it answers. An address that is in use is waited for: the agents of a test
+// are in one process, and a child that another test has just forked holds a copy of a closed listener until it executes
+// its program.
 func (m *machine) start() *machine {
 	m.t.Helper()
+	for limit := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		err := m.run()
+		if err == nil {
+			break
+		}
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(limit) {
+			m.t.Fatal(err)
+		}
+	}
+	var err error
+	if m.client, err = agentapi.NewClient(agentapi.Target{Socket: m.config.Socket}); err != nil {
+		m.t.Fatal(err)
+	}
+	until(m.t, m.config.Name+" answers", func() bool { _, err := m.client.Status(context.Background()); return err == nil })
+	return m
+}
+
+// run has the agent run until end is called. It returns the agent's error where it ends before it listens; end then has
+// nothing to wait for.
+func (m *machine) run() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	started := make(chan string, 1)
-	m.cancel, m.done = cancel, make(chan error, 1)
 	if m.config.Listen == "" {
 		started <- ""
 	}
-	config, done := m.config, m.done
+	config, done := m.config, make(chan error, 1)
 	go func() {
 		done <- Run(ctx, config, Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Started: func(a string) { started <- a }})
 	}()
 	select {
 	case a := <-started:
 		m.config.Listen, m.config.Advertise = a, a
-	case err := <-m.done:
-		m.t.Fatal(err)
-	}
-	var err error
-	if m.client, err = agentapi.NewClient(agentapi.Target{Socket: m.config.Socket}); err != nil {
-		m.t.Fatal(err)
+		m.cancel, m.done = cancel, done
+		return nil
+	case err := <-done:
+		cancel()
+		return err
 	}
-	until(m.t, m.config.Name+" answers", func() bool { _, err := m.client.Status(ctx); return err == nil })
-	return m
 }
 
 // end ends the agent, and leaves its gateways.
