--- a/internal/peers/incarnation.go
+++ b/internal/peers/incarnation.go
@@ -18,16 +18,19 @@
 	return err
 }
 
-// connect opens the sockets and starts the failure detector of this incarnation.
+// connect opens the sockets and starts the failure detector of this incarnation. Where that fails, an earlier detector
+// stays: Run receives its events and closes it.
 func (p *Peers) connect() error {
 	t, err := listen(&p.settings, &p.traffic)
 	if err != nil {
 		return err
 	}
 	m, state := p.announcement()
-	if p.detector, err = startDetector(&p.settings, t, p.keyring, p.saved.Incarnation, m, state); err != nil {
+	detector, err := startDetector(&p.settings, t, p.keyring, p.saved.Incarnation, m, state)
+	if err != nil {
 		return err
 	}
+	p.detector = detector
 	p.contacts = members.NewContacts(p.settings.ProbeInterval, p.clock.now())
 	return nil
 }
