--- a/internal/peers/reload_test.go
+++ b/internal/peers/reload_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"elderyard/internal/testwait"
 	"elderyard/members"
 )
 
@@ -20,7 +21,7 @@
 	b := s.run(set)
 	b.waitForVerdict(t, members.Complete)
 	s.writeRoster(7, "g0", "g1", "g2")
-	waitUntil(t, "g1 has epoch 7", func() bool { return b.View().Epoch == 7 })
+	testwait.UntilEvery(t, waitTimeout, pollInterval, "g1 has epoch 7", func() bool { return b.View().Epoch == 7 })
 	a.stop()
 	b.stop()
 	b = s.run(set)
@@ -42,14 +43,14 @@
 		s.writeKeys(keys...)
 		primary := strings.Repeat(string(rune('a'+keys[0])), 32)
 		for _, r := range []*runningPeers{a, b} {
-			waitUntil(t, "the keys are in use", func() bool {
+			testwait.UntilEvery(t, waitTimeout, pollInterval, "the keys are in use", func() bool {
 				return string(r.keyring.GetPrimaryKey()) == primary && len(r.keyring.GetKeys()) == len(keys)
 			})
 		}
 	}
 	s.write("keys", "not a key\n") // an invalid file changes nothing
 	lastAnswer := a.View().LastAnswer
-	waitUntil(t, "g1 answers g0 under the new key", func() bool { return a.View().LastAnswer > lastAnswer+time.Second })
+	testwait.UntilEvery(t, waitTimeout, pollInterval, "g1 answers g0 under the new key", func() bool { return a.View().LastAnswer > lastAnswer+time.Second })
 	for _, r := range []*runningPeers{a, b} {
 		if p := r.View(); p.Verdict != members.Complete {
 			t.Errorf("%s is %v: %s", p.Self, p.Verdict, p.Reason)
--- a/internal/peers/run_test.go
+++ b/internal/peers/run_test.go
@@ -4,6 +4,7 @@
 	"strings"
 	"testing"
 
+	"elderyard/internal/testwait"
 	"elderyard/members"
 )
 
@@ -17,7 +18,7 @@
 	c.stop() // a graceful shutdown
 	for _, r := range []*runningPeers{a, b} {
 		r.waitForVerdict(t, members.Majority)
-		waitUntil(t, "g2 counts as left", func() bool { return r.View().Members[2].State == members.StateLeft })
+		testwait.UntilEvery(t, waitTimeout, pollInterval, "g2 counts as left", func() bool { return r.View().Members[2].State == members.StateLeft })
 		if p := r.View(); p.SafeCount != 3 || p.QuotaDivisor != 3 {
 			t.Errorf("safe %d, quota divisor %d, want 3: g2 is still in the roster", p.SafeCount, p.QuotaDivisor)
 		}
@@ -52,7 +53,7 @@
 	}
 	s.writeRoster(2, "g0", "g1", "g2", "g3")
 	for _, r := range []*runningPeers{a, b, c} {
-		waitUntil(t, r.settings.Self+" has epoch 2", func() bool { return r.View().Epoch == 2 })
+		testwait.UntilEvery(t, waitTimeout, pollInterval, r.settings.Self+" has epoch 2", func() bool { return r.View().Epoch == 2 })
 	}
 }
 
--- a/internal/peers/site_test.go
+++ b/internal/peers/site_test.go
@@ -13,10 +13,14 @@
 	"time"
 
 	"elderyard/internal/loopback"
+	"elderyard/internal/testwait"
 	"elderyard/members"
 )
 
-const waitTimeout = 30 * time.Second
+const (
+	waitTimeout  = 30 * time.Second
+	pollInterval = 20 * time.Millisecond // of conditions that a running member is asked for
+)
 
 // testSite is a folder with the files of some members.
 type testSite struct {
@@ -119,15 +123,5 @@
 
 func (r *runningPeers) waitForVerdict(t *testing.T, v members.Verdict) {
 	t.Helper()
-	waitUntil(t, fmt.Sprintf("%s is %v", r.settings.Self, v), func() bool { return r.View().Verdict == v })
-}
-
-// waitUntil fails the test if the condition does not become true within waitTimeout.
-func waitUntil(t *testing.T, what string, condition func() bool) {
-	t.Helper()
-	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", waitTimeout, what)
-		}
-	}
+	testwait.UntilEvery(t, waitTimeout, pollInterval, fmt.Sprintf("%s is %v", r.settings.Self, v), func() bool { return r.View().Verdict == v })
 }
--- a/internal/peers/transport_test.go
+++ b/internal/peers/transport_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"elderyard/internal/testwait"
 	"elderyard/members"
 )
 
@@ -31,7 +32,7 @@
 		s.hosts["g0"] = north.hosts["g0"]
 		before := c.count(a.Traffic())
 		b := s.run(s.settings("g1", "g0"))
-		waitUntil(t, c.what+" is counted", func() bool { return c.count(a.Traffic()) >= before+3 })
+		testwait.UntilEvery(t, waitTimeout, pollInterval, c.what+" is counted", func() bool { return c.count(a.Traffic()) >= before+3 })
 		if p := a.View(); p.Members[1].State != members.StateUnknown {
 			t.Errorf("%s: g0 counts it as %v", c.what, p.Members[1].State)
 		}
@@ -56,7 +57,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	t.Logf("%d datagrams: heap %d kB before, %d after; %+v", *garbageCount, before.HeapAlloc>>10, after.HeapAlloc>>10, a.Traffic())
-	waitUntil(t, "all kinds are counted", func() bool {
+	testwait.UntilEvery(t, waitTimeout, pollInterval, "all kinds are counted", func() bool {
 		c := a.Traffic()
 		return c.Foreign > 1000 && c.Oversized > 100 && c.Unsealed > 1000
 	})
@@ -65,7 +66,7 @@
 			defer c.Close()
 		}
 	}
-	waitUntil(t, "connections beyond the limit are closed", func() bool { return a.Traffic().QueueFull > 0 })
+	testwait.UntilEvery(t, waitTimeout, pollInterval, "connections beyond the limit are closed", func() bool { return a.Traffic().QueueFull > 0 })
 	b.waitForVerdict(t, members.Complete)
 	a.waitForVerdict(t, members.Complete)
 }
--- a/internal/recordsync/disk_test.go
+++ b/internal/recordsync/disk_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"elderyard/internal/testwait"
 	"elderyard/records"
 )
 
@@ -19,9 +20,9 @@
 	t.Helper()
 	source.ReadRecords(func(store *records.Store) {
 		delta, err := store.ChangesSince(replica.Version())
-		must(t, err)
-		must(t, replica.ApplyDelta(delta))
-		must(t, f.persist(replica, records.Persist{Version: delta.To, Delta: &delta}))
+		testwait.Must(t, err)
+		testwait.Must(t, replica.ApplyDelta(delta))
+		testwait.Must(t, f.persist(replica, records.Persist{Version: delta.To, Delta: &delta}))
 	})
 }
 
@@ -29,7 +30,7 @@
 func reopen(t testing.TB, dir string) (*diskStore, *records.Replica) {
 	t.Helper()
 	f, replica, err := openDiskStore(dir, discard())
-	must(t, err)
+	testwait.Must(t, err)
 	t.Cleanup(f.closeJournal)
 	return f, replica
 }
@@ -38,8 +39,8 @@
 func openFiles(t testing.TB, snapshot, journal []byte) (dir string, replica *records.Replica) {
 	t.Helper()
 	dir = t.TempDir()
-	must(t, os.WriteFile(filepath.Join(dir, snapshotName), snapshot, fileMode))
-	must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
+	testwait.Must(t, os.WriteFile(filepath.Join(dir, snapshotName), snapshot, fileMode))
+	testwait.Must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
 	_, replica = reopen(t, dir)
 	return dir, replica
 }
@@ -99,11 +100,11 @@
 func TestDiskStoreSkipsStaleJournalEntries(t *testing.T) {
 	dir, source := writeTestFolder(t)
 	journal, err := os.ReadFile(filepath.Join(dir, journalName))
-	must(t, err)
+	testwait.Must(t, err)
 	f, replica := reopen(t, dir)
-	must(t, f.writeSnapshot(replica))
+	testwait.Must(t, f.writeSnapshot(replica))
 	f.closeJournal()
-	must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
+	testwait.Must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
 	if _, replica = reopen(t, dir); replica.Version() != 5 || replica.Digest() != source.digest() {
 		t.Fatalf("version %d", replica.Version())
 	}
@@ -113,9 +114,9 @@
 func TestDiskStoreQuarantinesDamagedSnapshot(t *testing.T) {
 	from, _ := writeTestFolder(t)
 	snapshot, err := os.ReadFile(filepath.Join(from, snapshotName))
-	must(t, err)
+	testwait.Must(t, err)
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
-	must(t, err)
+	testwait.Must(t, err)
 	for _, data := range damaged(snapshot) {
 		dir, replica := openFiles(t, data, journal)
 		if replica.Version() != 0 || replica.Len() != 0 {
@@ -147,9 +148,9 @@
 func TestDiskStoreAppliesJournalBeforeDamage(t *testing.T) {
 	from, source := writeTestFolder(t)
 	snapshot, err := os.ReadFile(filepath.Join(from, snapshotName))
-	must(t, err)
+	testwait.Must(t, err)
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
-	must(t, err)
+	testwait.Must(t, err)
 	for _, data := range damaged(journal) {
 		dir, replica := openFiles(t, snapshot, data)
 		first := replica.Version()
@@ -171,7 +172,7 @@
 	if at := f.loadConfirmation(5); !at.IsZero() {
 		t.Fatalf("confirmed at %v", at)
 	}
-	must(t, f.writeConfirmation(5, testTime))
+	testwait.Must(t, f.writeConfirmation(5, testTime))
 	if f.confirmDue(testTime.Add(confirmInterval-time.Second)) || !f.confirmDue(testTime.Add(confirmInterval)) {
 		t.Fatal("a confirmation is due at the wrong time")
 	}
--- a/internal/recordsync/follower_test.go
+++ b/internal/recordsync/follower_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"elderyard/internal/testwait"
 	"elderyard/records"
 )
 
@@ -34,7 +35,7 @@
 func start(t testing.TB, o Options) *running {
 	t.Helper()
 	f, err := Open(o)
-	must(t, err)
+	testwait.Must(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
@@ -47,7 +48,7 @@
 func (r *running) awaitVersionOf(source *memorySource) records.FollowerStatus {
 	r.t.Helper()
 	var status records.FollowerStatus
-	until(r.t, fmt.Sprintf("version %d is in force", source.version()), func() bool {
+	testwait.Until(r.t, testTimeout, fmt.Sprintf("version %d is in force", source.version()), func() bool {
 		status = r.Status()
 		return status.Version == source.version() && status.Digest == source.digest()
 	})
@@ -75,7 +76,7 @@
 		first.awaitVersionOf(source)
 	}
 	var names int
-	must(t, first.View(t.Context(), func(replica *records.Replica) { names = replica.Len() }))
+	testwait.Must(t, first.View(t.Context(), func(replica *records.Replica) { names = replica.Len() }))
 	status := first.Status()
 	if age, known := status.Age(time.Now()); names != 105 || !known || age < 0 || status.Reason != "" {
 		t.Fatalf("%d records, %+v", names, status)
@@ -88,7 +89,7 @@
 	// A restart has the copy at once, and its age.
 	source.apply(t, plan("during-the-restart", 1), plan("another", 1))
 	again, err := Open(options(dir, servers...))
-	must(t, err)
+	testwait.Must(t, err)
 	if now := again.Status(); now.Version != status.Version || now.Digest != status.Digest || now.ConfirmedAt.IsZero() {
 		t.Fatalf("%+v after the restart, %+v before", now, status)
 	}
@@ -107,7 +108,7 @@
 		t.Fatal("opened without a server")
 	}
 	f, err := Open(options(t.TempDir(), "127.0.0.1:1"))
-	must(t, err)
+	testwait.Must(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := f.View(ctx, func(*records.Replica) {}); err == nil {
@@ -219,7 +220,7 @@
 	source.apply(t, plan("later", 1))
 	f.NotifyHead(source.version())
 	var status records.FollowerStatus
-	until(t, "the status has the reason", func() bool {
+	testwait.Until(t, testTimeout, "the status has the reason", func() bool {
 		status = f.Status()
 		return status.Reason != "" && status.Head == source.version()
 	})
@@ -230,7 +231,7 @@
 		t.Fatalf("%+v, %+v before", status, before)
 	}
 	older := status.ConfirmedAt
-	until(t, "more failures", func() bool {
+	testwait.Until(t, testTimeout, "more failures", func() bool {
 		return f.Status().LastContact.Equal(status.LastContact) && time.Since(older) > time.Second
 	})
 	if now := f.Status(); !now.ConfirmedAt.Equal(older) {
@@ -283,8 +284,8 @@
 	first.stop()
 	path := filepath.Join(dir, snapshotName)
 	data, err := os.ReadFile(path)
-	must(t, err)
-	must(t, os.WriteFile(path, data[:len(data)/2], fileMode))
+	testwait.Must(t, err)
+	testwait.Must(t, os.WriteFile(path, data[:len(data)/2], fileMode))
 	second := start(t, options(dir, server))
 	second.awaitVersionOf(source)
 	if _, err := os.Stat(path + damagedSuffix); err != nil {
@@ -303,8 +304,8 @@
 	source.apply(t, manyPlans(20)...)
 	dir := filepath.Join(t.TempDir(), "records")
 	f, err := Open(options(dir, addressOf(serve(t, NewHandler(source)))))
-	must(t, err)
-	must(t, os.Remove(dir))
+	testwait.Must(t, err)
+	testwait.Must(t, os.Remove(dir))
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
@@ -349,7 +350,7 @@
 		}
 	}
 	urgent := 0
-	until(t, "the copy is complete", func() bool {
+	testwait.Until(t, testTimeout, "the copy is complete", func() bool {
 		if checkBudget(); urgent < 50 {
 			source.apply(t, plan(fmt.Sprint("urgent", urgent), 1))
 			urgent++
--- a/internal/recordsync/golden_test.go
+++ b/internal/recordsync/golden_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"elderyard/internal/golden"
+	"elderyard/internal/testwait"
 	"elderyard/records"
 )
 
@@ -31,7 +32,7 @@
 		golden.File(t, path, missing)
 		return missing
 	}
-	must(t, err)
+	testwait.Must(t, err)
 	return data
 }
 
@@ -84,7 +85,7 @@
 	o := options(t.TempDir(), "control-1:7000")
 	o.Dial = func(context.Context, string, string) (net.Conn, error) { return client, nil }
 	f, err := Open(o)
-	must(t, err)
+	testwait.Must(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { // ends when the context does
@@ -92,12 +93,12 @@
 		_, _ = f.client.do(ctx, "control-1:7000", request)
 	}()
 	defer func() { cancel(); server.Close(); <-done }()
-	must(t, server.SetReadDeadline(time.Now().Add(testTimeout)))
+	testwait.Must(t, server.SetReadDeadline(time.Now().Add(testTimeout)))
 	reader := bufio.NewReader(server)
 	var sent []byte
 	for !bytes.HasSuffix(sent, []byte("\r\n\r\n")) {
 		line, err := reader.ReadBytes('\n')
-		must(t, err)
+		testwait.Must(t, err)
 		sent = append(sent, line...)
 	}
 	return sent
@@ -107,7 +108,7 @@
 func TestGoldenRequestsAreRead(t *testing.T) {
 	for name, want := range allRequests() {
 		request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(readGolden(t, "request_"+name+".http", nil))))
-		must(t, err)
+		testwait.Must(t, err)
 		var got records.Request
 		switch want.(type) {
 		case records.ChangesRequest:
@@ -163,13 +164,13 @@
 func receivedBytes(t *testing.T, address, method, target string) []byte {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
-	must(t, err)
+	testwait.Must(t, err)
 	defer conn.Close()
-	must(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	testwait.Must(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: control-1:7000\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", method, target)
-	must(t, err)
+	testwait.Must(t, err)
 	data, err := io.ReadAll(conn)
-	must(t, err)
+	testwait.Must(t, err)
 	head, body, _ := strings.Cut(string(data), "\r\n\r\n")
 	var lines []string
 	for line := range strings.SplitSeq(head, "\r\n") {
@@ -192,18 +193,18 @@
 		"ranges.zst":  records.DigestsRequest{},
 	} {
 		body, err := client.do(t.Context(), server, request)
-		must(t, err)
+		testwait.Must(t, err)
 		stored := readGolden(t, name, body)
 		if _, ok := request.(records.DigestsRequest); ok {
 			got, err := records.DecodeRangeDigests(body)
-			must(t, err)
+			testwait.Must(t, err)
 			if want, err := records.DecodeRangeDigests(stored); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("%s: %v", name, err)
 			}
 			continue
 		}
 		got, err := records.DecodeChangesResponse(body)
-		must(t, err)
+		testwait.Must(t, err)
 		if want, err := records.DecodeChangesResponse(stored); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -222,16 +223,16 @@
 	advance(t, f, replica, source)
 	source.apply(t, records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}, plan("silver", 1))
 	advance(t, f, replica, source)
-	must(t, f.writeConfirmation(3, time.Date(2026, 12, 2, 6, 0, 1, 123456789, time.FixedZone("CET", 3600))))
+	testwait.Must(t, f.writeConfirmation(3, time.Date(2026, 12, 2, 6, 0, 1, 123456789, time.FixedZone("CET", 3600))))
 	f.closeJournal()
 	requireModes(t, dir, map[string]os.FileMode{"": 0o700, "records": 0o600, "records.journal": 0o600, "records.confirmed": 0o600})
 	for _, name := range []string{"records", "records.journal", "records.confirmed"} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
-		must(t, err)
+		testwait.Must(t, err)
 		requireGolden(t, "disk/"+name, data)
 	}
 	var decoded confirmation
-	must(t, json.Unmarshal(readGolden(t, "disk/records.confirmed", nil), &decoded))
+	testwait.Must(t, json.Unmarshal(readGolden(t, "disk/records.confirmed", nil), &decoded))
 	if reflect.ValueOf(decoded).NumField() != 2 || decoded.Version == 0 || decoded.At.IsZero() {
 		t.Errorf("a field of %+v is not set in the pinned value", decoded)
 	}
@@ -241,10 +242,10 @@
 func requireModes(t *testing.T, dir string, want map[string]os.FileMode) {
 	t.Helper()
 	got := map[string]os.FileMode{}
-	must(t, filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
-		must(t, err)
+	testwait.Must(t, filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
+		testwait.Must(t, err)
 		info, err := entry.Info()
-		must(t, err)
+		testwait.Must(t, err)
 		got[strings.TrimPrefix(strings.TrimPrefix(path, dir), "/")] = info.Mode().Perm()
 		return nil
 	}))
@@ -256,9 +257,9 @@
 // The files of a released program are read; unusable ones are quarantined.
 func TestGoldenDiskIsRead(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "copy")
-	must(t, os.Mkdir(dir, 0o700))
+	testwait.Must(t, os.Mkdir(dir, 0o700))
 	for _, name := range []string{"records", "records.journal", "records.confirmed"} {
-		must(t, os.WriteFile(filepath.Join(dir, name), readGolden(t, "disk/"+name, nil), 0o600))
+		testwait.Must(t, os.WriteFile(filepath.Join(dir, name), readGolden(t, "disk/"+name, nil), 0o600))
 	}
 	f, replica := reopen(t, dir)
 	if _, found := replica.Get(records.Key{Kind: records.Plan, Name: "silver"}); !found || replica.Version() != 3 || replica.Len() != 1 {
@@ -269,11 +270,11 @@
 	}
 	f.closeJournal()
 	// A confirmation may have fields that this program does not know.
-	must(t, os.WriteFile(filepath.Join(dir, "records.confirmed"), []byte(`{"unknown_field":1,"version":3,"at":"2026-12-02T05:00:01Z"}`), 0o600))
+	testwait.Must(t, os.WriteFile(filepath.Join(dir, "records.confirmed"), []byte(`{"unknown_field":1,"version":3,"at":"2026-12-02T05:00:01Z"}`), 0o600))
 	if f.loadConfirmation(3).IsZero() {
 		t.Error("a confirmation with an unknown field is not read")
 	}
-	must(t, os.WriteFile(filepath.Join(dir, "records"), []byte("damaged"), 0o600))
+	testwait.Must(t, os.WriteFile(filepath.Join(dir, "records"), []byte("damaged"), 0o600))
 	_, replica = reopen(t, dir)
 	requireModes(t, dir, map[string]os.FileMode{"": 0o700, "records.damaged": 0o600, "records.journal.damaged": 0o600, "records.confirmed": 0o600})
 	if replica.Version() != 0 {
@@ -286,8 +287,8 @@
 	dir, source := writeTestFolder(t)
 	for _, name := range []string{"records", "records.journal"} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
-		must(t, err)
-		must(t, os.WriteFile(filepath.Join(dir, name), readGolden(t, "disk_compressed/"+name, data), 0o600))
+		testwait.Must(t, err)
+		testwait.Must(t, os.WriteFile(filepath.Join(dir, name), readGolden(t, "disk_compressed/"+name, data), 0o600))
 	}
 	if _, replica := reopen(t, dir); replica.Version() != 5 || replica.Digest() != source.digest() {
 		t.Errorf("version %d", replica.Version())
--- a/internal/recordsync/handler_test.go
+++ b/internal/recordsync/handler_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"elderyard/internal/testwait"
 	"elderyard/records"
 )
 
@@ -23,13 +24,13 @@
 
 	empty := (&records.Store{}).Digest()
 	response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
-	must(t, err)
+	testwait.Must(t, err)
 	if response.Version != 1 || response.Delta == nil || len(response.Delta.Puts) != 3 {
 		t.Fatalf("%+v", response)
 	}
 	// A repeat is served from the cache.
 	again, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
-	must(t, err)
+	testwait.Must(t, err)
 	if again.Delta == nil || again.Delta.Digest != response.Delta.Digest {
 		t.Fatalf("%+v", again)
 	}
@@ -63,12 +64,12 @@
 		}
 		responses <- response
 	}()
-	until(t, "the request waits", func() bool { return handler.Waiting() == 1 })
+	testwait.Until(t, testTimeout, "the request waits", func() bool { return handler.Waiting() == 1 })
 	source.apply(t, plan("silver", 1))
 	if response := <-responses; response.Version != 2 || response.Delta == nil {
 		t.Fatalf("%+v", response)
 	}
-	until(t, "no request waits", func() bool { return handler.Waiting() == 0 })
+	testwait.Until(t, testTimeout, "no request waits", func() bool { return handler.Waiting() == 0 })
 
 	// A request whose client closes the connection frees its slot.
 	ctx, cancel := context.WithCancel(t.Context())
@@ -78,12 +79,12 @@
 		_, err := requestChanges(ctx, client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: records.MaxWait})
 		canceled <- err
 	}()
-	until(t, "the request waits", func() bool { return handler.Waiting() == 1 })
+	testwait.Until(t, testTimeout, "the request waits", func() bool { return handler.Waiting() == 1 })
 	cancel()
 	if err := <-canceled; err == nil {
 		t.Fatal("a canceled request received a response")
 	}
-	until(t, "its slot is free", func() bool { return handler.Waiting() == 0 })
+	testwait.Until(t, testTimeout, "its slot is free", func() bool { return handler.Waiting() == 0 })
 
 	// Without a change the wait ends in time.
 	response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: time.Millisecond})
@@ -118,9 +119,9 @@
 	server := serve(t, NewHandler(source)).Listener.Addr().String()
 	client := newWireClient(t)
 	body, err := client.do(t.Context(), server, records.DigestsRequest{})
-	must(t, err)
+	testwait.Must(t, err)
 	digests, err := records.DecodeRangeDigests(body)
-	must(t, err)
+	testwait.Must(t, err)
 	if digests.Version != 1 || digests.Digest != source.digest() {
 		t.Fatalf("%+v", digests)
 	}
@@ -129,16 +130,16 @@
 	chunks := 0
 	for repair.Next() == records.NeedContent {
 		body, err := client.do(t.Context(), server, records.ContentRequest{Ranges: repair.Pending(), MaxBytes: 10_000})
-		must(t, err)
+		testwait.Must(t, err)
 		chunk, err := records.DecodeChunk(body)
-		must(t, err)
-		must(t, repair.StageChunk(chunk))
+		testwait.Must(t, err)
+		testwait.Must(t, repair.StageChunk(chunk))
 		chunks++
 	}
 	response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: repair.Since()})
-	must(t, err)
+	testwait.Must(t, err)
 	delta := records.Delta{From: response.Version, To: response.Version, Digest: response.Digest}
-	must(t, repair.Finish(replica, delta))
+	testwait.Must(t, repair.Finish(replica, delta))
 	if chunks < 2 || replica.Digest() != source.digest() {
 		t.Fatalf("%d chunks, digest %s", chunks, replica.Digest())
 	}
@@ -160,16 +161,16 @@
 		ContentPath + "?ranges=1&max_bytes=99999999999": "max_bytes",
 	} {
 		response, err := http.Get(url + path)
-		must(t, err)
+		testwait.Must(t, err)
 		text, err := io.ReadAll(response.Body)
-		must(t, err)
+		testwait.Must(t, err)
 		response.Body.Close()
 		if response.StatusCode != http.StatusBadRequest || !strings.Contains(string(text), want) {
 			t.Errorf("%s: %s %s, want %q", path, response.Status, text, want)
 		}
 	}
 	response, err := http.Post(url+ChangesPath, "text/plain", nil)
-	must(t, err)
+	testwait.Must(t, err)
 	response.Body.Close()
 	if response.StatusCode != http.StatusMethodNotAllowed {
 		t.Errorf("POST: %s", response.Status)
@@ -218,7 +219,7 @@
 			statuses <- response.StatusCode
 		}()
 	}
-	until(t, "all slots are in use", func() bool { return source.reading.Load() == maxConcurrentContents })
+	testwait.Until(t, testTimeout, "all slots are in use", func() bool { return source.reading.Load() == maxConcurrentContents })
 	release()
 	for range followers {
 		if status := <-statuses; status != http.StatusOK {
--- a/internal/recordsync/helpers_test.go
+++ b/internal/recordsync/helpers_test.go
@@ -67,23 +67,6 @@
 	return version
 }
 
-func must(t testing.TB, err error) {
-	t.Helper()
-	if err != nil {
-		t.Fatal(err)
-	}
-}
-
-// until waits for a condition, and fails the test after testTimeout.
-func until(t testing.TB, what string, condition func() bool) {
-	t.Helper()
-	for limit := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("never: %s", what)
-		}
-	}
-}
-
 func plan(name string, price int) records.Operation {
 	value := fmt.Sprintf(`{"price_weight":%d,"requests_per_second":10}`, price)
 	return records.Operation{Key: records.Key{Kind: records.Plan, Name: name}, Value: json.RawMessage(value)}
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -14,6 +14,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"elderyard/fleet"
+	"elderyard/internal/testwait"
 	"elderyard/internal/wait"
 	"elderyard/revisions"
 )
@@ -79,7 +80,7 @@
 			}
 			return nil
 		}
-		must(t, v.start(t))
+		testwait.Must(t, v.start(t))
 	}
 	leader(t, list)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -99,7 +100,7 @@
 			run.mu.Unlock()
 			wait.For(ctx, time.Duration(random.IntN(600))*time.Millisecond)
 			run.mu.Lock()
-			must(t, list[at].start(t))
+			testwait.Must(t, list[at].start(t))
 			run.mu.Unlock()
 		case 2, 3: // partition from one of the others, or isolation
 			for other := range list {
@@ -134,7 +135,7 @@
 		case <-v.store.Failed():
 			t.Logf("%s stopped: %v", v.name, v.store.DiskError())
 			v.stop()
-			must(t, v.start(t))
+			testwait.Must(t, v.start(t))
 		default:
 		}
 	}
@@ -240,10 +241,10 @@
 func (run *faultRun) check(t *testing.T) {
 	l := leader(t, run.list)
 	propose(t, l.store, fleet.Entry{Audit: &fleet.Event{At: at, Who: "ann", What: "the end"}})
-	must(t, l.store.VerifyLeader())
+	testwait.Must(t, l.store.VerifyLeader())
 	snapshots := make([]string, len(run.list))
 	for i, v := range run.list {
-		until(t, v.name+" has all entries", func() bool {
+		testwait.Until(t, testTimeout, v.name+" has all entries", func() bool {
 			var last fleet.Event
 			v.store.View(func(s *fleet.State) {
 				text, _ := s.Snapshot()
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -18,6 +18,7 @@
 	"elderyard/fleet"
 	"elderyard/internal/golden"
 	"elderyard/internal/loopback"
+	"elderyard/internal/testwait"
 	"elderyard/members"
 	"elderyard/records"
 	"elderyard/revisions"
@@ -81,21 +82,21 @@
 	t.Helper()
 	v := newVoter(t, newNetwork(), "v0")
 	v.bootstrap = true
-	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
+	testwait.Must(t, v.start(t))
+	testwait.Until(t, testTimeout, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	_, err := v.store.AddNonVoter("r0", loopback.Host()+":1")
-	must(t, err)
+	testwait.Must(t, err)
 	before, after := goldenEntries()
 	for _, e := range before {
 		propose(t, v.store, e)
 	}
-	must(t, v.store.raft.Snapshot().Error())
+	testwait.Must(t, v.store.raft.Snapshot().Error())
 	for _, e := range after {
 		propose(t, v.store, e)
 	}
-	must(t, v.store.Close())
+	testwait.Must(t, v.store.Close())
 	v.store = nil
-	must(t, os.CopyFS(path, os.DirFS(v.dir)))
+	testwait.Must(t, os.CopyFS(path, os.DirFS(v.dir)))
 }
 
 // copyGoldenFolder returns a copy of the folder, for a voter to start on.
@@ -106,7 +107,7 @@
 		createGoldenFolder(t, path)
 	}
 	dir = filepath.Join(t.TempDir(), "voter")
-	must(t, os.CopyFS(dir, os.DirFS(path)))
+	testwait.Must(t, os.CopyFS(dir, os.DirFS(path)))
 	return dir
 }
 
@@ -118,17 +119,17 @@
 		t.Fatalf("the log's file is %s, %v", LogFileName, err)
 	}
 	logs, err := raftbolt.New(raftbolt.Options{Path: filepath.Join(dir, LogFileName), BoltOptions: boltOptions()})
-	must(t, err)
+	testwait.Must(t, err)
 	defer logs.Close()
 	before, after := goldenEntries()
 	entries := slices.Concat(before, after)
 	first, err := logs.FirstIndex()
-	must(t, err)
+	testwait.Must(t, err)
 	last, err := logs.LastIndex()
-	must(t, err)
+	testwait.Must(t, err)
 	for index := first; index <= last; index++ {
 		var stored raft.Log
-		must(t, logs.GetLog(index, &stored))
+		testwait.Must(t, logs.GetLog(index, &stored))
 		if stored.Type != raft.LogCommand {
 			continue
 		}
@@ -136,7 +137,7 @@
 			t.Fatalf("entry %d is one too many: %s", index, stored.Data)
 		}
 		encoded, err := entries[0].Encode()
-		must(t, err)
+		testwait.Must(t, err)
 		if string(encoded) != string(stored.Data) {
 			t.Errorf("entry %d is encoded as\n     %s\nwant %s", index, encoded, stored.Data)
 		}
@@ -150,21 +151,21 @@
 	}
 
 	snapshots, err := raft.NewFileSnapshotStore(dir, retainedSnapshots, io.Discard)
-	must(t, err)
+	testwait.Must(t, err)
 	list, err := snapshots.List()
-	must(t, err)
+	testwait.Must(t, err)
 	if len(list) != 1 {
 		t.Fatalf("%d snapshots", len(list))
 	}
 	_, content, err := snapshots.Open(list[0].ID)
-	must(t, err)
+	testwait.Must(t, err)
 	defer content.Close()
 	text, err := io.ReadAll(content)
-	must(t, err)
+	testwait.Must(t, err)
 	var state fleet.State
-	must(t, state.Restore(text))
+	testwait.Must(t, state.Restore(text))
 	again, err := state.Snapshot()
-	must(t, err)
+	testwait.Must(t, err)
 	if got, want := withoutRecords(again), withoutRecords(text); got != want {
 		t.Errorf("the snapshot is encoded as\n     %s\nwant %s", got, want)
 	}
@@ -179,11 +180,11 @@
 	v := newVoter(t, newNetwork(), "v0")
 	v.dir = copyGoldenFolder(t)
 	snapshots, err := raft.NewFileSnapshotStore(v.dir, retainedSnapshots, io.Discard)
-	must(t, err)
+	testwait.Must(t, err)
 	list, err := snapshots.List()
-	must(t, err)
-	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
+	testwait.Must(t, err)
+	testwait.Must(t, v.start(t))
+	testwait.Until(t, testTimeout, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	if term := v.store.raft.CurrentTerm(); term <= list[0].Term {
 		t.Errorf("it leads in term %d, and was in term %d before", term, list[0].Term)
 	}
@@ -253,6 +254,6 @@
 		t.Errorf("changes of records %+v", history)
 	}
 	text, err := s.Snapshot()
-	must(t, err)
+	testwait.Must(t, err)
 	golden.File(t, "voter-state.json", []byte(withoutRecords(text)))
 }
--- a/internal/replica/leader_test.go
+++ b/internal/replica/leader_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"elderyard/internal/testwait"
 	"elderyard/revisions"
 )
 
@@ -23,8 +24,8 @@
 	}
 	propose(t, next.store, rolloutApplied(1))
 	propose(t, next.store, command("2", 1, "b"))
-	must(t, first.start(t))
-	until(t, "the former leader has all entries", func() bool { return head(first.store).Number == 2 })
+	testwait.Must(t, first.start(t))
+	testwait.Until(t, testTimeout, "the former leader has all entries", func() bool { return head(first.store).Number == 2 })
 }
 
 // TestRemovedVoterDisturbsNobody: a removed voter that did not receive its removal must not depose the leader.
@@ -35,14 +36,14 @@
 	removed, other := others[0], others[1]
 	n.set(l.name, removed.name, true) // its removal does not reach it
 	change, err := l.store.Remove(removed.name)
-	must(t, err)
+	testwait.Must(t, err)
 	expectNoneLagging(t, l, change)
 	term := l.store.raft.CurrentTerm()
-	until(t, "the removed voter has no leader", func() bool { id, _ := removed.store.Leader(); return id == "" })
+	testwait.Until(t, testTimeout, "the removed voter has no leader", func() bool { id, _ := removed.store.Leader(); return id == "" })
 	n.set(l.name, removed.name, false)
 	for range 10 {
 		time.Sleep(heartbeat)
-		must(t, l.store.VerifyLeader())
+		testwait.Must(t, l.store.VerifyLeader())
 	}
 	if now := l.store.raft.CurrentTerm(); now != term || !l.store.IsLeader() {
 		t.Fatalf("term %d, %d before; leading: %v", now, term, l.store.IsLeader())
@@ -73,5 +74,5 @@
 	propose(t, next.store, rolloutApplied(1))
 	propose(t, next.store, command("2", 1, "b"))
 	n.healAll()
-	until(t, "the minority follows", func() bool { return head(old.store).Number == 2 })
+	testwait.Until(t, testTimeout, "the minority follows", func() bool { return head(old.store).Number == 2 })
 }
--- a/internal/replica/members_test.go
+++ b/internal/replica/members_test.go
@@ -5,6 +5,7 @@
 	"slices"
 	"testing"
 
+	"elderyard/internal/testwait"
 	"elderyard/revisions"
 )
 
@@ -14,15 +15,15 @@
 	propose(t, l.store, command("1", 0, "a"))
 	removed := followers(list, l)[1]
 	change, err := l.store.Remove(removed.name)
-	must(t, err)
+	testwait.Must(t, err)
 	expectNoneLagging(t, l, change)
 	if _, err := l.store.Remove(removed.name); !errors.Is(err, ErrNotMember) {
 		t.Fatalf("removal of a store that is no voter: %v", err)
 	}
 	fresh := newVoter(t, n, "v9")
-	must(t, fresh.start(t))
+	testwait.Must(t, fresh.start(t))
 	addVoter(t, l, fresh)
-	until(t, "the added voter has all entries", func() bool { return head(fresh.store).Number == 1 })
+	testwait.Until(t, testTimeout, "the added voter has all entries", func() bool { return head(fresh.store).Number == 1 })
 	members, err := l.store.Members()
 	if err != nil || len(members) != 3 || members[2].Name != "v9" {
 		t.Fatalf("%v %+v", err, members)
@@ -44,7 +45,7 @@
 	// Calls between the leader and the second vanish.
 	n.set("v0", "v1", true)
 	change, err := list[0].store.AddVoter("v2", list[2].address)
-	must(t, err)
+	testwait.Must(t, err)
 	lagging, err := list[0].store.LaggingVoters(t.Context(), change)
 	if err != nil || !slices.Equal(lagging, []string{"v1"}) {
 		t.Fatalf("%v lack the change, %v", lagging, err)
@@ -59,7 +60,7 @@
 	if out := propose(t, list[2].store, command("2", 1, "b")); out.Result.Status != revisions.Accepted {
 		t.Fatalf("%+v", out)
 	}
-	until(t, "the second has all entries", func() bool {
+	testwait.Until(t, testTimeout, "the second has all entries", func() bool {
 		m, err := list[1].store.Members()
 		return err == nil && len(m) == 3 && head(list[1].store).Number == 2
 	})
--- a/internal/replica/monitored_log_test.go
+++ b/internal/replica/monitored_log_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"github.com/hashicorp/raft"
+
+	"elderyard/internal/testwait"
 )
 
 // TestFailedWriteAfterTruncationBlocks: raft itself would go on with a log whose content it does not know.
@@ -17,17 +19,17 @@
 		return nil
 	})
 	for i := range uint64(5) {
-		must(t, log.StoreLog(&raft.Log{Index: i + 1, Term: 1}))
+		testwait.Must(t, log.StoreLog(&raft.Log{Index: i + 1, Term: 1}))
 	}
-	must(t, log.DeleteRange(1, 2)) // compaction: a write that fails after it returns its error
+	testwait.Must(t, log.DeleteRange(1, 2)) // compaction: a write that fails after it returns its error
 	full = true
 	if err := log.StoreLog(&raft.Log{Index: 6, Term: 2}); err == nil {
 		t.Fatal("the write succeeded")
 	}
 	full = false
-	must(t, log.DeleteRange(4, 5))
-	must(t, log.StoreLog(&raft.Log{Index: 4, Term: 2})) // a write after the truncation ends its effect
-	must(t, log.DeleteRange(4, 4))
+	testwait.Must(t, log.DeleteRange(4, 5))
+	testwait.Must(t, log.StoreLog(&raft.Log{Index: 4, Term: 2})) // a write after the truncation ends its effect
+	testwait.Must(t, log.DeleteRange(4, 4))
 	full = true
 	done := make(chan error, 1)
 	go func() { done <- log.StoreLog(&raft.Log{Index: 4, Term: 3}) }()
--- a/internal/replica/nonvoter_test.go
+++ b/internal/replica/nonvoter_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"elderyard/fleet"
+	"elderyard/internal/testwait"
 )
 
 // TestNonVoter adds a replica without a vote: it follows the log, and counts for no majority.
@@ -13,8 +14,8 @@
 	t.Parallel()
 	n, list := startThree(t)
 	replica := newVoter(t, n, "r0")
-	must(t, replica.start(t))
-	until(t, "the replica is added", func() bool {
+	testwait.Must(t, replica.start(t))
+	testwait.Until(t, testTimeout, "the replica is added", func() bool {
 		_, err := leader(t, list).store.AddNonVoter(replica.name, replica.address)
 		return err == nil
 	})
@@ -22,12 +23,12 @@
 		t.Fatalf("demotion of a voter: %v", err)
 	}
 	commit(t, list, command("1", 0, "a"))
-	until(t, "the replica has the revision", func() (has bool) {
+	testwait.Until(t, testTimeout, "the replica has the revision", func() (has bool) {
 		replica.store.View(func(s *fleet.State) { r, found := s.Head(); has = found && r.Number == 1 })
 		return has
 	})
 	members, err := replica.store.Members()
-	must(t, err)
+	testwait.Must(t, err)
 	if len(members) != 4 || !members[0].NonVoter || members[0].Name != replica.name {
 		t.Fatalf("%+v", members)
 	}
@@ -41,7 +42,7 @@
 		}
 		v.stop()
 	}
-	until(t, "no leader", func() bool { return !left.store.IsLeader() && left.store.VerifyLeader() != nil })
+	testwait.Until(t, testTimeout, "no leader", func() bool { return !left.store.IsLeader() && left.store.VerifyLeader() != nil })
 	if replica.store.IsLeader() {
 		t.Fatal("a replica without a vote leads")
 	}
@@ -52,13 +53,13 @@
 	t.Parallel()
 	n, list := startSeparate(t)
 	replica := newVoter(t, n, "r0")
-	must(t, replica.start(t))
+	testwait.Must(t, replica.start(t))
 	change, err := list[0].store.AddNonVoter(replica.name, replica.address)
-	must(t, err)
+	testwait.Must(t, err)
 	expectNoneLagging(t, list[0], change)
 	if _, err := list[0].store.Remove(list[0].name); !errors.Is(err, ErrOnlyVoter) || !strings.Contains(err.Error(), "only voter") {
 		t.Fatalf("removal of the only voter: %v", err)
 	}
 	_, err = list[0].store.Remove(replica.name)
-	must(t, err)
+	testwait.Must(t, err)
 }
--- a/internal/replica/records_test.go
+++ b/internal/replica/records_test.go
@@ -12,6 +12,7 @@
 	"github.com/hashicorp/raft"
 
 	"elderyard/fleet"
+	"elderyard/internal/testwait"
 	"elderyard/records"
 	"elderyard/rollout"
 )
@@ -44,10 +45,10 @@
 	_, list := startThree(t)
 	commit(t, list, command("1", 0, "a"))
 	first := list[0]
-	until(t, "the first has the revision", func() bool { return head(first.store).Number == 1 })
+	testwait.Until(t, testTimeout, "the first has the revision", func() bool { return head(first.store).Number == 1 })
 	changed := first.store.RecordsChanged()
 	commit(t, list, rolloutApplied(1))
-	until(t, "the first has the rollout's end", func() (has bool) {
+	testwait.Until(t, testTimeout, "the first has the rollout's end", func() (has bool) {
 		first.store.View(func(s *fleet.State) { has = s.Rollout().State == rollout.Applied })
 		return has
 	})
@@ -60,7 +61,7 @@
 	<-changed
 	var digest records.Digest
 	for i, v := range list {
-		until(t, v.name+" has the records", func() bool { return recordsStateOf(v.store).version == out.Records.Version })
+		testwait.Until(t, testTimeout, v.name+" has the records", func() bool { return recordsStateOf(v.store).version == out.Records.Version })
 		if now := recordsStateOf(v.store); i == 0 {
 			digest = now.digest
 		} else if now.digest != digest {
@@ -68,7 +69,7 @@
 		}
 	}
 	var stored raft.Log
-	must(t, first.store.logs.GetLog(out.Records.Version, &stored))
+	testwait.Must(t, first.store.logs.GetLog(out.Records.Version, &stored))
 	if e, err := fleet.Decode(stored.Data); err != nil || e.Records == nil || e.Records.IdempotencyKey != "r1" {
 		t.Fatalf("entry %d is %+v, %v", out.Records.Version, e, err)
 	}
@@ -77,10 +78,10 @@
 		v.stop()
 	}
 	for _, v := range list {
-		must(t, v.start(t))
+		testwait.Must(t, v.start(t))
 	}
 	for _, v := range list {
-		until(t, v.name+" has the records after a restart", func() bool {
+		testwait.Until(t, testTimeout, v.name+" has the records after a restart", func() bool {
 			now := recordsStateOf(v.store)
 			return now.version == next.Records.Version && now.count == 3
 		})
@@ -90,7 +91,7 @@
 // load has the leader restore a saved state.
 func load(t testing.TB, list []*voter, text []byte) {
 	t.Helper()
-	until(t, "a state is restored", func() bool { return leader(t, list).store.RestoreState(text) == nil })
+	testwait.Until(t, testTimeout, "a state is restored", func() bool { return leader(t, list).store.RestoreState(text) == nil })
 }
 
 // save returns the leader's encoded state.
@@ -98,7 +99,7 @@
 	t.Helper()
 	var err error
 	leader(t, list).store.View(func(s *fleet.State) { text, err = s.Snapshot() })
-	must(t, err)
+	testwait.Must(t, err)
 	return text
 }
 
@@ -125,13 +126,13 @@
 		t.Fatalf("%+v behind %+v", want, restored)
 	}
 	for _, v := range list {
-		until(t, v.name+" follows", func() bool { return recordsStateOf(v.store) == want })
+		testwait.Until(t, testTimeout, v.name+" follows", func() bool { return recordsStateOf(v.store) == want })
 	}
 
 	text = save(t, list)
 	fresh := newVoter(t, newNetwork(), "fresh")
 	fresh.bootstrap = true
-	must(t, fresh.start(t))
+	testwait.Must(t, fresh.start(t))
 	alone := []*voter{fresh}
 	load(t, alone, text)
 	if now := recordsStateOf(fresh.store); now.version <= want.version || now.digest != want.digest {
@@ -183,7 +184,7 @@
 	if now := recordsStateOf(old.store); now != before {
 		t.Fatalf("the minority is at %+v, %+v before the cut", now, before)
 	}
-	must(t, next.store.raft.Snapshot().Error())
+	testwait.Must(t, next.store.raft.Snapshot().Error())
 	if first, err := next.store.logs.FirstIndex(); err != nil || first <= before.version {
 		t.Fatalf("the log begins at %d, %v: it is not compacted", first, err)
 	}
@@ -192,7 +193,7 @@
 	if want.count != changes+1 {
 		t.Fatalf("%+v", want)
 	}
-	until(t, "the minority has the majority's records", func() bool { return recordsStateOf(old.store) == want })
+	testwait.Until(t, testTimeout, "the minority has the majority's records", func() bool { return recordsStateOf(old.store) == want })
 }
 
 // proposeAnywhere proposes an entry to voters in turn until it is committed. A retry of an entry whose fate is unknown is
@@ -216,6 +217,6 @@
 func commit(t testing.TB, voters []*voter, e fleet.Entry) fleet.Outcome {
 	t.Helper()
 	out, err := proposeAnywhere(voters, e)
-	must(t, err)
+	testwait.Must(t, err)
 	return out
 }
--- a/internal/replica/store_test.go
+++ b/internal/replica/store_test.go
@@ -10,23 +10,24 @@
 	"testing"
 
 	"elderyard/fleet"
+	"elderyard/internal/testwait"
 )
 
 func TestSingleVoterRestoresStateAfterRestart(t *testing.T) {
 	v := newVoter(t, newNetwork(), "v0")
 	v.bootstrap = true
-	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
+	testwait.Must(t, v.start(t))
+	testwait.Until(t, testTimeout, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	changed := v.store.Changed()
 	propose(t, v.store, command("1", 0, "a"))
 	<-changed
 	propose(t, v.store, rolloutApplied(1))
-	must(t, v.store.raft.Snapshot().Error())
+	testwait.Must(t, v.store.raft.Snapshot().Error())
 	propose(t, v.store, command("2", 1, "b")) // in the log alone
 	for range 2 {
 		v.stop()
-		must(t, v.start(t)) // Bootstrap has no effect on a folder that is not empty
-		until(t, "it leads again", func() bool { return v.store.VerifyLeader() == nil })
+		testwait.Must(t, v.start(t)) // Bootstrap has no effect on a folder that is not empty
+		testwait.Until(t, testTimeout, "it leads again", func() bool { return v.store.VerifyLeader() == nil })
 		if r := head(v.store); r.Number != 2 || r.Content.File != "b" {
 			t.Fatalf("%+v", r)
 		}
@@ -46,8 +47,8 @@
 		}
 		return nil
 	}
-	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
+	testwait.Must(t, v.start(t))
+	testwait.Until(t, testTimeout, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	propose(t, v.store, command("1", 0, "a"))
 	full.Store(true)
 	_, err := v.store.Propose(t.Context(), rolloutApplied(1))
@@ -55,7 +56,7 @@
 		t.Fatalf("%v", err)
 	}
 	full.Store(false)
-	until(t, "it leads again", func() bool { return v.store.VerifyLeader() == nil })
+	testwait.Until(t, testTimeout, "it leads again", func() bool { return v.store.VerifyLeader() == nil })
 	if head(v.store).Number != 1 || v.store.DiskError() != nil {
 		t.Fatal("the revision is gone, or the error stays")
 	}
@@ -72,9 +73,9 @@
 	if err := l.store.RestoreState(saved[:len(saved)-3]); err == nil || head(l.store).Number != 2 {
 		t.Fatalf("a state that is cut short: %v", err)
 	}
-	must(t, l.store.RestoreState(saved))
+	testwait.Must(t, l.store.RestoreState(saved))
 	for _, v := range list {
-		until(t, v.name+" has the saved state", func() bool { return head(v.store).Number == 1 })
+		testwait.Until(t, testTimeout, v.name+" has the saved state", func() bool { return head(v.store).Number == 1 })
 	}
 	propose(t, l.store, rolloutApplied(1))
 }
@@ -83,14 +84,14 @@
 	_, list := startThree(t)
 	l := leader(t, list)
 	propose(t, l.store, command("1", 0, "a"))
-	until(t, "the last voter has the revision", func() bool { return head(list[2].store).Number == 1 })
+	testwait.Until(t, testTimeout, "the last voter has the revision", func() bool { return head(list[2].store).Number == 1 })
 	for _, v := range list {
 		v.stop()
 	}
 	left := list[2]
 	left.recover = true
-	must(t, left.start(t))
-	until(t, "it leads alone", func() bool { return left.store.VerifyLeader() == nil })
+	testwait.Must(t, left.start(t))
+	testwait.Until(t, testTimeout, "it leads alone", func() bool { return left.store.VerifyLeader() == nil })
 	if head(left.store).Number != 1 {
 		t.Fatal("a committed revision is lost")
 	}
@@ -105,8 +106,8 @@
 func TestDamagedLogIsAnError(t *testing.T) {
 	v := newVoter(t, newNetwork(), "v0")
 	v.bootstrap = true
-	must(t, v.start(t))
-	until(t, "it leads", func() bool { return v.store.VerifyLeader() == nil })
+	testwait.Must(t, v.start(t))
+	testwait.Until(t, testTimeout, "it leads", func() bool { return v.store.VerifyLeader() == nil })
 	for i := range uint64(20) {
 		propose(t, v.store, command(fmt.Sprint(i), i, strings.Repeat("x", 20000)+fmt.Sprint(i)))
 		propose(t, v.store, rolloutApplied(i+1))
@@ -114,7 +115,7 @@
 	v.stop()
 	path := filepath.Join(v.dir, LogFileName)
 	good, err := os.ReadFile(path)
-	must(t, err)
+	testwait.Must(t, err)
 	scrambled := append([]byte(nil), good...)
 	for i := 2 * os.Getpagesize(); i < len(scrambled); i++ {
 		scrambled[i] ^= 0x5a
@@ -123,15 +124,15 @@
 		"empty": {}, "one byte": {1}, "half": good[:len(good)/2], "one page": good[:os.Getpagesize()],
 		"no meta page": append(make([]byte, 2*os.Getpagesize()), good[2*os.Getpagesize():]...), "scrambled": scrambled,
 	} {
-		must(t, os.WriteFile(path, text, 0o600))
+		testwait.Must(t, os.WriteFile(path, text, 0o600))
 		if err := v.start(t); !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), "is damaged") || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v", name, err)
 			v.stop()
 		}
 	}
-	must(t, os.WriteFile(path, good, 0o600))
-	must(t, v.start(t))
-	until(t, "it leads again", func() bool { return v.store.VerifyLeader() == nil })
+	testwait.Must(t, os.WriteFile(path, good, 0o600))
+	testwait.Must(t, v.start(t))
+	testwait.Until(t, testTimeout, "it leads again", func() bool { return v.store.VerifyLeader() == nil })
 	if head(v.store).Number != 20 {
 		t.Fatal(head(v.store).Number)
 	}
--- a/internal/replica/voter_test.go
+++ b/internal/replica/voter_test.go
@@ -10,6 +10,7 @@
 
 	"elderyard/fleet"
 	"elderyard/internal/loopback"
+	"elderyard/internal/testwait"
 	"elderyard/revisions"
 	"elderyard/rollout"
 )
@@ -60,23 +61,6 @@
 	}
 }
 
-func must(t testing.TB, err error) {
-	t.Helper()
-	if err != nil {
-		t.Fatal(err)
-	}
-}
-
-// until waits for a condition, and fails the test if it does not become true in time.
-func until(t testing.TB, what string, condition func() bool) {
-	t.Helper()
-	for limit := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("not within %v: %s", testTimeout, what)
-		}
-	}
-}
-
 // startSeparate starts three stores, of which the first is the site's only voter and leads.
 func startSeparate(t testing.TB) (*network, []*voter) {
 	t.Helper()
@@ -85,10 +69,10 @@
 	for i := range 3 {
 		v := newVoter(t, n, fmt.Sprint("v", i))
 		v.bootstrap = i == 0
-		must(t, v.start(t))
+		testwait.Must(t, v.start(t))
 		list = append(list, v)
 	}
-	until(t, "the first leads", func() bool { return list[0].store.VerifyLeader() == nil })
+	testwait.Until(t, testTimeout, "the first leads", func() bool { return list[0].store.VerifyLeader() == nil })
 	return n, list
 }
 
@@ -106,7 +90,7 @@
 func addVoter(t testing.TB, l, fresh *voter) {
 	t.Helper()
 	change, err := l.store.AddVoter(fresh.name, fresh.address)
-	must(t, err)
+	testwait.Must(t, err)
 	expectNoneLagging(t, l, change)
 }
 
@@ -132,7 +116,7 @@
 func leader(t testing.TB, list []*voter) *voter {
 	t.Helper()
 	var found *voter
-	until(t, "one leads", func() bool {
+	testwait.Until(t, testTimeout, "one leads", func() bool {
 		for _, v := range list {
 			if v.store != nil && v.store.VerifyLeader() == nil {
 				found = v
@@ -156,7 +140,7 @@
 func propose(t testing.TB, s *Store, e fleet.Entry) fleet.Outcome {
 	t.Helper()
 	out, err := s.Propose(context.Background(), e)
-	must(t, err)
+	testwait.Must(t, err)
 	return out
 }
 
