--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -96,15 +96,70 @@
 	}
 }
 
-// Decode passes the content of testdata/name to the function and fails the test if
-// that returns an error.
-func Decode(t testing.TB, name string, decode func(text []byte) error) {
+// ExtensibleJSON fails the test unless a value with every field set is encoded, with a
+// newline, as testdata/name has it, and that file decodes to an equal value, also with a
+// key that only a later version knows.
+func ExtensibleJSON[T any](t testing.TB, name string, value T) {
+	t.Helper()
+	EveryField(t, value)
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	File(t, name, append(encoded, '\n'))
+	stored := Read(t, name, nil)
+	for variant, text := range map[string][]byte{"as it is": stored, "with a new key": WithNewKey(stored)} {
+		var decoded T
+		if err := json.Unmarshal(text, &decoded); err != nil {
+			t.Errorf("%s %s: %v", name, variant, err)
+		}
+		if !reflect.DeepEqual(decoded, value) {
+			t.Errorf("%s %s decodes to\n     %+v\nwant %+v", name, variant, decoded, value)
+		}
+	}
+}
+
+// WithNewKey returns an encoded object with a key added that only a later version knows.
+func WithNewKey(text []byte) []byte {
+	return bytes.Replace(text, []byte("{"), []byte(`{"added later":{"a":[1]},`), 1)
+}
+
+// JSONLines fails the test unless testdata/name holds the encoded values, one a line.
+// Given the zero values of a form's types, it pins which keys are left out of them.
+func JSONLines(t testing.TB, name string, values ...any) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", name))
+	var text []byte
+	for _, value := range values {
+		line, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text = append(append(text, line...), '\n')
+	}
+	File(t, name, text)
+}
+
+// Read returns the content of testdata/name. If there is none, a test run that writes
+// missing golden files writes it with the missing content and returns that. It ends the
+// test otherwise, and whenever the missing content is nil: the file must exist then.
+func Read(t testing.TB, name string, missing []byte) []byte {
+	t.Helper()
+	stored, err := os.ReadFile(filepath.Join("testdata", name))
+	if errors.Is(err, os.ErrNotExist) && Creating() && missing != nil {
+		File(t, name, missing)
+		return missing
+	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := decode(text); err != nil {
+	return stored
+}
+
+// Decode passes the content of testdata/name to the function and fails the test if
+// that returns an error.
+func Decode(t testing.TB, name string, decode func(text []byte) error) {
+	t.Helper()
+	if err := decode(Read(t, name, nil)); err != nil {
 		t.Errorf("%s: %v", name, err)
 	}
 }
