--- a/internal/peers/golden_settings_test.go
+++ b/internal/peers/golden_settings_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"elderyard/internal/golden"
 	"elderyard/internal/site"
 	"elderyard/internal/strict"
 	"elderyard/members"
@@ -28,7 +29,7 @@
 func TestGoldenSettings(t *testing.T) {
 	p := site.Peers{Listen: "127.0.0.2:7000", Advertise: "127.0.0.3:7000", Site: "north", KeyFile: "keys", Roster: "roster.toml", Dir: "dir",
 		Seeds: []string{"g1"}, Every: strict.Duration(time.Second), MostKB: 3, Reach: []site.PeerReach{{Name: "g1", Address: "127.0.0.4:7000"}}}
-	requireEveryField(t, "site.Peers", reflect.ValueOf(p))
+	golden.EveryField(t, p)
 	want := Settings{Self: "g0", Site: "north", Listen: "127.0.0.2:7000", Advertise: "127.0.0.3:7000", AdminAddress: "127.0.0.2:8000", Dir: "dir", KeyFile: "keys",
 		RosterFile: "roster.toml", Seeds: []string{"g1"}, AddressOverrides: map[string]string{"g1": "127.0.0.4:7000"}, ProbeInterval: time.Second, MaxBytesPerSecond: 3072}
 	env := map[string]string{}
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -18,75 +17,6 @@
 // written by the code that first had the value, and never change. A field that is added gets a golden file of its own,
 // beside the one that older versions write.
 
-// requireEveryField fails the test if any field in v is zero, or any slice or map is empty: a field that is added must be
-// added to the golden value too.
-func requireEveryField(t *testing.T, path string, v reflect.Value) {
-	t.Helper()
-	switch v.Kind() {
-	case reflect.Pointer:
-		if v.IsNil() {
-			t.Errorf("%s is not set in the golden value", path)
-			return
-		}
-		requireEveryField(t, path, v.Elem())
-	case reflect.Struct:
-		if v.Type() == reflect.TypeFor[time.Time]() {
-			if v.IsZero() {
-				t.Errorf("%s is not set in the golden value", path)
-			}
-			return
-		}
-		for i := range v.NumField() {
-			requireEveryField(t, path+"."+v.Type().Field(i).Name, v.Field(i))
-		}
-	case reflect.Slice, reflect.Array:
-		if v.Len() == 0 {
-			t.Errorf("%s is empty in the golden value", path)
-		}
-		for i := range v.Len() {
-			requireEveryField(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
-		}
-	case reflect.Map:
-		if v.Len() == 0 {
-			t.Errorf("%s is empty in the golden value", path)
-		}
-	default:
-		if v.IsZero() {
-			t.Errorf("%s is not set in the golden value", path)
-		}
-	}
-}
-
-// withNewKey adds a key that only a later version knows to an encoded object.
-func withNewKey(text []byte) []byte {
-	return bytes.Replace(text, []byte("{"), []byte(`{"added later":{"a":[1]},`), 1)
-}
-
-// requireJSON fails the test unless a value with every field set is encoded as its golden file has it, and the golden file
-// is decoded to an equal value, also with a key that only a later version knows.
-func requireJSON[T any](t *testing.T, file string, value T) {
-	t.Helper()
-	requireEveryField(t, reflect.TypeFor[T]().Name(), reflect.ValueOf(value))
-	text, err := json.Marshal(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden.File(t, file, append(text, '\n'))
-	stored, err := os.ReadFile(filepath.Join("testdata", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for name, text := range map[string][]byte{"the golden file": stored, "the golden file with a new key": withNewKey(stored)} {
-		var decoded T
-		if err := json.Unmarshal(text, &decoded); err != nil {
-			t.Errorf("%s: %s: %v", file, name, err)
-		}
-		if !reflect.DeepEqual(decoded, value) {
-			t.Errorf("%s: %s was decoded to\n%+v, want\n%+v", file, name, decoded, value)
-		}
-	}
-}
-
 func goldenRoster() members.Roster {
 	return members.Roster{Epoch: 7, Members: []members.Member{{Name: "g0", Since: 1}, {Name: "g1", Since: 7}}}
 }
@@ -129,28 +59,20 @@
 }
 
 func TestGoldenForms(t *testing.T) {
-	t.Run("meta", func(t *testing.T) { requireJSON(t, "meta.json", goldenMeta()) })
-	t.Run("message", func(t *testing.T) { requireJSON(t, "message.json", goldenMessage()) })
-	t.Run("saved state", func(t *testing.T) { requireJSON(t, "kept.json", goldenSavedState()) })
-	t.Run("status", func(t *testing.T) { requireJSON(t, "answer.json", goldenStatus()) })
-	t.Run("evidence", func(t *testing.T) { requireJSON(t, "why.json", goldenEvidence()) })
+	t.Run("meta", func(t *testing.T) { golden.ExtensibleJSON(t, "meta.json", goldenMeta()) })
+	t.Run("message", func(t *testing.T) { golden.ExtensibleJSON(t, "message.json", goldenMessage()) })
+	t.Run("saved state", func(t *testing.T) { golden.ExtensibleJSON(t, "kept.json", goldenSavedState()) })
+	t.Run("status", func(t *testing.T) { golden.ExtensibleJSON(t, "answer.json", goldenStatus()) })
+	t.Run("evidence", func(t *testing.T) { golden.ExtensibleJSON(t, "why.json", goldenEvidence()) })
 	t.Run("query result", func(t *testing.T) {
 		status, evidence := goldenStatus(), goldenEvidence()
-		requireJSON(t, "asked.json", QueryResult{Name: "g0", Address: "127.0.0.2:8000", Status: &status, Evidence: &evidence, Error: "127.0.0.2:8000: EOF"})
+		golden.ExtensibleJSON(t, "asked.json", QueryResult{Name: "g0", Address: "127.0.0.2:8000", Status: &status, Evidence: &evidence, Error: "127.0.0.2:8000: EOF"})
 	})
 }
 
 // Keys with an omitempty option are left out of values that have none, and all others are there.
 func TestGoldenFormsOfZeroValues(t *testing.T) {
-	var text []byte
-	for _, v := range []any{meta{}, message{}, savedState{}, Status{}, OperationPermission{}, EvidenceReport{}, QueryResult{}, Traffic{}} {
-		line, err := json.Marshal(v)
-		if err != nil {
-			t.Fatal(err)
-		}
-		text = append(append(text, line...), '\n')
-	}
-	golden.File(t, "zero.jsonl", text)
+	golden.JSONLines(t, "zero.jsonl", meta{}, message{}, savedState{}, Status{}, OperationPermission{}, EvidenceReport{}, QueryResult{}, Traffic{})
 }
 
 // What a gateway of the version that wrote the golden files sends is accepted, and what this one sends is the same.
@@ -175,16 +97,13 @@
 			return err
 		}},
 	} {
-		stored, err := os.ReadFile(filepath.Join("testdata", c.file))
-		if err != nil {
-			t.Fatal(err)
-		}
+		stored := golden.Read(t, c.file, nil)
 		if !bytes.Equal(c.sends, bytes.TrimSpace(stored)) {
 			t.Errorf("%s: the code sends %s", c.file, c.sends)
 		}
 		for name, text := range map[string][]byte{
 			"as it is":                   stored,
-			"of a later version":         bytes.Replace(withNewKey(stored), []byte(`"v":1`), []byte(`"v":1,"later":[1]`), 1),
+			"of a later version":         bytes.Replace(golden.WithNewKey(stored), []byte(`"v":1`), []byte(`"v":1,"later":[1]`), 1),
 			"with a key in another case": bytes.Replace(stored, []byte(`"v":1`), []byte(`"V":1`), 1),
 		} {
 			if err := c.check(text); err != nil {
@@ -230,11 +149,8 @@
 	if info, err := os.Stat(path); err != nil || info.Mode() != 0o600 {
 		t.Errorf("%v, %v", info, err)
 	}
-	stored, err := os.ReadFile(filepath.Join("testdata", "kept.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, text := range [][]byte{stored, withNewKey(stored)} {
+	stored := golden.Read(t, "kept.json", nil)
+	for _, text := range [][]byte{stored, golden.WithNewKey(stored)} {
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/recordsync/golden_test.go
+++ b/internal/recordsync/golden_test.go
@@ -5,7 +5,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -22,26 +21,6 @@
 	"elderyard/records"
 )
 
-// readGolden returns the content of testdata/golden/name. If the run creates golden files and
-// there is none, it is created with the content missing.
-func readGolden(t testing.TB, name string, missing []byte) []byte {
-	t.Helper()
-	path := filepath.Join("golden", name)
-	data, err := os.ReadFile(filepath.Join("testdata", path))
-	if errors.Is(err, os.ErrNotExist) && golden.Creating() {
-		golden.File(t, path, missing)
-		return missing
-	}
-	testwait.Must(t, err)
-	return data
-}
-
-// requireGolden fails the test unless testdata/golden/name holds these very bytes.
-func requireGolden(t testing.TB, name string, data []byte) {
-	t.Helper()
-	golden.File(t, filepath.Join("golden", name), data)
-}
-
 // goldenSource returns a source with few and short records: messages about them are not
 // compressed, so their bytes do not depend on a library.
 func goldenSource(t testing.TB) *memorySource {
@@ -73,7 +52,7 @@
 					t.Errorf("%T.%s is not set in the pinned value", request, value.Type().Field(i).Name)
 				}
 			}
-			requireGolden(t, "request_"+name+".http", sentBytes(t, request))
+			golden.File(t, "golden/request_"+name+".http", sentBytes(t, request))
 		})
 	}
 }
@@ -107,7 +86,7 @@
 // A server decodes the requests of released followers.
 func TestGoldenRequestsAreRead(t *testing.T) {
 	for name, want := range allRequests() {
-		request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(readGolden(t, "request_"+name+".http", nil))))
+		request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(golden.Read(t, "golden/request_"+name+".http", nil))))
 		testwait.Must(t, err)
 		var got records.Request
 		switch want.(type) {
@@ -150,13 +129,13 @@
 		{"other_path", "GET", "/v1/records/other"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			requireGolden(t, "response_"+test.name+".http", receivedBytes(t, address, test.method, test.target))
+			golden.File(t, "golden/response_"+test.name+".http", receivedBytes(t, address, test.method, test.target))
 		})
 	}
 	for range MaxWaiting {
 		handler.waitingSlots <- struct{}{}
 	}
-	requireGolden(t, "response_too_many_waiting.http", receivedBytes(t, address, "GET", present+"&wait_ms=1"))
+	golden.File(t, "golden/response_too_many_waiting.http", receivedBytes(t, address, "GET", present+"&wait_ms=1"))
 }
 
 // receivedBytes returns a server's response as it is received over the connection, without its
@@ -194,7 +173,7 @@
 	} {
 		body, err := client.do(t.Context(), server, request)
 		testwait.Must(t, err)
-		stored := readGolden(t, name, body)
+		stored := golden.Read(t, "golden/"+name, body)
 		if _, ok := request.(records.DigestsRequest); ok {
 			got, err := records.DecodeRangeDigests(body)
 			testwait.Must(t, err)
@@ -229,10 +208,10 @@
 	for _, name := range []string{"records", "records.journal", "records.confirmed"} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
 		testwait.Must(t, err)
-		requireGolden(t, "disk/"+name, data)
+		golden.File(t, "golden/disk/"+name, data)
 	}
 	var decoded confirmation
-	testwait.Must(t, json.Unmarshal(readGolden(t, "disk/records.confirmed", nil), &decoded))
+	testwait.Must(t, json.Unmarshal(golden.Read(t, "golden/disk/records.confirmed", nil), &decoded))
 	if reflect.ValueOf(decoded).NumField() != 2 || decoded.Version == 0 || decoded.At.IsZero() {
 		t.Errorf("a field of %+v is not set in the pinned value", decoded)
 	}
@@ -259,7 +238,7 @@
 	dir := filepath.Join(t.TempDir(), "copy")
 	testwait.Must(t, os.Mkdir(dir, 0o700))
 	for _, name := range []string{"records", "records.journal", "records.confirmed"} {
-		testwait.Must(t, os.WriteFile(filepath.Join(dir, name), readGolden(t, "disk/"+name, nil), 0o600))
+		testwait.Must(t, os.WriteFile(filepath.Join(dir, name), golden.Read(t, "golden/disk/"+name, nil), 0o600))
 	}
 	f, replica := reopen(t, dir)
 	if _, found := replica.Get(records.Key{Kind: records.Plan, Name: "silver"}); !found || replica.Version() != 3 || replica.Len() != 1 {
@@ -288,7 +267,7 @@
 	for _, name := range []string{"records", "records.journal"} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
 		testwait.Must(t, err)
-		testwait.Must(t, os.WriteFile(filepath.Join(dir, name), readGolden(t, "disk_compressed/"+name, data), 0o600))
+		testwait.Must(t, os.WriteFile(filepath.Join(dir, name), golden.Read(t, "golden/disk_compressed/"+name, data), 0o600))
 	}
 	if _, replica := reopen(t, dir); replica.Version() != 5 || replica.Digest() != source.digest() {
 		t.Errorf("version %d", replica.Version())
--- a/members/golden_test.go
+++ b/members/golden_test.go
@@ -1,11 +1,8 @@
 package members
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
@@ -19,57 +16,6 @@
 // written by the code that first had the value, and never change. A field that is added gets a golden file of its own,
 // beside the one that older versions write.
 
-// requireEveryField fails the test if any field in v is zero, or any slice or map is empty: a field that is added must be
-// added to the golden value too.
-func requireEveryField(t *testing.T, path string, v reflect.Value) {
-	t.Helper()
-	switch v.Kind() {
-	case reflect.Struct:
-		for i := range v.NumField() {
-			requireEveryField(t, path+"."+v.Type().Field(i).Name, v.Field(i))
-		}
-	case reflect.Slice, reflect.Array:
-		if v.Len() == 0 {
-			t.Errorf("%s is empty in the golden value", path)
-		}
-		for i := range v.Len() {
-			requireEveryField(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
-		}
-	default:
-		if v.IsZero() {
-			t.Errorf("%s is not set in the golden value", path)
-		}
-	}
-}
-
-// requireJSON fails the test unless a value with every field set is encoded as its golden file has it, and the golden file
-// is decoded to an equal value, also with a key that only a later version knows.
-func requireJSON[T any](t *testing.T, file string, value T) {
-	t.Helper()
-	requireEveryField(t, reflect.TypeFor[T]().Name(), reflect.ValueOf(value))
-	text, err := json.Marshal(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden.File(t, file, append(text, '\n'))
-	stored, err := os.ReadFile(filepath.Join("testdata", file))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for name, text := range map[string][]byte{
-		"the golden file":                stored,
-		"the golden file with a new key": bytes.Replace(stored, []byte("{"), []byte(`{"added later":{"a":[1]},`), 1),
-	} {
-		var decoded T
-		if err := json.Unmarshal(text, &decoded); err != nil {
-			t.Errorf("%s: %s: %v", file, name, err)
-		}
-		if !reflect.DeepEqual(decoded, value) {
-			t.Errorf("%s: %s was decoded to\n%+v, want\n%+v", file, name, decoded, value)
-		}
-	}
-}
-
 func goldenRoster() Roster {
 	return Roster{Epoch: 7, Members: []Member{{Name: "g0", Since: 1}, {Name: "g-1_b.c", Since: 7}}}
 }
@@ -110,31 +56,23 @@
 }
 
 func TestGoldenForms(t *testing.T) {
-	t.Run("roster", func(t *testing.T) { requireJSON(t, "roster.json", goldenRoster()) })
-	t.Run("view", func(t *testing.T) { requireJSON(t, "picture.json", goldenView()) })
+	t.Run("roster", func(t *testing.T) { golden.ExtensibleJSON(t, "roster.json", goldenRoster()) })
+	t.Run("view", func(t *testing.T) { golden.ExtensibleJSON(t, "picture.json", goldenView()) })
 	t.Run("evidence", func(t *testing.T) {
-		requireJSON(t, "evidence.json", Evidence{At: 3 * time.Second, Name: "g1", Incarnation: 1<<60 + 5, What: "did not answer a probe", By: "g0"})
+		golden.ExtensibleJSON(t, "evidence.json", Evidence{At: 3 * time.Second, Name: "g1", Incarnation: 1<<60 + 5, What: "did not answer a probe", By: "g0"})
 	})
 	t.Run("difference", func(t *testing.T) {
-		requireJSON(t, "difference.json", Difference{What: "g1", Groups: []ViewGroup{{Value: "not there", By: []string{"g0", "g2"}}},
+		golden.ExtensibleJSON(t, "difference.json", Difference{What: "g1", Groups: []ViewGroup{{Value: "not there", By: []string{"g0", "g2"}}},
 			LikelyCause: "a way between gateways is cut, or news of it is under way", Name: "g1"})
 	})
 	t.Run("incarnation learned", func(t *testing.T) {
-		requireJSON(t, "life.json", IncarnationLearned{Name: "g1", Incarnation: 1<<60 + 5})
+		golden.ExtensibleJSON(t, "life.json", IncarnationLearned{Name: "g1", Incarnation: 1<<60 + 5})
 	})
 }
 
 // Keys with an omitempty option are left out of values that have none, and all others are there.
 func TestGoldenFormsOfZeroValues(t *testing.T) {
-	var text []byte
-	for _, v := range []any{Roster{}, Member{}, View{}, MemberView{}, Evidence{}, Difference{}, ViewGroup{}, IncarnationLearned{}} {
-		line, err := json.Marshal(v)
-		if err != nil {
-			t.Fatal(err)
-		}
-		text = append(append(text, line...), '\n')
-	}
-	golden.File(t, "zero.jsonl", text)
+	golden.JSONLines(t, "zero.jsonl", Roster{}, Member{}, View{}, MemberView{}, Evidence{}, Difference{}, ViewGroup{}, IncarnationLearned{})
 }
 
 // An agent writes the roster's file for its gateways, and operators write it by hand.
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -33,13 +33,13 @@
 	for _, kind := range Kinds() {
 		name := "value_" + string(kind) + ".json"
 		value := goldenValues()[kind]
-		requireEveryField(t, value)
+		golden.EveryField(t, value)
 		text, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		requireGolden(t, name, text)
-		stored := readGolden(t, name, text)
+		golden.File(t, "golden/"+name, text)
+		stored := golden.Read(t, "golden/"+name, text)
 		parsed, canonical, problem := ParseValue(kind, stored)
 		if problem != nil || !reflect.DeepEqual(parsed, value) || !bytes.Equal(canonical, stored) {
 			t.Errorf("%s: read as %+v, %s, %v", kind, parsed, canonical, problem)
@@ -125,7 +125,7 @@
 // Responses with changes are exchanged between versions of the program.
 func TestGoldenChangesResponses(t *testing.T) {
 	delta := goldenDelta(t)
-	requireEveryField(t, delta)
+	golden.EveryField(t, delta)
 	small := Delta{From: 42, To: 43, Digest: goldenDigest, Deletes: delta.Deletes}
 	for name, response := range map[string]ChangesResponse{
 		"answer_delta.json":       {Version: 43, Digest: goldenDigest, Delta: &delta},
@@ -138,21 +138,21 @@
 	}
 	// No server sets all of these at once, and no follower accepts it.
 	every := ChangesResponse{Version: 43, Digest: goldenDigest, Delta: &delta, Repair: RepairDigest, Behind: true}
-	requireEveryField(t, every)
+	golden.EveryField(t, every)
 	text, err := json.Marshal(every)
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireGolden(t, "answer_every_field.json", text)
+	golden.File(t, "golden/answer_every_field.json", text)
 	var decoded ChangesResponse
-	if err := decodeStrict(readGolden(t, "answer_every_field.json", text), &decoded); err != nil || !reflect.DeepEqual(decoded, every) {
+	if err := decodeStrict(golden.Read(t, "golden/answer_every_field.json", text), &decoded); err != nil || !reflect.DeepEqual(decoded, every) {
 		t.Errorf("read as %+v, %v", decoded, err)
 	}
 	if _, err := DecodeChangesResponse(text); !errors.Is(err, ErrMessage) {
 		t.Errorf("accepted: %v", err)
 	}
 	// Fields of a value are for stores: a follower accepts those that it does not know.
-	newer := bytes.ReplaceAll(readGolden(t, "answer_delta.json", nil), []byte(`"value":{`), []byte(`"value":{"unknown_field":1,`))
+	newer := bytes.ReplaceAll(golden.Read(t, "golden/answer_delta.json", nil), []byte(`"value":{`), []byte(`"value":{"unknown_field":1,`))
 	response, err := DecodeChangesResponse(newer)
 	if err != nil || !bytes.HasPrefix(response.Delta.Puts[0].Value, []byte(`{"unknown_field":1,`)) {
 		t.Errorf("a value with an unknown field: %v", err)
@@ -188,7 +188,7 @@
 func TestGoldenRanges(t *testing.T) {
 	store := goldenStore(t)
 	digests := store.RangeDigests()
-	requireEveryField(t, digests)
+	golden.EveryFieldSomewhere(t, digests)
 	pinMessage(t, "range_digests.json", digests, EncodeRangeDigests, DecodeRangeDigests)
 	var ranges []int
 	for _, name := range []string{"route/search-1", "plan/gold", "service/search", "tenant/acme"} {
@@ -196,7 +196,7 @@
 	}
 	slices.Sort(ranges)
 	chunk := store.Chunk(ContentRequest{Ranges: ranges, MaxBytes: MaxChunkBytes})
-	requireEveryField(t, chunk)
+	golden.EveryField(t, chunk)
 	pinMessage(t, "chunk.json", chunk, EncodeChunk, DecodeChunk)
 	pinMessage(t, "chunk_small.json", store.Chunk(ContentRequest{Ranges: ranges[:1]}), EncodeChunk, DecodeChunk)
 	if text := FormatRanges([]int{0, 1, 2, 9, 1022, 1023}); text != "0-2,9,1022-1023" {
@@ -228,7 +228,7 @@
 	large := since(t, store, 2)
 	large.From = 1
 	large.Puts = store.current().sorted()
-	requireEveryField(t, large)
+	golden.EveryField(t, large)
 	small := Delta{From: 8, To: 9, Digest: store.Digest(), Deletes: List[Tombstone]{{Key: key("tenant/old"), Version: 9}}}
 	for name, delta := range map[string]Delta{"journal_large": large, "journal_small": small} {
 		t.Run(name, func(t *testing.T) {
@@ -240,9 +240,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			requireGolden(t, name+".json", text)
+			golden.File(t, "golden/"+name+".json", text)
 			if name == "journal_small" { // not compressed: the same bytes with any library
-				requireGolden(t, name+".bin", entry)
+				golden.File(t, "golden/"+name+".bin", entry)
 			}
 			for _, unknown := range withUnknownFields(text) {
 				if _, err := decode[Delta](unknown); !errors.Is(err, ErrMessage) {
@@ -254,9 +254,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		readGolden(t, name+".bin", entry)
+		golden.Read(t, "golden/"+name+".bin", entry)
 	}
-	journal := slices.Concat(readGolden(t, "journal_large.bin", nil), readGolden(t, "journal_small.bin", nil))
+	journal := slices.Concat(golden.Read(t, "golden/journal_large.bin", nil), golden.Read(t, "golden/journal_small.bin", nil))
 	if count, err := base.Replay(journal); err != nil || count != len(journal) || base.Version() != 9 || base.Digest() != store.Digest() {
 		t.Errorf("replayed %d of %d bytes to version %d, %v", count, len(journal), base.Version(), err)
 	}
@@ -273,7 +273,7 @@
 	if err := decodeSnapshot(storeHeader, data, &content); err != nil {
 		t.Fatal(err)
 	}
-	requireEveryField(t, content)
+	golden.EveryFieldSomewhere(t, content)
 	pinSnapshot(t, "snapshot_store", "elderyard records store 1\n", data, func(data []byte) ([]byte, error) {
 		restored := &Store{}
 		if err := restored.Restore(data); err != nil {
