--- a/internal/agent/agent_linux_test.go
+++ b/internal/agent/agent_linux_test.go
@@ -870,6 +870,26 @@
 	})
 }
 
+// The front's address may be in use for a moment, by a program that is just being started or by somebody else.
+func TestLimitCommandsWaitForTheirAddress(t *testing.T) {
+	t.Parallel()
+	m := newMachine(t, "a1", true, nil, instances(t, "g0")...)
+	l, err := net.Listen("tcp", loopback.Host()+":0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	m.config.RESP.Listen = l.Addr().String()
+	m.start()
+	m.apply("1", 0, file(fine, "basic")+"\n[site.quotas]\nfronts = 1\n")
+	m.ended(1)
+	time.Sleep(4 * limitsPollInterval) // the front has been started and has failed
+	l.Close()
+	until(t, "the front serves", func() bool {
+		return strings.Contains(limits(m.config.RESP.Listen, "LIMIT.PLAN 0000000000000001 PLAN basic"), "units_per_s")
+	})
+}
+
 // An add stands although a voter has died, and whoever asks another agent than the leader must hear that, with the name
 // of the dead one, before that agent gives the call up as in doubt.
 func TestAddMemberWithDeadVoterHasKnownOutcome(t *testing.T) {
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -11,6 +11,7 @@
 	"os"
 	"path/filepath"
 	"sync"
+	"syscall"
 	"time"
 
 	"elderyard/internal/config"
@@ -34,7 +35,8 @@
 type limitFront struct {
 	a           *Agent
 	instance    string
-	servedFiles [][]byte // the files that the running front was made of
+	servedFiles [][]byte // the files that the running front was made of, or that none can be made of
+	failedFiles [][]byte // the files of the last start that failed
 	stop        func()   // ends the running front; nil: none runs
 }
 
@@ -72,10 +74,18 @@
 	f.end()
 	f.servedFiles = files
 	stop, err := f.start(files[0], files[1])
+	if errors.Is(err, syscall.EADDRINUSE) {
+		// A gateway that this agent is just starting holds a copy of the closed listener until it executes its program.
+		f.servedFiles = nil // the next poll starts the front again
+	}
 	if err != nil {
-		f.a.log.Error("limit commands are not served", "instance", f.instance, "error", err)
+		if !sameFiles(files, f.failedFiles) {
+			f.a.log.Error("limit commands are not served", "instance", f.instance, "error", err)
+		}
+		f.failedFiles = files
 		return
 	}
+	f.failedFiles = nil
 	f.a.log.Info("limit commands are served", "listen", f.a.config.RESP.Listen, "as", f.instance)
 	f.stop = stop
 }
