--- a/internal/peers/incarnation_test.go
+++ b/internal/peers/incarnation_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"elderyard/internal/testwait"
 	"elderyard/members"
 )
 
@@ -21,13 +22,13 @@
 	set := s.settings("g2", "g0")
 	set.Dir = other
 	d := s.run(set)
-	waitUntil(t, "the first g2 is superseded", func() bool { return c.View().SupersededBy != 0 })
+	testwait.UntilEvery(t, waitTimeout, pollInterval, "the first g2 is superseded", func() bool { return c.View().SupersededBy != 0 })
 	if allowed, _ := c.Allows(members.ExerciseLease); allowed || c.View().QuotaDivisor != members.NoQuota {
 		t.Error("the first g2 still has a lease or a quota")
 	}
 	for _, r := range []*runningPeers{a, b, d} {
 		r.waitForVerdict(t, members.Complete)
-		waitUntil(t, "all members know the second g2", func() bool { return r.View().Members[2].Incarnation == d.View().Incarnation })
+		testwait.UntilEvery(t, waitTimeout, pollInterval, "all members know the second g2", func() bool { return r.View().Members[2].Incarnation == d.View().Incarnation })
 	}
 }
 
@@ -46,7 +47,7 @@
 	b.stop()
 	set.Dir = t.TempDir() // as on another machine with another clock
 	c := s.run(set)
-	waitUntil(t, "the new g1 has the higher incarnation", func() bool { return c.View().Incarnation > ahead })
+	testwait.UntilEvery(t, waitTimeout, pollInterval, "the new g1 has the higher incarnation", func() bool { return c.View().Incarnation > ahead })
 	a.waitForVerdict(t, members.Complete)
 	c.waitForVerdict(t, members.Complete)
 	if c.View().SupersededBy != 0 {
