--- /dev/null
+++ b/cmd/elderctl/answers_test.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
+	"elderyard/internal/golden"
+	"elderyard/internal/peers"
+	"elderyard/records"
+	"elderyard/revisions"
+)
+
+// The fixed answers set every field of the messages that the tool reads, and each is read and written again as it was.
+func TestPreparedAnswersSetEveryField(t *testing.T) {
+	for _, k := range []struct {
+		value any
+		files []string
+	}{
+		{&agent.Status{}, []string{"status.json", "status-stale.json", "status-applied.json", "status-partly.json", "status-back.json", "status-hears.json", "status-advancing.json", "status-another.json", "status-new.json", "status-before.json"}},
+		{&agent.Revisions{}, []string{"revisions.json"}},
+		{&revisions.Revision{}, []string{"revision-12.json", "revision-11.json"}},
+		{&agent.Members{}, []string{"members.json"}},
+		{&agent.Audit{}, []string{"audit.json", "refused.json"}},
+		{&[]agent.Probe{}, []string{"probe.json", "probe-bad.json", "probe-silent.json"}},
+		{&agent.ApplyResult{}, []string{"applied-busy.json", "applied-accepted.json", "applied-no-change.json", "applied-conflict.json", "applied-unknown.json"}},
+		{&agent.MemberChange{}, []string{"change.json"}},
+		{&agentapi.RecordsList{}, []string{"records.json", "record.json", "record-none.json"}},
+		{&agentapi.RecordsVersions{}, []string{"records-versions.json"}},
+		{&agentapi.RecordsDiff{}, []string{"records-diff.json"}},
+		{&agentapi.RecordsLag{}, []string{"records-lag.json", "records-lag-behind.json", "records-lag-good.json"}},
+		{&records.Result{}, []string{"result-invalid.json", "result-accepted.json", "result-unchanged.json", "result-conflict.json"}},
+		{&peers.Status{}, []string{"peer-g2.json", "peer-g0.json", "peer-g1.json", "peer-g2-joining.json"}},
+		{&peers.EvidenceReport{}, []string{"why-g0.json", "why-g1.json"}},
+	} {
+		var values []any
+		for _, name := range k.files {
+			text := reply{body: "@" + name}.text(t)
+			v := reflect.New(reflect.TypeOf(k.value).Elem())
+			d := json.NewDecoder(bytes.NewReader(text))
+			d.DisallowUnknownFields()
+			if err := d.Decode(v.Interface()); err != nil {
+				t.Errorf("%s: %v", name, err)
+				continue
+			}
+			again, err := json.MarshalIndent(v.Interface(), "", "  ")
+			if err != nil || string(again)+"\n" != string(text) {
+				t.Errorf("%s is written as (%v)\n%s", name, err, again)
+			}
+			values = append(values, v.Elem().Interface())
+		}
+		for _, field := range golden.UnsetFields(values...) {
+			t.Errorf("%s is set in none of %v", field, k.files)
+		}
+	}
+}
--- a/cmd/elderctl/who_linux_test.go
+++ b/cmd/elderctl/authorization_linux_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// TestWhoMayByEachVerb asks an agent behind TLS for everything, with the
+// TestAuthorizationByVerb asks an agent behind TLS for everything, with the
 // certificates of a viewer, of another site and with none, and with files that
 // are wrong: each is a clear error, and nothing changes.
-func TestWhoMayByEachVerb(t *testing.T) {
+func TestAuthorizationByVerb(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	ca, other := filepath.Join(dir, "ca"), filepath.Join(dir, "other")
--- a/cmd/elderctl/capacity_test.go
+++ b/cmd/elderctl/capacity_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -20,27 +19,8 @@
 	return tool(t, append(append([]string{"capacity"}, capacityFiles...), args...)...)
 }
 
-// writeFile writes a file of this test.
-func writeFile(t *testing.T, name, text string) string {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
-func readFile(t *testing.T, path string) string {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(text)
-}
-
 // The page has the tables that the command computes.
-func TestCapacityPageIsWhatTheCommandComputes(t *testing.T) {
+func TestCapacityPageIsCurrent(t *testing.T) {
 	page := readFile(t, capacityPage)
 	copied := writeFile(t, "page.md", page)
 	if status, out, errs := capacityTool(t, "--page", copied); status != exitOK || out != "" {
@@ -55,7 +35,7 @@
 }
 
 // The page's picture is the one that the command draws.
-func TestCapacityCurvesAreWhatTheCommandDraws(t *testing.T) {
+func TestCapacityCurvesAreCurrent(t *testing.T) {
 	drawn := filepath.Join(t.TempDir(), "curves.svg")
 	if status, out, errs := capacityTool(t, "--curves", drawn); status != exitOK || out != "" {
 		t.Fatalf("status %d: %s%s", status, out, errs)
@@ -69,7 +49,7 @@
 }
 
 // The figures in the page's short answer are those of its tables.
-func TestCapacityPageSaysItsTablesFigures(t *testing.T) {
+func TestCapacitySummaryMatchesTables(t *testing.T) {
 	page := readFile(t, capacityPage)
 	_, rest, found := strings.Cut(page, "## The answer in short")
 	short, _, ends := strings.Cut(rest, "\n## ")
--- /dev/null
+++ b/cmd/elderctl/fleet_usage_test.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// TestFleetVerbsWithBadInput: whatever is wrong, the error is clear, the status
+// is the documented one, and nothing changes.
+func TestFleetVerbsWithBadInput(t *testing.T) {
+	dir := t.TempDir()
+	write := func(name, text string) string {
+		path := filepath.Join(dir, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return path
+	}
+	huge := write("huge", strings.Repeat("#", 300<<10))
+	hostile := write("hostile", "[gateway.settings]\nrank = \"\x00\"\n")
+	wrongKey := write("wrong", "[gateway]\ndiscvery = 'x'\n")
+	nobody := filepath.Join(dir, "none.sock")
+	for _, c := range []struct {
+		status int
+		want   string
+		args   []string
+	}{
+		{exitUsage, "accepts 1 arg", []string{"check"}},
+		{exitUsage, "no such file", []string{"check", filepath.Join(dir, "nothing")}},
+		{exitUsage, "is a folder", []string{"check", dir}},
+		{exitUsage, "more than 262144 bytes", []string{"check", huge}},
+		{exitUsage, "hostile", []string{"check", hostile}},
+		{exitUsage, `did you mean "discovery"`, []string{"check", wrongKey}},
+		{exitUsage, "NAME=FILE", []string{"check", wrongKey, "--overlay", "x"}},
+		{exitUsage, "no agent is named", []string{"status", "--agent", ""}},
+		{exitUnreachable, "can't be reached", []string{"status", "--agent", nobody}},
+		{exitUnreachable, "can't be reached", []string{"apply", wrongKey, "--agent", nobody}},
+		{exitUnreachable, "can't be reached", []string{"status", "--agent", "127.0.0.1:1", "--plain"}},
+		{exitUsage, "loopback", []string{"status", "--agent", "192.0.2.1:1", "--plain"}},
+		{exitUsage, "authority", []string{"status", "--agent", "127.0.0.1:1"}},
+		{exitUsage, "is no revision's number", []string{"show", "x", "--agent", nobody}},
+		{exitUsage, "is no revision's number", []string{"diff", "1", "0", "--agent", nobody}},
+		{exitUsage, "say --rolling", []string{"restart", "--agent", nobody}},
+		{exitUsage, "accepts 1 arg", []string{"drain", "--agent", nobody}},
+		{exitUsage, "accepts 2 arg", []string{"members", "add", "x", "--agent", nobody}},
+		{exitUsage, "snapshot", []string{"snapshot", "restore", huge, "--agent", nobody}},
+		{exitUsage, "unknown flag", []string{"history", "--what"}},
+		{exitUsage, "name what to do", []string{"members"}},
+		{exitUsage, "agent's file", []string{"agent", "run", filepath.Join(dir, "nothing")}},
+		{exitUsage, "wrong:1: gateway", []string{"agent", "run", wrongKey}},
+		{exitUsage, "NAME=HOST:PORT", []string{"agent", "init", filepath.Join(dir, "a"), "--instance", "x"}},
+		{exitUsage, "instance[0].listen", []string{"agent", "init", filepath.Join(dir, "b"), "--instance", "x=y"}},
+		{exitUsage, "role", []string{"ca", "issue", "x", "--dir", dir, "--role", "king"}},
+		{exitUsage, "a name has letters", []string{"ca", "issue", "../x", "--dir", dir, "--role", "viewer"}},
+		{exitUsage, "no such file", []string{"ca", "renew", "x", "--dir", dir}},
+	} {
+		status, out, errs := tool(t, c.args...)
+		if status != c.status || !strings.Contains(errs, c.want) || strings.Contains(errs, "panic") {
+			t.Errorf("%v: status %d, want %d; %q, want %q\n%s", c.args, status, c.status, errs, c.want, out)
+		}
+	}
+	list, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range list {
+		if strings.HasSuffix(e.Name(), ".pem") || strings.HasSuffix(e.Name(), "agent.toml") {
+			t.Errorf("%s was left", e.Name())
+		}
+	}
+}
--- /dev/null
+++ b/cmd/elderctl/fleet_verbs_test.go
@@ -0,0 +1,74 @@
+package main
+
+import (
+	"encoding/json"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"elderyard/internal/agent"
+	"elderyard/rollout"
+)
+
+// TestFleetVerbs has the tool do on a small site all that a push is not.
+func TestFleetVerbs(t *testing.T) {
+	t.Parallel()
+	s := openFleet(t, 2, 1)
+	run := func(want int, args ...string) string {
+		t.Helper()
+		out, status := s.Tool(t.Context(), 0, args...)
+		if status != want {
+			t.Fatalf("%v: status %d, want %d\n%s\n%s", args, status, want, out, s.AgentOutput(0))
+		}
+		return out
+	}
+	says := func(out string, want ...string) {
+		t.Helper()
+		for _, w := range want {
+			if !strings.Contains(out, w) {
+				t.Fatalf("no %q in\n%s", w, out)
+			}
+		}
+	}
+	second := s.revision("second", 300)
+	says(run(exitOK, append([]string{"plan"}, second[1:]...)...), "+heap_grow = 300", "g0", "restart")
+	says(run(exitOK, append([]string{"check", "--all"}, second[1:]...)...), "g1")
+	run(exitOK, append(second, "--message", "larger heap")...)
+	says(run(exitOK, append(second, "--message", "again")...), "revision 2 says this already")
+	says(run(exitConflict, append(s.revision("third", 200), "--parent", "1")...), "revision 2 came first", "-heap_grow = 300", "nothing was changed")
+	says(run(exitOK, "history"), "2 *", "larger heap")
+	says(run(exitOK, "show", "2"), "heap_grow = 300", "overlay of g1")
+	says(run(exitOK, "diff", "1", "2"), "+heap_grow = 300")
+	says(run(exitRefused, "show", "77"), "revision 77 is not in the history")
+	says(run(exitRefused, "abort"), "can't be aborted")
+	says(run(exitOK, "status"), "wanted revision 2", "applied", "g1")
+	var st agent.Status
+	if err := json.Unmarshal([]byte(run(exitOK, "status", "--json")), &st); err != nil || st.Wanted != 2 || len(st.Instances) != 2 {
+		t.Fatalf("%v %+v", err, st)
+	}
+	saved := filepath.Join(t.TempDir(), "saved")
+	run(exitOK, "snapshot", "save", saved)
+
+	before := s.pids()
+	run(exitOK, "restart", "--rolling")
+	s.agree(-1, rollout.Applied, 3)
+	s.until("both have other processes", func() bool { now := s.pids(); return now[0] != before[0] && now[1] != before[1] })
+	run(exitOK, "rollback", "1")
+	s.agree(-1, rollout.Applied, 4)
+	says(run(exitOK, "diff", "1", "4"), "no difference")
+
+	run(exitOK, "drain", "g1")
+	s.until("g1 is down", func() bool { st := s.status(0); return st.Instances[1].PID == 0 && st.Instances[1].Drained })
+	run(exitOK, "undrain", "g1")
+	s.agree(-1, rollout.Applied, 4)
+	says(run(exitRefused, "drain", "g9"), "there is no instance g9")
+	says(run(exitRefused, "members", "remove", "a0"), "the only voter")
+	says(run(exitOK, "members", "list"), "voter, leads", "a1")
+
+	run(exitOK, "snapshot", "restore", saved)
+	s.agree(-1, rollout.Applied, 2)
+	says(run(exitOK, "audit"), "larger heap", "a saved state was restored", "refused: ")
+	if status, out, _ := tool(t, "completion", "bash"); status != exitOK || !strings.Contains(out, "elderctl") {
+		t.Fatal(out)
+	}
+}
--- a/cmd/elderctl/import_test.go
+++ b/cmd/elderctl/import_test.go
@@ -16,7 +16,7 @@
 "familyInfo":{"hasCounter":true,"counterTimeoutS":0.05},"obligations":{"answerSlackS":0.01},"classes":[{"name":"lookup","deadlineS":1,"objectiveS":0.4,"points":1}],
 "packages":[{"name":"basic","unitsPerS":10,"depth":20}]}}`
 
-func TestImportKeepsWhatEachGatewayReads(t *testing.T) {
+func TestImportPreservesConfigurations(t *testing.T) {
 	dir := t.TempDir()
 	second := strings.NewReplacer(`"g0"`, `"g1"`, `"rank":0`, `"rank":1`, "7001", "7003").Replace(imported)
 	var paths []string
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestTheExampleThatShipsIsGood(t *testing.T) {
+func TestShippedFleetExampleIsValid(t *testing.T) {
 	if status, out, errs := tool(t, "check", "../../deploy/fleet.example.toml"); status != exitOK {
 		t.Fatalf("%d %s %s", status, out, errs)
 	}
--- a/cmd/elderctl/quota_test.go
+++ b/cmd/elderctl/quota_test.go
@@ -19,7 +19,7 @@
 // processes together keep to each account's quota within the slack of the design, in bursts: leases come to
 // one at most, a window of the counter that ends and begins with a full store to another, and local shares to a
 // third while the counter can't be asked.
-func TestOneQuotaOverRequestsAndLimitCommands(t *testing.T) {
+func TestQuotaAcrossRequestsAndLimitCommands(t *testing.T) {
 	for _, k := range []struct {
 		name   string
 		store  string
--- a/cmd/elderctl/records_test.go
+++ b/cmd/elderctl/records_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestRecordsWithoutAnAgent(t *testing.T) {
+func TestRecordsWithoutAgent(t *testing.T) {
 	t.Parallel()
 	for _, args := range [][]string{{"get", "plan/gold"}, {"lag"}, {"put", "plan/gold", "--value", "{}"}} {
 		status, _, errs := tool(t, append(append([]string{"records"}, args...), "--agent", filepath.Join(t.TempDir(), "none.sock"))...)
--- a/cmd/elderctl/read_test.go
+++ b/cmd/elderctl/rollup_read_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestMomentFilesAreReadWholeOrNamed(t *testing.T) {
+func TestReadRollupFiles(t *testing.T) {
 	dir := t.TempDir()
 	put := func(name, text string) {
 		t.Helper()
--- a/cmd/elderctl/trace_test.go
+++ b/cmd/elderctl/trace_test.go
@@ -50,7 +50,7 @@
 	return path
 }
 
-func TestTraceShowsOneStory(t *testing.T) {
+func TestTracePrintsSpanTree(t *testing.T) {
 	path := storiesFile(t)
 	status, out, errs := tool(t, "trace", path, "AAAA")
 	if status != exitOK {
