--- a/cmd/elderctl/apply.go
+++ b/cmd/elderctl/apply.go
@@ -12,7 +12,6 @@
 	"elderyard/fleet"
 	"elderyard/internal/agent"
 	"elderyard/revisions"
-	"elderyard/rollout"
 )
 
 // applyOptions is how an apply is sent and followed.
@@ -57,72 +56,6 @@
 	return cmd
 }
 
-func rollbackCommand() *cobra.Command {
-	var c applyOptions
-	cmd := withJSON(verb("rollback [REV]", "Make an old revision's content the wanted one again; default: that before the wanted one",
-		"  elderctl rollback\n  elderctl rollback 11", cobra.MaximumNArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			newest, s, err := newestRevision(cmd.Context(), client)
-			if err != nil {
-				return err
-			}
-			to := s.Rollout.Previous
-			if s.Wanted == s.Rollout.Previous && s.Wanted > 1 {
-				to = s.Wanted - 1
-			}
-			if len(args) == 1 {
-				if to, err = parseRevisionNumber(args[0]); err != nil {
-					return err
-				}
-			}
-			if to == 0 {
-				return &exitError{exitRefused, errors.New("there is no revision before: name one")}
-			}
-			if !cmd.Flags().Changed("parent") {
-				c.parent = newest.Number
-			}
-			if c.message == "" {
-				c.message = fmt.Sprintf("back to revision %d", to)
-			}
-			return c.send(cmd, client, agent.ApplyRequest{Parent: c.parent, Restore: to}, "")
-		}))
-	c.flags(cmd)
-	return cmd
-}
-
-func restartCommand() *cobra.Command {
-	var c applyOptions
-	var rolling bool
-	cmd := withJSON(verb("restart --rolling", "Restart every instance, wave by wave, with what it runs", "  elderctl restart --rolling", cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
-			if !rolling {
-				return usageError(errors.New("restart: say --rolling: all at once is not offered"))
-			}
-			newest, s, err := newestRevision(cmd.Context(), client)
-			if err != nil {
-				return err
-			}
-			if s.Wanted == 0 {
-				return &exitError{exitRefused, errors.New("nothing runs yet")}
-			}
-			wanted, err := client.Revision(cmd.Context(), s.Wanted)
-			if err != nil {
-				return err
-			}
-			wanted.Content.RestartGeneration = max(wanted.Content.RestartGeneration, newest.Content.RestartGeneration) + 1
-			if c.message == "" {
-				c.message = "restart"
-			}
-			if !cmd.Flags().Changed("parent") {
-				c.parent = newest.Number
-			}
-			return c.send(cmd, client, agent.ApplyRequest{Parent: c.parent, Content: &wanted.Content}, "")
-		}))
-	c.flags(cmd)
-	cmd.Flags().BoolVar(&rolling, "rolling", false, "wave by wave, as a change goes out")
-	return cmd
-}
-
 // send applies and follows.
 func (c *applyOptions) send(cmd *cobra.Command, client *agent.Client, call agent.ApplyRequest, file string) error {
 	ctx, out := cmd.Context(), cmd.OutOrStdout()
@@ -197,80 +130,3 @@
 	}
 	return finish(rolloutExitStatus(s))
 }
-
-const (
-	applyTimeout   = 2 * time.Minute
-	followInterval = 300 * time.Millisecond
-)
-
-func rolloutExitStatus(s agent.Status) (int, error) {
-	switch s.Rollout.State {
-	case rollout.Applied:
-		return exitOK, nil
-	case rollout.PartlyApplied:
-		return exitPartly, errors.New(s.Rollout.Reason)
-	}
-	return exitRefused, fmt.Errorf("%s: %s", s.Rollout.State, s.Rollout.Reason)
-}
-
-// follow shows a rollout until its end. A leader that can't be reached for a
-// while is waited for: the rollout goes on without the tool.
-func follow(ctx context.Context, client *agent.Client, out io.Writer, revision uint64) (agent.Status, error) {
-	start := time.Now()
-	lastPrinted := map[string]string{}
-	printOnce := func(key, format string, a ...any) {
-		text := fmt.Sprintf(format, a...)
-		if lastPrinted[key] != text {
-			lastPrinted[key] = text
-			fmt.Fprintf(out, "%6.1fs  %s\n", time.Since(start).Seconds(), text)
-		}
-	}
-	leaderLostAt := time.Time{}
-	for {
-		s, err := client.Status(ctx)
-		switch {
-		case ctx.Err() != nil:
-			return s, fmt.Errorf("revision %d goes on without this tool: %w", revision, ctx.Err())
-		case err != nil || s.Stale != "":
-			if leaderLostAt.IsZero() {
-				leaderLostAt = time.Now()
-			}
-			printOnce("leader", "no leader answers; waiting")
-			if time.Since(leaderLostAt) > applyTimeout {
-				return s, &exitError{exitUnreachable, fmt.Errorf("no leader has answered for %v; revision %d was accepted and goes on", applyTimeout, revision)}
-			}
-		default:
-			leaderLostAt = time.Time{}
-			delete(lastPrinted, "leader")
-			if s.Rollout.New != revision {
-				printOnce("rollout", "another revision, %d, has taken its place", s.Rollout.New)
-				return s, nil
-			}
-			updated := 0
-			for _, i := range s.Instances {
-				if i.Phase != "" && i.Phase != rollout.PhasePending {
-					printOnce(i.Name, "%s: %s%s", i.Name, i.Phase, parenthesized(i.Why))
-				}
-				if i.Running == s.Wanted && i.Ready {
-					updated++
-				}
-			}
-			if s.Waves == 0 {
-				printOnce("rollout", "%s; the leader hears what the agents have", s.Rollout.State)
-				break
-			}
-			printOnce("rollout", "%s, wave %d of %d, %d of %d instances run revision %d: %s", s.Rollout.State, s.Wave, s.Waves, updated, len(s.Instances), s.Wanted, s.Rollout.Reason)
-			if s.Rollout.State.Ended() {
-				return s, nil
-			}
-		}
-		pause(ctx, followInterval)
-	}
-}
-
-func parenthesized(why string) string {
-	if why == "" {
-		return ""
-	}
-	return " (" + why + ")"
-}
--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -104,10 +104,3 @@
 	}
 	return nil
 }
-
-func dashIfEmpty(s string) string {
-	if s == "" {
-		return "-"
-	}
-	return s
-}
--- a/cmd/elderctl/fleet.go
+++ b/cmd/elderctl/connection.go
@@ -4,20 +4,15 @@
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"errors"
 	"fmt"
-	"io"
 	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
-	"golang.org/x/term"
 
 	"elderyard/internal/agent"
 	"elderyard/internal/pki"
-	"elderyard/revisions"
 )
 
 const (
@@ -65,23 +60,6 @@
 	return client, nil
 }
 
-// callError gives an error of a call its exit status.
-func callError(err error) error {
-	var f *agent.Failure
-	var exit *exitError
-	switch {
-	case err == nil, errors.As(err, &exit):
-		return err
-	case !errors.As(err, &f):
-		return operationError(err)
-	case f.BadRequest():
-		return usageError(err)
-	case f.Refused():
-		return &exitError{exitRefused, err}
-	}
-	return &exitError{exitUnreachable, err}
-}
-
 // verb is a command that asks one agent.
 func verb(use, short, example string, args cobra.PositionalArgs, do func(*cobra.Command, *agent.Client, []string) error) *cobra.Command {
 	var c connection
@@ -101,72 +79,6 @@
 	return cmd
 }
 
-func withJSON(cmd *cobra.Command) *cobra.Command {
-	cmd.Flags().Bool("json", false, "as JSON")
-	return cmd
-}
-
-// printResult writes a value for people or for programs.
-func printResult(cmd *cobra.Command, v any, table func(io.Writer)) error {
-	if as, err := cmd.Flags().GetBool("json"); err == nil && as {
-		return writeJSON(cmd.OutOrStdout(), "-", v)
-	}
-	table(cmd.OutOrStdout())
-	return nil
-}
-
-func table(out io.Writer, rows func(w io.Writer)) {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	rows(w)
-	w.Flush()
-}
-
-func printStale(out io.Writer, why string) {
-	if why != "" {
-		fmt.Fprintf(out, "%s\n", paint(out, yellow, "STALE: no leader answers ("+why+"); this is what the asked agent knows"))
-	}
-}
-
-const (
-	red    = "31"
-	green  = "32"
-	yellow = "33"
-)
-
-// paint colours text on a terminal.
-func paint(out io.Writer, colour, text string) string {
-	f, is := out.(*os.File)
-	if !is || os.Getenv("NO_COLOR") != "" || os.Getenv("TERM") == "dumb" || !term.IsTerminal(int(f.Fd())) {
-		return text
-	}
-	return "\x1b[" + colour + "m" + text + "\x1b[0m"
-}
-
-// newestRevision is the newest revision, whole; its number is 0 on a new site.
-func newestRevision(ctx context.Context, client *agent.Client) (revisions.Revision, agent.Status, error) {
-	s, err := client.Status(ctx)
-	if err != nil {
-		return revisions.Revision{}, s, err
-	}
-	if s.Stale != "" {
-		return revisions.Revision{}, s, &exitError{exitUnreachable, fmt.Errorf("no leader answers: %s", s.Stale)}
-	}
-	if s.Head == 0 {
-		return revisions.Revision{}, s, nil
-	}
-	r, err := client.Revision(ctx, s.Head)
-	return r, s, err
-}
-
-// newRequestID is a new name for a change.
-func newRequestID() (string, error) {
-	b := make([]byte, 16)
-	if _, err := rand.Read(b); err != nil {
-		return "", err
-	}
-	return hex.EncodeToString(b), nil
-}
-
 // pause waits between two looks; it tells whether ctx still holds.
 func pause(ctx context.Context, d time.Duration) bool {
 	select {
@@ -177,14 +89,11 @@
 	}
 }
 
-// fleetCommands are the verbs of the fleet.
-func fleetCommands() []*cobra.Command {
-	return []*cobra.Command{agentCommand(), caCommand(), importCommand(), checkCommand(), planCommand(), applyCommand(), statusCommand(), instancesCommand(), historyCommand(),
-		showCommand(), diffCommand(), rollbackCommand(), restartCommand(),
-		changeCommand("pause", "Have a rollout tell nobody new"),
-		changeCommand("resume", "Have a paused rollout go on"),
-		changeCommand("abort", "Have a rollout go back"),
-		instanceCommand("drain", "Take an instance out of service: it answers what it holds and ends"),
-		instanceCommand("undrain", "Let an instance back into service"),
-		membersCommand(), snapshotCommand(), auditCommand(), recordsCommand()}
+// newRequestID is a new name for a change.
+func newRequestID() (string, error) {
+	b := make([]byte, 16)
+	if _, err := rand.Read(b); err != nil {
+		return "", err
+	}
+	return hex.EncodeToString(b), nil
 }
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"cmp"
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"os"
@@ -184,45 +183,6 @@
 	return printStory(out, most)
 }
 
-// writeJSON writes v to a file, whole or not at all, or to out for "-".
-func writeJSON(out io.Writer, path string, v any) error {
-	text, err := json.MarshalIndent(v, "", "  ")
-	if err != nil {
-		return fmt.Errorf("json: %w", err)
-	}
-	text = append(text, '\n')
-	if path == "-" {
-		_, err := out.Write(text)
-		return err
-	}
-	if err := files.Replace(path, text, 0o644); err != nil {
-		return fmt.Errorf("json: %w", err)
-	}
-	return nil
-}
-
-// listCommand is a command that prints a list, as a table for people or as JSON.
-func listCommand[T any](use, short string, list func() ([]T, error), table func(io.Writer, []T) error) *cobra.Command {
-	var asJSON bool
-	cmd := &cobra.Command{
-		Use:   use,
-		Short: short,
-		Args:  noArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			lines, err := list()
-			if err != nil {
-				return operationError(err)
-			}
-			if asJSON {
-				return operationError(writeJSON(cmd.OutOrStdout(), "-", lines))
-			}
-			return operationError(table(cmd.OutOrStdout(), lines))
-		},
-	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	return cmd
-}
-
 // scenarioLine is one scenario of `elderctl lab list`.
 type scenarioLine struct {
 	Name     string `json:"name"`
--- a/cmd/elderctl/main.go
+++ b/cmd/elderctl/main.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"os"
 	"os/signal"
-	"strings"
 	"syscall"
 
 	"github.com/spf13/cobra"
@@ -15,49 +14,6 @@
 	"elderyard/internal/lab"
 )
 
-// Exit statuses. They are part of the tool's interface.
-const (
-	exitOK          = 0
-	exitFailed      = 1   // the tool could not do what was asked
-	exitUsage       = 2   // a flag, an argument or a file is wrong; nothing was started
-	exitRule        = 3   // a rule was broken
-	exitVoid        = 4   // the machine ran late: there is no verdict
-	exitRefused     = 5   // the site refused a change, or the change went back
-	exitConflict    = 6   // another change came first
-	exitPartly      = 7   // done, and some are silent or have yet to take it
-	exitUnreachable = 8   // no agent or leader answers, or it is not known whether a change was taken
-	exitDiffer      = 9   // gateways' pictures of each other differ
-	exitInterrupted = 130 // by SIGINT or SIGTERM; all that was started has ended
-)
-
-const exitHelp = `
-Exit status: 0 all went well, 1 the tool could not do it, 2 wrong usage or a
-wrong file (nothing was started), 3 a rule was broken, 4 the machine ran late
-and there is no verdict, 5 to 8 see the fleet's verbs, 9 see
-'elderctl peers', 130 interrupted.`
-
-// exitError is an error with the status that the tool ends with.
-type exitError struct {
-	status int
-	err    error // nil: all has been said
-}
-
-func (e *exitError) Error() string {
-	if e.err == nil {
-		return ""
-	}
-	return e.err.Error()
-}
-
-func (e *exitError) Unwrap() error { return e.err }
-
-func usageError(err error) error {
-	if err == nil {
-		return nil
-	}
-	return &exitError{exitUsage, err}
-}
-
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	status := run(ctx, os.Args[1:])
@@ -103,31 +59,14 @@
 	return exitUsage
 }
 
-// operationError marks an error of work that had been begun.
-func operationError(err error) error {
-	if err == nil {
-		return nil
-	}
-	return &exitError{exitFailed, err}
-}
-
-func noArgs(cmd *cobra.Command, args []string) error { return usageError(cobra.NoArgs(cmd, args)) }
-
-// exactArgs is the check of a command that takes so many arguments.
-func exactArgs(n int) cobra.PositionalArgs {
-	return func(cmd *cobra.Command, args []string) error { return usageError(cobra.ExactArgs(n)(cmd, args)) }
-}
-
-// commandGroup is a command that does nothing but hold others.
-func commandGroup(use, short string, parts ...*cobra.Command) *cobra.Command {
-	var names []string
-	for _, p := range parts {
-		names = append(names, p.Name())
-	}
-	cmd := &cobra.Command{Use: use, Short: short,
-		RunE: func(*cobra.Command, []string) error {
-			return usageError(fmt.Errorf("%s: name what to do: %s", use, strings.Join(names, ", ")))
-		}}
-	cmd.AddCommand(parts...)
-	return cmd
+// fleetCommands are the verbs of the fleet.
+func fleetCommands() []*cobra.Command {
+	return []*cobra.Command{agentCommand(), caCommand(), importCommand(), checkCommand(), planCommand(), applyCommand(), statusCommand(), instancesCommand(), historyCommand(),
+		showCommand(), diffCommand(), rollbackCommand(), restartCommand(),
+		changeCommand("pause", "Have a rollout tell nobody new"),
+		changeCommand("resume", "Have a paused rollout go on"),
+		changeCommand("abort", "Have a rollout go back"),
+		instanceCommand("drain", "Take an instance out of service: it answers what it holds and ends"),
+		instanceCommand("undrain", "Let an instance back into service"),
+		membersCommand(), snapshotCommand(), auditCommand(), recordsCommand()}
 }
--- a/cmd/elderctl/members.go
+++ b/cmd/elderctl/members.go
@@ -3,26 +3,13 @@
 import (
 	"fmt"
 	"io"
-	"os"
 	"strings"
-	"time"
 
 	"github.com/spf13/cobra"
 
-	"elderyard/fleet"
 	"elderyard/internal/agent"
-	"elderyard/internal/files"
 )
 
-// makeChange has the agent make one change, and says that it is done.
-func makeChange(cmd *cobra.Command, client *agent.Client, call string, v agent.ChangeRequest) error {
-	if err := client.Do(cmd.Context(), call, v); err != nil {
-		return err
-	}
-	fmt.Fprintln(cmd.OutOrStdout(), "done")
-	return nil
-}
-
 // reportMemberChange says that a change of the voters is done, or which of them have yet to note it and what that risks.
 func reportMemberChange(cmd *cobra.Command, change agent.MemberChange) error {
 	fmt.Fprintln(cmd.OutOrStdout(), "done")
@@ -33,18 +20,6 @@
 		strings.Join(change.Behind, ", "), "Voters come and go")}
 }
 
-func changeCommand(use, short string) *cobra.Command {
-	return verb(use, short, "  elderctl "+use, cobra.NoArgs, func(cmd *cobra.Command, client *agent.Client, _ []string) error {
-		return makeChange(cmd, client, use, agent.ChangeRequest{})
-	})
-}
-
-func instanceCommand(use, short string) *cobra.Command {
-	return verb(use+" INSTANCE", short, "  elderctl "+use+" g1", cobra.ExactArgs(1), func(cmd *cobra.Command, client *agent.Client, args []string) error {
-		return makeChange(cmd, client, use, agent.ChangeRequest{Name: args[0]})
-	})
-}
-
 func membersCommand() *cobra.Command {
 
 	list := withJSON(verb("list", "List the voters and the agents", "  elderctl members list", cobra.NoArgs,
@@ -122,57 +97,3 @@
 	remove.Flags().BoolVar(&forgetAgent, "agent-too", false, "forget the agent with its instances as well; one that still runs joins again")
 	return commandGroup("members", "List, add and remove voters and agents", list, add, remove)
 }
-
-func snapshotCommand() *cobra.Command {
-
-	save := verb("save FILE", "Save revisions, agents and the audit log to a file", "  elderctl snapshot save site.snapshot", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			text, err := client.Snapshot(cmd.Context())
-			if err != nil {
-				return err
-			}
-			if err := files.Replace(args[0], text, 0o600); err != nil {
-				return err
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "saved %d bytes\n", len(text))
-			return nil
-		})
-	restore := verb("restore FILE", "Put a saved state in the place of the site's; a damaged one changes nothing", "  elderctl snapshot restore site.snapshot", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			text, err := os.ReadFile(args[0])
-			if err != nil {
-				return usageError(err)
-			}
-			var probe fleet.State
-			if err := probe.Restore(text); err != nil {
-				return usageError(fmt.Errorf("%s: %w", args[0], err))
-			}
-			if err := client.Restore(cmd.Context(), text); err != nil {
-				return err
-			}
-			fmt.Fprintln(cmd.OutOrStdout(), "restored")
-			return nil
-		})
-	return commandGroup("snapshot", "Save and restore the site's state", save, restore)
-}
-
-func auditCommand() *cobra.Command {
-	return withJSON(verb("audit", "Read the log of changes, and the calls that the asked agent refused", "  elderctl audit", cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
-			l, err := client.Audit(cmd.Context())
-			if err != nil {
-				return err
-			}
-			return printResult(cmd, l, func(out io.Writer) {
-				printStale(out, l.Stale)
-				table(out, func(w io.Writer) {
-					for _, e := range l.Changes {
-						fmt.Fprintf(w, "%s\t%s\t%s\n", e.At.Local().Format(time.DateTime), e.Who, e.What)
-					}
-					for _, e := range l.Refused {
-						fmt.Fprintf(w, "%s\t%s\trefused: %s\n", e.At.Local().Format(time.DateTime), e.Who, e.What)
-					}
-				})
-			})
-		}))
-}
--- a/cmd/elderctl/revisions.go
+++ b/cmd/elderctl/revisions.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"strconv"
@@ -83,3 +84,19 @@
 			return printResult(cmd, map[string]string{"diff": text}, func(out io.Writer) { printDiff(out, text) })
 		}))
 }
+
+// newestRevision is the newest revision, whole; its number is 0 on a new site.
+func newestRevision(ctx context.Context, client *agent.Client) (revisions.Revision, agent.Status, error) {
+	s, err := client.Status(ctx)
+	if err != nil {
+		return revisions.Revision{}, s, err
+	}
+	if s.Stale != "" {
+		return revisions.Revision{}, s, &exitError{exitUnreachable, fmt.Errorf("no leader answers: %s", s.Stale)}
+	}
+	if s.Head == 0 {
+		return revisions.Revision{}, s, nil
+	}
+	r, err := client.Revision(ctx, s.Head)
+	return r, s, err
+}
--- a/cmd/elderctl/site.go
+++ b/cmd/elderctl/site.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -10,12 +9,6 @@
 	"elderyard/internal/site"
 )
 
-// keyLine is one key of a file, as `elderctl site keys` lists them.
-type keyLine struct {
-	Key   string `json:"key"`
-	About string `json:"about"`
-}
-
 func siteCommand() *cobra.Command {
 	keys := keysCommand("List every key of the operator's file and what it means", site.Keys)
 	check := &cobra.Command{
@@ -36,22 +29,3 @@
 	}
 	return commandGroup("site", "Read the operator's file and its keys", keys, check)
 }
-
-// keysCommand lists the keys of a file.
-func keysCommand(short string, keys func() [][2]string) *cobra.Command {
-	return listCommand("keys", short,
-		func() (lines []keyLine, err error) {
-			for _, k := range keys() {
-				lines = append(lines, keyLine{k[0], k[1]})
-			}
-			return lines, nil
-		},
-		func(out io.Writer, lines []keyLine) error {
-			table(out, func(w io.Writer) {
-				for _, k := range lines {
-					fmt.Fprintf(w, "%s\t%s\n", k.Key, k.About)
-				}
-			})
-			return nil
-		})
-}
--- /dev/null
+++ b/cmd/elderctl/snapshot.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"elderyard/fleet"
+	"elderyard/internal/agent"
+	"elderyard/internal/files"
+)
+
+func snapshotCommand() *cobra.Command {
+
+	save := verb("save FILE", "Save revisions, agents and the audit log to a file", "  elderctl snapshot save site.snapshot", cobra.ExactArgs(1),
+		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+			text, err := client.Snapshot(cmd.Context())
+			if err != nil {
+				return err
+			}
+			if err := files.Replace(args[0], text, 0o600); err != nil {
+				return err
+			}
+			fmt.Fprintf(cmd.OutOrStdout(), "saved %d bytes\n", len(text))
+			return nil
+		})
+	restore := verb("restore FILE", "Put a saved state in the place of the site's; a damaged one changes nothing", "  elderctl snapshot restore site.snapshot", cobra.ExactArgs(1),
+		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+			text, err := os.ReadFile(args[0])
+			if err != nil {
+				return usageError(err)
+			}
+			var probe fleet.State
+			if err := probe.Restore(text); err != nil {
+				return usageError(fmt.Errorf("%s: %w", args[0], err))
+			}
+			if err := client.Restore(cmd.Context(), text); err != nil {
+				return err
+			}
+			fmt.Fprintln(cmd.OutOrStdout(), "restored")
+			return nil
+		})
+	return commandGroup("snapshot", "Save and restore the site's state", save, restore)
+}
