--- a/cmd/elderctl/apply.go
+++ b/cmd/elderctl/apply.go
@@ -31,7 +31,7 @@
 	var c applyOptions
 	var overlays []string
 	var again bool
-	cmd := withJSON(verb("apply FILE", "Make a file the wanted revision and follow its rollout to the end",
+	cmd := withJSON(agentVerb("apply FILE", "Make a file the wanted revision and follow its rollout to the end",
 		"  elderctl apply site.toml --message 'more room on collection days'\n  elderctl apply site.toml --parent 12", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			newest, _, err := newestRevision(cmd.Context(), client)
@@ -101,7 +101,7 @@
 		return finish(exitOK, nil)
 	case revisions.Conflict, fleet.Busy:
 		won := answer.Revision
-		fmt.Fprintf(out, "revision %d came first: by %s at %s: %s\n", won.Number, won.Author, won.At.Local().Format(time.DateTime), dashIfEmpty(won.Message))
+		fmt.Fprintf(out, "revision %d came first: by %s at %s: %s\n", won.Number, won.Author, won.At.Local().Format(time.DateTime), orDash(won.Message))
 		if call.Content != nil {
 			difference := diffContents(fmt.Sprintf("revision %d", won.Number), file, won.Content, *call.Content)
 			final["diff"] = difference
--- a/cmd/elderctl/audit.go
+++ b/cmd/elderctl/audit.go
@@ -11,22 +11,17 @@
 )
 
 func auditCommand() *cobra.Command {
-	return withJSON(verb("audit", "Read the log of changes, and the calls that the asked agent refused", "  elderctl audit", cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
-			l, err := client.Audit(cmd.Context())
-			if err != nil {
-				return err
-			}
-			return printResult(cmd, l, func(out io.Writer) {
-				printStale(out, l.Stale)
-				table(out, func(w io.Writer) {
-					for _, e := range l.Changes {
-						fmt.Fprintf(w, "%s\t%s\t%s\n", e.At.Local().Format(time.DateTime), e.Who, e.What)
-					}
-					for _, e := range l.Refused {
-						fmt.Fprintf(w, "%s\t%s\trefused: %s\n", e.At.Local().Format(time.DateTime), e.Who, e.What)
-					}
-				})
-			})
-		}))
+	return agentQuery("audit", "Read the log of changes, and the calls that the asked agent refused", "  elderctl audit", (*agent.Client).Audit, printAudit)
+}
+
+func printAudit(out io.Writer, log agent.Audit) {
+	printStale(out, log.Stale)
+	printTable(out, func(w io.Writer) {
+		for _, event := range log.Changes {
+			fmt.Fprintf(w, "%s\t%s\t%s\n", event.At.Local().Format(time.DateTime), event.Who, event.What)
+		}
+		for _, event := range log.Refused {
+			fmt.Fprintf(w, "%s\t%s\trefused: %s\n", event.At.Local().Format(time.DateTime), event.Who, event.What)
+		}
+	})
 }
--- a/cmd/elderctl/capacity.go
+++ b/cmd/elderctl/capacity.go
@@ -111,7 +111,7 @@
 		if len(t.Rows) == 0 {
 			fmt.Fprintln(out, t.Empty)
 		} else {
-			table(out, func(w io.Writer) {
+			printTable(out, func(w io.Writer) {
 				fmt.Fprintln(w, strings.Join(t.Header, "\t"))
 				for _, row := range t.Rows {
 					fmt.Fprintln(w, strings.Join(row, "\t"))
--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -42,7 +42,7 @@
 
 func planCommand() *cobra.Command {
 	var overlays []string
-	cmd := withJSON(verb("plan FILE", "Show what would change, and what each instance would have to do; nothing is taken",
+	cmd := withJSON(agentVerb("plan FILE", "Show what would change, and what each instance would have to do; nothing is taken",
 		"  elderctl plan site.toml\n  elderctl plan site.toml --overlay g1=g1.toml", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			return probeContent(cmd, client, args[0], overlays, true)
@@ -81,7 +81,7 @@
 			printDiff(out, difference)
 			fmt.Fprintln(out)
 		}
-		table(out, func(w io.Writer) {
+		printTable(out, func(w io.Writer) {
 			fmt.Fprintln(w, "instance\tagent\twould")
 			for _, p := range list {
 				step := string(p.Step)
@@ -90,7 +90,7 @@
 				} else if p.Error != "" {
 					step = "refuse: " + p.Error
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\n", dashIfEmpty(p.Instance), p.Agent, step)
+				fmt.Fprintf(w, "%s\t%s\t%s\n", orDash(p.Instance), p.Agent, step)
 			}
 		})
 	})
--- a/cmd/elderctl/command.go
+++ b/cmd/elderctl/command.go
@@ -10,16 +10,19 @@
 
 func noArgs(cmd *cobra.Command, args []string) error { return usageError(cobra.NoArgs(cmd, args)) }
 
-// exactArgs is the check of a command that takes so many arguments.
-func exactArgs(n int) cobra.PositionalArgs {
-	return func(cmd *cobra.Command, args []string) error { return usageError(cobra.ExactArgs(n)(cmd, args)) }
+// exactArgs returns the check of a command that accepts exactly n arguments.
+func exactArgs(n int) cobra.PositionalArgs { return checkArgs(cobra.ExactArgs(n)) }
+
+// checkArgs makes an error of a check of arguments a usage error.
+func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
+	return func(cmd *cobra.Command, args []string) error { return usageError(check(cmd, args)) }
 }
 
-// commandGroup is a command that does nothing but hold others.
+// commandGroup returns a command that only holds others. Called by itself it is a usage error.
 func commandGroup(use, short string, parts ...*cobra.Command) *cobra.Command {
 	var names []string
-	for _, p := range parts {
-		names = append(names, p.Name())
+	for _, part := range parts {
+		names = append(names, part.Name())
 	}
 	cmd := &cobra.Command{Use: use, Short: short,
 		RunE: func(*cobra.Command, []string) error {
@@ -29,10 +32,9 @@
 	return cmd
 }
 
-// listCommand is a command that prints a list, as a table for people or as JSON.
-func listCommand[T any](use, short string, list func() ([]T, error), table func(io.Writer, []T) error) *cobra.Command {
-	var asJSON bool
-	cmd := &cobra.Command{
+// listCommand returns a command that prints a list, as a table or as JSON, and calls no agent.
+func listCommand[T any](use, short string, list func() ([]T, error), printTable func(io.Writer, []T) error) *cobra.Command {
+	return withJSON(&cobra.Command{
 		Use:   use,
 		Short: short,
 		Args:  noArgs,
@@ -41,35 +43,33 @@
 			if err != nil {
 				return operationError(err)
 			}
-			if asJSON {
+			if wantsJSON(cmd) {
 				return operationError(writeJSON(cmd.OutOrStdout(), "-", lines))
 			}
-			return operationError(table(cmd.OutOrStdout(), lines))
+			return operationError(printTable(cmd.OutOrStdout(), lines))
 		},
-	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	return cmd
+	})
 }
 
-// keyLine is one key of a file, as `elderctl site keys` lists them.
+// keyLine is one key of a configuration file, as the keys verbs list them.
 type keyLine struct {
 	Key   string `json:"key"`
 	About string `json:"about"`
 }
 
-// keysCommand lists the keys of a file.
+// keysCommand returns a command that lists the keys of a configuration file.
 func keysCommand(short string, keys func() [][2]string) *cobra.Command {
 	return listCommand("keys", short,
 		func() (lines []keyLine, err error) {
-			for _, k := range keys() {
-				lines = append(lines, keyLine{k[0], k[1]})
+			for _, key := range keys() {
+				lines = append(lines, keyLine{key[0], key[1]})
 			}
 			return lines, nil
 		},
 		func(out io.Writer, lines []keyLine) error {
-			table(out, func(w io.Writer) {
-				for _, k := range lines {
-					fmt.Fprintf(w, "%s\t%s\n", k.Key, k.About)
+			printTable(out, func(w io.Writer) {
+				for _, line := range lines {
+					fmt.Fprintf(w, "%s\t%s\n", line.Key, line.About)
 				}
 			})
 			return nil
--- a/cmd/elderctl/connection.go
+++ b/cmd/elderctl/connection.go
@@ -5,9 +5,9 @@
 	"crypto/rand"
 	"encoding/hex"
 	"fmt"
+	"io"
 	"os"
 	"strings"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -15,9 +15,11 @@
 	"elderyard/internal/pki"
 )
 
-const (
-	agentVariable = "ELDERCTL_AGENT"
-	fleetHelp     = `
+// agentVariable is the environment variable that names the agent to call.
+const agentVariable = "ELDERCTL_AGENT"
+
+// fleetHelp documents how the agent is found, and the exit statuses, in the help of verbs that call one.
+const fleetHelp = `
 The agent to ask is named by --agent or the variable ELDERCTL_AGENT: the path of
 its local socket, or host:port with --ca, --cert and --key (or ELDERCTL_CA,
 ELDERCTL_CERT and ELDERCTL_KEY).
@@ -27,45 +29,46 @@
 first, 7 done, with instances that are silent or have yet to take it, 8 no agent
 or leader can be reached, or it is not known whether a change was taken, 130
 interrupted (what was accepted goes on).`
-)
 
-// connection is where a verb finds its agent.
+// connection is the address of the agent that a verb calls, with the credentials for it.
 type connection struct {
 	agent string
 	plain bool
 	files pki.Files
 }
 
+// flags adds the flags that set the connection.
 func (c *connection) flags(cmd *cobra.Command) {
-	f := cmd.Flags()
-	f.StringVar(&c.agent, "agent", os.Getenv(agentVariable), "local socket or host:port of the agent to ask")
-	f.BoolVar(&c.plain, "plain", false, "call host:port without TLS, on loopback alone")
-	f.StringVar(&c.files.CA, "ca", os.Getenv("ELDERCTL_CA"), "certificate of the site's authority")
-	f.StringVar(&c.files.Cert, "cert", os.Getenv("ELDERCTL_CERT"), "your certificate")
-	f.StringVar(&c.files.Key, "key", os.Getenv("ELDERCTL_KEY"), "its key")
+	flags := cmd.Flags()
+	flags.StringVar(&c.agent, "agent", os.Getenv(agentVariable), "local socket or host:port of the agent to ask")
+	flags.BoolVar(&c.plain, "plain", false, "call host:port without TLS, on loopback alone")
+	flags.StringVar(&c.files.CA, "ca", os.Getenv("ELDERCTL_CA"), "certificate of the site's authority")
+	flags.StringVar(&c.files.Cert, "cert", os.Getenv("ELDERCTL_CERT"), "your certificate")
+	flags.StringVar(&c.files.Key, "key", os.Getenv("ELDERCTL_KEY"), "its key")
 }
 
+// open returns a client of the agent, which the caller closes. It does not connect yet.
 func (c *connection) open() (*agent.Client, error) {
 	if c.agent == "" {
 		return nil, usageError(fmt.Errorf("no agent is named: set --agent or %s", agentVariable))
 	}
-	t := agent.Target{Socket: c.agent}
+	target := agent.Target{Socket: c.agent}
 	if !strings.Contains(c.agent, "/") && strings.Contains(c.agent, ":") {
-		t = agent.Target{Address: c.agent, Plain: c.plain, Files: c.files}
+		target = agent.Target{Address: c.agent, Plain: c.plain, Files: c.files}
 	}
-	client, err := agent.NewClient(t)
+	client, err := agent.NewClient(target)
 	if err != nil {
 		return nil, usageError(err)
 	}
 	return client, nil
 }
 
-// verb is a command that asks one agent.
-func verb(use, short, example string, args cobra.PositionalArgs, do func(*cobra.Command, *agent.Client, []string) error) *cobra.Command {
+// agentVerb returns a command that calls one agent. The error of do gets its exit status from callError.
+func agentVerb(use, short, example string, args cobra.PositionalArgs, do func(*cobra.Command, *agent.Client, []string) error) *cobra.Command {
 	var c connection
 	cmd := &cobra.Command{
 		Use: use, Short: short, Example: example, Long: short + ".\n" + fleetHelp,
-		Args: func(cmd *cobra.Command, list []string) error { return usageError(args(cmd, list)) },
+		Args: checkArgs(args),
 		RunE: func(cmd *cobra.Command, list []string) error {
 			client, err := c.open()
 			if err != nil {
@@ -79,21 +82,23 @@
 	return cmd
 }
 
-// pause waits between two looks; it tells whether ctx still holds.
-func pause(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(d):
-		return true
-	}
+// agentQuery returns a command without arguments that prints what one call to an agent returns, as text or as JSON.
+func agentQuery[T any](use, short, example string, query func(*agent.Client, context.Context) (T, error), printText func(io.Writer, T)) *cobra.Command {
+	return withJSON(agentVerb(use, short, example, cobra.NoArgs,
+		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
+			result, err := query(client, cmd.Context())
+			if err != nil {
+				return err
+			}
+			return printResult(cmd, result, func(out io.Writer) { printText(out, result) })
+		}))
 }
 
-// newRequestID is a new name for a change.
+// newRequestID returns a random key for a change. A repeat of a call under the same key does not change anything twice.
 func newRequestID() (string, error) {
-	b := make([]byte, 16)
-	if _, err := rand.Read(b); err != nil {
+	id := make([]byte, 16)
+	if _, err := rand.Read(id); err != nil {
 		return "", err
 	}
-	return hex.EncodeToString(b), nil
+	return hex.EncodeToString(id), nil
 }
--- a/cmd/elderctl/follow.go
+++ b/cmd/elderctl/follow.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"elderyard/internal/agent"
+	"elderyard/internal/wait"
 	"elderyard/rollout"
 )
 
@@ -77,7 +78,7 @@
 				return s, nil
 			}
 		}
-		pause(ctx, followInterval)
+		wait.For(ctx, followInterval)
 	}
 }
 
--- a/cmd/elderctl/main.go
+++ b/cmd/elderctl/main.go
@@ -1,4 +1,23 @@
-// Elderctl is the operators' tool.
+// Elderctl is the operators' tool. It changes and watches a fleet through any one of its agents, shows what gateways
+// report of each other, runs an agent, and tries a site out on this machine in a lab. It keeps no state of its own: a
+// change that an agent has accepted goes on without the tool.
+//
+// # How it is built
+//
+// A verb, or a group of verbs, has a file and a function that returns its command; rootCommand adds them. Shared are
+// exit.go (exit statuses), command.go (builders of commands), connection.go (the agent that a verb calls) and output.go
+// (tables, JSON and colours).
+//
+// A verb returns an error that bears its exit status: usageError before anything is sent or started, operationError for
+// work that fails later, callError for an agent's answer (agentVerb applies it), an exitError where the verb documents a
+// status of its own. An error that bears none counts as wrong usage. Only run prints errors, and only main exits: a verb
+// that did either would skip the cleanup of a lab.
+//
+// Results are written by printResult, as text or with --json as one JSON value, to the command's standard output. A verb
+// that reports progress leaves it out, or sends it to standard error, where standard output carries JSON.
+//
+// Verbs, flags, exit statuses, printed texts and JSON keys are the tool's interface: the golden files in testdata hold
+// them.
 package main
 
 import (
@@ -22,7 +41,7 @@
 	os.Exit(status)
 }
 
-// rootCommand is the tool with all its verbs.
+// rootCommand returns the tool with all its verbs.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "elderctl",
@@ -37,6 +56,7 @@
 	return root
 }
 
+// run executes the command line and returns the exit status. It prints the error, if there is one to print.
 func run(ctx context.Context, args []string) int {
 	root := rootCommand()
 	root.SetArgs(args)
@@ -54,19 +74,22 @@
 		}
 		return exit.status
 	}
-	// Cobra's own, of arguments that fit no command.
+	// Cobra's own error about arguments that fit no command.
 	fmt.Fprintln(os.Stderr, "elderctl:", err)
 	return exitUsage
 }
 
-// fleetCommands are the verbs of the fleet.
+// fleetCommands returns the verbs that operate a fleet.
 func fleetCommands() []*cobra.Command {
-	return []*cobra.Command{agentCommand(), caCommand(), importCommand(), checkCommand(), planCommand(), applyCommand(), statusCommand(), instancesCommand(), historyCommand(),
-		showCommand(), diffCommand(), rollbackCommand(), restartCommand(),
+	return []*cobra.Command{
+		agentCommand(), caCommand(), importCommand(),
+		checkCommand(), planCommand(), applyCommand(), rollbackCommand(), restartCommand(),
+		statusCommand(), instancesCommand(), historyCommand(), showCommand(), diffCommand(),
 		changeCommand("pause", "Have a rollout tell nobody new"),
 		changeCommand("resume", "Have a paused rollout go on"),
 		changeCommand("abort", "Have a rollout go back"),
 		instanceCommand("drain", "Take an instance out of service: it answers what it holds and ends"),
 		instanceCommand("undrain", "Let an instance back into service"),
-		membersCommand(), snapshotCommand(), auditCommand(), recordsCommand()}
+		membersCommand(), snapshotCommand(), auditCommand(), recordsCommand(),
+	}
 }
--- a/cmd/elderctl/output.go
+++ b/cmd/elderctl/output.go
@@ -13,50 +13,65 @@
 	"elderyard/internal/files"
 )
 
+// withJSON adds the flag that printResult and wantsJSON read.
 func withJSON(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().Bool("json", false, "as JSON")
 	return cmd
 }
 
-// printResult writes a value for people or for programs.
-func printResult(cmd *cobra.Command, v any, table func(io.Writer)) error {
-	if as, err := cmd.Flags().GetBool("json"); err == nil && as {
-		return writeJSON(cmd.OutOrStdout(), "-", v)
+// wantsJSON reports whether the command has a flag --json that is set.
+func wantsJSON(cmd *cobra.Command) bool {
+	wanted, err := cmd.Flags().GetBool("json")
+	return err == nil && wanted
+}
+
+// printResult writes the result of a command to its standard output: as text, or the value as JSON if --json is set.
+func printResult(cmd *cobra.Command, value any, printText func(io.Writer)) error {
+	if wantsJSON(cmd) {
+		return writeJSON(cmd.OutOrStdout(), "-", value)
 	}
-	table(cmd.OutOrStdout())
+	printText(cmd.OutOrStdout())
 	return nil
 }
 
-func table(out io.Writer, rows func(w io.Writer)) {
+// printTable aligns the columns of rows, whose cells end with tabs.
+func printTable(out io.Writer, rows func(w io.Writer)) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	rows(w)
 	w.Flush()
 }
 
+// printStale warns that what follows may be old, with the reason; an empty reason means that it is not.
 func printStale(out io.Writer, why string) {
 	if why != "" {
 		fmt.Fprintf(out, "%s\n", paint(out, yellow, "STALE: no leader answers ("+why+"); this is what the asked agent knows"))
 	}
 }
 
+// Colours of paint, as the parameters of a terminal's escape sequence.
 const (
 	red    = "31"
 	green  = "32"
 	yellow = "33"
 )
 
-// paint colours text on a terminal.
+// paint returns the text in a colour where out shows colours, and unchanged elsewhere.
 func paint(out io.Writer, colour, text string) string {
-	f, is := out.(*os.File)
-	if !is || os.Getenv("NO_COLOR") != "" || os.Getenv("TERM") == "dumb" || !term.IsTerminal(int(f.Fd())) {
+	if !showsColours(out) {
 		return text
 	}
 	return "\x1b[" + colour + "m" + text + "\x1b[0m"
 }
 
-// writeJSON writes v to a file, whole or not at all, or to out for "-".
-func writeJSON(out io.Writer, path string, v any) error {
-	text, err := json.MarshalIndent(v, "", "  ")
+// showsColours reports whether out is a terminal whose user wants escape sequences.
+func showsColours(out io.Writer) bool {
+	file, isFile := out.(*os.File)
+	return isFile && os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && term.IsTerminal(int(file.Fd()))
+}
+
+// writeJSON writes a value to a file, which is replaced atomically, or to out if the path is "-".
+func writeJSON(out io.Writer, path string, value any) error {
+	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
 		return fmt.Errorf("json: %w", err)
 	}
@@ -71,7 +86,8 @@
 	return nil
 }
 
-func dashIfEmpty(s string) string {
+// orDash returns the text, or a dash for an empty cell of a table.
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/cmd/elderctl/peers.go
+++ b/cmd/elderctl/peers.go
@@ -15,6 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"elderyard/internal/peers"
+	"elderyard/internal/wait"
 	"elderyard/members"
 )
 
@@ -108,7 +109,7 @@
 	all := peers.QueryAllStatus(cmd.Context(), at)
 	err := printResult(cmd, all, func(out io.Writer) {
 		views, _ := splitAnswers(all)
-		table(out, func(w io.Writer) {
+		printTable(out, func(w io.Writer) {
 			fmt.Fprintln(w, "gateway\tverdict\tfor\tepoch\tsafe\tlikely\tdivides by\tlast answer\tnot there")
 			for _, p := range views {
 				var absent []string
@@ -121,7 +122,7 @@
 				if p.QuotaDivisor == members.NoQuota {
 					by = "no share"
 				}
-				fmt.Fprintf(w, "%s\t%v\t%v\t%d\t%d\t%d\t%s\t%s\t%s\n", p.Self, p.Verdict, (p.At - p.Since).Round(ageResolution), p.Epoch, p.SafeCount, p.LikelyCount, by, formatAge(p.At, p.LastAnswer), dashIfEmpty(strings.Join(absent, ", ")))
+				fmt.Fprintf(w, "%s\t%v\t%v\t%d\t%d\t%d\t%s\t%s\t%s\n", p.Self, p.Verdict, (p.At - p.Since).Round(ageResolution), p.Epoch, p.SafeCount, p.LikelyCount, by, formatAge(p.At, p.LastAnswer), orDash(strings.Join(absent, ", ")))
 			}
 		})
 	})
@@ -160,7 +161,7 @@
 	case p.UnawareMember != "":
 		fmt.Fprintf(out, "  it has no share of quotas until %s knows of it\n", p.UnawareMember)
 	}
-	table(out, func(w io.Writer) {
+	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "  member\tstate\tfor\tlast answer to it\tepoch\tlife\treached at")
 		for _, v := range p.Members {
 			lastReply, state := formatAge(p.At, v.LastAnswer), v.State.String()
@@ -173,7 +174,7 @@
 			if v.EarlierIncarnations > 0 {
 				state += fmt.Sprintf(", beside %d earlier", v.EarlierIncarnations)
 			}
-			fmt.Fprintf(w, "  %s\t%s\t%v\t%s\t%d\t%d\t%s\n", v.Name, state, (p.At - v.Since).Round(ageResolution), lastReply, v.Epoch, v.Incarnation, dashIfEmpty(v.Address))
+			fmt.Fprintf(w, "  %s\t%s\t%v\t%s\t%d\t%d\t%s\n", v.Name, state, (p.At - v.Since).Round(ageResolution), lastReply, v.Epoch, v.Incarnation, orDash(v.Address))
 		}
 	})
 	for _, m := range a.Permissions {
@@ -240,10 +241,10 @@
 	}
 	slices.SortStableFunc(lines, func(a, b evidenceLine) int { return cmp.Compare(a.Ago, b.Ago) })
 	err := printResult(cmd, lines, func(out io.Writer) {
-		table(out, func(w io.Writer) {
+		printTable(out, func(w io.Writer) {
 			fmt.Fprintln(w, "ago\tlearned by\twhat of "+args[0]+"\tfrom\tlife")
 			for _, c := range lines {
-				fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%d\n", c.Ago.Round(ageResolution), c.LearnedBy, c.What, dashIfEmpty(c.Source), c.Incarnation)
+				fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%d\n", c.Ago.Round(ageResolution), c.LearnedBy, c.What, orDash(c.Source), c.Incarnation)
 			}
 		})
 	})
@@ -285,7 +286,7 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "%s  %s  %s\n", c.At.Format(time.TimeOnly), name, text)
 			}
 		}
-		if !pause(cmd.Context(), watchInterval) {
+		if !wait.For(cmd.Context(), watchInterval) {
 			return context.Cause(cmd.Context())
 		}
 	}
--- a/cmd/elderctl/records.go
+++ b/cmd/elderctl/records.go
@@ -29,7 +29,7 @@
 }
 
 func getRecordCommand() *cobra.Command {
-	return withJSON(verb("get KIND/NAME", "Print a record with its version", "  elderctl records get tenant/acme", cobra.ExactArgs(1),
+	return withJSON(agentVerb("get KIND/NAME", "Print a record with its version", "  elderctl records get tenant/acme", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			key, err := records.ParseKey(args[0])
 			if err != nil {
@@ -48,7 +48,7 @@
 
 func listRecordsCommand() *cobra.Command {
 	var limit int
-	cmd := withJSON(verb("list KIND [PREFIX]", "List the records of a kind, by name", "  elderctl records list tenant ac", cobra.RangeArgs(1, 2),
+	cmd := withJSON(agentVerb("list KIND [PREFIX]", "List the records of a kind, by name", "  elderctl records list tenant ac", cobra.RangeArgs(1, 2),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			kind, err := records.ParseKind(args[0])
 			if err != nil {
@@ -75,7 +75,7 @@
 }
 
 func printRecords(out io.Writer, list []records.Record) {
-	table(out, func(w io.Writer) {
+	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "record\tversion\tvalue")
 		for _, r := range list {
 			fmt.Fprintf(w, "%s\t%d\t%s\n", r.Key, r.Version, r.Value)
@@ -93,7 +93,7 @@
 }
 
 func diffRecordsCommand() *cobra.Command {
-	return withJSON(verb("diff VERSION [VERSION]", "Show which records changed since a version, or between two", "  elderctl records diff 812\n  elderctl records diff 812 830", cobra.RangeArgs(1, 2),
+	return withJSON(agentVerb("diff VERSION [VERSION]", "Show which records changed since a version, or between two", "  elderctl records diff 812\n  elderctl records diff 812 830", cobra.RangeArgs(1, 2),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			var versions [2]uint64
 			for i, text := range args {
@@ -126,7 +126,7 @@
 
 func recordsVersionsCommand() *cobra.Command {
 	var limit int
-	cmd := withJSON(verb("versions", "List the newest changes of the records, the newest first", "  elderctl records versions --limit 5", cobra.NoArgs,
+	cmd := withJSON(agentVerb("versions", "List the newest changes of the records, the newest first", "  elderctl records versions --limit 5", cobra.NoArgs,
 		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
 			if limit < 0 {
 				return usageError(errors.New("versions: --limit is below 0"))
@@ -136,7 +136,7 @@
 				return err
 			}
 			return printResult(cmd, versions, func(out io.Writer) {
-				table(out, func(w io.Writer) {
+				printTable(out, func(w io.Writer) {
 					fmt.Fprintln(w, "version\tat\tauthor\trecords\tmessage")
 					for _, v := range versions.Changes {
 						fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\n", v.Version, v.At.Local().Format(time.DateTime), v.Author, v.Operations, v.Message)
--- a/cmd/elderctl/records_change.go
+++ b/cmd/elderctl/records_change.go
@@ -15,6 +15,7 @@
 
 	"elderyard/internal/agent"
 	"elderyard/internal/agentapi"
+	"elderyard/internal/wait"
 	"elderyard/records"
 )
 
@@ -90,7 +91,7 @@
 		if err == nil && len(lacking) == 0 {
 			return nil
 		}
-		if !pause(ctx, lagPollInterval) {
+		if !wait.For(ctx, lagPollInterval) {
 			if err != nil {
 				return err
 			}
@@ -102,7 +103,7 @@
 func putRecordsCommand() *cobra.Command {
 	var change recordsChange
 	var value, file, from string
-	cmd := withJSON(verb("put [KIND/NAME]", "Write a record, or with --from many in one change that is taken whole or not at all",
+	cmd := withJSON(agentVerb("put [KIND/NAME]", "Write a record, or with --from many in one change that is taken whole or not at all",
 		"  elderctl records put tenant/acme --value '{\"plan\":\"gold\"}'\n  elderctl records put route/search --file route.json --if 812\n  elderctl records put --from changes.json --message 'new prices'",
 		cobra.MaximumNArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
@@ -176,7 +177,7 @@
 
 func deleteRecordsCommand() *cobra.Command {
 	var change recordsChange
-	cmd := withJSON(verb("delete KIND/NAME...", "Delete records in one change that is taken whole or not at all", "  elderctl records delete tenant/acme", cobra.MinimumNArgs(1),
+	cmd := withJSON(agentVerb("delete KIND/NAME...", "Delete records in one change that is taken whole or not at all", "  elderctl records delete tenant/acme", cobra.MinimumNArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			if len(args) > 1 && cmd.Flags().Changed("if") {
 				return usageError(errors.New("delete: --if is of one record: name one, or use put --from"))
--- a/cmd/elderctl/records_lag.go
+++ b/cmd/elderctl/records_lag.go
@@ -31,7 +31,7 @@
 }
 
 func recordsLagCommand() *cobra.Command {
-	return withJSON(verb("lag", "Tell at which agents the newest records are in force, and who is behind, since when and why; exit status 7 if any is",
+	return withJSON(agentVerb("lag", "Tell at which agents the newest records are in force, and who is behind, since when and why; exit status 7 if any is",
 		"  elderctl records lag", cobra.NoArgs,
 		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
 			lag, err := client.RecordsLag(cmd.Context())
@@ -53,7 +53,7 @@
 
 func printRecordsLag(out io.Writer, lag agentapi.RecordsLag, now time.Time) {
 	printStale(out, lag.Stale)
-	table(out, func(w io.Writer) {
+	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "agent\tstate\tversion\tbehind for\tconfirmed\twhy")
 		for _, a := range lag.Agents {
 			behind := ""
@@ -65,7 +65,7 @@
 				age := now.Sub(*a.ReportedAt) + time.Duration(*a.Status.AgeSeconds*float64(time.Second))
 				confirmed = max(0, age).Round(time.Second).String() + " ago"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", a.Agent, a.State, a.Status.Version, dashIfEmpty(behind), dashIfEmpty(confirmed), dashIfEmpty(a.Status.Why))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", a.Agent, a.State, a.Status.Version, orDash(behind), orDash(confirmed), orDash(a.Status.Why))
 		}
 	})
 	fmt.Fprintf(out, "version %d, digest %s: in force at %d of %d agents\n", lag.Version, lag.Digest, lag.InForce, len(lag.Agents))
--- a/cmd/elderctl/revisions.go
+++ b/cmd/elderctl/revisions.go
@@ -13,90 +13,96 @@
 	"elderyard/revisions"
 )
 
-func parseRevisionNumber(text string) (uint64, error) {
-	n, err := strconv.ParseUint(text, 10, 64)
-	if err != nil || n == 0 {
-		return 0, usageError(fmt.Errorf("%q is no revision's number", text))
-	}
-	return n, nil
+func historyCommand() *cobra.Command {
+	return agentQuery("history", "List the revisions, the newest first", "  elderctl history", (*agent.Client).Revisions, printHistory)
 }
 
-func historyCommand() *cobra.Command {
-	return withJSON(verb("history", "List the revisions, the newest first", "  elderctl history", cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
-			l, err := client.Revisions(cmd.Context())
-			if err != nil {
-				return err
+func printHistory(out io.Writer, history agent.Revisions) {
+	printStale(out, history.Stale)
+	printTable(out, func(w io.Writer) {
+		fmt.Fprintln(w, "revision\tparent\tat\tauthor\tchecksum\tmessage")
+		for _, r := range history.Revisions {
+			mark := ""
+			if r.Number == history.Wanted {
+				mark = " *"
 			}
-			return printResult(cmd, l, func(out io.Writer) {
-				printStale(out, l.Stale)
-				table(out, func(w io.Writer) {
-					fmt.Fprintln(w, "revision\tparent\tat\tauthor\tchecksum\tmessage")
-					for _, r := range l.Revisions {
-						mark := ""
-						if r.Number == l.Wanted {
-							mark = " *"
-						}
-						fmt.Fprintf(w, "%d%s\t%d\t%s\t%s\t%.12s\t%s\n", r.Number, mark, r.Parent, r.At.Local().Format(time.DateTime), r.Author, r.Checksum, r.Message)
-					}
-				})
-			})
-		}))
+			fmt.Fprintf(w, "%d%s\t%d\t%s\t%s\t%.12s\t%s\n", r.Number, mark, r.Parent, r.At.Local().Format(time.DateTime), r.Author, r.Checksum, r.Message)
+		}
+	})
 }
 
 func showCommand() *cobra.Command {
-	return withJSON(verb("show REV", "Print a revision", "  elderctl show 12", cobra.ExactArgs(1),
+	return withJSON(agentVerb("show REV", "Print a revision", "  elderctl show 12", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			n, err := parseRevisionNumber(args[0])
+			number, err := parseRevisionNumber(args[0])
 			if err != nil {
 				return err
 			}
-			r, err := client.Revision(cmd.Context(), n)
+			revision, err := client.Revision(cmd.Context(), number)
 			if err != nil {
 				return err
 			}
-			return printResult(cmd, r, func(out io.Writer) {
-				fmt.Fprintf(out, "# revision %d on %d, by %s at %s: %s\n%s", r.Number, r.Parent, r.Author, r.At.Local().Format(time.DateTime), dashIfEmpty(r.Message), r.Content.File)
-				for name := range r.Content.Overlays {
-					fmt.Fprintf(out, "\n# overlay of %s\n%s", name, r.Content.Overlays[name])
-				}
-			})
+			return printResult(cmd, revision, func(out io.Writer) { printRevision(out, revision) })
 		}))
 }
 
+func printRevision(out io.Writer, r revisions.Revision) {
+	fmt.Fprintf(out, "# revision %d on %d, by %s at %s: %s\n%s", r.Number, r.Parent, r.Author, r.At.Local().Format(time.DateTime), orDash(r.Message), r.Content.File)
+	for name, overlay := range r.Content.Overlays {
+		fmt.Fprintf(out, "\n# overlay of %s\n%s", name, overlay)
+	}
+}
+
 func diffCommand() *cobra.Command {
-	return withJSON(verb("diff A B", "Show what separates two revisions", "  elderctl diff 11 12", cobra.ExactArgs(2),
+	return withJSON(agentVerb("diff A B", "Show what separates two revisions", "  elderctl diff 11 12", cobra.ExactArgs(2),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			var list [2]revisions.Revision
-			for i, a := range args {
+			var numbers [2]uint64
+			for i, text := range args {
 				var err error
-				if list[i].Number, err = parseRevisionNumber(a); err != nil {
+				if numbers[i], err = parseRevisionNumber(text); err != nil {
 					return err
 				}
 			}
-			for i := range list {
-				var err error
-				if list[i], err = client.Revision(cmd.Context(), list[i].Number); err != nil {
+			var contents [2]revisions.Content
+			for i, number := range numbers {
+				revision, err := client.Revision(cmd.Context(), number)
+				if err != nil {
 					return err
 				}
+				contents[i] = revision.Content
 			}
-			text := diffContents("revision "+args[0], "revision "+args[1], list[0].Content, list[1].Content)
-			return printResult(cmd, map[string]string{"diff": text}, func(out io.Writer) { printDiff(out, text) })
+			diff := diffContents("revision "+args[0], "revision "+args[1], contents[0], contents[1])
+			return printResult(cmd, map[string]string{"diff": diff}, func(out io.Writer) { printDiff(out, diff) })
 		}))
 }
 
-// newestRevision is the newest revision, whole; its number is 0 on a new site.
+// parseRevisionNumber reads the number of a revision that exists or may: 0 stands for none.
+func parseRevisionNumber(text string) (uint64, error) {
+	number, err := strconv.ParseUint(text, 10, 64)
+	if err != nil || number == 0 {
+		return 0, usageError(fmt.Errorf("%q is no revision's number", text))
+	}
+	return number, nil
+}
+
+// newestRevision returns the newest revision with its content, and the status that names it; the revision's number is 0
+// on a site that has none. Without a leader it fails: an agent's own copy may lack the newest.
 func newestRevision(ctx context.Context, client *agent.Client) (revisions.Revision, agent.Status, error) {
-	s, err := client.Status(ctx)
+	status, err := client.Status(ctx)
 	if err != nil {
-		return revisions.Revision{}, s, err
+		return revisions.Revision{}, status, err
 	}
-	if s.Stale != "" {
-		return revisions.Revision{}, s, &exitError{exitUnreachable, fmt.Errorf("no leader answers: %s", s.Stale)}
+	if status.Stale != "" {
+		return revisions.Revision{}, status, noLeaderError(status.Stale)
 	}
-	if s.Head == 0 {
-		return revisions.Revision{}, s, nil
+	if status.Head == 0 {
+		return revisions.Revision{}, status, nil
 	}
-	r, err := client.Revision(ctx, s.Head)
-	return r, s, err
+	newest, err := client.Revision(ctx, status.Head)
+	return newest, status, err
+}
+
+// noLeaderError is the error of a verb that needs the leader, with the reason why none answers.
+func noLeaderError(why string) error {
+	return &exitError{exitUnreachable, fmt.Errorf("no leader answers: %s", why)}
 }
--- a/cmd/elderctl/rollback.go
+++ b/cmd/elderctl/rollback.go
@@ -11,7 +11,7 @@
 
 func rollbackCommand() *cobra.Command {
 	var c applyOptions
-	cmd := withJSON(verb("rollback [REV]", "Make an old revision's content the wanted one again; default: that before the wanted one",
+	cmd := withJSON(agentVerb("rollback [REV]", "Make an old revision's content the wanted one again; default: that before the wanted one",
 		"  elderctl rollback\n  elderctl rollback 11", cobra.MaximumNArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			newest, s, err := newestRevision(cmd.Context(), client)
@@ -45,7 +45,7 @@
 func restartCommand() *cobra.Command {
 	var c applyOptions
 	var rolling bool
-	cmd := withJSON(verb("restart --rolling", "Restart every instance, wave by wave, with what it runs", "  elderctl restart --rolling", cobra.NoArgs,
+	cmd := withJSON(agentVerb("restart --rolling", "Restart every instance, wave by wave, with what it runs", "  elderctl restart --rolling", cobra.NoArgs,
 		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
 			if !rolling {
 				return usageError(errors.New("restart: say --rolling: all at once is not offered"))
--- a/cmd/elderctl/snapshot.go
+++ b/cmd/elderctl/snapshot.go
@@ -12,34 +12,39 @@
 )
 
 func snapshotCommand() *cobra.Command {
+	return commandGroup("snapshot", "Save and restore the site's state", saveSnapshotCommand(), restoreSnapshotCommand())
+}
 
-	save := verb("save FILE", "Save revisions, agents and the audit log to a file", "  elderctl snapshot save site.snapshot", cobra.ExactArgs(1),
+func saveSnapshotCommand() *cobra.Command {
+	return agentVerb("save FILE", "Save revisions, agents and the audit log to a file", "  elderctl snapshot save site.snapshot", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			text, err := client.Snapshot(cmd.Context())
+			snapshot, err := client.Snapshot(cmd.Context())
 			if err != nil {
 				return err
 			}
-			if err := files.Replace(args[0], text, 0o600); err != nil {
+			if err := files.Replace(args[0], snapshot, 0o600); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "saved %d bytes\n", len(text))
+			fmt.Fprintf(cmd.OutOrStdout(), "saved %d bytes\n", len(snapshot))
 			return nil
 		})
-	restore := verb("restore FILE", "Put a saved state in the place of the site's; a damaged one changes nothing", "  elderctl snapshot restore site.snapshot", cobra.ExactArgs(1),
+}
+
+func restoreSnapshotCommand() *cobra.Command {
+	return agentVerb("restore FILE", "Put a saved state in the place of the site's; a damaged one changes nothing", "  elderctl snapshot restore site.snapshot", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			text, err := os.ReadFile(args[0])
+			snapshot, err := os.ReadFile(args[0])
 			if err != nil {
 				return usageError(err)
 			}
-			var probe fleet.State
-			if err := probe.Restore(text); err != nil {
+			var decoded fleet.State // decoded here as well, so that a damaged file is a usage error and nothing is sent
+			if err := decoded.Restore(snapshot); err != nil {
 				return usageError(fmt.Errorf("%s: %w", args[0], err))
 			}
-			if err := client.Restore(cmd.Context(), text); err != nil {
+			if err := client.Restore(cmd.Context(), snapshot); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "restored")
 			return nil
 		})
-	return commandGroup("snapshot", "Save and restore the site's state", save, restore)
 }
--- a/cmd/elderctl/status.go
+++ b/cmd/elderctl/status.go
@@ -11,11 +11,12 @@
 	"github.com/spf13/cobra"
 
 	"elderyard/internal/agent"
+	"elderyard/internal/wait"
 )
 
 func statusCommand() *cobra.Command {
 	var watch bool
-	cmd := withJSON(verb("status", "Show what is wanted, what runs, and where a rollout is", "  elderctl status\n  elderctl status --watch", cobra.NoArgs,
+	cmd := withJSON(agentVerb("status", "Show what is wanted, what runs, and where a rollout is", "  elderctl status\n  elderctl status --watch", cobra.NoArgs,
 		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
 			for {
 				s, err := client.Status(cmd.Context())
@@ -33,7 +34,7 @@
 				if !watch {
 					return siteStatusError(s)
 				}
-				if !pause(cmd.Context(), time.Second) {
+				if !wait.For(cmd.Context(), time.Second) {
 					return nil
 				}
 			}
@@ -64,7 +65,7 @@
 	if s.Store != "" {
 		fmt.Fprintln(out, paint(out, red, "the asked voter can't write its store: "+s.Store))
 	}
-	fmt.Fprintf(out, "wanted revision %d, newest %d, leader %s\n", s.Wanted, s.Head, dashIfEmpty(s.Leader))
+	fmt.Fprintf(out, "wanted revision %d, newest %d, leader %s\n", s.Wanted, s.Head, orDash(s.Leader))
 	if s.Rollout.New != 0 {
 		fmt.Fprintf(out, "rollout of revision %d by %s: %s", s.Rollout.New, s.Rollout.By, s.Rollout.State)
 		if s.Waves > 0 && !s.Rollout.Ended() {
@@ -76,7 +77,7 @@
 }
 
 func printInstances(out io.Writer, s agent.Status) {
-	table(out, func(w io.Writer) {
+	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "instance\tagent\truns\tstate\tphase\tcrashes\theard\twhy")
 		for _, i := range s.Instances {
 			state := string(i.State)
@@ -99,13 +100,13 @@
 			if len(i.UnreachableFrom) > 0 {
 				why = append(why, "not heard by "+strings.Join(i.UnreachableFrom, " "))
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\n", i.Name, i.Agent, i.Running, dashIfEmpty(state), dashIfEmpty(string(i.Phase)), i.Crashes, lastReport, strings.Join(why, "; "))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\n", i.Name, i.Agent, i.Running, orDash(state), orDash(string(i.Phase)), i.Crashes, lastReport, strings.Join(why, "; "))
 		}
 	})
 }
 
 func instancesCommand() *cobra.Command {
-	return withJSON(verb("instances", "List all instances and what each runs", "  elderctl instances", cobra.NoArgs,
+	return withJSON(agentVerb("instances", "List all instances and what each runs", "  elderctl instances", cobra.NoArgs,
 		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
 			s, err := client.Status(cmd.Context())
 			if err != nil {
