--- a/cmd/elderctl/apply.go
+++ b/cmd/elderctl/apply.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -14,21 +15,35 @@
 	"elderyard/revisions"
 )
 
-// applyOptions is how an apply is sent and followed.
+// applyTimeout bounds the call of an apply, which is repeated while its response is lost, and the time that a rollout is
+// followed without a leader.
+const applyTimeout = 2 * time.Minute
+
+// applyOptions are the flags of the verbs that make a revision.
 type applyOptions struct {
 	parent  uint64
 	message string
 	noWait  bool
 }
 
-func (c *applyOptions) flags(cmd *cobra.Command) {
-	cmd.Flags().Uint64Var(&c.parent, "parent", 0, "the revision that the change was made from; default: the newest")
-	cmd.Flags().StringVar(&c.message, "message", "", "what it is for")
-	cmd.Flags().BoolVar(&c.noWait, "no-wait", false, "do not follow the rollout to its end")
+// flags adds the flags that set the options.
+func (o *applyOptions) flags(cmd *cobra.Command) {
+	cmd.Flags().Uint64Var(&o.parent, "parent", 0, "the revision that the change was made from; default: the newest")
+	cmd.Flags().StringVar(&o.message, "message", "", "what it is for")
+	cmd.Flags().BoolVar(&o.noWait, "no-wait", false, "do not follow the rollout to its end")
+}
+
+// request returns a request with the parent and the message that the flags give, or else with these.
+func (o *applyOptions) request(cmd *cobra.Command, newest uint64, message string) agent.ApplyRequest {
+	request := agent.ApplyRequest{Parent: newest, Message: cmp.Or(o.message, message)}
+	if cmd.Flags().Changed("parent") {
+		request.Parent = o.parent
+	}
+	return request
 }
 
 func applyCommand() *cobra.Command {
-	var c applyOptions
+	var options applyOptions
 	var overlays []string
 	var again bool
 	cmd := withJSON(agentVerb("apply FILE", "Make a file the wanted revision and follow its rollout to the end",
@@ -45,88 +60,119 @@
 			if again {
 				content.RestartGeneration++
 			}
-			if !cmd.Flags().Changed("parent") {
-				c.parent = newest.Number
-			}
-			return c.send(cmd, client, agent.ApplyRequest{Parent: c.parent, Content: &content}, args[0])
+			request := options.request(cmd, newest.Number, "")
+			request.Content = &content
+			return options.send(cmd, client, request, args[0])
 		}))
-	c.flags(cmd)
-	cmd.Flags().StringArrayVar(&overlays, "overlay", nil, "an instance's overlay as NAME=FILE; NAME= takes it away, and others stay as they are")
+	options.flags(cmd)
+	addOverlayFlag(cmd, &overlays)
 	cmd.Flags().BoolVar(&again, "again", false, "have every instance start anew, also where the file changes nothing, as after a rollback")
 	return cmd
 }
 
-// send applies and follows.
-func (c *applyOptions) send(cmd *cobra.Command, client *agent.Client, call agent.ApplyRequest, file string) error {
-	ctx, out := cmd.Context(), cmd.OutOrStdout()
-	asJSON, _ := cmd.Flags().GetBool("json")
-	if asJSON {
-		out = io.Discard
-	}
+// send makes the revision and, unless the flags say otherwise, follows its rollout to the end. The file names the
+// content in a diff.
+func (o *applyOptions) send(cmd *cobra.Command, client *agent.Client, request agent.ApplyRequest, file string) error {
 	var err error
-	if call.Request, err = newRequestID(); err != nil {
+	if request.Request, err = newRequestID(); err != nil {
 		return err
 	}
-	call.Message = c.message
-	limited, cancel := context.WithTimeout(ctx, applyTimeout)
-	defer cancel()
-	answer, err := client.Apply(limited, call)
+	result, err := requestApply(cmd.Context(), client, request)
 	if err != nil {
-		var f *agent.Failure
-		if errors.As(err, &f) && f.OutcomeUnknown() {
-			return &exitError{exitUnreachable, fmt.Errorf("it is not known whether the change was taken (look with elderctl history): %w", err)}
-		}
 		return err
 	}
-	final := map[string]any{"answer": answer.Answer, "revision": answer.Revision.Number, "author": answer.Revision.Author, "at": answer.Revision.At}
-	finish := func(status int, why error) error {
-		if asJSON {
-			if err := writeJSON(cmd.OutOrStdout(), "-", final); err != nil {
-				return err
-			}
-		}
-		if status == exitOK {
-			return nil
-		}
-		return &exitError{status, why}
-	}
-	switch answer.Answer {
+	report := newApplyReport(cmd, result)
+	switch result.Answer {
 	case revisions.Accepted:
-	case revisions.Unchanged:
-		fmt.Fprintf(out, "revision %d says this already; nothing was changed\n", answer.Revision.Number)
-		s, err := client.Status(ctx)
-		if err == nil && s.Stale == "" && s.Wanted != answer.Revision.Number {
-			return finish(exitRefused, fmt.Errorf("revision %d went back, and %d is wanted: --again tries it once more", answer.Revision.Number, s.Wanted))
+		fmt.Fprintf(report.out, "revision %d was accepted\n", result.Revision.Number)
+		if o.noWait {
+			return report.finish(exitOK, nil)
 		}
-		return finish(exitOK, nil)
+		return report.follow(client, result.Revision.Number)
+	case revisions.Unchanged:
+		return report.unchanged(client, result.Revision.Number)
 	case revisions.Conflict, fleet.Busy:
-		won := answer.Revision
-		fmt.Fprintf(out, "revision %d came first: by %s at %s: %s\n", won.Number, won.Author, won.At.Local().Format(time.DateTime), orDash(won.Message))
-		if call.Content != nil {
-			difference := diffContents(fmt.Sprintf("revision %d", won.Number), file, won.Content, *call.Content)
-			final["diff"] = difference
-			printDiff(out, difference)
-		}
-		if answer.Answer == fleet.Busy {
-			final["why"] = answer.Why
-			return finish(exitConflict, fmt.Errorf("%s; nothing was changed: wait for its end, or elderctl abort", answer.Why))
+		return report.conflict(request, result, file)
+	}
+	return report.finish(exitRefused, fmt.Errorf("%s; nothing was changed", result.Answer))
+}
+
+func requestApply(ctx context.Context, client *agent.Client, request agent.ApplyRequest) (agent.ApplyResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
+	defer cancel()
+	result, err := client.Apply(ctx, request)
+	var failure *agent.Failure
+	if errors.As(err, &failure) && failure.OutcomeUnknown() {
+		err = &exitError{exitUnreachable, fmt.Errorf("it is not known whether the change was taken (look with elderctl history): %w", err)}
+	}
+	return result, err
+}
+
+// applyReport prints what became of an apply: text as it goes on, or with --json one value at the end.
+type applyReport struct {
+	cmd    *cobra.Command
+	out    io.Writer      // of the text; discards it with --json
+	values map[string]any // of the JSON
+}
+
+func newApplyReport(cmd *cobra.Command, result agent.ApplyResult) *applyReport {
+	r := &applyReport{cmd: cmd, out: cmd.OutOrStdout(), values: map[string]any{
+		"answer": result.Answer, "revision": result.Revision.Number, "author": result.Revision.Author, "at": result.Revision.At}}
+	if wantsJSON(cmd) {
+		r.out = io.Discard
+	}
+	return r
+}
+
+// finish prints the JSON, if it is wanted, and returns the error for the exit status: nil for exitOK.
+func (r *applyReport) finish(status int, cause error) error {
+	if wantsJSON(r.cmd) {
+		if err := writeJSON(r.cmd.OutOrStdout(), "-", r.values); err != nil {
+			return err
 		}
-		return finish(exitConflict, fmt.Errorf("the change was made from revision %d, and %d is the newest; nothing was changed", call.Parent, won.Number))
-	default:
-		return finish(exitRefused, fmt.Errorf("%s; nothing was changed", answer.Answer))
 	}
-	fmt.Fprintf(out, "revision %d was accepted\n", answer.Revision.Number)
-	if c.noWait {
-		return finish(exitOK, nil)
+	if status == exitOK {
+		return nil
 	}
-	s, err := follow(ctx, client, out, answer.Revision.Number)
+	return &exitError{status, cause}
+}
+
+// follow reports the rollout of the revision until its end, or until another revision replaces it.
+func (r *applyReport) follow(client *agent.Client, revision uint64) error {
+	status, err := followRollout(r.cmd.Context(), client, r.out, revision)
 	if err != nil {
 		return err
 	}
-	final["rollout"] = s.Rollout
-	final["instances"] = s.Instances
-	if s.Rollout.New != answer.Revision.Number {
-		return finish(exitOK, nil)
+	r.values["rollout"] = status.Rollout
+	r.values["instances"] = status.Instances
+	if status.Rollout.New != revision {
+		return r.finish(exitOK, nil)
+	}
+	return r.finish(rolloutExitStatus(status))
+}
+
+// unchanged reports that the newest revision has this content already. It is an error if that revision was rolled back.
+func (r *applyReport) unchanged(client *agent.Client, newest uint64) error {
+	fmt.Fprintf(r.out, "revision %d says this already; nothing was changed\n", newest)
+	status, err := client.Status(r.cmd.Context())
+	if err == nil && status.Stale == "" && status.Wanted != newest {
+		return r.finish(exitRefused, fmt.Errorf("revision %d went back, and %d is wanted: --again tries it once more", newest, status.Wanted))
+	}
+	return r.finish(exitOK, nil)
+}
+
+// conflict reports the revision that came first, with its difference to the rejected content.
+func (r *applyReport) conflict(request agent.ApplyRequest, result agent.ApplyResult, file string) error {
+	first := result.Revision
+	fmt.Fprintf(r.out, "revision %d came first: by %s at %s: %s\n", first.Number, first.Author, first.At.Local().Format(time.DateTime), orDash(first.Message))
+	if request.Content != nil {
+		diff := diffContents(fmt.Sprintf("revision %d", first.Number), file, first.Content, *request.Content)
+		r.values["diff"] = diff
+		printDiff(r.out, diff)
+	}
+	if result.Answer == fleet.Busy {
+		r.values["why"] = result.Why
+		return r.finish(exitConflict, fmt.Errorf("%s; nothing was changed: wait for its end, or elderctl abort", result.Why))
 	}
-	return finish(rolloutExitStatus(s))
+	return r.finish(exitConflict, fmt.Errorf("the change was made from revision %d, and %d is the newest; nothing was changed", request.Parent, first.Number))
 }
--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -47,14 +47,15 @@
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
 			return probeContent(cmd, client, args[0], overlays, true)
 		}))
-	cmd.Flags().StringArrayVar(&overlays, "overlay", nil, "an instance's overlay as NAME=FILE; NAME= takes it away, and others stay as they are")
+	addOverlayFlag(cmd, &overlays)
 	return cmd
 }
 
-// probeContent has all agents look at a content.
+// probeContent prints what each instance would do with a content, which no agent stores. It is an error if an instance
+// would reject it, or an agent did not answer.
 func probeContent(cmd *cobra.Command, client *agent.Client, path string, overlays []string, withDiff bool) error {
 	ctx := cmd.Context()
-	newest, s, err := newestRevision(ctx, client)
+	newest, status, err := newestRevision(ctx, client)
 	if err != nil {
 		return err
 	}
@@ -62,43 +63,53 @@
 	if err != nil {
 		return err
 	}
-	list, err := client.Probe(ctx, content)
+	probes, err := client.Probe(ctx, content)
 	if err != nil {
 		return err
 	}
-	difference := diffContents(fmt.Sprintf("revision %d", newest.Number), path, newest.Content, content)
-	bad, silent := 0, 0
-	for _, p := range list {
-		switch {
-		case p.Silent:
-			silent++
-		case p.Error != "":
-			bad++
-		}
-	}
-	err = printResult(cmd, map[string]any{"parent": newest.Number, "wanted": s.Wanted, "diff": difference, "instances": list}, func(out io.Writer) {
+	diff := diffContents(fmt.Sprintf("revision %d", newest.Number), path, newest.Content, content)
+	err = printResult(cmd, map[string]any{"parent": newest.Number, "wanted": status.Wanted, "diff": diff, "instances": probes}, func(out io.Writer) {
 		if withDiff {
-			printDiff(out, difference)
+			printDiff(out, diff)
 			fmt.Fprintln(out)
 		}
-		printTable(out, func(w io.Writer) {
-			fmt.Fprintln(w, "instance\tagent\twould")
-			for _, p := range list {
-				step := string(p.Step)
-				if p.Silent {
-					step = "silent: " + p.Error
-				} else if p.Error != "" {
-					step = "refuse: " + p.Error
-				}
-				fmt.Fprintf(w, "%s\t%s\t%s\n", orDash(p.Instance), p.Agent, step)
+		printProbes(out, probes)
+	})
+	if err != nil {
+		return err
+	}
+	return probeError(probes)
+}
+
+func printProbes(out io.Writer, probes []agent.Probe) {
+	printTable(out, func(w io.Writer) {
+		fmt.Fprintln(w, "instance\tagent\twould")
+		for _, probe := range probes {
+			step := string(probe.Step)
+			if probe.Silent {
+				step = "silent: " + probe.Error
+			} else if probe.Error != "" {
+				step = "refuse: " + probe.Error
 			}
-		})
+			fmt.Fprintf(w, "%s\t%s\t%s\n", orDash(probe.Instance), probe.Agent, step)
+		}
 	})
+}
+
+// probeError returns the exit status of the probes: a rejection counts for more than a silent agent.
+func probeError(probes []agent.Probe) error {
+	rejected, silent := 0, 0
+	for _, probe := range probes {
+		switch {
+		case probe.Silent:
+			silent++
+		case probe.Error != "":
+			rejected++
+		}
+	}
 	switch {
-	case err != nil:
-		return err
-	case bad > 0:
-		return &exitError{exitRefused, fmt.Errorf("%d of %d would refuse it", bad, len(list))}
+	case rejected > 0:
+		return &exitError{exitRefused, fmt.Errorf("%d of %d would refuse it", rejected, len(probes))}
 	case silent > 0:
 		return &exitError{exitPartly, fmt.Errorf("%d agents are silent", silent)}
 	}
--- a/cmd/elderctl/content.go
+++ b/cmd/elderctl/content.go
@@ -3,56 +3,64 @@
 import (
 	"fmt"
 	"io"
+	"maps"
 	"os"
 	"slices"
 	"strings"
 
 	"github.com/aymanbagabas/go-udiff"
+	"github.com/spf13/cobra"
 
 	"elderyard/internal/document"
 	"elderyard/revisions"
 )
 
-// readContent reads a file, and overlays as NAME=FILE, over those of a parent;
-// NAME= takes one away.
+// addOverlayFlag adds the flag whose values readContent lays over the parent's overlays.
+func addOverlayFlag(cmd *cobra.Command, overlays *[]string) {
+	cmd.Flags().StringArrayVar(overlays, "overlay", nil, "an instance's overlay as NAME=FILE; NAME= takes it away, and others stay as they are")
+}
+
+// readContent reads a revision's file and checks it with the gateway's own parsers. Each overlay, NAME=FILE, replaces
+// the parent's of that name, and NAME= removes it; the parent's other overlays stay. Every error is a usage error.
 func readContent(path string, overlays []string, parent revisions.Content) (revisions.Content, error) {
-	c := revisions.Content{Overlays: map[string]string{}, RestartGeneration: parent.RestartGeneration}
+	content := revisions.Content{Overlays: map[string]string{}, RestartGeneration: parent.RestartGeneration}
 	for name, text := range parent.Overlays {
-		c.Overlays[name] = text
+		content.Overlays[name] = text
 	}
 	var err error
-	if c.File, err = readBounded(path); err != nil {
-		return c, usageError(err)
+	if content.File, err = readBounded(path); err != nil {
+		return content, usageError(err)
 	}
-	for _, o := range overlays {
-		name, file, found := strings.Cut(o, "=")
+	for _, overlay := range overlays {
+		name, file, found := strings.Cut(overlay, "=")
 		if !found || name == "" {
-			return c, usageError(fmt.Errorf("--overlay %q is not NAME=FILE", o))
+			return content, usageError(fmt.Errorf("--overlay %q is not NAME=FILE", overlay))
 		}
 		if file == "" {
-			delete(c.Overlays, name)
+			delete(content.Overlays, name)
 			continue
 		}
-		if c.Overlays[name], err = readBounded(file); err != nil {
-			return c, usageError(err)
+		if content.Overlays[name], err = readBounded(file); err != nil {
+			return content, usageError(err)
 		}
 	}
-	if len(c.Overlays) == 0 {
-		c.Overlays = nil
+	if len(content.Overlays) == 0 {
+		content.Overlays = nil
 	}
-	return c, usageError(document.Check(path, c))
+	return content, usageError(document.Check(path, content))
 }
 
+// readBounded reads a file that an agent would accept by its size.
 func readBounded(path string) (string, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return "", err
 	}
-	defer f.Close()
-	if info, err := f.Stat(); err == nil && info.IsDir() {
+	defer file.Close()
+	if info, err := file.Stat(); err == nil && info.IsDir() {
 		return "", fmt.Errorf("%s: is a folder", path)
 	}
-	text, err := io.ReadAll(io.LimitReader(f, revisions.MaxFileBytes+1))
+	text, err := io.ReadAll(io.LimitReader(file, revisions.MaxFileBytes+1))
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", path, err)
 	}
@@ -62,33 +70,24 @@
 	return string(text), nil
 }
 
-// diffContents is what separates two contents, as people read it.
-func diffContents(from, to string, a, b revisions.Content) string {
-	text := udiff.Unified(from, to, a.File, b.File)
-	names := map[string]bool{}
-	for n := range a.Overlays {
-		names[n] = true
-	}
-	for n := range b.Overlays {
-		names[n] = true
+// diffContents returns a unified diff of two contents, with the names that they have in it; "" if they are equal.
+func diffContents(oldName, newName string, old, changed revisions.Content) string {
+	text := udiff.Unified(oldName, newName, old.File, changed.File)
+	overlays := maps.Clone(old.Overlays)
+	if overlays == nil {
+		overlays = map[string]string{}
 	}
-	for _, n := range sorted(names) {
-		text += udiff.Unified(from+" overlay "+n, to+" overlay "+n, a.Overlays[n], b.Overlays[n])
+	maps.Copy(overlays, changed.Overlays)
+	for _, name := range slices.Sorted(maps.Keys(overlays)) {
+		text += udiff.Unified(oldName+" overlay "+name, newName+" overlay "+name, old.Overlays[name], changed.Overlays[name])
 	}
-	if a.RestartGeneration != b.RestartGeneration {
-		text += fmt.Sprintf("every instance starts anew (turn %d to %d)\n", a.RestartGeneration, b.RestartGeneration)
+	if old.RestartGeneration != changed.RestartGeneration {
+		text += fmt.Sprintf("every instance starts anew (turn %d to %d)\n", old.RestartGeneration, changed.RestartGeneration)
 	}
 	return text
 }
 
-func sorted(set map[string]bool) (list []string) {
-	for n := range set {
-		list = append(list, n)
-	}
-	slices.Sort(list)
-	return list
-}
-
+// printDiff prints a unified diff with its lines in colours.
 func printDiff(out io.Writer, text string) {
 	if text == "" {
 		fmt.Fprintln(out, "no difference")
--- a/cmd/elderctl/follow.go
+++ b/cmd/elderctl/follow.go
@@ -12,74 +12,100 @@
 	"elderyard/rollout"
 )
 
-const (
-	applyTimeout   = 2 * time.Minute
-	followInterval = 300 * time.Millisecond
-)
+const followInterval = 300 * time.Millisecond
 
-func rolloutExitStatus(s agent.Status) (int, error) {
-	switch s.Rollout.State {
+// rolloutExitStatus returns the exit status of a rollout that has ended, and the reason if that is not exitOK.
+func rolloutExitStatus(status agent.Status) (int, error) {
+	switch status.Rollout.State {
 	case rollout.Applied:
 		return exitOK, nil
 	case rollout.PartlyApplied:
-		return exitPartly, errors.New(s.Rollout.Reason)
+		return exitPartly, errors.New(status.Rollout.Reason)
 	}
-	return exitRefused, fmt.Errorf("%s: %s", s.Rollout.State, s.Rollout.Reason)
+	return exitRefused, fmt.Errorf("%s: %s", status.Rollout.State, status.Rollout.Reason)
 }
 
-// follow shows a rollout until its end. A leader that can't be reached for a
-// while is waited for: the rollout goes on without the tool.
-func follow(ctx context.Context, client *agent.Client, out io.Writer, revision uint64) (agent.Status, error) {
-	start := time.Now()
-	lastPrinted := map[string]string{}
-	printOnce := func(key, format string, a ...any) {
-		text := fmt.Sprintf(format, a...)
-		if lastPrinted[key] != text {
-			lastPrinted[key] = text
-			fmt.Fprintf(out, "%6.1fs  %s\n", time.Since(start).Seconds(), text)
-		}
-	}
-	leaderLostAt := time.Time{}
+// followRollout prints the progress of a rollout until it ends or another revision replaces it, and returns the status
+// at that moment. The rollout does not depend on the tool: a leader that can't be reached is waited for, for
+// applyTimeout at most.
+func followRollout(ctx context.Context, client *agent.Client, out io.Writer, revision uint64) (agent.Status, error) {
+	progress := newProgressPrinter(out)
+	var leaderLostAt time.Time // zero: a leader answers
 	for {
-		s, err := client.Status(ctx)
+		status, err := client.Status(ctx)
 		switch {
 		case ctx.Err() != nil:
-			return s, fmt.Errorf("revision %d goes on without this tool: %w", revision, ctx.Err())
-		case err != nil || s.Stale != "":
+			return status, fmt.Errorf("revision %d goes on without this tool: %w", revision, ctx.Err())
+		case err != nil || status.Stale != "":
 			if leaderLostAt.IsZero() {
 				leaderLostAt = time.Now()
 			}
-			printOnce("leader", "no leader answers; waiting")
+			progress.print(leaderKey, "no leader answers; waiting")
 			if time.Since(leaderLostAt) > applyTimeout {
-				return s, &exitError{exitUnreachable, fmt.Errorf("no leader has answered for %v; revision %d was accepted and goes on", applyTimeout, revision)}
+				return status, &exitError{exitUnreachable, fmt.Errorf("no leader has answered for %v; revision %d was accepted and goes on", applyTimeout, revision)}
 			}
 		default:
 			leaderLostAt = time.Time{}
-			delete(lastPrinted, "leader")
-			if s.Rollout.New != revision {
-				printOnce("rollout", "another revision, %d, has taken its place", s.Rollout.New)
-				return s, nil
-			}
-			updated := 0
-			for _, i := range s.Instances {
-				if i.Phase != "" && i.Phase != rollout.PhasePending {
-					printOnce(i.Name, "%s: %s%s", i.Name, i.Phase, parenthesized(i.Why))
-				}
-				if i.Running == s.Wanted && i.Ready {
-					updated++
-				}
-			}
-			if s.Waves == 0 {
-				printOnce("rollout", "%s; the leader hears what the agents have", s.Rollout.State)
-				break
-			}
-			printOnce("rollout", "%s, wave %d of %d, %d of %d instances run revision %d: %s", s.Rollout.State, s.Wave, s.Waves, updated, len(s.Instances), s.Wanted, s.Rollout.Reason)
-			if s.Rollout.State.Ended() {
-				return s, nil
+			progress.forget(leaderKey)
+			if ended := progress.printRollout(status, revision); ended {
+				return status, nil
 			}
 		}
-		wait.For(ctx, followInterval)
+		wait.For(ctx, followInterval) // an end of ctx is found after the next call
+	}
+}
+
+// Subjects of a progressPrinter, beside the names of instances.
+const (
+	leaderKey  = "leader"
+	rolloutKey = "rollout"
+)
+
+// progressPrinter prints lines about subjects, each with the time since its start, and only if it differs from the last
+// line about the same subject.
+type progressPrinter struct {
+	out   io.Writer
+	start time.Time
+	last  map[string]string // line, by subject
+}
+
+func newProgressPrinter(out io.Writer) *progressPrinter {
+	return &progressPrinter{out: out, start: time.Now(), last: map[string]string{}}
+}
+
+func (p *progressPrinter) print(subject, format string, args ...any) {
+	line := fmt.Sprintf(format, args...)
+	if p.last[subject] != line {
+		p.last[subject] = line
+		fmt.Fprintf(p.out, "%6.1fs  %s\n", time.Since(p.start).Seconds(), line)
+	}
+}
+
+// forget has the next line about the subject printed even if it repeats the last.
+func (p *progressPrinter) forget(subject string) { delete(p.last, subject) }
+
+// printRollout prints what is new in the leader's status of a revision's rollout, and reports whether there is nothing
+// more to follow.
+func (p *progressPrinter) printRollout(status agent.Status, revision uint64) (ended bool) {
+	if status.Rollout.New != revision {
+		p.print(rolloutKey, "another revision, %d, has taken its place", status.Rollout.New)
+		return true
+	}
+	updated := 0
+	for _, instance := range status.Instances {
+		if instance.Phase != "" && instance.Phase != rollout.PhasePending {
+			p.print(instance.Name, "%s: %s%s", instance.Name, instance.Phase, parenthesized(instance.Why))
+		}
+		if instance.Running == status.Wanted && instance.Ready {
+			updated++
+		}
+	}
+	if status.Waves == 0 { // a new leader collects the agents' reports first
+		p.print(rolloutKey, "%s; the leader hears what the agents have", status.Rollout.State)
+		return false
 	}
+	p.print(rolloutKey, "%s, wave %d of %d, %d of %d instances run revision %d: %s", status.Rollout.State, status.Wave, status.Waves, updated, len(status.Instances), status.Wanted, status.Rollout.Reason)
+	return status.Rollout.State.Ended()
 }
 
 func parenthesized(why string) string {
