--- a/cmd/elderctl/records.go
+++ b/cmd/elderctl/records.go
@@ -14,14 +14,8 @@
 	"elderyard/records"
 )
 
-const (
-	// defaultVersions is how many changes 'records versions' lists unless it is told.
-	defaultVersions = 20
-	lagPollInterval = 200 * time.Millisecond
-	// recordsChangeTimeout is for how long a change whose answer is lost is repeated.
-	recordsChangeTimeout = 30 * time.Second
-	maxNamedAgents       = 5 // of those that lack a change, in an error
-)
+// defaultVersions is how many changes 'records versions' lists without --limit.
+const defaultVersions = 20
 
 func recordsCommand() *cobra.Command {
 	return commandGroup("records", "Change and read the site's records: routes, tenants, plans and services",
@@ -77,25 +71,16 @@
 func printRecords(out io.Writer, list []records.Record) {
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "record\tversion\tvalue")
-		for _, r := range list {
-			fmt.Fprintf(w, "%s\t%d\t%s\n", r.Key, r.Version, r.Value)
+		for _, record := range list {
+			fmt.Fprintf(w, "%s\t%d\t%s\n", record.Key, record.Version, record.Value)
 		}
 	})
 }
 
-// parseRecordsVersion reads a version's number; 0 is that before the first change.
-func parseRecordsVersion(text string) (uint64, error) {
-	n, err := strconv.ParseUint(text, 10, 64)
-	if err != nil {
-		return 0, usageError(fmt.Errorf("%q is no version of the records", text))
-	}
-	return n, nil
-}
-
 func diffRecordsCommand() *cobra.Command {
 	return withJSON(agentVerb("diff VERSION [VERSION]", "Show which records changed since a version, or between two", "  elderctl records diff 812\n  elderctl records diff 812 830", cobra.RangeArgs(1, 2),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			var versions [2]uint64
+			var versions [2]uint64 // a second of 0 asks for the newest
 			for i, text := range args {
 				var err error
 				if versions[i], err = parseRecordsVersion(text); err != nil {
@@ -110,15 +95,24 @@
 		}))
 }
 
+// parseRecordsVersion reads a version's number; 0 is the version before the first change.
+func parseRecordsVersion(text string) (uint64, error) {
+	version, err := strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		return 0, usageError(fmt.Errorf("%q is no version of the records", text))
+	}
+	return version, nil
+}
+
 func printRecordsDiff(out io.Writer, diff agentapi.RecordsDiff) {
-	for _, c := range diff.Changes {
+	for _, change := range diff.Changes {
 		switch {
-		case c.Record != nil:
-			fmt.Fprintf(out, "%s\n", paint(out, green, fmt.Sprintf("+ %d %s %s", c.Version, c.Key, c.Record.Value)))
-		case c.SupersededBy > 0:
-			fmt.Fprintf(out, "~ %d %s (written anew at version %d)\n", c.Version, c.Key, c.SupersededBy)
+		case change.Record != nil:
+			fmt.Fprintf(out, "%s\n", paint(out, green, fmt.Sprintf("+ %d %s %s", change.Version, change.Key, change.Record.Value)))
+		case change.SupersededBy > 0:
+			fmt.Fprintf(out, "~ %d %s (written anew at version %d)\n", change.Version, change.Key, change.SupersededBy)
 		default:
-			fmt.Fprintf(out, "%s\n", paint(out, red, fmt.Sprintf("- %d %s", c.Version, c.Key)))
+			fmt.Fprintf(out, "%s\n", paint(out, red, fmt.Sprintf("- %d %s", change.Version, change.Key)))
 		}
 	}
 	fmt.Fprintf(out, "%d records changed from version %d to %d\n", len(diff.Changes), diff.From, diff.To)
@@ -135,15 +129,17 @@
 			if err != nil {
 				return err
 			}
-			return printResult(cmd, versions, func(out io.Writer) {
-				printTable(out, func(w io.Writer) {
-					fmt.Fprintln(w, "version\tat\tauthor\trecords\tmessage")
-					for _, v := range versions.Changes {
-						fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\n", v.Version, v.At.Local().Format(time.DateTime), v.Author, v.Operations, v.Message)
-					}
-				})
-			})
+			return printResult(cmd, versions, func(out io.Writer) { printRecordsVersions(out, versions) })
 		}))
 	cmd.Flags().IntVar(&limit, "limit", defaultVersions, "at most so many; 0: all that are kept")
 	return cmd
 }
+
+func printRecordsVersions(out io.Writer, versions agentapi.RecordsVersions) {
+	printTable(out, func(w io.Writer) {
+		fmt.Fprintln(w, "version\tat\tauthor\trecords\tmessage")
+		for _, v := range versions.Changes {
+			fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\n", v.Version, v.At.Local().Format(time.DateTime), v.Author, v.Operations, v.Message)
+		}
+	})
+}
--- a/cmd/elderctl/records_change.go
+++ b/cmd/elderctl/records_change.go
@@ -8,18 +8,19 @@
 	"fmt"
 	"io"
 	"os"
-	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"elderyard/internal/agent"
 	"elderyard/internal/agentapi"
-	"elderyard/internal/wait"
 	"elderyard/records"
 )
 
-// recordsChange is how a change of records is sent.
+// recordsChangeTimeout bounds the call of a change, which is repeated while its response is lost.
+const recordsChangeTimeout = 30 * time.Second
+
+// recordsChange holds the flags of the verbs that change records.
 type recordsChange struct {
 	condition uint64
 	message   string
@@ -27,15 +28,16 @@
 	wait      time.Duration
 }
 
+// flags adds the flags that set the change.
 func (c *recordsChange) flags(cmd *cobra.Command) {
-	f := cmd.Flags()
-	f.Uint64Var(&c.condition, "if", 0, "change the record only if it is at this version; 0: only if it does not exist")
-	f.StringVar(&c.message, "message", "", "what it is for")
-	f.StringVar(&c.request, "request", "", "key of the change: a repeat under the same key is answered as the first was; default: a new one")
-	f.DurationVar(&c.wait, "wait", 0, "wait so long until the change is in force at every agent; 0: do not wait")
+	flags := cmd.Flags()
+	flags.Uint64Var(&c.condition, "if", 0, "change the record only if it is at this version; 0: only if it does not exist")
+	flags.StringVar(&c.message, "message", "", "what it is for")
+	flags.StringVar(&c.request, "request", "", "key of the change: a repeat under the same key is answered as the first was; default: a new one")
+	flags.DurationVar(&c.wait, "wait", 0, "wait so long until the change is in force at every agent; 0: do not wait")
 }
 
-// conditionOf returns the version that the record is expected at; nil: any.
+// conditionOf returns the version that the record must be at for the change, or nil without --if.
 func (c *recordsChange) conditionOf(cmd *cobra.Command) *uint64 {
 	if !cmd.Flags().Changed("if") {
 		return nil
@@ -43,7 +45,7 @@
 	return &c.condition
 }
 
-// send makes the change and shows what became of it.
+// send makes the change, prints its result and, with --wait, waits until it is in force.
 func (c *recordsChange) send(cmd *cobra.Command, client *agent.Client, operations []records.Operation) error {
 	if c.request == "" {
 		var err error
@@ -66,7 +68,7 @@
 	case records.Invalid:
 		return &exitError{exitRefused, fmt.Errorf("the change is refused, and nothing was changed: %w", result.Problem)}
 	}
-	return c.await(cmd.Context(), client, result.Version)
+	return awaitVersion(cmd.Context(), client, result.Version, c.wait)
 }
 
 func printRecordsResult(out io.Writer, result records.Result) {
@@ -78,95 +80,81 @@
 	}
 }
 
-// await waits until every agent that keeps records has a version.
-func (c *recordsChange) await(ctx context.Context, client *agent.Client, version uint64) error {
-	if c.wait <= 0 {
-		return nil
-	}
-	ctx, cancel := context.WithTimeout(ctx, c.wait)
-	defer cancel()
-	for {
-		lag, err := client.RecordsLag(ctx)
-		lacking := agentsBehind(lag, version)
-		if err == nil && len(lacking) == 0 {
-			return nil
-		}
-		if !wait.For(ctx, lagPollInterval) {
-			if err != nil {
-				return err
-			}
-			return &exitError{exitPartly, fmt.Errorf("version %d is accepted, and not yet in force at %s", version, strings.Join(lacking, ", "))}
-		}
-	}
-}
-
 func putRecordsCommand() *cobra.Command {
 	var change recordsChange
-	var value, file, from string
+	var source putSource
 	cmd := withJSON(agentVerb("put [KIND/NAME]", "Write a record, or with --from many in one change that is taken whole or not at all",
 		"  elderctl records put tenant/acme --value '{\"plan\":\"gold\"}'\n  elderctl records put route/search --file route.json --if 812\n  elderctl records put --from changes.json --message 'new prices'",
 		cobra.MaximumNArgs(1),
 		func(cmd *cobra.Command, client *agent.Client, args []string) error {
-			operations, err := readPut(cmd, args, &change, value, file, from)
+			operations, err := source.operations(cmd, args, &change)
 			if err != nil {
 				return usageError(err)
 			}
 			return change.send(cmd, client, operations)
 		}))
 	change.flags(cmd)
-	cmd.Flags().StringVar(&value, "value", "", "the record's value as JSON")
-	cmd.Flags().StringVar(&file, "file", "", "file with the record's value as JSON")
-	cmd.Flags().StringVar(&from, "from", "", `file with a JSON list of operations: {"key":"KIND/NAME","value":{...}} or {"key":"KIND/NAME","delete":true}, each with "if":VERSION where wanted`)
+	cmd.Flags().StringVar(&source.value, "value", "", "the record's value as JSON")
+	cmd.Flags().StringVar(&source.file, "file", "", "file with the record's value as JSON")
+	cmd.Flags().StringVar(&source.from, "from", "", `file with a JSON list of operations: {"key":"KIND/NAME","value":{...}} or {"key":"KIND/NAME","delete":true}, each with "if":VERSION where wanted`)
 	return cmd
 }
 
-// readPut makes the operations of a put out of its arguments.
-func readPut(cmd *cobra.Command, args []string, change *recordsChange, value, file, from string) ([]records.Operation, error) {
-	if from != "" {
-		if len(args) > 0 || value != "" || file != "" || cmd.Flags().Changed("if") {
+// putSource holds the flags of 'records put' that say where values are read from.
+type putSource struct {
+	value string // JSON
+	file  string // with one value
+	from  string // with a list of operations
+}
+
+// operations returns the operations of a put: those of the file that --from names, or one write of the record that the
+// argument names.
+func (s *putSource) operations(cmd *cobra.Command, args []string, change *recordsChange) ([]records.Operation, error) {
+	if s.from != "" {
+		if len(args) > 0 || s.value != "" || s.file != "" || cmd.Flags().Changed("if") {
 			return nil, errors.New("put: --from names the records, values and conditions: give nothing else beside it")
 		}
-		return readOperations(from)
+		return readOperations(s.from)
 	}
-	if len(args) == 0 || (value == "") == (file == "") {
+	if len(args) == 0 || (s.value == "") == (s.file == "") {
 		return nil, errors.New("put: name one record, and its value by --value or --file")
 	}
 	key, err := records.ParseKey(args[0])
 	if err != nil {
 		return nil, err
 	}
-	text, place := []byte(value), "--value"
-	if file != "" {
-		if text, err = os.ReadFile(file); err != nil {
+	value, origin := []byte(s.value), "--value"
+	if s.file != "" {
+		if value, err = os.ReadFile(s.file); err != nil {
 			return nil, err
 		}
-		place = file
+		origin = s.file
 	}
-	if err := checkJSON(text); err != nil {
-		return nil, fmt.Errorf("%s: %w", place, err)
+	if err := checkJSON(value); err != nil {
+		return nil, fmt.Errorf("%s: %w", origin, err)
 	}
-	return []records.Operation{{Key: key, Value: text, IfVersion: change.conditionOf(cmd)}}, nil
+	return []records.Operation{{Key: key, Value: value, IfVersion: change.conditionOf(cmd)}}, nil
 }
 
-// checkJSON finds what keeps a text from being one JSON value.
+// checkJSON returns the error that keeps a text from being one JSON value.
 func checkJSON(text []byte) error {
 	var value json.RawMessage
 	return json.Unmarshal(text, &value)
 }
 
-// readOperations reads a file of operations, and names the one that makes no sense.
+// readOperations reads a file with a JSON list of operations. An error names the operation, counted from 1.
 func readOperations(path string) ([]records.Operation, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var parts []json.RawMessage
-	if err := json.Unmarshal(text, &parts); err != nil {
+	var list []json.RawMessage
+	if err := json.Unmarshal(text, &list); err != nil {
 		return nil, fmt.Errorf("%s: want a JSON list of operations: %w", path, err)
 	}
-	operations := make([]records.Operation, len(parts))
-	for i, part := range parts {
-		decoder := json.NewDecoder(bytes.NewReader(part))
+	operations := make([]records.Operation, len(list))
+	for i, element := range list {
+		decoder := json.NewDecoder(bytes.NewReader(element))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&operations[i]); err != nil {
 			return nil, fmt.Errorf("%s: operation %d: %w", path, i+1, err)
--- a/cmd/elderctl/records_lag.go
+++ b/cmd/elderctl/records_lag.go
@@ -1,34 +1,23 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
+	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"elderyard/internal/agent"
 	"elderyard/internal/agentapi"
+	"elderyard/internal/wait"
 )
 
-// agentsBehind names agents that are not known to have a version, the first few.
-func agentsBehind(lag agentapi.RecordsLag, version uint64) (names []string) {
-	more := 0
-	for _, a := range lag.Agents {
-		has := a.Status.Version >= version && (a.State == agentapi.RecordsInForce || a.State == agentapi.RecordsBehind)
-		switch {
-		case has || a.State == agentapi.RecordsNoReports:
-		case len(names) < maxNamedAgents:
-			names = append(names, fmt.Sprintf("%s (%s, version %d)", a.Agent, a.State, a.Status.Version))
-		default:
-			more++
-		}
-	}
-	if more > 0 {
-		names = append(names, fmt.Sprintf("%d more", more))
-	}
-	return names
-}
+const (
+	lagPollInterval = 200 * time.Millisecond
+	maxNamedAgents  = 5 // of those that lack a version, in an error
+)
 
 func recordsLagCommand() *cobra.Command {
 	return withJSON(agentVerb("lag", "Tell at which agents the newest records are in force, and who is behind, since when and why; exit status 7 if any is",
@@ -42,7 +31,7 @@
 				return err
 			}
 			if lag.Stale != "" {
-				return &exitError{exitUnreachable, fmt.Errorf("no leader answers: %s", lag.Stale)}
+				return noLeaderError(lag.Stale)
 			}
 			if !lag.Everywhere() {
 				return &exitError{exitPartly, fmt.Errorf("version %d is not in force everywhere", lag.Version)}
@@ -55,18 +44,61 @@
 	printStale(out, lag.Stale)
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "agent\tstate\tversion\tbehind for\tconfirmed\twhy")
-		for _, a := range lag.Agents {
+		for _, row := range lag.Agents {
 			behind := ""
-			if a.Since != nil {
-				behind = now.Sub(*a.Since).Round(time.Second).String()
+			if row.Since != nil {
+				behind = now.Sub(*row.Since).Round(time.Second).String()
 			}
 			confirmed := ""
-			if a.ReportedAt != nil && a.Status.AgeSeconds != nil {
-				age := now.Sub(*a.ReportedAt) + time.Duration(*a.Status.AgeSeconds*float64(time.Second))
+			if row.ReportedAt != nil && row.Status.AgeSeconds != nil {
+				age := now.Sub(*row.ReportedAt) + time.Duration(*row.Status.AgeSeconds*float64(time.Second))
 				confirmed = max(0, age).Round(time.Second).String() + " ago"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", a.Agent, a.State, a.Status.Version, orDash(behind), orDash(confirmed), orDash(a.Status.Why))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", row.Agent, row.State, row.Status.Version, orDash(behind), orDash(confirmed), orDash(row.Status.Why))
 		}
 	})
 	fmt.Fprintf(out, "version %d, digest %s: in force at %d of %d agents\n", lag.Version, lag.Digest, lag.InForce, len(lag.Agents))
 }
+
+// awaitVersion polls until every agent that reports on its records has the version in force. After the timeout it
+// returns the error of the last call, or else one that names the agents that lack it; without a timeout it returns nil
+// at once.
+func awaitVersion(ctx context.Context, client *agent.Client, version uint64, timeout time.Duration) error {
+	if timeout <= 0 {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	for {
+		lag, err := client.RecordsLag(ctx)
+		behind := agentsBehind(lag, version)
+		if err == nil && len(behind) == 0 {
+			return nil
+		}
+		if !wait.For(ctx, lagPollInterval) {
+			if err != nil {
+				return err
+			}
+			return &exitError{exitPartly, fmt.Errorf("version %d is accepted, and not yet in force at %s", version, strings.Join(behind, ", "))}
+		}
+	}
+}
+
+// agentsBehind names the agents that are not known to have a version: the first maxNamedAgents, and how many more.
+func agentsBehind(lag agentapi.RecordsLag, version uint64) (names []string) {
+	unnamed := 0
+	for _, row := range lag.Agents {
+		current := row.Status.Version >= version && (row.State == agentapi.RecordsInForce || row.State == agentapi.RecordsBehind)
+		switch {
+		case current || row.State == agentapi.RecordsNoReports:
+		case len(names) < maxNamedAgents:
+			names = append(names, fmt.Sprintf("%s (%s, version %d)", row.Agent, row.State, row.Status.Version))
+		default:
+			unnamed++
+		}
+	}
+	if unnamed > 0 {
+		names = append(names, fmt.Sprintf("%d more", unnamed))
+	}
+	return names
+}
--- a/cmd/elderctl/rollback.go
+++ b/cmd/elderctl/rollback.go
@@ -63,7 +63,7 @@
 			if err != nil {
 				return err
 			}
-			// Above both generations: else an instance that has seen the newest revision would not restart.
+			// A generation that neither revision has: the content differs from both, and every instance restarts.
 			wanted.Content.RestartGeneration = max(wanted.Content.RestartGeneration, newest.Content.RestartGeneration) + 1
 			request := options.request(cmd, newest.Number, "restart")
 			request.Content = &wanted.Content
