--- a/cmd/elderctl/agent.go
+++ b/cmd/elderctl/agent.go
@@ -15,30 +15,43 @@
 )
 
 func agentCommand() *cobra.Command {
-	var recover, stopGateways bool
-	run := &cobra.Command{
+	return commandGroup("agent", "Run the gateways of this machine, and take part in the fleet", agentInitCommand(), agentRunCommand(),
+		keysCommand("List every key of the agent's file and what it means", agent.Keys))
+}
+
+func agentRunCommand() *cobra.Command {
+	var becomeOnlyVoter, stopGateways bool
+	cmd := &cobra.Command{
 		Use: "run FILE", Short: "Run an agent with its file until it is asked to end",
 		Long: `Run an agent with its file until SIGTERM or SIGINT. Its gateways go on without it,
 and the next agent on the folder takes them over; --take-down ends them as well.` + fleetHelp,
 		Example: "  elderctl agent run site/agent.toml",
 		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, err := agent.ReadConfig(args[0])
+			config, err := agent.ReadConfig(args[0])
 			if err != nil {
 				return usageError(err)
 			}
-			return operationError(agent.Run(cmd.Context(), c, agent.Options{Recover: recover, StopGateways: stopGateways, Log: newLog(os.Stderr)}))
+			options := agent.Options{Recover: becomeOnlyVoter, StopGateways: stopGateways, Log: newLogger(os.Stderr)}
+			return operationError(agent.Run(cmd.Context(), config, options))
 		},
 	}
-	run.Flags().BoolVar(&recover, "recover", false, "become the only voter with what this folder holds; only when the other voters are lost for good")
-	run.Flags().BoolVar(&stopGateways, "take-down", false, "end the gateways when the agent is asked to end")
-	return commandGroup("agent", "Run the gateways of this machine, and take part in the fleet", agentInitCommand(), run,
-		keysCommand("List every key of the agent's file and what it means", agent.Keys))
+	cmd.Flags().BoolVar(&becomeOnlyVoter, "recover", false, "become the only voter with what this folder holds; only when the other voters are lost for good")
+	cmd.Flags().BoolVar(&stopGateways, "take-down", false, "end the gateways when the agent is asked to end")
+	return cmd
+}
+
+func newLogger(out io.Writer) *slog.Logger { return slog.New(slog.NewTextHandler(out, nil)) }
+
+// newAgent holds the flags of 'agent init'.
+type newAgent struct {
+	name      string
+	gateway   string   // program; "": the one beside the tool
+	instances []string // each NAME=HOST:PORT
 }
 
 func agentInitCommand() *cobra.Command {
-	var name, gateway string
-	var instances []string
+	var a newAgent
 	cmd := &cobra.Command{
 		Use: "init DIR", Short: "Write the file of an agent that is a site of its own",
 		Long:    "Write DIR/agent.toml: an agent that is the only voter, reached by its local socket.\n" + fleetHelp,
@@ -46,33 +59,8 @@
 		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			path := filepath.Join(args[0], "agent.toml")
-			if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-				return usageError(fmt.Errorf("%s is there already", path))
-			}
-			var b strings.Builder
-			fmt.Fprintf(&b, "# An agent that is a site of its own. `elderctl agent keys` lists all keys.\nname = %q\ndir = \".\"\nvoter = true\n", name)
-			if gateway != "" {
-				full, err := filepath.Abs(gateway)
-				if err != nil {
-					return usageError(err)
-				}
-				fmt.Fprintf(&b, "gateway = %q\n", full)
-			}
-			for _, i := range instances {
-				n, listen, found := strings.Cut(i, "=")
-				if !found {
-					return usageError(fmt.Errorf("--instance %q is not NAME=HOST:PORT", i))
-				}
-				fmt.Fprintf(&b, "\n[[instance]]\nname = %q\nlisten = %q\n", n, listen)
-			}
-			if err := os.MkdirAll(args[0], 0o700); err != nil {
-				return operationError(err)
-			}
-			if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
-				return operationError(err)
-			}
-			if _, err := agent.ReadConfig(path); err != nil {
-				return usageError(errors.Join(err, os.Remove(path)))
+			if err := a.write(path); err != nil {
+				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "wrote %s\nnext: elderctl agent run %s, and in another shell: %s=%s elderctl apply FILE\n",
 				path, path, agentVariable, filepath.Join(args[0], "agent.sock"))
@@ -83,10 +71,51 @@
 	if err != nil || host == "" {
 		host = "agent"
 	}
-	cmd.Flags().StringVar(&name, "name", host, "the agent's name")
-	cmd.Flags().StringVar(&gateway, "gateway", "", "the gateway's program; default elderyard beside elderctl")
-	cmd.Flags().StringArrayVar(&instances, "instance", nil, "a gateway as NAME=HOST:PORT; may be repeated")
+	cmd.Flags().StringVar(&a.name, "name", host, "the agent's name")
+	cmd.Flags().StringVar(&a.gateway, "gateway", "", "the gateway's program; default elderyard beside elderctl")
+	cmd.Flags().StringArrayVar(&a.instances, "instance", nil, "a gateway as NAME=HOST:PORT; may be repeated")
 	return cmd
 }
 
-func newLog(out io.Writer) *slog.Logger { return slog.New(slog.NewTextHandler(out, nil)) }
+// write creates the agent's file, with its folder. A file that the agent would reject is removed again, and one that
+// exists stays.
+func (a *newAgent) write(path string) error {
+	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
+		return usageError(fmt.Errorf("%s is there already", path))
+	}
+	text, err := a.encode()
+	if err != nil {
+		return usageError(err)
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
+		return operationError(err)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		return operationError(err)
+	}
+	if _, err := agent.ReadConfig(path); err != nil {
+		return usageError(errors.Join(err, os.Remove(path)))
+	}
+	return nil
+}
+
+// encode returns the text of the agent's file.
+func (a *newAgent) encode() (string, error) {
+	var b strings.Builder
+	fmt.Fprintf(&b, "# An agent that is a site of its own. `elderctl agent keys` lists all keys.\nname = %q\ndir = \".\"\nvoter = true\n", a.name)
+	if a.gateway != "" {
+		program, err := filepath.Abs(a.gateway)
+		if err != nil {
+			return "", err
+		}
+		fmt.Fprintf(&b, "gateway = %q\n", program)
+	}
+	for _, instance := range a.instances {
+		name, listen, found := strings.Cut(instance, "=")
+		if !found {
+			return "", fmt.Errorf("--instance %q is not NAME=HOST:PORT", instance)
+		}
+		fmt.Fprintf(&b, "\n[[instance]]\nname = %q\nlisten = %q\n", name, listen)
+	}
+	return b.String(), nil
+}
--- a/cmd/elderctl/lab_sweep.go
+++ b/cmd/elderctl/lab_sweep.go
@@ -9,8 +9,8 @@
 	"elderyard/internal/lab"
 )
 
-// labSweepCommand is the process that outlives a lab that was killed: when its
-// input ends, it ends what the lab's agents have left running.
+// labSweepCommand returns the hidden verb that a lab starts to clean up after itself if it is killed. It reads its input,
+// a pipe that ends with the lab's process, and then kills the processes that the lab's agents left running in DIR.
 func labSweepCommand() *cobra.Command {
 	return &cobra.Command{Use: "lab-keeper DIR", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
--- a/cmd/elderctl/status.go
+++ b/cmd/elderctl/status.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"os"
 	"strings"
 	"time"
 
@@ -14,27 +13,31 @@
 	"elderyard/internal/wait"
 )
 
+// statusInterval is the time between two calls of 'status --watch'.
+const statusInterval = time.Second
+
+// clearScreen moves a terminal's cursor to its first place and clears the screen.
+const clearScreen = "\x1b[H\x1b[2J"
+
 func statusCommand() *cobra.Command {
 	var watch bool
 	cmd := withJSON(agentVerb("status", "Show what is wanted, what runs, and where a rollout is", "  elderctl status\n  elderctl status --watch", cobra.NoArgs,
 		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
 			for {
-				s, err := client.Status(cmd.Context())
+				status, err := client.Status(cmd.Context())
 				if err != nil {
 					return err
 				}
-				if watch {
-					if f, is := cmd.OutOrStdout().(*os.File); is && paint(f, red, "") != "" {
-						fmt.Fprint(f, "\x1b[H\x1b[2J")
-					}
+				if out := cmd.OutOrStdout(); watch && showsColours(out) {
+					fmt.Fprint(out, clearScreen)
 				}
-				if err := printResult(cmd, s, func(out io.Writer) { printStatus(out, s) }); err != nil {
+				if err := printResult(cmd, status, func(out io.Writer) { printStatus(out, status) }); err != nil {
 					return err
 				}
 				if !watch {
-					return siteStatusError(s)
+					return statusError(status)
 				}
-				if !wait.For(cmd.Context(), time.Second) {
+				if !wait.For(cmd.Context(), statusInterval) {
 					return nil
 				}
 			}
@@ -43,78 +46,88 @@
 	return cmd
 }
 
-// siteStatusError is the exit status that a site's state deserves.
-func siteStatusError(s agent.Status) error {
-	if s.Stale != "" {
+// statusError returns the exit status of a site's state. Instances that differ from the wanted revision are an error
+// only after the rollout has ended.
+func statusError(status agent.Status) error {
+	if status.Stale != "" {
 		return &exitError{exitUnreachable, errors.New("no leader answers; what was shown may be old")}
 	}
 	missing := 0
-	for _, i := range s.Instances {
-		if !i.Drained && (i.Silent || i.Running != s.Wanted || !i.Ready) {
+	for _, instance := range status.Instances {
+		if !instance.Drained && (instance.Silent || instance.Running != status.Wanted || !instance.Ready) {
 			missing++
 		}
 	}
-	if missing > 0 && s.Rollout.Ended() && s.Wanted != 0 {
-		return &exitError{exitPartly, fmt.Errorf("%d of %d instances are silent, or do not run revision %d", missing, len(s.Instances), s.Wanted)}
+	if missing > 0 && status.Rollout.Ended() && status.Wanted != 0 {
+		return &exitError{exitPartly, fmt.Errorf("%d of %d instances are silent, or do not run revision %d", missing, len(status.Instances), status.Wanted)}
 	}
 	return nil
 }
 
-func printStatus(out io.Writer, s agent.Status) {
-	printStale(out, s.Stale)
-	if s.Store != "" {
-		fmt.Fprintln(out, paint(out, red, "the asked voter can't write its store: "+s.Store))
+func printStatus(out io.Writer, status agent.Status) {
+	printStale(out, status.Stale)
+	if status.Store != "" {
+		fmt.Fprintln(out, paint(out, red, "the asked voter can't write its store: "+status.Store))
 	}
-	fmt.Fprintf(out, "wanted revision %d, newest %d, leader %s\n", s.Wanted, s.Head, orDash(s.Leader))
-	if s.Rollout.New != 0 {
-		fmt.Fprintf(out, "rollout of revision %d by %s: %s", s.Rollout.New, s.Rollout.By, s.Rollout.State)
-		if s.Waves > 0 && !s.Rollout.Ended() {
-			fmt.Fprintf(out, ", wave %d of %d", s.Wave, s.Waves)
+	fmt.Fprintf(out, "wanted revision %d, newest %d, leader %s\n", status.Wanted, status.Head, orDash(status.Leader))
+	if rollout := status.Rollout; rollout.New != 0 {
+		fmt.Fprintf(out, "rollout of revision %d by %s: %s", rollout.New, rollout.By, rollout.State)
+		if status.Waves > 0 && !rollout.Ended() {
+			fmt.Fprintf(out, ", wave %d of %d", status.Wave, status.Waves)
 		}
-		fmt.Fprintf(out, ": %s\n", s.Rollout.Reason)
+		fmt.Fprintf(out, ": %s\n", rollout.Reason)
 	}
-	printInstances(out, s)
+	printInstances(out, status)
 }
 
-func printInstances(out io.Writer, s agent.Status) {
+func printInstances(out io.Writer, status agent.Status) {
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "instance\tagent\truns\tstate\tphase\tcrashes\theard\twhy")
-		for _, i := range s.Instances {
-			state := string(i.State)
-			switch {
-			case i.Silent:
-				state = "silent"
-			case i.Drained:
-				state += ", drained"
-			}
+		for _, instance := range status.Instances {
 			lastReport := "never"
-			if !i.ReportedAt.IsZero() {
-				lastReport = s.At.Sub(i.ReportedAt).Round(time.Second).String() + " ago"
+			if !instance.ReportedAt.IsZero() {
+				lastReport = status.At.Sub(instance.ReportedAt).Round(time.Second).String() + " ago"
 			}
-			why := []string{}
-			for _, part := range []string{i.Why, i.MembershipView} {
-				if part != "" {
-					why = append(why, part)
-				}
-			}
-			if len(i.UnreachableFrom) > 0 {
-				why = append(why, "not heard by "+strings.Join(i.UnreachableFrom, " "))
-			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\n", i.Name, i.Agent, i.Running, orDash(state), orDash(string(i.Phase)), i.Crashes, lastReport, strings.Join(why, "; "))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\n", instance.Name, instance.Agent, instance.Running, orDash(instanceState(instance)),
+				orDash(string(instance.Phase)), instance.Crashes, lastReport, instanceReasons(instance))
 		}
 	})
 }
 
+func instanceState(instance agent.InstanceStatus) string {
+	switch {
+	case instance.Silent:
+		return "silent"
+	case instance.Drained:
+		return string(instance.State) + ", drained"
+	}
+	return string(instance.State)
+}
+
+// instanceReasons returns why the instance is in its state, what it reports of the others and who can't reach it.
+func instanceReasons(instance agent.InstanceStatus) string {
+	var reasons []string
+	for _, reason := range []string{instance.Why, instance.MembershipView} {
+		if reason != "" {
+			reasons = append(reasons, reason)
+		}
+	}
+	if len(instance.UnreachableFrom) > 0 {
+		reasons = append(reasons, "not heard by "+strings.Join(instance.UnreachableFrom, " "))
+	}
+	return strings.Join(reasons, "; ")
+}
+
 func instancesCommand() *cobra.Command {
 	return withJSON(agentVerb("instances", "List all instances and what each runs", "  elderctl instances", cobra.NoArgs,
 		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
-			s, err := client.Status(cmd.Context())
+			status, err := client.Status(cmd.Context())
 			if err != nil {
 				return err
 			}
-			return printResult(cmd, s.Instances, func(out io.Writer) {
-				printStale(out, s.Stale)
-				printInstances(out, s)
+			return printResult(cmd, status.Instances, func(out io.Writer) {
+				printStale(out, status.Stale)
+				printInstances(out, status)
 			})
 		}))
 }
