--- a/cmd/elderctl/import.go
+++ b/cmd/elderctl/import.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -16,8 +17,8 @@
 	"elderyard/revisions"
 )
 
-// importCommand makes a revision's file of the configurations that gateways have
-// been run with by hand.
+// importCommand returns the verb that turns the configurations of gateways that run without a fleet into a revision's
+// file and overlays.
 func importCommand() *cobra.Command {
 	var dir string
 	cmd := &cobra.Command{
@@ -25,25 +26,14 @@
 		Long: `Write DIR/site.toml from the first configuration, and DIR/NAME.toml for every
 gateway whose configuration differs from it. Nothing that is there is replaced.` + fleetHelp,
 		Example: "  elderctl import --out site /etc/elderyard/g0.json /etc/elderyard/g1.json",
-		Args:    func(cmd *cobra.Command, args []string) error { return usageError(cobra.MinimumNArgs(1)(cmd, args)) },
+		Args:    checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			files, apply, err := importConfigs(dir, args)
 			if err != nil {
 				return usageError(err)
 			}
-			if err := os.MkdirAll(dir, 0o700); err != nil {
-				return operationError(err)
-			}
-			for _, f := range files {
-				if _, err := os.Stat(f.path); !errors.Is(err, os.ErrNotExist) {
-					return usageError(fmt.Errorf("%s: is there already", f.path))
-				}
-			}
-			for _, f := range files {
-				if err := os.WriteFile(f.path, f.text, 0o600); err != nil {
-					return operationError(err)
-				}
-				fmt.Fprintf(cmd.OutOrStdout(), "wrote %s\n", f.path)
+			if err := writeNewFiles(cmd.OutOrStdout(), dir, files); err != nil {
+				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "next: %s\n", apply)
 			return nil
@@ -58,75 +48,106 @@
 	text []byte
 }
 
-// importConfigs reads all and checks what it makes of them before anything is
-// written.
+// writeNewFiles writes files of a folder and prints their paths. If one of them exists already, none is written.
+func writeNewFiles(out io.Writer, dir string, files []importedFile) error {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return operationError(err)
+	}
+	for _, file := range files {
+		if _, err := os.Stat(file.path); !errors.Is(err, os.ErrNotExist) {
+			return usageError(fmt.Errorf("%s: is there already", file.path))
+		}
+	}
+	for _, file := range files {
+		if err := os.WriteFile(file.path, file.text, 0o600); err != nil {
+			return operationError(err)
+		}
+		fmt.Fprintf(out, "wrote %s\n", file.path)
+	}
+	return nil
+}
+
+// importConfigs reads the configurations, the first of which becomes the revision's file, and checks the content that
+// they make. It writes nothing; apply is the command that applies what it returns.
 func importConfigs(dir string, paths []string) (files []importedFile, apply string, err error) {
 	var base map[string]any
 	content := revisions.Content{Overlays: map[string]string{}}
-	apply = "elderctl apply " + filepath.Join(dir, "site.toml")
+	basePath := filepath.Join(dir, "site.toml")
+	apply = "elderctl apply " + basePath
 	for _, path := range paths {
-		text, err := os.ReadFile(path)
+		name, config, err := readConfig(path)
 		if err != nil {
 			return nil, "", err
 		}
-		var config map[string]any
-		if err := json.Unmarshal(text, &config); err != nil {
-			return nil, "", fmt.Errorf("%s: %w", path, err)
-		}
-		name, _ := config["name"].(string)
-		if err := fleet.CheckName("instance", name); err != nil {
-			return nil, "", fmt.Errorf("%s: %w", path, err)
-		}
-		if _, twice := content.Overlays[name]; twice {
+		if _, duplicate := content.Overlays[name]; duplicate {
 			return nil, "", fmt.Errorf("%s: %s stands twice", path, name)
 		}
-		// What is the instance's own, and what is news of a moment.
-		for _, key := range []string{"name", "listen", "known"} {
-			delete(config, key)
-		}
-		table := config
-		file := filepath.Join(dir, name+".toml")
-		if base == nil {
-			base, file = config, filepath.Join(dir, "site.toml")
-		} else if table, err = difference(base, config); err != nil {
-			return nil, "", fmt.Errorf("%s: %w", path, err)
+		content.Overlays[name] = ""
+		isBase := base == nil
+		table, target := config, basePath
+		if isBase {
+			base = config
+		} else {
+			if table, err = overlayOf(base, config); err != nil {
+				return nil, "", fmt.Errorf("%s: %w", path, err)
+			}
+			if len(table) == 0 {
+				continue
+			}
+			target = filepath.Join(dir, name+".toml")
 		}
-		out, err := toml.Marshal(map[string]any{"gateway": table})
+		text, err := toml.Marshal(map[string]any{"gateway": table})
 		if err != nil {
 			return nil, "", fmt.Errorf("%s: %w", path, err)
 		}
-		content.Overlays[name] = ""
-		switch {
-		case len(files) == 0:
-			content.File = string(out)
-		case len(table) > 0:
-			content.Overlays[name] = string(out)
-			apply += " --overlay " + name + "=" + file
-		default:
-			continue
+		if isBase {
+			content.File = string(text)
+		} else {
+			content.Overlays[name] = string(text)
+			apply += " --overlay " + name + "=" + target
 		}
-		files = append(files, importedFile{file, out})
+		files = append(files, importedFile{target, text})
+	}
+	return files, apply, document.Check(basePath, content)
+}
+
+// readConfig reads a gateway's configuration, without the keys that are the instance's own or change while it runs.
+func readConfig(path string) (name string, config map[string]any, err error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return "", nil, err
+	}
+	if err := json.Unmarshal(text, &config); err != nil {
+		return "", nil, fmt.Errorf("%s: %w", path, err)
+	}
+	name, _ = config["name"].(string)
+	if err := fleet.CheckName("instance", name); err != nil {
+		return "", nil, fmt.Errorf("%s: %w", path, err)
+	}
+	for _, key := range []string{"name", "listen", "known"} {
+		delete(config, key)
 	}
-	return files, apply, document.Check(filepath.Join(dir, "site.toml"), content)
+	return name, config, nil
 }
 
-// difference is what lies over a tree to make it another.
-func difference(base, other map[string]any) (map[string]any, error) {
-	over := map[string]any{}
+// overlayOf returns the tables and keys that, laid over base, make it the other configuration. An overlay can't remove
+// a key, so one that only base has is an error.
+func overlayOf(base, other map[string]any) (map[string]any, error) {
+	overlay := map[string]any{}
 	for key, value := range other {
-		a, was := base[key].(map[string]any)
-		b, is := value.(map[string]any)
+		baseTable, inBase := base[key].(map[string]any)
+		table, isTable := value.(map[string]any)
 		switch {
-		case was && is:
-			inner, err := difference(a, b)
+		case inBase && isTable:
+			inner, err := overlayOf(baseTable, table)
 			if err != nil {
 				return nil, fmt.Errorf("%s.%w", key, err)
 			}
 			if len(inner) > 0 {
-				over[key] = inner
+				overlay[key] = inner
 			}
 		case !reflect.DeepEqual(base[key], value):
-			over[key] = value
+			overlay[key] = value
 		}
 	}
 	for key := range base {
@@ -134,5 +155,5 @@
 			return nil, fmt.Errorf("%s: the first configuration has it and this one does not; an overlay can't take a key away", key)
 		}
 	}
-	return over, nil
+	return overlay, nil
 }
