--- a/cmd/elderctl/capacity.go
+++ b/cmd/elderctl/capacity.go
@@ -99,12 +99,12 @@
 	return operationError(files.Replace(path, []byte(filled), 0o644))
 }
 
-// shownAlways are the tables that are printed without --all.
-var shownAlways = map[string]bool{"roles": true, "records": true, "not-carried": true, "placement": true}
+// defaultTables are the tables that are printed without --all.
+var defaultTables = map[string]bool{"roles": true, "records": true, "not-carried": true, "placement": true}
 
 func printPlan(out io.Writer, plan *capacity.Plan, all bool) {
 	for _, t := range plan.Tables() {
-		if !all && !shownAlways[t.Name] {
+		if !all && !defaultTables[t.Name] {
 			continue
 		}
 		fmt.Fprintf(out, "%s\n\n", t.Title)
--- a/cmd/elderctl/golden_lab_test.go
+++ b/cmd/elderctl/golden_lab_test.go
@@ -19,7 +19,7 @@
 	var verdict audit.Verdict
 	fillAll(reflect.ValueOf(&verdict).Elem(), new(int))
 	verdict.Counts.Outcomes = map[audit.Outcome]int{audit.Served: 3, audit.Refused: 4, audit.Failed: 5, audit.NoAnswer: 6, audit.Closed: 7, audit.NotTaken: 8, audit.Unfinished: 9}
-	var r report
+	var r labReport
 	fillAll(reflect.ValueOf(&r).Elem(), new(int))
 	r.Verdict = verdict
 	var result lab.Result
@@ -37,7 +37,7 @@
 		Progress: load.Progress{First: 10, Done: 9, Served: 5, Refused: 2, Failed: 1, Unhandled: 1, Retries: 4, Takes: 6, Granted: 5, ByClass: [][2]int{{6, 3}, {0, 0}}, ByPlan: [][2]int{{10, 5}}},
 		Gateways: []lab.GatewayShot{{Name: "g0", State: "ready", PeakMB: 31.5, Files: 12, CPU: 1500 * time.Millisecond, Taken: 10}},
 		Nodes:    []lab.NodeShot{{Name: "n0", Down: true}, {Name: "n1", Held: 3, Waiting: 1}}}
-	v := newView(&b, "quiet", "nothing happens")
+	v := newLabView(&b, "quiet", "nothing happens")
 	v.show(shot)
 	shot.Faults, shot.Progress.Takes = nil, 0
 	v.show(shot)
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -79,8 +79,8 @@
 	return s
 }
 
-// report is what --json writes.
-type report struct {
+// labReport is what --json writes.
+type labReport struct {
 	Scenario string        `json:"scenario"`
 	Seed     uint64        `json:"seed"`
 	Gateways int           `json:"gateways"`
@@ -113,7 +113,7 @@
 	if f.json == "-" {
 		out = cmd.ErrOrStderr()
 	}
-	view := newView(out, scenario.Name, scenario.About)
+	view := newLabView(out, scenario.Name, scenario.About)
 	site.Log = view.event
 	ctx, cancel := context.WithCancel(cmd.Context())
 	defer cancel()
@@ -141,12 +141,12 @@
 	done, cost := l.Site(), l.Cost()
 	printVerdict(out, &v, cost)
 	if f.trace != "" {
-		if err := writeStories(out, l, f.trace); err != nil {
+		if err := writeTraces(out, l, f.trace); err != nil {
 			return operationError(err)
 		}
 	}
 	if f.json != "" {
-		if err := writeJSON(cmd.OutOrStdout(), f.json, report{scenario.Name, done.Seed, done.Gateways, done.Nodes, done.Rate, done.For, v.State(), cost, v}); err != nil {
+		if err := writeJSON(cmd.OutOrStdout(), f.json, labReport{scenario.Name, done.Seed, done.Gateways, done.Nodes, done.Rate, done.For, v.State(), cost, v}); err != nil {
 			return operationError(err)
 		}
 	}
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// writeStories writes what the collector took to a file, and shows the story of the
+// writeTraces writes what the collector took to a file, and shows the story of the
 // request that had the most to it.
-func writeStories(out io.Writer, l *lab.Lab, path string) error {
+func writeTraces(out io.Writer, l *lab.Lab, path string) error {
 	var b bytes.Buffer
 	if err := l.Collector().Write(&b, ""); err != nil {
 		return fmt.Errorf("trace: %w", err)
@@ -173,11 +173,11 @@
 	if err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
-	all := storiesOf(list)
+	all := buildTraces(list)
 	if len(all) == 0 {
 		return nil
 	}
-	most := slices.MaxFunc(all, func(a, b *oneStory) int { return cmp.Compare(a.spans, b.spans) })
+	most := slices.MaxFunc(all, func(a, b *traceTree) int { return cmp.Compare(a.spans, b.spans) })
 	fmt.Fprintf(out, "\n%d stories are in %s; the one with the most to it:\n", len(all), path)
-	return printStory(out, most)
+	return printTrace(out, most)
 }
--- a/cmd/elderctl/lab_read.go
+++ b/cmd/elderctl/lab_read.go
@@ -17,7 +17,7 @@
 	"elderyard/rollup"
 )
 
-const mostMomentLine = 4 << 10 // bytes
+const maxRollupLineBytes = 4 << 10 // bytes
 
 // readFlags are what `elderctl lab read` is asked.
 type readFlags struct {
@@ -55,22 +55,22 @@
 	if f.every < 10*time.Millisecond {
 		return usageError(fmt.Errorf("--every %v is under 10ms", f.every))
 	}
-	lines, err := readMoments(dir)
+	lines, err := readRollups(dir)
 	if err != nil {
 		return usageError(err)
 	}
-	site, err := rollup.Sum(cut(lines, f.from.Seconds(), f.until.Seconds()), f.every.Seconds())
+	site, err := rollup.Sum(selectLines(lines, f.from.Seconds(), f.until.Seconds()), f.every.Seconds())
 	if err != nil {
 		return usageError(err)
 	}
 	if f.json {
 		return operationError(writeJSON(cmd.OutOrStdout(), "-", site))
 	}
-	return operationError(printMoments(cmd.OutOrStdout(), &site))
+	return operationError(printRollup(cmd.OutOrStdout(), &site))
 }
 
-// cut leaves out what lies before from and, unless that is 0, from until on: seconds after the first line.
-func cut(lines []rollup.Line, from, until float64) (kept []rollup.Line) {
+// selectLines leaves out what lies before from and, unless that is 0, from until on: seconds after the first line.
+func selectLines(lines []rollup.Line, from, until float64) (kept []rollup.Line) {
 	if len(lines) == 0 {
 		return nil
 	}
@@ -86,8 +86,8 @@
 	return kept
 }
 
-// readMoments reads the files of all gateways in a folder.
-func readMoments(dir string) (lines []rollup.Line, err error) {
+// readRollups reads the files of all gateways in a folder.
+func readRollups(dir string) (lines []rollup.Line, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.moments"))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, err)
@@ -96,22 +96,22 @@
 		return nil, fmt.Errorf("%s holds no file *.moments", dir)
 	}
 	for _, path := range paths {
-		if lines, err = readMomentFile(lines, path); err != nil {
+		if lines, err = readRollupFile(lines, path); err != nil {
 			return nil, err
 		}
 	}
 	return lines, nil
 }
 
-// readMomentFile appends the lines of one file. A last line without its end is what a gateway was killed at, and left
+// readRollupFile appends the lines of one file. A last line without its end is what a gateway was killed at, and left
 // out.
-func readMomentFile(lines []rollup.Line, path string) ([]rollup.Line, error) {
+func readRollupFile(lines []rollup.Line, path string) ([]rollup.Line, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	r := bufio.NewReaderSize(f, mostMomentLine)
+	r := bufio.NewReaderSize(f, maxRollupLineBytes)
 	for n := 1; ; n++ {
 		text, err := r.ReadSlice('\n')
 		switch {
@@ -133,7 +133,7 @@
 	}
 }
 
-func printMoments(out io.Writer, s *rollup.Site) error {
+func printRollup(out io.Writer, s *rollup.Site) error {
 	fmt.Fprintf(out, "%d gateways, %.1f s\n\n", s.Gateways, s.Seconds)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "kind\tsum\ta second\tpeak\tat\tin step\tuneven\t9 in 10 after\t")
--- a/cmd/elderctl/lab_read_test.go
+++ b/cmd/elderctl/lab_read_test.go
@@ -15,25 +15,25 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := readMoments(dir); err == nil {
+	if _, err := readRollups(dir); err == nil {
 		t.Error("an empty folder is taken")
 	}
 	good := `{"at":100.1,"gateway":"n0","sends":2}` + "\n"
 	put("n0.moments", good+`{"at":100.2,"gateway":"n0","ca`) // killed here
 	put("n1.moments", strings.ReplaceAll(good, "n0", "n1"))
-	lines, err := readMoments(dir)
+	lines, err := readRollups(dir)
 	if err != nil || len(lines) != 2 || lines[1].Gateway != "n1" || lines[0].Sends != 2 {
 		t.Fatalf("%v %+v", err, lines)
 	}
-	if kept := cut(lines, 0, 0.05); len(kept) != 2 {
+	if kept := selectLines(lines, 0, 0.05); len(kept) != 2 {
 		t.Errorf("%+v", kept)
 	}
-	if kept := cut(lines, 1, 0); len(kept) != 0 {
+	if kept := selectLines(lines, 1, 0); len(kept) != 0 {
 		t.Errorf("%+v", kept)
 	}
-	for _, bad := range []string{"{}\n", "x\n", `{"at":1,"gateway":"n2","sents":1}` + "\n", strings.Repeat("y", mostMomentLine+1) + "\n", "\n"} {
+	for _, bad := range []string{"{}\n", "x\n", `{"at":1,"gateway":"n2","sents":1}` + "\n", strings.Repeat("y", maxRollupLineBytes+1) + "\n", "\n"} {
 		put("n2.moments", good+bad)
-		if _, err := readMoments(dir); err == nil || !strings.Contains(err.Error(), "n2.moments, line 2") {
+		if _, err := readRollups(dir); err == nil || !strings.Contains(err.Error(), "n2.moments, line 2") {
 			t.Errorf("%.20q: %v", bad, err)
 		}
 	}
--- a/cmd/elderctl/lab_test.go
+++ b/cmd/elderctl/lab_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r report
+	var r labReport
 	if err := json.Unmarshal(text, &r); err != nil || r.Gateways != 2 || r.Verdict.Counts.First == 0 || len(r.Verdict.Processes) != 2 {
 		t.Fatalf("%v %+v", err, r)
 	}
--- a/cmd/elderctl/lab_verdict.go
+++ b/cmd/elderctl/lab_verdict.go
@@ -65,10 +65,10 @@
 	w.Flush()
 	for _, f := range v.Findings {
 		for _, e := range f.Evidence {
-			fmt.Fprintf(out, "  %s, %s\n", f.Rule, evidence(e))
+			fmt.Fprintf(out, "  %s, %s\n", f.Rule, formatEvidence(e))
 		}
 		for _, e := range f.Voided {
-			fmt.Fprintf(out, "  void: %s, %s\n", f.Rule, evidence(e))
+			fmt.Fprintf(out, "  void: %s, %s\n", f.Rule, formatEvidence(e))
 		}
 	}
 	if v.Counts.LateWindows > 0 {
@@ -80,7 +80,7 @@
 	fmt.Fprintf(out, "the lab itself took %.1f s of CPU (%.2f cores) and %.0f MB\nverdict: %s\n", cost.CPU.Seconds(), cost.Cores, cost.PeakMB, v.State())
 }
 
-func evidence(e audit.Evidence) string {
+func formatEvidence(e audit.Evidence) string {
 	text := fmt.Sprintf("at %.3f s", e.At.Seconds())
 	for _, part := range [][2]string{{"request", e.Request}, {"gateway", e.Gateway}, {"backend", e.Backend}} {
 		if part[1] != "" {
--- a/cmd/elderctl/lab_view.go
+++ b/cmd/elderctl/lab_view.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	screenEvery = 250 * time.Millisecond
-	lineEvery   = 2 * time.Second
-	mostEvents  = 8 // on the screen
-	barWidth    = 30
+	screenInterval = 250 * time.Millisecond
+	lineInterval   = 2 * time.Second
+	maxEvents      = 8 // on the screen
+	barWidth       = 30
 )
 
-// view shows a running lab: one screen in a terminal, lines elsewhere.
-type view struct {
+// labView shows a running lab: one screen in a terminal, lines elsewhere.
+type labView struct {
 	out    io.Writer
 	screen bool
 	name   string
@@ -36,8 +36,8 @@
 	drawn  int // lines of the screen
 }
 
-func newView(out io.Writer, name, about string) *view {
-	v := &view{out: out, name: name, about: about, began: time.Now()}
+func newLabView(out io.Writer, name, about string) *labView {
+	v := &labView{out: out, name: name, about: about, began: time.Now()}
 	if f, ok := out.(*os.File); ok {
 		v.screen = term.IsTerminal(int(f.Fd())) && os.Getenv("TERM") != "dumb"
 	}
@@ -48,7 +48,7 @@
 }
 
 // event takes a line about what happened.
-func (v *view) event(format string, a ...any) {
+func (v *labView) event(format string, a ...any) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	line := fmt.Sprintf("%6.1fs  ", time.Since(v.began).Seconds()) + fmt.Sprintf(format, a...)
@@ -56,16 +56,16 @@
 		fmt.Fprintln(v.out, line)
 		return
 	}
-	if v.events = append(v.events, line); len(v.events) > mostEvents {
+	if v.events = append(v.events, line); len(v.events) > maxEvents {
 		v.events = v.events[1:]
 	}
 }
 
 // follow shows snapshots until ctx ends, and a last one then.
-func (v *view) follow(ctx context.Context, shot func() lab.Snapshot) {
-	every := lineEvery
+func (v *labView) follow(ctx context.Context, shot func() lab.Snapshot) {
+	every := lineInterval
 	if v.screen {
-		every = screenEvery
+		every = screenInterval
 	}
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -80,13 +80,13 @@
 	}
 }
 
-func (v *view) show(s lab.Snapshot) {
+func (v *labView) show(s lab.Snapshot) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.screen {
 		p := s.Progress
 		fmt.Fprintf(v.out, "%5.0f of %.0f s: %d asked, %d served, %d refused, %d failed, %d without an answer, %d retries%s; gateways %s%s\n",
-			s.At.Seconds(), s.Of.Seconds(), p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, takes(p), states(s.Gateways), on(s.Faults))
+			s.At.Seconds(), s.Of.Seconds(), p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, formatLimitCommands(p), formatStates(s.Gateways), formatFaults(s.Faults))
 		return
 	}
 	text := v.draw(s)
@@ -112,15 +112,15 @@
 	v.drawn = max(v.drawn, len(lines))
 }
 
-// takes tells of limit commands, if there were any.
-func takes(p load.Progress) string {
+// formatLimitCommands tells of limit commands, if there were any.
+func formatLimitCommands(p load.Progress) string {
 	if p.Takes == 0 {
 		return ""
 	}
 	return fmt.Sprintf("; %d limit commands, %d granted", p.Takes, p.Granted)
 }
 
-func states(list []lab.GatewayShot) string {
+func formatStates(list []lab.GatewayShot) string {
 	var parts []string
 	for _, g := range list {
 		parts = append(parts, g.Name+" "+string(g.State))
@@ -128,14 +128,14 @@
 	return strings.Join(parts, ", ")
 }
 
-func on(faults []string) string {
+func formatFaults(faults []string) string {
 	if len(faults) == 0 {
 		return ""
 	}
 	return "; on: " + strings.Join(faults, ", ")
 }
 
-func share(n, of int) string {
+func percentOf(n, of int) string {
 	if of == 0 {
 		return "    -"
 	}
@@ -152,23 +152,23 @@
 }
 
 // draw lays the screen out.
-func (v *view) draw(s lab.Snapshot) string {
+func (v *labView) draw(s lab.Snapshot) string {
 	var b strings.Builder
 	p := s.Progress
 	fmt.Fprintf(&b, "elderyard lab  %s  %s %.0f of %.0f s\n%s\n\n", v.name, bar(s.At, s.Of), s.At.Seconds(), s.Of.Seconds(), v.about)
 	fmt.Fprintf(&b, "asked %d   served %d   refused %d   failed %d   no answer %d   retries %d   late %d%s\n\n",
-		p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, s.Late, takes(p))
+		p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, s.Late, formatLimitCommands(p))
 	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
 	fmt.Fprint(w, "answered, by class")
 	for i, name := range s.Classes {
 		if i < len(p.ByClass) {
-			fmt.Fprintf(w, "\t%s %s", name, share(p.ByClass[i][1], p.ByClass[i][0]))
+			fmt.Fprintf(w, "\t%s %s", name, percentOf(p.ByClass[i][1], p.ByClass[i][0]))
 		}
 	}
 	fmt.Fprint(w, "\nby plan")
 	for i, name := range s.Plans {
 		if i < len(p.ByPlan) {
-			fmt.Fprintf(w, "\t%s %s", name, share(p.ByPlan[i][1], p.ByPlan[i][0]))
+			fmt.Fprintf(w, "\t%s %s", name, percentOf(p.ByPlan[i][1], p.ByPlan[i][0]))
 		}
 	}
 	fmt.Fprint(w, "\n\ngateway\tstate\ttaken\tCPU\tpeak MB\tdescriptors\n")
--- a/cmd/elderctl/trace.go
+++ b/cmd/elderctl/trace.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	fetchLimit = 30 * time.Second
-	mostFetch  = 256 << 20 // bytes
-	mostListed = 200       // stories of a list
+	fetchTimeout    = 30 * time.Second
+	maxFetchBytes   = 256 << 20 // bytes
+	maxListedTraces = 200       // stories of a list
 )
 
 func traceCommand() *cobra.Command {
@@ -37,7 +37,7 @@
 ` + exitHelp,
 		Example: "  elderctl trace stories.jsonl\n  elderctl trace stories.jsonl 4bf92f35\n  elderctl trace --from 127.0.0.1:4318 4bf92f35",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			list, id, err := readStories(cmd.Context(), from, args)
+			list, id, err := readTraces(cmd.Context(), from, args)
 			if err != nil {
 				return err
 			}
@@ -49,7 +49,7 @@
 				}
 				return nil
 			}
-			return printStories(cmd.OutOrStdout(), storiesOf(list), id)
+			return printTraces(cmd.OutOrStdout(), buildTraces(list), id)
 		},
 	}
 	cmd.Flags().StringVar(&from, "from", "", "read from this address in place of a file")
@@ -57,8 +57,8 @@
 	return cmd
 }
 
-// readStories reads the spans that the arguments name, and the id that they ask for.
-func readStories(ctx context.Context, from string, args []string) (list []*trace.ResourceSpans, id string, err error) {
+// readTraces reads the spans that the arguments name, and the id that they ask for.
+func readTraces(ctx context.Context, from string, args []string) (list []*trace.ResourceSpans, id string, err error) {
 	most := 2
 	if from != "" {
 		most = 1
@@ -73,8 +73,8 @@
 		}
 	}
 	if from != "" {
-		list, err = fetchStories(ctx, from, id)
-		return only(list, id), id, err
+		list, err = fetchTraces(ctx, from, id)
+		return filterByID(list, id), id, err
 	}
 	f, err := os.Open(args[0])
 	if err != nil {
@@ -84,11 +84,11 @@
 	if list, err = otlpfile.Read(f); err != nil {
 		return nil, "", usageError(fmt.Errorf("%s: %w", args[0], err))
 	}
-	return only(list, id), id, nil
+	return filterByID(list, id), id, nil
 }
 
-func fetchStories(ctx context.Context, from, id string) ([]*trace.ResourceSpans, error) {
-	ctx, cancel := context.WithTimeout(ctx, fetchLimit)
+func fetchTraces(ctx context.Context, from, id string) ([]*trace.ResourceSpans, error) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	at := "http://" + strings.TrimPrefix(from, "http://") + "/stories?id=" + url.QueryEscape(id)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
@@ -103,15 +103,15 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, operationError(fmt.Errorf("%s: %s", from, resp.Status))
 	}
-	list, err := otlpfile.Read(io.LimitReader(resp.Body, mostFetch))
+	list, err := otlpfile.Read(io.LimitReader(resp.Body, maxFetchBytes))
 	if err != nil {
 		return nil, operationError(fmt.Errorf("%s: %w", from, err))
 	}
 	return list, nil
 }
 
-// only keeps the spans whose trace id begins so.
-func only(list []*trace.ResourceSpans, id string) (kept []*trace.ResourceSpans) {
+// filterByID keeps the spans whose trace id begins so.
+func filterByID(list []*trace.ResourceSpans, id string) (kept []*trace.ResourceSpans) {
 	for _, rs := range list {
 		for _, ss := range rs.ScopeSpans {
 			ss.Spans = slices.DeleteFunc(ss.Spans, func(s *trace.Span) bool { return !strings.HasPrefix(hex.EncodeToString(s.TraceId), id) })
--- a/cmd/elderctl/trace_tree.go
+++ b/cmd/elderctl/trace_tree.go
@@ -8,50 +8,50 @@
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 )
 
-// storySpan is a span with the process that it is from, and what came below it.
-type storySpan struct {
+// spanNode is a span with the process that it is from, and what came below it.
+type spanNode struct {
 	*trace.Span
-	process string
-	below   []*storySpan
+	process  string
+	children []*spanNode
 }
 
-// oneStory is all spans of a trace.
-type oneStory struct {
+// traceTree is all spans of a trace.
+type traceTree struct {
 	id         string
 	from, to   uint64
 	spans      int
 	processes  []string
-	roots      []*storySpan // whose parent is not there, in order of time
+	roots      []*spanNode // whose parent is not there, in order of time
 	failed     bool
 	last, what string // how the last of them ended, and what was asked
 }
 
-// storiesOf puts spans together, the stories that took longest first. Of a span that
+// buildTraces puts spans together, the stories that took longest first. Of a span that
 // came twice one is kept, and spans that name each other as parents hang below nobody's.
-func storiesOf(list []*trace.ResourceSpans) (all []*oneStory) {
-	by := map[string]*oneStory{}
-	spans := map[string]*storySpan{}
-	var order []*storySpan
+func buildTraces(list []*trace.ResourceSpans) (all []*traceTree) {
+	by := map[string]*traceTree{}
+	spans := map[string]*spanNode{}
+	var order []*spanNode
 	for _, rs := range list {
-		process := text(rs.GetResource().GetAttributes(), "service.instance.id")
+		process := attribute(rs.GetResource().GetAttributes(), "service.instance.id")
 		for _, ss := range rs.ScopeSpans {
 			for _, s := range ss.Spans {
 				key := string(s.TraceId) + string(s.SpanId)
 				if spans[key] != nil {
 					continue
 				}
-				n := &storySpan{Span: s, process: process}
+				n := &spanNode{Span: s, process: process}
 				spans[key] = n
 				order = append(order, n)
 			}
 		}
 	}
-	slices.SortStableFunc(order, func(a, b *storySpan) int { return cmp.Compare(a.StartTimeUnixNano, b.StartTimeUnixNano) })
+	slices.SortStableFunc(order, func(a, b *spanNode) int { return cmp.Compare(a.StartTimeUnixNano, b.StartTimeUnixNano) })
 	for _, n := range order {
 		id := hex.EncodeToString(n.TraceId)
 		s := by[id]
 		if s == nil {
-			s = &oneStory{id: id, from: n.StartTimeUnixNano}
+			s = &traceTree{id: id, from: n.StartTimeUnixNano}
 			by[id] = s
 			all = append(all, s)
 		}
@@ -62,19 +62,19 @@
 			s.processes = append(s.processes, n.process)
 		}
 		parent := spans[string(n.TraceId)+string(n.ParentSpanId)]
-		if parent == nil || len(n.ParentSpanId) == 0 || under(n, parent, spans) {
+		if parent == nil || len(n.ParentSpanId) == 0 || hasAncestor(n, parent, spans) {
 			s.roots = append(s.roots, n)
-			s.what, s.last = n.Name, text(n.Attributes, "elderyard.outcome")
+			s.what, s.last = n.Name, attribute(n.Attributes, "elderyard.outcome")
 			continue
 		}
-		parent.below = append(parent.below, n)
+		parent.children = append(parent.children, n)
 	}
-	slices.SortStableFunc(all, func(a, b *oneStory) int { return cmp.Compare(b.to-b.from, a.to-a.from) })
+	slices.SortStableFunc(all, func(a, b *traceTree) int { return cmp.Compare(b.to-b.from, a.to-a.from) })
 	return all
 }
 
-// under tells whether a span is its parent's own ancestor.
-func under(n, parent *storySpan, spans map[string]*storySpan) bool {
+// hasAncestor tells whether a span is its parent's own ancestor.
+func hasAncestor(n, parent *spanNode, spans map[string]*spanNode) bool {
 	for range len(spans) {
 		if parent == nil {
 			return false
