--- a/cmd/elderctl/lab_view.go
+++ b/cmd/elderctl/lab_view.go
@@ -17,27 +17,29 @@
 )
 
 const (
-	screenInterval = 250 * time.Millisecond
-	lineInterval   = 2 * time.Second
-	maxEvents      = 8 // on the screen
-	barWidth       = 30
+	screenInterval = 250 * time.Millisecond // between two drawings of the screen
+	lineInterval   = 2 * time.Second        // between two lines where there is no screen
+	maxEvents      = 8                      // on the screen
+	barWidth       = 30                     // characters of the progress bar
+	defaultWidth   = 100                    // characters of a screen whose size is unknown
 )
 
-// labView shows a running lab: one screen in a terminal, lines elsewhere.
+// labView shows a running lab: one screen that is drawn again in a terminal, lines elsewhere. Its methods may be called
+// by several goroutines.
 type labView struct {
 	out    io.Writer
 	screen bool
 	name   string
 	about  string
-	began  time.Time
+	start  time.Time
 
 	mu     sync.Mutex
 	events []string
-	drawn  int // lines of the screen
+	drawn  int // lines that the last drawing occupies
 }
 
 func newLabView(out io.Writer, name, about string) *labView {
-	v := &labView{out: out, name: name, about: about, began: time.Now()}
+	v := &labView{out: out, name: name, about: about, start: time.Now()}
 	if f, ok := out.(*os.File); ok {
 		v.screen = term.IsTerminal(int(f.Fd())) && os.Getenv("TERM") != "dumb"
 	}
@@ -47,11 +49,11 @@
 	return v
 }
 
-// event takes a line about what happened.
-func (v *labView) event(format string, a ...any) {
+// event shows a line about what happened, with the time since the start.
+func (v *labView) event(format string, args ...any) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	line := fmt.Sprintf("%6.1fs  ", time.Since(v.began).Seconds()) + fmt.Sprintf(format, a...)
+	line := fmt.Sprintf("%6.1fs  ", time.Since(v.start).Seconds()) + fmt.Sprintf(format, args...)
 	if !v.screen {
 		fmt.Fprintln(v.out, line)
 		return
@@ -62,24 +64,25 @@
 }
 
 // follow shows snapshots until ctx ends, and a last one then.
-func (v *labView) follow(ctx context.Context, shot func() lab.Snapshot) {
-	every := lineInterval
+func (v *labView) follow(ctx context.Context, snapshot func() lab.Snapshot) {
+	interval := lineInterval
 	if v.screen {
-		every = screenInterval
+		interval = screenInterval
 	}
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			v.show(shot())
+			v.show(snapshot())
 			return
-		case <-tick.C:
-			v.show(shot())
+		case <-ticker.C:
+			v.show(snapshot())
 		}
 	}
 }
 
+// show draws the screen again, or prints a line.
 func (v *labView) show(s lab.Snapshot) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -89,17 +92,16 @@
 			s.At.Seconds(), s.Of.Seconds(), p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, formatLimitCommands(p), formatStates(s.Gateways), formatFaults(s.Faults))
 		return
 	}
-	text := v.draw(s)
+	v.redraw(v.draw(s))
+}
+
+// redraw writes a text over the one that it wrote last.
+func (v *labView) redraw(text string) {
 	if v.drawn > 0 {
 		fmt.Fprintf(v.out, "\x1b[%dA", v.drawn)
 	}
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
-	width := 100
-	if f, ok := v.out.(*os.File); ok {
-		if w, _, err := term.GetSize(int(f.Fd())); err == nil && w > 20 {
-			width = w
-		}
-	}
+	width := screenWidth(v.out)
 	for _, line := range lines {
 		if r := []rune(line); len(r) >= width {
 			line = string(r[:width-1]) // a line that wraps would move the screen
@@ -112,7 +114,17 @@
 	v.drawn = max(v.drawn, len(lines))
 }
 
-// formatLimitCommands tells of limit commands, if there were any.
+// screenWidth returns the width of a terminal in characters.
+func screenWidth(out io.Writer) int {
+	if file, ok := out.(*os.File); ok {
+		if width, _, err := term.GetSize(int(file.Fd())); err == nil && width > 20 {
+			return width
+		}
+	}
+	return defaultWidth
+}
+
+// formatLimitCommands counts the limit commands, or returns "" if there were none.
 func formatLimitCommands(p load.Progress) string {
 	if p.Takes == 0 {
 		return ""
@@ -120,10 +132,10 @@
 	return fmt.Sprintf("; %d limit commands, %d granted", p.Takes, p.Granted)
 }
 
-func formatStates(list []lab.GatewayShot) string {
+func formatStates(gateways []lab.GatewayShot) string {
 	var parts []string
-	for _, g := range list {
-		parts = append(parts, g.Name+" "+string(g.State))
+	for _, gateway := range gateways {
+		parts = append(parts, gateway.Name+" "+string(gateway.State))
 	}
 	return strings.Join(parts, ", ")
 }
@@ -135,6 +147,7 @@
 	return "; on: " + strings.Join(faults, ", ")
 }
 
+// percentOf formats a part of a total in percent, or a dash if the total is 0.
 func percentOf(n, of int) string {
 	if of == 0 {
 		return "    -"
@@ -142,6 +155,7 @@
 	return fmt.Sprintf("%4.0f%%", 100*float64(n)/float64(of))
 }
 
+// bar returns a progress bar.
 func bar(done, of time.Duration) string {
 	n := 0
 	if of > 0 {
@@ -151,7 +165,7 @@
 	return "[" + strings.Repeat("=", n) + strings.Repeat(" ", barWidth-n) + "]"
 }
 
-// draw lays the screen out.
+// draw returns the text of the screen.
 func (v *labView) draw(s lab.Snapshot) string {
 	var b strings.Builder
 	p := s.Progress
--- a/cmd/elderctl/trace.go
+++ b/cmd/elderctl/trace.go
@@ -21,8 +21,8 @@
 
 const (
 	fetchTimeout    = 30 * time.Second
-	maxFetchBytes   = 256 << 20 // bytes
-	maxListedTraces = 200       // stories of a list
+	maxFetchBytes   = 256 << 20
+	maxListedTraces = 200
 )
 
 func traceCommand() *cobra.Command {
@@ -57,41 +57,43 @@
 	return cmd
 }
 
-// readTraces reads the spans that the arguments name, and the id that they ask for.
+// readTraces reads the spans whose trace id begins with the id among the arguments, or all without an id: from the
+// address if there is one, else from the file among the arguments.
 func readTraces(ctx context.Context, from string, args []string) (list []*trace.ResourceSpans, id string, err error) {
-	most := 2
+	maxArgs := 2
 	if from != "" {
-		most = 1
+		maxArgs = 1
 	}
-	if len(args) > most || from == "" && len(args) == 0 {
+	if len(args) > maxArgs || from == "" && len(args) == 0 {
 		return nil, "", usageError(errors.New("name a file, or an address with --from, and at most one id"))
 	}
-	if len(args) == most {
-		id = strings.ToLower(args[most-1])
+	if len(args) == maxArgs {
+		id = strings.ToLower(args[maxArgs-1])
 		if strings.Trim(id, "0123456789abcdef") != "" || len(id) > 32 {
-			return nil, "", usageError(fmt.Errorf("%q is no beginning of a trace id, which is 32 hexadecimal digits", args[most-1]))
+			return nil, "", usageError(fmt.Errorf("%q is no beginning of a trace id, which is 32 hexadecimal digits", args[maxArgs-1]))
 		}
 	}
 	if from != "" {
 		list, err = fetchTraces(ctx, from, id)
 		return filterByID(list, id), id, err
 	}
-	f, err := os.Open(args[0])
+	file, err := os.Open(args[0])
 	if err != nil {
 		return nil, "", usageError(err)
 	}
-	defer f.Close()
-	if list, err = otlpfile.Read(f); err != nil {
+	defer file.Close()
+	if list, err = otlpfile.Read(file); err != nil {
 		return nil, "", usageError(fmt.Errorf("%s: %w", args[0], err))
 	}
 	return filterByID(list, id), id, nil
 }
 
+// fetchTraces requests the spans from a collector.
 func fetchTraces(ctx context.Context, from, id string) ([]*trace.ResourceSpans, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	at := "http://" + strings.TrimPrefix(from, "http://") + "/stories?id=" + url.QueryEscape(id)
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
+	address := "http://" + strings.TrimPrefix(from, "http://") + "/stories?id=" + url.QueryEscape(id)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return nil, usageError(err)
 	}
@@ -110,16 +112,16 @@
 	return list, nil
 }
 
-// filterByID keeps the spans whose trace id begins so.
-func filterByID(list []*trace.ResourceSpans, id string) (kept []*trace.ResourceSpans) {
+// filterByID removes the spans whose trace id does not begin with the id, and what holds no others.
+func filterByID(list []*trace.ResourceSpans, id string) (matching []*trace.ResourceSpans) {
 	for _, rs := range list {
 		for _, ss := range rs.ScopeSpans {
 			ss.Spans = slices.DeleteFunc(ss.Spans, func(s *trace.Span) bool { return !strings.HasPrefix(hex.EncodeToString(s.TraceId), id) })
 		}
 		rs.ScopeSpans = slices.DeleteFunc(rs.ScopeSpans, func(ss *trace.ScopeSpans) bool { return len(ss.Spans) == 0 })
 		if len(rs.ScopeSpans) > 0 {
-			kept = append(kept, rs)
+			matching = append(matching, rs)
 		}
 	}
-	return kept
+	return matching
 }
