--- a/cmd/elderctl/capacity.go
+++ b/cmd/elderctl/capacity.go
@@ -12,13 +12,13 @@
 	"elderyard/internal/files"
 )
 
-// Where the checkout keeps the size and the slopes.
+// Paths of the size and the slopes in a checkout.
 const (
 	defaultSize   = "docs/capacity/size.toml"
 	defaultSlopes = "docs/capacity/slopes.json"
 )
 
-// capacityCommand works out whether a site carries a size.
+// capacityCommand returns the verb that computes whether a site can carry a size.
 func capacityCommand() *cobra.Command {
 	var sizePath, slopesPath, page, curves string
 	var asJSON, all bool
@@ -65,7 +65,7 @@
 	return cmd
 }
 
-// readPlan computes the plan of two files.
+// readPlan computes the plan of a size and slopes, each from a file.
 func readPlan(sizePath, slopesPath string) (*capacity.Plan, error) {
 	text, err := os.ReadFile(sizePath)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return &plan, nil
 }
 
-// fillPage writes the tables into a page, which is replaced whole.
+// fillPage writes the tables into a page, which is replaced atomically.
 func fillPage(path string, plan *capacity.Plan) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -99,21 +99,21 @@
 	return operationError(files.Replace(path, []byte(filled), 0o644))
 }
 
-// defaultTables are the tables that are printed without --all.
+// defaultTables names the tables that are printed without --all.
 var defaultTables = map[string]bool{"roles": true, "records": true, "not-carried": true, "placement": true}
 
 func printPlan(out io.Writer, plan *capacity.Plan, all bool) {
-	for _, t := range plan.Tables() {
-		if !all && !defaultTables[t.Name] {
+	for _, table := range plan.Tables() {
+		if !all && !defaultTables[table.Name] {
 			continue
 		}
-		fmt.Fprintf(out, "%s\n\n", t.Title)
-		if len(t.Rows) == 0 {
-			fmt.Fprintln(out, t.Empty)
+		fmt.Fprintf(out, "%s\n\n", table.Title)
+		if len(table.Rows) == 0 {
+			fmt.Fprintln(out, table.Empty)
 		} else {
 			printTable(out, func(w io.Writer) {
-				fmt.Fprintln(w, strings.Join(t.Header, "\t"))
-				for _, row := range t.Rows {
+				fmt.Fprintln(w, strings.Join(table.Header, "\t"))
+				for _, row := range table.Rows {
 					fmt.Fprintln(w, strings.Join(row, "\t"))
 				}
 			})
--- a/cmd/elderctl/lab_bench.go
+++ b/cmd/elderctl/lab_bench.go
@@ -6,7 +6,6 @@
 	"os"
 	"os/exec"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -15,7 +14,7 @@
 )
 
 func labBenchCommand() *cobra.Command {
-	b := lab.Bench{}
+	var bench lab.Bench
 	var path string
 	cmd := &cobra.Command{
 		Use:   "bench",
@@ -33,15 +32,12 @@
 			if err != nil {
 				return operationError(err)
 			}
-			b.Proxy = func(listen string, backends []string) *exec.Cmd {
+			bench.Proxy = func(listen string, backends []string) *exec.Cmd {
 				return exec.Command(self, "reverse-proxy", "--listen", listen, "--backends", strings.Join(backends, ","))
 			}
-			out := cmd.OutOrStdout()
-			if path == "-" {
-				out = cmd.ErrOrStderr()
-			}
-			b.Log = func(format string, a ...any) { fmt.Fprintf(out, format+"\n", a...) }
-			result, err := b.Run(cmd.Context())
+			out := progressOut(cmd, path)
+			bench.Log = func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
+			result, err := bench.Run(cmd.Context())
 			if err != nil {
 				return operationError(err)
 			}
@@ -52,31 +48,33 @@
 			return nil
 		},
 	}
-	fl := cmd.Flags()
-	fl.IntVar(&b.Rounds, "rounds", 5, "turns of each program")
-	fl.DurationVar(&b.For, "for", 3*time.Second, "length of each part of a turn")
-	fl.IntVar(&b.Clients, "clients", 64, "clients that ask at once")
-	fl.Float64Var(&b.Rate, "rate", 1000, "requests a second in the second part")
-	fl.StringVar(&b.Gateway, "gateway", "", "the gateway's program; else the one beside this tool, else built from the checkout")
-	fl.StringVar(&b.Export, "export", "", "measure a gateway that exports next to one that does not: on, or dead for a collector that is not there")
-	fl.StringVar(&path, "json", "", "write the figures to this file as JSON; - for standard output")
+	flags := cmd.Flags()
+	flags.IntVar(&bench.Rounds, "rounds", 5, "turns of each program")
+	flags.DurationVar(&bench.For, "for", 3*time.Second, "length of each part of a turn")
+	flags.IntVar(&bench.Clients, "clients", 64, "clients that ask at once")
+	flags.Float64Var(&bench.Rate, "rate", 1000, "requests a second in the second part")
+	flags.StringVar(&bench.Gateway, "gateway", "", "the gateway's program; else the one beside this tool, else built from the checkout")
+	flags.StringVar(&bench.Export, "export", "", "measure a gateway that exports next to one that does not: on, or dead for a collector that is not there")
+	flags.StringVar(&path, "json", "", "write the figures to this file as JSON; - for standard output")
 	return cmd
 }
 
-func printRatios(out io.Writer, r *lab.Result) {
+// printRatios prints each figure of both programs with their ratio.
+func printRatios(out io.Writer, result *lab.Result) {
 	unserved, late := 0, 0
-	for _, t := range r.Turns {
-		unserved += t.Unserved
-		late += t.LateClient
-	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "\n\tgateway (least, middle, most)\t%s\tratio\n", r.Against)
-	show := func(s lab.Spread, unit string) string {
-		return fmt.Sprintf("%.3g  %.3g  %.3g %s", s.Least, s.Middle, s.Most, unit)
-	}
-	for _, x := range r.Ratios {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", x.Figure, show(x.Gateway, x.Unit), show(x.Proxy, x.Unit), show(x.Ratio, ""))
+	for _, turn := range result.Turns {
+		unserved += turn.Unserved
+		late += turn.LateClient
 	}
-	w.Flush()
+	printTable(out, func(w io.Writer) {
+		fmt.Fprintf(w, "\n\tgateway (least, middle, most)\t%s\tratio\n", result.Against)
+		for _, ratio := range result.Ratios {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", ratio.Figure, formatSpread(ratio.Gateway, ratio.Unit), formatSpread(ratio.Proxy, ratio.Unit), formatSpread(ratio.Ratio, ""))
+		}
+	})
 	fmt.Fprintf(out, "%d requests were not served; the machine ran late in %d moments\n", unserved, late)
 }
+
+func formatSpread(s lab.Spread, unit string) string {
+	return fmt.Sprintf("%.3g  %.3g  %.3g %s", s.Least, s.Middle, s.Most, unit)
+}
--- a/cmd/elderctl/lab_list.go
+++ b/cmd/elderctl/lab_list.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -20,8 +19,8 @@
 func labListCommand() *cobra.Command {
 	return listCommand("list", "Show the scenarios that ship and what each provokes",
 		func() (lines []scenarioLine, err error) {
-			list, err := lab.Scenarios()
-			for _, s := range list {
+			scenarios, err := lab.Scenarios()
+			for _, s := range scenarios {
 				lines = append(lines, scenarioLine{s.Name, s.About, s.Provokes})
 			}
 			return lines, err
@@ -39,22 +38,24 @@
 func labFaultsCommand() *cobra.Command {
 	return listCommand("faults", "Show the faults that a scenario can script, and its other keys",
 		func() ([]lab.FaultKind, error) { return lab.FaultKinds(), nil },
-		func(out io.Writer, list []lab.FaultKind) error {
-			w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-			for _, k := range list {
-				about := k.About
-				if k.NeedsFor {
-					about += " (needs 'for')"
-				}
-				if k.Size != "" {
-					about += "; size: " + k.Size
-				}
-				fmt.Fprintf(w, "%s\t%s\t%s\n", k.Name, k.Strikes, about)
-			}
-			fmt.Fprintln(w, "\nKeys of a scenario's file:")
-			for _, k := range lab.ScenarioKeys() {
-				fmt.Fprintf(w, "%s\t\t%s\n", k[0], k[1])
-			}
-			return w.Flush()
-		})
+		printFaultKinds)
+}
+
+func printFaultKinds(out io.Writer, kinds []lab.FaultKind) error {
+	w := newTable(out)
+	for _, kind := range kinds {
+		about := kind.About
+		if kind.NeedsFor {
+			about += " (needs 'for')"
+		}
+		if kind.Size != "" {
+			about += "; size: " + kind.Size
+		}
+		fmt.Fprintf(w, "%s\t%s\t%s\n", kind.Name, kind.Strikes, about)
+	}
+	fmt.Fprintln(w, "\nKeys of a scenario's file:")
+	for _, key := range lab.ScenarioKeys() {
+		fmt.Fprintf(w, "%s\t\t%s\n", key[0], key[1])
+	}
+	return w.Flush()
 }
--- a/cmd/elderctl/lab_read.go
+++ b/cmd/elderctl/lab_read.go
@@ -17,9 +17,9 @@
 	"elderyard/rollup"
 )
 
-const maxRollupLineBytes = 4 << 10 // bytes
+const maxRollupLineBytes = 4 << 10
 
-// readFlags are what `elderctl lab read` is asked.
+// readFlags are the flags of `elderctl lab read`. Times are since the first line; an until of 0 means the end.
 type readFlags struct {
 	every time.Duration
 	from  time.Duration
@@ -43,34 +43,34 @@
 		Args:    exactArgs(1),
 		RunE:    func(cmd *cobra.Command, args []string) error { return runRead(cmd, args[0], &f) },
 	}
-	fl := cmd.Flags()
-	fl.DurationVar(&f.every, "every", time.Second, "length of a span; 10ms at least")
-	fl.DurationVar(&f.from, "from", 0, "leave out what came before this time after the first line")
-	fl.DurationVar(&f.until, "until", 0, "and what came from this time on; 0: nothing")
-	fl.BoolVar(&f.json, "json", false, "as JSON")
+	flags := cmd.Flags()
+	flags.DurationVar(&f.every, "every", time.Second, "length of a span; 10ms at least")
+	flags.DurationVar(&f.from, "from", 0, "leave out what came before this time after the first line")
+	flags.DurationVar(&f.until, "until", 0, "and what came from this time on; 0: nothing")
+	flags.BoolVar(&f.json, "json", false, "as JSON")
 	return cmd
 }
 
-func runRead(cmd *cobra.Command, dir string, f *readFlags) error {
-	if f.every < 10*time.Millisecond {
-		return usageError(fmt.Errorf("--every %v is under 10ms", f.every))
+func runRead(cmd *cobra.Command, dir string, flags *readFlags) error {
+	if flags.every < 10*time.Millisecond {
+		return usageError(fmt.Errorf("--every %v is under 10ms", flags.every))
 	}
 	lines, err := readRollups(dir)
 	if err != nil {
 		return usageError(err)
 	}
-	site, err := rollup.Sum(selectLines(lines, f.from.Seconds(), f.until.Seconds()), f.every.Seconds())
+	site, err := rollup.Sum(selectLines(lines, flags.from.Seconds(), flags.until.Seconds()), flags.every.Seconds())
 	if err != nil {
 		return usageError(err)
 	}
-	if f.json {
+	if flags.json {
 		return operationError(writeJSON(cmd.OutOrStdout(), "-", site))
 	}
 	return operationError(printRollup(cmd.OutOrStdout(), &site))
 }
 
-// selectLines leaves out what lies before from and, unless that is 0, from until on: seconds after the first line.
-func selectLines(lines []rollup.Line, from, until float64) (kept []rollup.Line) {
+// selectLines returns the lines from one time and, unless the other is 0, before that: in seconds after the first line.
+func selectLines(lines []rollup.Line, from, until float64) (selected []rollup.Line) {
 	if len(lines) == 0 {
 		return nil
 	}
@@ -78,12 +78,12 @@
 	for i := range lines {
 		first = min(first, lines[i].At)
 	}
-	for _, l := range lines {
-		if at := l.At - first; at >= from && (until == 0 || at < until) {
-			kept = append(kept, l)
+	for _, line := range lines {
+		if at := line.At - first; at >= from && (until == 0 || at < until) {
+			selected = append(selected, line)
 		}
 	}
-	return kept
+	return selected
 }
 
 // readRollups reads the files of all gateways in a folder.
@@ -103,56 +103,58 @@
 	return lines, nil
 }
 
-// readRollupFile appends the lines of one file. A last line without its end is what a gateway was killed at, and left
-// out.
+// readRollupFile appends the lines of one file. A last line without its end is left out: the gateway was killed while it
+// wrote it.
 func readRollupFile(lines []rollup.Line, path string) ([]rollup.Line, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	r := bufio.NewReaderSize(f, maxRollupLineBytes)
-	for n := 1; ; n++ {
-		text, err := r.ReadSlice('\n')
+	defer file.Close()
+	reader := bufio.NewReaderSize(file, maxRollupLineBytes)
+	for number := 1; ; number++ {
+		text, err := reader.ReadSlice('\n')
 		switch {
 		case errors.Is(err, io.EOF):
 			return lines, nil
 		case err != nil:
-			return nil, fmt.Errorf("%s, line %d: %w", path, n, err)
+			return nil, fmt.Errorf("%s, line %d: %w", path, number, err)
 		}
-		var l rollup.Line
-		d := json.NewDecoder(bytes.NewReader(text))
-		d.DisallowUnknownFields()
-		if err := d.Decode(&l); err != nil {
-			return nil, fmt.Errorf("%s, line %d: %w", path, n, err)
+		var line rollup.Line
+		decoder := json.NewDecoder(bytes.NewReader(text))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&line); err != nil {
+			return nil, fmt.Errorf("%s, line %d: %w", path, number, err)
 		}
-		if l.At <= 0 || l.Gateway == "" {
-			return nil, fmt.Errorf("%s, line %d: it names no time or no gateway", path, n)
+		if line.At <= 0 || line.Gateway == "" {
+			return nil, fmt.Errorf("%s, line %d: it names no time or no gateway", path, number)
 		}
-		lines = append(lines, l)
+		lines = append(lines, line)
 	}
 }
 
-func printRollup(out io.Writer, s *rollup.Site) error {
-	fmt.Fprintf(out, "%d gateways, %.1f s\n\n", s.Gateways, s.Seconds)
+// printRollup prints the totals of all counters, then their counts in each interval.
+func printRollup(out io.Writer, site *rollup.Site) error {
+	fmt.Fprintf(out, "%d gateways, %.1f s\n\n", site.Gateways, site.Seconds)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "kind\tsum\ta second\tpeak\tat\tin step\tuneven\t9 in 10 after\t")
-	for _, k := range s.Totals {
-		fmt.Fprintf(w, "%s\t%.0f\t%.1f\t%.0f\t%.1fs\t%.1f\t%.1f\t%.1fs\t\n", k.Counter, k.Sum, k.PerSecond, k.Peak, k.PeakAt, k.Dispersion, k.PeakToMean, k.SpreadTime)
+	for _, total := range site.Totals {
+		fmt.Fprintf(w, "%s\t%.0f\t%.1f\t%.0f\t%.1fs\t%.1f\t%.1f\t%.1fs\t\n", total.Counter, total.Sum, total.PerSecond, total.Peak, total.PeakAt, total.Dispersion,
+			total.PeakToMean, total.SpreadTime)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintln(out)
 	fmt.Fprint(w, "at\tactive\t")
-	for _, k := range rollup.Counters {
-		fmt.Fprintf(w, "%s\t", k.Name)
+	for _, counter := range rollup.Counters {
+		fmt.Fprintf(w, "%s\t", counter.Name)
 	}
 	fmt.Fprintln(w)
-	for _, at := range s.Intervals {
-		fmt.Fprintf(w, "%.1fs\t%d\t", at.At, at.Active)
-		for _, k := range rollup.Counters {
-			fmt.Fprintf(w, "%.0f\t", at.Counts[k.Name])
+	for _, interval := range site.Intervals {
+		fmt.Fprintf(w, "%.1fs\t%d\t", interval.At, interval.Active)
+		for _, counter := range rollup.Counters {
+			fmt.Fprintf(w, "%.0f\t", interval.Counts[counter.Name])
 		}
 		fmt.Fprintln(w)
 	}
--- a/cmd/elderctl/lab_view.go
+++ b/cmd/elderctl/lab_view.go
@@ -7,7 +7,6 @@
 	"os"
 	"strings"
 	"sync"
-	"text/tabwriter"
 	"time"
 
 	"golang.org/x/term"
@@ -172,7 +171,7 @@
 	fmt.Fprintf(&b, "elderyard lab  %s  %s %.0f of %.0f s\n%s\n\n", v.name, bar(s.At, s.Of), s.At.Seconds(), s.Of.Seconds(), v.about)
 	fmt.Fprintf(&b, "asked %d   served %d   refused %d   failed %d   no answer %d   retries %d   late %d%s\n\n",
 		p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, s.Late, formatLimitCommands(p))
-	w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
+	w := newTable(&b)
 	fmt.Fprint(w, "answered, by class")
 	for i, name := range s.Classes {
 		if i < len(p.ByClass) {
--- a/cmd/elderctl/output.go
+++ b/cmd/elderctl/output.go
@@ -36,11 +36,23 @@
 
 // printTable aligns the columns of rows, whose cells end with tabs.
 func printTable(out io.Writer, rows func(w io.Writer)) {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	w := newTable(out)
 	rows(w)
 	w.Flush()
 }
 
+// newTable returns a writer that aligns cells which end with tabs. It writes to out when it is flushed.
+func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
+
+// progressOut returns where a command shows its progress while it writes JSON to a path: standard error if that path is
+// "-", standard output else.
+func progressOut(cmd *cobra.Command, jsonPath string) io.Writer {
+	if jsonPath == "-" {
+		return cmd.ErrOrStderr()
+	}
+	return cmd.OutOrStdout()
+}
+
 // printStale warns that what follows may be old, with the reason; an empty reason means that it is not.
 func printStale(out io.Writer, why string) {
 	if why != "" {
--- a/cmd/elderctl/reverse_proxy.go
+++ b/cmd/elderctl/reverse_proxy.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -12,10 +13,8 @@
 	"github.com/spf13/cobra"
 )
 
-// reverseProxyCommand is the baseline of `elderctl lab bench`: the standard
-// library's proxy as it comes, on one core. Its transport keeps as many idle
-// connections as are in use, since two for each backend, the default, would make
-// it dial for most requests.
+// reverseProxyCommand returns the hidden verb that is the baseline of `elderctl lab bench`: the standard library's proxy,
+// on one core.
 func reverseProxyCommand() *cobra.Command {
 	var listen string
 	var backends []string
@@ -26,37 +25,47 @@
 		Args:   noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			runtime.GOMAXPROCS(1)
-			var urls []*url.URL
-			for _, b := range backends {
-				urls = append(urls, &url.URL{Scheme: "http", Host: b})
-			}
-			if len(urls) == 0 {
+			if len(backends) == 0 {
 				return usageError(fmt.Errorf("--backends names none"))
 			}
-			var next atomic.Uint64
-			transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
-			proxy := &httputil.ReverseProxy{Transport: transport, Rewrite: func(r *httputil.ProxyRequest) {
-				r.SetURL(urls[next.Add(1)%uint64(len(urls))])
-			}}
-			mux := http.NewServeMux()
-			mux.HandleFunc("/health/ready", func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ready\n") })
-			mux.Handle("/", proxy)
-			server := &http.Server{Addr: listen, Handler: mux}
-			stop := make(chan struct{})
-			go func() {
-				defer close(stop)
-				<-cmd.Context().Done()
-				server.Close()
-			}()
-			err := server.ListenAndServe()
-			if cmd.Context().Err() != nil {
-				<-stop
-				return nil
-			}
-			return operationError(err)
+			return operationError(serveUntilDone(cmd.Context(), &http.Server{Addr: listen, Handler: baselineProxy(backends)}))
 		},
 	}
 	cmd.Flags().StringVar(&listen, "listen", "", "address")
 	cmd.Flags().StringSliceVar(&backends, "backends", nil, "addresses")
 	return cmd
 }
+
+// baselineProxy returns a proxy that sends requests to the backends in turn, and answers the readiness check itself.
+func baselineProxy(backends []string) http.Handler {
+	var urls []*url.URL
+	for _, backend := range backends {
+		urls = append(urls, &url.URL{Scheme: "http", Host: backend})
+	}
+	var next atomic.Uint64
+	// The default of two idle connections for each backend would make the proxy dial for most requests.
+	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
+	proxy := &httputil.ReverseProxy{Transport: transport, Rewrite: func(r *httputil.ProxyRequest) {
+		r.SetURL(urls[next.Add(1)%uint64(len(urls))])
+	}}
+	mux := http.NewServeMux()
+	mux.HandleFunc("/health/ready", func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ready\n") })
+	mux.Handle("/", proxy)
+	return mux
+}
+
+// serveUntilDone serves until the context ends, which closes the server and is no error.
+func serveUntilDone(ctx context.Context, server *http.Server) error {
+	closed := make(chan struct{})
+	go func() { // ends with ctx
+		defer close(closed)
+		<-ctx.Done()
+		server.Close()
+	}()
+	err := server.ListenAndServe()
+	if ctx.Err() != nil {
+		<-closed
+		return nil
+	}
+	return err
+}
--- a/cmd/elderctl/trace_print.go
+++ b/cmd/elderctl/trace_print.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"strings"
-	"text/tabwriter"
 
 	common "go.opentelemetry.io/proto/otlp/common/v1"
 
@@ -23,7 +22,7 @@
 	if id != "" && len(all) == 1 {
 		return operationError(printTrace(out, all[0]))
 	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	w := newTable(out)
 	fmt.Fprintln(w, "trace\ttook\tspans\tprocesses\trequest\tended")
 	for i, tree := range all {
 		if i == maxListedTraces {
@@ -43,7 +42,7 @@
 // printTrace prints a trace as a tree, with times since its start.
 func printTrace(out io.Writer, tree *traceTree) error {
 	fmt.Fprintf(out, "trace %s: %s, %d spans of %s\n", tree.id, formatSeconds(tree.from, tree.to), tree.spans, strings.Join(tree.processes, " and "))
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	w := newTable(out)
 	for _, root := range tree.roots {
 		printSpan(w, tree.from, root, "", "")
 	}
