--- a/cmd/elderctl/content.go
+++ b/cmd/elderctl/content.go
@@ -71,18 +71,18 @@
 }
 
 // diffContents returns a unified diff of two contents, with the names that they have in it; "" if they are equal.
-func diffContents(oldName, newName string, old, changed revisions.Content) string {
-	text := udiff.Unified(oldName, newName, old.File, changed.File)
-	overlays := maps.Clone(old.Overlays)
+func diffContents(fromName, toName string, from, to revisions.Content) string {
+	text := udiff.Unified(fromName, toName, from.File, to.File)
+	overlays := maps.Clone(from.Overlays)
 	if overlays == nil {
 		overlays = map[string]string{}
 	}
-	maps.Copy(overlays, changed.Overlays)
+	maps.Copy(overlays, to.Overlays)
 	for _, name := range slices.Sorted(maps.Keys(overlays)) {
-		text += udiff.Unified(oldName+" overlay "+name, newName+" overlay "+name, old.Overlays[name], changed.Overlays[name])
+		text += udiff.Unified(fromName+" overlay "+name, toName+" overlay "+name, from.Overlays[name], to.Overlays[name])
 	}
-	if old.RestartGeneration != changed.RestartGeneration {
-		text += fmt.Sprintf("every instance starts anew (turn %d to %d)\n", old.RestartGeneration, changed.RestartGeneration)
+	if from.RestartGeneration != to.RestartGeneration {
+		text += fmt.Sprintf("every instance starts anew (turn %d to %d)\n", from.RestartGeneration, to.RestartGeneration)
 	}
 	return text
 }
--- a/cmd/elderctl/follow.go
+++ b/cmd/elderctl/follow.go
@@ -30,22 +30,22 @@
 // applyTimeout at most.
 func followRollout(ctx context.Context, client *agent.Client, out io.Writer, revision uint64) (agent.Status, error) {
 	progress := newProgressPrinter(out)
-	var leaderLostAt time.Time // zero: a leader answers
+	var leaderlessSince time.Time // zero: a leader answers
 	for {
 		status, err := client.Status(ctx)
 		switch {
 		case ctx.Err() != nil:
 			return status, fmt.Errorf("revision %d goes on without this tool: %w", revision, ctx.Err())
 		case err != nil || status.Stale != "":
-			if leaderLostAt.IsZero() {
-				leaderLostAt = time.Now()
+			if leaderlessSince.IsZero() {
+				leaderlessSince = time.Now()
 			}
 			progress.print(leaderKey, "no leader answers; waiting")
-			if time.Since(leaderLostAt) > applyTimeout {
+			if time.Since(leaderlessSince) > applyTimeout {
 				return status, &exitError{exitUnreachable, fmt.Errorf("no leader has answered for %v; revision %d was accepted and goes on", applyTimeout, revision)}
 			}
 		default:
-			leaderLostAt = time.Time{}
+			leaderlessSince = time.Time{}
 			progress.forget(leaderKey)
 			if ended := progress.printRollout(status, revision); ended {
 				return status, nil
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -19,13 +19,13 @@
 	"elderyard/internal/otlpfile"
 )
 
-// labFlags are what `elderctl lab` is asked.
+// labFlags are the flags of `elderctl lab`.
 type labFlags struct {
-	scenario string
-	site     lab.Site
-	json     string
-	trace    string
-	moments  string
+	scenario  string // name or file
+	site      lab.Site
+	json      string // path; "-": standard output
+	trace     string // path; "": traces are not collected
+	rollupDir string // "": no rollups
 }
 
 func labCommand() *cobra.Command {
@@ -41,22 +41,22 @@
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return runLab(cmd, &f) },
 	}
-	fl := cmd.Flags()
-	fl.StringVar(&f.scenario, "scenario", "quiet", "a scenario that ships (see 'elderctl lab list') or a file")
-	fl.IntVar(&f.site.Gateways, "gateways", lab.DefaultGateways, "gateway processes")
-	fl.IntVar(&f.site.Nodes, "nodes", lab.DefaultNodes, "backends")
-	fl.Float64Var(&f.site.Rate, "rate", lab.DefaultRate, "requests a second inside the quotas")
-	fl.DurationVar(&f.site.For, "for", lab.DefaultFor, "length of the load")
-	fl.Uint64Var(&f.site.Seed, "seed", 1, "draws customers, arrivals and targets")
-	fl.StringVar(&f.site.Gateway, "gateway", "", "the gateway's program; else the one beside this tool, else built from the checkout")
-	fl.StringVar(&f.json, "json", "", "write the verdict to this file as JSON; - for standard output")
-	fl.StringVar(&f.trace, "trace", "", "have a collector take all stories, and write them to this file at the end; see 'elderctl trace'")
-	fl.StringVar(&f.moments, "moments", "", "have the gateways count what they do by tenths of a second, in files in this folder; see 'elderctl lab read'")
+	flags := cmd.Flags()
+	flags.StringVar(&f.scenario, "scenario", "quiet", "a scenario that ships (see 'elderctl lab list') or a file")
+	flags.IntVar(&f.site.Gateways, "gateways", lab.DefaultGateways, "gateway processes")
+	flags.IntVar(&f.site.Nodes, "nodes", lab.DefaultNodes, "backends")
+	flags.Float64Var(&f.site.Rate, "rate", lab.DefaultRate, "requests a second inside the quotas")
+	flags.DurationVar(&f.site.For, "for", lab.DefaultFor, "length of the load")
+	flags.Uint64Var(&f.site.Seed, "seed", 1, "draws customers, arrivals and targets")
+	flags.StringVar(&f.site.Gateway, "gateway", "", "the gateway's program; else the one beside this tool, else built from the checkout")
+	flags.StringVar(&f.json, "json", "", "write the verdict to this file as JSON; - for standard output")
+	flags.StringVar(&f.trace, "trace", "", "have a collector take all stories, and write them to this file at the end; see 'elderctl trace'")
+	flags.StringVar(&f.rollupDir, "moments", "", "have the gateways count what they do by tenths of a second, in files in this folder; see 'elderctl lab read'")
 	cmd.AddCommand(labListCommand(), labFaultsCommand(), labBenchCommand(), labReadCommand())
 	return cmd
 }
 
-// merge lets the flags that were given count for more than the scenario.
+// merge returns the scenario's site with the flags that were given in place of its values.
 func (f *labFlags) merge(cmd *cobra.Command, s lab.Site) lab.Site {
 	given := cmd.Flags().Changed
 	if given("gateways") {
@@ -79,40 +79,31 @@
 	return s
 }
 
-// labReport is what --json writes.
-type labReport struct {
-	Scenario string        `json:"scenario"`
-	Seed     uint64        `json:"seed"`
-	Gateways int           `json:"gateways"`
-	Nodes    int           `json:"nodes"`
-	Rate     float64       `json:"rate_per_s"`
-	For      time.Duration `json:"for_ns"`
-	State    string        `json:"state"` // kept, broken or void
-	Cost     lab.Cost      `json:"lab"`   // of the lab itself
-	Verdict  audit.Verdict `json:"verdict"`
-}
-
-func runLab(cmd *cobra.Command, f *labFlags) error {
+// openSite returns the scenario and the site to run, with the folder for its rollups. Errors are usage errors.
+func (f *labFlags) openSite(cmd *cobra.Command) (lab.Scenario, lab.Site, error) {
 	scenario, err := lab.FindScenario(f.scenario)
 	if err != nil {
-		return usageError(err)
+		return scenario, lab.Site{}, usageError(err)
 	}
 	site := f.merge(cmd, scenario.Site())
 	if err := site.Check(); err != nil {
-		return usageError(err)
+		return scenario, site, usageError(err)
 	}
-	if f.moments != "" {
-		if site.RollupDir, err = filepath.Abs(f.moments); err != nil {
-			return usageError(err)
-		}
-		if err := os.MkdirAll(site.RollupDir, 0o755); err != nil {
-			return usageError(err)
-		}
+	if f.rollupDir == "" {
+		return scenario, site, nil
 	}
-	out := cmd.OutOrStdout()
-	if f.json == "-" {
-		out = cmd.ErrOrStderr()
+	if site.RollupDir, err = filepath.Abs(f.rollupDir); err != nil {
+		return scenario, site, usageError(err)
 	}
+	return scenario, site, usageError(os.MkdirAll(site.RollupDir, 0o755))
+}
+
+func runLab(cmd *cobra.Command, f *labFlags) error {
+	scenario, site, err := f.openSite(cmd)
+	if err != nil {
+		return err
+	}
+	out := progressOut(cmd, f.json)
 	view := newLabView(out, scenario.Name, scenario.About)
 	site.Log = view.event
 	ctx, cancel := context.WithCancel(cmd.Context())
@@ -122,35 +113,44 @@
 		return operationError(err)
 	}
 	defer l.Close()
-	if c := l.Collector(); c != nil {
-		view.event("stories, while it runs: elderctl trace --from %s", c.Links()[0].Address())
-	}
-	shown := make(chan struct{})
-	watching, stopWatching := context.WithCancel(ctx)
-	go func() {
-		defer close(shown)
-		view.follow(watching, l.Snapshot)
-	}()
-	err = l.Play(ctx)
-	stopWatching()
-	<-shown
-	if err != nil {
+	if collector := l.Collector(); collector != nil {
+		view.event("stories, while it runs: elderctl trace --from %s", collector.Links()[0].Address())
+	}
+	if err := playWithView(ctx, l, view); err != nil {
 		return operationError(err)
 	}
-	v := l.Verdict()
-	done, cost := l.Site(), l.Cost()
-	printVerdict(out, &v, cost)
+	verdict, cost := l.Verdict(), l.Cost()
+	printVerdict(out, &verdict, cost)
 	if f.trace != "" {
 		if err := writeTraces(out, l, f.trace); err != nil {
 			return operationError(err)
 		}
 	}
 	if f.json != "" {
-		if err := writeJSON(cmd.OutOrStdout(), f.json, labReport{scenario.Name, done.Seed, done.Gateways, done.Nodes, done.Rate, done.For, v.State(), cost, v}); err != nil {
+		if err := writeJSON(cmd.OutOrStdout(), f.json, newLabReport(scenario.Name, l.Site(), cost, verdict)); err != nil {
 			return operationError(err)
 		}
 	}
-	switch v.State() {
+	return verdictError(verdict.State())
+}
+
+// playWithView plays the lab's load and faults to their end, with the view following. It returns after the last drawing.
+func playWithView(ctx context.Context, l *lab.Lab, view *labView) error {
+	following, stop := context.WithCancel(ctx)
+	ended := make(chan struct{})
+	go func() { // ends with following
+		defer close(ended)
+		view.follow(following, l.Snapshot)
+	}()
+	err := l.Play(ctx)
+	stop()
+	<-ended
+	return err
+}
+
+// verdictError returns the exit status of a verdict's state. The verdict itself has been printed.
+func verdictError(state string) error {
+	switch state {
 	case "broken":
 		return &exitError{exitRule, nil}
 	case "void":
@@ -159,17 +159,33 @@
 	return nil
 }
 
-// writeTraces writes what the collector took to a file, and shows the story of the
-// request that had the most to it.
+// labReport is what --json writes.
+type labReport struct {
+	Scenario string        `json:"scenario"`
+	Seed     uint64        `json:"seed"`
+	Gateways int           `json:"gateways"`
+	Nodes    int           `json:"nodes"`
+	Rate     float64       `json:"rate_per_s"`
+	For      time.Duration `json:"for_ns"`
+	State    string        `json:"state"` // kept, broken or void
+	Cost     lab.Cost      `json:"lab"`   // of the lab itself
+	Verdict  audit.Verdict `json:"verdict"`
+}
+
+func newLabReport(scenario string, site lab.Site, cost lab.Cost, verdict audit.Verdict) labReport {
+	return labReport{scenario, site.Seed, site.Gateways, site.Nodes, site.Rate, site.For, verdict.State(), cost, verdict}
+}
+
+// writeTraces writes the collector's traces to a file, and prints the one with the most spans.
 func writeTraces(out io.Writer, l *lab.Lab, path string) error {
-	var b bytes.Buffer
-	if err := l.Collector().Write(&b, ""); err != nil {
+	var encoded bytes.Buffer
+	if err := l.Collector().Write(&encoded, ""); err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
-	if err := files.Replace(path, b.Bytes(), 0o644); err != nil {
+	if err := files.Replace(path, encoded.Bytes(), 0o644); err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
-	list, err := otlpfile.Read(&b)
+	list, err := otlpfile.Read(&encoded)
 	if err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
@@ -177,7 +193,7 @@
 	if len(all) == 0 {
 		return nil
 	}
-	most := slices.MaxFunc(all, func(a, b *traceTree) int { return cmp.Compare(a.spans, b.spans) })
+	largest := slices.MaxFunc(all, func(a, b *traceTree) int { return cmp.Compare(a.spans, b.spans) })
 	fmt.Fprintf(out, "\n%d stories are in %s; the one with the most to it:\n", len(all), path)
-	return printTrace(out, most)
+	return printTrace(out, largest)
 }
--- a/cmd/elderctl/lab_verdict.go
+++ b/cmd/elderctl/lab_verdict.go
@@ -3,81 +3,109 @@
 import (
 	"fmt"
 	"io"
-	"text/tabwriter"
 	"time"
 
 	"elderyard/internal/lab"
 	"elderyard/internal/lab/audit"
 )
 
-// printVerdict is the summary at the end.
-func printVerdict(out io.Writer, v *audit.Verdict, cost lab.Cost) {
-	c := v.Counts
-	fmt.Fprintf(out, "\nservice %.3f of the worth asked for inside the quotas\n", v.Service)
-	for _, list := range [][]audit.Service{v.Classes, v.Plans} {
-		for _, s := range list {
-			fmt.Fprintf(out, "  %s %.3f", s.Name, s.Share())
+// printVerdict prints the auditor's verdict on a lab that has ended, and what the lab itself consumed.
+func printVerdict(out io.Writer, verdict *audit.Verdict, cost lab.Cost) {
+	printService(out, verdict)
+	printOutcomes(out, &verdict.Counts)
+	printOveruse(out, verdict)
+	printProcessesAndRules(out, verdict)
+	printEvidence(out, verdict.Findings)
+	if verdict.Counts.LateWindows > 0 {
+		fmt.Fprintf(out, "the machine ran late in %d moments, the first: %s\n", verdict.Counts.LateWindows, verdict.Late[0])
+	}
+	if verdict.Lost > 0 {
+		fmt.Fprintf(out, "%d records found no room: no verdict on what they held\n", verdict.Lost)
+	}
+	fmt.Fprintf(out, "the lab itself took %.1f s of CPU (%.2f cores) and %.0f MB\nverdict: %s\n", cost.CPU.Seconds(), cost.Cores, cost.PeakMB, verdict.State())
+}
+
+// printService prints the level of service, in all and by class and plan.
+func printService(out io.Writer, verdict *audit.Verdict) {
+	fmt.Fprintf(out, "\nservice %.3f of the worth asked for inside the quotas\n", verdict.Service)
+	for _, list := range [][]audit.Service{verdict.Classes, verdict.Plans} {
+		for _, service := range list {
+			fmt.Fprintf(out, "  %s %.3f", service.Name, service.Share())
 		}
 		fmt.Fprintln(out)
 	}
-	fmt.Fprintf(out, "%d first tries, %d tries, %d attempts; ", c.First, c.Tries, c.Attempts)
-	for _, o := range []audit.Outcome{audit.Served, audit.Refused, audit.Failed, audit.NoAnswer, audit.Closed, audit.NotTaken, audit.Unfinished} {
-		if c.Outcomes[o] > 0 {
-			fmt.Fprintf(out, "%d %s, ", c.Outcomes[o], o)
+}
+
+// printOutcomes prints how requests and limit commands ended.
+func printOutcomes(out io.Writer, counts *audit.Counts) {
+	fmt.Fprintf(out, "%d first tries, %d tries, %d attempts; ", counts.First, counts.Tries, counts.Attempts)
+	for _, outcome := range []audit.Outcome{audit.Served, audit.Refused, audit.Failed, audit.NoAnswer, audit.Closed, audit.NotTaken, audit.Unfinished} {
+		if counts.Outcomes[outcome] > 0 {
+			fmt.Fprintf(out, "%d %s, ", counts.Outcomes[outcome], outcome)
 		}
 	}
-	fmt.Fprintf(out, "%d excused by a fault of a gateway's own, %d bad requests\n", c.Excused, c.Bad)
-	if c.Takes > 0 {
-		fmt.Fprintf(out, "%d limit commands, %g units granted by them; %d answers from a local share\n", c.Takes, c.Granted, c.Local)
+	fmt.Fprintf(out, "%d excused by a fault of a gateway's own, %d bad requests\n", counts.Excused, counts.Bad)
+	if counts.Takes > 0 {
+		fmt.Fprintf(out, "%d limit commands, %g units granted by them; %d answers from a local share\n", counts.Takes, counts.Granted, counts.Local)
 	}
-	if q := v.Worst; q.Plan != "" && q.Units > 0 {
+}
+
+// printOveruse prints the account that exceeded its quota the most, and what use beyond the quotas cost.
+func printOveruse(out io.Writer, verdict *audit.Verdict) {
+	if worst := verdict.Worst; worst.Plan != "" && worst.Units > 0 {
 		fmt.Fprintf(out, "furthest beyond a quota: account %016x (%s), %.1f units or %.0f%% of the %.1f allowed between %.1f and %.1f s\n",
-			q.Customer, q.Plan, q.Units, q.Percent, q.Allowed, q.From.Seconds(), q.To.Seconds())
+			worst.Customer, worst.Plan, worst.Units, worst.Percent, worst.Allowed, worst.From.Seconds(), worst.To.Seconds())
 	} else {
 		fmt.Fprintln(out, "no account went beyond its quota")
 	}
-	price := 0.0
-	for _, p := range v.Beyond {
-		fmt.Fprintf(out, "beyond quotas: %s %.1f of %.0f units; ", p.Plan, p.Beyond, p.Units)
-		price += p.Cost
+	cost := 0.0
+	for _, plan := range verdict.Beyond {
+		fmt.Fprintf(out, "beyond quotas: %s %.1f of %.0f units; ", plan.Plan, plan.Beyond, plan.Units)
+		cost += plan.Cost
 	}
-	fmt.Fprintf(out, "they cost %.4f of the worth asked for inside\n", price)
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "gateway\ttaken\tCPU\ta request\tpeak MB\tdescriptors")
-	for _, p := range v.Processes {
-		each := time.Duration(0)
-		if p.Requests > 0 {
-			each = p.CPU / time.Duration(p.Requests)
+	fmt.Fprintf(out, "they cost %.4f of the worth asked for inside\n", cost)
+}
+
+// printProcessesAndRules prints the gateways' use of the machine and the state of each rule, in one table: its second
+// part aligns by itself, since an empty line ends a column.
+func printProcessesAndRules(out io.Writer, verdict *audit.Verdict) {
+	printTable(out, func(w io.Writer) {
+		fmt.Fprintln(w, "gateway\ttaken\tCPU\ta request\tpeak MB\tdescriptors")
+		for _, process := range verdict.Processes {
+			perRequest := time.Duration(0)
+			if process.Requests > 0 {
+				perRequest = process.CPU / time.Duration(process.Requests)
+			}
+			fmt.Fprintf(w, "%s\t%d\t%.2f s\t%v\t%.1f\t%d\n", process.Gateway, process.Requests, process.CPU.Seconds(), perRequest.Round(time.Microsecond),
+				process.PeakMB, process.Files)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%.2f s\t%v\t%.1f\t%d\n", p.Gateway, p.Requests, p.CPU.Seconds(), each.Round(time.Microsecond), p.PeakMB, p.Files)
-	}
-	fmt.Fprintln(w)
-	for _, f := range v.Findings {
-		state := "kept"
-		switch {
-		case f.Broken > 0:
-			state = fmt.Sprintf("BROKEN %d times", f.Broken)
-		case f.Void > 0:
-			state = fmt.Sprintf("void, %d could not be ruled on", f.Void)
+		fmt.Fprintln(w)
+		for _, finding := range verdict.Findings {
+			fmt.Fprintf(w, "%s\t%s\n", finding.Rule, ruleState(finding))
 		}
-		fmt.Fprintf(w, "%s\t%s\n", f.Rule, state)
+	})
+}
+
+func ruleState(finding audit.Finding) string {
+	switch {
+	case finding.Broken > 0:
+		return fmt.Sprintf("BROKEN %d times", finding.Broken)
+	case finding.Void > 0:
+		return fmt.Sprintf("void, %d could not be ruled on", finding.Void)
 	}
-	w.Flush()
-	for _, f := range v.Findings {
-		for _, e := range f.Evidence {
-			fmt.Fprintf(out, "  %s, %s\n", f.Rule, formatEvidence(e))
+	return "kept"
+}
+
+// printEvidence prints where rules were broken, and where the auditor could not decide.
+func printEvidence(out io.Writer, findings []audit.Finding) {
+	for _, finding := range findings {
+		for _, e := range finding.Evidence {
+			fmt.Fprintf(out, "  %s, %s\n", finding.Rule, formatEvidence(e))
 		}
-		for _, e := range f.Voided {
-			fmt.Fprintf(out, "  void: %s, %s\n", f.Rule, formatEvidence(e))
+		for _, e := range finding.Voided {
+			fmt.Fprintf(out, "  void: %s, %s\n", finding.Rule, formatEvidence(e))
 		}
 	}
-	if v.Counts.LateWindows > 0 {
-		fmt.Fprintf(out, "the machine ran late in %d moments, the first: %s\n", v.Counts.LateWindows, v.Late[0])
-	}
-	if v.Lost > 0 {
-		fmt.Fprintf(out, "%d records found no room: no verdict on what they held\n", v.Lost)
-	}
-	fmt.Fprintf(out, "the lab itself took %.1f s of CPU (%.2f cores) and %.0f MB\nverdict: %s\n", cost.CPU.Seconds(), cost.Cores, cost.PeakMB, v.State())
 }
 
 func formatEvidence(e audit.Evidence) string {
--- a/cmd/elderctl/reverse_proxy.go
+++ b/cmd/elderctl/reverse_proxy.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"fmt"
+	"errors"
 	"io"
 	"net/http"
 	"net/http/httputil"
@@ -26,7 +26,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			runtime.GOMAXPROCS(1)
 			if len(backends) == 0 {
-				return usageError(fmt.Errorf("--backends names none"))
+				return usageError(errors.New("--backends names none"))
 			}
 			return operationError(serveUntilDone(cmd.Context(), &http.Server{Addr: listen, Handler: baselineProxy(backends)}))
 		},
