--- a/cmd/elderctl/capacity_test.go
+++ b/cmd/elderctl/capacity_test.go
@@ -118,7 +118,7 @@
 	page := readFile(t, capacityPage)
 	for _, c := range []struct {
 		args []string
-		says string
+		want string
 	}{
 		{[]string{"--size", "none.toml"}, "size: open none.toml"},
 		{[]string{"--slopes", "none.json"}, "slopes: open none.json"},
@@ -135,8 +135,8 @@
 		{[]string{"more"}, "unknown command"},
 	} {
 		status, out, errs := capacityTool(t, c.args...)
-		if status != exitUsage || out != "" || !strings.Contains(errs, c.says) {
-			t.Errorf("%v: status %d: %s%s; want %s", c.args, status, out, errs, c.says)
+		if status != exitUsage || out != "" || !strings.Contains(errs, c.want) {
+			t.Errorf("%v: status %d: %s%s; want %s", c.args, status, out, errs, c.want)
 		}
 	}
 }
--- a/cmd/elderctl/fleet_site_test.go
+++ b/cmd/elderctl/fleet_site_test.go
@@ -24,7 +24,7 @@
 
 const (
 	// asPoisoned has this test binary run the gateway that the next variable names,
-	// and kill it some time later if its operator's file holds a certain figure: a
+	// and kill it some time later if its operator's file condition a certain figure: a
 	// revision that passes every check and ends the gateway after it was ready.
 	asPoisoned  = "ELDERCTL_TEST_AS_POISONED"
 	poison      = 401
@@ -99,10 +99,10 @@
 	return st
 }
 
-// waitFor polls until the condition holds.
-func (s *fleetSite) waitFor(what string, holds func() bool) {
+// waitFor polls until the condition condition.
+func (s *fleetSite) waitFor(what string, condition func() bool) {
 	s.t.Helper()
-	for limit := time.Now().Add(testTimeout); !holds(); time.Sleep(50 * time.Millisecond) {
+	for limit := time.Now().Add(testTimeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(limit) {
 			s.t.Fatalf("never: %s\n%+v\n%s", what, s.status(0), s.AgentOutput(0))
 		}
@@ -159,12 +159,12 @@
 	return done
 }
 
-// waitForInstance waits until the condition holds for one instance, by the last agent's status.
-func (s *fleetSite) waitForInstance(what string, holds func(agent.InstanceStatus) bool) {
+// waitForInstance waits until the condition condition for one instance, by the last agent's status.
+func (s *fleetSite) waitForInstance(what string, condition func(agent.InstanceStatus) bool) {
 	s.t.Helper()
 	s.waitFor(what, func() bool {
 		for _, g := range s.status(s.gateways - 1).Instances {
-			if holds(g) {
+			if condition(g) {
 				return true
 			}
 		}
--- a/cmd/elderctl/fleet_usage_test.go
+++ b/cmd/elderctl/fleet_usage_test.go
@@ -7,20 +7,13 @@
 	"testing"
 )
 
-// TestFleetVerbsWithBadInput: whatever is wrong, the error is clear, the status
-// is the documented one, and nothing changes.
-func TestFleetVerbsWithBadInput(t *testing.T) {
+// TestFleetVerbsRejectInvalidInput checks that each wrong argument or file has a clear error and the documented status,
+// and that nothing is written.
+func TestFleetVerbsRejectInvalidInput(t *testing.T) {
 	dir := t.TempDir()
-	write := func(name, text string) string {
-		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return path
-	}
-	huge := write("huge", strings.Repeat("#", 300<<10))
-	hostile := write("hostile", "[gateway.settings]\nrank = \"\x00\"\n")
-	wrongKey := write("wrong", "[gateway]\ndiscvery = 'x'\n")
+	huge := writeFile(t, "huge", strings.Repeat("#", 300<<10))
+	hostile := writeFile(t, "hostile", "[gateway.settings]\nrank = \"\x00\"\n")
+	wrongKey := writeFile(t, "wrong", "[gateway]\ndiscvery = 'x'\n")
 	nobody := filepath.Join(dir, "none.sock")
 	for _, c := range []struct {
 		status int
--- a/cmd/elderctl/golden_fleet_test.go
+++ b/cmd/elderctl/golden_fleet_test.go
@@ -25,7 +25,7 @@
 	s.with(status("status.json"), "a rollout that goes on", "instances")
 	s.with(status("status.json"), "a rollout that goes on", "instances", "--json")
 	s.with(status("status-stale.json"), "no leader", "instances")
-	golden.Text(t, "status.txt", s.written.String())
+	golden.Text(t, "status.txt", s.transcript.String())
 }
 
 func TestGoldenRevisions(t *testing.T) {
@@ -49,7 +49,7 @@
 	s.with(answers(), "two revisions", "diff", "11", "12")
 	s.with(answers(), "two revisions", "diff", "11", "12", "--json")
 	s.with(answers(), "a revision with itself", "diff", "12", "12")
-	golden.Text(t, "revisions.txt", s.written.String())
+	golden.Text(t, "revisions.txt", s.transcript.String())
 }
 
 func TestGoldenMembersAndAudit(t *testing.T) {
@@ -78,7 +78,7 @@
 	refused := answers()
 	refused["POST /v1/members/remove"] = failure("refused", "a1 is the only voter")
 	s.with(refused, "the last voter", "members", "remove", "a1")
-	golden.Text(t, "members.txt", s.written.String())
+	golden.Text(t, "members.txt", s.transcript.String())
 }
 
 func TestGoldenPlanAndCheck(t *testing.T) {
@@ -99,7 +99,7 @@
 	stale := answers("probe.json")
 	stale["GET /v1/status"] = ok("@status-stale.json")
 	s.with(stale, "no leader", "plan", site)
-	golden.Text(t, "plan.txt", s.written.String())
+	golden.Text(t, "plan.txt", s.transcript.String())
 }
 
 func TestGoldenApply(t *testing.T) {
@@ -136,7 +136,7 @@
 	refused := answers("applied-accepted.json")
 	refused["POST /v1/apply"] = failure("forbidden", `vic has the role "viewer", and operator is needed`)
 	s.with(refused, "the role does not allow it", "apply", site)
-	golden.Text(t, "apply.txt", s.written.String())
+	golden.Text(t, "apply.txt", s.transcript.String())
 }
 
 func TestGoldenChanges(t *testing.T) {
@@ -161,5 +161,5 @@
 	s.with(saved, "saved", "snapshot", "save", filepath.Join(dir, "saved"))
 	s.with(saved, "the file can't be written", "snapshot", "save", "testdata/none/saved")
 	s.with(nil, "not what was saved", "snapshot", "restore", "testdata/site.toml")
-	golden.Text(t, "changes.txt", s.written.String())
+	golden.Text(t, "changes.txt", s.transcript.String())
 }
--- a/cmd/elderctl/golden_local_test.go
+++ b/cmd/elderctl/golden_local_test.go
@@ -33,7 +33,7 @@
 	s.run("an agent's file, again", "agent", "init", filepath.Join(dir, "a"), "--name", "a1")
 	s.run("gateways' configurations", "import", "--out", filepath.Join(dir, "site"), "testdata/g0.json", "testdata/g1.json", "testdata/g2.json")
 	for _, path := range []string{"a/agent.toml", "site/site.toml", "site/g1.toml"} {
-		fmt.Fprintf(&s.written, "=== %s\n%s", path, readFile(t, filepath.Join(dir, path)))
+		fmt.Fprintf(&s.transcript, "=== %s\n%s", path, readFile(t, filepath.Join(dir, path)))
 	}
-	golden.Text(t, "local.txt", s.written.String())
+	golden.Text(t, "local.txt", s.transcript.String())
 }
--- a/cmd/elderctl/golden_peers_test.go
+++ b/cmd/elderctl/golden_peers_test.go
@@ -54,5 +54,5 @@
 		})
 		cancel()
 	}
-	golden.Text(t, "peers.txt", s.written.String())
+	golden.Text(t, "peers.txt", s.transcript.String())
 }
--- a/cmd/elderctl/golden_records_test.go
+++ b/cmd/elderctl/golden_records_test.go
@@ -40,7 +40,7 @@
 		change("result-invalid.json", append([]string{"put", "tenant/zed", "--file", "testdata/value.json"}, flags...)...)
 	}
 	change("result-accepted.json", "delete", "tenant/acme", "plan/gold", "--wait", "1ms")
-	golden.Text(t, "records.txt", s.written.String())
+	golden.Text(t, "records.txt", s.transcript.String())
 
 	var lag agentapi.RecordsLag
 	if err := json.Unmarshal(reply{body: "@records-lag.json"}.text(t), &lag); err != nil {
--- a/cmd/elderctl/golden_test.go
+++ b/cmd/elderctl/golden_test.go
@@ -24,7 +24,7 @@
 	t.Parallel()
 	s := newSession(t)
 	s.patterns = append(s.patterns, pattern{elapsedTime, "  ELAPSED  "})
-	fmt.Fprintf(&s.written, "ok %d, failed %d, usage %d, rule %d, void %d, refused %d, conflict %d, partly %d, unreachable %d, differ %d, interrupted %d\n",
+	fmt.Fprintf(&s.transcript, "ok %d, failed %d, usage %d, rule %d, void %d, refused %d, conflict %d, partly %d, unreachable %d, differ %d, interrupted %d\n",
 		exitOK, exitFailed, exitUsage, exitRule, exitVoid, exitRefused, exitConflict, exitPartly, exitUnreachable, exitDiffer, exitInterrupted)
 	status := func(name string) map[string][]reply {
 		return map[string][]reply{"GET /v1/status": ok("@" + name)}
@@ -59,7 +59,7 @@
 		s.agent.waitForCalls(5) // status, revision, apply, and the status twice: what the first showed has been printed
 		cmd.Process.Signal(syscall.SIGINT)
 	})
-	golden.Text(t, "exit.txt", s.written.String())
+	golden.Text(t, "exit.txt", s.transcript.String())
 }
 
 // The tree of verbs with all their flags. Where a default comes from the machine a placeholder stands; cobra's own
--- a/cmd/elderctl/import_test.go
+++ b/cmd/elderctl/import_test.go
@@ -27,9 +27,9 @@
 		}
 	}
 	out := filepath.Join(dir, "site")
-	status, said, errs := tool(t, "import", "--out", out, filepath.Join(dir, "g0.json"), filepath.Join(dir, "g1.json"))
-	if status != exitOK || !strings.Contains(said, "--overlay g1="+filepath.Join(out, "g1.toml")) {
-		t.Fatalf("%d %s %s", status, said, errs)
+	status, printed, errs := tool(t, "import", "--out", out, filepath.Join(dir, "g0.json"), filepath.Join(dir, "g1.json"))
+	if status != exitOK || !strings.Contains(printed, "--overlay g1="+filepath.Join(out, "g1.toml")) {
+		t.Fatalf("%d %s %s", status, printed, errs)
 	}
 	base, err := os.ReadFile(filepath.Join(out, "site.toml"))
 	if err != nil {
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -57,26 +57,26 @@
 }
 
 // merge returns the scenario's site with the flags that were given in place of its values.
-func (f *labFlags) merge(cmd *cobra.Command, s lab.Site) lab.Site {
+func (f *labFlags) merge(cmd *cobra.Command, site lab.Site) lab.Site {
 	given := cmd.Flags().Changed
 	if given("gateways") {
-		s.Gateways = f.site.Gateways
+		site.Gateways = f.site.Gateways
 	}
 	if given("nodes") {
-		s.Nodes = f.site.Nodes
+		site.Nodes = f.site.Nodes
 	}
 	if given("rate") {
-		s.Rate = f.site.Rate
+		site.Rate = f.site.Rate
 	}
 	if given("for") {
-		s.For = f.site.For
+		site.For = f.site.For
 	}
 	if given("seed") {
-		s.Seed = f.site.Seed
+		site.Seed = f.site.Seed
 	}
-	s.Gateway = f.site.Gateway
-	s.Export = s.Export || f.trace != ""
-	return s
+	site.Gateway = f.site.Gateway
+	site.Export = site.Export || f.trace != ""
+	return site
 }
 
 // openSite returns the scenario and the site to run, with the folder for its rollups. Errors are usage errors.
@@ -98,12 +98,12 @@
 	return scenario, site, usageError(os.MkdirAll(site.RollupDir, 0o755))
 }
 
-func runLab(cmd *cobra.Command, f *labFlags) error {
-	scenario, site, err := f.openSite(cmd)
+func runLab(cmd *cobra.Command, flags *labFlags) error {
+	scenario, site, err := flags.openSite(cmd)
 	if err != nil {
 		return err
 	}
-	out := progressOut(cmd, f.json)
+	out := progressOut(cmd, flags.json)
 	view := newLabView(out, scenario.Name, scenario.About)
 	site.Log = view.event
 	ctx, cancel := context.WithCancel(cmd.Context())
@@ -121,13 +121,13 @@
 	}
 	verdict, cost := l.Verdict(), l.Cost()
 	printVerdict(out, &verdict, cost)
-	if f.trace != "" {
-		if err := writeTraces(out, l, f.trace); err != nil {
+	if flags.trace != "" {
+		if err := writeTraces(out, l, flags.trace); err != nil {
 			return operationError(err)
 		}
 	}
-	if f.json != "" {
-		if err := writeJSON(cmd.OutOrStdout(), f.json, newLabReport(scenario.Name, l.Site(), cost, verdict)); err != nil {
+	if flags.json != "" {
+		if err := writeJSON(cmd.OutOrStdout(), flags.json, newLabReport(scenario.Name, l.Site(), cost, verdict)); err != nil {
 			return operationError(err)
 		}
 	}
@@ -177,9 +177,9 @@
 }
 
 // writeTraces writes the collector's traces to a file, and prints the one with the most spans.
-func writeTraces(out io.Writer, l *lab.Lab, path string) error {
+func writeTraces(out io.Writer, ended *lab.Lab, path string) error {
 	var encoded bytes.Buffer
-	if err := l.Collector().Write(&encoded, ""); err != nil {
+	if err := ended.Collector().Write(&encoded, ""); err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
 	if err := files.Replace(path, encoded.Bytes(), 0o644); err != nil {
--- a/cmd/elderctl/lab_view.go
+++ b/cmd/elderctl/lab_view.go
@@ -165,32 +165,32 @@
 }
 
 // draw returns the text of the screen.
-func (v *labView) draw(s lab.Snapshot) string {
+func (v *labView) draw(snapshot lab.Snapshot) string {
 	var b strings.Builder
-	p := s.Progress
-	fmt.Fprintf(&b, "elderyard lab  %s  %s %.0f of %.0f s\n%s\n\n", v.name, bar(s.At, s.Of), s.At.Seconds(), s.Of.Seconds(), v.about)
+	p := snapshot.Progress
+	fmt.Fprintf(&b, "elderyard lab  %s  %s %.0f of %.0f s\n%s\n\n", v.name, bar(snapshot.At, snapshot.Of), snapshot.At.Seconds(), snapshot.Of.Seconds(), v.about)
 	fmt.Fprintf(&b, "asked %d   served %d   refused %d   failed %d   no answer %d   retries %d   late %d%s\n\n",
-		p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, s.Late, formatLimitCommands(p))
+		p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, snapshot.Late, formatLimitCommands(p))
 	w := newTable(&b)
 	fmt.Fprint(w, "answered, by class")
-	for i, name := range s.Classes {
+	for i, name := range snapshot.Classes {
 		if i < len(p.ByClass) {
 			fmt.Fprintf(w, "\t%s %s", name, percentOf(p.ByClass[i][1], p.ByClass[i][0]))
 		}
 	}
 	fmt.Fprint(w, "\nby plan")
-	for i, name := range s.Plans {
+	for i, name := range snapshot.Plans {
 		if i < len(p.ByPlan) {
 			fmt.Fprintf(w, "\t%s %s", name, percentOf(p.ByPlan[i][1], p.ByPlan[i][0]))
 		}
 	}
 	fmt.Fprint(w, "\n\ngateway\tstate\ttaken\tCPU\tpeak MB\tdescriptors\n")
-	for _, g := range s.Gateways {
+	for _, g := range snapshot.Gateways {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%.1f s\t%.0f\t%d\n", g.Name, g.State, g.Taken, g.CPU.Seconds(), g.PeakMB, g.Files)
 	}
 	w.Flush()
 	fmt.Fprint(&b, "\nbackends  ")
-	for _, n := range s.Nodes {
+	for _, n := range snapshot.Nodes {
 		if n.Down {
 			fmt.Fprintf(&b, "%s down  ", n.Name)
 		} else {
@@ -198,10 +198,10 @@
 		}
 	}
 	fmt.Fprint(&b, "\nfaults    ")
-	if len(s.Faults) == 0 {
+	if len(snapshot.Faults) == 0 {
 		fmt.Fprint(&b, "none")
 	}
-	fmt.Fprintln(&b, strings.Join(s.Faults, ", "))
+	fmt.Fprintln(&b, strings.Join(snapshot.Faults, ", "))
 	fmt.Fprintln(&b)
 	for _, e := range v.events {
 		fmt.Fprintln(&b, e)
--- a/cmd/elderctl/peers_test.go
+++ b/cmd/elderctl/peers_test.go
@@ -67,7 +67,7 @@
 
 func TestPeersUsage(t *testing.T) {
 	for _, c := range []struct {
-		says string
+		want string
 		args []string
 	}{
 		{"--at", []string{"list"}},
@@ -76,7 +76,7 @@
 		{"name what to do", []string{}},
 		{"accepts 1 arg", []string{"why", "--at", "127.0.0.1:1"}},
 	} {
-		if status, _, errs := tool(t, append([]string{"peers"}, c.args...)...); status != exitUsage || !strings.Contains(errs, c.says) {
+		if status, _, errs := tool(t, append([]string{"peers"}, c.args...)...); status != exitUsage || !strings.Contains(errs, c.want) {
 			t.Errorf("%v: status %d: %s", c.args, status, errs)
 		}
 	}
--- a/cmd/elderctl/quota_test.go
+++ b/cmd/elderctl/quota_test.go
@@ -20,17 +20,17 @@
 // local quotas while the counter is unreachable.
 func TestQuotaAcrossRequestsAndLimitCommands(t *testing.T) {
 	for _, k := range []struct {
-		name   string
-		store  string
-		most   float64 // beyond the quota, in percent of a burst
-		faults []lab.Fault
-		strike func(t *testing.T, l *lab.Lab)
+		name      string
+		store     string
+		overshoot float64 // beyond the quota, in percent of a burst
+		faults    []lab.Fault
+		strike    func(t *testing.T, l *lab.Lab)
 	}{
-		{name: "counter well", store: "http", most: 200},
-		{name: "store well", store: "resp", most: 200},
-		{name: "counter killed and back", store: "http", most: 300,
+		{name: "counter well", store: "http", overshoot: 200},
+		{name: "store well", store: "resp", overshoot: 200},
+		{name: "counter killed and back", store: "http", overshoot: 300,
 			faults: []lab.Fault{{Kind: "counter-gone", At: *quotaFor / 3, For: *quotaFor / 3}}},
-		{name: "a front killed", store: "http", most: 200, strike: func(t *testing.T, l *lab.Lab) {
+		{name: "a front killed", store: "http", overshoot: 200, strike: func(t *testing.T, l *lab.Lab) {
 			wait.For(t.Context(), *quotaFor/3)
 			if err := l.KillAgent(0); err != nil {
 				t.Error(err)
@@ -44,7 +44,7 @@
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
 			l, err := lab.OpenFleet(t.Context(), lab.Site{Gateways: 3, Nodes: 4, Rate: 40, For: *quotaFor, Takes: 0.5, Store: k.store,
-				Greedy: 7.8, GreedyIn: "enterprise", Overshoot: k.most, Faults: k.faults, Log: t.Logf},
+				Greedy: 7.8, GreedyIn: "enterprise", Overshoot: k.overshoot, Faults: k.faults, Log: t.Logf},
 				lab.Fleet{Voters: 1, Fronts: 2, Gateway: gateway(t),
 					Rollout: map[string]any{"waves": []float64{1}, "most_away": 3, "ready_within": "30s", "soak_for": "1s"}, Tool: func(args ...string) *exec.Cmd { return command(context.Background(), args...) }})
 			if err != nil {
--- a/cmd/elderctl/records_test.go
+++ b/cmd/elderctl/records_test.go
@@ -30,15 +30,15 @@
 		t.Fatal(err)
 	}
 	cmd := command(context.Background(), "agent", "run", file)
-	var said bytes.Buffer
-	cmd.Stderr = &said
+	var errs bytes.Buffer
+	cmd.Stderr = &errs
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		cmd.Process.Signal(syscall.SIGTERM)
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("%v: %s", err, &said)
+			t.Errorf("%v: %s", err, &errs)
 		}
 		os.RemoveAll(dir)
 	})
@@ -52,16 +52,30 @@
 	}
 }
 
+// runRecords runs a verb of records, checks its exit status and that it prints a text, and returns its output.
+func runRecords(t *testing.T, socket string, want int, text string, args ...string) string {
+	t.Helper()
+	status, out, errs := tool(t, append(append([]string{"records"}, args...), "--agent", socket)...)
+	if status != want || !strings.Contains(out+errs, text) {
+		t.Fatalf("%v: status %d, want %d with %q\n%s%s", args, status, want, text, out, errs)
+	}
+	return out
+}
+
+func recordsLag(t *testing.T, socket string) (lag agentapi.RecordsLag) {
+	t.Helper()
+	if err := json.Unmarshal([]byte(runRecords(t, socket, exitOK, "", "lag", "--json")), &lag); err != nil {
+		t.Fatal(err)
+	}
+	return lag
+}
+
 func TestRecordsVerbs(t *testing.T) {
 	t.Parallel()
 	socket := recordsAgent(t)
-	run := func(want int, said string, args ...string) string {
+	run := func(want int, text string, args ...string) string {
 		t.Helper()
-		status, out, errs := tool(t, append(append([]string{"records"}, args...), "--agent", socket)...)
-		if status != want || !strings.Contains(out+errs, said) {
-			t.Fatalf("%v: status %d, want %d with %q\n%s%s", args, status, want, said, out, errs)
-		}
-		return out
+		return runRecords(t, socket, want, text, args...)
 	}
 	result := func(text string) (r records.Result) {
 		t.Helper()
@@ -96,28 +110,32 @@
 	run(exitOK, "the first", "versions")
 	run(exitOK, "accepted", "delete", "tenant/acme", "--if", strconv.FormatUint(two.Version, 10), "--wait", "1m")
 	run(exitOK, "- ", "diff", strconv.FormatUint(two.Version, 10))
-	var lag agentapi.RecordsLag
-	if err := json.Unmarshal([]byte(run(exitOK, "", "lag", "--json")), &lag); err != nil || lag.InForce != 1 || !lag.Everywhere() {
-		t.Fatalf("%+v, %v", lag, err)
+	if lag := recordsLag(t, socket); lag.InForce != 1 || !lag.Everywhere() {
+		t.Fatalf("%+v", lag)
 	}
+	checkRecordsUsage(t, socket, first, value)
+}
 
-	// Nothing is sent of what is written wrongly.
-	version := lag.Version
-	for said, args := range map[string][]string{
+// checkRecordsUsage runs verbs with wrong arguments and files: each is a usage error, and no record changes. The files
+// are one of operations and one of a value, both valid.
+func checkRecordsUsage(t *testing.T, socket, operations, value string) {
+	t.Helper()
+	version := recordsLag(t, socket).Version
+	for text, args := range map[string][]string{
 		"want KIND/NAME":           {"put", "acme", "--value", "{}"},
 		"unknown kind":             {"list", "tenants"},
 		"--value":                  {"put", "tenant/acme", "--value", "{plan"},
 		"by --value or --file":     {"put", "tenant/acme"},
-		"give nothing else beside": {"put", "tenant/acme", "--from", first},
+		"give nothing else beside": {"put", "tenant/acme", "--from", operations},
 		"operation 1: json":        {"put", "--from", writeFile(t, "bad.json", `[{"kee":"plan/a"}]`)},
 		"want a JSON list":         {"put", "--from", value},
 		"is no version":            {"diff", "yesterday"},
 		"name one, or use put":     {"delete", "plan/a", "plan/b", "--if", "1"},
 	} {
-		run(exitUsage, said, args...)
+		runRecords(t, socket, exitUsage, text, args...)
 	}
-	if err := json.Unmarshal([]byte(run(exitOK, "", "lag", "--json")), &lag); err != nil || lag.Version != version {
-		t.Fatalf("%+v, %v", lag, err)
+	if lag := recordsLag(t, socket); lag.Version != version {
+		t.Fatalf("%+v, version %d before", lag, version)
 	}
 }
 
--- a/cmd/elderctl/roster_test.go
+++ b/cmd/elderctl/roster_test.go
@@ -15,11 +15,14 @@
 	"elderyard/members"
 )
 
-// Three agents with a gateway each: the voters agree on the roster and the gateways receive it; a gateway that dies with
-// its agent is unreachable for the others; one that is removed from the site is in no gateway's roster, also after a
-// restart.
-func TestVotersAgreeOnRoster(t *testing.T) {
-	t.Parallel()
+// rosterSite is a site of three agents, each with a gateway of elderyard-peers.
+type rosterSite struct {
+	t *testing.T
+	*lab.Lab
+}
+
+func openRosterSite(t *testing.T) *rosterSite {
+	t.Helper()
 	program, err := lab.FindPeers("")
 	if err != nil {
 		t.Fatal(err)
@@ -31,66 +34,80 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	until := func(what string, is func() bool) {
-		t.Helper()
-		for end := time.Now().Add(testTimeout); !is(); time.Sleep(100 * time.Millisecond) {
-			if time.Now().After(end) {
-				out, _ := l.Tool(t.Context(), 0, "instances")
-				t.Fatalf("not within %v: %s\n%s", testTimeout, what, out)
-			}
+	return &rosterSite{t, l}
+}
+
+// waitFor polls until the condition holds.
+func (s *rosterSite) waitFor(what string, condition func() bool) {
+	s.t.Helper()
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(100 * time.Millisecond) {
+		if time.Now().After(end) {
+			out, _ := s.Tool(s.t.Context(), 0, "instances")
+			s.t.Fatalf("not within %v: %s\n%s", testTimeout, what, out)
 		}
 	}
-	reports := func(name string, is func(*peers.Status) bool) func() bool {
-		return func() bool {
-			a, err := l.Answer(t.Context(), name)
-			return err == nil && is(&a)
-		}
+}
+
+// reports returns a condition on what a gateway answers.
+func (s *rosterSite) reports(name string, condition func(*peers.Status) bool) func() bool {
+	return func() bool {
+		status, err := s.Answer(s.t.Context(), name)
+		return err == nil && condition(&status)
 	}
-	instances := func() (list []agent.InstanceStatus) {
-		out, _ := l.Tool(t.Context(), 0, "instances", "--json")
-		if err := json.Unmarshal([]byte(out), &list); err != nil {
-			t.Logf("%v: %s", err, out)
-		}
-		return list
+}
+
+func (s *rosterSite) instances() (list []agent.InstanceStatus) {
+	out, _ := s.Tool(s.t.Context(), 0, "instances", "--json")
+	if err := json.Unmarshal([]byte(out), &list); err != nil {
+		s.t.Logf("%v: %s", err, out)
 	}
+	return list
+}
+
+// Three agents with a gateway each: the voters agree on the roster and the gateways receive it; a gateway that dies with
+// its agent is unreachable for the others; one that is removed from the site is in no gateway's roster, also after a
+// restart.
+func TestVotersAgreeOnRoster(t *testing.T) {
+	t.Parallel()
+	s := openRosterSite(t)
 	var epoch uint64
 	for _, name := range []string{"g0", "g1", "g2"} {
-		until(name+" has a complete view of all three", reports(name, func(a *peers.Status) bool {
-			epoch = a.View.Epoch
-			return a.View.Verdict == members.Complete && a.View.RosterSize == 3 && a.View.QuotaDivisor == 3
+		s.waitFor(name+" has a complete view of all three", s.reports(name, func(status *peers.Status) bool {
+			epoch = status.View.Epoch
+			return status.View.Verdict == members.Complete && status.View.RosterSize == 3 && status.View.QuotaDivisor == 3
 		}))
 	}
-	until("instances shows the view of each", func() bool {
-		list := instances()
+	s.waitFor("instances shows the view of each", func() bool {
+		list := s.instances()
 		return len(list) == 3 && !slices.ContainsFunc(list, func(i agent.InstanceStatus) bool { return !strings.HasPrefix(i.MembershipView, "whole for") })
 	})
-	if err := l.KillAgent(2); err != nil {
+	if err := s.KillAgent(2); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.KillGateway(2); err != nil {
+	if err := s.KillGateway(2); err != nil {
 		t.Fatal(err)
 	}
-	until("g2 is unreachable from the others", func() bool {
-		list := instances()
+	s.waitFor("g2 is unreachable from the others", func() bool {
+		list := s.instances()
 		return len(list) == 3 && slices.Equal(list[2].UnreachableFrom, []string{"g0", "g1"})
 	})
 	for _, name := range []string{"g0", "g1"} {
-		if a, err := l.Answer(t.Context(), name); err != nil || a.View.RosterSize != 3 || a.View.SafeCount != 3 {
-			t.Errorf("%s counts %d of %d: nobody has agreed that g2 left (%v)", name, a.View.SafeCount, a.View.RosterSize, err)
+		if status, err := s.Answer(t.Context(), name); err != nil || status.View.RosterSize != 3 || status.View.SafeCount != 3 {
+			t.Errorf("%s counts %d of %d: nobody has agreed that g2 left (%v)", name, status.View.SafeCount, status.View.RosterSize, err)
 		}
 	}
-	if out, status := l.Tool(t.Context(), 0, "members", "remove", l.AgentName(2), "--agent-too"); status != 0 {
+	if out, status := s.Tool(t.Context(), 0, "members", "remove", s.AgentName(2), "--agent-too"); status != 0 {
 		t.Fatalf("status %d: %s", status, out)
 	}
 	for _, name := range []string{"g0", "g1"} {
-		until(name+" has the next epoch", reports(name, func(a *peers.Status) bool {
-			return a.View.Epoch > epoch && a.View.RosterSize == 2 && a.View.QuotaDivisor == 2 && a.View.Verdict == members.Complete
+		s.waitFor(name+" has the next epoch", s.reports(name, func(status *peers.Status) bool {
+			return status.View.Epoch > epoch && status.View.RosterSize == 2 && status.View.QuotaDivisor == 2 && status.View.Verdict == members.Complete
 		}))
 	}
-	if err := l.KillGateway(1); err != nil {
+	if err := s.KillGateway(1); err != nil {
 		t.Fatal(err)
 	}
-	until("g1 is back with the roster that it had", reports("g1", func(a *peers.Status) bool {
-		return a.View.Epoch > epoch && a.View.RosterSize == 2 && a.View.Verdict == members.Complete
+	s.waitFor("g1 is back with the roster that it had", s.reports("g1", func(status *peers.Status) bool {
+		return status.View.Epoch > epoch && status.View.RosterSize == 2 && status.View.Verdict == members.Complete
 	}))
 }
--- a/cmd/elderctl/session_test.go
+++ b/cmd/elderctl/session_test.go
@@ -13,9 +13,9 @@
 
 // session runs the tool and writes down the command, what it sent, its exit status and all that it printed.
 type session struct {
-	t       *testing.T
-	agent   *fakeServer
-	written strings.Builder
+	t          *testing.T
+	agent      *fakeServer
+	transcript strings.Builder
 
 	// What differs from run to run, and its placeholder.
 	hide     [][2]string
@@ -70,14 +70,14 @@
 		during(cmd)
 	}
 	cmd.Wait() // its status is written down
-	fmt.Fprintf(&s.written, "=== %s\n$ elderctl %s\n", about, s.normal(strings.Join(cmd.Args[1:], " ")))
+	fmt.Fprintf(&s.transcript, "=== %s\n$ elderctl %s\n", about, s.normal(strings.Join(cmd.Args[1:], " ")))
 	for _, call := range s.agent.sent() {
-		fmt.Fprintf(&s.written, "sent %s\n", s.normal(call))
+		fmt.Fprintf(&s.transcript, "sent %s\n", s.normal(call))
 	}
-	fmt.Fprintf(&s.written, "status %d\n", cmd.ProcessState.ExitCode())
+	fmt.Fprintf(&s.transcript, "status %d\n", cmd.ProcessState.ExitCode())
 	for _, part := range []struct{ name, text string }{{"stdout", out.String()}, {"stderr", errs.String()}} {
 		if part.text != "" {
-			fmt.Fprintf(&s.written, "--- %s\n%s", part.name, s.normal(part.text))
+			fmt.Fprintf(&s.transcript, "--- %s\n%s", part.name, s.normal(part.text))
 		}
 	}
 }
--- a/cmd/elderctl/trace_test.go
+++ b/cmd/elderctl/trace_test.go
@@ -14,7 +14,7 @@
 	"elderyard/internal/otlpfile"
 )
 
-func said(key, value string) *common.KeyValue {
+func stringAttribute(key, value string) *common.KeyValue {
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: value}}}
 }
 
@@ -27,8 +27,8 @@
 	return s
 }
 
-// storiesFile writes two stories, one of two processes with a span that came twice.
-func storiesFile(t *testing.T) string {
+// tracesFile writes two traces, one of two processes with a span that was exported twice.
+func tracesFile(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "stories.jsonl")
 	f, err := os.Create(path)
@@ -37,12 +37,12 @@
 	}
 	defer f.Close()
 	for process, spans := range map[string][]*trace.Span{
-		"g0": {spanOf(0xaa, 1, 0, "POST /booking", 1000, 1400, said("elderyard.outcome", "failed")), spanOf(0xaa, 2, 1, "attempt", 1100, 1400, said("server.address", "n1\x1b[2J")),
+		"g0": {spanOf(0xaa, 1, 0, "POST /booking", 1000, 1400, stringAttribute("elderyard.outcome", "failed")), spanOf(0xaa, 2, 1, "attempt", 1100, 1400, stringAttribute("server.address", "n1\x1b[2J")),
 			spanOf(0xaa, 3, 1, "wait for quota", 1000, 1100), spanOf(0xaa, 3, 1, "wait for quota", 1000, 1100)},
-		"g1": {spanOf(0xaa, 4, 0, "POST /booking", 1500, 1700, said("elderyard.outcome", "served")), spanOf(0xbb, 5, 0, "GET /lookup", 100, 101),
+		"g1": {spanOf(0xaa, 4, 0, "POST /booking", 1500, 1700, stringAttribute("elderyard.outcome", "served")), spanOf(0xbb, 5, 0, "GET /lookup", 100, 101),
 			spanOf(0xbb, 6, 7, "orphan", 100, 101), spanOf(0xbb, 8, 9, "ring", 100, 101), spanOf(0xbb, 9, 8, "ring", 100, 101)},
 	} {
-		if err := otlpfile.Write(f, []*trace.ResourceSpans{{Resource: &resource.Resource{Attributes: []*common.KeyValue{said("service.instance.id", process)}},
+		if err := otlpfile.Write(f, []*trace.ResourceSpans{{Resource: &resource.Resource{Attributes: []*common.KeyValue{stringAttribute("service.instance.id", process)}},
 			ScopeSpans: []*trace.ScopeSpans{{Spans: spans}}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 }
 
 func TestTracePrintsSpanTree(t *testing.T) {
-	path := storiesFile(t)
+	path := tracesFile(t)
 	status, out, errs := tool(t, "trace", path, "AAAA")
 	if status != exitOK {
 		t.Fatal(status, errs)
@@ -77,15 +77,15 @@
 	}
 }
 
-func TestTraceWithBadInput(t *testing.T) {
-	path := storiesFile(t)
+func TestTraceRejectsInvalidInput(t *testing.T) {
+	path := tracesFile(t)
 	bad := filepath.Join(t.TempDir(), "bad")
 	if err := os.WriteFile(bad, []byte("{}\n{\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, k := range []struct {
 		status int
-		says   string
+		want   string
 		args   []string
 	}{
 		{exitUsage, "name a file", []string{"trace"}}, {exitUsage, "at most one id", []string{"trace", path, "a", "b"}},
@@ -93,7 +93,7 @@
 		{exitUsage, "32 hexadecimal digits", []string{"trace", path, "xyz"}}, {exitFailed, "no story whose id begins with cc", []string{"trace", path, "cc"}},
 		{exitUnreachable, "refused", []string{"trace", "--from", "127.0.0.1:1", "aa"}},
 	} {
-		if status, _, errs := tool(t, k.args...); status != k.status || !strings.Contains(errs, k.says) {
+		if status, _, errs := tool(t, k.args...); status != k.status || !strings.Contains(errs, k.want) {
 			t.Errorf("%v: %d %q", k.args, status, errs)
 		}
 	}
--- a/cmd/elderctl/usage_test.go
+++ b/cmd/elderctl/usage_test.go
@@ -15,7 +15,7 @@
 	}
 	for _, k := range []struct {
 		args []string
-		says string
+		want string
 	}{
 		{[]string{"lab", "--scenario", bad}, bad + `:4: fault[0].kind: there is no fault "node-kil"; did you mean "node-kill"?`},
 		{[]string{"lab", "--scenario", "quite"}, `did you mean "quiet"?`},
@@ -29,7 +29,7 @@
 		{[]string{"site", "check", bad}, ":1: about: there is no such key"},
 	} {
 		status, out, errs := tool(t, k.args...)
-		if status != exitUsage || !strings.Contains(errs, k.says) || out != "" {
+		if status != exitUsage || !strings.Contains(errs, k.want) || out != "" {
 			t.Errorf("%v: status %d, output %q, errors %q", k.args, status, out, errs)
 		}
 	}
