--- /dev/null
+++ b/internal/peers/incarnation.go
@@ -0,0 +1,66 @@
+package peers
+
+import (
+	"fmt"
+
+	"elderyard/members"
+)
+
+// startIncarnation starts an incarnation with a new machine. It must save the incarnation before anything is sent:
+// otherwise a restart could use the same one again.
+func (p *Peers) startIncarnation(incarnation members.Incarnation) (err error) {
+	p.saved.Incarnation = incarnation
+	if err := p.settings.store(p.saved); err != nil {
+		return err
+	}
+	p.incarnationStarted = p.clock.now()
+	p.machine, err = members.New(p.settings.machineSettings(incarnation), p.saved.Roster, p.incarnationStarted)
+	return err
+}
+
+// connect opens the sockets and starts the failure detector of this incarnation. Where that fails, an earlier detector
+// stays: Run receives its events and closes it.
+func (p *Peers) connect() error {
+	t, err := listen(&p.settings, &p.traffic)
+	if err != nil {
+		return err
+	}
+	m, state := p.announcement()
+	detector, err := startDetector(&p.settings, t, p.keyring, p.saved.Incarnation, m, state)
+	if err != nil {
+		return err
+	}
+	p.detector = detector
+	p.contacts = members.NewContacts(p.settings.ProbeInterval, p.clock.now())
+	return nil
+}
+
+// announcement returns what this process announces of itself: to all with each message about it, and in exchanges of state.
+func (p *Peers) announcement() (meta, message) {
+	r := p.machine.Roster()
+	return meta{Version: p.settings.protocolVersion, Epoch: r.Epoch, Sum: fmt.Sprintf("%016x", r.Sum()), AdminAddress: p.settings.AdminAddress},
+		message{Version: p.settings.protocolVersion, From: p.settings.Self, Roster: r, Incarnations: p.machine.Incarnations()}
+}
+
+// resign handles a later incarnation of this process's own name. A process that has only just started is itself the later
+// one, whatever its clock shows: it restarts with a higher incarnation. Any other closes the detector for good.
+func (p *Peers) resign(later members.Incarnation) {
+	if !members.MayRaiseIncarnation(p.incarnationRaises, p.clock.now()-p.incarnationStarted, p.settings.ProbeInterval) {
+		p.settings.Log.Warn("peers: superseded by a later incarnation; resigned", "name", p.settings.Self, "incarnation", p.saved.Incarnation, "later", later)
+		p.resigned = true
+		p.stopDetector(true)
+		return
+	}
+	p.incarnationRaises++
+	p.stopDetector(true)
+	p.settings.Log.Info("peers: restarting above a later incarnation", "name", p.settings.Self, "incarnation", p.saved.Incarnation, "later", later)
+	p.saved.Roster = p.machine.Roster()
+	err := p.startIncarnation(members.IncarnationAbove(later))
+	if err == nil {
+		err = p.connect()
+	}
+	if err != nil {
+		p.settings.Log.Error("peers: restart with a higher incarnation failed; resigned", "error", err)
+		p.resigned = true
+	}
+}
--- a/internal/peers/settings.go
+++ b/internal/peers/settings.go
@@ -1,117 +1,80 @@
-// Package peers takes part in a site's membership: it drives a members.Machine with
-// what hashicorp/memberlist (SWIM with Lifeguard) hears, keeps on disk what must
-// outlive a start, and tells what it believes. One goroutine owns the machine;
-// others read what it last published.
 package peers
 
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"time"
 
 	"elderyard/internal/site"
-	"elderyard/internal/strict"
 	"elderyard/members"
 )
 
-// Settings are those of one process.
+// Settings are the parameters of one process's membership.
 type Settings struct {
-	Self              string
-	Site              string
-	Listen            string
-	Advertise         string
-	AdminAddress      string // where this process's operators call; "": nowhere
-	Dir               string
-	KeyFile           string
-	RosterFile        string // the file
-	Seeds             []string
-	AddressOverrides  map[string]string // by name: at which address a member is reached from here
-	ProbeInterval     time.Duration     // between probes
-	MaxBytesPerSecond float64           // bytes a second that may be sent
-	WaitForAddress    bool              // another process may have the address for a while, as in an upgrade
-	Log               func(format string, a ...any)
+	Self              string            // name of this process
+	Site              string            // members of different sites ignore each other
+	Listen            string            // IP address and port, UDP and TCP
+	Advertise         string            // IP address and port at which members reach this process
+	AdminAddress      string            // of this process's admin interface; "": none
+	Dir               string            // existing folder of the saved state
+	KeyFile           string            // see readKeys
+	RosterFile        string            // TOML
+	Seeds             []string          // addresses of members to join first
+	AddressOverrides  map[string]string // by name: address at which this process reaches that member
+	ProbeInterval     time.Duration     // all other times are multiples of it
+	MaxBytesPerSecond float64           // sent, over both protocols
+	WaitForAddress    bool              // Run opens the sockets, once a previous process has closed its own
+	Log               *slog.Logger      // not nil
 
-	protocolVersion int // version; 0: this program's
+	protocolVersion int // 0: that of this program
 }
 
-// RosterVariable names the roster's file in the environment, where an agent keeps
-// it; it goes before the operator's file.
+// RosterVariable is the environment variable with the path of the roster's file, set by an agent that maintains the file.
+// It takes precedence over the operator's setting.
 const RosterVariable = "ELDERYARD_ROSTER"
 
-// FromSite reads the operator's settings. It returns nil where the process is to
-// take no part. Desk is its operators' address.
-func FromSite(p site.Peers, self, adminAddress string, env func(string) string, log func(string, ...any)) (*Settings, error) {
-	if p.Listen == "" {
+// The failure detector's times, in units of Settings.ProbeInterval.
+const (
+	suspicionMult         = 4  // duration of a suspicion that others confirm, times log10 of the number of members
+	suspicionMaxMult      = 3  // factor for a suspicion that nobody confirms
+	pushPullIntervals     = 20 // between exchanges of complete state with a random member
+	gossipToDeadIntervals = 60 // failed members still receive gossip, so that they can refute
+)
+
+// FromSite returns the settings of the process self from the operator's file and the environment, nil if membership is off.
+// It returns an error if no roster file is set.
+func FromSite(table site.Peers, self, adminAddress string, env func(string) string, log *slog.Logger) (*Settings, error) {
+	if table.Listen == "" {
 		return nil, nil
 	}
-	s := &Settings{Self: self, Site: p.Site, Listen: p.Listen, Advertise: p.Advertise, AdminAddress: adminAddress, Dir: p.Dir, KeyFile: p.KeyFile,
-		RosterFile: p.Roster, Seeds: p.Seeds, AddressOverrides: map[string]string{}, ProbeInterval: time.Duration(p.Every), MaxBytesPerSecond: float64(p.MostKB) * 1024, Log: log}
+	settings := &Settings{Self: self, Site: table.Site, Listen: table.Listen, Advertise: table.Advertise, AdminAddress: adminAddress, Dir: table.Dir, KeyFile: table.KeyFile,
+		RosterFile: table.Roster, Seeds: table.Seeds, AddressOverrides: map[string]string{}, ProbeInterval: time.Duration(table.Every), MaxBytesPerSecond: float64(table.MostKB) * 1024, Log: log}
 	if file := env(RosterVariable); file != "" {
-		s.RosterFile = file
+		settings.RosterFile = file
 	}
-	if s.RosterFile == "" {
+	if settings.RosterFile == "" {
 		return nil, errors.New("peers.roster: it is missing, and no agent keeps one")
 	}
-	for _, r := range p.Reach {
-		s.AddressOverrides[r.Name] = r.Address
+	for _, r := range table.Reach {
+		settings.AddressOverrides[r.Name] = r.Address
 	}
-	if s.Advertise == "" {
-		s.Advertise = p.Listen
+	if settings.Advertise == "" {
+		settings.Advertise = table.Listen
 	}
-	return s, nil
+	return settings, nil
 }
 
-// machineSettings are the settings of the pure half. The detector's own times are beside
-// them, so that all of them rest on Every.
+// machineSettings returns the settings of the state machine. All of its times and those of the failure detector are
+// multiples of ProbeInterval.
 func (s *Settings) machineSettings(incarnation members.Incarnation) members.Settings {
-	return members.Settings{Self: s.Self, Incarnation: incarnation, TickInterval: s.ProbeInterval / 4, StallThreshold: 3 * s.ProbeInterval / 2, MinSettleTime: 2 * s.ProbeInterval,
+	return members.Settings{Self: s.Self, Incarnation: incarnation, TickInterval: s.ProbeInterval / ticksPerInterval, StallThreshold: 3 * s.ProbeInterval / 2, MinSettleTime: 2 * s.ProbeInterval,
 		MaxSettleTime: 60 * s.ProbeInterval, SilenceTimeout: suspicionMult * suspicionMaxMult * s.ProbeInterval}
 }
 
-// The detector's times, in intervals between probes.
-const (
-	suspicionMult         = 4 // a suspicion lasts so many intervals, times log10 of the members, where others confirm it
-	suspicionMaxMult      = 3 // so many times as long where nobody does
-	pushPullIntervals     = 20
-	gossipToDeadIntervals = 60 // who has gone is still told so, and may deny it
-)
-
-const maxFileBytes = 1 << 20 // bytes of a file that is read
-
-// readRoster reads a roster's file. An error names file, line and key.
-func readRoster(path string) (members.Roster, error) {
-	text, err := readFile(path)
-	if err != nil {
-		return members.Roster{}, fmt.Errorf("roster: %w", err)
-	}
-	return ParseRoster(path, text)
-}
-
-// ParseRoster reads a roster's text. File names it in errors.
-func ParseRoster(file string, text []byte) (r members.Roster, err error) {
-	if err := strict.Decode(file, text, &r); err != nil {
-		return members.Roster{}, err
-	}
-	if key, err := r.Check(); err != nil {
-		return members.Roster{}, strict.At(file, text, key, "%v", err)
-	}
-	return r, nil
-}
-
-func readFile(path string) ([]byte, error) {
-	info, err := os.Stat(path)
-	if err != nil {
-		return nil, err
-	}
-	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%s: %d bytes, and %d may be", path, info.Size(), maxFileBytes)
-	}
-	return os.ReadFile(path)
-}
-
-// check finds what is wrong before any socket is opened.
+// check returns an error that names the first invalid setting. It opens no socket.
 func (s *Settings) check() error {
 	if err := members.CheckName(s.Self); err != nil {
 		return fmt.Errorf("own name: %w", err)
@@ -127,4 +90,5 @@
 	return nil
 }
 
+// path returns the path of a file of this process in the folder of the saved state.
 func (s *Settings) path(what string) string { return filepath.Join(s.Dir, s.Self+"."+what) }
--- a/records/delta_test.go
+++ b/records/delta_test.go
@@ -7,15 +7,7 @@
 	"testing"
 )
 
-func since(t testing.TB, store *Store, version uint64) Delta {
-	t.Helper()
-	delta, err := store.ChangesSince(version)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return delta
-}
-
+// A delta has each record once, as it is at the end.
 func TestDeltaIsTheNetEffect(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 2, change(put("plan/free", planValue), put("plan/brief", planValue), put("tenant/acme", `{"plan":"gold"}`)), Accepted)
@@ -42,7 +34,8 @@
 	}
 }
 
-func TestReplicaAppliesADeltaCompletelyOrNotAtAll(t *testing.T) {
+// A delta that does not fit leaves the replica unchanged.
+func TestApplyDeltaIsAtomic(t *testing.T) {
 	store := smallStore(t)
 	replica := &Replica{}
 	first := since(t, store, 0)
@@ -55,7 +48,7 @@
 	third := since(t, store, 2)
 	both := since(t, store, 1)
 
-	refuse := func(name string, delta Delta, want error) {
+	reject := func(name string, delta Delta, want error) {
 		t.Helper()
 		version, digest, count := replica.Version(), replica.Digest(), replica.Len()
 		err := replica.ApplyDelta(delta)
@@ -66,21 +59,21 @@
 			t.Errorf("%s: the copy has changed", name)
 		}
 	}
-	refuse("a version skipped", third, ErrGap)
+	reject("a version skipped", third, ErrGap)
 	damaged := second
 	damaged.Puts = slices.Clone(second.Puts)
 	damaged.Puts[0].Value = []byte(`{"price_weight":9,"requests_per_second":1}`)
-	refuse("damaged", damaged, ErrDigest)
+	reject("damaged", damaged, ErrDigest)
 	missing := both
 	missing.Deletes = nil
-	refuse("a delete is missing", missing, ErrDigest)
+	reject("a delete is missing", missing, ErrDigest)
 	twice := both
 	twice.Puts = append(slices.Clone(both.Puts), both.Puts...)
-	refuse("a record is there twice", twice, nil)
+	reject("a record is there twice", twice, nil)
 	loose := second
 	loose.Puts = slices.Clone(second.Puts)
 	loose.Puts[0].Value = []byte(planValue + " ")
-	refuse("not canonical", loose, nil)
+	reject("not canonical", loose, nil)
 
 	if err := replica.ApplyDelta(both); err != nil {
 		t.Fatal(err)
@@ -88,10 +81,10 @@
 	if err := replica.ApplyDelta(both); err != nil {
 		t.Errorf("twice: %v", err)
 	}
-	refuse("an old one", second, ErrBehind)
+	reject("an old one", second, ErrBehind)
 	wrong := third
 	wrong.Digest[0]++
-	refuse("the same version with another digest", wrong, ErrDigest)
+	reject("the same version with another digest", wrong, ErrDigest)
 	if replica.Digest() != store.Digest() || replica.Version() != 3 {
 		t.Errorf("at %d", replica.Version())
 	}
@@ -100,50 +93,7 @@
 	}
 }
 
-func TestCompaction(t *testing.T) {
-	store := smallStore(t)
-	for i := range MaxLogChanges + 10 {
-		apply(t, store, uint64(i+2), change(put("plan/free", fmt.Sprintf(`{"price_weight":1,"requests_per_second":%d}`, i+1))), Accepted)
-	}
-	newest := store.Version()
-	oldest := newest - MaxLogChanges
-	if _, err := store.ChangesSince(oldest - 1); !errors.Is(err, ErrCompacted) {
-		t.Errorf("below the log: %v", err)
-	}
-	if delta := since(t, store, oldest); len(delta.Puts) != 1 {
-		t.Errorf("%d puts", len(delta.Puts))
-	}
-	if _, found := store.DigestAt(oldest - 1); found {
-		t.Error("a compacted version has a digest")
-	}
-	if _, found := store.DigestAt(oldest); !found || len(store.History(0)) != MaxLogChanges {
-		t.Error("the log does not go back as far as it should")
-	}
-}
-
-// The log is bounded in bytes too, and a change of any size fits into it.
-func TestLogBytes(t *testing.T) {
-	store := largeStore(t, 4)
-	version := store.Version()
-	for round := range 8 {
-		var operations []Operation
-		for i := range 5000 {
-			operations = append(operations, put(fmt.Sprintf("plan/p%0100d", i), fmt.Sprintf(`{"price_weight":1,"requests_per_second":%d}`, round+1)))
-		}
-		version++
-		apply(t, store, version, change(operations...), Accepted)
-		if store.log.bytes > MaxLogBytes {
-			t.Fatalf("the log has %d bytes", store.log.bytes)
-		}
-		if delta := since(t, store, version-1); len(delta.Puts) != 5000 {
-			t.Fatalf("%d puts", len(delta.Puts))
-		}
-	}
-	if kept := len(store.History(0)); kept != 6 {
-		t.Errorf("%d changes are kept", kept)
-	}
-}
-
+// Difference leads from one store to another, whatever their logs.
 func TestDifference(t *testing.T) {
 	from, to := smallStore(t), smallStore(t)
 	if delta := Difference(from, to); !delta.Empty() {
@@ -159,40 +109,3 @@
 		t.Errorf("back: %+v", back)
 	}
 }
-
-func TestHandleChanges(t *testing.T) {
-	store := smallStore(t)
-	old := store.Digest()
-	apply(t, store, 5, change(put("plan/free", planValue)), Accepted)
-	wrong := Digest{1}
-	for _, test := range []struct {
-		name    string
-		request ChangesRequest
-		want    ChangesResponse
-	}{
-		{"nothing new", ChangesRequest{Since: 5}, ChangesResponse{}},
-		{"a change", ChangesRequest{Since: 1, Digest: &old}, ChangesResponse{Delta: &Delta{}}},
-		{"from the beginning", ChangesRequest{}, ChangesResponse{Delta: &Delta{}}},
-		{"another digest", ChangesRequest{Since: 1, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
-		{"another digest of the newest", ChangesRequest{Since: 5, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
-		{"no such version", ChangesRequest{Since: 3, Digest: &old}, ChangesResponse{Repair: RepairDigest}},
-		{"the future", ChangesRequest{Since: 6}, ChangesResponse{Behind: true}},
-	} {
-		answer := store.HandleChanges(test.request)
-		if (answer.Delta == nil) != (test.want.Delta == nil) || answer.Repair != test.want.Repair || answer.Behind != test.want.Behind {
-			t.Errorf("%s: %+v", test.name, answer)
-		}
-		data, err := EncodeChangesResponse(answer)
-		if err != nil {
-			t.Fatal(err)
-		}
-		decoded, err := DecodeChangesResponse(data)
-		if err != nil || decoded.Version != 5 || decoded.Digest != store.Digest() || (decoded.Delta == nil) != (answer.Delta == nil) {
-			t.Errorf("%s: decoded %+v, %v", test.name, decoded, err)
-		}
-	}
-	large := largeStore(t, 26_000)
-	if answer := large.HandleChanges(ChangesRequest{}); answer.Repair != RepairTooLarge {
-		t.Errorf("26,000 records: %s", answer.Repair)
-	}
-}
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"elderyard/internal/golden"
 )
 
 var goldenTime = time.Date(2026, 12, 2, 5, 0, 1, 123456789, time.UTC)
@@ -26,6 +28,7 @@
 	}
 }
 
+// Values are encoded in their canonical form.
 func TestGoldenValues(t *testing.T) {
 	for _, kind := range Kinds() {
 		name := "value_" + string(kind) + ".json"
@@ -36,12 +39,12 @@
 			t.Fatal(err)
 		}
 		requireGolden(t, name, text)
-		golden := readGolden(t, name, text)
-		parsed, canonical, problem := ParseValue(kind, golden)
-		if problem != nil || !reflect.DeepEqual(parsed, value) || !bytes.Equal(canonical, golden) {
+		stored := readGolden(t, name, text)
+		parsed, canonical, problem := ParseValue(kind, stored)
+		if problem != nil || !reflect.DeepEqual(parsed, value) || !bytes.Equal(canonical, stored) {
 			t.Errorf("%s: read as %+v, %s, %v", kind, parsed, canonical, problem)
 		}
-		for _, text := range withUnknownFields(golden) {
+		for _, text := range withUnknownFields(stored) {
 			if _, _, problem := ParseValue(kind, text); problem == nil || problem.Error() != "unknown_field: unknown field" {
 				t.Errorf("%s: with an unknown field: %v", kind, problem)
 			}
@@ -67,6 +70,7 @@
 		Deletes: List[Tombstone]{{Key: Key{Kind: Tenant, Name: "old_1.x-y:z"}, Version: 43}}}
 }
 
+// Changes, results and statuses are embedded in messages of other packages.
 func TestGoldenChange(t *testing.T) {
 	expected := uint64(7)
 	record := goldenRecord(t, Plan, "gold", 9)
@@ -83,7 +87,7 @@
 		ConfirmedAt: goldenTime, LastContact: goldenTime.Add(time.Second), Server: "control-1", Reason: "repair: digest", RangesFetched: 3, RangesMissing: 2})
 }
 
-// Fields at their zero value are written or left out as other programs expect.
+// Fields at their zero value are encoded or omitted as other programs expect.
 func TestGoldenZeroFields(t *testing.T) {
 	never := uint64(0)
 	for _, test := range []struct {
@@ -118,18 +122,19 @@
 	}
 }
 
-func TestGoldenAnswers(t *testing.T) {
+// Responses with changes are exchanged between versions of the program.
+func TestGoldenChangesResponses(t *testing.T) {
 	delta := goldenDelta(t)
 	requireEveryField(t, delta)
 	small := Delta{From: 42, To: 43, Digest: goldenDigest, Deletes: delta.Deletes}
-	for name, answer := range map[string]ChangesResponse{
+	for name, response := range map[string]ChangesResponse{
 		"answer_delta.json":       {Version: 43, Digest: goldenDigest, Delta: &delta},
 		"answer_delta_small.json": {Version: 43, Digest: goldenDigest, Delta: &small},
 		"answer_repair.json":      {Version: 43, Digest: goldenDigest, Repair: RepairTooLarge},
 		"answer_behind.json":      {Version: 43, Digest: goldenDigest, Behind: true},
 		"answer_nothing_new.json": {Version: 43, Digest: goldenDigest},
 	} {
-		pinMessage(t, name, answer, EncodeChangesResponse, DecodeChangesResponse)
+		pinMessage(t, name, response, EncodeChangesResponse, DecodeChangesResponse)
 	}
 	// No server sets all of these at once, and no follower accepts it.
 	every := ChangesResponse{Version: 43, Digest: goldenDigest, Delta: &delta, Repair: RepairDigest, Behind: true}
@@ -146,10 +151,10 @@
 	if _, err := DecodeChangesResponse(text); !errors.Is(err, ErrMessage) {
 		t.Errorf("accepted: %v", err)
 	}
-	// Fields of a value are the business of stores: a follower accepts those that it does not know.
+	// Fields of a value are for stores: a follower accepts those that it does not know.
 	newer := bytes.ReplaceAll(readGolden(t, "answer_delta.json", nil), []byte(`"value":{`), []byte(`"value":{"unknown_field":1,`))
-	answer, err := DecodeChangesResponse(newer)
-	if err != nil || !bytes.HasPrefix(answer.Delta.Puts[0].Value, []byte(`{"unknown_field":1,`)) {
+	response, err := DecodeChangesResponse(newer)
+	if err != nil || !bytes.HasPrefix(response.Delta.Puts[0].Value, []byte(`{"unknown_field":1,`)) {
 		t.Errorf("a value with an unknown field: %v", err)
 	}
 }
@@ -179,6 +184,7 @@
 	return store
 }
 
+// Digests and content of ranges are exchanged between versions of the program.
 func TestGoldenRanges(t *testing.T) {
 	store := goldenStore(t)
 	digests := store.RangeDigests()
@@ -212,9 +218,10 @@
 	expected := uint64(7)
 	hash := contentHash(Change{Author: "anna", Message: "raise", Operations: []Operation{put("plan/gold", planValue), {Key: key("plan/old"), Delete: true, IfVersion: &expected}}})
 	fmt.Fprintf(&text, "change %x\n", hash)
-	requireGolden(t, "digests.txt", []byte(text.String()))
+	golden.Text(t, "digests.txt", text.String())
 }
 
+// Journals are read by later versions of the program.
 func TestGoldenJournal(t *testing.T) {
 	store := goldenStore(t)
 	base := &Replica{state: emptyState, version: 1}
@@ -255,6 +262,7 @@
 	}
 }
 
+// Snapshots are read by later versions of the program.
 func TestGoldenSnapshots(t *testing.T) {
 	store := goldenStore(t)
 	var content storeSnapshot
--- a/records/servers.go
+++ b/records/servers.go
@@ -2,32 +2,31 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"slices"
 	"time"
 )
 
-// How long a server is left alone after a fault; each is shortened by up to half so
-// that followers do not come back together.
+// How long a server is ejected after a fault. Each time is shortened by up to half, so that
+// followers do not return to the server together.
 const (
 	behindEjectionTime  = 10 * time.Second
 	failedEjectionTime  = 15 * time.Second
 	corruptEjectionTime = time.Minute
 )
 
-// servers is a follower's picture of the servers: in an order of its own, the first
-// that has not shown a fault lately is asked.
+// servers is a follower's view of the servers, in the follower's own order of preference: it
+// requests from the first one that is not ejected.
 type servers struct {
 	order []server
 }
 
 type server struct {
 	name         string
-	ejectedUntil time.Time // until when
+	ejectedUntil time.Time // zero: it never was ejected
 }
 
-// newServers orders the servers by a hash of the follower's name and theirs, so
-// that followers spread evenly over them.
+// newServers orders the servers by rendezvous hashing of the follower's name and theirs, so
+// that followers are spread evenly over them.
 func newServers(follower string, names []string) servers {
 	var all servers
 	for _, name := range names {
@@ -39,9 +38,9 @@
 	return all
 }
 
-// pick returns the server to ask: the first that is not avoided. If all are, or if
-// the last one asked was at fault, it is the one whose time is up first, so that all
-// have their turn. No servers: an empty name.
+// pick returns the server for the next request: the first one that is not ejected. If all are,
+// or if the last request failed, it is the one whose ejection ends first, so that every server
+// is tried. Without servers the name is empty.
 func (s *servers) pick(now time.Time, afterFault bool) string {
 	var best server
 	for i, each := range s.order {
@@ -55,6 +54,7 @@
 	return best.name
 }
 
+// eject ejects a server until a time.
 func (s *servers) eject(name string, until time.Time) {
 	for i := range s.order {
 		if s.order[i].name == name {
@@ -62,36 +62,3 @@
 		}
 	}
 }
-
-// hashStrings hashes two texts so that close ones differ in all bits.
-func hashStrings(first, second string) uint64 {
-	hash := fnv.New64a()
-	hash.Write([]byte(first))
-	hash.Write([]byte{0})
-	hash.Write([]byte(second))
-	return mix64(hash.Sum64())
-}
-
-// mix64 is the finalizer of SplitMix64.
-func mix64(bits uint64) uint64 {
-	bits = (bits ^ bits>>30) * 0xbf58476d1ce4e5b9
-	bits = (bits ^ bits>>27) * 0x94d049bb133111eb
-	return bits ^ bits>>31
-}
-
-// jitter is a generator of fractions that differ from follower to follower and are
-// the same for the same name.
-type jitter struct{ state uint64 }
-
-func newJitter(name string) jitter { return jitter{state: hashStrings(name, "jitter")} }
-
-// fraction returns a number from 0 up to 1.
-func (j *jitter) fraction() float64 {
-	j.state += 0x9e3779b97f4a7c15
-	return float64(mix64(j.state)>>11) / (1 << 53)
-}
-
-// shorten takes up to half off a duration.
-func (j *jitter) shorten(duration time.Duration) time.Duration {
-	return duration - time.Duration(j.fraction()*float64(duration)/2)
-}
