--- a/cmd/elderctl/members.go
+++ b/cmd/elderctl/members.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"elderyard/internal/agent"
-	"elderyard/internal/replica"
+	"elderyard/internal/agentapi"
 )
 
 func membersCommand() *cobra.Command {
@@ -41,7 +41,7 @@
 	})
 }
 
-func voterRole(voter replica.Member) string {
+func voterRole(voter agentapi.Member) string {
 	switch {
 	case voter.Leader:
 		return "voter, leads"
@@ -79,7 +79,7 @@
 				return err
 			}
 			request := agent.ChangeRequest{Name: args[0]}
-			isVoter := slices.ContainsFunc(members.Voters, func(voter replica.Member) bool { return voter.Name == request.Name })
+			isVoter := slices.ContainsFunc(members.Voters, func(voter agentapi.Member) bool { return voter.Name == request.Name })
 			var change agent.MemberChange
 			if isVoter || !removeAgent { // else the name is an agent's alone, and no voter's to remove
 				if change, err = client.RemoveMember(cmd.Context(), request); err != nil {
