--- a/cmd/elderctl/answers_test.go
+++ b/cmd/elderctl/answers_test.go
@@ -6,7 +6,6 @@
 	"reflect"
 	"testing"
 
-	"elderyard/internal/agent"
 	"elderyard/internal/agentapi"
 	"elderyard/internal/golden"
 	"elderyard/internal/peers"
@@ -20,14 +19,14 @@
 		value any
 		files []string
 	}{
-		{&agent.Status{}, []string{"status.json", "status-stale.json", "status-applied.json", "status-partly.json", "status-back.json", "status-hears.json", "status-advancing.json", "status-another.json", "status-new.json", "status-before.json"}},
-		{&agent.Revisions{}, []string{"revisions.json"}},
+		{&agentapi.Status{}, []string{"status.json", "status-stale.json", "status-applied.json", "status-partly.json", "status-back.json", "status-hears.json", "status-advancing.json", "status-another.json", "status-new.json", "status-before.json"}},
+		{&agentapi.Revisions{}, []string{"revisions.json"}},
 		{&revisions.Revision{}, []string{"revision-12.json", "revision-11.json"}},
-		{&agent.Members{}, []string{"members.json"}},
-		{&agent.Audit{}, []string{"audit.json", "refused.json"}},
-		{&[]agent.Probe{}, []string{"probe.json", "probe-bad.json", "probe-silent.json"}},
-		{&agent.ApplyResult{}, []string{"applied-busy.json", "applied-accepted.json", "applied-no-change.json", "applied-conflict.json", "applied-unknown.json"}},
-		{&agent.MemberChange{}, []string{"change.json"}},
+		{&agentapi.Members{}, []string{"members.json"}},
+		{&agentapi.Audit{}, []string{"audit.json", "refused.json"}},
+		{&[]agentapi.Probe{}, []string{"probe.json", "probe-bad.json", "probe-silent.json"}},
+		{&agentapi.ApplyResult{}, []string{"applied-busy.json", "applied-accepted.json", "applied-no-change.json", "applied-conflict.json", "applied-unknown.json"}},
+		{&agentapi.MemberChange{}, []string{"change.json"}},
 		{&agentapi.RecordsList{}, []string{"records.json", "record.json", "record-none.json"}},
 		{&agentapi.RecordsVersions{}, []string{"records-versions.json"}},
 		{&agentapi.RecordsDiff{}, []string{"records-diff.json"}},
--- a/cmd/elderctl/apply.go
+++ b/cmd/elderctl/apply.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"elderyard/fleet"
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/revisions"
 )
 
@@ -34,8 +34,8 @@
 }
 
 // request returns a request with the parent and the message that the flags give, or else with these.
-func (o *applyOptions) request(cmd *cobra.Command, newest uint64, message string) agent.ApplyRequest {
-	request := agent.ApplyRequest{Parent: newest, Message: cmp.Or(o.message, message)}
+func (o *applyOptions) request(cmd *cobra.Command, newest uint64, message string) agentapi.ApplyRequest {
+	request := agentapi.ApplyRequest{Parent: newest, Message: cmp.Or(o.message, message)}
 	if cmd.Flags().Changed("parent") {
 		request.Parent = o.parent
 	}
@@ -48,7 +48,7 @@
 	var again bool
 	cmd := withJSON(agentVerb("apply FILE", "Make a file the wanted revision and follow its rollout to the end",
 		"  elderctl apply site.toml --message 'more room on collection days'\n  elderctl apply site.toml --parent 12", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			newest, _, err := newestRevision(cmd.Context(), client)
 			if err != nil {
 				return err
@@ -72,7 +72,7 @@
 
 // send makes the revision and, unless the flags say otherwise, follows its rollout to the end. The file names the
 // content in a diff.
-func (o *applyOptions) send(cmd *cobra.Command, client *agent.Client, request agent.ApplyRequest, file string) error {
+func (o *applyOptions) send(cmd *cobra.Command, client *agentapi.Client, request agentapi.ApplyRequest, file string) error {
 	var err error
 	if request.Request, err = newRequestID(); err != nil {
 		return err
@@ -97,11 +97,11 @@
 	return report.finish(exitRefused, fmt.Errorf("%s; nothing was changed", result.Answer))
 }
 
-func requestApply(ctx context.Context, client *agent.Client, request agent.ApplyRequest) (agent.ApplyResult, error) {
+func requestApply(ctx context.Context, client *agentapi.Client, request agentapi.ApplyRequest) (agentapi.ApplyResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	result, err := client.Apply(ctx, request)
-	var failure *agent.Failure
+	var failure *agentapi.Failure
 	if errors.As(err, &failure) && failure.OutcomeUnknown() {
 		err = &exitError{exitUnreachable, fmt.Errorf("it is not known whether the change was taken (look with elderctl history): %w", err)}
 	}
@@ -115,7 +115,7 @@
 	values map[string]any // of the JSON
 }
 
-func newApplyReport(cmd *cobra.Command, result agent.ApplyResult) *applyReport {
+func newApplyReport(cmd *cobra.Command, result agentapi.ApplyResult) *applyReport {
 	r := &applyReport{cmd: cmd, out: cmd.OutOrStdout(), values: map[string]any{
 		"answer": result.Answer, "revision": result.Revision.Number, "author": result.Revision.Author, "at": result.Revision.At}}
 	if wantsJSON(cmd) {
@@ -138,7 +138,7 @@
 }
 
 // follow reports the rollout of the revision until its end, or until another revision replaces it.
-func (r *applyReport) follow(client *agent.Client, revision uint64) error {
+func (r *applyReport) follow(client *agentapi.Client, revision uint64) error {
 	status, err := followRollout(r.cmd.Context(), client, r.out, revision)
 	if err != nil {
 		return err
@@ -152,7 +152,7 @@
 }
 
 // unchanged reports that the newest revision has this content already. It is an error if that revision was rolled back.
-func (r *applyReport) unchanged(client *agent.Client, newest uint64) error {
+func (r *applyReport) unchanged(client *agentapi.Client, newest uint64) error {
 	fmt.Fprintf(r.out, "revision %d says this already; nothing was changed\n", newest)
 	status, err := client.Status(r.cmd.Context())
 	if err == nil && status.Stale == "" && status.Wanted != newest {
@@ -162,7 +162,7 @@
 }
 
 // conflict reports the revision that came first, with its difference to the rejected content.
-func (r *applyReport) conflict(request agent.ApplyRequest, result agent.ApplyResult, file string) error {
+func (r *applyReport) conflict(request agentapi.ApplyRequest, result agentapi.ApplyResult, file string) error {
 	first := result.Revision
 	fmt.Fprintf(r.out, "revision %d came first: by %s at %s: %s\n", first.Number, first.Author, first.At.Local().Format(time.DateTime), orDash(first.Message))
 	if request.Content != nil {
--- a/cmd/elderctl/audit.go
+++ b/cmd/elderctl/audit.go
@@ -7,14 +7,14 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 )
 
 func auditCommand() *cobra.Command {
-	return agentQuery("audit", "Read the log of changes, and the calls that the asked agent refused", "  elderctl audit", (*agent.Client).Audit, printAudit)
+	return agentQuery("audit", "Read the log of changes, and the calls that the asked agent refused", "  elderctl audit", (*agentapi.Client).Audit, printAudit)
 }
 
-func printAudit(out io.Writer, log agent.Audit) {
+func printAudit(out io.Writer, log agentapi.Audit) {
 	printStale(out, log.Stale)
 	printTable(out, func(w io.Writer) {
 		for _, event := range log.Changes {
--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/revisions"
 )
 
@@ -44,7 +44,7 @@
 	var overlays []string
 	cmd := withJSON(agentVerb("plan FILE", "Show what would change, and what each instance would have to do; nothing is taken",
 		"  elderctl plan site.toml\n  elderctl plan site.toml --overlay g1=g1.toml", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			return probeContent(cmd, client, args[0], overlays, true)
 		}))
 	addOverlayFlag(cmd, &overlays)
@@ -53,7 +53,7 @@
 
 // probeContent prints what each instance would do with a content, which no agent stores. It is an error if an instance
 // would reject it, or an agent did not answer.
-func probeContent(cmd *cobra.Command, client *agent.Client, path string, overlays []string, withDiff bool) error {
+func probeContent(cmd *cobra.Command, client *agentapi.Client, path string, overlays []string, withDiff bool) error {
 	ctx := cmd.Context()
 	newest, status, err := newestRevision(ctx, client)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return probeError(probes)
 }
 
-func printProbes(out io.Writer, probes []agent.Probe) {
+func printProbes(out io.Writer, probes []agentapi.Probe) {
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "instance\tagent\twould")
 		for _, probe := range probes {
@@ -97,7 +97,7 @@
 }
 
 // probeError returns the exit status of the probes: a rejection counts for more than a silent agent.
-func probeError(probes []agent.Probe) error {
+func probeError(probes []agentapi.Probe) error {
 	rejected, silent := 0, 0
 	for _, probe := range probes {
 		switch {
--- a/cmd/elderctl/connection.go
+++ b/cmd/elderctl/connection.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/pki"
 )
 
@@ -48,15 +48,15 @@
 }
 
 // open returns a client of the agent, which the caller closes. It does not connect yet.
-func (c *connection) open() (*agent.Client, error) {
+func (c *connection) open() (*agentapi.Client, error) {
 	if c.agent == "" {
 		return nil, usageError(fmt.Errorf("no agent is named: set --agent or %s", agentVariable))
 	}
-	target := agent.Target{Socket: c.agent}
+	target := agentapi.Target{Socket: c.agent}
 	if !strings.Contains(c.agent, "/") && strings.Contains(c.agent, ":") {
-		target = agent.Target{Address: c.agent, Plain: c.plain, Files: c.files}
+		target = agentapi.Target{Address: c.agent, Plain: c.plain, Files: c.files}
 	}
-	client, err := agent.NewClient(target)
+	client, err := agentapi.NewClient(target)
 	if err != nil {
 		return nil, usageError(err)
 	}
@@ -64,7 +64,7 @@
 }
 
 // agentVerb returns a command that calls one agent. The error of do gets its exit status from callError.
-func agentVerb(use, short, example string, args cobra.PositionalArgs, do func(*cobra.Command, *agent.Client, []string) error) *cobra.Command {
+func agentVerb(use, short, example string, args cobra.PositionalArgs, do func(*cobra.Command, *agentapi.Client, []string) error) *cobra.Command {
 	var c connection
 	cmd := &cobra.Command{
 		Use: use, Short: short, Example: example, Long: short + ".\n" + fleetHelp,
@@ -83,9 +83,9 @@
 }
 
 // agentQuery returns a command without arguments that prints what one call to an agent returns, as text or as JSON.
-func agentQuery[T any](use, short, example string, query func(*agent.Client, context.Context) (T, error), printText func(io.Writer, T)) *cobra.Command {
+func agentQuery[T any](use, short, example string, query func(*agentapi.Client, context.Context) (T, error), printText func(io.Writer, T)) *cobra.Command {
 	return withJSON(agentVerb(use, short, example, cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, _ []string) error {
 			result, err := query(client, cmd.Context())
 			if err != nil {
 				return err
--- a/cmd/elderctl/exit.go
+++ b/cmd/elderctl/exit.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 )
 
 // Exit statuses. They are part of the tool's interface, like the texts that name them in the help.
@@ -64,7 +64,7 @@
 // callError gives the error of a call to an agent its exit status. An error that bears a status already is returned as
 // it is.
 func callError(err error) error {
-	var failure *agent.Failure
+	var failure *agentapi.Failure
 	var exit *exitError
 	switch {
 	case err == nil, errors.As(err, &exit):
--- a/cmd/elderctl/fleet_site_test.go
+++ b/cmd/elderctl/fleet_site_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/lab"
 	"elderyard/rollout"
 )
@@ -92,7 +92,7 @@
 }
 
 // status returns what an agent says of the site, or the zero status if it does not answer.
-func (s *fleetSite) status(at int) (st agent.Status) {
+func (s *fleetSite) status(at int) (st agentapi.Status) {
 	out, _ := s.Tool(s.t.Context(), at, "status", "--json")
 	out, _, _ = strings.Cut(out, "\nelderctl:")
 	json.Unmarshal([]byte(out), &st)
@@ -117,7 +117,7 @@
 		if i == down {
 			continue
 		}
-		var st agent.Status
+		var st agentapi.Status
 		s.waitFor(fmt.Sprintf("agent %d says %s", i, want), func() bool {
 			st = s.status(i)
 			for _, g := range st.Instances {
@@ -160,7 +160,7 @@
 }
 
 // waitForInstance waits until the condition condition for one instance, by the last agent's status.
-func (s *fleetSite) waitForInstance(what string, condition func(agent.InstanceStatus) bool) {
+func (s *fleetSite) waitForInstance(what string, condition func(agentapi.InstanceStatus) bool) {
 	s.t.Helper()
 	s.waitFor(what, func() bool {
 		for _, g := range s.status(s.gateways - 1).Instances {
--- a/cmd/elderctl/fleet_test.go
+++ b/cmd/elderctl/fleet_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/rollout"
 )
 
@@ -48,7 +48,7 @@
 	s.t.Helper()
 	last := s.gateways - 1
 	done := s.startApply(1, s.revision("second", 300))
-	s.waitForInstance("one is assigned the revision", func(g agent.InstanceStatus) bool { return g.Assigned == 2 })
+	s.waitForInstance("one is assigned the revision", func(g agentapi.InstanceStatus) bool { return g.Assigned == 2 })
 	s.must(s.KillAgent(last))
 	s.must(s.KillGateway(last))
 	if status := <-done; status != exitPartly {
@@ -64,7 +64,7 @@
 	s.t.Helper()
 	leader := s.leader()
 	done := s.startApply((leader+1)%s.gateways, s.revision("third", 350))
-	s.waitForInstance("one runs the revision", func(g agent.InstanceStatus) bool { return g.Running == 3 })
+	s.waitForInstance("one runs the revision", func(g agentapi.InstanceStatus) bool { return g.Running == 3 })
 	s.must(s.KillAgent(leader))
 	if status := <-done; status != exitOK && status != exitPartly {
 		s.t.Fatalf("status %d", status)
@@ -79,7 +79,7 @@
 	leader := s.leader()
 	at := (leader + 1) % s.gateways
 	done := s.startApply(at, s.revision("still", 330))
-	s.waitForInstance("one runs the revision", func(g agent.InstanceStatus) bool { return g.Running == 4 })
+	s.waitForInstance("one runs the revision", func(g agentapi.InstanceStatus) bool { return g.Running == 4 })
 	resume, err := s.StopAgent(leader)
 	s.must(err)
 	s.waitFor("another leads", func() bool { st := s.status(at); return st.Stale == "" && st.Leader != s.AgentName(leader) })
--- a/cmd/elderctl/fleet_verbs_test.go
+++ b/cmd/elderctl/fleet_verbs_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/rollout"
 )
 
@@ -43,7 +43,7 @@
 	mustContain(t, run(exitRefused, "show", "77"), "revision 77 is not in the history")
 	mustContain(t, run(exitRefused, "abort"), "can't be aborted")
 	mustContain(t, run(exitOK, "status"), "wanted revision 2", "applied", "g1")
-	var st agent.Status
+	var st agentapi.Status
 	if err := json.Unmarshal([]byte(run(exitOK, "status", "--json")), &st); err != nil || st.Wanted != 2 || len(st.Instances) != 2 {
 		t.Fatalf("%v %+v", err, st)
 	}
--- a/cmd/elderctl/follow.go
+++ b/cmd/elderctl/follow.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/wait"
 	"elderyard/rollout"
 )
@@ -15,7 +15,7 @@
 const followInterval = 300 * time.Millisecond
 
 // rolloutExitStatus returns the exit status of a rollout that has ended, and the reason if that is not exitOK.
-func rolloutExitStatus(status agent.Status) (int, error) {
+func rolloutExitStatus(status agentapi.Status) (int, error) {
 	switch status.Rollout.State {
 	case rollout.Applied:
 		return exitOK, nil
@@ -28,7 +28,7 @@
 // followRollout prints the progress of a rollout until it ends or another revision replaces it, and returns the status
 // at that moment. The rollout does not depend on the tool: a leader that can't be reached is waited for, for
 // applyTimeout at most.
-func followRollout(ctx context.Context, client *agent.Client, out io.Writer, revision uint64) (agent.Status, error) {
+func followRollout(ctx context.Context, client *agentapi.Client, out io.Writer, revision uint64) (agentapi.Status, error) {
 	progress := newProgressPrinter(out)
 	var leaderlessSince time.Time // zero: a leader answers
 	for {
@@ -86,7 +86,7 @@
 
 // printRollout prints what is new in the leader's status of a revision's rollout, and reports whether there is nothing
 // more to follow.
-func (p *progressPrinter) printRollout(status agent.Status, revision uint64) (ended bool) {
+func (p *progressPrinter) printRollout(status agentapi.Status, revision uint64) (ended bool) {
 	if status.Rollout.New != revision {
 		p.print(rolloutKey, "another revision, %d, has taken its place", status.Rollout.New)
 		return true
--- a/cmd/elderctl/members.go
+++ b/cmd/elderctl/members.go
@@ -8,7 +8,6 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
 	"elderyard/internal/agentapi"
 )
 
@@ -17,11 +16,11 @@
 }
 
 func listMembersCommand() *cobra.Command {
-	return agentQuery("list", "List the voters and the agents", "  elderctl members list", (*agent.Client).Members, printMembers)
+	return agentQuery("list", "List the voters and the agents", "  elderctl members list", (*agentapi.Client).Members, printMembers)
 }
 
 // printMembers prints the agents, then the voters of which no agent has reported.
-func printMembers(out io.Writer, members agent.Members) {
+func printMembers(out io.Writer, members agentapi.Members) {
 	printStale(out, members.Stale)
 	unlisted := map[string]string{}
 	for _, voter := range members.Voters {
@@ -55,12 +54,12 @@
 	var nonVoter bool
 	cmd := agentVerb("add NAME ADDRESS", "Make an agent a voter; with --non-voter, a replica that answers reads and has no vote",
 		"  elderctl members add a2 10.0.0.2:7946\n  elderctl members add a6 10.0.0.6:7946 --non-voter", cobra.ExactArgs(2),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			add := client.AddMember
 			if nonVoter {
 				add = client.AddNonVoter
 			}
-			change, err := add(cmd.Context(), agent.ChangeRequest{Name: args[0], Address: args[1]})
+			change, err := add(cmd.Context(), agentapi.ChangeRequest{Name: args[0], Address: args[1]})
 			if err != nil {
 				return err
 			}
@@ -73,14 +72,14 @@
 func removeMemberCommand() *cobra.Command {
 	var removeAgent bool
 	cmd := agentVerb("remove NAME", "Take a voter out; with --agent-too, forget the agent and its instances", "  elderctl members remove a2", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			members, err := client.Members(cmd.Context())
 			if err != nil {
 				return err
 			}
-			request := agent.ChangeRequest{Name: args[0]}
+			request := agentapi.ChangeRequest{Name: args[0]}
 			isVoter := slices.ContainsFunc(members.Voters, func(voter agentapi.Member) bool { return voter.Name == request.Name })
-			var change agent.MemberChange
+			var change agentapi.MemberChange
 			if isVoter || !removeAgent { // else the name is an agent's alone, and no voter's to remove
 				if change, err = client.RemoveMember(cmd.Context(), request); err != nil {
 					return err
@@ -99,7 +98,7 @@
 
 // reportMemberChange prints that a majority has agreed to a change of the voters. Voters that have not confirmed it yet
 // make it an error: until they do, the site tolerates the loss of one voter fewer.
-func reportMemberChange(cmd *cobra.Command, change agent.MemberChange) error {
+func reportMemberChange(cmd *cobra.Command, change agentapi.MemberChange) error {
 	fmt.Fprintln(cmd.OutOrStdout(), "done")
 	if len(change.Behind) == 0 {
 		return nil
--- a/cmd/elderctl/records.go
+++ b/cmd/elderctl/records.go
@@ -9,7 +9,6 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
 	"elderyard/internal/agentapi"
 	"elderyard/records"
 )
@@ -24,7 +23,7 @@
 
 func getRecordCommand() *cobra.Command {
 	return withJSON(agentVerb("get KIND/NAME", "Print a record with its version", "  elderctl records get tenant/acme", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			key, err := records.ParseKey(args[0])
 			if err != nil {
 				return usageError(err)
@@ -43,7 +42,7 @@
 func listRecordsCommand() *cobra.Command {
 	var limit int
 	cmd := withJSON(agentVerb("list KIND [PREFIX]", "List the records of a kind, by name", "  elderctl records list tenant ac", cobra.RangeArgs(1, 2),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			kind, err := records.ParseKind(args[0])
 			if err != nil {
 				return usageError(err)
@@ -79,7 +78,7 @@
 
 func diffRecordsCommand() *cobra.Command {
 	return withJSON(agentVerb("diff VERSION [VERSION]", "Show which records changed since a version, or between two", "  elderctl records diff 812\n  elderctl records diff 812 830", cobra.RangeArgs(1, 2),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			var versions [2]uint64 // a second of 0 asks for the newest
 			for i, text := range args {
 				var err error
@@ -121,7 +120,7 @@
 func recordsVersionsCommand() *cobra.Command {
 	var limit int
 	cmd := withJSON(agentVerb("versions", "List the newest changes of the records, the newest first", "  elderctl records versions --limit 5", cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, _ []string) error {
 			if limit < 0 {
 				return usageError(errors.New("versions: --limit is below 0"))
 			}
--- a/cmd/elderctl/records_change.go
+++ b/cmd/elderctl/records_change.go
@@ -12,7 +12,6 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
 	"elderyard/internal/agentapi"
 	"elderyard/records"
 )
@@ -46,7 +45,7 @@
 }
 
 // send makes the change, prints its result and, with --wait, waits until it is in force.
-func (c *recordsChange) send(cmd *cobra.Command, client *agent.Client, operations []records.Operation) error {
+func (c *recordsChange) send(cmd *cobra.Command, client *agentapi.Client, operations []records.Operation) error {
 	if c.request == "" {
 		var err error
 		if c.request, err = newRequestID(); err != nil {
@@ -86,7 +85,7 @@
 	cmd := withJSON(agentVerb("put [KIND/NAME]", "Write a record, or with --from many in one change that is taken whole or not at all",
 		"  elderctl records put tenant/acme --value '{\"plan\":\"gold\"}'\n  elderctl records put route/search --file route.json --if 812\n  elderctl records put --from changes.json --message 'new prices'",
 		cobra.MaximumNArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			operations, err := source.operations(cmd, args, &change)
 			if err != nil {
 				return usageError(err)
@@ -166,7 +165,7 @@
 func deleteRecordsCommand() *cobra.Command {
 	var change recordsChange
 	cmd := withJSON(agentVerb("delete KIND/NAME...", "Delete records in one change that is taken whole or not at all", "  elderctl records delete tenant/acme", cobra.MinimumNArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			if len(args) > 1 && cmd.Flags().Changed("if") {
 				return usageError(errors.New("delete: --if is of one record: name one, or use put --from"))
 			}
--- a/cmd/elderctl/records_lag.go
+++ b/cmd/elderctl/records_lag.go
@@ -9,7 +9,6 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
 	"elderyard/internal/agentapi"
 	"elderyard/internal/wait"
 )
@@ -22,7 +21,7 @@
 func recordsLagCommand() *cobra.Command {
 	return withJSON(agentVerb("lag", "Tell at which agents the newest records are in force, and who is behind, since when and why; exit status 7 if any is",
 		"  elderctl records lag", cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, _ []string) error {
 			lag, err := client.RecordsLag(cmd.Context())
 			if err != nil {
 				return err
@@ -63,7 +62,7 @@
 // awaitVersion polls until every agent that reports on its records has the version in force. After the timeout it
 // returns the error of the last call, or else one that names the agents that lack it; without a timeout it returns nil
 // at once.
-func awaitVersion(ctx context.Context, client *agent.Client, version uint64, timeout time.Duration) error {
+func awaitVersion(ctx context.Context, client *agentapi.Client, version uint64, timeout time.Duration) error {
 	if timeout <= 0 {
 		return nil
 	}
--- a/cmd/elderctl/revisions.go
+++ b/cmd/elderctl/revisions.go
@@ -9,15 +9,15 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/revisions"
 )
 
 func historyCommand() *cobra.Command {
-	return agentQuery("history", "List the revisions, the newest first", "  elderctl history", (*agent.Client).Revisions, printHistory)
+	return agentQuery("history", "List the revisions, the newest first", "  elderctl history", (*agentapi.Client).Revisions, printHistory)
 }
 
-func printHistory(out io.Writer, history agent.Revisions) {
+func printHistory(out io.Writer, history agentapi.Revisions) {
 	printStale(out, history.Stale)
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "revision\tparent\tat\tauthor\tchecksum\tmessage")
@@ -33,7 +33,7 @@
 
 func showCommand() *cobra.Command {
 	return withJSON(agentVerb("show REV", "Print a revision", "  elderctl show 12", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			number, err := parseRevisionNumber(args[0])
 			if err != nil {
 				return err
@@ -55,7 +55,7 @@
 
 func diffCommand() *cobra.Command {
 	return withJSON(agentVerb("diff A B", "Show what separates two revisions", "  elderctl diff 11 12", cobra.ExactArgs(2),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			var numbers [2]uint64
 			for i, text := range args {
 				var err error
@@ -87,7 +87,7 @@
 
 // newestRevision returns the newest revision with its content, and the status that names it; the revision's number is 0
 // on a site that has none. Without a leader it fails: an agent's own copy may lack the newest.
-func newestRevision(ctx context.Context, client *agent.Client) (revisions.Revision, agent.Status, error) {
+func newestRevision(ctx context.Context, client *agentapi.Client) (revisions.Revision, agentapi.Status, error) {
 	status, err := client.Status(ctx)
 	if err != nil {
 		return revisions.Revision{}, status, err
--- a/cmd/elderctl/rollback.go
+++ b/cmd/elderctl/rollback.go
@@ -6,14 +6,14 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 )
 
 func rollbackCommand() *cobra.Command {
 	var options applyOptions
 	cmd := withJSON(agentVerb("rollback [REV]", "Make an old revision's content the wanted one again; default: that before the wanted one",
 		"  elderctl rollback\n  elderctl rollback 11", cobra.MaximumNArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			newest, status, err := newestRevision(cmd.Context(), client)
 			if err != nil {
 				return err
@@ -37,7 +37,7 @@
 
 // revisionBefore returns the revision that was wanted before the wanted one, or 0 for none. After a rollout that was
 // rolled back, the previous revision is the wanted one itself, and the one before that counts.
-func revisionBefore(status agent.Status) uint64 {
+func revisionBefore(status agentapi.Status) uint64 {
 	if status.Wanted == status.Rollout.Previous && status.Wanted > 1 {
 		return status.Wanted - 1
 	}
@@ -48,7 +48,7 @@
 	var options applyOptions
 	var rolling bool
 	cmd := withJSON(agentVerb("restart --rolling", "Restart every instance, wave by wave, with what it runs", "  elderctl restart --rolling", cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, _ []string) error {
 			if !rolling {
 				return usageError(errors.New("restart: say --rolling: all at once is not offered"))
 			}
--- a/cmd/elderctl/roster_test.go
+++ b/cmd/elderctl/roster_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/lab"
 	"elderyard/internal/peers"
 	"elderyard/members"
@@ -56,7 +56,7 @@
 	}
 }
 
-func (s *rosterSite) instances() (list []agent.InstanceStatus) {
+func (s *rosterSite) instances() (list []agentapi.InstanceStatus) {
 	out, _ := s.Tool(s.t.Context(), 0, "instances", "--json")
 	if err := json.Unmarshal([]byte(out), &list); err != nil {
 		s.t.Logf("%v: %s", err, out)
@@ -79,7 +79,7 @@
 	}
 	s.waitFor("instances shows the view of each", func() bool {
 		list := s.instances()
-		return len(list) == 3 && !slices.ContainsFunc(list, func(i agent.InstanceStatus) bool { return !strings.HasPrefix(i.MembershipView, "whole for") })
+		return len(list) == 3 && !slices.ContainsFunc(list, func(i agentapi.InstanceStatus) bool { return !strings.HasPrefix(i.MembershipView, "whole for") })
 	})
 	if err := s.KillAgent(2); err != nil {
 		t.Fatal(err)
--- a/cmd/elderctl/snapshot.go
+++ b/cmd/elderctl/snapshot.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 
 	"elderyard/fleet"
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/files"
 )
 
@@ -17,7 +17,7 @@
 
 func saveSnapshotCommand() *cobra.Command {
 	return agentVerb("save FILE", "Save revisions, agents and the audit log to a file", "  elderctl snapshot save site.snapshot", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			snapshot, err := client.Snapshot(cmd.Context())
 			if err != nil {
 				return err
@@ -32,7 +32,7 @@
 
 func restoreSnapshotCommand() *cobra.Command {
 	return agentVerb("restore FILE", "Put a saved state in the place of the site's; a damaged one changes nothing", "  elderctl snapshot restore site.snapshot", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *agent.Client, args []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
 			snapshot, err := os.ReadFile(args[0])
 			if err != nil {
 				return usageError(err)
--- a/cmd/elderctl/status.go
+++ b/cmd/elderctl/status.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/wait"
 )
 
@@ -22,7 +22,7 @@
 func statusCommand() *cobra.Command {
 	var watch bool
 	cmd := withJSON(agentVerb("status", "Show what is wanted, what runs, and where a rollout is", "  elderctl status\n  elderctl status --watch", cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, _ []string) error {
 			for {
 				status, err := client.Status(cmd.Context())
 				if err != nil {
@@ -48,7 +48,7 @@
 
 // statusError returns the exit status of a site's state. Instances that differ from the wanted revision are an error
 // only after the rollout has ended.
-func statusError(status agent.Status) error {
+func statusError(status agentapi.Status) error {
 	if status.Stale != "" {
 		return &exitError{exitUnreachable, errors.New("no leader answers; what was shown may be old")}
 	}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func printStatus(out io.Writer, status agent.Status) {
+func printStatus(out io.Writer, status agentapi.Status) {
 	printStale(out, status.Stale)
 	if status.Store != "" {
 		fmt.Fprintln(out, paint(out, red, "the asked voter can't write its store: "+status.Store))
@@ -80,7 +80,7 @@
 	printInstances(out, status)
 }
 
-func printInstances(out io.Writer, status agent.Status) {
+func printInstances(out io.Writer, status agentapi.Status) {
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "instance\tagent\truns\tstate\tphase\tcrashes\theard\twhy")
 		for _, instance := range status.Instances {
@@ -94,7 +94,7 @@
 	})
 }
 
-func instanceState(instance agent.InstanceStatus) string {
+func instanceState(instance agentapi.InstanceStatus) string {
 	switch {
 	case instance.Silent:
 		return "silent"
@@ -105,7 +105,7 @@
 }
 
 // instanceReasons returns why the instance is in its state, what it reports of the others and who can't reach it.
-func instanceReasons(instance agent.InstanceStatus) string {
+func instanceReasons(instance agentapi.InstanceStatus) string {
 	var reasons []string
 	for _, reason := range []string{instance.Why, instance.MembershipView} {
 		if reason != "" {
@@ -120,7 +120,7 @@
 
 func instancesCommand() *cobra.Command {
 	return withJSON(agentVerb("instances", "List all instances and what each runs", "  elderctl instances", cobra.NoArgs,
-		func(cmd *cobra.Command, client *agent.Client, _ []string) error {
+		func(cmd *cobra.Command, client *agentapi.Client, _ []string) error {
 			status, err := client.Status(cmd.Context())
 			if err != nil {
 				return err
