--- a/cmd/elderctl/capacity_test.go
+++ b/cmd/elderctl/capacity_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// The page's picture is the one that the command draws.
+// The figure on the page is the one that the command draws.
 func TestCapacityCurvesAreCurrent(t *testing.T) {
 	drawn := filepath.Join(t.TempDir(), "curves.svg")
 	if status, out, errs := capacityTool(t, "--curves", drawn); status != exitOK || out != "" {
--- a/cmd/elderctl/fake_server_test.go
+++ b/cmd/elderctl/fake_server_test.go
@@ -33,8 +33,8 @@
 	return text
 }
 
-// fakeServer answers calls, by method and URI, from lists of replies, of which the last is repeated, and records what
-// it was sent.
+// fakeServer answers calls, by method and URI, from lists of replies, of which the last is repeated, and records
+// the calls.
 type fakeServer struct {
 	t       *testing.T
 	address string // of its listener
@@ -85,6 +85,7 @@
 	return s
 }
 
+// ServeHTTP answers with the next prepared reply, and records the call.
 func (s *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -113,7 +114,7 @@
 	w.Write(answer.text(s.t))
 }
 
-// prepare sets the replies of the next runs and forgets the calls of the last.
+// prepare sets the replies of the next runs and discards the recorded calls.
 func (s *fakeServer) prepare(replies map[string][]reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/elderctl/golden_test.go
+++ b/cmd/elderctl/golden_test.go
@@ -18,8 +18,8 @@
 // The golden files in testdata/golden hold the tool's interface: verbs, flags, exit statuses, printed texts, --json
 // and what is sent to an agent. The agent's and the gateways' answers are the files in testdata/answers.
 
-// Each exit status with an error that leads to it. Those of a broken rule and of a late machine (3 and 4) need a whole
-// lab, and are pinned by their numbers alone.
+// Each exit status with an error that leads to it. Those of a broken rule and of a late machine (3 and 4) need a
+// complete lab, and are pinned by their numbers alone.
 func TestGoldenExitStatuses(t *testing.T) {
 	t.Parallel()
 	s := newSession(t)
--- a/cmd/elderctl/session_test.go
+++ b/cmd/elderctl/session_test.go
@@ -40,7 +40,7 @@
 	requestID   = regexp.MustCompile(`"request":"[0-9a-f]{32}"`) // drawn for each change
 	clockTime   = regexp.MustCompile(`(?m)^\d\d:\d\d:\d\d  `)    // of a line of peers watch
 	watchTime   = regexp.MustCompile(`(?m)^(  "at": ")[^"]*"`)   // the same as JSON
-	tempFile    = regexp.MustCompile(`/\.next-\d+`)              // of a file that is written whole
+	tempFile    = regexp.MustCompile(`/\.next-\d+`)              // of a file that is replaced atomically
 )
 
 func (s *session) run(about string, args ...string) {
--- a/cmd/elderctl/trace.go
+++ b/cmd/elderctl/trace.go
@@ -112,7 +112,7 @@
 	return list, nil
 }
 
-// filterByID removes the spans whose trace id does not begin with the id, and what holds no others.
+// filterByID removes the spans whose trace id does not begin with the id, and scopes and resources that have no others.
 func filterByID(list []*trace.ResourceSpans, id string) (matching []*trace.ResourceSpans) {
 	for _, rs := range list {
 		for _, ss := range rs.ScopeSpans {
