--- a/cmd/elderctl/import_test.go
+++ b/cmd/elderctl/import_test.go
@@ -16,7 +16,7 @@
 "familyInfo":{"hasCounter":true,"counterTimeoutS":0.05},"obligations":{"answerSlackS":0.01},"classes":[{"name":"lookup","deadlineS":1,"objectiveS":0.4,"points":1}],
 "packages":[{"name":"basic","unitsPerS":10,"depth":20}]}}`
 
-func TestImportKeepsWhatEachGatewayReads(t *testing.T) {
+func TestImportPreservesConfigurations(t *testing.T) {
 	dir := t.TempDir()
 	second := strings.NewReplacer(`"g0"`, `"g1"`, `"rank":0`, `"rank":1`, "7001", "7003").Replace(imported)
 	var paths []string
@@ -27,9 +27,9 @@
 		}
 	}
 	out := filepath.Join(dir, "site")
-	status, said, errs := tool(t, "import", "--out", out, filepath.Join(dir, "g0.json"), filepath.Join(dir, "g1.json"))
-	if status != exitOK || !strings.Contains(said, "--overlay g1="+filepath.Join(out, "g1.toml")) {
-		t.Fatalf("%d %s %s", status, said, errs)
+	status, printed, errs := tool(t, "import", "--out", out, filepath.Join(dir, "g0.json"), filepath.Join(dir, "g1.json"))
+	if status != exitOK || !strings.Contains(printed, "--overlay g1="+filepath.Join(out, "g1.toml")) {
+		t.Fatalf("%d %s %s", status, printed, errs)
 	}
 	base, err := os.ReadFile(filepath.Join(out, "site.toml"))
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestTheExampleThatShipsIsGood(t *testing.T) {
+func TestShippedFleetExampleIsValid(t *testing.T) {
 	if status, out, errs := tool(t, "check", "../../deploy/fleet.example.toml"); status != exitOK {
 		t.Fatalf("%d %s %s", status, out, errs)
 	}
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -4,13 +4,11 @@
 	"bytes"
 	"cmp"
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"os"
 	"path/filepath"
 	"slices"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -21,13 +19,13 @@
 	"elderyard/internal/otlpfile"
 )
 
-// labFlags are what `elderctl lab` is asked.
+// labFlags are the flags of `elderctl lab`.
 type labFlags struct {
-	scenario string
-	site     lab.Site
-	json     string
-	trace    string
-	moments  string
+	scenario  string // name or file
+	site      lab.Site
+	json      string // path; "-": standard output
+	trace     string // path; "": traces are not collected
+	rollupDir string // "": no rollups
 }
 
 func labCommand() *cobra.Command {
@@ -43,79 +41,70 @@
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return runLab(cmd, &f) },
 	}
-	fl := cmd.Flags()
-	fl.StringVar(&f.scenario, "scenario", "quiet", "a scenario that ships (see 'elderctl lab list') or a file")
-	fl.IntVar(&f.site.Gateways, "gateways", lab.DefaultGateways, "gateway processes")
-	fl.IntVar(&f.site.Nodes, "nodes", lab.DefaultNodes, "backends")
-	fl.Float64Var(&f.site.Rate, "rate", lab.DefaultRate, "requests a second inside the quotas")
-	fl.DurationVar(&f.site.For, "for", lab.DefaultFor, "length of the load")
-	fl.Uint64Var(&f.site.Seed, "seed", 1, "draws customers, arrivals and targets")
-	fl.StringVar(&f.site.Gateway, "gateway", "", "the gateway's program; else the one beside this tool, else built from the checkout")
-	fl.StringVar(&f.json, "json", "", "write the verdict to this file as JSON; - for standard output")
-	fl.StringVar(&f.trace, "trace", "", "have a collector take all stories, and write them to this file at the end; see 'elderctl trace'")
-	fl.StringVar(&f.moments, "moments", "", "have the gateways count what they do by tenths of a second, in files in this folder; see 'elderctl lab read'")
+	flags := cmd.Flags()
+	flags.StringVar(&f.scenario, "scenario", "quiet", "a scenario that ships (see 'elderctl lab list') or a file")
+	flags.IntVar(&f.site.Gateways, "gateways", lab.DefaultGateways, "gateway processes")
+	flags.IntVar(&f.site.Nodes, "nodes", lab.DefaultNodes, "backends")
+	flags.Float64Var(&f.site.Rate, "rate", lab.DefaultRate, "requests a second inside the quotas")
+	flags.DurationVar(&f.site.For, "for", lab.DefaultFor, "length of the load")
+	flags.Uint64Var(&f.site.Seed, "seed", 1, "draws customers, arrivals and targets")
+	flags.StringVar(&f.site.Gateway, "gateway", "", "the gateway's program; else the one beside this tool, else built from the checkout")
+	flags.StringVar(&f.json, "json", "", "write the verdict to this file as JSON; - for standard output")
+	flags.StringVar(&f.trace, "trace", "", "have a collector take all stories, and write them to this file at the end; see 'elderctl trace'")
+	flags.StringVar(&f.rollupDir, "moments", "", "have the gateways count what they do by tenths of a second, in files in this folder; see 'elderctl lab read'")
 	cmd.AddCommand(labListCommand(), labFaultsCommand(), labBenchCommand(), labReadCommand())
 	return cmd
 }
 
-// merge lets the flags that were given count for more than the scenario.
-func (f *labFlags) merge(cmd *cobra.Command, s lab.Site) lab.Site {
+// merge returns the scenario's site with the flags that were given in place of its values.
+func (f *labFlags) merge(cmd *cobra.Command, site lab.Site) lab.Site {
 	given := cmd.Flags().Changed
 	if given("gateways") {
-		s.Gateways = f.site.Gateways
+		site.Gateways = f.site.Gateways
 	}
 	if given("nodes") {
-		s.Nodes = f.site.Nodes
+		site.Nodes = f.site.Nodes
 	}
 	if given("rate") {
-		s.Rate = f.site.Rate
+		site.Rate = f.site.Rate
 	}
 	if given("for") {
-		s.For = f.site.For
+		site.For = f.site.For
 	}
 	if given("seed") {
-		s.Seed = f.site.Seed
+		site.Seed = f.site.Seed
 	}
-	s.Gateway = f.site.Gateway
-	s.Export = s.Export || f.trace != ""
-	return s
+	site.Gateway = f.site.Gateway
+	site.Export = site.Export || f.trace != ""
+	return site
 }
 
-// report is what --json writes.
-type report struct {
-	Scenario string        `json:"scenario"`
-	Seed     uint64        `json:"seed"`
-	Gateways int           `json:"gateways"`
-	Nodes    int           `json:"nodes"`
-	Rate     float64       `json:"rate_per_s"`
-	For      time.Duration `json:"for_ns"`
-	State    string        `json:"state"` // kept, broken or void
-	Cost     lab.Cost      `json:"lab"`   // of the lab itself
-	Verdict  audit.Verdict `json:"verdict"`
-}
-
-func runLab(cmd *cobra.Command, f *labFlags) error {
+// openSite returns the scenario and the site to run, with the folder for its rollups. Errors are usage errors.
+func (f *labFlags) openSite(cmd *cobra.Command) (lab.Scenario, lab.Site, error) {
 	scenario, err := lab.FindScenario(f.scenario)
 	if err != nil {
-		return usageError(err)
+		return scenario, lab.Site{}, usageError(err)
 	}
 	site := f.merge(cmd, scenario.Site())
 	if err := site.Check(); err != nil {
-		return usageError(err)
+		return scenario, site, usageError(err)
 	}
-	if f.moments != "" {
-		if site.RollupDir, err = filepath.Abs(f.moments); err != nil {
-			return usageError(err)
-		}
-		if err := os.MkdirAll(site.RollupDir, 0o755); err != nil {
-			return usageError(err)
-		}
+	if f.rollupDir == "" {
+		return scenario, site, nil
 	}
-	out := cmd.OutOrStdout()
-	if f.json == "-" {
-		out = cmd.ErrOrStderr()
+	if site.RollupDir, err = filepath.Abs(f.rollupDir); err != nil {
+		return scenario, site, usageError(err)
 	}
-	view := newView(out, scenario.Name, scenario.About)
+	return scenario, site, usageError(os.MkdirAll(site.RollupDir, 0o755))
+}
+
+func runLab(cmd *cobra.Command, flags *labFlags) error {
+	scenario, site, err := flags.openSite(cmd)
+	if err != nil {
+		return err
+	}
+	out := progressOut(cmd, flags.json)
+	view := newLabView(out, scenario.Name, scenario.About)
 	site.Log = view.event
 	ctx, cancel := context.WithCancel(cmd.Context())
 	defer cancel()
@@ -124,35 +113,44 @@
 		return operationError(err)
 	}
 	defer l.Close()
-	if c := l.Collector(); c != nil {
-		view.event("stories, while it runs: elderctl trace --from %s", c.Links()[0].Address())
+	if collector := l.Collector(); collector != nil {
+		view.event("stories, while it runs: elderctl trace --from %s", collector.Links()[0].Address())
 	}
-	shown := make(chan struct{})
-	watching, stopWatching := context.WithCancel(ctx)
-	go func() {
-		defer close(shown)
-		view.follow(watching, l.Snapshot)
-	}()
-	err = l.Play(ctx)
-	stopWatching()
-	<-shown
-	if err != nil {
+	if err := playWithView(ctx, l, view); err != nil {
 		return operationError(err)
 	}
-	v := l.Verdict()
-	done, cost := l.Site(), l.Cost()
-	printVerdict(out, &v, cost)
-	if f.trace != "" {
-		if err := writeStories(out, l, f.trace); err != nil {
+	verdict, cost := l.Verdict(), l.Cost()
+	printVerdict(out, &verdict, cost)
+	if flags.trace != "" {
+		if err := writeTraces(out, l, flags.trace); err != nil {
 			return operationError(err)
 		}
 	}
-	if f.json != "" {
-		if err := writeJSON(cmd.OutOrStdout(), f.json, report{scenario.Name, done.Seed, done.Gateways, done.Nodes, done.Rate, done.For, v.State(), cost, v}); err != nil {
+	if flags.json != "" {
+		if err := writeJSON(cmd.OutOrStdout(), flags.json, newLabReport(scenario.Name, l.Site(), cost, verdict)); err != nil {
 			return operationError(err)
 		}
 	}
-	switch v.State() {
+	return verdictError(verdict.State())
+}
+
+// playWithView plays the lab's load and faults to their end, with the view following. It returns after the last drawing.
+func playWithView(ctx context.Context, l *lab.Lab, view *labView) error {
+	following, stop := context.WithCancel(ctx)
+	ended := make(chan struct{})
+	go func() { // ends with following
+		defer close(ended)
+		view.follow(following, l.Snapshot)
+	}()
+	err := l.Play(ctx)
+	stop()
+	<-ended
+	return err
+}
+
+// verdictError returns the exit status of a verdict's state. The verdict itself has been printed.
+func verdictError(state string) error {
+	switch state {
 	case "broken":
 		return &exitError{exitRule, nil}
 	case "void":
@@ -161,113 +159,41 @@
 	return nil
 }
 
-// writeStories writes what the collector took to a file, and shows the story of the
-// request that had the most to it.
-func writeStories(out io.Writer, l *lab.Lab, path string) error {
-	var b bytes.Buffer
-	if err := l.Collector().Write(&b, ""); err != nil {
+// labReport is what --json writes.
+type labReport struct {
+	Scenario string        `json:"scenario"`
+	Seed     uint64        `json:"seed"`
+	Gateways int           `json:"gateways"`
+	Nodes    int           `json:"nodes"`
+	Rate     float64       `json:"rate_per_s"`
+	For      time.Duration `json:"for_ns"`
+	State    string        `json:"state"` // kept, broken or void
+	Cost     lab.Cost      `json:"lab"`   // of the lab itself
+	Verdict  audit.Verdict `json:"verdict"`
+}
+
+func newLabReport(scenario string, site lab.Site, cost lab.Cost, verdict audit.Verdict) labReport {
+	return labReport{scenario, site.Seed, site.Gateways, site.Nodes, site.Rate, site.For, verdict.State(), cost, verdict}
+}
+
+// writeTraces writes the collector's traces to a file, and prints the one with the most spans.
+func writeTraces(out io.Writer, ended *lab.Lab, path string) error {
+	var encoded bytes.Buffer
+	if err := ended.Collector().Write(&encoded, ""); err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
-	if err := files.Replace(path, b.Bytes(), 0o644); err != nil {
+	if err := files.Replace(path, encoded.Bytes(), 0o644); err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
-	list, err := otlpfile.Read(&b)
+	list, err := otlpfile.Read(&encoded)
 	if err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
-	all := storiesOf(list)
+	all := buildTraces(list)
 	if len(all) == 0 {
 		return nil
 	}
-	most := slices.MaxFunc(all, func(a, b *oneStory) int { return cmp.Compare(a.spans, b.spans) })
+	largest := slices.MaxFunc(all, func(a, b *traceTree) int { return cmp.Compare(a.spans, b.spans) })
 	fmt.Fprintf(out, "\n%d stories are in %s; the one with the most to it:\n", len(all), path)
-	return printStory(out, most)
-}
-
-// writeJSON writes v to a file, whole or not at all, or to out for "-".
-func writeJSON(out io.Writer, path string, v any) error {
-	text, err := json.MarshalIndent(v, "", "  ")
-	if err != nil {
-		return fmt.Errorf("json: %w", err)
-	}
-	text = append(text, '\n')
-	if path == "-" {
-		_, err := out.Write(text)
-		return err
-	}
-	if err := files.Replace(path, text, 0o644); err != nil {
-		return fmt.Errorf("json: %w", err)
-	}
-	return nil
-}
-
-// listCommand is a command that prints a list, as a table for people or as JSON.
-func listCommand[T any](use, short string, list func() ([]T, error), table func(io.Writer, []T) error) *cobra.Command {
-	var asJSON bool
-	cmd := &cobra.Command{
-		Use:   use,
-		Short: short,
-		Args:  noArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			lines, err := list()
-			if err != nil {
-				return operationError(err)
-			}
-			if asJSON {
-				return operationError(writeJSON(cmd.OutOrStdout(), "-", lines))
-			}
-			return operationError(table(cmd.OutOrStdout(), lines))
-		},
-	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	return cmd
-}
-
-// scenarioLine is one scenario of `elderctl lab list`.
-type scenarioLine struct {
-	Name     string `json:"name"`
-	About    string `json:"about"`
-	Provokes string `json:"provokes"`
-}
-
-func labListCommand() *cobra.Command {
-	return listCommand("list", "Show the scenarios that ship and what each provokes",
-		func() (lines []scenarioLine, err error) {
-			list, err := lab.Scenarios()
-			for _, s := range list {
-				lines = append(lines, scenarioLine{s.Name, s.About, s.Provokes})
-			}
-			return lines, err
-		},
-		func(out io.Writer, lines []scenarioLine) error {
-			for _, s := range lines {
-				if _, err := fmt.Fprintf(out, "%-16s %s\n%-16s provokes: %s\n", s.Name, s.About, "", s.Provokes); err != nil {
-					return err
-				}
-			}
-			return nil
-		})
-}
-
-func labFaultsCommand() *cobra.Command {
-	return listCommand("faults", "Show the faults that a scenario can script, and its other keys",
-		func() ([]lab.FaultKind, error) { return lab.FaultKinds(), nil },
-		func(out io.Writer, list []lab.FaultKind) error {
-			w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-			for _, k := range list {
-				about := k.About
-				if k.NeedsFor {
-					about += " (needs 'for')"
-				}
-				if k.Size != "" {
-					about += "; size: " + k.Size
-				}
-				fmt.Fprintf(w, "%s\t%s\t%s\n", k.Name, k.Strikes, about)
-			}
-			fmt.Fprintln(w, "\nKeys of a scenario's file:")
-			for _, k := range lab.ScenarioKeys() {
-				fmt.Fprintf(w, "%s\t\t%s\n", k[0], k[1])
-			}
-			return w.Flush()
-		})
+	return printTrace(out, largest)
 }
--- a/cmd/elderctl/main.go
+++ b/cmd/elderctl/main.go
@@ -1,4 +1,23 @@
-// Elderctl is the operators' tool.
+// Elderctl is the operators' tool. It changes and watches a fleet through any one of its agents, shows what gateways
+// report of each other, runs an agent, and tries a site out on this machine in a lab. It keeps no state of its own: a
+// change that an agent has accepted goes on without the tool.
+//
+// # How it is built
+//
+// A verb, or a group of verbs, has a file and a function that returns its command; rootCommand adds them. Shared are
+// exit.go (exit statuses), command.go (builders of commands), connection.go (the agent that a verb calls) and output.go
+// (tables, JSON and colours).
+//
+// A verb returns an error that bears its exit status: usageError before anything is sent or started, operationError for
+// work that fails later, callError for an agent's answer (agentVerb applies it), an exitError where the verb documents a
+// status of its own. An error that bears none counts as wrong usage. Only run prints errors, and only main exits: a verb
+// that did either would skip the cleanup of a lab.
+//
+// Results are written by printResult, as text or with --json as one JSON value, to the command's standard output. A verb
+// that reports progress leaves it out, or sends it to standard error, where standard output carries JSON.
+//
+// Verbs, flags, exit statuses, printed texts and JSON keys are the tool's interface: the golden files in testdata hold
+// them.
 package main
 
 import (
@@ -7,7 +26,6 @@
 	"fmt"
 	"os"
 	"os/signal"
-	"strings"
 	"syscall"
 
 	"github.com/spf13/cobra"
@@ -15,49 +33,6 @@
 	"elderyard/internal/lab"
 )
 
-// Exit statuses. They are part of the tool's interface.
-const (
-	exitOK          = 0
-	exitFailed      = 1   // the tool could not do what was asked
-	exitUsage       = 2   // a flag, an argument or a file is wrong; nothing was started
-	exitRule        = 3   // a rule was broken
-	exitVoid        = 4   // the machine ran late: there is no verdict
-	exitRefused     = 5   // the site refused a change, or the change went back
-	exitConflict    = 6   // another change came first
-	exitPartly      = 7   // done, and some are silent or have yet to take it
-	exitUnreachable = 8   // no agent or leader answers, or it is not known whether a change was taken
-	exitDiffer      = 9   // gateways' pictures of each other differ
-	exitInterrupted = 130 // by SIGINT or SIGTERM; all that was started has ended
-)
-
-const exitHelp = `
-Exit status: 0 all went well, 1 the tool could not do it, 2 wrong usage or a
-wrong file (nothing was started), 3 a rule was broken, 4 the machine ran late
-and there is no verdict, 5 to 8 see the fleet's verbs, 9 see
-'elderctl peers', 130 interrupted.`
-
-// exitError is an error with the status that the tool ends with.
-type exitError struct {
-	status int
-	err    error // nil: all has been said
-}
-
-func (e *exitError) Error() string {
-	if e.err == nil {
-		return ""
-	}
-	return e.err.Error()
-}
-
-func (e *exitError) Unwrap() error { return e.err }
-
-func usageError(err error) error {
-	if err == nil {
-		return nil
-	}
-	return &exitError{exitUsage, err}
-}
-
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	status := run(ctx, os.Args[1:])
@@ -66,7 +41,7 @@
 	os.Exit(status)
 }
 
-// rootCommand is the tool with all its verbs.
+// rootCommand returns the tool with all its verbs.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "elderctl",
@@ -81,6 +56,7 @@
 	return root
 }
 
+// run executes the command line and returns the exit status. It prints the error, if there is one to print.
 func run(ctx context.Context, args []string) int {
 	root := rootCommand()
 	root.SetArgs(args)
@@ -98,36 +74,22 @@
 		}
 		return exit.status
 	}
-	// Cobra's own, of arguments that fit no command.
+	// Cobra's own error about arguments that fit no command.
 	fmt.Fprintln(os.Stderr, "elderctl:", err)
 	return exitUsage
 }
 
-// operationError marks an error of work that had been begun.
-func operationError(err error) error {
-	if err == nil {
-		return nil
-	}
-	return &exitError{exitFailed, err}
-}
-
-func noArgs(cmd *cobra.Command, args []string) error { return usageError(cobra.NoArgs(cmd, args)) }
-
-// exactArgs is the check of a command that takes so many arguments.
-func exactArgs(n int) cobra.PositionalArgs {
-	return func(cmd *cobra.Command, args []string) error { return usageError(cobra.ExactArgs(n)(cmd, args)) }
-}
-
-// commandGroup is a command that does nothing but hold others.
-func commandGroup(use, short string, parts ...*cobra.Command) *cobra.Command {
-	var names []string
-	for _, p := range parts {
-		names = append(names, p.Name())
+// fleetCommands returns the verbs that operate a fleet.
+func fleetCommands() []*cobra.Command {
+	return []*cobra.Command{
+		agentCommand(), caCommand(), importCommand(),
+		checkCommand(), planCommand(), applyCommand(), rollbackCommand(), restartCommand(),
+		statusCommand(), instancesCommand(), historyCommand(), showCommand(), diffCommand(),
+		changeCommand("pause", "Have a rollout tell nobody new"),
+		changeCommand("resume", "Have a paused rollout go on"),
+		changeCommand("abort", "Have a rollout go back"),
+		instanceCommand("drain", "Take an instance out of service: it answers what it holds and ends"),
+		instanceCommand("undrain", "Let an instance back into service"),
+		membersCommand(), snapshotCommand(), auditCommand(), recordsCommand(),
 	}
-	cmd := &cobra.Command{Use: use, Short: short,
-		RunE: func(*cobra.Command, []string) error {
-			return usageError(fmt.Errorf("%s: name what to do: %s", use, strings.Join(names, ", ")))
-		}}
-	cmd.AddCommand(parts...)
-	return cmd
 }
--- a/cmd/elderctl/trace.go
+++ b/cmd/elderctl/trace.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"cmp"
 	"context"
 	"encoding/hex"
 	"errors"
@@ -12,20 +11,18 @@
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
-	common "go.opentelemetry.io/proto/otlp/common/v1"
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 
 	"elderyard/internal/otlpfile"
 )
 
 const (
-	fetchLimit = 30 * time.Second
-	mostFetch  = 256 << 20 // bytes
-	mostListed = 200       // stories of a list
+	fetchTimeout    = 30 * time.Second
+	maxFetchBytes   = 256 << 20
+	maxListedTraces = 200
 )
 
 func traceCommand() *cobra.Command {
@@ -40,7 +37,7 @@
 ` + exitHelp,
 		Example: "  elderctl trace stories.jsonl\n  elderctl trace stories.jsonl 4bf92f35\n  elderctl trace --from 127.0.0.1:4318 4bf92f35",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			list, id, err := readStories(cmd.Context(), from, args)
+			list, id, err := readTraces(cmd.Context(), from, args)
 			if err != nil {
 				return err
 			}
@@ -52,7 +49,7 @@
 				}
 				return nil
 			}
-			return printStories(cmd.OutOrStdout(), storiesOf(list), id)
+			return printTraces(cmd.OutOrStdout(), buildTraces(list), id)
 		},
 	}
 	cmd.Flags().StringVar(&from, "from", "", "read from this address in place of a file")
@@ -60,41 +57,43 @@
 	return cmd
 }
 
-// readStories reads the spans that the arguments name, and the id that they ask for.
-func readStories(ctx context.Context, from string, args []string) (list []*trace.ResourceSpans, id string, err error) {
-	most := 2
+// readTraces reads the spans whose trace id begins with the id among the arguments, or all without an id: from the
+// address if there is one, else from the file among the arguments.
+func readTraces(ctx context.Context, from string, args []string) (list []*trace.ResourceSpans, id string, err error) {
+	maxArgs := 2
 	if from != "" {
-		most = 1
+		maxArgs = 1
 	}
-	if len(args) > most || from == "" && len(args) == 0 {
+	if len(args) > maxArgs || from == "" && len(args) == 0 {
 		return nil, "", usageError(errors.New("name a file, or an address with --from, and at most one id"))
 	}
-	if len(args) == most {
-		id = strings.ToLower(args[most-1])
+	if len(args) == maxArgs {
+		id = strings.ToLower(args[maxArgs-1])
 		if strings.Trim(id, "0123456789abcdef") != "" || len(id) > 32 {
-			return nil, "", usageError(fmt.Errorf("%q is no beginning of a trace id, which is 32 hexadecimal digits", args[most-1]))
+			return nil, "", usageError(fmt.Errorf("%q is no beginning of a trace id, which is 32 hexadecimal digits", args[maxArgs-1]))
 		}
 	}
 	if from != "" {
-		list, err = fetchStories(ctx, from, id)
-		return only(list, id), id, err
+		list, err = fetchTraces(ctx, from, id)
+		return filterByID(list, id), id, err
 	}
-	f, err := os.Open(args[0])
+	file, err := os.Open(args[0])
 	if err != nil {
 		return nil, "", usageError(err)
 	}
-	defer f.Close()
-	if list, err = otlpfile.Read(f); err != nil {
+	defer file.Close()
+	if list, err = otlpfile.Read(file); err != nil {
 		return nil, "", usageError(fmt.Errorf("%s: %w", args[0], err))
 	}
-	return only(list, id), id, nil
+	return filterByID(list, id), id, nil
 }
 
-func fetchStories(ctx context.Context, from, id string) ([]*trace.ResourceSpans, error) {
-	ctx, cancel := context.WithTimeout(ctx, fetchLimit)
+// fetchTraces requests the spans from a collector.
+func fetchTraces(ctx context.Context, from, id string) ([]*trace.ResourceSpans, error) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	at := "http://" + strings.TrimPrefix(from, "http://") + "/stories?id=" + url.QueryEscape(id)
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
+	address := "http://" + strings.TrimPrefix(from, "http://") + "/stories?id=" + url.QueryEscape(id)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return nil, usageError(err)
 	}
@@ -106,193 +105,23 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, operationError(fmt.Errorf("%s: %s", from, resp.Status))
 	}
-	list, err := otlpfile.Read(io.LimitReader(resp.Body, mostFetch))
+	list, err := otlpfile.Read(io.LimitReader(resp.Body, maxFetchBytes))
 	if err != nil {
 		return nil, operationError(fmt.Errorf("%s: %w", from, err))
 	}
 	return list, nil
 }
 
-// only keeps the spans whose trace id begins so.
-func only(list []*trace.ResourceSpans, id string) (kept []*trace.ResourceSpans) {
+// filterByID removes the spans whose trace id does not begin with the id, and scopes and resources that have no others.
+func filterByID(list []*trace.ResourceSpans, id string) (matching []*trace.ResourceSpans) {
 	for _, rs := range list {
 		for _, ss := range rs.ScopeSpans {
 			ss.Spans = slices.DeleteFunc(ss.Spans, func(s *trace.Span) bool { return !strings.HasPrefix(hex.EncodeToString(s.TraceId), id) })
 		}
 		rs.ScopeSpans = slices.DeleteFunc(rs.ScopeSpans, func(ss *trace.ScopeSpans) bool { return len(ss.Spans) == 0 })
 		if len(rs.ScopeSpans) > 0 {
-			kept = append(kept, rs)
+			matching = append(matching, rs)
 		}
 	}
-	return kept
-}
-
-// storySpan is a span with the process that it is from, and what came below it.
-type storySpan struct {
-	*trace.Span
-	process string
-	below   []*storySpan
-}
-
-// oneStory is all spans of a trace.
-type oneStory struct {
-	id         string
-	from, to   uint64
-	spans      int
-	processes  []string
-	roots      []*storySpan // whose parent is not there, in order of time
-	failed     bool
-	last, what string // how the last of them ended, and what was asked
-}
-
-// storiesOf puts spans together, the stories that took longest first. Of a span that
-// came twice one is kept, and spans that name each other as parents hang below nobody's.
-func storiesOf(list []*trace.ResourceSpans) (all []*oneStory) {
-	by := map[string]*oneStory{}
-	spans := map[string]*storySpan{}
-	var order []*storySpan
-	for _, rs := range list {
-		process := text(rs.GetResource().GetAttributes(), "service.instance.id")
-		for _, ss := range rs.ScopeSpans {
-			for _, s := range ss.Spans {
-				key := string(s.TraceId) + string(s.SpanId)
-				if spans[key] != nil {
-					continue
-				}
-				n := &storySpan{Span: s, process: process}
-				spans[key] = n
-				order = append(order, n)
-			}
-		}
-	}
-	slices.SortStableFunc(order, func(a, b *storySpan) int { return cmp.Compare(a.StartTimeUnixNano, b.StartTimeUnixNano) })
-	for _, n := range order {
-		id := hex.EncodeToString(n.TraceId)
-		s := by[id]
-		if s == nil {
-			s = &oneStory{id: id, from: n.StartTimeUnixNano}
-			by[id] = s
-			all = append(all, s)
-		}
-		s.spans++
-		s.to = max(s.to, n.EndTimeUnixNano)
-		s.failed = s.failed || n.Status.GetCode() == trace.Status_STATUS_CODE_ERROR
-		if !slices.Contains(s.processes, n.process) {
-			s.processes = append(s.processes, n.process)
-		}
-		parent := spans[string(n.TraceId)+string(n.ParentSpanId)]
-		if parent == nil || len(n.ParentSpanId) == 0 || under(n, parent, spans) {
-			s.roots = append(s.roots, n)
-			s.what, s.last = n.Name, text(n.Attributes, "elderyard.outcome")
-			continue
-		}
-		parent.below = append(parent.below, n)
-	}
-	slices.SortStableFunc(all, func(a, b *oneStory) int { return cmp.Compare(b.to-b.from, a.to-a.from) })
-	return all
-}
-
-// under tells whether a span is its parent's own ancestor.
-func under(n, parent *storySpan, spans map[string]*storySpan) bool {
-	for range len(spans) {
-		if parent == nil {
-			return false
-		}
-		if parent == n {
-			return true
-		}
-		parent = spans[string(parent.TraceId)+string(parent.ParentSpanId)]
-	}
-	return true
-}
-
-func text(attrs []*common.KeyValue, key string) string {
-	for _, a := range attrs {
-		if a.Key == key {
-			return plainText(otlpfile.Text(a.Value))
-		}
-	}
-	return ""
-}
-
-// plainText takes out what would move a terminal's cursor: spans may hold what clients sent.
-func plainText(s string) string {
-	return strings.Map(func(r rune) rune {
-		if r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0 {
-			return '?'
-		}
-		return r
-	}, s)
-}
-
-func printStories(out io.Writer, all []*oneStory, id string) error {
-	if len(all) == 0 {
-		if id == "" {
-			return operationError(errors.New("there are no stories"))
-		}
-		return operationError(fmt.Errorf("there is no story whose id begins with %s", id))
-	}
-	if id != "" && len(all) == 1 {
-		return operationError(printStory(out, all[0]))
-	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "trace\ttook\tspans\tprocesses\trequest\tended")
-	for i, s := range all {
-		if i == mostListed {
-			fmt.Fprintf(w, "and %d more\n", len(all)-i)
-			break
-		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", s.id, took(s.from, s.to), s.spans, strings.Join(s.processes, " "), plainText(s.what), s.last)
-	}
-	return operationError(w.Flush())
-}
-
-func took(from, to uint64) string {
-	return fmt.Sprintf("%.3f s", float64(max(to, from)-from)/1e9)
-}
-
-// printStory prints one story as a tree, with times from its beginning.
-func printStory(out io.Writer, s *oneStory) error {
-	fmt.Fprintf(out, "trace %s: %s, %d spans of %s\n", s.id, took(s.from, s.to), s.spans, strings.Join(s.processes, " and "))
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	for _, r := range s.roots {
-		printSpan(w, s.from, r, "", "")
-	}
-	return w.Flush()
-}
-
-func printSpan(w io.Writer, from uint64, s *storySpan, branch, indent string) {
-	fmt.Fprintf(w, "+%s\t%s\t%s\t%s%s\t%s\n", took(from, s.StartTimeUnixNano), took(s.StartTimeUnixNano, s.EndTimeUnixNano), s.process,
-		branch, plainText(s.Name), strings.Join(details(s), ", "))
-	for i, b := range s.below {
-		if i == len(s.below)-1 {
-			printSpan(w, from, b, indent+"└ ", indent+"  ")
-		} else {
-			printSpan(w, from, b, indent+"├ ", indent+"│ ")
-		}
-	}
-}
-
-// details are what a person wants to know of a span.
-func details(s *storySpan) (list []string) {
-	add := func(key, format string) {
-		if v := text(s.Attributes, key); v != "" && v != "false" && v != "0" {
-			list = append(list, strings.ReplaceAll(format, "%", v))
-		}
-	}
-	add("server.address", "backend %")
-	add("elderyard.zone", "zone %")
-	add("elderyard.outcome", "%")
-	add("http.response.status_code", "status %")
-	if text(s.Attributes, "elderyard.never_ran") == "true" {
-		list = append(list, "it never ran")
-	}
-	add("elderyard.plan", "plan %")
-	add("elderyard.units", "units %")
-	if text(s.Attributes, "elderyard.request.repeated") == "true" {
-		list = append(list, "another try")
-	}
-	add("elderyard.retry_after_s", "come back after % s")
-	add("elderyard.kept.why", "kept: %")
-	return list
+	return matching
 }
--- /dev/null
+++ b/cmd/elderctl/trace_print.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	common "go.opentelemetry.io/proto/otlp/common/v1"
+
+	"elderyard/internal/otlpfile"
+)
+
+// printTraces prints a list of traces, or the tree of one if an id was given and no other begins with it.
+func printTraces(out io.Writer, all []*traceTree, id string) error {
+	if len(all) == 0 {
+		if id == "" {
+			return operationError(errors.New("there are no stories"))
+		}
+		return operationError(fmt.Errorf("there is no story whose id begins with %s", id))
+	}
+	if id != "" && len(all) == 1 {
+		return operationError(printTrace(out, all[0]))
+	}
+	w := newTable(out)
+	fmt.Fprintln(w, "trace\ttook\tspans\tprocesses\trequest\tended")
+	for i, tree := range all {
+		if i == maxListedTraces {
+			fmt.Fprintf(w, "and %d more\n", len(all)-i)
+			break
+		}
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", tree.id, formatSeconds(tree.from, tree.to), tree.spans, strings.Join(tree.processes, " "), plainText(tree.request), tree.outcome)
+	}
+	return operationError(w.Flush())
+}
+
+// formatSeconds formats the time between two moments in nanoseconds; 0 if the second comes before the first.
+func formatSeconds(from, to uint64) string {
+	return fmt.Sprintf("%.3f s", float64(max(to, from)-from)/1e9)
+}
+
+// printTrace prints a trace as a tree, with times since its start.
+func printTrace(out io.Writer, tree *traceTree) error {
+	fmt.Fprintf(out, "trace %s: %s, %d spans of %s\n", tree.id, formatSeconds(tree.from, tree.to), tree.spans, strings.Join(tree.processes, " and "))
+	w := newTable(out)
+	for _, root := range tree.roots {
+		printSpan(w, tree.from, root, "", "")
+	}
+	return w.Flush()
+}
+
+// printSpan prints a span behind its branch, and its children below it behind the indent.
+func printSpan(w io.Writer, start uint64, span *spanNode, branch, indent string) {
+	fmt.Fprintf(w, "+%s\t%s\t%s\t%s%s\t%s\n", formatSeconds(start, span.StartTimeUnixNano), formatSeconds(span.StartTimeUnixNano, span.EndTimeUnixNano), span.process,
+		branch, plainText(span.Name), strings.Join(spanDetails(span), ", "))
+	for i, child := range span.children {
+		if i == len(span.children)-1 {
+			printSpan(w, start, child, indent+"└ ", indent+"  ")
+		} else {
+			printSpan(w, start, child, indent+"├ ", indent+"│ ")
+		}
+	}
+}
+
+// spanDetails returns the attributes of a span that its line shows.
+func spanDetails(span *spanNode) (list []string) {
+	add := func(key, format string) {
+		if v := attribute(span.Attributes, key); v != "" && v != "false" && v != "0" {
+			list = append(list, strings.ReplaceAll(format, "%", v))
+		}
+	}
+	add("server.address", "backend %")
+	add("elderyard.zone", "zone %")
+	add("elderyard.outcome", "%")
+	add("http.response.status_code", "status %")
+	if attribute(span.Attributes, "elderyard.never_ran") == "true" {
+		list = append(list, "it never ran")
+	}
+	add("elderyard.plan", "plan %")
+	add("elderyard.units", "units %")
+	if attribute(span.Attributes, "elderyard.request.repeated") == "true" {
+		list = append(list, "another try")
+	}
+	add("elderyard.retry_after_s", "come back after % s")
+	add("elderyard.kept.why", "kept: %")
+	return list
+}
+
+// attribute returns a span's attribute as text without control characters, or "" if it has none.
+func attribute(attrs []*common.KeyValue, key string) string {
+	for _, a := range attrs {
+		if a.Key == key {
+			return plainText(otlpfile.Text(a.Value))
+		}
+	}
+	return ""
+}
+
+// plainText replaces control characters, which would move a terminal's cursor: spans may hold what clients sent.
+func plainText(s string) string {
+	return strings.Map(func(r rune) rune {
+		if r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0 {
+			return '?'
+		}
+		return r
+	}, s)
+}
