--- a/internal/agent/limit_commands.go
+++ b/internal/agent/limit_commands.go
@@ -11,6 +11,7 @@
 	"os"
 	"path/filepath"
 	"sync"
+	"syscall"
 	"time"
 
 	"elderyard/internal/config"
@@ -34,7 +35,8 @@
 type limitFront struct {
 	a           *Agent
 	instance    string
-	servedFiles [][]byte // contents that the running front was started with
+	servedFiles [][]byte // contents that the running front was started with, or that can't be served
+	failedFiles [][]byte // contents of the last start that failed
 	stop        func()   // stops the running front; nil: none runs
 }
 
@@ -73,10 +75,19 @@
 	f.end()
 	f.servedFiles = files
 	stop, err := f.start(files[0], files[1])
+	if errors.Is(err, syscall.EADDRINUSE) {
+		// A gateway that is being started shares the closed listener until it executes its
+		// program.
+		f.servedFiles = nil // the next poll starts the front again
+	}
 	if err != nil {
-		f.a.log.Error("failed to serve limit commands", "instance", f.instance, "error", err)
+		if !sameFiles(files, f.failedFiles) {
+			f.a.log.Error("failed to serve limit commands", "instance", f.instance, "error", err)
+		}
+		f.failedFiles = files
 		return
 	}
+	f.failedFiles = nil
 	f.a.log.Info("serving limit commands", "listen", f.a.config.RESP.Listen, "instance", f.instance)
 	f.stop = stop
 }
--- a/members/handle.go
+++ b/members/handle.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// handleAnswered handles an answer to this process.
+// handleAnswered records an answer to a probe of this process.
 func (m *Machine) handleAnswered(e Answered) {
 	if e.Name == m.settings.Self {
 		return
@@ -22,38 +22,38 @@
 	}
 }
 
-// handleAlive handles what a life says of itself.
-func (m *Machine) handleAlive(e Alive) {
-	if e.Name == m.settings.Self {
-		if e.Incarnation < m.settings.Incarnation {
-			// An earlier life of this name still runs; it will learn that it is superseded.
-			if p := m.peerNamed(e.Name); p != nil {
-				m.recordEarlierIncarnation(p, e.Incarnation, true)
+// handleAlive records what an incarnation announces of itself.
+func (m *Machine) handleAlive(event Alive) {
+	if event.Name == m.settings.Self {
+		if event.Incarnation < m.settings.Incarnation {
+			// An earlier incarnation of this name still runs; it will learn that it is superseded.
+			if p := m.peerNamed(event.Name); p != nil {
+				m.recordEarlierIncarnation(p, event.Incarnation, true)
 			}
 		}
-		m.supersede(e.Incarnation)
+		m.supersede(event.Incarnation)
 		return
 	}
-	p := m.peerNamed(e.Name)
+	p := m.peerNamed(event.Name)
 	if p == nil {
 		return
 	}
-	p.highestEpoch = max(p.highestEpoch, e.Epoch)
-	if !m.advanceIncarnation(p, e.Incarnation) {
-		m.recordEarlierIncarnation(p, e.Incarnation, true)
+	p.highestEpoch = max(p.highestEpoch, event.Epoch)
+	if !m.advanceIncarnation(p, event.Incarnation) {
+		m.recordEarlierIncarnation(p, event.Incarnation, true)
 		return
 	}
 	if p.state == StateLeft {
-		return // it has left: this news of it is old
+		return // a delayed message: an incarnation that has left does not come back
 	}
-	if p.epoch != e.Epoch || p.sum != e.Sum || p.address != e.Address || p.adminAddress != e.AdminAddress {
-		p.epoch, p.sum, p.address, p.adminAddress = e.Epoch, e.Sum, e.Address, e.AdminAddress
+	if p.epoch != event.Epoch || p.sum != event.Sum || p.address != event.Address || p.adminAddress != event.AdminAddress {
+		p.epoch, p.sum, p.address, p.adminAddress = event.Epoch, event.Sum, event.Address, event.AdminAddress
 		m.version++
 	}
 	m.setState(p, StateAlive, "is there", "")
 }
 
-// supersede notes a life of this process's own name.
+// supersede records a later incarnation of this process's own name.
 func (m *Machine) supersede(incarnation Incarnation) {
 	if incarnation > m.settings.Incarnation && incarnation > m.superseded {
 		m.superseded = incarnation
@@ -62,7 +62,7 @@
 	}
 }
 
-// handleSuspected handles an unanswered probe.
+// handleSuspected records an unanswered probe.
 func (m *Machine) handleSuspected(e Suspected) {
 	if e.By == m.settings.Self {
 		m.recordProbe(e.Name, false)
@@ -74,7 +74,7 @@
 	m.setState(p, StateSuspect, "did not answer a probe", e.By)
 }
 
-// recordProbe notes the result of a probe by this process.
+// recordProbe records the result of a probe by this process and drops the oldest one.
 func (m *Machine) recordProbe(name string, answered bool) {
 	if len(m.probes) >= maxProbes {
 		m.probes = slices.Delete(m.probes, 0, 1)
@@ -82,7 +82,7 @@
 	m.probes = append(m.probes, probe{name: name, answered: answered})
 }
 
-// markEnded sets the state of a life that is gone or has ended.
+// markEnded sets the state of an incarnation that has failed or left.
 func (m *Machine) markEnded(name string, incarnation Incarnation, to State, what string) {
 	p := m.peers[name]
 	if p == nil {
@@ -98,7 +98,7 @@
 	m.setState(p, to, what, "")
 }
 
-// handleIncarnationLearned notes a life, which may be over.
+// handleIncarnationLearned records an incarnation that may have ended.
 func (m *Machine) handleIncarnationLearned(e IncarnationLearned) {
 	if e.Name == m.settings.Self {
 		m.supersede(e.Incarnation)
@@ -110,24 +110,24 @@
 	}
 }
 
-// handleRoster adopts a roster of a higher epoch. A different roster of the same epoch is a mistake of the operators,
-// which is noted.
-func (m *Machine) handleRoster(e RosterReceived) {
-	if _, err := e.Roster.Check(); err != nil || e.Roster.Epoch < m.roster.Epoch {
+// handleRoster adopts a roster of a higher epoch. A different roster of the same epoch is an operator's error and is
+// recorded as a conflict.
+func (m *Machine) handleRoster(received RosterReceived) {
+	if _, err := received.Roster.Check(); err != nil || received.Roster.Epoch < m.roster.Epoch {
 		return
 	}
-	if e.Roster.Epoch == m.roster.Epoch {
-		m.recordConflict(e)
+	if received.Roster.Epoch == m.roster.Epoch {
+		m.recordConflict(received)
 		return
 	}
 	self := m.settings.Self
-	if sinceEpoch(m.roster, self) != sinceEpoch(e.Roster, self) {
+	if sinceEpoch(m.roster, self) != sinceEpoch(received.Roster, self) {
 		m.joined = false // a member that was removed and added again is a newcomer
 	}
-	m.roster = e.Roster.Sorted()
+	m.roster = received.Roster.Sorted()
 	clear(m.conflictingRosters)
 	m.version++
-	m.addEvidence(self, m.settings.Incarnation, fmt.Sprintf("has the roster of epoch %d: %d members", m.roster.Epoch, len(m.roster.Members)), e.By)
+	m.addEvidence(self, m.settings.Incarnation, fmt.Sprintf("has the roster of epoch %d: %d members", m.roster.Epoch, len(m.roster.Members)), received.By)
 	m.forgetRemoved()
 }
 
@@ -145,7 +145,7 @@
 	m.addEvidence(m.settings.Self, m.settings.Incarnation, fmt.Sprintf("another roster of epoch %d goes round", e.Roster.Epoch), e.By)
 }
 
-// forgetRemoved forgets names outside the roster that no longer live.
+// forgetRemoved drops the peers outside the roster of which no incarnation is alive.
 func (m *Machine) forgetRemoved() {
 	for name, p := range m.peers {
 		if !m.roster.Has(name) && !p.state.Alive() && !p.hasEarlierIncarnation() {
@@ -154,7 +154,8 @@
 	}
 }
 
-// sinceEpoch returns the epoch in which a name became a member; 0: it is none.
+// sinceEpoch returns the epoch in which a name became a member, 0 for a name outside the roster and for a member of the
+// first roster.
 func sinceEpoch(r Roster, name string) uint64 {
 	for _, m := range r.Members {
 		if m.Name == name {
