--- a/internal/agent/golden_calls_test.go
+++ b/internal/agent/golden_calls_test.go
@@ -22,6 +22,7 @@
 
 	"elderyard/fleet"
 	"elderyard/internal/agentapi"
+	"elderyard/internal/golden"
 	"elderyard/internal/pki"
 	"elderyard/revisions"
 )
@@ -82,7 +83,7 @@
 			}
 			fmt.Fprintln(&lines)
 		}
-		checkGolden(t, name, lines.Bytes())
+		golden.File(t, name, lines.Bytes())
 	}
 }
 
@@ -118,7 +119,7 @@
 		got := answerTo(one.a, caller{"x", one.role}, method, path, one.header)
 		fmt.Fprintf(&lines, "%s: %d %s", one.name, got.Code, got.Body)
 	}
-	checkGolden(t, "refusals.txt", lines.Bytes())
+	golden.File(t, "refusals.txt", lines.Bytes())
 }
 
 // TestGoldenStaleStatus pins what an agent without a leader tells of itself.
@@ -175,7 +176,7 @@
 	if _, err := a.reportOnce(t.Context()); err != nil {
 		t.Error(err)
 	}
-	checkGolden(t, "peer-calls.txt", lines.Bytes())
+	golden.File(t, "peer-calls.txt", lines.Bytes())
 }
 
 // A stream between voters begins with a byte that no HTTP request begins with.
--- a/internal/agent/golden_files_test.go
+++ b/internal/agent/golden_files_test.go
@@ -16,6 +16,7 @@
 
 	"elderyard/fleet"
 	"elderyard/internal/agentapi"
+	"elderyard/internal/golden"
 	"elderyard/internal/site"
 	"elderyard/internal/strict"
 	"elderyard/members"
@@ -43,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "cached-revisions.json", text)
+	golden.File(t, "cached-revisions.json", text)
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", info.Mode(), err)
 	}
@@ -75,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "refused.log", text)
+	golden.File(t, "refused.log", text)
 	if err := os.WriteFile(path+".1", readGolden(t, "refused.log"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "roster.toml", text)
+	golden.File(t, "roster.toml", text)
 	if epoch := a.cachedRosterEpoch(); epoch != 10 {
 		t.Errorf("epoch %d is read", epoch)
 	}
@@ -107,12 +108,12 @@
 	for _, key := range Keys() {
 		fmt.Fprintf(&lines, "%s: %s\n", key[0], key[1])
 	}
-	checkGolden(t, "agent-keys.txt", lines.Bytes())
+	golden.File(t, "agent-keys.txt", lines.Bytes())
 	text, err := toml.Marshal(defaults())
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "agent-defaults.toml", text)
+	golden.File(t, "agent-defaults.toml", text)
 }
 
 // TestGoldenConfig pins an agent's file with every key set.
@@ -131,7 +132,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "agent.toml", text)
+	golden.File(t, "agent.toml", text)
 	got, err := parseConfig("agent.toml", readGolden(t, "agent.toml"))
 	if err != nil || !reflect.DeepEqual(got, config) {
 		t.Errorf("%+v, %v, want %+v", got, err, config)
--- a/internal/agent/golden_linux_test.go
+++ b/internal/agent/golden_linux_test.go
@@ -10,6 +10,7 @@
 	"strings"
 	"testing"
 
+	"elderyard/internal/golden"
 	"elderyard/rollout"
 )
 
@@ -79,5 +80,5 @@
 		}
 	}
 	fmt.Fprintln(&lines, strings.Join(ours, "\n"))
-	checkGolden(t, "folder.txt", lines.Bytes())
+	golden.File(t, "folder.txt", lines.Bytes())
 }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -6,10 +6,8 @@
 	"encoding"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
-	"io/fs"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -21,6 +19,7 @@
 
 	"elderyard/fleet"
 	"elderyard/internal/agentapi"
+	"elderyard/internal/golden"
 	"elderyard/internal/leader"
 	"elderyard/internal/replica"
 	"elderyard/records"
@@ -29,29 +28,6 @@
 	"elderyard/supervise"
 )
 
-// The files in testdata are what the released program stores, sends and answers. They
-// are read by agents, voters and tools of other releases, so an existing file is never
-// written anew: -update only adds files for forms that have none yet.
-var update = flag.Bool("update", false, "write golden files that do not exist yet; an existing one is never written")
-
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\n got %s\nwant %s", path, got, want)
-	}
-}
-
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -120,7 +96,7 @@
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	writeJSON(recorder, http.StatusOK, answer)
-	checkGolden(t, name, recorder.Body.Bytes())
+	golden.File(t, name, recorder.Body.Bytes())
 	if got := recorder.Header().Get("Content-Type"); got != "application/json" || recorder.Code != http.StatusOK {
 		t.Errorf("%s: %d, %q", name, recorder.Code, got)
 	}
@@ -142,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, name, encoded)
+	golden.File(t, name, encoded)
 	var decoded T
 	if err := (&call{body: readGolden(t, name)}).read(&decoded); err != nil {
 		t.Fatalf("%s: %v", name, err)
@@ -256,5 +232,5 @@
 		text, _, _ := strings.Cut(read.Text, ":") // what follows is the decoder's
 		fmt.Fprintf(&lines, "%d %s: %s: %s\n", one.status, one.body, read.Code, text)
 	}
-	checkGolden(t, "failures.txt", lines.Bytes())
+	golden.File(t, "failures.txt", lines.Bytes())
 }
--- a/internal/agentapi/client_test.go
+++ b/internal/agentapi/client_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"elderyard/fleet"
+	"elderyard/internal/golden"
 	"elderyard/records"
 	"elderyard/revisions"
 	"elderyard/rollout"
@@ -72,7 +73,7 @@
 	call(c.RecordsVersions(ctx, 3))
 	call(c.RecordsDiff(ctx, 5, 7))
 	call(c.RecordsLag(ctx))
-	checkGolden(t, "client-calls.txt", lines.Bytes())
+	golden.File(t, "client-calls.txt", lines.Bytes())
 }
 
 // A tool reads what agents of other releases answer: a missing key is a zero value, an
--- a/internal/agentapi/golden_test.go
+++ b/internal/agentapi/golden_test.go
@@ -1,13 +1,9 @@
 package agentapi
 
 import (
-	"bytes"
 	"encoding"
 	"encoding/json"
-	"errors"
-	"flag"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -16,35 +12,13 @@
 	"time"
 
 	"elderyard/fleet"
+	"elderyard/internal/golden"
 	"elderyard/members"
 	"elderyard/records"
 	"elderyard/revisions"
 	"elderyard/supervise"
 )
 
-// The files in testdata are the messages as the released program sends them. Agents
-// and voters of one site may run different releases, so an existing file is never
-// written anew: -update only adds files for messages that have none yet.
-var update = flag.Bool("update", false, "write golden files that do not exist yet; an existing one is never written")
-
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	want, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) && *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\n got %s\nwant %s", path, got, want)
-	}
-}
-
 // unsetFields lists the fields below v that have their zero value.
 func unsetFields(v reflect.Value, path string) (unset []string) {
 	if _, isText := v.Interface().(encoding.TextMarshaler); isText && v.Kind() != reflect.Pointer {
@@ -93,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, name, encoded)
+	golden.File(t, name, encoded)
 	golden, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatal(err)
