--- a/internal/agent/helpers_linux_test.go
+++ b/internal/agent/helpers_linux_test.go
@@ -18,6 +18,7 @@
 
 	"elderyard/internal/agentapi"
 	"elderyard/internal/loopback"
+	"elderyard/internal/pki"
 	"elderyard/internal/process"
 	"elderyard/internal/strict"
 	"elderyard/revisions"
@@ -334,3 +335,21 @@
 	}
 	return leader, others
 }
+
+// issueCertificates makes an authority and certificates by name, and returns the files
+// of one.
+func issueCertificates(t *testing.T, roles map[string]pki.Role) func(name string) pki.Files {
+	t.Helper()
+	ca := filepath.Join(t.TempDir(), "ca")
+	if err := pki.Init(ca); err != nil {
+		t.Fatal(err)
+	}
+	for name, role := range roles {
+		if err := pki.Issue(ca, name, role, 30); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return func(name string) pki.Files {
+		return pki.Files{CA: filepath.Join(ca, "ca.pem"), Cert: filepath.Join(ca, name+".pem"), Key: filepath.Join(ca, name+"-key.pem")}
+	}
+}
--- a/internal/agent/membership_linux_test.go
+++ b/internal/agent/membership_linux_test.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -69,18 +68,7 @@
 
 func TestRolesAllowOnlyTheirCalls(t *testing.T) {
 	t.Parallel()
-	ca := filepath.Join(t.TempDir(), "ca")
-	if err := pki.Init(ca); err != nil {
-		t.Fatal(err)
-	}
-	files := func(name string) pki.Files {
-		return pki.Files{CA: filepath.Join(ca, "ca.pem"), Cert: filepath.Join(ca, name+".pem"), Key: filepath.Join(ca, name+"-key.pem")}
-	}
-	for name, role := range map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer} {
-		if err := pki.Issue(ca, name, role, 30); err != nil {
-			t.Fatal(err)
-		}
-	}
+	files := issueCertificates(t, map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer})
 	secure := func(m *machine) *machine {
 		f := files(m.config.Name)
 		m.config.Plain, m.config.TLS = false, TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}
--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -255,18 +255,7 @@
 // TestRecordsRolesAllowOnlyTheirCalls has a copy follow over TLS, and roles keep to what they may.
 func TestRecordsRolesAllowOnlyTheirCalls(t *testing.T) {
 	t.Parallel()
-	ca := filepath.Join(t.TempDir(), "ca")
-	if err := pki.Init(ca); err != nil {
-		t.Fatal(err)
-	}
-	files := func(name string) pki.Files {
-		return pki.Files{CA: filepath.Join(ca, "ca.pem"), Cert: filepath.Join(ca, name+".pem"), Key: filepath.Join(ca, name+"-key.pem")}
-	}
-	for name, role := range map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer} {
-		if err := pki.Issue(ca, name, role, 30); err != nil {
-			t.Fatal(err)
-		}
-	}
+	files := issueCertificates(t, map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer})
 	secure := func(name string, voter bool, others ...string) *machine {
 		m := newMachine(t, name, voter, others)
 		f := files(name)
