--- a/internal/agent/limit_commands.go
+++ b/internal/agent/limit_commands.go
@@ -35,7 +35,7 @@
 type limitFront struct {
 	a           *Agent
 	instance    string
-	servedFiles [][]byte // contents that the running front was started with, or that can't be served
+	servedFiles [][]byte // contents that the running front was started with, or that it can't be started with
 	failedFiles [][]byte // contents of the last start that failed
 	stop        func()   // stops the running front; nil: none runs
 }
@@ -76,8 +76,7 @@
 	f.servedFiles = files
 	stop, err := f.start(files[0], files[1])
 	if errors.Is(err, syscall.EADDRINUSE) {
-		// A gateway that is being started shares the closed listener until it executes its
-		// program.
+		// A gateway that this agent is just starting holds a copy of the closed listener until it executes its program.
 		f.servedFiles = nil // the next poll starts the front again
 	}
 	if err != nil {
