--- a/internal/scale/cluster_linux.go
+++ b/internal/scale/cluster_linux.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/internal/loopback"
 	"elderyard/internal/wait"
 )
@@ -87,7 +87,7 @@
 	if err := p.writeConfig(config); err != nil {
 		return nil, err
 	}
-	if p.Client, err = agent.NewClient(agent.Target{Socket: filepath.Join(p.dir, socketFile)}); err != nil {
+	if p.Client, err = agentapi.NewClient(agentapi.Target{Socket: filepath.Join(p.dir, socketFile)}); err != nil {
 		return nil, err
 	}
 	c.Processes = append(c.Processes, p)
@@ -106,7 +106,7 @@
 		add = founder.Client.AddNonVoter
 	}
 	return until(ctx, func() error {
-		change, err := add(ctx, agent.ChangeRequest{Name: p.Name, Address: p.Address})
+		change, err := add(ctx, agentapi.ChangeRequest{Name: p.Name, Address: p.Address})
 		if err == nil && len(change.Behind) > 0 {
 			err = fmt.Errorf("%v have yet to note it", change.Behind)
 		}
@@ -126,7 +126,7 @@
 var errNoLeader = errors.New("no leader")
 
 // Status asks the running processes for the site's state, until one has it.
-func (c *Cluster) Status(ctx context.Context) (agent.Status, error) {
+func (c *Cluster) Status(ctx context.Context) (agentapi.Status, error) {
 	last := error(errNoLeader)
 	for _, p := range c.Processes {
 		if !p.Running() {
@@ -141,7 +141,7 @@
 		}
 		last = err
 	}
-	return agent.Status{}, last
+	return agentapi.Status{}, last
 }
 
 // Leader returns the process that leads, and those that run and do not.
--- a/internal/scale/process_linux.go
+++ b/internal/scale/process_linux.go
@@ -14,7 +14,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 )
 
 // ControlProcess is one control machine: an agent without gateways, in a process
@@ -22,7 +22,7 @@
 type ControlProcess struct {
 	Name    string
 	Address string // for other agents
-	Client  *agent.Client
+	Client  *agentapi.Client
 
 	program string
 	dir     string
--- a/internal/scale/scale_linux_test.go
+++ b/internal/scale/scale_linux_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"elderyard/internal/agent"
+	"elderyard/internal/agentapi"
 	"elderyard/revisions"
 )
 
@@ -94,12 +94,12 @@
 	f.Servers = cluster.Addresses()
 	s := &site{t: t, cluster: cluster, fleet: StartFleet(f)}
 	t.Cleanup(s.fleet.Stop)
-	s.await("all gateways are heard", func(status agent.Status) bool { return len(heard(status)) == f.Size })
+	s.await("all gateways are heard", func(status agentapi.Status) bool { return len(heard(status)) == f.Size })
 	return s
 }
 
 // heard lists the instances that the leader has heard of.
-func heard(status agent.Status) (names []string) {
+func heard(status agentapi.Status) (names []string) {
 	for _, i := range status.Instances {
 		if !i.ReportedAt.IsZero() && !i.Silent {
 			names = append(names, i.Name)
@@ -111,11 +111,11 @@
 var errNotYet = errors.New("not yet")
 
 // await waits until the site's status satisfies a condition.
-func (s *site) await(what string, satisfies func(agent.Status) bool) {
+func (s *site) await(what string, satisfies func(agentapi.Status) bool) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
 	defer cancel()
-	var last agent.Status
+	var last agentapi.Status
 	err := until(ctx, func() (err error) {
 		if last, err = s.cluster.Status(ctx); err == nil && !satisfies(last) {
 			err = errNotYet
@@ -135,7 +135,7 @@
 	defer cancel()
 	s.edits++
 	file := WholeFile(len(s.fleet.Gateways), entries, s.edits)
-	call := agent.ApplyRequest{Request: fmt.Sprintf("edit-%d", s.edits), Parent: s.head, Content: &revisions.Content{File: file}}
+	call := agentapi.ApplyRequest{Request: fmt.Sprintf("edit-%d", s.edits), Parent: s.head, Content: &revisions.Content{File: file}}
 	leader, _, err := s.cluster.Leader(ctx)
 	if err != nil {
 		s.t.Fatal(err)
@@ -150,7 +150,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.await("the rollout ends", func(status agent.Status) bool {
+	s.await("the rollout ends", func(status agentapi.Status) bool {
 		return status.Rollout.New == s.head && status.Rollout.State == "applied"
 	})
 	return everywhere.Sub(accepted)
@@ -234,7 +234,7 @@
 	if err := leader.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	s.await("another leader hears all", func(status agent.Status) bool {
+	s.await("another leader hears all", func(status agentapi.Status) bool {
 		return status.Leader != leader.Name && len(heard(status)) == gateways
 	})
 	s.apply(entries)
@@ -260,5 +260,5 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.await("it has come back", func(agent.Status) bool { return true })
+	s.await("it has come back", func(agentapi.Status) bool { return true })
 }
