--- a/internal/agent/golden_linux_test.go
+++ b/internal/agent/golden_linux_test.go
@@ -15,9 +15,9 @@
 )
 
 // TestGoldenFolder pins the files of an agent's folder, with their modes, and the
-// environment that a gateway is started with. It must not be parallel: an agent changes the umask of its process while
-// it makes its socket, and the folders that others make meanwhile have other modes.
+// environment that a gateway is started with.
 func TestGoldenFolder(t *testing.T) {
+	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0")...)
 	m.config.Roster, m.config.Records = true, true
 	m.start()
--- a/internal/agent/local_socket.go
+++ b/internal/agent/local_socket.go
@@ -38,9 +38,7 @@
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("local socket: %w", err)
 	}
-	previous := syscall.Umask(0o177)
-	l, err := net.Listen("unix", path)
-	syscall.Umask(previous)
+	l, err := listenPrivate(path)
 	if err != nil {
 		return nil, fmt.Errorf("local socket: %w (its path may be too long: set socket in the agent's file)", err)
 	}
