--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -84,10 +84,10 @@
 // opened. At the end all goroutines are stopped and awaited first, and then the parts
 // are closed, the last opened first: the store outlives the leader that uses it, and
 // the lock of the folder is released when nothing writes there any more.
-func Run(ctx context.Context, c Config, o Options) error {
-	a := &Agent{config: c, log: o.Log, processes: map[string]*process.Process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
+func Run(ctx context.Context, config Config, options Options) error {
+	a := &Agent{config: config, log: options.Log, processes: map[string]*process.Process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
 		checkSlots: make(chan struct{}, maxConcurrentChecks), failed: make(chan error, 2),
-		self: fleet.Agent{Name: c.Name, Address: c.Advertise, Instances: []string{}}}
+		self: fleet.Agent{Name: config.Name, Address: config.Advertise, Instances: []string{}}}
 	// The parts do not end with ctx: they are needed to stop the gateways.
 	running, stop := context.WithCancel(context.Background())
 	defer a.close()
@@ -95,10 +95,10 @@
 	defer stop()
 	for _, step := range []func() error{
 		a.openFolder,
-		func() error { return a.listen(o.Started) },
+		func() error { return a.listen(options.Started) },
 		a.openProcesses,
 		a.openPeerClient,
-		func() error { return a.startVoter(running, o.Recover) },
+		func() error { return a.startVoter(running, options.Recover) },
 		func() error { return a.startRecords(running) },
 		func() error { return a.startServers(running) },
 	} {
@@ -107,9 +107,9 @@
 		}
 	}
 	a.startInstances(running)
-	o.Log.Info("agent started", "name", c.Name, "listen", a.self.Address, "socket", c.Socket, "voter", c.Voter, "instances", len(a.processes))
+	options.Log.Info("agent started", "name", config.Name, "listen", a.self.Address, "socket", config.Socket, "voter", config.Voter, "instances", len(a.processes))
 	err := a.awaitEnd(ctx)
-	if o.StopGateways && err == nil {
+	if options.StopGateways && err == nil {
 		a.stopGateways(running)
 	}
 	return err
--- a/internal/agent/peer_calls.go
+++ b/internal/agent/peer_calls.go
@@ -47,18 +47,18 @@
 
 // callAgent calls one agent within the call's own time limit: an agent that accepts
 // connections and does not answer must not use up the time for the others.
-func (a *Agent) callAgent(ctx context.Context, address string, e peerCall, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, e.timeout)
+func (a *Agent) callAgent(ctx context.Context, address string, outgoing peerCall, answer any) error {
+	ctx, cancel := context.WithTimeout(ctx, outgoing.timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, e.method, a.url(address, e.path), bytes.NewReader(e.body))
+	req, err := http.NewRequestWithContext(ctx, outgoing.method, a.url(address, outgoing.path), bytes.NewReader(outgoing.body))
 	if err != nil {
 		return err
 	}
-	if e.hop != "" {
-		req.Header.Set(agentapi.HopHeader, e.hop)
+	if outgoing.hop != "" {
+		req.Header.Set(agentapi.HopHeader, outgoing.hop)
 	}
-	if e.onBehalfOf != nil {
-		req.Header.Set(onBehalfHeader, e.onBehalfOf.name+";"+string(e.onBehalfOf.role))
+	if outgoing.onBehalfOf != nil {
+		req.Header.Set(onBehalfHeader, outgoing.onBehalfOf.name+";"+string(outgoing.onBehalfOf.role))
 	}
 	if err = a.doPeer(req, answer); err != nil && !agentapi.IsAnswer(err) {
 		a.forgetLeader(address)
--- a/internal/agent/port.go
+++ b/internal/agent/port.go
@@ -112,23 +112,23 @@
 
 // openPort listens and accepts connections until close. The advertised address is that
 // by which voters call each other.
-func openPort(c *Config, refused func(who, what string)) (*port, error) {
+func openPort(config *Config, refused func(who, what string)) (*port, error) {
 	p := &port{refused: refused, slots: make(chan struct{}, maxOpenConns)}
-	if !c.Plain {
+	if !config.Plain {
 		var err error
-		if p.server, err = c.files().Server(); err != nil {
+		if p.server, err = config.files().Server(); err != nil {
 			return nil, err
 		}
-		if p.client, err = c.files().Client(); err != nil {
+		if p.client, err = config.files().Client(); err != nil {
 			return nil, err
 		}
 	}
-	l, err := net.Listen("tcp", c.Listen)
+	l, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	p.listener = l
-	p.http, p.raft = newConnListener(l.Addr()), newConnListener(advertisedAddr(c.Advertise))
+	p.http, p.raft = newConnListener(l.Addr()), newConnListener(advertisedAddr(config.Advertise))
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
 	p.wg.Go(func() { p.accept(ctx) })
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -198,32 +198,32 @@
 var leafTypes = []reflect.Type{reflect.TypeFor[json.Marshaler](), reflect.TypeFor[encoding.TextMarshaler]()}
 
 // collectFields records for the path of each field below v whether it is set.
-func collectFields(set map[string]bool, path string, v reflect.Value) {
-	set[path] = set[path] || !v.IsZero()
-	if v.Kind() != reflect.Pointer && slices.ContainsFunc(leafTypes, v.Type().Implements) {
+func collectFields(set map[string]bool, path string, value reflect.Value) {
+	set[path] = set[path] || !value.IsZero()
+	if value.Kind() != reflect.Pointer && slices.ContainsFunc(leafTypes, value.Type().Implements) {
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Pointer, reflect.Interface:
-		if !v.IsNil() {
-			collectFields(set, path, v.Elem())
+		if !value.IsNil() {
+			collectFields(set, path, value.Elem())
 		}
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if field := v.Type().Field(i); field.IsExported() || field.Anonymous {
-				collectFields(set, path+"."+field.Name, v.Field(i))
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.IsExported() || field.Anonymous {
+				collectFields(set, path+"."+field.Name, value.Field(i))
 			}
 		}
 	case reflect.Slice, reflect.Array:
-		if v.Type().Elem().Kind() == reflect.Uint8 {
+		if value.Type().Elem().Kind() == reflect.Uint8 {
 			return
 		}
-		for i := range v.Len() {
-			collectFields(set, path+"[]", v.Index(i))
+		for i := range value.Len() {
+			collectFields(set, path+"[]", value.Index(i))
 		}
 	case reflect.Map:
-		for _, key := range v.MapKeys() {
-			collectFields(set, path+"[]", v.MapIndex(key))
+		for _, key := range value.MapKeys() {
+			collectFields(set, path+"[]", value.MapIndex(key))
 		}
 	}
 }
