--- a/cmd/elderyard/restart_test.go
+++ b/cmd/elderyard/restart_test.go
@@ -43,7 +43,7 @@
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
 	t.Cleanup(backend.Close)
 	alive := strings.TrimPrefix(backend.URL, "http://")
-	gone, err := loopback.Free()
+	gone, err := loopback.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	t.Cleanup(s.registry.Close)
 	s.registry.Set(registry.Instance{ID: "alive", Zone: "a", Type: "m", Lifecycle: registry.Ready, Weight: 1})
 	for i, l := range s.links {
-		address, err := loopback.Free()
+		address, err := loopback.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/helpers_linux_test.go
+++ b/internal/agent/helpers_linux_test.go
@@ -142,7 +142,7 @@
 
 func instances(t testing.TB, names ...string) (list []InstanceEntry) {
 	for _, n := range names {
-		at, err := loopback.Free()
+		at, err := loopback.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/records_faults_linux_test.go
+++ b/internal/agent/records_faults_linux_test.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := loopback.Free()
+	at, err := loopback.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/counter/http.go
+++ b/internal/counter/http.go
@@ -37,9 +37,9 @@
 
 // Client makes calls to a shared counter.
 type Client interface {
-	Add(*Call) bool          // false where too many wait; it never waits itself
-	Run(ctx context.Context) // until ctx ends
-	Move(address string)     // for all further calls
+	Add(*Call) bool            // false where too many wait; it never waits itself
+	Run(ctx context.Context)   // until ctx ends
+	SetAddress(address string) // for all further calls
 }
 
 // Open makes the client that the operator's file asks for; nil where the settings
@@ -52,9 +52,9 @@
 	case s.Kind != "resp":
 		return NewHTTP(address, timeout), nil
 	}
-	store := Store{Address: address, User: s.User, Password: s.Password, Prefix: s.Prefix, Timeout: timeout}
+	store := RESPConfig{Address: address, User: s.User, Password: s.Password, Prefix: s.Prefix, Timeout: timeout}
 	if s.CA != "" {
-		roots, err := sockets.Authorities(s.CA)
+		roots, err := sockets.LoadCertPool(s.CA)
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: counter: %w", err)
 		}
@@ -93,7 +93,7 @@
 type Call struct {
 	Name   uint64
 	Amount float64
-	Keep   time.Duration // a new name lives so long
+	TTL    time.Duration // a new name lives so long
 	// Report is told once what became of the call, from a goroutine of the client's: Served
 	// with the total, Full (nothing was added), ConnectFailed (nothing was), Errored (it was, the
 	// total is lost), Broken and TimedOut (it may have been).
@@ -104,11 +104,11 @@
 	begun   atomic.Bool   // its answer has begun to come
 }
 
-// GiveUp tells the client that nobody waits. A call that has not been written never is.
-func (k *Call) GiveUp() { k.givenUp.Store(true) }
+// Abandon tells the client that nobody waits. A call that has not been written never is.
+func (k *Call) Abandon() { k.givenUp.Store(true) }
 
-// Begun tells whether the answer has begun to come.
-func (k *Call) Begun() bool { return k.begun.Load() }
+// ResponseStarted tells whether the answer has begun to come.
+func (k *Call) ResponseStarted() bool { return k.begun.Load() }
 
 // HTTP makes calls over a few pipelined connections. The calls for one name
 // keep to one lane, so they go out in order; a lane leaves a connection that
@@ -116,7 +116,7 @@
 type HTTP struct {
 	address atomic.Pointer[string]
 	timeout time.Duration
-	trust   sockets.Trust
+	trust   sockets.IdleEstimator
 	lines
 	readers sync.WaitGroup // one for each connection
 }
@@ -124,13 +124,13 @@
 // NewHTTP calls the counter at address; one that takes longer than timeout to connect to has failed.
 func NewHTTP(address string, timeout time.Duration) *HTTP {
 	c := &HTTP{timeout: timeout, lines: newLines()}
-	c.Move(address)
+	c.SetAddress(address)
 	return c
 }
 
-// Move sends all further calls to another address. What is out on the old one
+// SetAddress sends all further calls to another address. What is out on the old one
 // may still be answered there.
-func (c *HTTP) Move(address string) { c.address.Store(&address) }
+func (c *HTTP) SetAddress(address string) { c.address.Store(&address) }
 
 // Run keeps the lanes until ctx ends.
 func (c *HTTP) Run(ctx context.Context) {
@@ -197,11 +197,11 @@
 	net.Conn
 	host    string
 	dead    atomic.Bool
-	out     atomic.Int64         // calls without an answer
-	head    atomic.Pointer[Call] // whose answer comes next
-	waiting chan *Call           // written, in order
-	open    *atomic.Int64        // connections of its lane
-	trust   *sockets.Trust       // the counter's
+	out     atomic.Int64           // calls without an answer
+	head    atomic.Pointer[Call]   // whose answer comes next
+	waiting chan *Call             // written, in order
+	open    *atomic.Int64          // connections of its lane
+	trust   *sockets.IdleEstimator // the counter's
 	once    sync.Once
 }
 
@@ -260,7 +260,7 @@
 		return
 	}
 	text := fmt.Appendf(nil, "POST %s%016x?add=%s&ttl_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
-		countPath, k.Name, strconv.FormatFloat(k.Amount, 'f', -1, 64), k.Keep.Milliseconds(), c.host)
+		countPath, k.Name, strconv.FormatFloat(k.Amount, 'f', -1, 64), k.TTL.Milliseconds(), c.host)
 	c.out.Add(1)
 	c.SetWriteDeadline(time.Now().Add(counterStuck))
 	if _, err := c.Write(text); err != nil {
@@ -290,10 +290,10 @@
 		c.SetReadDeadline(time.Now().Add(counterStuck))
 		outcome, total, err := rules.Errored, 0.0, error(nil)
 		if _, err = r.Peek(1); err != nil {
-			outcome = sockets.Ended(err)
-			c.trust.Note(time.Now(), k.rest, outcome == rules.Broken)
+			outcome = sockets.ReadErrorOutcome(err)
+			c.trust.Record(time.Now(), k.rest, outcome == rules.Broken)
 		} else {
-			c.trust.Note(time.Now(), k.rest, false)
+			c.trust.Record(time.Now(), k.rest, false)
 			k.begun.Store(true)
 			outcome, total, err = readTotal(r, asked)
 		}
--- a/internal/counter/http_test.go
+++ b/internal/counter/http_test.go
@@ -31,7 +31,7 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	replies = make(chan reply, 64)
 	return c, func(amount float64) *Call {
-		k := &Call{Name: 7, Amount: amount, Keep: time.Minute}
+		k := &Call{Name: 7, Amount: amount, TTL: time.Minute}
 		k.Report = func(k *Call, o rules.Outcome, total float64) { replies <- reply{k.Amount, o, total} }
 		if !c.Add(k) {
 			t.Fatal("the lane is full")
@@ -193,9 +193,9 @@
 	c := NewHTTP(far.Address(), testpeer.Patience)
 	reported := make(chan rules.Outcome, 2)
 	report := func(_ *Call, o rules.Outcome, _ float64) { reported <- o }
-	k := &Call{Name: 1, Amount: 1, Keep: time.Minute, Report: report}
+	k := &Call{Name: 1, Amount: 1, TTL: time.Minute, Report: report}
 	k.givenUp.Store(true)
-	next := &Call{Name: 1, Amount: 2, Keep: time.Minute, Report: report}
+	next := &Call{Name: 1, Amount: 2, TTL: time.Minute, Report: report}
 	c.Add(k)
 	c.Add(next)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -215,8 +215,8 @@
 func TestCounterForgotten(t *testing.T) {
 	far := testpeer.New(t)
 	c, add, replies := startCounter(t, far.Address())
-	for range 2 * int(sockets.IdleBroken) {
-		c.trust.Note(time.Now(), 2*sockets.IdleLeast, true)
+	for range 2 * int(sockets.MinIdleBreaks) {
+		c.trust.Record(time.Now(), 2*sockets.MinIdle, true)
 	}
 	for range 2 {
 		add(1)
@@ -224,7 +224,7 @@
 		testpeer.ReadRequest(t, r)
 		testpeer.Total(conn, 200, "1")
 		testpeer.Wait(t, replies, "reply")
-		time.Sleep(10 * sockets.IdleLeast) // the rest itself is what is tested
+		time.Sleep(10 * sockets.MinIdle) // the rest itself is what is tested
 	}
 }
 
@@ -241,7 +241,7 @@
 		testpeer.ReadRequest(t, r)
 		testpeer.Total(conn, 200, "1")
 		testpeer.Wait(t, replies, "reply")
-		time.Sleep(2 * sockets.IdleLeast)
+		time.Sleep(2 * sockets.MinIdle)
 		add(2)
 		testpeer.ReadRequest(t, r)
 		conn.Close()
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -16,8 +16,8 @@
 	"elderyard/rules"
 )
 
-// Store says how a RESP store is reached.
-type Store struct {
+// RESPConfig says how a RESP store is reached.
+type RESPConfig struct {
 	Address        string
 	User, Password string      // empty password: no AUTH
 	TLS            *tls.Config // nil: plain
@@ -30,7 +30,7 @@
 // and PEXPIRE with NX. Calls for one name keep to one lane and so to their order; a lane has one
 // connection, which it leaves for a new one when an answer is overdue.
 type RESP struct {
-	store   Store
+	store   RESPConfig
 	address atomic.Pointer[string]
 	lines
 	readers sync.WaitGroup
@@ -46,14 +46,14 @@
 )
 
 // NewRESP calls a RESP store.
-func NewRESP(s Store) *RESP {
+func NewRESP(s RESPConfig) *RESP {
 	c := &RESP{store: s, lines: newLines()}
-	c.Move(s.Address)
+	c.SetAddress(s.Address)
 	return c
 }
 
-// Move sends all further calls to another address.
-func (c *RESP) Move(address string) { c.address.Store(&address) }
+// SetAddress sends all further calls to another address.
+func (c *RESP) SetAddress(address string) { c.address.Store(&address) }
 
 // Run keeps the lanes until ctx ends.
 func (c *RESP) Run(ctx context.Context) {
@@ -219,7 +219,7 @@
 	var w resp.Writer
 	w.Command("MULTI")
 	w.Command("INCRBYFLOAT", name, strconv.FormatFloat(k.Amount, 'f', -1, 64))
-	w.Command("PEXPIRE", name, strconv.FormatInt(max(k.Keep.Milliseconds(), 1), 10), "NX")
+	w.Command("PEXPIRE", name, strconv.FormatInt(max(k.TTL.Milliseconds(), 1), 10), "NX")
 	w.Command("EXEC")
 	c.out.Add(1)
 	c.SetWriteDeadline(time.Now().Add(counterStuck))
@@ -268,7 +268,7 @@
 			if errors.Is(err, resp.ErrProtocol) && i == callReplies-2 {
 				return rules.Errored, 0, err // EXEC was answered, in whatever words
 			}
-			return sockets.Ended(err), 0, err
+			return sockets.ReadErrorOutcome(err), 0, err
 		}
 		switch {
 		case i < callReplies-2 && v.Kind == resp.Error:
--- a/internal/counter/resp_test.go
+++ b/internal/counter/resp_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-func startStore(t *testing.T, s Store) (*RESP, func(amount float64, keep time.Duration) *Call, chan reply) {
+func startStore(t *testing.T, s RESPConfig) (*RESP, func(amount float64, keep time.Duration) *Call, chan reply) {
 	t.Helper()
 	s.Prefix, s.Timeout = "q:", testpeer.Patience
 	c := NewRESP(s)
@@ -35,7 +35,7 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	replies := make(chan reply, 64)
 	return c, func(amount float64, keep time.Duration) *Call {
-		k := &Call{Name: 7, Amount: amount, Keep: keep}
+		k := &Call{Name: 7, Amount: amount, TTL: keep}
 		k.Report = func(k *Call, o rules.Outcome, total float64) { replies <- reply{k.Amount, o, total} }
 		if !c.Add(k) {
 			t.Fatal("the lane is full")
@@ -48,7 +48,7 @@
 // answered in their order.
 func TestStoreAddsAndKeepsTheFirstEnd(t *testing.T) {
 	s := newStore(t, nil, "")
-	_, add, replies := startStore(t, Store{Address: s.Address()})
+	_, add, replies := startStore(t, RESPConfig{Address: s.Address()})
 	add(1.5, time.Minute)
 	add(-2.5, time.Hour)
 	add(3, time.Hour)
@@ -88,7 +88,7 @@
 		{"no number", respstore.Fault{Spoilt: true}, rules.Errored, true, 2},
 	} {
 		s := newStore(t, nil, "")
-		_, add, replies := startStore(t, Store{Address: s.Address()})
+		_, add, replies := startStore(t, RESPConfig{Address: s.Address()})
 		s.Set(c.fault)
 		add(2, time.Minute)
 		if got := testpeer.Wait(t, replies, "reply"); got.outcome != c.outcome {
@@ -116,7 +116,7 @@
 // nobody, the address of the configuration counts again.
 func TestStoreMoves(t *testing.T) {
 	one, two := newStore(t, nil, ""), newStore(t, nil, "")
-	_, add, replies := startStore(t, Store{Address: one.Address()})
+	_, add, replies := startStore(t, RESPConfig{Address: one.Address()})
 	one.Set(respstore.Fault{Queue: "MOVED 7 " + two.Address()})
 	add(1, time.Minute)
 	if got := testpeer.Wait(t, replies, "reply"); got.outcome != rules.Full {
@@ -144,13 +144,13 @@
 // that; and a call that was given up is told of late.
 func TestStoreStandsStill(t *testing.T) {
 	s := newStore(t, nil, "")
-	_, add, replies := startStore(t, Store{Address: s.Address()})
+	_, add, replies := startStore(t, RESPConfig{Address: s.Address()})
 	add(1, time.Minute)
 	testpeer.Wait(t, replies, "reply")
 	s.Set(respstore.Fault{Delay: 300 * time.Millisecond})
 	stuck := add(2, time.Minute)
 	time.Sleep(50 * time.Millisecond) // it is on its way
-	stuck.GiveUp()
+	stuck.Abandon()
 	s.Set(respstore.Fault{})
 	add(4, time.Minute)
 	got := testpeer.Wait(t, replies, "reply")
@@ -173,7 +173,7 @@
 		pool     *x509.CertPool
 		outcome  rules.Outcome
 	}{{"secret", pool, rules.Served}, {"wrong", pool, rules.ConnectFailed}, {"", pool, rules.ConnectFailed}, {"secret", others, rules.ConnectFailed}} {
-		_, add, replies := startStore(t, Store{Address: s.Address(), User: "app", Password: c.password,
+		_, add, replies := startStore(t, RESPConfig{Address: s.Address(), User: "app", Password: c.password,
 			TLS: &tls.Config{RootCAs: c.pool, ServerName: "127.0.0.1"}})
 		add(1, time.Minute)
 		if got := testpeer.Wait(t, replies, "reply"); got.outcome != c.outcome {
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -170,7 +170,7 @@
 	idleLimit      time.Duration
 	mostOpen       int // connections in all
 	connect        func(ctx context.Context, network, address string) (net.Conn, error)
-	trust          sockets.Trust
+	trust          sockets.IdleEstimator
 	dials          atomic.Int64 // since they were last counted
 
 	mu      sync.Mutex
@@ -425,7 +425,7 @@
 	}
 	ours := a.release()
 	if forgotten := res.outcome == rules.Broken && c.left.N == mostAnswer; ours && c.rest > 0 {
-		p.trust.Note(time.Now(), c.rest, forgotten)
+		p.trust.Record(time.Now(), c.rest, forgotten)
 	}
 	if ours && reuse {
 		p.put(c)
@@ -507,7 +507,7 @@
 	for range mostInterim {
 		resp, err := http.ReadResponse(c.r, asked)
 		if err != nil {
-			return result{outcome: sockets.Ended(err)}, false
+			return result{outcome: sockets.ReadErrorOutcome(err)}, false
 		}
 		if resp.StatusCode/100 == 1 {
 			continue
@@ -523,7 +523,7 @@
 		}
 		body, all, err := c.short(resp)
 		if err != nil {
-			return result{outcome: sockets.Ended(err)}, false
+			return result{outcome: sockets.ReadErrorOutcome(err)}, false
 		}
 		if !all {
 			if resp.StatusCode != http.StatusOK {
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -19,7 +19,7 @@
 // step is what a test does in the loop's own goroutine.
 type step func()
 
-func (s step) Take() { s() }
+func (s step) Process() { s() }
 
 // do has the loop do s, after all that it was told before.
 func do(t *testing.T, l *Loop, s step) {
@@ -144,7 +144,7 @@
 				wait(t, g.asked, "dial")
 				io.WriteString(client, kind.unread)
 				leave(client.(*net.TCPConn))
-				for end := time.Now().Add(patience); !sockets.Gone(near) && time.Now().Before(end); {
+				for end := time.Now().Add(patience); !sockets.PeerClosed(near) && time.Now().Before(end); {
 					time.Sleep(time.Millisecond) // its end is on its way through the kernel
 				}
 				g.open <- struct{}{}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
 // Package gateway is the HTTP front end of a gateway: it accepts clients, turns
 // their requests into events of the decision module, and carries out what the
 // module decides on pooled connections to the backends. It decides nothing
-// itself. One goroutine, that of owner.Owner, owns the Loop and the module's state;
+// itself. One goroutine, that of owner.EventLoop, owns the Loop and the module's state;
 // connections and timers send it messages.
 package gateway
 
@@ -188,7 +188,7 @@
 	defer wg.Wait()
 	defer stop()
 	if c.Site.RESP.Listen != "" {
-		limits, err := openLimits(c, share.limitClients-limitCost, front.loop.Owner)
+		limits, err := openLimits(c, share.limitClients-limitCost, front.loop.EventLoop)
 		if err != nil {
 			return err
 		}
@@ -202,7 +202,7 @@
 			listener.Close()
 			return err
 		}
-		outByHand{front.loop, out}.Take()
+		outByHand{front.loop, out}.Process()
 	}
 	front.loop.list(c.Known, rules.CachedList)
 	wg.Go(func() { front.loop.Run(inner) })
@@ -268,7 +268,7 @@
 				continue
 			}
 			if calls != nil && next.Settings.Counter {
-				calls.Move(next.Counter)
+				calls.SetAddress(next.Counter)
 			}
 			if next.Discovery != discovery {
 				// Danger: a version of the old address may mean nothing to the new one. The new
@@ -288,7 +288,7 @@
 
 // openLimits opens the front for limit commands, which takes so many clients at most, and
 // returns what serves it. In an upgrade the process before has the address until it ends; then it is tried for again.
-func openLimits(c *config.Config, most int, o *owner.Owner) (serve func(context.Context), err error) {
+func openLimits(c *config.Config, most int, o *owner.EventLoop) (serve func(context.Context), err error) {
 	set := c.Site.RESP
 	if most < set.Most {
 		log.Printf("resp.most_clients: %d descriptors leave room for %d clients, not %d", c.Sockets, most, set.Most)
--- a/internal/gateway/guard.go
+++ b/internal/gateway/guard.go
@@ -137,7 +137,7 @@
 }
 
 // deserted looks, without waiting, whether the client has gone.
-func (g *guard) deserted() bool { return g.over.Load() || sockets.Gone(g.TCPConn) }
+func (g *guard) deserted() bool { return g.over.Load() || sockets.PeerClosed(g.TCPConn) }
 
 // begin notes that something has come. It tells whether the connection still stands.
 func (g *guard) begin() bool {
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -42,7 +42,7 @@
 		if got := wait(t, ended, "outcome"); got != rules.Served {
 			t.Fatalf("outcome %d on a new connection", got)
 		}
-		time.Sleep(2 * sockets.IdleLeast) // the rest itself is what is tested
+		time.Sleep(2 * sockets.MinIdle) // the rest itself is what is tested
 		ended = attemptOnce()
 		readRequest(t, r) // on the same connection
 		conn.Close()
@@ -56,10 +56,10 @@
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	wait(t, ended, "outcome")
 	limit := p.trust.Limit(time.Now())
-	for range int(sockets.IdleBroken) {
-		p.trust.Note(time.Now(), limit, true) // lest it fade while this test waits
+	for range int(sockets.MinIdleBreaks) {
+		p.trust.Record(time.Now(), limit, true) // lest it fade while this test waits
 	}
-	time.Sleep(limit + sockets.IdleLeast)
+	time.Sleep(limit + sockets.MinIdle)
 	ended = attemptOnce()
 	conn, r = far.Accept(t)
 	readRequest(t, r)
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -63,29 +63,29 @@
 	ending struct{ l *Loop } // the process will be killed soon
 )
 
-// Take accepts a request that a client has sent.
-func (m arrival) Take() { m.l.arrive(m.x) }
+// Process accepts a request that a client has sent.
+func (m arrival) Process() { m.l.arrive(m.x) }
 
-// Take cancels the requests of a client that has disconnected.
-func (m clientGone) Take() { m.l.leave(m.x) }
+// Process cancels the requests of a client that has disconnected.
+func (m clientGone) Process() { m.l.leave(m.x) }
 
-// Take records that the body of an attempt's request has been sent completely.
-func (m bodyWhole) Take() { m.l.bodyWhole(m.a) }
+// Process records that the body of an attempt's request has been sent completely.
+func (m bodyWhole) Process() { m.l.bodyWhole(m.a) }
 
-// Take applies an endpoint list.
-func (m news) Take() { m.l.list(m.listing, m.kind) }
+// Process applies an endpoint list.
+func (m news) Process() { m.l.list(m.listing, m.kind) }
 
-// Take passes the number of gateways on to the module.
-func (m divided) Take() { m.l.Handle(m.Fleet) }
+// Process passes the number of gateways on to the module.
+func (m divided) Process() { m.l.Handle(m.Fleet) }
 
-// Take answers every open request, since the process ends soon.
-func (m ending) Take() { m.l.endAll() }
+// Process answers every open request, since the process ends soon.
+func (m ending) Process() { m.l.endAll() }
 
-// Take carries out an operator's call and sends its result to the caller.
-func (m handCall) Take() { m.done <- m.l.takeByHand(m) }
+// Process carries out an operator's call and sends its result to the caller.
+func (m handCall) Process() { m.done <- m.l.takeByHand(m) }
 
-// Take records the end of an attempt, or the beginning of a streamed response.
-func (m attemptDone) Take() {
+// Process records the end of an attempt, or the beginning of a streamed response.
+func (m attemptDone) Process() {
 	if m.result.rest != nil {
 		m.l.begin(m.a, m.result)
 	} else {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Take replaces the set of backends that operators have taken out of service.
-func (m outByHand) Take() {
+// Process replaces the set of backends that operators have taken out of service.
+func (m outByHand) Process() {
 	for id := range m.l.out {
 		if _, still := m.ids[id]; !still {
 			m.l.setOut(id, false)
@@ -109,7 +109,7 @@
 // one final answer, starts and ends attempts, and hands the list of backends on. All of it
 // runs in the owner's goroutine.
 type Loop struct {
-	*owner.Owner
+	*owner.EventLoop
 	deploy   *wire.Deployment
 	pools    *pools
 	onListed func()
@@ -129,7 +129,7 @@
 }
 
 func newLoop(c *config.Config, p *pools, k owner.Counter, onListed func()) *Loop {
-	l := &Loop{Owner: owner.New(c.Settings, c.Seed, k), deploy: &c.Deployment, pools: p, onListed: onListed,
+	l := &Loop{EventLoop: owner.New(c.Settings, c.Seed, k), deploy: &c.Deployment, pools: p, onListed: onListed,
 		live: map[rules.RequestID]*exchange{}, held: map[string]struct{}{}, names: map[rules.BackendID]listed{}, out: map[string]struct{}{}}
 	l.ids.span = longest(c).Seconds() + c.AnswerSlack
 	l.Start(l)
@@ -194,7 +194,7 @@
 		x.reply <- answer{status: http.StatusConflict}
 		return
 	}
-	x.ask.ID, x.open = l.NewID(), true
+	x.ask.ID, x.open = l.NewRequestID(), true
 	l.live[x.ask.ID], l.held[x.id] = x, struct{}{}
 	if m := l.RollupCounts(); m != nil {
 		m.Requests++
@@ -250,8 +250,8 @@
 	}
 }
 
-// Live tells whether a request, or an attempt of it, is still out.
-func (l *Loop) Live(id rules.RequestID) bool { return l.live[id] != nil }
+// InFlight tells whether a request, or an attempt of it, is still out.
+func (l *Loop) InFlight(id rules.RequestID) bool { return l.live[id] != nil }
 
 // Refuse answers a request: trying again is harmless.
 func (l *Loop) Refuse(a rules.Refuse) {
@@ -336,7 +336,7 @@
 	if x.upload != nil {
 		a.whole = func() { l.Post(bodyWhole{l, a}) }
 	}
-	l.After(a.deadline, a)
+	l.ScheduleTimeout(a.deadline, a)
 	l.attempts.Go(func() { // ends by a.until, or when the attempt is called off
 		res := l.pools.attempt(a)
 		a.cancel()
@@ -366,7 +366,7 @@
 	}
 	x.ask.Deadline = l.Clock.Now() + x.left
 	a.deadline = x.ask.Deadline
-	l.After(a.deadline, a)
+	l.ScheduleTimeout(a.deadline, a)
 	l.Handle(rules.BodyWhole{Request: x.ask.ID, Deadline: x.ask.Deadline})
 }
 
@@ -460,11 +460,11 @@
 	}
 }
 
-// Over tells whether nobody waits for the attempt's time-out.
-func (a *attempt) Over() bool { return a.ended || a.streams }
+// Done tells whether nobody waits for the attempt's time-out.
+func (a *attempt) Done() bool { return a.ended || a.streams }
 
-// Due ends an attempt whose time is over.
-func (a *attempt) Due() {
+// Expire ends an attempt whose time is over.
+func (a *attempt) Expire() {
 	if a.loop.Clock.Now() < a.deadline-sameMoment {
 		return // its body has come whole since, and its time runs from there
 	}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -65,7 +65,7 @@
 
 // figures returns the module's figures for the exporter.
 func (l *Loop) figures(ctx context.Context) (f telemetry.Figures, err error) {
-	f.Figures, f.Calls, err = l.Figures(ctx)
+	f.Figures, f.Calls, err = l.Stats(ctx)
 	return f, err
 }
 
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -64,20 +64,20 @@
 	f := l.site.fleet
 	var addresses []string
 	for i, g := range l.gateways {
-		at, err := loopback.Free()
+		at, err := loopback.FreeAddress()
 		if err != nil {
 			return fmt.Errorf("%s: %w", g.name, err)
 		}
 		g.mu.Lock()
 		g.address = at
 		g.mu.Unlock()
-		if at, err = loopback.Free(); err != nil {
+		if at, err = loopback.FreeAddress(); err != nil {
 			return fmt.Errorf("%s: %w", g.name, err)
 		}
 		a := &agentProcess{name: agentName(i), address: at, file: filepath.Join(l.dir, fmt.Sprintf("a%d.toml", i)),
 			socket: filepath.Join(l.dir, fmt.Sprintf("a%d.sock", i))}
 		if i < f.Fronts {
-			if a.limits, err = loopback.Free(); err != nil {
+			if a.limits, err = loopback.FreeAddress(); err != nil {
 				return fmt.Errorf("%s: %w", a.name, err)
 			}
 		}
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -89,10 +89,10 @@
 
 // assignPeerAddresses gives a gateway its operator's address and its address in the network.
 func (l *Lab) assignPeerAddresses(g *gatewayProcess) (err error) {
-	if g.desk, err = loopback.Free(); err != nil {
+	if g.desk, err = loopback.FreeAddress(); err != nil {
 		return fmt.Errorf("%s: %w", g.name, err)
 	}
-	if g.peers, err = loopback.Free(); err != nil {
+	if g.peers, err = loopback.FreeAddress(); err != nil {
 		return fmt.Errorf("%s: %w", g.name, err)
 	}
 	reach, err := l.peerNetwork.proxy.Add(g.name, g.peers)
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -118,13 +118,13 @@
 		fresh := g.starts == 0 || try > 1
 		g.mu.Unlock()
 		if fresh {
-			address, err := loopback.Free()
+			address, err := loopback.FreeAddress()
 			if err != nil {
 				return fmt.Errorf("%s: %w", g.name, err)
 			}
 			limits := ""
 			if l.takesLimits(g) {
-				if limits, err = loopback.Free(); err != nil {
+				if limits, err = loopback.FreeAddress(); err != nil {
 					return fmt.Errorf("%s: %w", g.name, err)
 				}
 			}
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -23,13 +23,13 @@
 
 const defaultSite = "deploy/site.toml"
 
-// Open takes up a gateway's part among those of its site, by its configuration; nil
+// OpenPeers takes up a gateway's part among those of its site, by its configuration; nil
 // where it is to take none.
-type Open func(*config.Config) (gateway.Fellows, error)
+type OpenPeers func(*config.Config) (gateway.Fellows, error)
 
 // Main runs a gateway until it is asked to end, and ends the process with status 1
 // where it can't be run.
-func Main(open Open) {
+func Main(open OpenPeers) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	hup := make(chan os.Signal, 1) // one that waits stands for all: the file is read whole
@@ -40,7 +40,7 @@
 	}
 }
 
-func run(ctx context.Context, hup <-chan os.Signal, open Open) error {
+func run(ctx context.Context, hup <-chan os.Signal, open OpenPeers) error {
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
 		return fmt.Errorf("EDGE_CONFIG is not set")
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%200, 1+n/250%250, 1+n%250)
 }
 
-// Free finds a port for a program that is to listen, end and listen again.
-func Free() (address string, err error) {
+// FreeAddress finds a port for a program that is to listen, end and listen again.
+func FreeAddress() (address string, err error) {
 	l, err := net.Listen("tcp", Host()+":0")
 	if err != nil {
 		return "", err
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -10,7 +10,7 @@
 func TestAFreedAddressIsNotTakenByOutgoingConnections(t *testing.T) {
 	seen := map[string]bool{}
 	for range 300 {
-		at, err := Free()
+		at, err := FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -10,7 +10,7 @@
 // call is one addition on the counter that the module asked for.
 type call struct {
 	counter.Call
-	o       *Owner
+	o       *EventLoop
 	id      uint64 // the module's
 	sent    float64
 	ended   bool
@@ -25,31 +25,31 @@
 	total   float64
 }
 
-// Take records the outcome of a counter call.
-func (m callDone) Take() { m.k.o.endCall(m.k, m.outcome, m.total) }
+// Process records the outcome of a counter call.
+func (m callDone) Process() { m.k.o.endCall(m.k, m.outcome, m.total) }
 
-func (o *Owner) count(c rules.Count) {
+func (o *EventLoop) count(c rules.Count) {
 	k := &call{o: o, id: c.Call, sent: o.Clock.Now()}
 	if m := o.RollupCounts(); m != nil {
 		m.Calls++
 		m.Units += c.Amount
 	}
 	k.Name, k.Amount = c.Name, c.Amount
-	k.Keep = min(max(time.Duration(c.Keep*float64(time.Second)), leastKeep), mostKeep)
+	k.TTL = min(max(time.Duration(c.Keep*float64(time.Second)), leastKeep), mostKeep)
 	k.Report = func(_ *counter.Call, out rules.Outcome, total float64) { o.Post(callDone{k, out, total}) }
 	o.calls[k.Name] = append(o.calls[k.Name], k)
 	if o.counter == nil || !o.counter.Add(&k.Call) {
 		o.endCall(k, rules.Full, 0)
 		return
 	}
-	o.After(k.sent+o.timeout, k)
+	o.ScheduleTimeout(k.sent+o.timeout, k)
 }
 
 // endCall takes a call's one end. Danger: the module takes the replies for one
 // name in the order of the calls, but a call that is turned away here, or goes
 // out on a new connection, may end before an earlier one; it waits for that. What
 // becomes of a call that was given up is told all the same.
-func (o *Owner) endCall(k *call, out rules.Outcome, total float64) {
+func (o *EventLoop) endCall(k *call, out rules.Outcome, total float64) {
 	if k.ended {
 		if k.outcome == rules.TimedOut {
 			o.Handle(rules.CounterLate{Call: k.id, Outcome: out, Total: total})
@@ -75,17 +75,17 @@
 	}
 }
 
-// Over tells whether the call has ended.
-func (k *call) Over() bool { return k.ended }
+// Done tells whether the call has ended.
+func (k *call) Done() bool { return k.ended }
 
-// Due ends a call whose time is over. An answer that has begun, and may never
+// Expire ends a call whose time is over. An answer that has begun, and may never
 // end, says as much as one that can't be read: the amount was added. Danger: told
 // as silence, it would pass for a crowd, and what it added would be lost. A refusal
 // cut to pieces on its way passes for added too; what is taken back then is one call's.
-func (k *call) Due() {
-	k.GiveUp()
+func (k *call) Expire() {
+	k.Abandon()
 	outcome := rules.TimedOut
-	if k.Begun() {
+	if k.ResponseStarted() {
 		outcome = rules.Errored
 	}
 	k.o.endCall(k, outcome, 0)
--- a/internal/owner/checks.go
+++ b/internal/owner/checks.go
@@ -2,73 +2,73 @@
 
 import "elderyard/rules"
 
-// Asker has a question to the module about a quota, and takes its answer. Its methods
+// CheckRequester has a question to the module about a quota, and takes its answer. Its methods
 // run in the owner's goroutine and must not wait.
-type Asker interface {
-	// Ask makes the event from the id that the owner gives; nil where none is needed any more.
-	Ask(rules.RequestID) rules.Event
-	// Answered is told the module's answer.
-	Answered(rules.Checked)
-	// Left tells whether to call the check off now that its asker's client has gone.
-	Left() bool
+type CheckRequester interface {
+	// NewEvent makes the event from the id that the owner gives; nil where none is needed any more.
+	NewEvent(rules.RequestID) rules.Event
+	// Complete is told the module's answer.
+	Complete(rules.Checked)
+	// Abandoned tells whether to call the check off now that its asker's client has gone.
+	Abandoned() bool
 }
 
 // Check is one asker's question.
 type Check struct {
-	Asker
+	CheckRequester
 	id rules.RequestID
 }
 
-// Batch hands several checks to the module in order, in one message.
-type Batch struct {
-	Owner  *Owner
+// CheckBatch hands several checks to the module in order, in one message.
+type CheckBatch struct {
+	Loop   *EventLoop
 	Checks []*Check
 }
 
-// Take asks the module.
-func (b Batch) Take() {
-	b.Owner.moment = b.Owner.Clock.Now() // one for all of them
-	defer func() { b.Owner.moment = 0 }()
+// Process asks the module.
+func (b CheckBatch) Process() {
+	b.Loop.moment = b.Loop.Clock.Now() // one for all of them
+	defer func() { b.Loop.moment = 0 }()
 	for _, c := range b.Checks {
-		id := b.Owner.NewID()
-		if ev := c.Ask(id); ev != nil {
+		id := b.Loop.NewRequestID()
+		if ev := c.NewEvent(id); ev != nil {
 			// Most are answered at once and need no place in the map.
-			c.id, b.Owner.asking = id, c
-			b.Owner.Handle(ev)
-			if b.Owner.asking != nil {
-				b.Owner.asking = nil
-				b.Owner.checks[id] = c
+			c.id, b.Loop.asking = id, c
+			b.Loop.Handle(ev)
+			if b.Loop.asking != nil {
+				b.Loop.asking = nil
+				b.Loop.checks[id] = c
 			}
 		}
 	}
 }
 
-// Leave calls off checks whose asker has gone: those that are not decided yet
+// CancelChecks calls off checks whose asker has gone: those that are not decided yet
 // spend nothing.
-type Leave struct {
-	Owner  *Owner
+type CancelChecks struct {
+	Loop   *EventLoop
 	Checks []*Check
 }
 
-// Take tells the module of those that still wait.
-func (l Leave) Take() {
+// Process tells the module of those that still wait.
+func (l CancelChecks) Process() {
 	for _, c := range l.Checks {
-		if l.Owner.checks[c.id] == c && c.Left() {
-			delete(l.Owner.checks, c.id)
-			l.Owner.Handle(rules.ClientGone{Request: c.id})
+		if l.Loop.checks[c.id] == c && c.Abandoned() {
+			delete(l.Loop.checks, c.id)
+			l.Loop.Handle(rules.ClientGone{Request: c.id})
 		}
 	}
 }
 
 // checked passes an answer on.
-func (o *Owner) checked(a rules.Checked) {
+func (o *EventLoop) checked(a rules.Checked) {
 	if c := o.asking; c != nil && c.id == a.ID {
 		o.asking = nil
-		c.Answered(a)
+		c.Complete(a)
 		return
 	}
 	if c := o.checks[a.ID]; c != nil {
 		delete(o.checks, a.ID)
-		c.Answered(a)
+		c.Complete(a)
 	}
 }
--- a/internal/owner/checks_test.go
+++ b/internal/owner/checks_test.go
@@ -15,7 +15,7 @@
 
 func (h heldCounter) Add(k *counter.Call) bool { h.calls <- k; return true }
 
-func start(t *testing.T, k Counter) *Owner {
+func start(t *testing.T, k Counter) *EventLoop {
 	t.Helper()
 	set := rules.Settings{Classes: []rules.Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []rules.Plan{{Price: 1, Rate: 0.001, Burst: 10}},
 		Fleet: 1, Tick: 0.002, Counter: k != nil, CounterTimeout: testpeer.Patience.Seconds()}
@@ -35,7 +35,7 @@
 	answers chan rules.Checked
 }
 
-func (a *asker) Ask(id rules.RequestID) rules.Event {
+func (a *asker) NewEvent(id rules.RequestID) rules.Event {
 	if a.asked != nil {
 		a.asked <- struct{}{}
 		return nil
@@ -43,11 +43,11 @@
 	return &rules.Check{ID: id, Customer: 7, Units: a.units, Gateways: 1, Deadline: float64(time.Now().Unix()) + 60}
 }
 
-func (a *asker) Answered(got rules.Checked) { a.answers <- got }
-func (a *asker) Left() bool                 { return true }
+func (a *asker) Complete(got rules.Checked) { a.answers <- got }
+func (a *asker) Abandoned() bool            { return true }
 
 func take(units float64, answers chan rules.Checked) *Check {
-	return &Check{Asker: &asker{units: units, answers: answers}}
+	return &Check{CheckRequester: &asker{units: units, answers: answers}}
 }
 
 // A batch is decided in order, each check has one answer, and one that leaves
@@ -57,9 +57,9 @@
 	o := start(t, k)
 	answers := make(chan rules.Checked, 16)
 	stays, leaves, last := take(2, answers), take(5, answers), take(1, answers)
-	o.Post(Batch{o, []*Check{stays, leaves, last}})
+	o.Post(CheckBatch{o, []*Check{stays, leaves, last}})
 	call := testpeer.Wait(t, k.calls, "call")
-	o.Post(Leave{o, []*Check{leaves}})
+	o.Post(CancelChecks{o, []*Check{leaves}})
 	call.Report(call, rules.Served, call.Amount)
 	for i, want := range []float64{2, 1} {
 		if a := testpeer.Wait(t, answers, "answer"); a.Granted != want || !a.Shared {
@@ -67,7 +67,7 @@
 		}
 	}
 	again := take(7, answers) // all that is left, if the one that left spent nothing
-	o.Post(Batch{o, []*Check{again}})
+	o.Post(CheckBatch{o, []*Check{again}})
 	go func() {
 		for call := range k.calls {
 			call.Report(call, rules.Served, 10)
@@ -87,7 +87,7 @@
 	o := start(t, nil)
 	answers := make(chan rules.Checked, 1)
 	asked := make(chan struct{}, 1)
-	o.Post(Batch{o, []*Check{{Asker: &asker{asked: asked}}, take(10, answers)}})
+	o.Post(CheckBatch{o, []*Check{{CheckRequester: &asker{asked: asked}}, take(10, answers)}})
 	testpeer.Wait(t, asked, "question")
 	if a := testpeer.Wait(t, answers, "answer"); a.Granted != 10 || a.Shared {
 		t.Errorf("%+v", a)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -24,15 +24,15 @@
 
 // Message is something that happened. Take runs in the owner's goroutine and must
 // not wait.
-type Message interface{ Take() }
+type Message interface{ Process() }
 
-// Requests carries out the module's actions on requests, in the owner's goroutine.
-type Requests interface {
+// RequestHandler carries out the module's actions on requests, in the owner's goroutine.
+type RequestHandler interface {
 	Send(rules.Send)
 	Cancel(rules.Cancel)
 	Refuse(rules.Refuse)
 	Fail(rules.Fail)
-	Live(rules.RequestID) bool // the request, or an attempt of it, is still out
+	InFlight(rules.RequestID) bool // the request, or an attempt of it, is still out
 }
 
 // Counter takes calls without waiting; false where too many wait.
@@ -40,15 +40,15 @@
 	Add(*counter.Call) bool
 }
 
-// Owner is the one owner of a decision module.
-type Owner struct {
+// EventLoop is the one owner of a decision module.
+type EventLoop struct {
 	Clock  Clock
 	Rollup *rollup.Aggregator // nil: nothing is counted; set before Run
 
 	gateway  *rules.Gateway
 	counter  Counter // nil: there is none
 	timeout  float64 // seconds, of a call to the counter
-	requests Requests
+	requests RequestHandler
 
 	inbox   chan Message
 	stopped chan struct{} // closed when Run ends
@@ -66,8 +66,8 @@
 
 // New makes the owner of a module with the given settings. Nothing happens before
 // Start.
-func New(set rules.Settings, seed uint64, k Counter) *Owner {
-	o := &Owner{Clock: NewClock(), counter: k, timeout: set.CounterTimeout,
+func New(set rules.Settings, seed uint64, k Counter) *EventLoop {
+	o := &EventLoop{Clock: NewClock(), counter: k, timeout: set.CounterTimeout,
 		inbox: make(chan Message, inboxSize), stopped: make(chan struct{}),
 		checks: map[rules.RequestID]*Check{}, calls: map[uint64][]*call{}}
 	o.gateway, o.actions = rules.New(set, seed, o.Clock.Now(), nil)
@@ -76,14 +76,14 @@
 
 // Start names who carries out the actions on requests, nil where only checks are
 // taken, and runs those that the module begins with. It comes before Run.
-func (o *Owner) Start(r Requests) {
+func (o *EventLoop) Start(r RequestHandler) {
 	o.requests = r
 	o.act(o.actions)
 }
 
-// Figures tells of the module at a moment, and of the calls to the counter so far by
+// Stats tells of the module at a moment, and of the calls to the counter so far by
 // outcome.
-func (o *Owner) Figures(ctx context.Context) (f rules.Figures, calls [rules.Moot + 1]uint64, err error) {
+func (o *EventLoop) Stats(ctx context.Context) (f rules.Figures, calls [rules.Moot + 1]uint64, err error) {
 	q := figures{o, make(chan struct{}), &f, &calls}
 	if !o.Post(q) {
 		return f, calls, errEnded
@@ -101,20 +101,20 @@
 var errEnded = errors.New("the owner has ended")
 
 type figures struct {
-	o     *Owner
+	o     *EventLoop
 	done  chan struct{}
 	f     *rules.Figures
 	calls *[rules.Moot + 1]uint64
 }
 
-// Take copies the figures for the caller.
-func (q figures) Take() {
+// Process copies the figures for the caller.
+func (q figures) Process() {
 	*q.f, *q.calls = q.o.gateway.Figures(), q.o.ended
 	close(q.done)
 }
 
 // Post tells the owner something. It returns false once the owner has ended.
-func (o *Owner) Post(m Message) bool {
+func (o *EventLoop) Post(m Message) bool {
 	select {
 	case o.inbox <- m:
 		return true
@@ -124,10 +124,10 @@
 }
 
 // Stopped is closed when Run has ended.
-func (o *Owner) Stopped() <-chan struct{} { return o.stopped }
+func (o *EventLoop) Stopped() <-chan struct{} { return o.stopped }
 
 // Run works until ctx ends.
-func (o *Owner) Run(ctx context.Context) {
+func (o *EventLoop) Run(ctx context.Context) {
 	defer close(o.stopped)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -136,7 +136,7 @@
 		case <-ctx.Done():
 			return
 		case m := <-o.inbox:
-			m.Take()
+			m.Process()
 		case <-timer.C:
 		}
 		now := o.Clock.Now()
@@ -153,19 +153,19 @@
 
 // RollupCounts returns the counts of the current interval, nil if nothing is counted. Only messages and actions may
 // call it.
-func (o *Owner) RollupCounts() *rollup.Counts {
+func (o *EventLoop) RollupCounts() *rollup.Counts {
 	if o.Rollup == nil {
 		return nil
 	}
 	return o.Rollup.Current(o.Now())
 }
 
-// After has d told when the clock is at that time. Only messages and actions may
+// ScheduleTimeout has d told when the clock is at that time. Only messages and actions may
 // call it.
-func (o *Owner) After(at float64, d Due) { o.timers.add(timerEntry{at: at, due: d}) }
+func (o *EventLoop) ScheduleTimeout(at float64, d Timeout) { o.timers.add(timerEntry{at: at, due: d}) }
 
-// NewID is an id that no request or check that is out has. Only messages may call it.
-func (o *Owner) NewID() rules.RequestID {
+// NewRequestID is an id that no request or check that is out has. Only messages may call it.
+func (o *EventLoop) NewRequestID() rules.RequestID {
 	for taken := true; taken; {
 		o.nextID = max(o.nextID+1, 1) // 0 stands for no request
 		taken = o.live(o.nextID)
@@ -175,7 +175,7 @@
 
 // Now is the time at which the module is asked. Only messages and actions may call
 // it.
-func (o *Owner) Now() float64 {
+func (o *EventLoop) Now() float64 {
 	if o.moment != 0 {
 		return o.moment
 	}
@@ -183,16 +183,16 @@
 }
 
 // live tells whether a request or check is out.
-func (o *Owner) live(id rules.RequestID) bool {
+func (o *EventLoop) live(id rules.RequestID) bool {
 	if _, waits := o.checks[id]; waits {
 		return true
 	}
-	return o.requests != nil && o.requests.Live(id)
+	return o.requests != nil && o.requests.InFlight(id)
 }
 
 // Handle gives the module an event, and then what its actions brought about. Only
 // messages and actions may call it.
-func (o *Owner) Handle(ev rules.Event) {
+func (o *EventLoop) Handle(ev rules.Event) {
 	o.pending = append(o.pending, ev)
 	if len(o.pending) > 1 {
 		return // an outer call is at it
@@ -205,7 +205,7 @@
 	o.pending = o.pending[:0]
 }
 
-func (o *Owner) act(actions []rules.Action) {
+func (o *EventLoop) act(actions []rules.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case rules.Send:
@@ -246,19 +246,19 @@
 }
 
 // void tells whether nobody waits for a timer any more.
-func (o *Owner) void(t timerEntry) bool {
+func (o *EventLoop) void(t timerEntry) bool {
 	switch {
 	case t.due != nil:
-		return t.due.Over()
+		return t.due.Done()
 	case t.request != 0:
 		return !o.live(t.request)
 	}
 	return false
 }
 
-func (o *Owner) due(t timerEntry) {
+func (o *EventLoop) due(t timerEntry) {
 	if t.due != nil {
-		t.due.Due()
+		t.due.Expire()
 		return
 	}
 	o.Handle(rules.Timer{Token: t.token})
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -11,7 +11,7 @@
 // The module takes replies for one name in the order of the calls, so a later
 // call that ends first waits for the earlier.
 func TestRepliesInOrder(t *testing.T) {
-	l := &Owner{calls: map[uint64][]*call{}, gateway: &rules.Gateway{}}
+	l := &EventLoop{calls: map[uint64][]*call{}, gateway: &rules.Gateway{}}
 	l.pending = []rules.Event{nil} // an outer call is at it: replies are queued
 	first, second, other := &call{}, &call{}, &call{}
 	first.Name, second.Name, other.Name = 1, 1, 2
@@ -31,7 +31,7 @@
 
 // Timers of what is over wake nobody, but none that is waited for may be lost.
 func TestVoidTimers(t *testing.T) {
-	l := &Owner{checks: map[rules.RequestID]*Check{7: {}}}
+	l := &EventLoop{checks: map[rules.RequestID]*Check{7: {}}}
 	for _, c := range []struct {
 		name string
 		t    timerEntry
--- a/internal/owner/timers.go
+++ b/internal/owner/timers.go
@@ -2,11 +2,11 @@
 
 import "elderyard/rules"
 
-// Due is what waits for a moment. Timers of what is over are most of all, and the
+// Timeout is what waits for a moment. Timers of what is over are most of all, and the
 // process is not woken for them.
-type Due interface {
-	Over() bool // nobody waits any more
-	Due()       // the moment has come
+type Timeout interface {
+	Done() bool // nobody waits any more
+	Expire()    // the moment has come
 }
 
 // timerEntry is a timer of the module's, or another's.
@@ -14,7 +14,7 @@
 	at      float64
 	token   uint64
 	request rules.RequestID // 0: the timer belongs to none
-	due     Due             // nil: it is the module's
+	due     Timeout         // nil: it is the module's
 }
 
 // timerHeap has the earliest timer first. It is container/heap's algorithm
--- a/internal/peers/site_test.go
+++ b/internal/peers/site_test.go
@@ -81,7 +81,7 @@
 func (s *testSite) settings(name string, seeds ...string) Settings {
 	s.t.Helper()
 	if s.hosts[name] == "" {
-		at, err := loopback.Free()
+		at, err := loopback.FreeAddress()
 		if err != nil {
 			s.t.Fatal(err)
 		}
--- a/internal/respfront/desk.go
+++ b/internal/respfront/desk.go
@@ -22,7 +22,7 @@
 // Desk turns limit commands into checks. What it keeps of tokens belongs to the
 // owner's goroutine.
 type Desk struct {
-	owner    *owner.Owner
+	owner    *owner.EventLoop
 	plans    []rules.Plan
 	names    []string
 	fleet    int
@@ -43,7 +43,7 @@
 
 // NewDesk takes checks for an owner's module. Names are those of the plans;
 // accounts says which plan an account has, plan which one the others have, "" for none.
-func NewDesk(o *owner.Owner, set rules.Settings, names []string, accounts map[uint64]string, plan string) (*Desk, error) {
+func NewDesk(o *owner.EventLoop, set rules.Settings, names []string, accounts map[uint64]string, plan string) (*Desk, error) {
 	d := &Desk{owner: o, plans: set.Plans, names: names, fleet: max(set.Fleet, 1), patience: leastWait + 2*set.CounterTimeout,
 		accounts: map[uint64]int{}, plan: -1, ledger: limits.NewLedger(tokenSpan, mostTokens), waiting: map[tokenKey][]*slot{}}
 	var err error
@@ -170,8 +170,8 @@
 	}
 }
 
-// Ask makes the slot's event, or answers it from the ledger.
-func (s *slot) Ask(id rules.RequestID) rules.Event {
+// NewEvent makes the slot's event, or answers it from the ledger.
+func (s *slot) NewEvent(id rules.RequestID) rules.Event {
 	d, q := s.desk, &s.ask
 	now := d.owner.Now()
 	switch {
@@ -212,16 +212,16 @@
 	return &s.event
 }
 
-// Answered takes the module's answer.
-func (s *slot) Answered(a rules.Checked) {
+// Complete takes the module's answer.
+func (s *slot) Complete(a rules.Checked) {
 	if !s.ask.peek && !s.ask.giving {
 		s.desk.book(&s.ask, a)
 	}
 	s.finish(a, false, nil)
 }
 
-// Left tells whether a take is called off: not if a repeat waits for its answer.
-func (s *slot) Left() bool {
+// Abandoned tells whether a take is called off: not if a repeat waits for its answer.
+func (s *slot) Abandoned() bool {
 	return s.ask.token == "" || s.ask.giving || s.desk.ledger.Drop(s.ask.account, s.ask.token)
 }
 
@@ -255,10 +255,10 @@
 	slots []*slot
 }
 
-// Take runs in the owner's goroutine.
-func (l leaving) Take() {
+// Process runs in the owner's goroutine.
+func (l leaving) Process() {
 	for _, s := range l.slots {
-		if s.decided || s.check.Asker == nil {
+		if s.decided || s.check.CheckRequester == nil {
 			continue
 		}
 		key := s.ask.key()
@@ -275,7 +275,7 @@
 			}
 		}
 		if !waits {
-			owner.Leave{Owner: l.d.owner, Checks: []*owner.Check{&s.check}}.Take()
+			owner.CancelChecks{Loop: l.d.owner, Checks: []*owner.Check{&s.check}}.Process()
 		}
 	}
 }
--- a/internal/respfront/front_test.go
+++ b/internal/respfront/front_test.go
@@ -287,7 +287,7 @@
 	done chan struct{}
 }
 
-func (d do) Take() { d.f(); close(d.done) }
+func (d do) Process() { d.f(); close(d.done) }
 
 func (r *rig) inside(f func()) {
 	d := do{f, make(chan struct{})}
--- a/internal/respfront/open.go
+++ b/internal/respfront/open.go
@@ -15,7 +15,7 @@
 
 // Open makes a front from the operator's file, for an owner whose module has these
 // settings and plans. It opens no socket.
-func Open(s site.RESP, o *owner.Owner, set rules.Settings, plans []string) (*Front, error) {
+func Open(s site.RESP, o *owner.EventLoop, set rules.Settings, plans []string) (*Front, error) {
 	accounts := map[uint64]string{}
 	for _, a := range s.Account {
 		id, err := site.AccountID(a.ID)
@@ -83,7 +83,7 @@
 	}
 	made := &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}
 	if s.CA != "" {
-		if made.ClientCAs, err = sockets.Authorities(s.CA); err != nil {
+		if made.ClientCAs, err = sockets.LoadCertPool(s.CA); err != nil {
 			return nil, err
 		}
 		made.ClientAuth = tls.RequireAndVerifyClientCert
--- a/internal/respfront/session.go
+++ b/internal/respfront/session.go
@@ -66,7 +66,7 @@
 	r := s.next
 	s.next = nil
 	r.desk, r.reply, r.version, r.batch = s.front.desk, reply, s.version, s.batch
-	r.repeated, r.err, r.decided, r.check = false, nil, false, owner.Check{Asker: r}
+	r.repeated, r.err, r.decided, r.check = false, nil, false, owner.Check{CheckRequester: r}
 	s.batch.left++
 	s.slots = append(s.slots, r)
 	s.checks = append(s.checks, &r.check)
@@ -178,7 +178,7 @@
 	if s.batch == nil {
 		return
 	}
-	if !s.front.desk.owner.Post(owner.Batch{Owner: s.front.desk.owner, Checks: s.checks}) {
+	if !s.front.desk.owner.Post(owner.CheckBatch{Loop: s.front.desk.owner, Checks: s.checks}) {
 		s.broken = true
 	}
 	look := time.NewTimer(goneLook)
@@ -190,7 +190,7 @@
 		case <-s.front.desk.owner.Stopped():
 			s.broken, waits = true, false
 		case <-look.C:
-			if look.Reset(goneLook); sockets.Gone(s.raw) || ctx.Err() != nil {
+			if look.Reset(goneLook); sockets.PeerClosed(s.raw) || ctx.Err() != nil {
 				s.front.desk.owner.Post(leaving{s.front.desk, s.slots})
 				s.broken, waits = true, false
 			}
--- a/internal/scale/cluster_linux.go
+++ b/internal/scale/cluster_linux.go
@@ -63,7 +63,7 @@
 
 // add prepares one more process.
 func (c *Cluster) add(o ClusterOptions, i int) (*ControlProcess, error) {
-	address, err := loopback.Free()
+	address, err := loopback.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/members_linux_test.go
+++ b/internal/scale/members_linux_test.go
@@ -50,7 +50,7 @@
 	addresses := make([]string, n)
 	for i := range n {
 		roster += fmt.Sprintf("[[member]]\nname = %q\n", memberName(i))
-		address, err := loopback.Free()
+		address, err := loopback.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sockets/authorities.go
+++ b/internal/sockets/authorities.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// Authorities reads the certificates of a PEM file.
-func Authorities(path string) (*x509.CertPool, error) {
+// LoadCertPool reads the certificates of a PEM file.
+func LoadCertPool(path string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("ca: %w", err)
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -51,10 +51,10 @@
 	return !known || err == nil && quiet
 }
 
-// Gone reports, without waiting, whether the other side has closed or reset a
+// PeerClosed reports, without waiting, whether the other side has closed or reset a
 // connection. Danger: bytes that it sent before and that nobody has read yet hide the
 // end from a read; where the system can, its state of the connection is asked as well.
-func Gone(conn net.Conn) bool {
+func PeerClosed(conn net.Conn) bool {
 	gone := false
 	known, err := look(conn, func(fd uintptr) {
 		n, err := Peek(fd)
@@ -70,8 +70,8 @@
 	return known && (err != nil || gone)
 }
 
-// Ended tells a time-out from a connection that ended.
-func Ended(err error) rules.Outcome {
+// ReadErrorOutcome tells a time-out from a connection that ended.
+func ReadErrorOutcome(err error) rules.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return rules.TimedOut
 	}
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -33,11 +33,11 @@
 					t.Fatal(err)
 				}
 				waitUntil(t, "the bytes are there", func() bool { return sockets.Alive(near) == (unread == "") })
-				if sockets.Gone(near) {
+				if sockets.PeerClosed(near) {
 					t.Error("an open connection is taken for closed")
 				}
 				leave(client.(*net.TCPConn))
-				waitUntil(t, "the end is seen", func() bool { return sockets.Gone(near) })
+				waitUntil(t, "the end is seen", func() bool { return sockets.PeerClosed(near) })
 			})
 		}
 	}
--- a/internal/sockets/trust_test.go
+++ b/internal/sockets/trust_test.go
@@ -21,16 +21,16 @@
 		{"two may be chance", 300 * time.Millisecond, 0, 2, 0, forever},
 		{"breaks at random", 300 * time.Millisecond, 80, 10, 0, forever},
 		{"a rest that is always trusted", time.Millisecond, 0, 9, 0, forever},
-		{"beyond the longest step", time.Hour, 0, 9, 0, IdleLeast << (idleSteps - 1)},
+		{"beyond the longest step", time.Hour, 0, 9, 0, MinIdle << (idleSteps - 1)},
 		{"long ago", 300 * time.Millisecond, 0, 9, 3 * idleSpan, forever},
 	} {
-		var trust Trust
+		var trust IdleEstimator
 		now := time.Now()
 		for range c.held {
-			trust.Note(now, c.rest, false)
+			trust.Record(now, c.rest, false)
 		}
 		for range c.broken {
-			trust.Note(now, c.rest, true)
+			trust.Record(now, c.rest, true)
 		}
 		if got := trust.Limit(now.Add(c.later)); got != c.want {
 			t.Errorf("%s: limit %v, want %v", c.name, got, c.want)
