--- a/internal/counter/http.go
+++ b/internal/counter/http.go
@@ -37,9 +37,9 @@
 
 // Client makes calls to a shared counter.
 type Client interface {
-	Add(*Call) bool            // false where too many wait; it never waits itself
-	Run(ctx context.Context)   // until ctx ends
-	SetAddress(address string) // for all further calls
+	Add(*Call) bool          // false where too many wait; it never waits itself
+	Run(ctx context.Context) // until ctx ends
+	Retarget(address string) // for all further calls
 }
 
 // Open makes the client that the operator's file asks for; nil where the settings
@@ -124,13 +124,13 @@
 // NewHTTP calls the counter at address; one that takes longer than timeout to connect to has failed.
 func NewHTTP(address string, timeout time.Duration) *HTTP {
 	c := &HTTP{timeout: timeout, lines: newLines()}
-	c.SetAddress(address)
+	c.Retarget(address)
 	return c
 }
 
-// SetAddress sends all further calls to another address. What is out on the old one
+// Retarget sends all further calls to another address. What is out on the old one
 // may still be answered there.
-func (c *HTTP) SetAddress(address string) { c.address.Store(&address) }
+func (c *HTTP) Retarget(address string) { c.address.Store(&address) }
 
 // Run keeps the lanes until ctx ends.
 func (c *HTTP) Run(ctx context.Context) {
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -48,12 +48,12 @@
 // NewRESP calls a RESP store.
 func NewRESP(s RESPConfig) *RESP {
 	c := &RESP{store: s, lines: newLines()}
-	c.SetAddress(s.Address)
+	c.Retarget(s.Address)
 	return c
 }
 
-// SetAddress sends all further calls to another address.
-func (c *RESP) SetAddress(address string) { c.address.Store(&address) }
+// Retarget sends all further calls to another address.
+func (c *RESP) Retarget(address string) { c.address.Store(&address) }
 
 // Run keeps the lanes until ctx ends.
 func (c *RESP) Run(ctx context.Context) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -268,7 +268,7 @@
 				continue
 			}
 			if calls != nil && next.Settings.Counter {
-				calls.SetAddress(next.Counter)
+				calls.Retarget(next.Counter)
 			}
 			if next.Discovery != discovery {
 				// Danger: a version of the old address may mean nothing to the new one. The new
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -460,8 +460,8 @@
 	}
 }
 
-// Done tells whether nobody waits for the attempt's time-out.
-func (a *attempt) Done() bool { return a.ended || a.streams }
+// Finished tells whether nobody waits for the attempt's time-out.
+func (a *attempt) Finished() bool { return a.ended || a.streams }
 
 // Expire ends an attempt whose time is over.
 func (a *attempt) Expire() {
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Done tells whether the call has ended.
-func (k *call) Done() bool { return k.ended }
+// Finished tells whether the call has ended.
+func (k *call) Finished() bool { return k.ended }
 
 // Expire ends a call whose time is over. An answer that has begun, and may never
 // end, says as much as one that can't be read: the amount was added. Danger: told
--- a/internal/owner/checks.go
+++ b/internal/owner/checks.go
@@ -9,8 +9,8 @@
 	NewEvent(rules.RequestID) rules.Event
 	// Complete is told the module's answer.
 	Complete(rules.Checked)
-	// Abandoned tells whether to call the check off now that its asker's client has gone.
-	Abandoned() bool
+	// ShouldCancel tells whether to call the check off now that its asker's client has gone.
+	ShouldCancel() bool
 }
 
 // Check is one asker's question.
@@ -53,7 +53,7 @@
 // Process tells the module of those that still wait.
 func (l CancelChecks) Process() {
 	for _, c := range l.Checks {
-		if l.Loop.checks[c.id] == c && c.Abandoned() {
+		if l.Loop.checks[c.id] == c && c.ShouldCancel() {
 			delete(l.Loop.checks, c.id)
 			l.Loop.Handle(rules.ClientGone{Request: c.id})
 		}
--- a/internal/owner/checks_test.go
+++ b/internal/owner/checks_test.go
@@ -44,7 +44,7 @@
 }
 
 func (a *asker) Complete(got rules.Checked) { a.answers <- got }
-func (a *asker) Abandoned() bool            { return true }
+func (a *asker) ShouldCancel() bool         { return true }
 
 func take(units float64, answers chan rules.Checked) *Check {
 	return &Check{CheckRequester: &asker{units: units, answers: answers}}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -249,7 +249,7 @@
 func (o *EventLoop) void(t timerEntry) bool {
 	switch {
 	case t.due != nil:
-		return t.due.Done()
+		return t.due.Finished()
 	case t.request != 0:
 		return !o.live(t.request)
 	}
--- a/internal/owner/timers.go
+++ b/internal/owner/timers.go
@@ -5,8 +5,8 @@
 // Timeout is what waits for a moment. Timers of what is over are most of all, and the
 // process is not woken for them.
 type Timeout interface {
-	Done() bool // nobody waits any more
-	Expire()    // the moment has come
+	Finished() bool // nobody waits any more
+	Expire()        // the moment has come
 }
 
 // timerEntry is a timer of the module's, or another's.
--- a/internal/respfront/desk.go
+++ b/internal/respfront/desk.go
@@ -220,8 +220,8 @@
 	s.finish(a, false, nil)
 }
 
-// Abandoned tells whether a take is called off: not if a repeat waits for its answer.
-func (s *slot) Abandoned() bool {
+// ShouldCancel tells whether a take is called off: not if a repeat waits for its answer.
+func (s *slot) ShouldCancel() bool {
 	return s.ask.token == "" || s.ask.giving || s.desk.ledger.Drop(s.ask.account, s.ask.token)
 }
 
