--- a/internal/counter/http.go
+++ b/internal/counter/http.go
@@ -82,7 +82,7 @@
 // Add hands a call over without waiting. It returns false where too many wait.
 func (c *lines) Add(k *Call) bool {
 	select {
-	case c.lanes[k.Name%lanes] <- k:
+	case c.lanes[k.Key%lanes] <- k:
 		return true
 	default:
 		return false
@@ -91,7 +91,7 @@
 
 // Call is one addition on the counter.
 type Call struct {
-	Name   uint64
+	Key    uint64
 	Amount float64
 	TTL    time.Duration // a new name lives so long
 	// Report is told once what became of the call, from a goroutine of the client's: Served
@@ -260,7 +260,7 @@
 		return
 	}
 	text := fmt.Appendf(nil, "POST %s%016x?add=%s&ttl_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
-		countPath, k.Name, strconv.FormatFloat(k.Amount, 'f', -1, 64), k.TTL.Milliseconds(), c.host)
+		countPath, k.Key, strconv.FormatFloat(k.Amount, 'f', -1, 64), k.TTL.Milliseconds(), c.host)
 	c.out.Add(1)
 	c.SetWriteDeadline(time.Now().Add(counterStuck))
 	if _, err := c.Write(text); err != nil {
--- a/internal/counter/http_test.go
+++ b/internal/counter/http_test.go
@@ -31,7 +31,7 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	replies = make(chan reply, 64)
 	return c, func(amount float64) *Call {
-		k := &Call{Name: 7, Amount: amount, TTL: time.Minute}
+		k := &Call{Key: 7, Amount: amount, TTL: time.Minute}
 		k.Report = func(k *Call, o rules.Outcome, total float64) { replies <- reply{k.Amount, o, total} }
 		if !c.Add(k) {
 			t.Fatal("the lane is full")
@@ -193,9 +193,9 @@
 	c := NewHTTP(far.Address(), testpeer.Patience)
 	reported := make(chan rules.Outcome, 2)
 	report := func(_ *Call, o rules.Outcome, _ float64) { reported <- o }
-	k := &Call{Name: 1, Amount: 1, TTL: time.Minute, Report: report}
+	k := &Call{Key: 1, Amount: 1, TTL: time.Minute, Report: report}
 	k.givenUp.Store(true)
-	next := &Call{Name: 1, Amount: 2, TTL: time.Minute, Report: report}
+	next := &Call{Key: 1, Amount: 2, TTL: time.Minute, Report: report}
 	c.Add(k)
 	c.Add(next)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -215,7 +215,7 @@
 		k.Report(k, rules.ConnectFailed, 0)
 		return
 	}
-	name := prefix + strconv.FormatUint(k.Name, 16)
+	name := prefix + strconv.FormatUint(k.Key, 16)
 	var w resp.Writer
 	w.Command("MULTI")
 	w.Command("INCRBYFLOAT", name, strconv.FormatFloat(k.Amount, 'f', -1, 64))
--- a/internal/counter/resp_test.go
+++ b/internal/counter/resp_test.go
@@ -35,7 +35,7 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	replies := make(chan reply, 64)
 	return c, func(amount float64, keep time.Duration) *Call {
-		k := &Call{Name: 7, Amount: amount, TTL: keep}
+		k := &Call{Key: 7, Amount: amount, TTL: keep}
 		k.Report = func(k *Call, o rules.Outcome, total float64) { replies <- reply{k.Amount, o, total} }
 		if !c.Add(k) {
 			t.Fatal("the lane is full")
--- a/internal/counter/size_test.go
+++ b/internal/counter/size_test.go
@@ -82,7 +82,7 @@
 	const calls = 500
 	ended := make(chan rules.Outcome, 1)
 	for i := range calls {
-		call := &Call{Name: uint64(i) * 0x9e3779b97f4a7c15, Amount: 1.5, TTL: 20 * time.Second}
+		call := &Call{Key: uint64(i) * 0x9e3779b97f4a7c15, Amount: 1.5, TTL: 20 * time.Second}
 		call.Report = func(_ *Call, outcome rules.Outcome, _ float64) { ended <- outcome }
 		if !client.Add(call) {
 			t.Fatal("the lane is full")
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -34,10 +34,10 @@
 		m.Calls++
 		m.Units += c.Amount
 	}
-	k.Name, k.Amount = c.Name, c.Amount
+	k.Key, k.Amount = c.Name, c.Amount
 	k.TTL = min(max(time.Duration(c.Keep*float64(time.Second)), leastKeep), mostKeep)
 	k.Report = func(_ *counter.Call, out rules.Outcome, total float64) { o.Post(callDone{k, out, total}) }
-	o.calls[k.Name] = append(o.calls[k.Name], k)
+	o.calls[k.Key] = append(o.calls[k.Key], k)
 	if o.counter == nil || !o.counter.Add(&k.Call) {
 		o.endCall(k, rules.Full, 0)
 		return
@@ -66,12 +66,12 @@
 			m.Silent++
 		}
 	}
-	for line := o.calls[k.Name]; len(line) > 0 && line[0].ended; line = o.calls[k.Name] {
+	for line := o.calls[k.Key]; len(line) > 0 && line[0].ended; line = o.calls[k.Key] {
 		k := line[0]
-		if o.calls[k.Name] = line[1:]; len(line) == 1 {
-			delete(o.calls, k.Name)
+		if o.calls[k.Key] = line[1:]; len(line) == 1 {
+			delete(o.calls, k.Key)
 		}
-		o.Handle(rules.CounterReply{Name: k.Name, Outcome: k.outcome, Total: k.total, Took: o.Clock.Now() - k.sent})
+		o.Handle(rules.CounterReply{Name: k.Key, Outcome: k.outcome, Total: k.total, Took: o.Clock.Now() - k.sent})
 	}
 }
 
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -14,7 +14,7 @@
 	l := &EventLoop{calls: map[uint64][]*call{}, gateway: &rules.Gateway{}}
 	l.pending = []rules.Event{nil} // an outer call is at it: replies are queued
 	first, second, other := &call{}, &call{}, &call{}
-	first.Name, second.Name, other.Name = 1, 1, 2
+	first.Key, second.Key, other.Key = 1, 1, 2
 	l.calls[1], l.calls[2] = []*call{first, second}, []*call{other}
 	l.endCall(second, rules.Full, 0)
 	l.endCall(other, rules.Served, 3)
--- a/internal/respfront/front_test.go
+++ b/internal/respfront/front_test.go
@@ -51,9 +51,9 @@
 			n.mu.Lock()
 			quiet := n.quiet
 			if !quiet {
-				n.total[k.Name] += k.Amount
+				n.total[k.Key] += k.Amount
 			}
-			total := n.total[k.Name]
+			total := n.total[k.Key]
 			n.mu.Unlock()
 			if !quiet {
 				k.Report(k, rules.Served, total)
