--- a/internal/agent/limit_commands.go
+++ b/internal/agent/limit_commands.go
@@ -129,7 +129,7 @@
 		return nil, errNotCounted
 	}
 	set := c.Settings
-	set.Fronts = s.Quotas.Fronts
+	set.CheckFrontends = s.Quotas.Fronts
 	calls, err := counter.Open(s.Counter, set, c.Counter)
 	if err != nil {
 		return nil, err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -94,7 +94,7 @@
 // check finds what a gateway could not run with, before any socket is opened.
 func (c *Config) check() error {
 	addresses := map[string]string{"listen": c.Listen, "discovery": c.Discovery}
-	if c.Settings.Counter {
+	if c.Settings.HasCounter {
 		addresses["counter"] = c.Counter
 	}
 	if c.Operator != "" {
@@ -115,11 +115,11 @@
 	switch {
 	case c.Cores <= 0 || c.MemoryMB < leastMemoryMB || c.Sockets < leastSockets:
 		return fmt.Errorf("limits: %g cores, %d MB and %d sockets are too little", c.Cores, c.MemoryMB, c.Sockets)
-	case c.Fleet < 1 || c.Rank < 0 || c.Rank >= c.Fleet:
-		return fmt.Errorf("settings: rank %d is not among %d gateways", c.Rank, c.Fleet)
+	case c.FleetSize < 1 || c.Rank < 0 || c.Rank >= c.FleetSize:
+		return fmt.Errorf("settings: rank %d is not among %d gateways", c.Rank, c.FleetSize)
 	case c.Tick <= 0 || c.ConnectTimeout <= 0 || c.KeepAlive <= 0:
 		return errors.New("settings: tick, connect time-out and keep-alive must be above 0")
-	case c.Settings.Counter && c.CounterTimeout <= 0:
+	case c.Settings.HasCounter && c.CounterTimeout <= 0:
 		return errors.New("settings: the counter's time-out must be above 0")
 	}
 	return nil
--- a/internal/counter/http.go
+++ b/internal/counter/http.go
@@ -47,7 +47,7 @@
 func Open(s site.Counter, set rules.Settings, address string) (Client, error) {
 	timeout := time.Duration(set.CounterTimeout * float64(time.Second))
 	switch {
-	case !set.Counter:
+	case !set.HasCounter:
 		return nil, nil
 	case s.Kind != "resp":
 		return NewHTTP(address, timeout), nil
@@ -282,7 +282,7 @@
 	failed := false
 	for k := range c.waiting {
 		if failed {
-			k.Report(k, rules.Broken, 0)
+			k.Report(k, rules.ConnectionLost, 0)
 			continue
 		}
 		c.head.Store(k)
@@ -291,7 +291,7 @@
 		outcome, total, err := rules.Errored, 0.0, error(nil)
 		if _, err = r.Peek(1); err != nil {
 			outcome = sockets.Ended(err)
-			c.trust.Note(time.Now(), k.rest, outcome == rules.Broken)
+			c.trust.Note(time.Now(), k.rest, outcome == rules.ConnectionLost)
 		} else {
 			c.trust.Note(time.Now(), k.rest, false)
 			k.begun.Store(true)
@@ -334,9 +334,9 @@
 		}
 		return rules.Served, total, nil
 	case http.StatusServiceUnavailable:
-		return rules.Full, 0, nil
+		return rules.Overloaded, 0, nil
 	case http.StatusBadRequest, http.StatusNotFound:
 		return rules.ConnectFailed, 0, nil // nothing was added
 	}
-	return rules.Broken, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
+	return rules.ConnectionLost, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
 }
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -238,7 +238,7 @@
 	failed := false
 	for k := range c.waiting {
 		if failed {
-			k.Report(k, rules.Broken, 0)
+			k.Report(k, rules.ConnectionLost, 0)
 			continue
 		}
 		c.head.Store(k)
@@ -276,7 +276,7 @@
 				refusal = v.Str
 			}
 		case i < callReplies-2 && v.Kind != resp.Simple:
-			return rules.Broken, 0, errLeave // not the answer to what was asked: all behind it is in doubt
+			return rules.ConnectionLost, 0, errLeave // not the answer to what was asked: all behind it is in doubt
 		case i < callReplies-2:
 		case v.Kind == resp.Error:
 			if refusal == "" || !strings.HasPrefix(v.Str, "EXECABORT") && !strings.HasPrefix(refusal, "NOAUTH") {
@@ -284,7 +284,7 @@
 			}
 			return c.refused(refusal)
 		case v.Kind == resp.Null:
-			return rules.Full, 0, nil // dropped as a whole
+			return rules.Overloaded, 0, nil // dropped as a whole
 		case v.Kind != resp.Array || len(v.List) != 2:
 			return rules.Errored, 0, errLeave
 		case v.List[0].Kind == resp.Error:
@@ -312,7 +312,7 @@
 	code, rest, _ := strings.Cut(text, " ")
 	switch code {
 	case "LOADING", "OOM", "BUSY", "TRYAGAIN", "CLUSTERDOWN", "MASTERDOWN":
-		return rules.Full, 0, nil // the store is there and can't now: as a counter that turns calls away
+		return rules.Overloaded, 0, nil // the store is there and can't now: as a counter that turns calls away
 	case "MOVED", "ASK":
 		// This name lives elsewhere. ASK holds for one call alone, and would need a word before it: it
 		// counts as turned away, until the move is over and the answer is MOVED.
@@ -322,9 +322,9 @@
 				c.lane.moved.Store(&words[1])
 			}
 		}
-		return rules.Full, 0, nil
+		return rules.Overloaded, 0, nil
 	case "READONLY":
-		return rules.Full, 0, errLeave // a copy: the next connection may meet the one that writes
+		return rules.Overloaded, 0, errLeave // a copy: the next connection may meet the one that writes
 	case "NOAUTH", "WRONGPASS", "NOPERM":
 		return rules.ConnectFailed, 0, errLeave
 	}
--- a/internal/counter/resp_test.go
+++ b/internal/counter/resp_test.go
@@ -75,16 +75,16 @@
 		added   bool
 		dials   int // after the next call went well
 	}{
-		{"loading", respstore.Fault{Queue: "LOADING the dataset is being read"}, rules.Full, false, 1},
-		{"no room", respstore.Fault{Queue: "OOM command not allowed when used memory > 'maxmemory'."}, rules.Full, false, 1},
-		{"loading at the end", respstore.Fault{Exec: "LOADING the dataset is being read"}, rules.Full, false, 1},
-		{"a copy", respstore.Fault{Queue: "READONLY You can't write against a read only replica."}, rules.Full, false, 2},
-		{"elsewhere for now", respstore.Fault{Queue: "ASK 7 127.0.0.1:1"}, rules.Full, false, 1},
+		{"loading", respstore.Fault{Queue: "LOADING the dataset is being read"}, rules.Overloaded, false, 1},
+		{"no room", respstore.Fault{Queue: "OOM command not allowed when used memory > 'maxmemory'."}, rules.Overloaded, false, 1},
+		{"loading at the end", respstore.Fault{Exec: "LOADING the dataset is being read"}, rules.Overloaded, false, 1},
+		{"a copy", respstore.Fault{Queue: "READONLY You can't write against a read only replica."}, rules.Overloaded, false, 2},
+		{"elsewhere for now", respstore.Fault{Queue: "ASK 7 127.0.0.1:1"}, rules.Overloaded, false, 1},
 		{"not let in", respstore.Fault{Queue: "NOAUTH Authentication required."}, rules.ConnectFailed, false, 2},
 		{"no right", respstore.Fault{Queue: "NOPERM no"}, rules.ConnectFailed, false, 2},
 		{"no such command", respstore.Fault{Queue: "ERR unknown command"}, rules.ConnectFailed, false, 1},
-		{"lost after it was added", respstore.Fault{Lost: true}, rules.Broken, true, 2},
-		{"cut after it was added", respstore.Fault{Cut: true}, rules.Broken, true, 2},
+		{"lost after it was added", respstore.Fault{Lost: true}, rules.ConnectionLost, true, 2},
+		{"cut after it was added", respstore.Fault{Cut: true}, rules.ConnectionLost, true, 2},
 		{"no number", respstore.Fault{Spoilt: true}, rules.Errored, true, 2},
 	} {
 		s := newStore(t, nil, "")
@@ -119,7 +119,7 @@
 	_, add, replies := startStore(t, Store{Address: one.Address()})
 	one.Set(respstore.Fault{Queue: "MOVED 7 " + two.Address()})
 	add(1, time.Minute)
-	if got := testpeer.Wait(t, replies, "reply"); got.outcome != rules.Full {
+	if got := testpeer.Wait(t, replies, "reply"); got.outcome != rules.Overloaded {
 		t.Errorf("sent elsewhere: %+v", got)
 	}
 	add(1, time.Minute)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -63,7 +63,7 @@
 	return nil
 }
 
-var lifecycles = map[string]rules.BackendState{"Ready": rules.Ready, "Terminating": rules.Draining, "Gone": rules.Gone}
+var lifecycles = map[string]rules.BackendState{"Ready": rules.Ready, "Terminating": rules.Draining, "Gone": rules.Removed}
 
 // BackendID derives the module's id from the name alone, so that all gateways
 // agree on it whatever order they hear of backends in.
@@ -83,7 +83,7 @@
 func (i Instance) Backend(d *wire.Deployment) (rules.Backend, error) {
 	state, known := lifecycles[i.Lifecycle]
 	b := rules.Backend{ID: BackendID(i.ID), Zone: slices.Index(d.Zones, i.Zone), Kind: slices.Index(d.Kinds, i.MachineType),
-		Cell: i.Cell, State: state, Weight: i.Weight, Born: float64(max(i.StartedAtMs, 0)) / 1000}
+		Cell: i.Cell, State: state, Weight: i.Weight, StartedAt: float64(max(i.StartedAtMs, 0)) / 1000}
 	if len(d.Zones) == 0 {
 		b.Zone = 0 // all are in one place
 	}
@@ -102,7 +102,7 @@
 	case i.Weight < 0 || i.StartedAtMs < 0 || i.Cell < 0:
 		err = fmt.Errorf("weight %g, start %d or cell %d is impossible", i.Weight, i.StartedAtMs, i.Cell)
 	}
-	if err != nil && b.State != rules.Gone {
+	if err != nil && b.State != rules.Removed {
 		b.State = rules.Draining
 	}
 	if err != nil || b.Zone < 0 {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -103,7 +103,7 @@
 	d := &wire.Deployment{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
 	b, err := Instance{ID: "s-1", Zone: "b", MachineType: "m2", Cell: 3, Lifecycle: "Terminating", Weight: 1.5,
 		StartedAtMs: 1500}.Backend(d)
-	want := rules.Backend{ID: BackendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: rules.Draining, Weight: 1.5, Born: 1.5}
+	want := rules.Backend{ID: BackendID("s-1"), Zone: 1, Kind: 1, Cell: 3, State: rules.Draining, Weight: 1.5, StartedAt: 1.5}
 	if err != nil || b != want {
 		t.Errorf("%+v, %v; want %+v", b, err, want)
 	}
@@ -169,7 +169,7 @@
 			return
 		}
 		for _, i := range l.Instances {
-			if b, err := i.Backend(d); b.State == rules.Ready && (err != nil || i.ID == "" || b.Zone != 0 || b.Born < 0) {
+			if b, err := i.Backend(d); b.State == rules.Ready && (err != nil || i.ID == "" || b.Zone != 0 || b.StartedAt < 0) {
 				t.Errorf("%+v is in use as %+v, %v", i, b, err)
 			}
 		}
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -198,7 +198,7 @@
 	}
 	longest := time.Duration(0)
 	for _, class := range parsed.Classes {
-		longest = max(longest, time.Duration((class.Deadline+parsed.AnswerSlack)*float64(time.Second)))
+		longest = max(longest, time.Duration((class.Timeout+parsed.AnswerSlack)*float64(time.Second)))
 	}
 	if r.Site, err = toml.Marshal(merge(d.base.Site, d.overlays[i.Name].Site)); err != nil {
 		return nil, d.blame(i.Name, "site", err.Error())
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -68,7 +68,7 @@
 	c.Overlays = map[string]string{"g1": "[gateway.settings]\nrank = 1\n[site.clients]\nmemory_share = 0.1\n"}
 	r := render(t, c, "g1")
 	config, err := config.Parse(r.Config)
-	if err != nil || config.Name != "g1" || config.Listen != "127.0.0.1:8080" || config.Rank != 1 || config.Fleet != 2 || config.Discovery != "127.0.0.1:7001" {
+	if err != nil || config.Name != "g1" || config.Listen != "127.0.0.1:8080" || config.Rank != 1 || config.FleetSize != 2 || config.Discovery != "127.0.0.1:7001" {
 		t.Fatalf("%v %+v", err, config)
 	}
 	s, err := site.Parse("x", r.Site)
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -118,7 +118,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.called || !a.latest.IsZero() && !time.Now().Before(a.latest) {
-		return result{outcome: rules.Moot} // none of the backend's doing
+		return result{outcome: rules.NotSent} // none of the backend's doing
 	}
 	return result{outcome: rules.ConnectFailed}
 }
@@ -392,7 +392,7 @@
 	if a.x.deserted() {
 		a.release()
 		p.discard(c)
-		return result{outcome: rules.Moot, left: true}
+		return result{outcome: rules.NotSent, left: true}
 	}
 	c.SetDeadline(a.until)
 	if !a.latest.IsZero() && a.latest.Before(a.until) {
@@ -418,13 +418,13 @@
 			if sound {
 				a.passed(rules.Served)
 			} else {
-				a.passed(rules.Broken)
+				a.passed(rules.ConnectionLost)
 			}
 		}
 		return res
 	}
 	ours := a.release()
-	if forgotten := res.outcome == rules.Broken && c.left.N == mostAnswer; ours && c.rest > 0 {
+	if forgotten := res.outcome == rules.ConnectionLost && c.left.N == mostAnswer; ours && c.rest > 0 {
 		p.trust.Note(time.Now(), c.rest, forgotten)
 	}
 	if ours && reuse {
@@ -516,7 +516,7 @@
 			resp.Body = untilEnd{resp.Body, c.left}
 		}
 		if resp.ContentLength > mostBulk {
-			return result{outcome: rules.Broken}, false
+			return result{outcome: rules.ConnectionLost}, false
 		}
 		if resp.StatusCode != http.StatusOK && resp.ContentLength > inlineBody {
 			return result{outcome: rules.Errored}, false
@@ -539,7 +539,7 @@
 			return result{outcome: rules.Served, header: resp.Header, body: body, load: load}, reuse
 		case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 			resp.Header.Get(notRunHeader) == "1":
-			return result{outcome: rules.Full, load: load}, reuse
+			return result{outcome: rules.Overloaded, load: load}, reuse
 		}
 		return result{outcome: rules.Errored, load: load}, reuse
 	}
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -144,7 +144,7 @@
 	c.cross = 2 * time.Second
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ConnState: c.state}
 	config := &config.Config{}
-	config.Classes = []rules.Class{{Deadline: patience.Seconds()}}
+	config.Classes = []rules.Class{{Timeout: patience.Seconds()}}
 	took := make(chan struct{})
 	go func() { defer close(took); server.Serve(c) }()
 	conn, err := net.Dial("tcp", l.Addr().String())
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -78,8 +78,8 @@
 			x.ask.Class = i
 		}
 	}
-	x.ask.Units, x.ask.Gateways, x.ask.Sent = 1, 1, l.Clock.Now()
-	x.ask.Deadline = x.ask.Sent + x.left
+	x.ask.Units, x.ask.Gateways, x.ask.SentAt = 1, 1, l.Clock.Now()
+	x.ask.Deadline = x.ask.SentAt + x.left
 	return x
 }
 
--- a/internal/gateway/end_test.go
+++ b/internal/gateway/end_test.go
@@ -84,7 +84,7 @@
 		w.Write(body)
 	})}
 	set := &config.Config{}
-	set.Classes = []rules.Class{{Deadline: patience.Seconds()}}
+	set.Classes = []rules.Class{{Timeout: patience.Seconds()}}
 	took := make(chan struct{})
 	go func() { defer close(took); server.Serve(c) }()
 	r := &rig{address: listener.Addr().String()}
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -188,12 +188,12 @@
 	x.id = r.Header.Get(idHeader)
 	class := &f.deploy.Classes[ask.Class]
 	switch key := r.Header.Get(keyHeader); {
-	case class.Effect == rules.Repeatable && r.Method != http.MethodGet,
-		class.Effect != rules.Repeatable && r.Method != http.MethodPost:
+	case class.Idempotency == rules.Idempotent && r.Method != http.MethodGet,
+		class.Idempotency != rules.Idempotent && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, fmt.Errorf("method %s does not fit the class", r.Method)
 	case r.Method == http.MethodGet && r.ContentLength != 0:
 		return nil, http.StatusBadRequest, errors.New("a GET has no body")
-	case class.Effect == rules.ByKey && key == "":
+	case class.Idempotency == rules.IdempotentByKey && key == "":
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is missing")
 	case len(key) > mostName:
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is too long")
@@ -222,8 +222,8 @@
 		http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
 	// Danger: what a client claims beyond its class's own time would hold a request past the end of this process.
-	x.left = min(x.ask.Deadline, class.Deadline) - answerMargin
-	x.ask.Sent = now
+	x.left = min(x.ask.Deadline, class.Timeout) - answerMargin
+	x.ask.SentAt = now
 	x.ask.Deadline = now + x.left
 	if x.upload != nil {
 		x.ask.Deadline += max(time.Until(x.upload.until).Seconds(), 0)
@@ -303,7 +303,7 @@
 		return q, errors.New(leftHeader + " is not a time in milliseconds")
 	}
 	q.Deadline = float64(left) / 1000 // from when it is whole
-	q.Repeat = h.Get(repeatHeader) == "1"
+	q.IsRetry = h.Get(repeatHeader) == "1"
 	return q, f.terms(&q, h.Get(termsHeader))
 }
 
@@ -323,7 +323,7 @@
 		case "spread":
 			q.Gateways, err = strconv.Atoi(value)
 		case "first":
-			q.FirstPeer, err = strconv.Atoi(value)
+			q.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %s is not a number", termsHeader, key)
@@ -333,8 +333,8 @@
 	if most <= 0 {
 		most = math.MaxInt32
 	}
-	if !(q.Units > 0 && q.Units <= most) || q.Gateways < 1 || q.Gateways > f.deploy.Fleet ||
-		q.FirstPeer < 0 || q.FirstPeer >= f.deploy.Fleet {
+	if !(q.Units > 0 && q.Units <= most) || q.Gateways < 1 || q.Gateways > f.deploy.FleetSize ||
+		q.FirstGateway < 0 || q.FirstGateway >= f.deploy.FleetSize {
 		return errors.New(termsHeader + ": units, spread or first is missing or out of range")
 	}
 	return nil
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -17,11 +17,11 @@
 		"units=-1,spread=-1,first=-1", "units=1e999,spread=9999999999999999999,first=0", ",=,="} {
 		f.Add(seed)
 	}
-	front := &frontend{deploy: &wire.Deployment{Settings: rules.Settings{Fleet: 3, MaxUnits: 4}}}
+	front := &frontend{deploy: &wire.Deployment{Settings: rules.Settings{FleetSize: 3, MaxUnits: 4}}}
 	f.Fuzz(func(t *testing.T, text string) {
 		var q rules.Request
 		err := front.terms(&q, text)
-		if err == nil && !(q.Units > 0 && q.Units <= 4 && q.Gateways >= 1 && q.Gateways <= 3 && q.FirstPeer >= 0 && q.FirstPeer < 3) {
+		if err == nil && !(q.Units > 0 && q.Units <= 4 && q.Gateways >= 1 && q.Gateways <= 3 && q.FirstGateway >= 0 && q.FirstGateway < 3) {
 			t.Errorf("%q was taken: %+v", text, q)
 		}
 	})
@@ -47,7 +47,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c := newBackendConn(readerConn{r: strings.NewReader(text)}, nil)
 		res, reuse := c.answer(http.MethodGet)
-		if res.outcome == rules.Served && len(res.body) > inlineBody || res.outcome == rules.Broken && reuse {
+		if res.outcome == rules.Served && len(res.body) > inlineBody || res.outcome == rules.ConnectionLost && reuse {
 			t.Errorf("outcome %d, %d bytes, used again %t", res.outcome, len(res.body), reuse)
 		}
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -147,7 +147,7 @@
 func serve(ctx context.Context, c *config.Config, listener, desk net.Listener, export *telemetry.Settings, fellows Fellows, reload Reload) error {
 	share := divideDescriptors(c, fellows != nil, desk != nil)
 	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), share.backends)
-	c.Settings.Fronts = c.Site.Quotas.Fronts
+	c.Settings.CheckFrontends = c.Site.Quotas.Fronts
 	calls, err := counter.Open(c.Site.Counter, c.Settings, c.Counter)
 	if err != nil {
 		return err
@@ -267,7 +267,7 @@
 				log.Printf("the old configuration stays: %v", err)
 				continue
 			}
-			if calls != nil && next.Settings.Counter {
+			if calls != nil && next.Settings.HasCounter {
 				calls.Move(next.Counter)
 			}
 			if next.Discovery != discovery {
@@ -393,7 +393,7 @@
 func longest(c *config.Config) time.Duration {
 	most := 0.0
 	for _, class := range c.Classes {
-		most = max(most, class.Deadline)
+		most = max(most, class.Timeout)
 	}
 	return seconds(most)
 }
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -39,9 +39,9 @@
 
 func (r *loadReport) field(f rules.LoadField) *float64 {
 	switch f {
-	case rules.LoadHeld:
+	case rules.LoadInFlight:
 		return r.Held
-	case rules.LoadWaiting:
+	case rules.LoadQueued:
 		return r.Waiting
 	case rules.LoadCPU:
 		return r.CPU
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLoadReports(t *testing.T) {
-	fields := []rules.LoadField{rules.LoadHeld, rules.LoadOther, rules.LoadWaiting}
+	fields := []rules.LoadField{rules.LoadInFlight, rules.LoadOther, rules.LoadQueued}
 	none := math.NaN()
 	for text, want := range map[string][]float64{
 		`{"inflight":7,"queue":2,"util":0.61}`: {7, none, 2},
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -54,7 +54,7 @@
 	}
 	divided struct { // by how many gateways
 		l *Loop
-		rules.Fleet
+		rules.FleetUpdate
 	}
 	outByHand struct { // all that are, as noted
 		l   *Loop
@@ -76,7 +76,7 @@
 func (m news) Take() { m.l.list(m.listing, m.kind) }
 
 // Take passes the number of gateways on to the module.
-func (m divided) Take() { m.l.Handle(m.Fleet) }
+func (m divided) Take() { m.l.Handle(m.FleetUpdate) }
 
 // Take answers every open request, since the process ends soon.
 func (m ending) Take() { m.l.endAll() }
@@ -138,7 +138,7 @@
 
 // hear passes on what discovery told.
 func (l *Loop) hear(told discovery.Listing) {
-	kind := rules.Delta
+	kind := rules.DeltaList
 	if told.Reset {
 		kind = rules.FullList
 	}
@@ -147,7 +147,7 @@
 
 // divide passes on how many gateways there are.
 func (l *Loop) divide(share, cold int) {
-	l.Post(divided{l, rules.Fleet{Share: share, Cold: cold}})
+	l.Post(divided{l, rules.FleetUpdate{LocalShares: share, ColdSenders: cold}})
 }
 
 // leave takes a client's leaving. Danger: an answer may just have been given that
@@ -156,7 +156,7 @@
 	if x.open {
 		x.open = false
 		l.recordEvent(x, traces.Event{Kind: traces.ClientLeft})
-		l.Handle(rules.ClientGone{Request: x.ask.ID})
+		l.Handle(rules.ClientDisconnected{Request: x.ask.ID})
 		x.withhold()
 		l.drop(x)
 		if x.upload != nil {
@@ -183,14 +183,14 @@
 
 // arrive gives a request an id of its own and hands it to the module.
 func (l *Loop) arrive(x *exchange) {
-	if l.over || l.deploy.MaxOpen > 0 && len(l.live) >= l.deploy.MaxOpen {
+	if l.over || l.deploy.MaxOpenRequests > 0 && len(l.live) >= l.deploy.MaxOpenRequests {
 		x.reply <- answer{status: http.StatusServiceUnavailable} // nothing was sent for it
 		return
 	}
 	// Danger: an id names one request. A second one under it, from whatever client, could be answered by
 	// what a backend made for the first.
 	_, twice := l.held[x.id]
-	if !l.ids.add(x.id, x.ask.Sent) || twice {
+	if !l.ids.add(x.id, x.ask.SentAt) || twice {
 		x.reply <- answer{status: http.StatusConflict}
 		return
 	}
@@ -224,16 +224,16 @@
 		ev.Entries = append(ev.Entries, b)
 		l.ever.add(i.ID)
 		if b.State == rules.Ready {
-			l.names[b.ID] = listed{i.ID, i.HostPort, i.Zone, b.Born}
+			l.names[b.ID] = listed{i.ID, i.HostPort, i.Zone, b.StartedAt}
 			if _, out := l.out[i.ID]; !out {
-				l.pools.update(b.ID, i.HostPort, b.Born)
+				l.pools.update(b.ID, i.HostPort, b.StartedAt)
 			}
 		} else {
 			delete(l.names, b.ID)
 			l.pools.remove(b.ID)
 		}
 	}
-	if kind != rules.Delta {
+	if kind != rules.DeltaList {
 		for id := range l.names {
 			if !kept[id] {
 				delete(l.names, id)
@@ -255,7 +255,7 @@
 
 // Refuse answers a request: trying again is harmless.
 func (l *Loop) Refuse(a rules.Refuse) {
-	l.answer(a.Request, answer{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter, why: a.Why, paid: a.Paid})
+	l.answer(a.Request, answer{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter, why: a.Reason, paid: a.AdmittedAt})
 }
 
 // Fail answers a request that may have run.
@@ -326,9 +326,9 @@
 	a.until, a.latest = l.Clock.At(a.deadline), l.latest(x)
 	x.attempts = append(x.attempts, a)
 	x.out++
-	l.recordAttempt(a, s.Paid)
+	l.recordAttempt(a, s.AdmittedAt)
 	if !x.open || a.number >= max(l.deploy.MaxAttempts, 1) || a.deadline <= now {
-		l.endAttempt(a, result{outcome: rules.Moot})
+		l.endAttempt(a, result{outcome: rules.NotSent})
 		return
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
@@ -351,7 +351,7 @@
 func (l *Loop) latest(x *exchange) time.Time {
 	class := &l.deploy.Classes[x.ask.Class]
 	for _, a := range x.attempts { // in the order they were sent
-		if class.Effect == rules.ByKey && !a.neverRan {
+		if class.Idempotency == rules.IdempotentByKey && !a.neverRan {
 			return l.Clock.At(a.sent + class.DedupeWindow - 2*l.deploy.Tick)
 		}
 	}
@@ -367,7 +367,7 @@
 	x.ask.Deadline = l.Clock.Now() + x.left
 	a.deadline = x.ask.Deadline
 	l.After(a.deadline, a)
-	l.Handle(rules.BodyWhole{Request: x.ask.ID, Deadline: x.ask.Deadline})
+	l.Handle(rules.BodyComplete{Request: x.ask.ID, Deadline: x.ask.Deadline})
 }
 
 // begin gives a client an answer that passes through: it is final from its first
@@ -383,7 +383,7 @@
 	header := passedOn(res.header)
 	header.Del(loadHeader)
 	l.answer(x.ask.ID, answer{status: http.StatusOK, header: header, rest: res.rest})
-	l.Handle(rules.Established{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Took: l.Clock.Now() - a.sent})
+	l.Handle(rules.ResponseStarted{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Duration: l.Clock.Now() - a.sent})
 }
 
 // endAttempt takes an attempt's one end; what comes after it is dropped.
@@ -404,7 +404,7 @@
 		l.answer(x.ask.ID, answer{status: http.StatusOK, header: header, body: res.body})
 	}
 	l.Handle(rules.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
-		Took: l.Clock.Now() - a.sent, Done: !x.open, LoadData: res.told})
+		Duration: l.Clock.Now() - a.sent, RequestDone: !x.open, LoadData: res.told})
 	l.drop(x)
 }
 
@@ -444,9 +444,9 @@
 		if !x.open {
 			continue
 		}
-		l.Handle(rules.TimeOver(id))
+		l.Handle(rules.ExpireRequest(id))
 		if x.open { // its body is still coming
-			l.Handle(rules.ClientGone{Request: id})
+			l.Handle(rules.ClientDisconnected{Request: id})
 			l.Fail(rules.Fail{Request: id})
 		}
 	}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -39,7 +39,7 @@
 		h[stateHeader] = []string{self.State}
 	}
 	return &traces.Begin{Context: client, Self: self, Client: x.id, Class: x.ask.Class, Plan: x.ask.Plan,
-		Units: x.ask.Units, Method: x.method, Key: key != "", Repeated: x.ask.Repeat, Sent: x.ask.Sent}
+		Units: x.ask.Units, Method: x.method, Key: key != "", Repeated: x.ask.IsRetry, Sent: x.ask.SentAt}
 }
 
 // recordEvent records an event of a request that is traced.
@@ -65,7 +65,7 @@
 
 // figures returns the module's figures for the exporter.
 func (l *Loop) figures(ctx context.Context) (f telemetry.Figures, err error) {
-	f.Figures, f.Calls, err = l.Figures(ctx)
+	f.Stats, f.Calls, err = l.Figures(ctx)
 	return f, err
 }
 
@@ -78,6 +78,6 @@
 func deployed(set *traces.Settings, classes []rules.Class, names, plans []string) {
 	set.Classes, set.Plans = names, plans
 	for _, c := range classes {
-		set.LatencyTargets = append(set.LatencyTargets, c.Aim)
+		set.LatencyTargets = append(set.LatencyTargets, c.LatencyObjective)
 	}
 }
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -28,18 +28,18 @@
 // Take records the outcome of a counter call.
 func (m callDone) Take() { m.k.o.endCall(m.k, m.outcome, m.total) }
 
-func (o *Owner) count(c rules.Count) {
-	k := &call{o: o, id: c.Call, sent: o.Clock.Now()}
+func (o *Owner) count(c rules.CounterAdd) {
+	k := &call{o: o, id: c.CallID, sent: o.Clock.Now()}
 	if m := o.RollupCounts(); m != nil {
 		m.Calls++
 		m.Units += c.Amount
 	}
-	k.Name, k.Amount = c.Name, c.Amount
-	k.Keep = min(max(time.Duration(c.Keep*float64(time.Second)), leastKeep), mostKeep)
+	k.Name, k.Amount = c.Key, c.Amount
+	k.Keep = min(max(time.Duration(c.TTL*float64(time.Second)), leastKeep), mostKeep)
 	k.Report = func(_ *counter.Call, out rules.Outcome, total float64) { o.Post(callDone{k, out, total}) }
 	o.calls[k.Name] = append(o.calls[k.Name], k)
 	if o.counter == nil || !o.counter.Add(&k.Call) {
-		o.endCall(k, rules.Full, 0)
+		o.endCall(k, rules.Overloaded, 0)
 		return
 	}
 	o.After(k.sent+o.timeout, k)
@@ -52,7 +52,7 @@
 func (o *Owner) endCall(k *call, out rules.Outcome, total float64) {
 	if k.ended {
 		if k.outcome == rules.TimedOut {
-			o.Handle(rules.CounterLate{Call: k.id, Outcome: out, Total: total})
+			o.Handle(rules.LateCounterReply{CallID: k.id, Outcome: out, Total: total})
 		}
 		return
 	}
@@ -60,9 +60,9 @@
 	o.ended[out]++
 	if m := o.RollupCounts(); m != nil {
 		switch out {
-		case rules.Full, rules.ConnectFailed:
+		case rules.Overloaded, rules.ConnectFailed:
 			m.Full++
-		case rules.TimedOut, rules.Broken:
+		case rules.TimedOut, rules.ConnectionLost:
 			m.Silent++
 		}
 	}
@@ -71,7 +71,7 @@
 		if o.calls[k.Name] = line[1:]; len(line) == 1 {
 			delete(o.calls, k.Name)
 		}
-		o.Handle(rules.CounterReply{Name: k.Name, Outcome: k.outcome, Total: k.total, Took: o.Clock.Now() - k.sent})
+		o.Handle(rules.CounterReply{Key: k.Name, Outcome: k.outcome, Total: k.total, Duration: o.Clock.Now() - k.sent})
 	}
 }
 
--- a/internal/owner/checks.go
+++ b/internal/owner/checks.go
@@ -8,7 +8,7 @@
 	// Ask makes the event from the id that the owner gives; nil where none is needed any more.
 	Ask(rules.RequestID) rules.Event
 	// Answered is told the module's answer.
-	Answered(rules.Checked)
+	Answered(rules.CheckResult)
 	// Left tells whether to call the check off now that its asker's client has gone.
 	Left() bool
 }
@@ -55,13 +55,13 @@
 	for _, c := range l.Checks {
 		if l.Owner.checks[c.id] == c && c.Left() {
 			delete(l.Owner.checks, c.id)
-			l.Owner.Handle(rules.ClientGone{Request: c.id})
+			l.Owner.Handle(rules.ClientDisconnected{Request: c.id})
 		}
 	}
 }
 
 // checked passes an answer on.
-func (o *Owner) checked(a rules.Checked) {
+func (o *Owner) checked(a rules.CheckResult) {
 	if c := o.asking; c != nil && c.id == a.ID {
 		o.asking = nil
 		c.Answered(a)
--- a/internal/owner/checks_test.go
+++ b/internal/owner/checks_test.go
@@ -17,8 +17,8 @@
 
 func start(t *testing.T, k Counter) *Owner {
 	t.Helper()
-	set := rules.Settings{Classes: []rules.Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []rules.Plan{{Price: 1, Rate: 0.001, Burst: 10}},
-		Fleet: 1, Tick: 0.002, Counter: k != nil, CounterTimeout: testpeer.Patience.Seconds()}
+	set := rules.Settings{Classes: []rules.Class{{LatencyObjective: 1, Timeout: 2, Value: 1}}, Plans: []rules.Plan{{Price: 1, Rate: 0.001, Burst: 10}},
+		FleetSize: 1, Tick: 0.002, HasCounter: k != nil, CounterTimeout: testpeer.Patience.Seconds()}
 	o := New(set, 1, k)
 	o.Start(nil)
 	ctx, stop := context.WithCancel(context.Background())
@@ -32,7 +32,7 @@
 type asker struct {
 	units   float64
 	asked   chan struct{}
-	answers chan rules.Checked
+	answers chan rules.CheckResult
 }
 
 func (a *asker) Ask(id rules.RequestID) rules.Event {
@@ -43,10 +43,10 @@
 	return &rules.Check{ID: id, Customer: 7, Units: a.units, Gateways: 1, Deadline: float64(time.Now().Unix()) + 60}
 }
 
-func (a *asker) Answered(got rules.Checked) { a.answers <- got }
-func (a *asker) Left() bool                 { return true }
+func (a *asker) Answered(got rules.CheckResult) { a.answers <- got }
+func (a *asker) Left() bool                     { return true }
 
-func take(units float64, answers chan rules.Checked) *Check {
+func take(units float64, answers chan rules.CheckResult) *Check {
 	return &Check{Asker: &asker{units: units, answers: answers}}
 }
 
@@ -55,7 +55,7 @@
 func TestBatchAndLeave(t *testing.T) {
 	k := heldCounter{make(chan *counter.Call, 16)}
 	o := start(t, k)
-	answers := make(chan rules.Checked, 16)
+	answers := make(chan rules.CheckResult, 16)
 	stays, leaves, last := take(2, answers), take(5, answers), take(1, answers)
 	o.Post(Batch{o, []*Check{stays, leaves, last}})
 	call := testpeer.Wait(t, k.calls, "call")
@@ -85,7 +85,7 @@
 // needs no event is not asked.
 func TestChecksAlone(t *testing.T) {
 	o := start(t, nil)
-	answers := make(chan rules.Checked, 1)
+	answers := make(chan rules.CheckResult, 1)
 	asked := make(chan struct{}, 1)
 	o.Post(Batch{o, []*Check{{Asker: &asker{asked: asked}}, take(10, answers)}})
 	testpeer.Wait(t, asked, "question")
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -58,7 +58,7 @@
 	moment  float64                    // of the batch that is being handed over; 0: none is
 	asking  *Check                     // whose event the module has just now; nil: none
 	calls   map[uint64][]*call         // by name, in order, until their replies are handed on
-	ended   [rules.Moot + 1]uint64     // calls, by outcome
+	ended   [rules.NotSent + 1]uint64  // calls, by outcome
 	timers  timerHeap
 	actions []rules.Action
 	pending []rules.Event // events that actions brought about
@@ -83,7 +83,7 @@
 
 // Figures tells of the module at a moment, and of the calls to the counter so far by
 // outcome.
-func (o *Owner) Figures(ctx context.Context) (f rules.Figures, calls [rules.Moot + 1]uint64, err error) {
+func (o *Owner) Figures(ctx context.Context) (f rules.Stats, calls [rules.NotSent + 1]uint64, err error) {
 	q := figures{o, make(chan struct{}), &f, &calls}
 	if !o.Post(q) {
 		return f, calls, errEnded
@@ -92,9 +92,9 @@
 	case <-q.done:
 		return f, calls, nil
 	case <-ctx.Done():
-		return rules.Figures{}, [rules.Moot + 1]uint64{}, ctx.Err()
+		return rules.Stats{}, [rules.NotSent + 1]uint64{}, ctx.Err()
 	case <-o.stopped:
-		return rules.Figures{}, [rules.Moot + 1]uint64{}, errEnded
+		return rules.Stats{}, [rules.NotSent + 1]uint64{}, errEnded
 	}
 }
 
@@ -103,13 +103,13 @@
 type figures struct {
 	o     *Owner
 	done  chan struct{}
-	f     *rules.Figures
-	calls *[rules.Moot + 1]uint64
+	f     *rules.Stats
+	calls *[rules.NotSent + 1]uint64
 }
 
 // Take copies the figures for the caller.
 func (q figures) Take() {
-	*q.f, *q.calls = q.o.gateway.Figures(), q.o.ended
+	*q.f, *q.calls = q.o.gateway.Stats(), q.o.ended
 	close(q.done)
 }
 
@@ -217,10 +217,10 @@
 			o.requests.Cancel(a)
 		case rules.Refuse:
 			if m := o.RollupCounts(); m != nil {
-				switch a.Why {
-				case rules.NoQuota:
+				switch a.Reason {
+				case rules.QuotaExceeded:
 					m.NoQuota++
-				case rules.NoPlace:
+				case rules.NoCapacity:
 					m.NoPlace++
 				default:
 					m.NoAnswer++
@@ -232,11 +232,11 @@
 				m.Failed++
 			}
 			o.requests.Fail(a)
-		case *rules.Checked:
+		case *rules.CheckResult:
 			o.checked(*a)
 		case rules.SetTimer:
-			o.timers.add(timerEntry{at: o.Clock.Now() + max(a.In, 0), token: a.Token, request: a.Request})
-		case rules.Count:
+			o.timers.add(timerEntry{at: o.Clock.Now() + max(a.Delay, 0), token: a.Token, request: a.Request})
+		case rules.CounterAdd:
 			o.count(a)
 		case rules.Log:
 			log.Print(a.Text)
@@ -261,5 +261,5 @@
 		t.due.Due()
 		return
 	}
-	o.Handle(rules.Timer{Token: t.token})
+	o.Handle(rules.TimerFired{Token: t.token})
 }
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -16,7 +16,7 @@
 	first, second, other := &call{}, &call{}, &call{}
 	first.Name, second.Name, other.Name = 1, 1, 2
 	l.calls[1], l.calls[2] = []*call{first, second}, []*call{other}
-	l.endCall(second, rules.Full, 0)
+	l.endCall(second, rules.Overloaded, 0)
 	l.endCall(other, rules.Served, 3)
 	l.endCall(first, rules.Served, 5)
 	l.endCall(first, rules.TimedOut, 0) // it has ended
@@ -24,7 +24,7 @@
 	for _, ev := range l.pending[1:] {
 		got = append(got, ev.(rules.CounterReply).Outcome)
 	}
-	if want := []rules.Outcome{rules.Served, rules.Served, rules.Full}; !slices.Equal(got, want) || len(l.calls) > 0 {
+	if want := []rules.Outcome{rules.Served, rules.Served, rules.Overloaded}; !slices.Equal(got, want) || len(l.calls) > 0 {
 		t.Errorf("replies %v, want %v; %d names left", got, want, len(l.calls))
 	}
 }
--- a/internal/respfront/bench_test.go
+++ b/internal/respfront/bench_test.go
@@ -60,8 +60,8 @@
 // same cores (-cpu 1), pipelined by 1 and by 64: of the front, of a handler on the same reader that
 // decides nothing, and of a well-known library's server loop that does neither.
 func BenchmarkTakes(b *testing.B) {
-	set := rules.Settings{Classes: []rules.Class{{Aim: 1, Deadline: 2, Worth: 1}},
-		Plans: []rules.Plan{{Price: 1, Rate: 1e9, Burst: 1e9}}, Fleet: 1, Tick: 0.002}
+	set := rules.Settings{Classes: []rules.Class{{LatencyObjective: 1, Timeout: 2, Value: 1}},
+		Plans: []rules.Plan{{Price: 1, Rate: 1e9, Burst: 1e9}}, FleetSize: 1, Tick: 0.002}
 	servers := map[string]func(b *testing.B) (address string, stop func()){
 		"front": func(b *testing.B) (string, func()) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -151,7 +151,7 @@
 // heap and stacks; half of it is the client's side, measured alone and taken off.
 func BenchmarkIdleConnections(b *testing.B) {
 	const conns = 2000
-	set := rules.Settings{Classes: []rules.Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []rules.Plan{{Price: 1}}, Fleet: 1, Tick: 0.002}
+	set := rules.Settings{Classes: []rules.Class{{LatencyObjective: 1, Timeout: 2, Value: 1}}, Plans: []rules.Plan{{Price: 1}}, FleetSize: 1, Tick: 0.002}
 	memory := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
--- a/internal/respfront/desk.go
+++ b/internal/respfront/desk.go
@@ -44,7 +44,7 @@
 // NewDesk takes checks for an owner's module. Names are those of the plans;
 // accounts says which plan an account has, plan which one the others have, "" for none.
 func NewDesk(o *owner.Owner, set rules.Settings, names []string, accounts map[uint64]string, plan string) (*Desk, error) {
-	d := &Desk{owner: o, plans: set.Plans, names: names, fleet: max(set.Fleet, 1), patience: leastWait + 2*set.CounterTimeout,
+	d := &Desk{owner: o, plans: set.Plans, names: names, fleet: max(set.FleetSize, 1), patience: leastWait + 2*set.CounterTimeout,
 		accounts: map[uint64]int{}, plan: -1, ledger: limits.NewLedger(tokenSpan, mostTokens), waiting: map[tokenKey][]*slot{}}
 	var err error
 	if plan != "" {
@@ -148,7 +148,7 @@
 	check    owner.Check
 	batch    *batch
 	event    rules.Check // of a take
-	answer   rules.Checked
+	answer   rules.CheckResult
 	repeated bool
 	err      error
 	decided  bool
@@ -160,7 +160,7 @@
 	done chan struct{} // has room for one
 }
 
-func (s *slot) finish(a rules.Checked, repeated bool, err error) {
+func (s *slot) finish(a rules.CheckResult, repeated bool, err error) {
 	if s.decided {
 		return
 	}
@@ -177,29 +177,29 @@
 	switch {
 	case q.peek:
 		d.stats.peeks.Add(1)
-		return rules.Peek{ID: id, Customer: rules.CustomerID(q.account), Plan: q.plan, FirstPeer: q.first, Gateways: q.spread}
+		return rules.Peek{ID: id, Customer: rules.CustomerID(q.account), Plan: q.plan, FirstGateway: q.first, Gateways: q.spread}
 	case q.giving:
 		window, err := d.ledger.Give(q.account, q.token, q.units, now)
 		if err != nil {
-			s.finish(rules.Checked{}, false, err)
+			s.finish(rules.CheckResult{}, false, err)
 			return nil
 		}
 		d.stats.gives.Add(1)
-		return rules.Give{ID: id, Customer: rules.CustomerID(q.account), Plan: q.plan, FirstPeer: q.first, Gateways: q.spread,
+		return rules.Refund{ID: id, Customer: rules.CustomerID(q.account), Plan: q.plan, FirstGateway: q.first, Gateways: q.spread,
 			Units: q.units, Window: window}
 	}
 	if q.token != "" {
 		verdict, a, err := d.ledger.Take(q.account, q.token, q.units, now)
 		switch {
 		case err != nil:
-			s.finish(rules.Checked{}, false, err)
+			s.finish(rules.CheckResult{}, false, err)
 			return nil
 		case verdict == limits.Waits:
 			d.waiting[q.key()] = append(d.waiting[q.key()], s)
 			return nil
 		case verdict == limits.Repeated:
 			d.stats.repeats.Add(1)
-			s.finish(rules.Checked{Granted: a.Granted, Shared: a.Shared, Window: a.Window, Remaining: math.NaN()}, true, nil)
+			s.finish(rules.CheckResult{Granted: a.Granted, Shared: a.Shared, Window: a.Window, Remaining: math.NaN()}, true, nil)
 			return nil
 		}
 	}
@@ -207,13 +207,13 @@
 	if wait < 0 {
 		wait = d.patience
 	}
-	s.event = rules.Check{ID: id, Customer: rules.CustomerID(q.account), Plan: q.plan, Units: q.units, FirstPeer: q.first,
+	s.event = rules.Check{ID: id, Customer: rules.CustomerID(q.account), Plan: q.plan, Units: q.units, FirstGateway: q.first,
 		Gateways: q.spread, Deadline: now + wait, Partial: q.partial}
 	return &s.event
 }
 
 // Answered takes the module's answer.
-func (s *slot) Answered(a rules.Checked) {
+func (s *slot) Answered(a rules.CheckResult) {
 	if !s.ask.peek && !s.ask.giving {
 		s.desk.book(&s.ask, a)
 	}
@@ -228,7 +228,7 @@
 func (q *ask) key() tokenKey { return tokenKey{q.account, q.token} }
 
 // book notes a take's answer, and tells those that repeated it meanwhile.
-func (d *Desk) book(q *ask, a rules.Checked) {
+func (d *Desk) book(q *ask, a rules.CheckResult) {
 	d.stats.takes.Add(1)
 	d.stats.units.Add(int64(a.Granted))
 	switch {
--- a/internal/respfront/front_test.go
+++ b/internal/respfront/front_test.go
@@ -87,9 +87,9 @@
 func newRig(t *testing.T, set Settings) *rig {
 	t.Helper()
 	r := &rig{counter: &numbers{calls: make(chan *counter.Call, 1024), total: map[uint64]float64{}}, ended: make(chan struct{})}
-	s := rules.Settings{Classes: []rules.Class{{Aim: 1, Deadline: 2, Worth: 1}},
-		Plans: []rules.Plan{{Price: 1, Rate: 1e-3, Burst: 100}, {Price: 1, Rate: 1e-3, Burst: 5}, {Price: 1}},
-		Fleet: 3, Tick: 0.002, Counter: true, CounterTimeout: 0.5}
+	s := rules.Settings{Classes: []rules.Class{{LatencyObjective: 1, Timeout: 2, Value: 1}},
+		Plans:     []rules.Plan{{Price: 1, Rate: 1e-3, Burst: 100}, {Price: 1, Rate: 1e-3, Burst: 5}, {Price: 1}},
+		FleetSize: 3, Tick: 0.002, HasCounter: true, CounterTimeout: 0.5}
 	o := owner.New(s, 1, r.counter)
 	o.Start(nil)
 	var err error
--- a/internal/respfront/limit.go
+++ b/internal/respfront/limit.go
@@ -182,7 +182,7 @@
 
 // known writes what is left and how exactly that is known. Of a repeated take
 // nothing new is known; without a quota, what is left is without end.
-func known(w *replies, a *rules.Checked) {
+func known(w *replies, a *rules.CheckResult) {
 	w.Name(wordRemaining)
 	switch {
 	case math.IsNaN(a.Remaining):
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -27,7 +27,7 @@
 		x.state.tally.Handle(e)
 		x.state.recorder.Handle(e, nil)
 	}
-	x.state.figures = Figures{Figures: rules.Figures{Bound: 4, InFlight: 1, Held: []int{0, 2}, Waiting: 3, Well: 5, LeftOut: 6, Cold: 7, ByHand: 8, NotReady: 9, Customers: 10, Leased: 11.5}}
+	x.state.figures = Figures{Stats: rules.Stats{ConcurrencyLimit: 4, InFlight: 1, Queued: []int{0, 2}, WaitingForQuota: 3, Healthy: 5, Ejected: 6, Cold: 7, Detached: 8, NotReady: 9, Customers: 10, LeasedUnits: 11.5}}
 	for i := range x.state.figures.Calls {
 		x.state.figures.Calls[i] = uint64(20 + i)
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -58,7 +58,7 @@
 
 // Figures are gauges and counters that the owner of the rules module reports.
 type Figures struct {
-	rules.Figures
+	rules.Stats
 	Calls [traces.OutcomeCount]uint64 // calls to the counter, by outcome
 }
 
@@ -164,20 +164,20 @@
 	for outcome, n := range f.Calls {
 		b.sum("elderyard.counter.calls", n, attr("elderyard.outcome", callOutcome(rules.Outcome(outcome))))
 	}
-	b.gauge("elderyard.bound", f.Bound)
+	b.gauge("elderyard.bound", f.ConcurrencyLimit)
 	b.gauge("elderyard.in_flight", float64(f.InFlight))
-	for level, n := range f.Held {
+	for level, n := range f.Queued {
 		b.gauge("elderyard.held", float64(n), attr("elderyard.level", strconv.Itoa(level)))
 	}
-	b.gauge("elderyard.waiting", float64(f.Waiting))
+	b.gauge("elderyard.waiting", float64(f.WaitingForQuota))
 	for _, backends := range []struct {
 		health string
 		count  int
-	}{{"well", f.Well}, {"left out", f.LeftOut}, {"cold", f.Cold}, {"by hand", f.ByHand}, {"not ready", f.NotReady}} {
+	}{{"well", f.Healthy}, {"left out", f.Ejected}, {"cold", f.Cold}, {"by hand", f.Detached}, {"not ready", f.NotReady}} {
 		b.gauge("elderyard.backends", float64(backends.count), attr("elderyard.health", backends.health))
 	}
 	b.gauge("elderyard.accounts", float64(f.Customers))
-	b.gauge("elderyard.units.leased", f.Leased)
+	b.gauge("elderyard.units.leased", f.LeasedUnits)
 }
 
 // addSampling adds how many traces were exported and how many discarded.
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -48,7 +48,7 @@
 }
 
 func figures(context.Context) (Figures, error) {
-	return Figures{Figures: rules.Figures{Bound: 4, InFlight: 1, Held: []int{0, 2}, Well: 3}, Calls: [traces.OutcomeCount]uint64{7}}, nil
+	return Figures{Stats: rules.Stats{ConcurrencyLimit: 4, InFlight: 1, Queued: []int{0, 2}, Healthy: 3}, Calls: [traces.OutcomeCount]uint64{7}}, nil
 }
 
 // request records the events of one served request, the nth of the test.
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -186,7 +186,7 @@
 			Cell: int(c.u16())}
 		switch state := c.u8(); state {
 		case 0:
-			entries[i].State = rules.Gone
+			entries[i].State = rules.Removed
 		case 1:
 			entries[i].State = rules.Ready
 		case 2:
@@ -194,7 +194,7 @@
 		default:
 			return fmt.Errorf("availability %d is not known", state)
 		}
-		entries[i].Weight, entries[i].Born = c.f32(), c.f64()
+		entries[i].Weight, entries[i].StartedAt = c.f32(), c.f64()
 	}
 	d.sheets[sheet], d.known[sheet] = entries, true
 	return nil
@@ -207,7 +207,7 @@
 	if c.short {
 		return nil, nil
 	}
-	kind, known := map[uint8]rules.ListKind{0: rules.FullList, 1: rules.Delta, 2: rules.CachedList,
+	kind, known := map[uint8]rules.ListKind{0: rules.FullList, 1: rules.DeltaList, 2: rules.CachedList,
 		3: rules.ListFailed}[form]
 	if !known {
 		return nil, fmt.Errorf("form %d is not known", form)
@@ -222,8 +222,8 @@
 }
 
 // outcomes maps the codes of the wire; the missing ones are errors.
-var outcomes = map[uint8]rules.Outcome{0: rules.Served, 255: rules.Errored, 254: rules.Full,
-	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.Broken, 250: rules.Cancelled, 249: rules.Moot}
+var outcomes = map[uint8]rules.Outcome{0: rules.Served, 255: rules.Errored, 254: rules.Overloaded,
+	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.ConnectionLost, 250: rules.Cancelled, 249: rules.NotSent}
 
 // event reads the fields of an event that needs nothing but the record.
 func (c *cursor) event(code uint8) (rules.Event, error) {
@@ -231,38 +231,38 @@
 	case codeAsk:
 		return c.ask(), nil
 	case codeEstablished:
-		e := rules.Established{Request: rules.RequestID(c.u32()), Backend: rules.BackendID(c.u32())}
-		e.Took, e.Attempt = c.f64(), int(c.u8())
+		e := rules.ResponseStarted{Request: rules.RequestID(c.u32()), Backend: rules.BackendID(c.u32())}
+		e.Duration, e.Attempt = c.f64(), int(c.u8())
 		return e, nil
 	case codeAttemptEnd:
 		return c.attemptEnd()
 	case codeAborted:
-		return rules.ClientGone{Request: rules.RequestID(c.u32())}, nil
+		return rules.ClientDisconnected{Request: rules.RequestID(c.u32())}, nil
 	case codeAlarm:
-		return rules.Timer{Token: c.u64()}, nil
+		return rules.TimerFired{Token: c.u64()}, nil
 	case codeChecked:
-		e := rules.Probed{Backend: rules.BackendID(c.u32())}
+		e := rules.ProbeResult{Backend: rules.BackendID(c.u32())}
 		var err error
 		e.Outcome, err = c.outcome()
-		e.Took, e.LoadData = c.f64(), c.report()
+		e.Duration, e.LoadData = c.f64(), c.report()
 		return e, err
 	case codePeerData:
 		from := int(c.u32())
 		return rules.PeerMessage{From: from, Data: append([]byte(nil), c.bytes(int(c.u16()))...)}, nil
 	case codeCounter:
-		e := rules.CounterReply{Name: c.u64()}
+		e := rules.CounterReply{Key: c.u64()}
 		var err error
 		e.Outcome, err = c.outcome()
-		e.Total, e.Took = c.f32(), c.f64()
+		e.Total, e.Duration = c.f32(), c.f64()
 		return e, err
 	}
 	return nil, errors.New("the code is not known")
 }
 
 func (c *cursor) ask() rules.Event {
-	r := rules.Request{ID: rules.RequestID(c.u32()), FirstPeer: int(c.f32()), Plan: int(c.u16()),
+	r := rules.Request{ID: rules.RequestID(c.u32()), FirstGateway: int(c.f32()), Plan: int(c.u16()),
 		Customer: rules.CustomerID(c.u64()), Gateways: int(c.f32()), Units: c.f32()}
-	r.Repeat = c.u8()&flagRepeat != 0
+	r.IsRetry = c.u8()&flagRepeat != 0
 	r.Class, r.Deadline = int(c.u16()), c.f64()
 	return r
 }
@@ -272,8 +272,8 @@
 		Backend: rules.BackendID(c.u32())}
 	var err error
 	e.Outcome, err = c.outcome()
-	e.Took, e.Done = c.f64(), c.u8() != 0
-	e.Use, e.Units = int(c.u16()), float64(c.u16())
+	e.Duration, e.RequestDone = c.f64(), c.u8() != 0
+	e.QuotaUse, e.ActualUnits = int(c.u16()), float64(c.u16())
 	e.LoadData = c.report()
 	return e, err
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -79,13 +79,13 @@
 		r.u32(uint32(a.Request))
 	case rules.SetTimer:
 		r.start(codeSleep)
-		r.f64(a.In)
+		r.f64(a.Delay)
 		r.u64(a.Token)
-	case rules.Count:
+	case rules.CounterAdd:
 		r.start(codeCount)
-		r.u64(a.Name)
+		r.u64(a.Key)
 		r.u32(math.Float32bits(float32(a.Amount)))
-		r.f64(a.Keep)
+		r.f64(a.TTL)
 	case rules.Probe:
 		r.start(codeAskLoad)
 		r.u32(uint32(a.Backend))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -80,13 +80,13 @@
 	Weights string  `json:"weights"`
 }
 
-var effects = map[string]rules.Effect{"": rules.Repeatable, "repeatable": rules.Repeatable,
-	"by_key": rules.ByKey, "once": rules.Once}
+var effects = map[string]rules.Idempotency{"": rules.Idempotent, "repeatable": rules.Idempotent,
+	"by_key": rules.IdempotentByKey, "once": rules.AtMostOnce}
 
 var scopes = map[string]rules.DedupeScope{"": rules.ScopeAll, "all": rules.ScopeAll,
 	"zone": rules.ScopeZone, "cell": rules.ScopeCell}
 
-var loadFields = map[string]rules.LoadField{"busy_reqs": rules.LoadHeld, "pending": rules.LoadWaiting,
+var loadFields = map[string]rules.LoadField{"busy_reqs": rules.LoadInFlight, "pending": rules.LoadQueued,
 	"cpu_share": rules.LoadCPU, "svc_ms": rules.LoadServiceMillis,
 	"served_ps": rules.LoadServedPerSecond, "failed_ps": rules.LoadErrorsPerSecond}
 
@@ -131,16 +131,16 @@
 			return s, fmt.Errorf("settings: effect %q is not known", c.Effect)
 		}
 		scope, known := scopes[c.KeyScope]
-		if !known && effect == rules.ByKey {
+		if !known && effect == rules.IdempotentByKey {
 			return s, fmt.Errorf("settings: key scope %q is not known", c.KeyScope)
 		}
-		s.Classes = append(s.Classes, rules.Class{Aim: c.ObjectiveS, AimStretch: c.AimStretch,
-			Deadline: c.DeadlineS, Worth: c.Points, LateWorth: c.LateWorth, Effect: effect,
+		s.Classes = append(s.Classes, rules.Class{LatencyObjective: c.ObjectiveS, ObjectiveWorkFactor: c.AimStretch,
+			Timeout: c.DeadlineS, Value: c.Points, LateValueShare: c.LateWorth, Idempotency: effect,
 			Scope: scope, DedupeWindow: c.WindowS, Streamed: c.Streamed})
 	}
 	for _, p := range o.Packages {
 		s.Plans = append(s.Plans, rules.Plan{Price: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
-			MaxConcurrent: int(p.AtOnce), OverWorth: p.OverWorth, OverCost: p.BeyondCosts,
+			MaxConcurrent: int(p.AtOnce), OverQuotaValueShare: p.OverWorth, OverQuotaCostShare: p.BeyondCosts,
 			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CapSlack})
 	}
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
@@ -152,25 +152,25 @@
 // figures translates all that is neither a class nor a plan.
 func (o *options) figures() rules.Settings {
 	s := rules.Settings{
-		Rank: o.Rank, Fleet: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
-		AskDiscovery: o.Discovery == "ask",
-		RoughWeights: o.Weights == "rough" || o.Weights == "nominal",
-		LoadInline:   o.LoadReport.How == "inline",
-
-		Counter:        o.FamilyInfo.HasCounter,
-		CounterTimeout: o.FamilyInfo.CounterTimeoutS,
-		CounterPrice:   o.FamilyInfo.CounterPrice,
-		MaxUnits:       o.FamilyInfo.MostUnits,
-		UnitsSettled:   o.FamilyInfo.TruedUp,
-
-		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanCopy: o.Allowed.MayDuplicate,
-		CanAdvise: o.Allowed.RetryAfter, MaxAdvice: o.Allowed.MaxRetryAfterS,
-		MaxAttempts: o.Allowed.MostTries, MaxOpen: o.Allowed.MaxOpen,
+		Rank: o.Rank, FleetSize: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
+		SubscribeDiscovery: o.Discovery == "ask",
+		ApproximateWeights: o.Weights == "rough" || o.Weights == "nominal",
+		InlineLoadReports:  o.LoadReport.How == "inline",
+
+		HasCounter:       o.FamilyInfo.HasCounter,
+		CounterTimeout:   o.FamilyInfo.CounterTimeoutS,
+		CounterCallPrice: o.FamilyInfo.CounterPrice,
+		MaxUnits:         o.FamilyInfo.MostUnits,
+		EstimatedUnits:   o.FamilyInfo.TruedUp,
+
+		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanHedge: o.Allowed.MayDuplicate,
+		CanSendRetryAfter: o.Allowed.RetryAfter, MaxRetryAfter: o.Allowed.MaxRetryAfterS,
+		MaxAttempts: o.Allowed.MostTries, MaxOpenRequests: o.Allowed.MaxOpen,
 		ConnectTimeout: o.Allowed.ConnectTimeoutS,
 
 		AnswerSlack: o.Obligations.AnswerSlackS, DrainGrace: o.Obligations.DrainGraceS,
-		ColdFrom: o.Obligations.ColdFrom, ColdFor: o.Obligations.ColdS,
-		FallMultiple: o.Obligations.FallMultiple, FallFor: o.Obligations.OverloadForS,
+		ColdMinCapacity: o.Obligations.ColdFrom, WarmUpTime: o.Obligations.ColdS,
+		OverloadFactor: o.Obligations.FallMultiple, OverloadTime: o.Obligations.OverloadForS,
 
 		CrossZonePrice: o.Prices.CrossZone, WastePrice: o.Prices.Waste,
 		LateFailPrice: o.Prices.LateFail, ProbePrice: o.Prices.Probe,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -37,13 +37,13 @@
 		t.Fatalf("batch %d with %d records", b.Seq, len(b.Records))
 	}
 	r := b.Records[0].Event.(rules.Request)
-	want := rules.Request{ID: 0x5d3a91c4, FirstPeer: 1, Customer: 0x91f03b7c55d20a64, Gateways: 3, Units: 2,
+	want := rules.Request{ID: 0x5d3a91c4, FirstGateway: 1, Customer: 0x91f03b7c55d20a64, Gateways: 3, Units: 2,
 		Deadline: r.Deadline}
 	if r != want || r.Deadline <= b.Now || r.Deadline > b.Now+1 {
 		t.Errorf("got %+v", r)
 	}
-	if b.Records[1].Event != (rules.Timer{Token: 0x4d}) || b.Records[2].Gateway != 5 ||
-		b.Records[2].Event != (rules.ClientGone{Request: 0x0e6f2b19}) {
+	if b.Records[1].Event != (rules.TimerFired{Token: 0x4d}) || b.Records[2].Gateway != 5 ||
+		b.Records[2].Event != (rules.ClientDisconnected{Request: 0x0e6f2b19}) {
 		t.Errorf("got %+v", b.Records[1:])
 	}
 }
@@ -59,10 +59,10 @@
 		t.Fatal(err)
 	}
 	first, second := b.Records[0].Event.(rules.Backends), b.Records[1].Event.(rules.Backends)
-	if first.Entries[0].ID != 0x03124a07 || first.Entries[0].State != rules.Ready || first.Kind != rules.Delta {
+	if first.Entries[0].ID != 0x03124a07 || first.Entries[0].State != rules.Ready || first.Kind != rules.DeltaList {
 		t.Errorf("first list %+v", first)
 	}
-	if e := second.Entries[0]; e.ID != 0x2c9011f2 || e.State != rules.Draining || e.Weight != 1.5 || e.Born < 6 {
+	if e := second.Entries[0]; e.ID != 0x2c9011f2 || e.State != rules.Draining || e.Weight != 1.5 || e.StartedAt < 6 {
 		t.Errorf("second list %+v", second)
 	}
 }
@@ -77,10 +77,10 @@
 		t.Fatal(err)
 	}
 	e := b.Records[0].Event.(rules.AttemptEnd)
-	if e.Outcome != rules.Served || !e.Done || e.Use != 0x56 || e.Units != 3 || len(e.LoadData) != 2 || e.LoadData[0] != 7 {
+	if e.Outcome != rules.Served || !e.RequestDone || e.QuotaUse != 0x56 || e.ActualUnits != 3 || len(e.LoadData) != 2 || e.LoadData[0] != 7 {
 		t.Errorf("got %+v", e)
 	}
-	if c := b.Records[1].Event.(rules.CounterReply); c.Name != 0x89f690 || c.Total != 38 {
+	if c := b.Records[1].Event.(rules.CounterReply); c.Key != 0x89f690 || c.Total != 38 {
 		t.Errorf("got %+v", c)
 	}
 }
@@ -89,7 +89,7 @@
 	var r Reply
 	r.Reset(12)
 	err := r.Add(3, []rules.Action{rules.Send{Request: 0x5d3a91c4, Backend: 0x03124a07, Timeout: 0.08},
-		rules.SetTimer{In: 0.5, Token: 0x4d}})
+		rules.SetTimer{Delay: 0.5, Token: 0x4d}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,14 +147,14 @@
 		t.Fatal(err)
 	}
 	c, p := s.Classes[0], s.Plans[0]
-	if c.Effect != rules.ByKey || c.Scope != rules.ScopeCell || c.Aim != 0.8 || c.DedupeWindow != 5 || c.Worth != 3 {
+	if c.Idempotency != rules.IdempotentByKey || c.Scope != rules.ScopeCell || c.LatencyObjective != 0.8 || c.DedupeWindow != 5 || c.Value != 3 {
 		t.Errorf("class %+v", c)
 	}
 	if p.Price != 0.5 || p.Rate != 2 || p.Burst != 4 || p.MaxConcurrent != 3 || p.CeilingRate != 9 {
 		t.Errorf("plan %+v", p)
 	}
-	if !s.AskDiscovery || !s.LoadInline || s.MaxAttempts != 4 || s.LoadFields[0] != rules.LoadOther ||
-		s.LoadFields[1] != rules.LoadWaiting {
+	if !s.SubscribeDiscovery || !s.InlineLoadReports || s.MaxAttempts != 4 || s.LoadFields[0] != rules.LoadOther ||
+		s.LoadFields[1] != rules.LoadQueued {
 		t.Errorf("settings %+v", s)
 	}
 	if _, err := ParseSettings([]byte(`{"classes": [{"effect": "thrice"}], "packages": [{}]}`)); err == nil {
--- a/rules/capacity_test.go
+++ b/rules/capacity_test.go
@@ -47,13 +47,13 @@
 
 func startLoadedGateway(backends, spread int) *loadedGateway {
 	set := testSettings()
-	set.Fleet = siteGateways
-	set.LoadFields, set.LoadInline = []LoadField{LoadHeld}, true
+	set.FleetSize = siteGateways
+	set.LoadFields, set.InlineLoadReports = []LoadField{LoadInFlight}, true
 	set.CrossZonePrice = 0.01
-	set.Classes = []Class{{Aim: 1.8, Deadline: 4.4, Worth: 1}}
+	set.Classes = []Class{{LatencyObjective: 1.8, Timeout: 4.4, Value: 1}}
 	// A tenant may have twice what its part of the load is, and two seconds of that at once.
 	rate := 2 * siteRate / siteTenants
-	set.Plans = []Plan{{Price: 1, Rate: rate, Burst: 2 * rate, OverCost: 1}}
+	set.Plans = []Plan{{Price: 1, Rate: rate, Burst: 2 * rate, OverQuotaCostShare: 1}}
 	l := &loadedGateway{now: 1000, rng: rand.New(rand.NewPCG(1, 2)), spread: spread, counted: map[uint64]*countedNumber{},
 		tenants: max(siteTenants*spread/siteGateways, 1)}
 	var actions []Action
@@ -77,23 +77,23 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case SetTimer:
-			l.later(a.In, Timer{Token: a.Token})
-		case Count:
+			l.later(a.Delay, TimerFired{Token: a.Token})
+		case CounterAdd:
 			l.calls++
-			l.later(siteCounterDelay, CounterReply{Name: a.Name, Outcome: Served, Total: l.count(a)})
+			l.later(siteCounterDelay, CounterReply{Key: a.Key, Outcome: Served, Total: l.count(a)})
 		case Send:
 			l.served++
-			l.later(siteServiceTime, AttemptEnd{Request: a.Request, Backend: a.Backend, Outcome: Served, Took: siteServiceTime, Done: true, LoadData: []float64{float64(l.rng.IntN(4))}})
+			l.later(siteServiceTime, AttemptEnd{Request: a.Request, Backend: a.Backend, Outcome: Served, Duration: siteServiceTime, RequestDone: true, LoadData: []float64{float64(l.rng.IntN(4))}})
 		}
 	}
 }
 
 // count adds a call and returns the total.
-func (l *loadedGateway) count(call Count) float64 {
-	n := l.counted[call.Name]
+func (l *loadedGateway) count(call CounterAdd) float64 {
+	n := l.counted[call.Key]
 	if n == nil {
 		n = &countedNumber{since: l.now}
-		l.counted[call.Name] = n
+		l.counted[call.Key] = n
 	}
 	n.own += call.Amount
 	others := siteRate / siteTenants * float64(l.spread-1) / float64(l.spread)
--- a/rules/checks.go
+++ b/rules/checks.go
@@ -14,8 +14,8 @@
 
 // check takes in a take. One for more than the store ever holds is answered at once: no wait would help.
 func (g *Gateway) check(e Check) {
-	r := Request{ID: e.ID, Customer: e.Customer, Plan: e.Plan, Units: e.Units, FirstPeer: e.FirstPeer,
-		Gateways: e.Gateways, Sent: g.now, Deadline: e.Deadline}
+	r := Request{ID: e.ID, Customer: e.Customer, Plan: e.Plan, Units: e.Units, FirstGateway: e.FirstGateway,
+		Gateways: e.Gateways, SentAt: g.now, Deadline: e.Deadline}
 	j := g.spare // most checks are over at once, and the next takes the place of the last
 	if g.spare = nil; j == nil {
 		j = &job{}
@@ -73,7 +73,7 @@
 		if units = math.Floor(max(c.units, 0)); units > 0 {
 			units = min(units, j.Units)
 			g.spend(c, units)
-		} else if !g.set.Counter || g.now < c.restTill {
+		} else if !g.set.HasCounter || g.now < c.restTill {
 			c.takeLocal(g.now, 0, 0)
 			shared, units = false, min(math.Floor(max(c.local, 0)), j.Units)
 			c.local -= units
@@ -84,15 +84,15 @@
 }
 
 // known is what this gateway knows of a customer's store.
-func (g *Gateway) known(c *customer, plan int) Checked {
+func (g *Gateway) known(c *customer, plan int) CheckResult {
 	t := &c.terms
 	if t.rate <= 0 {
-		return Checked{Remaining: math.Inf(1), Exact: true}
+		return CheckResult{Remaining: math.Inf(1), Exact: true}
 	}
 	floor := g.roll(c)
 	c.takeLocal(g.now, 0, 0)
-	a := Checked{Window: c.window, Remaining: max(c.local, 0)}
-	if g.set.Counter && c.known > 0 && g.now >= c.restTill {
+	a := CheckResult{Window: c.window, Remaining: max(c.local, 0)}
+	if g.set.HasCounter && c.known > 0 && g.now >= c.restTill {
 		// The total as last seen, with what it has not been told yet; others may have taken more since.
 		a.Exact = true
 		a.Remaining = min(max(t.allowance-max(c.known+c.owed-floor, 0), 0)+max(c.units, 0), t.allowance)
@@ -103,7 +103,8 @@
 
 // peek tells what is known, and asks nobody.
 func (g *Gateway) peek(e Peek) {
-	c := g.customerOf(Request{Customer: e.Customer, Plan: e.Plan, FirstPeer: e.FirstPeer, Gateways: e.Gateways})
+	c := g.customerOf(Request{Customer: e.Customer, Plan: e.Plan, FirstGateway: e.FirstGateway,
+		Gateways: e.Gateways})
 	a := g.known(c, e.Plan)
 	a.ID = e.ID
 	g.say(a)
@@ -112,8 +113,9 @@
 // give takes units back. Danger: a store that was renewed since must not be lifted over its burst by what
 // came out of an earlier one. Into the present one they go with the next call, which a full store writes off
 // again; the local share, which leases count against, has them back at once.
-func (g *Gateway) give(e Give) {
-	c := g.customerOf(Request{Customer: e.Customer, Plan: e.Plan, FirstPeer: e.FirstPeer, Gateways: e.Gateways})
+func (g *Gateway) give(e Refund) {
+	c := g.customerOf(Request{Customer: e.Customer, Plan: e.Plan, FirstGateway: e.FirstGateway,
+		Gateways: e.Gateways})
 	back := 0.0
 	if c.terms.rate > 0 {
 		g.roll(c)
--- a/rules/checks_test.go
+++ b/rules/checks_test.go
@@ -13,15 +13,15 @@
 func (s store) answer(d *drive, actions []Action) []Action {
 	all := actions
 	for n := 0; n < len(all); n++ {
-		if c, ok := all[n].(Count); ok {
-			s[c.Name] += c.Amount
-			all = append(all, d.handle(CounterReply{Name: c.Name, Total: s[c.Name]})...)
+		if c, ok := all[n].(CounterAdd); ok {
+			s[c.Key] += c.Amount
+			all = append(all, d.handle(CounterReply{Key: c.Key, Total: s[c.Key]})...)
 		}
 	}
 	return all
 }
 
-func (d *drive) take(s store, who CustomerID, units float64, change func(*Check)) (Checked, []Action) {
+func (d *drive) take(s store, who CustomerID, units float64, change func(*Check)) (CheckResult, []Action) {
 	d.t.Helper()
 	d.nextID++
 	e := Check{ID: d.nextID, Customer: who, Units: units, Gateways: 2, Deadline: d.now + 0.1}
@@ -29,10 +29,10 @@
 		change(&e)
 	}
 	out := s.answer(d, d.handle(&e))
-	if got := find[*Checked](out); len(got) == 1 {
+	if got := find[*CheckResult](out); len(got) == 1 {
 		return *got[0], out
 	}
-	return Checked{ID: e.ID, Granted: -1}, out
+	return CheckResult{ID: e.ID, Granted: -1}, out
 }
 
 // A check draws on the same store as requests do, at the same gateway and at others,
@@ -69,8 +69,8 @@
 	for _, units := range []float64{4.5, 1e9, 0, -1, math.NaN(), math.Inf(1)} {
 		d := start(t, testSettings(), some(1)...)
 		a, out := d.take(store{}, 5, units, func(e *Check) { e.Deadline = d.now + 60 })
-		if a.Granted != 0 || len(find[Count](out)) != 0 || len(d.g.jobs) != 0 {
-			t.Errorf("%g units: %+v, %d calls", units, a, len(find[Count](out)))
+		if a.Granted != 0 || len(find[CounterAdd](out)) != 0 || len(d.g.jobs) != 0 {
+			t.Errorf("%g units: %+v, %d calls", units, a, len(find[CounterAdd](out)))
 		}
 	}
 }
@@ -90,17 +90,17 @@
 	}
 	id := d.nextID
 	gone, _ := d.take(s, 5, 3, wait)
-	d.handle(ClientGone{Request: gone.ID})
+	d.handle(ClientDisconnected{Request: gone.ID})
 	d.nextID++
 	if out := s.answer(d, d.handle(Request{ID: d.nextID, Customer: 5, Units: 1, Gateways: 2, Deadline: d.now + 2})); len(find[Refuse](out)) != 1 {
 		t.Errorf("a request behind it was not answered: %v", out)
 	}
-	var granted []*Checked
+	var granted []*CheckResult
 	for at := d.now; d.now < at+10 && len(granted) == 0; {
 		d.now += 0.05
-		out := d.handle(Timer{Token: timerHouse << 56})
-		out = append(out, d.handle(Timer{Token: timerLine<<56 | uint64(id)})...)
-		granted = find[*Checked](s.answer(d, out))
+		out := d.handle(TimerFired{Token: timerHouse << 56})
+		out = append(out, d.handle(TimerFired{Token: timerLine<<56 | uint64(id)})...)
+		granted = find[*CheckResult](s.answer(d, out))
 	}
 	if len(granted) != 1 || granted[0].Granted != 3 || granted[0].ID != id {
 		t.Errorf("what waited got %+v", granted)
@@ -125,8 +125,8 @@
 func TestPeek(t *testing.T) {
 	s := store{}
 	d := start(t, testSettings(), some(2)...)
-	peek := func() Checked { return *one[*Checked](t, d.handle(Peek{ID: 99, Customer: 5, Gateways: 2})) }
-	if a := peek(); a.Exact || len(find[Count](d.last)) != 0 {
+	peek := func() CheckResult { return *one[*CheckResult](t, d.handle(Peek{ID: 99, Customer: 5, Gateways: 2})) }
+	if a := peek(); a.Exact || len(find[CounterAdd](d.last)) != 0 {
 		t.Errorf("of an unknown customer: %+v", a)
 	}
 	d.take(s, 5, 1, nil)
@@ -135,7 +135,7 @@
 		t.Errorf("%+v, then %+v", before, after)
 	}
 	d.g.set.Plans[1].Rate = 0
-	if a := one[*Checked](t, d.handle(Peek{ID: 99, Customer: 6, Plan: 1, Gateways: 2})); !math.IsInf(a.Remaining, 1) {
+	if a := one[*CheckResult](t, d.handle(Peek{ID: 99, Customer: 6, Plan: 1, Gateways: 2})); !math.IsInf(a.Remaining, 1) {
 		t.Errorf("without a quota: %+v", a)
 	}
 }
@@ -149,9 +149,9 @@
 	if b, _ := other.take(s, 5, 2, nil); b.Granted > 0 {
 		t.Fatalf("beyond the burst: %+v", b)
 	}
-	give := func(units, window float64) Checked {
-		out := s.answer(d, d.handle(Give{ID: 98, Customer: 5, Gateways: 2, Units: units, Window: window}))
-		return *one[*Checked](t, out)
+	give := func(units, window float64) CheckResult {
+		out := s.answer(d, d.handle(Refund{ID: 98, Customer: 5, Gateways: 2, Units: units, Window: window}))
+		return *one[*CheckResult](t, out)
 	}
 	if b := give(4, a.Window-1); b.Granted != 0 {
 		t.Errorf("of an earlier window: %+v", b)
@@ -159,7 +159,7 @@
 	if b := give(3, a.Window); b.Granted != 3 {
 		t.Errorf("of this window: %+v", b)
 	}
-	s.answer(d, d.handle(Timer{Token: timerHouse << 56}))
+	s.answer(d, d.handle(TimerFired{Token: timerHouse << 56}))
 	other.now += 2
 	d.now += 2
 	if b, _ := other.take(s, 5, 4, nil); b.Granted != 4 {
@@ -167,7 +167,7 @@
 	}
 	for range 20 {
 		give(4, a.Window)
-		s.answer(d, d.handle(Timer{Token: timerHouse << 56}))
+		s.answer(d, d.handle(TimerFired{Token: timerHouse << 56}))
 	}
 	got := 0.0
 	for range 20 {
@@ -184,9 +184,9 @@
 // quota at most.
 func TestLocalSharesIncludeFronts(t *testing.T) {
 	set := testSettings()
-	set.Counter, set.Fronts = false, 2
+	set.HasCounter, set.CheckFrontends = false, 2
 	got := 0.0
-	for range 2 + set.Fronts {
+	for range 2 + set.CheckFrontends {
 		d := start(t, set, some(1)...)
 		for range 200 {
 			d.now += 0.05
@@ -207,7 +207,7 @@
 		d := start(t, testSettings(), some(3)...)
 		type wait struct{ units, until float64 }
 		open := map[RequestID]wait{}
-		var calls []Count
+		var calls []CounterAdd
 		s := store{}
 		type timer struct {
 			at    float64
@@ -217,16 +217,16 @@
 		see := func(out []Action) {
 			for _, a := range out {
 				switch a := a.(type) {
-				case *Checked:
+				case *CheckResult:
 					w, is := open[a.ID]
 					if !is || a.Granted < 0 || a.Granted > w.units {
 						t.Fatalf("seed %d: %+v for %+v", seed, a, w)
 					}
 					delete(open, a.ID)
-				case Count:
+				case CounterAdd:
 					calls = append(calls, a)
 				case SetTimer:
-					timers = append(timers, timer{d.now + a.In, a.Token})
+					timers = append(timers, timer{d.now + a.Delay, a.Token})
 				}
 			}
 		}
@@ -236,7 +236,7 @@
 				if due := timers[i]; due.at <= d.now {
 					timers = append(timers[:i], timers[i+1:]...)
 					i--
-					see(d.handle(Timer{Token: due.token}))
+					see(d.handle(TimerFired{Token: due.token}))
 				}
 			}
 			for id, w := range open {
@@ -258,16 +258,16 @@
 			case 3:
 				d.nextID++
 				open[d.nextID] = wait{4, d.now}
-				see(d.handle(Give{ID: d.nextID, Customer: who, Gateways: 2, Units: float64(rng.IntN(4)), Window: 2}))
+				see(d.handle(Refund{ID: d.nextID, Customer: who, Gateways: 2, Units: float64(rng.IntN(4)), Window: 2}))
 			default:
 				if len(calls) > 0 {
 					c := calls[0]
 					calls = calls[1:]
-					r := CounterReply{Name: c.Name, Outcome: []Outcome{Served, Served, Served, TimedOut, Full, Errored, Broken}[rng.IntN(7)]}
-					if r.Outcome != Full {
-						s[c.Name] += c.Amount
+					r := CounterReply{Key: c.Key, Outcome: []Outcome{Served, Served, Served, TimedOut, Overloaded, Errored, ConnectionLost}[rng.IntN(7)]}
+					if r.Outcome != Overloaded {
+						s[c.Key] += c.Amount
 					}
-					r.Total = s[c.Name]
+					r.Total = s[c.Key]
 					see(d.handle(r))
 				}
 			}
@@ -289,7 +289,7 @@
 	if b, _ := other.take(s, 5, 1, nil); b.Granted != 1 {
 		t.Errorf("the one that is left, after a take of 4 was refused: %+v", b)
 	}
-	s.answer(d, d.handle(Give{ID: 98, Customer: 5, Gateways: 2, Units: 4, Window: a.Window}))
+	s.answer(d, d.handle(Refund{ID: 98, Customer: 5, Gateways: 2, Units: 4, Window: a.Window}))
 	if b, _ := d.take(s, 5, 4, nil); b.Granted != 4 {
 		t.Errorf("what was given back: %+v", b)
 	}
--- a/rules/divide_test.go
+++ b/rules/divide_test.go
@@ -10,7 +10,7 @@
 // to some keeps to their number.
 func TestLocalSharesGoByFleet(t *testing.T) {
 	set := testSettings()
-	set.Fleet = 2
+	set.FleetSize = 2
 	for _, c := range []struct {
 		share, gateways int
 		want            float64
@@ -23,7 +23,7 @@
 	} {
 		d := start(t, set, some(2)...)
 		if c.share > 0 {
-			d.handle(Fleet{Share: c.share, Cold: 2})
+			d.handle(FleetUpdate{LocalShares: c.share, ColdSenders: 2})
 		}
 		if got := d.g.terms(&set.Plans[0], c.gateways, 0).localBurst; got != c.want {
 			t.Errorf("share by %d, %d gateways: %g units, want %g", c.share, c.gateways, got, c.want)
@@ -35,10 +35,10 @@
 // believes of the others.
 func TestStoreStaysExactWhateverFleetSays(t *testing.T) {
 	set := testSettings()
-	set.Fleet = 2
+	set.FleetSize = 2
 	d := start(t, set, some(2)...)
 	before := d.g.terms(&set.Plans[0], 2, 0)
-	d.handle(Fleet{Share: 1 << 30, Cold: 9})
+	d.handle(FleetUpdate{LocalShares: 1 << 30, ColdSenders: 9})
 	after := d.g.terms(&set.Plans[0], 2, 0)
 	if before.exact != after.exact || before.window != after.window || before.allowance != after.allowance || before.first != after.first {
 		t.Errorf("%+v became %+v", before, after)
@@ -48,30 +48,30 @@
 // What a cold backend always gets is divided by the senders that are known.
 func TestColdRoomGoesBySenders(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	if got, want := d.g.senders(), float64(max(testSettings().Fleet, 1)); got != want {
+	if got, want := d.g.senders(), float64(max(testSettings().FleetSize, 1)); got != want {
 		t.Errorf("%g senders by the settings, want %g", got, want)
 	}
-	d.handle(Fleet{Share: 7, Cold: 9})
+	d.handle(FleetUpdate{LocalShares: 7, ColdSenders: 9})
 	if got := d.g.senders(); got != 9 {
 		t.Errorf("%g senders, want 9", got)
 	}
 	// Sends that a gateway with no others' traffic to go by saves up for a cold backend in 20 s.
-	saved := func(fleet Fleet) float64 {
+	saved := func(fleet FleetUpdate) float64 {
 		set := testSettings()
-		set.Fleet, set.ColdFrom, set.ColdFor = 2, 0.5, 30
+		set.FleetSize, set.ColdMinCapacity, set.WarmUpTime = 2, 0.5, 30
 		d := start(t, set, some(2)...)
 		d.handle(fleet)
-		d.handle(Backends{Kind: Delta, Entries: []Backend{{ID: 900, State: Ready, Born: d.now, Weight: 1}}})
+		d.handle(Backends{Kind: DeltaList, Entries: []Backend{{ID: 900, State: Ready, StartedAt: d.now, Weight: 1}}})
 		d.now += 20
-		d.handle(Timer{Token: timerHouse << 56})
+		d.handle(TimerFired{Token: timerHouse << 56})
 		s := d.g.servers[900]
 		d.g.coldRoom(s)
 		return s.budget
 	}
-	if got := saved(Fleet{}); got != coldSave {
+	if got := saved(FleetUpdate{}); got != coldSave {
 		t.Errorf("one of two saved %g sends, want %g", got, coldSave)
 	}
-	if got, most := saved(Fleet{Share: 7, Cold: 20}), 20*coldMin/20; got <= 0 || got > most {
+	if got, most := saved(FleetUpdate{LocalShares: 7, ColdSenders: 20}), 20*coldMin/20; got <= 0 || got > most {
 		t.Errorf("one of twenty saved %g sends, want at most %g", got, most)
 	}
 }
@@ -85,9 +85,9 @@
 		want       float64
 	}{{0, 0, 0, 2}, {10, 0, 0, 2}, {10, 1, 0, 20}, {2, 1, 0, 2}, {2.1, 1, 0, 4.2}, {10, 1, 3, 3}} {
 		set := testSettings()
-		set.Fleet = 2
+		set.FleetSize = 2
 		d := start(t, set, some(2)...)
-		d.handle(Fleet{Cold: c.cold})
+		d.handle(FleetUpdate{ColdSenders: c.cold})
 		d.g.held, d.g.load = c.held, c.load
 		if got := d.g.senders(); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%g held, %g own, %d told of: %g senders, want %g", c.held, c.load, c.cold, got, c.want)
--- a/rules/fleet_cold_test.go
+++ b/rules/fleet_cold_test.go
@@ -68,7 +68,7 @@
 	at := make([]float64, len(f.gateways))
 	for i := range f.gateways {
 		at[i] = f.now + within*f.rng.Float64()
-		f.at(at[i], func() { f.handle(i, Backends{Kind: Delta, Entries: []Backend{b}}) })
+		f.at(at[i], func() { f.handle(i, Backends{Kind: DeltaList, Entries: []Backend{b}}) })
 	}
 	f.told[b.ID] = at
 }
@@ -79,14 +79,14 @@
 func (f *coldFleet) fullest(s *fleetBackend, unseen bool) (worst coldWindow) {
 	capacity := float64(len(s.free)) / fleetWork
 	for i, from := range s.sends {
-		if from < s.Born || from >= s.Born+f.set.ColdFor {
+		if from < s.StartedAt || from >= s.StartedAt+f.set.WarmUpTime {
 			continue
 		}
-		middle := (from - s.Born + f.set.FallFor/2) / f.set.ColdFor
-		warmth := min(f.set.ColdFrom+(1-f.set.ColdFrom)*middle, 1)
-		w := coldWindow{allowed: f.set.FallMultiple * f.set.FallFor * capacity * warmth}
+		middle := (from - s.StartedAt + f.set.OverloadTime/2) / f.set.WarmUpTime
+		warmth := min(f.set.ColdMinCapacity+(1-f.set.ColdMinCapacity)*middle, 1)
+		w := coldWindow{allowed: f.set.OverloadFactor * f.set.OverloadTime * capacity * warmth}
 		told := 0
-		for k := i; k < len(s.sends) && s.sends[k] < from+f.set.FallFor; k++ {
+		for k := i; k < len(s.sends) && s.sends[k] < from+f.set.OverloadTime; k++ {
 			w.sends++
 			if s.sends[k] >= f.told[s.ID][s.from[k]] {
 				told++
@@ -107,12 +107,12 @@
 		busy     = 0.9
 	)
 	f := &coldFleet{newFleet(seed, gateways, 0, func(s *Settings) {
-		s.LoadFields, s.FallMultiple, s.FallFor = []LoadField{LoadHeld}, 2, 2
+		s.LoadFields, s.OverloadFactor, s.OverloadTime = []LoadField{LoadInFlight}, 2, 2
 	}), map[BackendID][]float64{}}
 	if c.factor > 0 {
-		f.set.Fleet = int(c.factor * float64(gateways))
+		f.set.FleetSize = int(c.factor * float64(gateways))
 	} else if c.size > 0 {
-		f.set.Fleet = c.size
+		f.set.FleetSize = c.size
 	}
 	id := func(i int) BackendID { return BackendID(hash(seed<<20 + uint64(i))) }
 	for i := range backends {
@@ -121,7 +121,7 @@
 	begin := func(i int) {
 		f.begin(i)
 		if c.known {
-			f.handle(i, Fleet{Share: gateways, Cold: gateways})
+			f.handle(i, FleetUpdate{LocalShares: gateways, ColdSenders: gateways})
 		}
 		for _, at := range f.told {
 			at[i] = min(at[i], f.now) // it begins with the present list
@@ -134,14 +134,14 @@
 	if c.quiet {
 		load = 0.02 * capacity
 	}
-	f.load(load, start+f.set.ColdFor)
+	f.load(load, start+f.set.WarmUpTime)
 	f.run(start - 5)
 
 	within := max(c.listed, 0.3)
 	cold := make([]*fleetBackend, max(c.starts, 1))
 	for i := range cold {
 		if cold[i] = f.backends[id(i)]; c.returns {
-			cold[i].State, cold[i].fails = Gone, true
+			cold[i].State, cold[i].fails = Removed, true
 			f.tell(cold[i].Backend, within)
 		}
 	}
@@ -151,7 +151,7 @@
 			b = f.backend(ready(id(backends + i)))
 			cold[i] = b
 		}
-		b.State, b.fails, b.Born, b.free = Ready, false, start, make([]float64, 1)
+		b.State, b.fails, b.StartedAt, b.free = Ready, false, start, make([]float64, 1)
 		f.tell(b.Backend, within)
 	}
 	if c.burst > 0 {
@@ -165,7 +165,7 @@
 			}
 		})
 	}
-	f.run(start + f.set.ColdFor)
+	f.run(start + f.set.WarmUpTime)
 	for _, b := range cold {
 		if w := f.fullest(b, c.unseen); w.load() > worst.load() {
 			worst = w
--- a/rules/fleet_counter_test.go
+++ b/rules/fleet_counter_test.go
@@ -6,7 +6,7 @@
 // and what they said while it was away must not keep it from calling.
 func TestCallsComeBackWithTheCounter(t *testing.T) {
 	f := newFleet(5, 100, 60, func(s *Settings) {
-		s.Plans = []Plan{{Price: 1, Rate: 0.6, Burst: 3, OverCost: 1.2}}
+		s.Plans = []Plan{{Price: 1, Rate: 0.6, Burst: 3, OverQuotaCostShare: 1.2}}
 	})
 	f.perS = 100 // of 600 tries a second
 	f.load(600, f.now+20)
@@ -27,7 +27,7 @@
 // tell for the untold units of its own plan: else the first are refused for units that nobody spent.
 func TestCallsTellForTheirOwnPlan(t *testing.T) {
 	set := testSettings()
-	set.Fleet = 300
+	set.FleetSize = 300
 	set.Plans = []Plan{{Price: 1, Rate: 0.8, Burst: 4}, {Price: 2, Rate: 12, Burst: 20}}
 	d := start(t, set, some(2)...)
 	d.g.bound = 1000
@@ -36,7 +36,7 @@
 	for plan, tells := range []float64{1 + 6.0/4, 1} {
 		d.nextID++
 		out := d.handle(Request{ID: d.nextID, Plan: plan, Customer: CustomerID(90 + plan), Units: 1, Gateways: 200, Deadline: d.now + 2})
-		if c := one[Count](t, out); c.Amount != tells {
+		if c := one[CounterAdd](t, out); c.Amount != tells {
 			t.Errorf("plan %d: a call tells %v units, not %v", plan, c.Amount, tells)
 		}
 	}
@@ -46,7 +46,7 @@
 // and with so many times the demand, must not have fewer times its own, and none may have more than a few units.
 func TestLargerStoresHaveLargerLocalShares(t *testing.T) {
 	set := testSettings()
-	set.Fleet = 300
+	set.FleetSize = 300
 	set.Plans = []Plan{{Price: 1, Rate: 0.8, Burst: 4}, {Price: 2, Rate: 4, Burst: 6}, {Price: 2, Rate: 12, Burst: 20}, {Price: 1}}
 	d := start(t, set, some(2)...)
 	d.g.bound = 1000
@@ -63,8 +63,8 @@
 				switch a := a.(type) {
 				case Send:
 					sent++
-				case Count: // the counter is away
-					out := d.handle(CounterReply{Name: a.Name, Outcome: ConnectFailed})
+				case CounterAdd: // the counter is away
+					out := d.handle(CounterReply{Key: a.Key, Outcome: ConnectFailed})
 					sent += len(find[Send](out))
 				}
 			}
@@ -79,7 +79,7 @@
 func TestOddTotalsSpoilNoBooks(t *testing.T) {
 	for _, gateways := range []int{1, 4, 300} {
 		set := testSettings()
-		set.Fleet, set.Plans = 300, []Plan{{Price: 1, Rate: 2, Burst: 6}}
+		set.FleetSize, set.Plans = 300, []Plan{{Price: 1, Rate: 2, Burst: 6}}
 		d := start(t, set, some(2)...)
 		d.g.bound = 1000
 		for i, total := range []float64{-1e9, 1e9, 3, -1, 1e300, -1e300, 0, 5, 4, 3, 2, 1} {
@@ -89,11 +89,11 @@
 				d.nextID++
 				out := d.handle(Request{ID: d.nextID, Customer: 7, Units: 1, Gateways: gateways, Deadline: d.now + 2})
 				sent += len(find[Send](out))
-				for _, c := range find[Count](out) {
+				for _, c := range find[CounterAdd](out) {
 					if c.Amount > 1e6 || c.Amount < -1e6 || c.Amount != c.Amount {
 						t.Fatalf("%d gateways, total %d: %v is told to all", gateways, i, c.Amount)
 					}
-					sent += len(find[Send](d.handle(CounterReply{Name: c.Name, Outcome: Served, Total: total})))
+					sent += len(find[Send](d.handle(CounterReply{Key: c.Key, Outcome: Served, Total: total})))
 				}
 			}
 			if total > 1e6 && sent > 2 { // what was leased before, or is the local share
@@ -112,7 +112,7 @@
 func TestAPlanWithNoStoreSpoilsNoBooks(t *testing.T) {
 	for _, plans := range [][]Plan{{{Price: 1, Rate: 1}}, {{Price: 1, Rate: 1}, {Price: 1, Rate: 1, Burst: 4}}} {
 		set := testSettings()
-		set.Fleet, set.Plans = 300, plans
+		set.FleetSize, set.Plans = 300, plans
 		d := start(t, set, some(2)...)
 		for plan := range plans {
 			d.nextID++
--- a/rules/fleet_hard_test.go
+++ b/rules/fleet_hard_test.go
@@ -27,7 +27,7 @@
 // One customer asks for 7.8 times its quota. Through four gateways the store is kept exactly, up to what is paid at one
 // time and counted at another. Through all 300 it is met by each once in a while, and what holds it are denials.
 func TestOneCustomerFarBeyondItsQuota(t *testing.T) {
-	p := Plan{Price: 1, Rate: 12, Burst: 18, OverCost: 0.5}
+	p := Plan{Price: 1, Rate: 12, Burst: 18, OverQuotaCostShare: 0.5}
 	for _, k := range []struct {
 		gateways, through int
 		most              float64 // share of what its quota allows that is sent beyond it
@@ -56,7 +56,7 @@
 // 210 of 300 gateways start again in one instant, knowing nothing, while more is asked for than the backends can do. They
 // must not heap work on the backends, and must serve as many as before.
 func TestMostGatewaysStartAgainAtOnce(t *testing.T) {
-	f := newFleet(11, 300, 100, func(s *Settings) { s.LoadFields = []LoadField{LoadHeld} })
+	f := newFleet(11, 300, 100, func(s *Settings) { s.LoadFields = []LoadField{LoadInFlight} })
 	f.load(1300, f.now+20)
 	f.run(f.now + 8)
 	held := func() (most int) {
@@ -107,7 +107,7 @@
 // A third of the backends is cut off for 5 s: sends to it are lost. 300 gateways must not each have to learn it of each
 // backend over and over; and once it is back it must bear its part again, cold, within its multiple.
 func TestAZoneIsCutOffAndComesBackCold(t *testing.T) {
-	f := newFleet(13, 300, 90, func(s *Settings) { s.LoadFields = []LoadField{LoadHeld} })
+	f := newFleet(13, 300, 90, func(s *Settings) { s.LoadFields = []LoadField{LoadInFlight} })
 	f.load(450, f.now+40)
 	f.run(f.now + 8)
 	var zone, rest []*fleetBackend
@@ -136,7 +136,7 @@
 	usual, spent := count(zone, lost-5, lost), count(zone, lost+2, lost+5)
 	back := f.now
 	for _, b := range zone {
-		b.cut, b.Born = false, back
+		b.cut, b.StartedAt = false, back
 		b.free = []float64{back, back}
 	}
 	for i := range f.gateways {
@@ -145,7 +145,7 @@
 			for _, b := range zone {
 				list = append(list, b.Backend)
 			}
-			f.handle(i, Backends{Kind: Delta, Entries: list})
+			f.handle(i, Backends{Kind: DeltaList, Entries: list})
 		})
 	}
 	f.run(back + 24)
--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -69,8 +69,8 @@
 func newFleet(seed uint64, gateways, backends int, change func(*Settings)) *fleet {
 	f := &fleet{now: 1000, rng: rand.New(rand.NewPCG(seed, 1)), set: testSettings(), totals: map[uint64]float64{},
 		backends: map[BackendID]*fleetBackend{}, inSecond: map[int]int{}, jobs: map[RequestID]*fleetJob{}}
-	f.set.Fleet, f.set.ColdFrom, f.set.ColdFor = gateways, 0.15, 17
-	f.set.Classes = []Class{{Aim: 1.8, Deadline: 4.4, Worth: 1}}
+	f.set.FleetSize, f.set.ColdMinCapacity, f.set.WarmUpTime = gateways, 0.15, 17
+	f.set.Classes = []Class{{LatencyObjective: 1.8, Timeout: 4.4, Value: 1}}
 	f.set.Plans = []Plan{{Price: 1}}
 	if change != nil {
 		change(&f.set)
@@ -122,18 +122,18 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case SetTimer:
-			f.at(f.now+a.In, same(func() { f.handle(i, Timer{Token: a.Token}) }))
-		case Count:
+			f.at(f.now+a.Delay, same(func() { f.handle(i, TimerFired{Token: a.Token}) }))
+		case CounterAdd:
 			f.calls++
-			out, total, after := Full, 0.0, 0.02
+			out, total, after := Overloaded, 0.0, 0.02
 			if s := int(f.now); f.away {
 				out, after = TimedOut, 0.05
 			} else if f.perS == 0 || f.inSecond[s] < f.perS {
 				f.inSecond[s]++
-				f.totals[a.Name] += a.Amount
-				out, total = Served, f.totals[a.Name]
+				f.totals[a.Key] += a.Amount
+				out, total = Served, f.totals[a.Key]
 			}
-			f.at(f.now+after, same(func() { f.handle(i, CounterReply{Name: a.Name, Outcome: out, Total: total}) }))
+			f.at(f.now+after, same(func() { f.handle(i, CounterReply{Key: a.Key, Outcome: out, Total: total}) }))
 		case Send:
 			j := f.jobs[a.Request]
 			n := j.sends
@@ -156,11 +156,11 @@
 					j.served = true
 				}
 				f.handle(i, AttemptEnd{Request: a.Request, Attempt: n, Backend: a.Backend, Outcome: o,
-					Done: o == Served, LoadData: f.reports(f.backends[a.Backend])})
+					RequestDone: o == Served, LoadData: f.reports(f.backends[a.Backend])})
 			}))
 		case Refuse:
 			j := f.jobs[a.Request]
-			j.refused, j.why = true, a.Why
+			j.refused, j.why = true, a.Reason
 		}
 	}
 }
@@ -198,11 +198,11 @@
 
 // capacity is the share of a warm backend's that s has now.
 func (f *fleet) capacity(s *fleetBackend) float64 {
-	age := f.now - s.Born
-	if s.Born == 0 || age >= f.set.ColdFor {
+	age := f.now - s.StartedAt
+	if s.StartedAt == 0 || age >= f.set.WarmUpTime {
 		return 1
 	}
-	return f.set.ColdFrom + (1-f.set.ColdFrom)*age/f.set.ColdFor
+	return f.set.ColdMinCapacity + (1-f.set.ColdMinCapacity)*age/f.set.WarmUpTime
 }
 
 // ask has a customer's request come to a gateway of the first many.
@@ -210,7 +210,7 @@
 	f.lastID++
 	j := &fleetJob{gateway: i, customer: who, born: f.now}
 	f.jobs[f.lastID] = j
-	f.handle(i, Request{ID: f.lastID, Customer: who, Units: 1, Gateways: many, Deadline: f.now + f.set.Classes[0].Deadline})
+	f.handle(i, Request{ID: f.lastID, Customer: who, Units: 1, Gateways: many, Deadline: f.now + f.set.Classes[0].Timeout})
 	return j
 }
 
@@ -242,10 +242,10 @@
 		f.load(320, f.now+40)
 		f.run(f.now + 10)
 		born := f.now
-		cold := f.backend(Backend{ID: 77, State: Ready, Born: born, Weight: 1})
+		cold := f.backend(Backend{ID: 77, State: Ready, StartedAt: born, Weight: 1})
 		for i := range f.gateways {
 			f.at(born+0.3*f.rng.Float64(), func() {
-				f.handle(i, Backends{Kind: Delta, Entries: []Backend{cold.Backend}})
+				f.handle(i, Backends{Kind: DeltaList, Entries: []Backend{cold.Backend}})
 			})
 		}
 		f.run(born + 17)
@@ -278,7 +278,7 @@
 // backend reports must keep it away from a full one, and fade.
 func TestManyGatewaysGoByWhatBackendsReport(t *testing.T) {
 	set := testSettings()
-	set.Fleet, set.Plans, set.LoadFields = 80, []Plan{{Price: 1}, {Price: 1}}, []LoadField{LoadHeld, LoadWaiting}
+	set.FleetSize, set.Plans, set.LoadFields = 80, []Plan{{Price: 1}, {Price: 1}}, []LoadField{LoadInFlight, LoadQueued}
 	d := start(t, set, some(2)...)
 	d.g.bound = 100
 	to := func() BackendID {
@@ -286,7 +286,7 @@
 		return one[Send](t, d.last).Backend
 	}
 	end := func(b BackendID, load ...float64) {
-		d.handle(AttemptEnd{Request: d.nextID, Backend: b, Done: true, LoadData: load})
+		d.handle(AttemptEnd{Request: d.nextID, Backend: b, RequestDone: true, LoadData: load})
 	}
 	full := to()
 	end(full, 12, 8)
@@ -320,7 +320,7 @@
 // seconds. Were a backend avoided for it, some would stand idle while others are full.
 func TestOneSlowAnswerEmptiesNoBackend(t *testing.T) {
 	for seed := range uint64(3) {
-		f := newFleet(seed, 80, 60, func(s *Settings) { s.LoadFields = []LoadField{LoadHeld} })
+		f := newFleet(seed, 80, 60, func(s *Settings) { s.LoadFields = []LoadField{LoadInFlight} })
 		f.load(320, f.now+20)
 		f.run(f.now + 10)
 		sum, squares := 0.0, 0.0
@@ -346,10 +346,10 @@
 	}
 	d.nextID++
 	out := d.handle(Request{ID: d.nextID, Class: 0, Plan: 1, Customer: 99, Units: 1, Gateways: 2, Deadline: d.now + 2})
-	if n := len(find[Count](out)); n > 0 {
+	if n := len(find[CounterAdd](out)); n > 0 {
 		t.Errorf("%d calls for a request that has no place", n)
 	}
-	if r := one[Refuse](t, out); r.Request != d.nextID || r.Why != NoPlace || r.RetryAfter != d.g.set.MaxAdvice {
+	if r := one[Refuse](t, out); r.Request != d.nextID || r.Reason != NoCapacity || r.RetryAfter != d.g.set.MaxRetryAfter {
 		t.Errorf("refused %+v", r)
 	}
 }
@@ -393,7 +393,7 @@
 		near := map[BackendID]int{}
 		for rank := range c.fleet {
 			set := testSettings()
-			set.Fleet, set.Rank = c.fleet, rank
+			set.FleetSize, set.Rank = c.fleet, rank
 			d := start(t, set, some(c.backends)...)
 			for _, s := range d.g.list {
 				if !s.far {
@@ -416,20 +416,20 @@
 		{80, 3, 1}, {1, 0, 60}, {1, -1, 1},
 	} {
 		s := testSettings()
-		s.Fleet, s.Rank = set.fleet, set.rank
+		s.FleetSize, s.Rank = set.fleet, set.rank
 		d := start(t, s, some(set.backends)...)
-		cold := Backend{ID: 900, State: Ready, Born: d.now}
+		cold := Backend{ID: 900, State: Ready, StartedAt: d.now}
 		// It comes, goes and comes again within one message.
 		gone := cold
-		gone.State = Gone
-		d.handle(Backends{Kind: Delta, Entries: []Backend{cold, gone, cold}})
+		gone.State = Removed
+		d.handle(Backends{Kind: DeltaList, Entries: []Backend{cold, gone, cold}})
 		d.g.bound = 100
 		sent := 0
 		for i := range 40 {
 			d.now += 0.1
 			d.ask(0, 1, CustomerID(i))
 			sent += len(find[Send](d.last))
-			d.handle(Timer{Token: timerHouse << 56})
+			d.handle(TimerFired{Token: timerHouse << 56})
 			for _, b := range d.g.list {
 				if math.IsNaN(b.budget) || b.budget > coldSave || math.IsNaN(d.g.bound) || math.IsInf(d.g.bound, 0) {
 					t.Fatalf("%+v: budget %v, bound %v", set, b.budget, d.g.bound)
@@ -447,7 +447,7 @@
 // each gateway, and those within it must be served.
 func TestQuotaOfManyGatewaysUnderACrowdedCounter(t *testing.T) {
 	f := newFleet(3, 80, 60, func(s *Settings) {
-		s.Plans = []Plan{{Price: 1, Rate: 0.6, Burst: 3, OverCost: 1.2}}
+		s.Plans = []Plan{{Price: 1, Rate: 0.6, Burst: 3, OverQuotaCostShare: 1.2}}
 	})
 	f.perS = 110
 	const calm, heavy, through = 240, 24, 60
--- a/rules/hand_test.go
+++ b/rules/hand_test.go
@@ -6,7 +6,7 @@
 // of it meanwhile, and then counts as cold although the list has not told of a new start.
 func TestDetachedBackendGetsNothingUntilAttach(t *testing.T) {
 	set := testSettings()
-	set.Counter = false
+	set.HasCounter = false
 	set.Plans[1].Rate = 0
 	d := start(t, set, ready(1), ready(2))
 	d.handle(Detach{Backend: 1})
@@ -19,13 +19,13 @@
 			id := d.ask(0, 1, 9)
 			for _, s := range find[Send](d.last) {
 				to[s.Backend]++
-				d.handle(AttemptEnd{Request: id, Backend: s.Backend, Outcome: Served, Done: true})
+				d.handle(AttemptEnd{Request: id, Backend: s.Backend, Outcome: Served, RequestDone: true})
 			}
 		}
 		return to
 	}
-	for _, list := range []Backends{{Kind: Delta}, {Kind: Delta, Entries: []Backend{{ID: 1, State: Gone}}},
-		{Kind: Delta, Entries: []Backend{{ID: 1, State: Ready, Born: d.now + 1}}},
+	for _, list := range []Backends{{Kind: DeltaList}, {Kind: DeltaList, Entries: []Backend{{ID: 1, State: Removed}}},
+		{Kind: DeltaList, Entries: []Backend{{ID: 1, State: Ready, StartedAt: d.now + 1}}},
 		{Kind: FullList, Entries: []Backend{ready(1), ready(2), ready(3)}}} {
 		d.handle(list)
 		if to := sends(50); to[1] != 0 || to[3] != 0 || to[2] != 50 {
@@ -42,7 +42,7 @@
 	if to[3] != 0 {
 		t.Errorf("the other call out has ended too: %v", to)
 	}
-	d.now += set.ColdFor
+	d.now += set.WarmUpTime
 	sends(100)
 	if to := sends(100); to[1] < 30 {
 		t.Errorf("warm again: sent %v", to)
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -2,7 +2,6 @@
 
 // The decisions of one gateway. The interface it is driven through (settings, events, actions) is in
 // rules/types.go; rules/state.go declares what is kept between events, and decides nothing.
-//
 // A request passes these steps: its customer's lease pays for it (admit), it waits in the queue of its
 // level (enqueue), the bound lets it go (dispatch), a backend is picked (pick), and one function sends
 // (send) and one answers (giveBack), which hold the rules that no other step may bypass.
@@ -103,14 +102,14 @@
 	g := &Gateway{set: set, now: now, out: out, born: now, lastHouse: now, lastCut: now, retries: retryMost}
 	for _, c := range set.Classes {
 		for _, p := range set.Plans {
-			g.worths = append(g.worths, c.Worth*p.Price)
+			g.worths = append(g.worths, c.Value*p.Price)
 		}
 	}
 	g.worths = append(g.worths, 0) // level 0: beyond the quota
 	slices.Sort(g.worths)
 	g.worths = slices.Compact(g.worths)
 	g.makeRoom(seed)
-	if set.AskDiscovery {
+	if set.SubscribeDiscovery {
 		g.do(Subscribe{})
 	}
 	g.timer(houseGap, timerHouse, 0, 0)
@@ -128,19 +127,19 @@
 		g.request(e)
 	case AttemptEnd:
 		g.attemptEnd(e)
-	case Established:
+	case ResponseStarted:
 		g.begun(e)
-	case BodyWhole:
+	case BodyComplete:
 		g.bodyWhole(e)
-	case ClientGone:
+	case ClientDisconnected:
 		if j := g.live(e.Request); j != nil {
 			g.close(j)
 		}
-	case Timer:
+	case TimerFired:
 		g.due(e.Token)
 	case CounterReply:
 		g.counted(e)
-	case CounterLate:
+	case LateCounterReply:
 		g.countedLate(e)
 	case Backends:
 		g.backends(e)
@@ -148,14 +147,14 @@
 		g.check(*e)
 	case Peek:
 		g.peek(e)
-	case Give:
+	case Refund:
 		g.give(e)
 	case Detach:
 		g.detached[e.Backend] = true
 		g.gather()
 	case Attach:
 		g.attach(e.Backend)
-	case Fleet:
+	case FleetUpdate:
 		g.divide = e
 	}
 	g.dispatch()
@@ -165,11 +164,11 @@
 // request takes in a try. Two timers see to it that it is answered in time.
 func (g *Gateway) request(r Request) {
 	c, p := &g.set.Classes[r.Class], &g.set.Plans[r.Plan]
-	if r.Sent == 0 {
-		r.Sent = g.now
+	if r.SentAt == 0 {
+		r.SentAt = g.now
 	}
 	j := &job{Request: r, class: c, coming: r.Streamed}
-	j.level, _ = slices.BinarySearch(g.worths, c.Worth*p.Price)
+	j.level, _ = slices.BinarySearch(g.worths, c.Value*p.Price)
 	j.giveUp = g.lastUse(j)
 	g.jobs[r.ID] = j
 	g.arrived[j.level]++
@@ -203,8 +202,8 @@
 // lastUse is when an answer earns nothing any more.
 func (g *Gateway) lastUse(j *job) float64 {
 	at := j.Deadline - 2*g.set.Tick
-	if j.class.LateWorth == 0 && j.class.AimStretch == 0 {
-		at = min(at, j.Sent+j.class.Aim-g.elapsed(j.Request, j.class))
+	if j.class.LateValueShare == 0 && j.class.ObjectiveWorkFactor == 0 {
+		at = min(at, j.SentAt+j.class.LatencyObjective-g.elapsed(j.Request, j.class))
 	}
 	return at
 }
@@ -214,7 +213,7 @@
 // Danger: a repeat whose aim has passed earns nothing, yet takes units, a call and a backend's time from
 // requests that may still earn; a fresh try must not be taken for one, so an unknown patience says nothing.
 func (g *Gateway) elapsed(r Request, c *Class) float64 {
-	left, usual := r.Deadline-r.Sent, &g.patience[r.Class*len(g.set.Plans)+r.Plan]
+	left, usual := r.Deadline-r.SentAt, &g.patience[r.Class*len(g.set.Plans)+r.Plan]
 	same := func(x float64) bool { return math.Abs(left-x) < 2*g.set.Tick }
 	if same(usual.last) {
 		usual.known = left
@@ -223,7 +222,7 @@
 	if usual.known == 0 || same(usual.known) {
 		return 0
 	}
-	return max(c.Deadline-left, 0)
+	return max(c.Timeout-left, 0)
 }
 
 // due handles a timer.
@@ -318,7 +317,7 @@
 		}
 		rest := s.trialAt
 		if s.ejected() {
-			if sick++; j.class.Effect != Repeatable {
+			if sick++; j.class.Idempotency != Idempotent {
 				rest += trialMost
 			}
 		} else if well == nil || s.cost < well.cost {
@@ -379,21 +378,21 @@
 
 // inGroup tells whether s would drop a repeat of j, if j may have run.
 func (j *job) inGroup(s *server) bool {
-	if !j.mayRun || j.class.Effect == Repeatable {
+	if !j.mayRun || j.class.Idempotency == Idempotent {
 		return true
 	}
 	scope := j.class.Scope
-	return j.class.Effect == ByKey && (scope == ScopeAll || scope == ScopeZone && s.Zone == j.mayOn.Zone ||
-		scope == ScopeCell && s.Cell == j.mayOn.Cell)
+	return j.class.Idempotency == IdempotentByKey && (scope == ScopeAll ||
+		scope == ScopeZone && s.Zone == j.mayOn.Zone || scope == ScopeCell && s.Cell == j.mayOn.Cell)
 }
 
-// send starts an attempt; nothing else does. It holds the rules on effects, on attempts out at once and on
-// drains, whoever asks.
+// send starts an attempt. Only it enforces the rules on idempotency, on concurrent attempts and on drains.
 func (g *Gateway) send(j *job, s *server) bool {
 	tries := len(j.attempts)
-	stale := j.mayRun && j.class.Effect == ByKey && g.now > j.mayAt+j.class.DedupeWindow-2*g.set.Tick
+	stale := j.mayRun && j.class.Idempotency == IdempotentByKey &&
+		g.now > j.mayAt+j.class.DedupeWindow-2*g.set.Tick
 	if j.done || j.streams || !j.paid || !g.usable(s) || !j.inGroup(s) || stale ||
-		tries >= max(g.set.MaxAttempts, 1) || j.out > 0 && !g.set.CanCopy {
+		tries >= max(g.set.MaxAttempts, 1) || j.out > 0 && !g.set.CanHedge {
 		return false
 	}
 	if tries == 0 {
@@ -418,7 +417,7 @@
 	} else if !s.far {
 		g.warmSent++
 	}
-	g.do(Send{Request: j.ID, Backend: s.ID, Timeout: max(j.giveUp-g.now, g.set.Tick), Paid: j.paidAt})
+	g.do(Send{Request: j.ID, Backend: s.ID, Timeout: max(j.giveUp-g.now, g.set.Tick), AdmittedAt: j.paidAt})
 	if g.latency > 0 && !j.coming {
 		g.timer(g.lateAfter(), timerLate, tries, j.ID)
 	}
@@ -426,13 +425,13 @@
 }
 
 // bodyWhole starts a request's time over where its body has gone on whole.
-func (g *Gateway) bodyWhole(e BodyWhole) {
+func (g *Gateway) bodyWhole(e BodyComplete) {
 	j := g.live(e.Request)
 	if j == nil || !j.coming || j.out == 0 {
 		return
 	}
 	n := len(j.attempts) - 1
-	j.coming, j.Sent, j.Deadline = false, g.now, e.Deadline
+	j.coming, j.SentAt, j.Deadline = false, g.now, e.Deadline
 	j.giveUp = g.lastUse(j)
 	j.attempts[n].sent, j.mayAt = g.now, g.now
 	g.work(&j.attempts[n], j.level)
@@ -444,7 +443,7 @@
 
 // begun takes the first byte of a long answer for the answer: what follows may take as long as its client
 // likes, and says nothing of the backend. Where the class itself is streamed the backend works on to the end.
-func (g *Gateway) begun(e Established) {
+func (g *Gateway) begun(e ResponseStarted) {
 	j := g.live(e.Request)
 	if j == nil || e.Attempt >= len(j.attempts) {
 		return
@@ -482,7 +481,7 @@
 		// make room for one more at a full backend. It stays the longer the more in a row the backend has
 		// let pass.
 		a.on.missed++
-		stay := min(g.latency*float64(a.on.missed), j.class.Deadline)
+		stay := min(g.latency*float64(a.on.missed), j.class.Timeout)
 		a.on.ghosts = append(a.on.ghosts, ghost{a.sent, g.now + stay, j.level})
 		a.counted = false // the ghost is
 	default:
@@ -494,12 +493,12 @@
 	if j.out == 0 && e.Attempt == len(j.attempts)-1 && a.sent == j.mayAt && NeverRan(e.Outcome) {
 		j.mayRun = false // proved: no attempt has run
 	}
-	if e.Outcome == Served && g.set.UnitsSettled && e.Units > 0 {
-		c.units -= e.Units - j.Units // the guess is put right
+	if e.Outcome == Served && g.set.EstimatedUnits && e.ActualUnits > 0 {
+		c.units -= e.ActualUnits - j.Units // the guess is put right
 	}
 	switch {
 	case j.done:
-	case e.Done || e.Outcome == Served:
+	case e.RequestDone || e.Outcome == Served:
 		g.close(j)
 	case j.out > 0: // another attempt may still answer
 	case !g.again(j):
@@ -524,8 +523,7 @@
 	return true
 }
 
-// late deals with an attempt that takes longer than nearly all do: silence counts against the backend, and
-// where allowed a second copy goes elsewhere.
+// late handles a slow attempt: silence counts against the backend, and a hedged attempt may be sent.
 func (g *Gateway) late(j *job, n int) {
 	a := &j.attempts[n]
 	if a.on.lastOK < a.sent {
@@ -534,26 +532,26 @@
 	if j.done || j.streams || len(j.attempts) != n+1 || g.full(0) {
 		return
 	}
-	if g.set.CanCopy && j.customer.terms.places == 0 {
+	if g.set.CanHedge && j.customer.terms.places == 0 {
 		g.again(j)
 	}
 }
 
-// giveBack ends a request without an answer of a backend: refused where that is true to the rules, else
-// failed.
+// giveBack ends a request without a backend's answer: it is refused if a retry is harmless, else failed.
 func (g *Gateway) giveBack(j *job) {
 	if j.check {
 		g.part(j)
 		return
 	}
-	if j.class.Effect == Repeatable || !j.mayRun || j.class.Effect == ByKey && j.class.Scope == ScopeAll {
+	if j.class.Idempotency == Idempotent || !j.mayRun ||
+		j.class.Idempotency == IdempotentByKey && j.class.Scope == ScopeAll {
 		advice := 0.0
-		if g.set.CanAdvise && (j.paid || j.noPlace) {
-			advice = g.set.MaxAdvice
-		} else if g.set.CanAdvise {
-			advice = min(g.set.MaxAdvice, max(j.customer.dryUntil-g.now, 0))
+		if g.set.CanSendRetryAfter && (j.paid || j.noPlace) {
+			advice = g.set.MaxRetryAfter
+		} else if g.set.CanSendRetryAfter {
+			advice = min(g.set.MaxRetryAfter, max(j.customer.dryUntil-g.now, 0))
 		}
-		g.do(Refuse{Request: j.ID, RetryAfter: advice, Why: j.lacked(), Paid: j.paidAt})
+		g.do(Refuse{Request: j.ID, RetryAfter: advice, Reason: j.lacked(), AdmittedAt: j.paidAt})
 	} else {
 		g.do(Fail{Request: j.ID})
 	}
@@ -596,10 +594,10 @@
 		}
 		g.spread += 0.02 * (math.Abs(took-g.latency) - g.spread)
 		g.latency += 0.02 * (took - g.latency)
-		g.press(took / j.class.Aim)
-	case Errored, Broken, ConnectFailed:
+		g.press(took / j.class.LatencyObjective)
+	case Errored, ConnectionLost, ConnectFailed:
 		g.blame(s)
-	case Full:
+	case Overloaded:
 		g.blame(s)
 		g.press(1)
 	case TimedOut, Cancelled:
@@ -654,20 +652,21 @@
 func (g *Gateway) boundLeast() float64 { return boundFloor * g.perGateway() }
 
 // perGateway is how many backends there are for each gateway.
-func (g *Gateway) perGateway() float64 { return float64(len(g.list)) / float64(max(g.set.Fleet, 1)) }
+func (g *Gateway) perGateway() float64 {
+	return float64(len(g.list)) / float64(max(g.set.FleetSize, 1))
+}
 
 // warmth is the least share of its capacity that a backend can be trusted with.
 func (g *Gateway) warmth(s *server) float64 {
-	if s.Born == 0 || g.set.ColdFor <= 0 || g.now-s.Born >= g.set.ColdFor {
+	if s.StartedAt == 0 || g.set.WarmUpTime <= 0 || g.now-s.StartedAt >= g.set.WarmUpTime {
 		return 1
 	}
-	age := max(g.now-s.Born, 0) / g.set.ColdFor
-	return g.set.ColdFrom + (1-g.set.ColdFrom)*age
+	age := max(g.now-s.StartedAt, 0) / g.set.WarmUpTime
+	return g.set.ColdMinCapacity + (1-g.set.ColdMinCapacity)*age
 }
 
-// coldRoom keeps a cold backend from being pushed over with no agreement among gateways: each sends it at
-// most its warmth times what it sends a warm one, in any short window, so the sum stays within what warm
-// ones bear.
+// coldRoom keeps a cold backend from overload without coordination among gateways: each sends it at most its
+// warmth times the rate of a warm one in any short window, so the sum stays within what warm ones bear.
 func (g *Gateway) coldRoom(s *server) bool {
 	w := g.warmth(s)
 	if w >= 1 {
@@ -685,7 +684,7 @@
 
 // wide tells whether there are more gateways than a backend bears attempts of: then a gateway meets most
 // backends seldom, and what it has in flight at one says next to nothing.
-func (g *Gateway) wide() bool { return float64(g.set.Fleet) > boundStart }
+func (g *Gateway) wide() bool { return float64(g.set.FleetSize) > boundStart }
 
 // gather tells near backends from far ones. Danger: were every gateway to use every backend, each would keep
 // connections to all, which take from what backends can do until their tables are full, pay a handshake for
@@ -700,8 +699,8 @@
 	}
 	slices.SortFunc(order, func(a, b *server) int { return cmp.Compare(hash(uint64(a.ID)), hash(uint64(b.ID))) })
 	n := float64(len(order))
-	share := max(n*nearGateways/float64(g.set.Fleet), nearLeast)
-	begin := math.Floor(n * float64(g.set.Rank) / float64(g.set.Fleet))
+	share := max(n*nearGateways/float64(g.set.FleetSize), nearLeast)
+	begin := math.Floor(n * float64(g.set.Rank) / float64(g.set.FleetSize))
 	for i, s := range order {
 		s.far = math.Mod(float64(i)-begin+n, n) >= share
 	}
@@ -724,18 +723,18 @@
 		g.timer(askRest, timerAsk, 0, 0) // at once, all gateways would keep discovery down
 		return
 	}
-	if e.Kind != Delta {
+	if e.Kind != DeltaList {
 		for _, s := range g.list {
-			s.State = Gone
+			s.State = Removed
 		}
 	}
 	for _, b := range e.Entries {
 		s := g.serverOf(b)
-		if b.Born > s.Born {
+		if b.StartedAt > s.StartedAt {
 			s.latency, s.fail = 0, 0 // a new process
 			s.budget, s.budgetedAt = g.turn(b.ID), g.now
 		} else {
-			b.Born = s.Born
+			b.StartedAt = s.StartedAt
 		}
 		s.Backend = b
 	}
@@ -750,7 +749,7 @@
 // While others are idle a cold one is dear, and might get nothing for long: it has a trial at once.
 func (g *Gateway) attach(id BackendID) {
 	if s := g.servers[id]; s != nil && g.detached[id] {
-		s.Born, s.latency, s.fail, s.missed = max(s.Born, g.now), 0, 0, 0
+		s.StartedAt, s.latency, s.fail, s.missed = max(s.StartedAt, g.now), 0, 0, 0
 		s.back, s.trialAt, s.trialGap = true, g.now, trialFirst/2
 	}
 	delete(g.detached, id)
@@ -807,15 +806,13 @@
 }
 
 // terms works out what a plan comes to for a customer of so many gateways.
-//
 // With few gateways each sees the totals often enough to keep an exact store: a long window whose allowance
 // grows with time. Else each window is short and stands for itself.
-//
 // Under a ceiling, leases and local shares together never pass it. An exact store spends in any time L
 // allowance*(1+leaseShare) + rate*L at most, and twice the first allowance if the counter comes back empty;
 // short windows allowance*(2+leaseShare) + rate*L. The shares have the rest of burst and rate.
 func (g *Gateway) terms(p *Plan, gateways, index int) terms {
-	n, parts := float64(max(gateways, 1)+g.set.Fronts), g.parts(gateways)
+	n, parts := float64(max(gateways, 1)+g.set.CheckFrontends), g.parts(gateways)
 	t := terms{rate: p.Rate, allowance: p.Burst, first: p.Burst / n, exact: n <= exactMost,
 		localRate: p.Rate / parts, localBurst: max(p.Burst/parts, 1), ceiling: p.CeilingRate > 0,
 		places: p.MaxConcurrent,
@@ -886,9 +883,9 @@
 					g.giveBack(j)
 				}
 				continue
-			case !g.set.Counter || g.now < c.restTill:
+			case !g.set.HasCounter || g.now < c.restTill:
 				if !c.takeLocal(g.now, j.Units, j.share()) {
-					if g.set.Counter && c.terms.exact && c.restTill+g.latency < j.giveUp {
+					if g.set.HasCounter && c.terms.exact && c.restTill+g.latency < j.giveUp {
 						return // held: a crowded counter may have room in a moment
 					}
 					if !g.later(j, c.restTill) {
@@ -930,7 +927,7 @@
 	switch {
 	case c.open < c.slots:
 		return true
-	case !g.set.Counter || g.now < c.restTill:
+	case !g.set.HasCounter || g.now < c.restTill:
 		return c.open < c.terms.share
 	case c.open >= c.terms.places: // others need not be asked
 	case c.askingPlace == 0 && g.now >= c.slotAfter && math.Mod(g.now, slotWindowLen) > 2*houseGap &&
@@ -1010,7 +1007,7 @@
 // takes it back, and what it wrote off, which the next call writes off again. Under a ceiling that stays: the
 // first call of a window must not find less there than it told.
 func (g *Gateway) counted(e CounterReply) {
-	k, ok := g.called(e.Name)
+	k, ok := g.called(e.Key)
 	if !ok {
 		return
 	}
@@ -1018,14 +1015,14 @@
 	gain := min(max((g.now-g.crowdAt)/crowdSpan, crowdGain), 1)
 	g.crowdAt = g.now
 	g.crowd -= gain * g.crowd
-	if (e.Outcome == TimedOut || e.Outcome == Broken) && !k.slot && k.window == c.window {
+	if (e.Outcome == TimedOut || e.Outcome == ConnectionLost) && !k.slot && k.window == c.window {
 		c.doubt += k.units + math.Abs(k.fill)
 		if e.Outcome == TimedOut {
 			g.lost = append(g.lost[max(len(g.lost)+1-lostMost, 0):], k)
 		}
 	}
 	switch {
-	case e.Outcome == Errored || e.Outcome == Broken:
+	case e.Outcome == Errored || e.Outcome == ConnectionLost:
 		// Danger: a spoilt answer or connection says nothing of a crowd. Were it taken for one, calls would be
 		// left out that the counter bears, and customers refused inside their quotas.
 		if e.Outcome == Errored && k.slot && k.units > 0 {
@@ -1061,15 +1058,15 @@
 // adds all the same, and what it added and nobody uses is missing at all gateways. So a late total grants
 // as one in time would, and ends the rest. It stands for a counter slow for all, and where silence was a
 // network's; a total too old for its window is of no use.
-func (g *Gateway) countedLate(e CounterLate) {
-	at := slices.IndexFunc(g.lost, func(k call) bool { return k.id == e.Call })
+func (g *Gateway) countedLate(e LateCounterReply) {
+	at := slices.IndexFunc(g.lost, func(k call) bool { return k.id == e.CallID })
 	if at < 0 {
 		return
 	}
 	k := g.lost[at]
 	c := k.customer
 	g.lost = slices.Delete(g.lost, at, at+1)
-	if k.window != c.window || e.Outcome == TimedOut || e.Outcome == Broken {
+	if k.window != c.window || e.Outcome == TimedOut || e.Outcome == ConnectionLost {
 		return
 	}
 	c.doubt = max(c.doubt-k.units-math.Abs(k.fill), 0)
@@ -1139,4 +1136,4 @@
 }
 
 // NeverRan tells which outcomes prove that an attempt had no effect.
-func NeverRan(o Outcome) bool { return o == Full || o == ConnectFailed || o == Moot }
+func NeverRan(o Outcome) bool { return o == Overloaded || o == ConnectFailed || o == NotSent }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -21,12 +21,12 @@
 
 func testSettings() Settings {
 	return Settings{
-		Classes: []Class{{Aim: 0.8, Deadline: 2, Worth: 1},
-			{Aim: 1, Deadline: 3, Worth: 3, Effect: ByKey, Scope: ScopeCell, DedupeWindow: 2}},
-		Plans: []Plan{{Price: 0.5, Rate: 2, Burst: 4, OverCost: 1}, {Price: 1.5, Rate: 20, Burst: 40, OverCost: 1}},
-		Fleet: 2, Tick: 0.002, Counter: true, CounterTimeout: 0.05,
-		CanCancel: true, CanCopy: true, CanAdvise: true, MaxAdvice: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
-		DrainGrace: 1, ColdFrom: 0.2, ColdFor: 10, FallMultiple: 2, FallFor: 2,
+		Classes: []Class{{LatencyObjective: 0.8, Timeout: 2, Value: 1},
+			{LatencyObjective: 1, Timeout: 3, Value: 3, Idempotency: IdempotentByKey, Scope: ScopeCell, DedupeWindow: 2}},
+		Plans:     []Plan{{Price: 0.5, Rate: 2, Burst: 4, OverQuotaCostShare: 1}, {Price: 1.5, Rate: 20, Burst: 40, OverQuotaCostShare: 1}},
+		FleetSize: 2, Tick: 0.002, HasCounter: true, CounterTimeout: 0.05,
+		CanCancel: true, CanHedge: true, CanSendRetryAfter: true, MaxRetryAfter: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
+		DrainGrace: 1, ColdMinCapacity: 0.2, WarmUpTime: 10, OverloadFactor: 2, OverloadTime: 2,
 	}
 }
 
@@ -55,7 +55,7 @@
 // kept copies answers of checks, which are good until the next event alone.
 func kept(out []Action) []Action {
 	for i, a := range out {
-		if c, is := a.(*Checked); is {
+		if c, is := a.(*CheckResult); is {
 			same := *c
 			out[i] = &same
 		}
@@ -68,14 +68,14 @@
 	d.nextID++
 	set := d.g.set
 	out := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: who, Units: 1, Gateways: 2,
-		Deadline: d.now + set.Classes[class].Deadline})
+		Deadline: d.now + set.Classes[class].Timeout})
 	d.last = append(out, d.grantAll(out)...)
 	return d.nextID
 }
 
 func (d *drive) grantAll(actions []Action) (all []Action) {
-	for _, c := range find[Count](actions) {
-		all = append(all, d.g.Handle(d.now, CounterReply{Name: c.Name, Total: c.Amount}, nil)...)
+	for _, c := range find[CounterAdd](actions) {
+		all = append(all, d.g.Handle(d.now, CounterReply{Key: c.Key, Total: c.Amount}, nil)...)
 	}
 	return all
 }
@@ -127,12 +127,12 @@
 		t.Fatalf("sent %d with no backend", n)
 	}
 	d.now += 0.8
-	out := d.handle(Timer{Token: timerEnd<<56 | uint64(id)})
+	out := d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)})
 	if r := one[Refuse](t, out); r.Request != id {
 		t.Errorf("refused %d, want %d", r.Request, id)
 	}
 	d.now += 1
-	if out := d.handle(Timer{Token: timerEnd<<56 | uint64(id)}); len(find[Refuse](out))+len(find[Fail](out)) > 0 {
+	if out := d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)}); len(find[Refuse](out))+len(find[Fail](out)) > 0 {
 		t.Error("answered twice")
 	}
 }
@@ -142,13 +142,13 @@
 	id := d.ask(1, 1, 1)
 	first := one[Send](t, d.last)
 	d.now += 0.05
-	out := d.handle(AttemptEnd{Request: id, Backend: first.Backend, Outcome: Errored, Took: 0.05})
+	out := d.handle(AttemptEnd{Request: id, Backend: first.Backend, Outcome: Errored, Duration: 0.05})
 	second := one[Send](t, out)
 	if first.Backend/2 != second.Backend/2 {
 		t.Errorf("repeat went from backend %d to %d, another cell", first.Backend, second.Backend)
 	}
 	d.now += 0.9
-	out = d.handle(Timer{Token: timerEnd<<56 | uint64(id)})
+	out = d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)})
 	if len(find[Refuse](out)) > 0 {
 		t.Error("refused a keyed request that may have run")
 	}
@@ -157,15 +157,15 @@
 
 func TestOnceIsRepeatedOnlyAfterProof(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Effect = Once
+	set.Classes[0].Idempotency = AtMostOnce
 	for _, c := range []struct {
 		how  Outcome
 		more bool
-	}{{Full, true}, {ConnectFailed, true}, {Errored, false}, {Broken, false}, {TimedOut, false}} {
+	}{{Overloaded, true}, {ConnectFailed, true}, {Errored, false}, {ConnectionLost, false}, {TimedOut, false}} {
 		d := start(t, set, some(4)...)
 		id := d.ask(0, 1, 1)
 		first := one[Send](t, d.last)
-		out := d.handle(AttemptEnd{Request: id, Backend: first.Backend, Outcome: c.how, Took: 0.01})
+		out := d.handle(AttemptEnd{Request: id, Backend: first.Backend, Outcome: c.how, Duration: 0.01})
 		if got := len(find[Send](out)) == 1; got != c.more {
 			t.Errorf("outcome %v: another attempt %v, want %v", c.how, got, c.more)
 		}
@@ -177,7 +177,7 @@
 
 func TestNothingGoesToADrainingBackend(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	d.handle(Backends{Kind: Delta, Entries: []Backend{{ID: 1, State: Draining}}})
+	d.handle(Backends{Kind: DeltaList, Entries: []Backend{{ID: 1, State: Draining}}})
 	for range 8 {
 		d.ask(0, 1, 1)
 		for _, s := range find[Send](d.last) {
@@ -194,7 +194,7 @@
 }
 
 func TestColdBackendGetsNoBurst(t *testing.T) {
-	cold := Backend{ID: 9, State: Ready, Born: 99.9}
+	cold := Backend{ID: 9, State: Ready, StartedAt: 99.9}
 	d := start(t, testSettings(), append(some(1), cold)...)
 	toCold := 0
 	var out []Send
@@ -208,10 +208,10 @@
 			out = append(out, s)
 		}
 		if len(out) > 3 { // each takes four steps
-			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.04, Done: true})
+			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Duration: 0.04, RequestDone: true})
 			out = out[1:]
 		}
-		d.handle(Timer{Token: timerHouse << 56})
+		d.handle(TimerFired{Token: timerHouse << 56})
 	}
 	// A warm backend had 100 a second for two seconds; the cold one may do 20 to 36 of these.
 	if toCold > 2*2*36 {
@@ -236,7 +236,7 @@
 	if n := len(find[Send](d.last)); n > 0 {
 		t.Fatal("the bound does not hold")
 	}
-	out := d.handle(AttemptEnd{Request: first, Backend: busy.Backend, Took: 0.01, Done: true})
+	out := d.handle(AttemptEnd{Request: first, Backend: busy.Backend, Duration: 0.01, RequestDone: true})
 	if s := one[Send](t, out); s.Request != high {
 		t.Errorf("released %d first, want the higher level %d before %d", s.Request, high, low)
 	}
@@ -262,13 +262,13 @@
 func TestBeyondQuotaIsRefusedUntilTheWindowEnds(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
 	out := d.handle(Request{ID: 1, Units: 1, Gateways: 20, Customer: 5, Deadline: d.now + 2})
-	call := one[Count](t, out)
+	call := one[CounterAdd](t, out)
 	// Others have used the window up.
-	out = d.handle(CounterReply{Name: call.Name, Total: 100})
+	out = d.handle(CounterReply{Key: call.Key, Total: 100})
 	if r := one[Refuse](t, out); r.RetryAfter < 0 || r.RetryAfter > 0.5 {
 		t.Errorf("advice %v, want up to the longest that is heeded", r.RetryAfter)
 	}
-	if n := len(find[Count](out)); n > 0 {
+	if n := len(find[CounterAdd](out)); n > 0 {
 		t.Errorf("%d more calls for a window that is used up", n)
 	}
 	asked := 0
@@ -276,7 +276,7 @@
 		d.now += 0.1
 		d.nextID += 10
 		out = d.handle(Request{ID: d.nextID, Units: 1, Gateways: 20, Customer: 5, Deadline: d.now + 2})
-		if calls := find[Count](out); len(calls) == 1 && calls[0].Name != call.Name {
+		if calls := find[CounterAdd](out); len(calls) == 1 && calls[0].Key != call.Key {
 			asked++
 			break
 		} else if len(calls) > 0 {
@@ -296,7 +296,7 @@
 		out = append(out, d.grantAll(out)...)
 		for _, s := range find[Send](out) {
 			d.now += 0.1
-			d.handle(AttemptEnd{Request: id, Backend: s.Backend, Took: 0.1, Done: true})
+			d.handle(AttemptEnd{Request: id, Backend: s.Backend, Duration: 0.1, RequestDone: true})
 		}
 		return len(find[Send](out))
 	}
@@ -322,12 +322,12 @@
 	sent, refused := 0, 0
 	for i := range 10 {
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[Count](out) {
-			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
+		for _, c := range find[CounterAdd](out) {
+			out = append(out, d.handle(CounterReply{Key: c.Key, Outcome: TimedOut})...)
 		}
 		for _, a := range find[Send](out) {
 			sent++
-			d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})
+			d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Duration: 0.01, RequestDone: true})
 		}
 		refused += len(find[Refuse](out))
 	}
@@ -336,7 +336,7 @@
 	}
 	d.now += 0.79
 	for i := range 10 {
-		refused += len(find[Refuse](d.handle(Timer{Token: timerEnd<<56 | uint64(i+1)})))
+		refused += len(find[Refuse](d.handle(TimerFired{Token: timerEnd<<56 | uint64(i+1)})))
 	}
 	if refused != 8 {
 		t.Errorf("sent %d and refused %d, want burst/gateways = 2 and 8", sent, refused)
@@ -349,26 +349,26 @@
 	d := start(t, set, some(4)...)
 	d.now += 1 // at its start a window hears of the places that are held
 	out := d.handle(Request{ID: 1, Units: 1, Gateways: 2, Customer: 5, Deadline: d.now + 2})
-	call := one[Count](t, out)
+	call := one[CounterAdd](t, out)
 	if len(find[Send](out)) != 0 || call.Amount != 1 {
 		t.Fatalf("want one call for one place first: %v", out)
 	}
-	out = d.handle(CounterReply{Name: call.Name, Total: 3})
-	if back := one[Count](t, out); back.Amount != -1 || len(find[Send](out)) != 0 {
+	out = d.handle(CounterReply{Key: call.Key, Total: 3})
+	if back := one[CounterAdd](t, out); back.Amount != -1 || len(find[Send](out)) != 0 {
 		t.Errorf("a third place of two was kept: %v", out)
 	}
-	d.handle(CounterReply{Name: call.Name, Total: 2})
+	d.handle(CounterReply{Key: call.Key, Total: 2})
 	d.now += 0.05
-	out = d.handle(Timer{Token: timerHouse << 56})
-	call = one[Count](t, out)
-	out = d.handle(CounterReply{Name: call.Name, Total: 2})
+	out = d.handle(TimerFired{Token: timerHouse << 56})
+	call = one[CounterAdd](t, out)
+	out = d.handle(CounterReply{Key: call.Key, Total: 2})
 	one[Send](t, out)
 }
 
 func TestCeilingHoldsWhateverOrderGatewaysAskIn(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		plan := Plan{Price: 1, Rate: 10, Burst: 10, OverCost: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
+		plan := Plan{Price: 1, Rate: 10, Burst: 10, OverQuotaCostShare: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
 		set := testSettings()
 		set.Plans[0] = plan
 		gateways := []int{3, 8}[seed%2] // an exact store, and short windows
@@ -388,7 +388,7 @@
 			if now < 102 || rng.Float64() < 0.2+0.2*math.Sin(now) || math.Mod(now, 19) < 7 {
 				todo = d.handle(Request{ID: id, Units: 1, Gateways: gateways, Customer: 5, Deadline: now + 2})
 			} else if step%9 == 0 {
-				todo = d.handle(Timer{Token: timerHouse << 56})
+				todo = d.handle(TimerFired{Token: timerHouse << 56})
 			}
 			if rng.IntN(8000) == 0 { // killed, with all it knew
 				ds[n] = start(t, set, some(30)...)
@@ -400,17 +400,17 @@
 				switch a := a.(type) {
 				case Send:
 					store--
-					todo = append(todo, d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Took: 0.01, Done: true})...)
-				case Count:
+					todo = append(todo, d.handle(AttemptEnd{Request: a.Request, Backend: a.Backend, Duration: 0.01, RequestDone: true})...)
+				case CounterAdd:
 					how := Served
 					if phase := math.Mod(now, 19); phase < 4 { // silent, then back empty
 						totals, how = map[uint64]float64{}, TimedOut
 					}
-					totals[a.Name] += a.Amount
+					totals[a.Key] += a.Amount
 					if rng.IntN(50) == 0 {
 						how = TimedOut // added, but nobody hears of it
 					}
-					todo = append(todo, d.handle(CounterReply{Name: a.Name, Outcome: how, Total: totals[a.Name]})...)
+					todo = append(todo, d.handle(CounterReply{Key: a.Key, Outcome: how, Total: totals[a.Key]})...)
 				}
 			}
 			if store < -plan.CeilingSlack {
@@ -436,7 +436,7 @@
 				}
 				n := len(d.g.jobs[s.Request].attempts) - 1
 				todo = append(todo, d.handle(AttemptEnd{Request: s.Request, Attempt: n, Backend: s.Backend, Outcome: how,
-					Took: 0.002, Done: how == Served})...)
+					Duration: 0.002, RequestDone: how == Served})...)
 			}
 			todo = todo[1:]
 		}
@@ -455,7 +455,7 @@
 	once.fail, slow.latency, out.fail = failGain, 0.4, 0.9
 	for range int(2 * healthSpan / houseGap) {
 		d.now += houseGap
-		d.handle(Timer{Token: timerHouse << 56})
+		d.handle(TimerFired{Token: timerHouse << 56})
 	}
 	if once.fail > 0.05 || slow.latency > 0.15 || out.fail != 0.9 {
 		t.Errorf("failures %.2f, latency %.2f, failures of the one left out %.2f", once.fail, slow.latency, out.fail)
@@ -471,7 +471,7 @@
 		d.ask(0, 1, CustomerID(i))
 		s := one[Send](t, d.last)
 		d.now += 0.1
-		d.handle(AttemptEnd{Request: s.Request, Backend: 1, Outcome: TimedOut, Took: 0.1})
+		d.handle(AttemptEnd{Request: s.Request, Backend: 1, Outcome: TimedOut, Duration: 0.1})
 	}
 	d.ask(0, 1, 9)
 	if n := len(find[Send](d.last)); n > 0 {
@@ -492,7 +492,7 @@
 				sends++
 				n := len(d.g.jobs[s.Request].attempts) - 1
 				todo = append(todo, d.handle(AttemptEnd{Request: s.Request, Attempt: n, Backend: s.Backend, Outcome: Errored,
-					Took: 0.001})...)
+					Duration: 0.001})...)
 			}
 			todo = todo[1:]
 		}
@@ -509,9 +509,9 @@
 		for i := range 400 {
 			d.now += 0.01
 			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 2, Customer: CustomerID(i), Deadline: d.now + 2})
-			for _, c := range find[Count](out) {
+			for _, c := range find[CounterAdd](out) {
 				n++
-				d.handle(CounterReply{Name: c.Name, Outcome: how, Total: c.Amount})
+				d.handle(CounterReply{Key: c.Key, Outcome: how, Total: c.Amount})
 			}
 		}
 		return n
@@ -526,12 +526,12 @@
 // a grant is taken back with it. Only when all answers are spoilt do calls become rare.
 func TestSpoiltAnswerIsTakenBack(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	second := one[Count](t, d.handle(CounterReply{Name: first.Name, Outcome: Errored}))
+	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
+	second := one[CounterAdd](t, d.handle(CounterReply{Key: first.Key, Outcome: Errored}))
 	total := first.Amount + second.Amount
-	out := d.handle(CounterReply{Name: second.Name, Total: total})
+	out := d.handle(CounterReply{Key: second.Key, Total: total})
 	one[Send](t, out)
-	for _, back := range find[Count](out) {
+	for _, back := range find[CounterAdd](out) {
 		total += back.Amount
 	}
 	window := d.g.roll(d.g.customers[1])
@@ -544,9 +544,9 @@
 	calls := 0
 	for i := range 200 {
 		out := d.handle(Request{ID: RequestID(i + 2), Plan: 1, Customer: 2, Units: 1, Gateways: 2, Deadline: d.now + 2})
-		for n := 0; len(find[Count](out)) > 0; n++ {
-			call := one[Count](t, out)
-			out = d.handle(CounterReply{Name: call.Name, Outcome: Errored})
+		for n := 0; len(find[CounterAdd](out)) > 0; n++ {
+			call := one[CounterAdd](t, out)
+			out = d.handle(CounterReply{Key: call.Key, Outcome: Errored})
 			calls++
 		}
 		d.now += 0.01
@@ -570,7 +570,7 @@
 		d.now += 0.05
 		d.ask(0, 1, 1)
 		for _, s := range find[Send](d.last) {
-			d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Outcome: Served, Took: 0.05})
+			d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Outcome: Served, Duration: 0.05})
 		}
 	}
 	for _, s := range d.g.list {
@@ -583,19 +583,19 @@
 // A call that was turned away is lost to nobody: what it told or took back goes out with a later one.
 func TestTurnedAwayCallIsToldLater(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
+	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	// Another gateway has begun the window: what this one wrote off is there twice and is taken back.
-	back := one[Count](t, d.handle(CounterReply{Name: first.Name, Total: 2*first.Amount + 1}))
+	back := one[CounterAdd](t, d.handle(CounterReply{Key: first.Key, Total: 2*first.Amount + 1}))
 	if back.Amount > -1 {
 		t.Fatalf("nothing was taken back: %v", back)
 	}
-	d.handle(CounterReply{Name: back.Name, Outcome: Full})
+	d.handle(CounterReply{Key: back.Key, Outcome: Overloaded})
 	d.now += counterMost
-	again := one[Count](t, d.handle(Timer{Token: timerHouse << 56}))
-	if again.Amount != back.Amount || again.Name != back.Name {
+	again := one[CounterAdd](t, d.handle(TimerFired{Token: timerHouse << 56}))
+	if again.Amount != back.Amount || again.Key != back.Key {
 		t.Errorf("%v was turned away, told later: %v", back, again)
 	}
-	if more := d.handle(CounterReply{Name: again.Name}); len(find[Count](more)) > 0 {
+	if more := d.handle(CounterReply{Key: again.Key}); len(find[CounterAdd](more)) > 0 {
 		t.Errorf("told again: %v", more)
 	}
 }
@@ -604,26 +604,26 @@
 // for dry longer than it takes to fill some units.
 func TestDryIsSoonLookedAtAgain(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	first := one[Count](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	out := d.handle(CounterReply{Name: first.Name, Total: first.Amount + 1000})
+	first := one[CounterAdd](t, d.handle(Request{ID: 1, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
+	out := d.handle(CounterReply{Key: first.Key, Total: first.Amount + 1000})
 	one[Refuse](t, out)
-	d.handle(CounterReply{Name: one[Count](t, out).Name, Total: 1000}) // its own double write-off
+	d.handle(CounterReply{Key: one[CounterAdd](t, out).Key, Total: 1000}) // its own double write-off
 	d.now += (dryMost + 0.1) / d.g.set.Plans[1].Rate
-	next := one[Count](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
+	next := one[CounterAdd](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
 	full := d.g.roll(d.g.customers[1]) // it has been taken back, and the store is full
-	one[Send](t, d.handle(CounterReply{Name: next.Name, Total: full + next.Amount}))
+	one[Send](t, d.handle(CounterReply{Key: next.Key, Total: full + next.Amount}))
 }
 
 func TestPlacesWithoutTheCounterSumToTheLimit(t *testing.T) {
 	set := testSettings()
-	set.Counter, set.Fleet = false, 5
+	set.HasCounter, set.FleetSize = false, 5
 	set.Plans[0] = Plan{Price: 1, MaxConcurrent: 2}
 	sent := 0
 	for rank := range 3 {
 		set.Rank = (4 + rank) % 5 // the customer's set is 4, 0, 1
 		d := start(t, set, some(8)...)
 		for i := range 3 {
-			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, FirstPeer: 4, Gateways: 3, Customer: 5, Deadline: d.now + 2})
+			out := d.handle(Request{ID: RequestID(i + 1), Units: 1, FirstGateway: 4, Gateways: 3, Customer: 5, Deadline: d.now + 2})
 			sent += len(find[Send](out))
 		}
 	}
@@ -634,7 +634,7 @@
 
 func TestFailedDiscoveryIsAskedAgainAfterAPause(t *testing.T) {
 	set := testSettings()
-	set.AskDiscovery = true
+	set.SubscribeDiscovery = true
 	d := &drive{t: t, now: 100}
 	d.g, d.last = New(set, 7, d.now, nil)
 	one[Subscribe](t, d.last)
@@ -643,13 +643,13 @@
 		t.Error("asked again at once")
 	}
 	pause := one[SetTimer](t, out)
-	d.now += pause.In
-	one[Subscribe](t, d.handle(Timer{Token: pause.Token}))
+	d.now += pause.Delay
+	one[Subscribe](t, d.handle(TimerFired{Token: pause.Token}))
 }
 
 func TestBoundOfManyGatewaysIsKeptInTheMean(t *testing.T) {
 	set := testSettings()
-	set.Fleet, set.Counter = 300, false
+	set.FleetSize, set.HasCounter = 300, false
 	d := start(t, set, some(60)...)
 	d.g.bound = 0.5 // half an attempt each
 	var out []Send
@@ -657,7 +657,7 @@
 	for i := range 4000 { // ten a second; each takes half a second
 		d.now += 0.1
 		for len(out) > 0 && d.now > d.g.jobs[out[0].Request].attempts[0].sent+0.5 {
-			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Took: 0.5, Outcome: Full})
+			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Duration: 0.5, Outcome: Overloaded})
 			out = out[1:]
 		}
 		d.g.bound = 0.5
@@ -666,7 +666,7 @@
 		sends := find[Send](d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, Gateways: 300, Customer: CustomerID(i),
 			Deadline: d.now + 2}))
 		for _, id := range []RequestID{d.nextID, d.nextID - 8} {
-			d.handle(Timer{Token: timerEnd<<56 | uint64(id)})
+			d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)})
 		}
 		sent += len(sends)
 		out = append(out, sends...)
@@ -686,11 +686,11 @@
 	for i := range 20 { // a customer seen once in ten seconds at this gateway
 		d.now += 10
 		out := d.handle(Request{ID: RequestID(i + 1), Plan: 1, Units: 1, Gateways: 100, Customer: 5, Deadline: d.now + 2})
-		if call := one[Count](t, out); call.Amount != 1 {
+		if call := one[CounterAdd](t, out); call.Amount != 1 {
 			t.Fatalf("took %v units for one request", call.Amount)
 		}
 		for _, s := range find[Send](d.grantAll(out)) {
-			d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Took: 0.1, Done: true})
+			d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Duration: 0.1, RequestDone: true})
 		}
 	}
 }
@@ -699,8 +699,8 @@
 	d := start(t, testSettings(), some(4)...)
 	for i := range 3 {
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 100, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[Count](out) {
-			out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: TimedOut})...)
+		for _, c := range find[CounterAdd](out) {
+			out = append(out, d.handle(CounterReply{Key: c.Key, Outcome: TimedOut})...)
 		}
 		if i == 0 {
 			one[Send](t, out) // the share of this gateway
@@ -712,7 +712,7 @@
 
 func TestPlacesOfManyGatewaysAreKeptAsARate(t *testing.T) {
 	set := testSettings()
-	set.Fleet = 100
+	set.FleetSize = 100
 	set.Plans[0] = Plan{Price: 1, MaxConcurrent: 2}
 	d := start(t, set, some(40)...)
 	d.g.latency, d.g.bound = 0.1, 100
@@ -721,10 +721,10 @@
 	for i := range 60 { // 60 requests within one window
 		d.now += 0.001
 		out := d.handle(Request{ID: RequestID(i + 1), Units: 1, Gateways: 50, Customer: 5, Deadline: d.now + 2})
-		for _, c := range find[Count](out) {
-			names[c.Name] = true
+		for _, c := range find[CounterAdd](out) {
+			names[c.Key] = true
 			total += c.Amount
-			out = append(out, d.handle(CounterReply{Name: c.Name, Total: total})...)
+			out = append(out, d.handle(CounterReply{Key: c.Key, Total: total})...)
 		}
 		sent += len(find[Send](out))
 	}
@@ -738,10 +738,10 @@
 	d := start(t, testSettings(), some(3)...)
 	for i := range 50 {
 		id := BackendID(10 + i)
-		d.handle(Backends{Kind: Delta, Entries: []Backend{ready(id)}})
-		d.handle(Backends{Kind: Delta, Entries: []Backend{{ID: id, State: Gone}}})
+		d.handle(Backends{Kind: DeltaList, Entries: []Backend{ready(id)}})
+		d.handle(Backends{Kind: DeltaList, Entries: []Backend{{ID: id, State: Removed}}})
 		d.now += 0.05
-		d.handle(Timer{Token: timerHouse << 56})
+		d.handle(TimerFired{Token: timerHouse << 56})
 	}
 	if len(d.g.list) != 3 || len(d.g.servers) != 3 {
 		t.Errorf("%d listed and %d known, want 3", len(d.g.list), len(d.g.servers))
@@ -752,36 +752,36 @@
 func TestOddInputIsMetCalmly(t *testing.T) {
 	for name, set := range map[string]Settings{
 		"nothing set": {Classes: []Class{{}}, Plans: []Plan{{}}},
-		"no fleet":    {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, Rate: 1, Burst: 1}}, Counter: true},
-		"no burst": {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, Rate: 5, CeilingRate: 1}},
-			Fleet: 1, Counter: true, Tick: 0.002},
-		"places alone": {Classes: []Class{{Aim: 1, Deadline: 2, Worth: 1}}, Plans: []Plan{{Price: 1, MaxConcurrent: 1}},
-			Fleet: 3, Counter: true, Tick: 0.002},
+		"no fleet":    {Classes: []Class{{LatencyObjective: 1, Timeout: 2, Value: 1}}, Plans: []Plan{{Price: 1, Rate: 1, Burst: 1}}, HasCounter: true},
+		"no burst": {Classes: []Class{{LatencyObjective: 1, Timeout: 2, Value: 1}}, Plans: []Plan{{Price: 1, Rate: 5, CeilingRate: 1}},
+			FleetSize: 1, HasCounter: true, Tick: 0.002},
+		"places alone": {Classes: []Class{{LatencyObjective: 1, Timeout: 2, Value: 1}}, Plans: []Plan{{Price: 1, MaxConcurrent: 1}},
+			FleetSize: 3, HasCounter: true, Tick: 0.002},
 	} {
 		d := start(t, set, some(2)...)
 		answered := 0
 		for i, gateways := range []int{0, 1, 3, 1000} {
 			id := RequestID(i + 1)
-			out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstPeer: 7, Customer: 5, Deadline: d.now + 2})
-			for _, c := range find[Count](out) {
-				out = append(out, d.handle(CounterReply{Name: c.Name, Total: math.Inf(1)})...)
-				out = append(out, d.handle(CounterReply{Name: c.Name, Outcome: Full})...) // twice
+			out := d.handle(Request{ID: id, Units: 1, Gateways: gateways, FirstGateway: 7, Customer: 5, Deadline: d.now + 2})
+			for _, c := range find[CounterAdd](out) {
+				out = append(out, d.handle(CounterReply{Key: c.Key, Total: math.Inf(1)})...)
+				out = append(out, d.handle(CounterReply{Key: c.Key, Outcome: Overloaded})...) // twice
 			}
-			d.handle(CounterReply{Name: 99})
+			d.handle(CounterReply{Key: 99})
 			d.handle(AttemptEnd{Request: id, Attempt: 9, Backend: 77, Outcome: Served})
-			d.handle(AttemptEnd{Request: 12345, Backend: 1, Outcome: Moot})
+			d.handle(AttemptEnd{Request: 12345, Backend: 1, Outcome: NotSent})
 			d.handle(Backends{Kind: FullList})
-			d.handle(Backends{Kind: Delta, Entries: some(1)})
-			out = append(out, d.handle(Timer{Token: timerHouse << 56})...)
+			d.handle(Backends{Kind: DeltaList, Entries: some(1)})
+			out = append(out, d.handle(TimerFired{Token: timerHouse << 56})...)
 			for _, s := range find[Send](out) {
-				end := AttemptEnd{Request: s.Request, Backend: s.Backend, Took: 0.1, Done: true}
+				end := AttemptEnd{Request: s.Request, Backend: s.Backend, Duration: 0.1, RequestDone: true}
 				d.handle(end)
 				d.handle(end) // repeated
 				answered++
 			}
 			answered += len(find[Refuse](out)) + len(find[Fail](out))
 			d.now += 2
-			answered += len(find[Refuse](d.handle(Timer{Token: timerEnd<<56 | uint64(id)})))
+			answered += len(find[Refuse](d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)})))
 		}
 		if answered != 4 {
 			t.Errorf("%s: %d of 4 requests answered", name, answered)
@@ -809,9 +809,9 @@
 func randomRun(t *testing.T, seed uint64) (log []Action) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	set := testSettings()
-	set.CanCopy = seed%2 == 0
-	set.Counter = seed%3 != 0
-	set.Classes = append(set.Classes, Class{Aim: 0.5, Deadline: 1, Worth: 2, Effect: Once})
+	set.CanHedge = seed%2 == 0
+	set.HasCounter = seed%3 != 0
+	set.Classes = append(set.Classes, Class{LatencyObjective: 0.5, Timeout: 1, Value: 2, Idempotency: AtMostOnce})
 	d := start(t, set, some(5)...)
 	open := map[RequestID]*openRequest{}
 	var order []RequestID
@@ -820,7 +820,7 @@
 		token uint64
 	}
 	timers := []timer{{100.05, timerHouse << 56}}
-	var calls []Count
+	var calls []CounterAdd
 	notReady, detached := map[BackendID]bool{}, map[BackendID]bool{}
 	take := func(actions []Action) {
 		log = append(log, actions...)
@@ -834,7 +834,7 @@
 				if notReady[a.Backend] || detached[a.Backend] {
 					t.Fatalf("seed %d: sent to %d, which drains or is out by hand", seed, a.Backend)
 				}
-				if len(o.out) > 0 && !set.CanCopy {
+				if len(o.out) > 0 && !set.CanHedge {
 					t.Fatalf("seed %d: two attempts out", seed)
 				}
 				o.out = append(o.out, len(o.attempts))
@@ -854,8 +854,8 @@
 				}
 				open[a.Request].ended = true
 			case SetTimer:
-				timers = append(timers, timer{d.now + a.In, a.Token})
-			case Count:
+				timers = append(timers, timer{d.now + a.Delay, a.Token})
+			case CounterAdd:
 				calls = append(calls, a)
 			}
 		}
@@ -867,7 +867,7 @@
 				due := timers[i]
 				timers = slices.Delete(timers, i, i+1)
 				i--
-				take(d.handle(Timer{Token: due.token}))
+				take(d.handle(TimerFired{Token: due.token}))
 			}
 		}
 		for _, id := range order {
@@ -880,7 +880,7 @@
 			d.nextID++
 			r := Request{ID: d.nextID, Class: rng.IntN(3), Plan: rng.IntN(2), Customer: CustomerID(rng.IntN(4)), Units: 1,
 				Gateways: 2}
-			r.Deadline = d.now + set.Classes[r.Class].Deadline*(0.5+rng.Float64()/2)
+			r.Deadline = d.now + set.Classes[r.Class].Timeout*(0.5+rng.Float64()/2)
 			open[r.ID] = &openRequest{Request: r}
 			order = append(order, r.ID)
 			take(d.handle(r))
@@ -894,23 +894,23 @@
 			}
 			n := o.out[0]
 			o.out = o.out[1:]
-			how := []Outcome{Served, Served, Errored, Full, TimedOut, Broken, ConnectFailed}[rng.IntN(7)]
+			how := []Outcome{Served, Served, Errored, Overloaded, TimedOut, ConnectionLost, ConnectFailed}[rng.IntN(7)]
 			done := o.ended || how == Served
 			o.ended = done
-			take(d.handle(AttemptEnd{Request: o.ID, Attempt: n, Backend: o.attempts[n].Backend, Outcome: how, Took: 0.1,
-				Done: done}))
+			take(d.handle(AttemptEnd{Request: o.ID, Attempt: n, Backend: o.attempts[n].Backend, Outcome: how, Duration: 0.1,
+				RequestDone: done}))
 		case 4:
 			if len(calls) > 0 {
 				c := calls[0]
 				calls = calls[1:]
-				take(d.handle(CounterReply{Name: c.Name, Outcome: []Outcome{Served, Served, TimedOut, Full, Errored, Broken}[rng.IntN(6)],
+				take(d.handle(CounterReply{Key: c.Key, Outcome: []Outcome{Served, Served, TimedOut, Overloaded, Errored, ConnectionLost}[rng.IntN(6)],
 					Total: max(c.Amount+float64(rng.IntN(3)), 0)}))
 			}
 		case 5:
 			b := ready(BackendID(1 + rng.IntN(5)))
 			b.State = BackendState(rng.IntN(3))
 			notReady[b.ID] = b.State != Ready
-			take(d.handle(Backends{Kind: Delta, Entries: []Backend{b}}))
+			take(d.handle(Backends{Kind: DeltaList, Entries: []Backend{b}}))
 			switch id := BackendID(1 + rng.IntN(5)); rng.IntN(4) {
 			case 0:
 				detached[id] = true
@@ -949,12 +949,12 @@
 		d.now += 1
 		d.nextID++
 		sent := d.now - lag
-		out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, Sent: sent, Deadline: sent + 1.5})
+		out := d.handle(Request{ID: d.nextID, Customer: 1, Units: 1, Gateways: 2, SentAt: sent, Deadline: sent + 1.5})
 		if s := one[Send](t, out); math.Abs(s.Timeout-(0.8-lag)) > 1e-6 {
 			t.Errorf("request %d: time-out %g, want %g", i, s.Timeout, 0.8-lag)
 		}
 		for _, s := range find[Send](out) {
-			d.handle(AttemptEnd{Request: d.nextID, Backend: s.Backend, Outcome: Served, Done: true})
+			d.handle(AttemptEnd{Request: d.nextID, Backend: s.Backend, Outcome: Served, RequestDone: true})
 		}
 	}
 }
--- a/rules/share_test.go
+++ b/rules/share_test.go
@@ -8,7 +8,7 @@
 // alone is a gateway that can't ask for units, with one plan.
 func alone(t *testing.T, p Plan) *drive {
 	set := testSettings()
-	set.Counter = false
+	set.HasCounter = false
 	set.Plans = []Plan{p}
 	set.MaxUnits = 6
 	return start(t, set, some(2)...)
@@ -19,7 +19,7 @@
 	d.nextID++
 	out := d.handle(Request{ID: d.nextID, Units: units, Gateways: 2, Customer: 5, Deadline: d.now + 2})
 	for _, s := range find[Send](out) {
-		d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Took: 0.01, Done: true})
+		d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Duration: 0.01, RequestDone: true})
 		return true
 	}
 	return false
--- a/rules/state.go
+++ b/rules/state.go
@@ -16,7 +16,7 @@
 	now  float64
 	rng  *rand.Rand
 	out  []Action
-	said []Checked // of the present event; out points into it
+	said []CheckResult // of the present event; out points into it
 
 	jobs       map[RequestID]*job
 	spare      *job     // a check that is over
@@ -25,7 +25,7 @@
 	leastBurst float64 // of the plans' stores
 	servers    map[BackendID]*server
 	detached   map[BackendID]bool // by hand
-	divide     Fleet
+	divide     FleetUpdate
 	list       []*server // by id
 	customers  map[CustomerID]*customer
 	roster     []*customer       // by first sight
@@ -74,11 +74,11 @@
 func (j *job) lacked() Reason {
 	switch {
 	case len(j.attempts) > 0:
-		return NoAnswer
+		return AttemptsFailed
 	case j.paid, j.noPlace:
-		return NoPlace
+		return NoCapacity
 	}
-	return NoQuota
+	return QuotaExceeded
 }
 
 // share is how much of a local share has to be there for a request. Danger: one of more units than the share
@@ -138,13 +138,13 @@
 
 // say answers a check. The action is good until the next event: checks come by the
 // hundred thousand, and an answer each on the heap is what they would cost most.
-func (g *Gateway) say(a Checked) {
+func (g *Gateway) say(a CheckResult) {
 	g.said = append(g.said, a)
 	g.do(&g.said[len(g.said)-1])
 }
 
 func (g *Gateway) timer(in float64, kind uint64, attempt int, id RequestID) {
-	g.do(SetTimer{In: max(in, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
+	g.do(SetTimer{Delay: max(in, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
 }
 
 // work counts an attempt as work in flight until rest.
@@ -288,7 +288,7 @@
 // forget drops backends that are gone and have nothing in flight.
 func (g *Gateway) forget() {
 	g.list = slices.DeleteFunc(g.list, func(s *server) bool {
-		gone := s.State == Gone && s.inFlight == 0
+		gone := s.State == Removed && s.inFlight == 0
 		if gone {
 			delete(g.servers, s.ID)
 		}
@@ -302,7 +302,7 @@
 	k.id = g.lastCall
 	g.calls[k.name] = append(g.calls[k.name], k)
 	k.customer.pending(k, 1)
-	g.do(Count{Call: k.id, Name: k.name, Amount: k.owed + k.fill + k.units, Keep: keep})
+	g.do(CounterAdd{CallID: k.id, Key: k.name, Amount: k.owed + k.fill + k.units, TTL: keep})
 }
 
 // called takes the call that a reply answers off the list.
@@ -356,7 +356,7 @@
 // report takes in the load report of an answer.
 func (g *Gateway) report(s *server, load []float64) {
 	for i, v := range load {
-		if i < len(g.set.LoadFields) && g.set.LoadFields[i] == LoadHeld && v >= 0 && v < heldMost {
+		if i < len(g.set.LoadFields) && g.set.LoadFields[i] == LoadInFlight && v >= 0 && v < heldMost {
 			s.held, s.heldAt = v, g.now
 			g.held += heldGain * (v - g.held)
 		}
@@ -406,10 +406,10 @@
 // away. What goes by the counter's own names, such as whether a store is exact, must be the
 // same at all gateways, and rests on the settings alone.
 func (g *Gateway) parts(gateways int) float64 {
-	if g.divide.Share > 0 && gateways >= g.set.Fleet {
-		gateways = g.divide.Share
+	if g.divide.LocalShares > 0 && gateways >= g.set.FleetSize {
+		gateways = g.divide.LocalShares
 	}
-	return float64(max(gateways, 1) + g.set.Fronts)
+	return float64(max(gateways, 1) + g.set.CheckFrontends)
 }
 
 // senderMultiple is how many times more gateways than the settings name load reports have to show before they
@@ -419,10 +419,10 @@
 // senders is how many gateways send to a cold backend: as many as members tell of, else as the settings name, unless
 // backends report far more work than that many gateways with this one's load would give them.
 func (g *Gateway) senders() float64 {
-	if g.divide.Cold > 0 {
-		return float64(g.divide.Cold)
+	if g.divide.ColdSenders > 0 {
+		return float64(g.divide.ColdSenders)
 	}
-	size := float64(max(g.set.Fleet, 1))
+	size := float64(max(g.set.FleetSize, 1))
 	own := g.load / float64(max(len(g.list), 1)) // attempts of this gateway at a backend
 	if own > 0 && g.held > senderMultiple*size*own {
 		return g.held / own
@@ -439,8 +439,8 @@
 		g.roster = append(g.roster, c)
 		c.local = g.startShare(r)
 	}
-	fleet := max(g.set.Fleet, 1)
-	index := (g.set.Rank - r.FirstPeer + fleet) % fleet // this gateway's place in the customer's set
+	fleet := max(g.set.FleetSize, 1)
+	index := (g.set.Rank - r.FirstGateway + fleet) % fleet // this gateway's place in the customer's set
 	c.terms = g.terms(&g.set.Plans[r.Plan], r.Gateways, max(min(index, r.Gateways-1), 0))
 	if g.now != c.seen {
 		c.demand *= math.Exp(-(g.now - c.seen) / demandSpan)
@@ -459,24 +459,24 @@
 	}
 }
 
-// Figures tell of a moment, for people who watch.
-type Figures struct {
-	Bound                                 float64 // attempts that may be in flight
-	InFlight                              int
-	Held                                  []int // requests held back for a place, by level
-	Waiting                               int   // requests and checks that wait for units
-	Well, LeftOut, Cold, ByHand, NotReady int   // backends
-	Customers                             int
-	Leased                                float64 // units, and not spent
+// Stats tell of a moment, for people who watch.
+type Stats struct {
+	ConcurrencyLimit                           float64 // attempts that may be in flight
+	InFlight                                   int
+	Queued                                     []int // requests held back for a place, by level
+	WaitingForQuota                            int   // requests and checks that wait for units
+	Healthy, Ejected, Cold, Detached, NotReady int   // backends
+	Customers                                  int
+	LeasedUnits                                float64 // units, and not spent
 }
 
-// Figures tells of the present moment. It changes nothing.
-func (g *Gateway) Figures() Figures {
-	f := Figures{Bound: g.bound, InFlight: g.inFlight, Held: make([]int, len(g.queues)), Customers: len(g.customers)}
+// Stats tells of the present moment. It changes nothing.
+func (g *Gateway) Stats() Stats {
+	f := Stats{ConcurrencyLimit: g.bound, InFlight: g.inFlight, Queued: make([]int, len(g.queues)), Customers: len(g.customers)}
 	for l, q := range g.queues {
 		for _, j := range q {
 			if !j.done {
-				f.Held[l]++
+				f.Queued[l]++
 			}
 		}
 	}
@@ -485,22 +485,22 @@
 		case s.State != Ready:
 			f.NotReady++
 		case g.detached[s.ID]:
-			f.ByHand++
+			f.Detached++
 		case s.ejected():
-			f.LeftOut++
+			f.Ejected++
 		case g.warmth(s) < 1:
 			f.Cold++
 		default:
-			f.Well++
+			f.Healthy++
 		}
 	}
 	for _, c := range g.roster {
-		f.Waiting += len(c.waiting)
-		f.Leased += max(c.units, 0)
+		f.WaitingForQuota += len(c.waiting)
+		f.LeasedUnits += max(c.units, 0)
 	}
 	return f
 }
 
-// TimeOver is the event that a request's time is over: for a process that is about to
+// ExpireRequest is the event that a request's time is over: for a process that is about to
 // be ended, whatever time its clients would have.
-func TimeOver(id RequestID) Event { return Timer{Token: timerEnd<<56 | uint64(id)} }
+func ExpireRequest(id RequestID) Event { return TimerFired{Token: timerEnd<<56 | uint64(id)} }
--- a/rules/streamed_test.go
+++ b/rules/streamed_test.go
@@ -6,7 +6,7 @@
 // its last byte. It goes out once, whatever becomes of that.
 func TestBodyThatPassesThrough(t *testing.T) {
 	set := testSettings()
-	set.Counter, set.CanCopy = false, true
+	set.HasCounter, set.CanHedge = false, true
 	set.Plans[1].Rate = 0
 	d := start(t, set, some(3)...)
 	ask := func(streamed bool) (RequestID, []Action) {
@@ -16,7 +16,7 @@
 	}
 	serve := func(id RequestID, n int, to BackendID) {
 		d.now += 0.1
-		d.handle(AttemptEnd{Request: id, Attempt: n, Backend: to, Outcome: Served, Done: true})
+		d.handle(AttemptEnd{Request: id, Attempt: n, Backend: to, Outcome: Served, RequestDone: true})
 	}
 	first, _ := ask(false)
 	serve(first, 0, one[Send](t, d.last).Backend) // the usual latency is known
@@ -28,25 +28,25 @@
 	if d.g.inFlight != 0 {
 		t.Errorf("a body on its way takes %d places", d.g.inFlight)
 	}
-	end := d.now + 1.5*set.Classes[0].Aim
+	end := d.now + 1.5*set.Classes[0].LatencyObjective
 	token := uint64(timerEnd)<<56 | uint64(id)
 	for d.now = end; d.now < end+0.001; d.now += 1 {
-		if out := d.handle(Timer{Token: token}); len(find[Refuse](out)) > 0 {
+		if out := d.handle(TimerFired{Token: token}); len(find[Refuse](out)) > 0 {
 			t.Fatal("refused while its body was on its way")
 		}
 	}
 	d.now = end
-	out := d.handle(BodyWhole{Request: id, Deadline: d.now + 2})
+	out := d.handle(BodyComplete{Request: id, Deadline: d.now + 2})
 	if d.g.inFlight != 1 {
 		t.Errorf("a whole request takes %d places", d.g.inFlight)
 	}
 	due := 0.0
 	for _, timer := range find[SetTimer](out) {
 		if timer.Token == token {
-			due = timer.In
+			due = timer.Delay
 		}
 	}
-	if due < set.Classes[0].Aim-0.01 || due > set.Classes[0].Aim {
+	if due < set.Classes[0].LatencyObjective-0.01 || due > set.Classes[0].LatencyObjective {
 		t.Errorf("it has %g s from its last byte", due)
 	}
 	if out := d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: Errored}); len(find[Send](out)) > 0 ||
@@ -71,21 +71,21 @@
 // counts neither as latency nor as work in flight, and a copy elsewhere is called off.
 func TestLongAnswerCountsFromItsFirstByte(t *testing.T) {
 	set := testSettings()
-	set.Counter = false
+	set.HasCounter = false
 	set.Plans[1].Rate = 0
 	d := start(t, set, some(3)...)
 	id := d.ask(0, 1, 3)
 	sent := one[Send](t, d.last)
 	d.now += 0.1
-	d.handle(Established{Request: id, Attempt: 0, Backend: sent.Backend})
+	d.handle(ResponseStarted{Request: id, Attempt: 0, Backend: sent.Backend})
 	if d.g.inFlight != 0 || d.g.latency < 0.09 || d.g.latency > 0.11 {
 		t.Errorf("%d in flight, latency %g", d.g.inFlight, d.g.latency)
 	}
 	d.now += 30
-	if out := d.handle(Timer{Token: uint64(timerEnd)<<56 | uint64(id)}); len(out) != 0 {
+	if out := d.handle(TimerFired{Token: uint64(timerEnd)<<56 | uint64(id)}); len(out) != 0 {
 		t.Errorf("at its old end: %v", out)
 	}
-	d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: Broken, Done: true})
+	d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: ConnectionLost, RequestDone: true})
 	if s := d.g.servers[sent.Backend]; s.fail != 0 || d.g.inFlight != 0 || d.g.latency > 0.11 || len(d.g.jobs) != 0 {
 		t.Errorf("fail %g, %d in flight, latency %g, %d requests", s.fail, d.g.inFlight, d.g.latency, len(d.g.jobs))
 	}
@@ -93,15 +93,15 @@
 	id = d.ask(0, 1, 3)
 	sent = one[Send](t, d.last)
 	d.now += 0.5
-	out := d.handle(Timer{Token: uint64(timerLate)<<56 | uint64(id)})
+	out := d.handle(TimerFired{Token: uint64(timerLate)<<56 | uint64(id)})
 	second := one[Send](t, out)
 	d.now += 0.1
-	out = d.handle(Established{Request: id, Attempt: 1, Backend: second.Backend})
+	out = d.handle(ResponseStarted{Request: id, Attempt: 1, Backend: second.Backend})
 	if c := one[Cancel](t, out); c.Attempt != 0 {
 		t.Errorf("called off: %+v", c)
 	}
-	d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: Cancelled, Done: true})
-	d.handle(AttemptEnd{Request: id, Attempt: 1, Backend: second.Backend, Outcome: Served, Done: true})
+	d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: Cancelled, RequestDone: true})
+	d.handle(AttemptEnd{Request: id, Attempt: 1, Backend: second.Backend, Outcome: Served, RequestDone: true})
 	if len(d.g.jobs) != 0 {
 		t.Errorf("%d requests at the end", len(d.g.jobs))
 	}
--- a/rules/types.go
+++ b/rules/types.go
@@ -15,14 +15,14 @@
 // CustomerID names a customer.
 type CustomerID uint64
 
-// Effect says how often a request of a class may take effect.
-type Effect int
+// Idempotency says how often a request of a class may take effect.
+type Idempotency int
 
 // The kinds of effect.
 const (
-	Repeatable Effect = iota // may run any number of times
-	ByKey                    // a group of backends drops repeats for a while
-	Once                     // must not run twice
+	Idempotent      Idempotency = iota // may run any number of times
+	IdempotentByKey                    // a group of backends drops repeats for a while
+	AtMostOnce                         // must not run twice
 )
 
 // DedupeScope is the group of backends that drops repeats of a keyed request.
@@ -37,28 +37,28 @@
 
 // Class is one class of requests.
 type Class struct {
-	Aim          float64 // an answer within this time earns the full worth
-	AimStretch   float64 // the aim grows by this many times the request's own work
-	Deadline     float64 // the client's patience over all its tries
-	Worth        float64
-	LateWorth    float64 // share of the worth between aim and deadline
-	Effect       Effect
-	Scope        DedupeScope
-	DedupeWindow float64 // how long the scope remembers a keyed request
-	Streamed     bool
+	LatencyObjective    float64 // an answer within this time earns the full worth
+	ObjectiveWorkFactor float64 // the aim grows by this many times the request's own work
+	Timeout             float64 // the client's patience over all its tries
+	Value               float64
+	LateValueShare      float64 // share of the worth between aim and deadline
+	Idempotency         Idempotency
+	Scope               DedupeScope
+	DedupeWindow        float64 // how long the scope remembers a keyed request
+	Streamed            bool
 }
 
 // Plan is what a customer has bought. A rate or limit of 0 means none.
 type Plan struct {
-	Price         float64 // factor on the worth of a request
-	Rate          float64 // units a second
-	Burst         float64 // units the quota's store holds at most
-	MaxConcurrent int     // attempts out at once, over all gateways
-	OverWorth     float64 // share of the worth earned beyond the quota
-	OverCost      float64 // share of the worth that a send beyond the quota costs
-	CeilingRate   float64
-	CeilingBurst  float64
-	CeilingSlack  float64
+	Price               float64 // factor on the worth of a request
+	Rate                float64 // units a second
+	Burst               float64 // units the quota's store holds at most
+	MaxConcurrent       int     // attempts out at once, over all gateways
+	OverQuotaValueShare float64 // share of the worth earned beyond the quota
+	OverQuotaCostShare  float64 // share of the worth that a send beyond the quota costs
+	CeilingRate         float64
+	CeilingBurst        float64
+	CeilingSlack        float64
 }
 
 // LoadField is one value of a backend's load report.
@@ -66,9 +66,9 @@
 
 // The values a load report can hold.
 const (
-	LoadOther LoadField = iota
-	LoadHeld            // requests held
-	LoadWaiting
+	LoadOther    LoadField = iota
+	LoadInFlight           // requests held
+	LoadQueued
 	LoadCPU
 	LoadServiceMillis
 	LoadServedPerSecond
@@ -80,38 +80,38 @@
 	Classes []Class
 	Plans   []Plan
 
-	Rank   int // this gateway's number among Fleet
-	Fleet  int // gateways
-	Fronts int // that take checks and no requests; each may be asked for any customer
-	Zone   int
-	Tick   float64 // events come at most this often
-
-	AskDiscovery bool // changes of the list come only when asked for
-	RoughWeights bool // Backend.Weight says something about size
-	LoadFields   []LoadField
-	LoadInline   bool // reports come with outcomes, not with probes alone
-
-	Counter        bool
-	CounterTimeout float64
-	CounterPrice   float64
-	MaxUnits       float64
-	UnitsSettled   bool // a request's units are a guess until it is answered
-
-	CanCancel      bool
-	CanProbe       bool
-	CanCopy        bool // two attempts of a request may be out at once
-	CanAdvise      bool // clients are told how long to stay away
-	MaxAdvice      float64
-	MaxAttempts    int
-	MaxOpen        int
-	ConnectTimeout float64
-
-	AnswerSlack  float64
-	DrainGrace   float64
-	ColdFrom     float64 // least share of its capacity a backend starts at
-	ColdFor      float64 // it is warm after this time
-	FallMultiple float64 // this many times its capacity pushes it over
-	FallFor      float64 // when sent for this long
+	Rank           int // this gateway's number among Fleet
+	FleetSize      int // gateways
+	CheckFrontends int // that take checks and no requests; each may be asked for any customer
+	Zone           int
+	Tick           float64 // events come at most this often
+
+	SubscribeDiscovery bool // changes of the list come only when asked for
+	ApproximateWeights bool // Backend.Weight says something about size
+	LoadFields         []LoadField
+	InlineLoadReports  bool // reports come with outcomes, not with probes alone
+
+	HasCounter       bool
+	CounterTimeout   float64
+	CounterCallPrice float64
+	MaxUnits         float64
+	EstimatedUnits   bool // a request's units are a guess until it is answered
+
+	CanCancel         bool
+	CanProbe          bool
+	CanHedge          bool // two attempts of a request may be out at once
+	CanSendRetryAfter bool // clients are told how long to stay away
+	MaxRetryAfter     float64
+	MaxAttempts       int
+	MaxOpenRequests   int
+	ConnectTimeout    float64
+
+	AnswerSlack     float64
+	DrainGrace      float64
+	ColdMinCapacity float64 // least share of its capacity a backend starts at
+	WarmUpTime      float64 // it is warm after this time
+	OverloadFactor  float64 // this many times its capacity pushes it over
+	OverloadTime    float64 // when sent for this long
 
 	CrossZonePrice float64
 	WastePrice     float64
@@ -124,20 +124,20 @@
 
 // The states of a backend.
 const (
-	Gone BackendState = iota
+	Removed BackendState = iota
 	Ready
 	Draining
 )
 
 // Backend is one entry of the list of backends.
 type Backend struct {
-	ID     BackendID
-	Zone   int
-	Kind   int
-	Cell   int
-	State  BackendState
-	Weight float64
-	Born   float64 // time of its last start; 0: long ago
+	ID        BackendID
+	Zone      int
+	Kind      int
+	Cell      int
+	State     BackendState
+	Weight    float64
+	StartedAt float64 // time of its last start; 0: long ago
 }
 
 // ListKind says what a Backends event holds.
@@ -146,7 +146,7 @@
 // The kinds of list.
 const (
 	FullList   ListKind = iota // all there are
-	Delta                      // changed entries only
+	DeltaList                  // changed entries only
 	CachedList                 // all, as last known to a gateway that starts
 	ListFailed                 // discovery failed; the old list stands
 )
@@ -158,12 +158,12 @@
 const (
 	Served Outcome = iota
 	Errored
-	Full
+	Overloaded
 	TimedOut
 	ConnectFailed
-	Broken
+	ConnectionLost
 	Cancelled
-	Moot
+	NotSent
 )
 
 // Event is one thing that happened to this gateway.
@@ -177,75 +177,75 @@
 
 // Request is a client's try, which is owed one final answer.
 type Request struct {
-	ID        RequestID
-	Customer  CustomerID
-	Plan      int
-	Class     int
-	Units     float64
-	FirstPeer int // the gateways of this customer are Gateways in a row from here
-	Gateways  int
-	Sent      float64 // clock time at which the client sent it; 0: just now
-	Deadline  float64 // clock time at which the client stops waiting
-	Repeat    bool    // marked by the client as another try
-	Streamed  bool    // its body passes through: it can be sent once, and Deadline allows for the body till BodyWhole
+	ID           RequestID
+	Customer     CustomerID
+	Plan         int
+	Class        int
+	Units        float64
+	FirstGateway int // the gateways of this customer are Gateways in a row from here
+	Gateways     int
+	SentAt       float64 // clock time at which the client sent it; 0: just now
+	Deadline     float64 // clock time at which the client stops waiting
+	IsRetry      bool    // marked by the client as another try
+	Streamed     bool    // its body passes through: it can be sent once, and Deadline allows for the body till BodyWhole
 }
 
-// BodyWhole says that the body of a Streamed request has gone on whole. Its
+// BodyComplete says that the body of a Streamed request has gone on whole. Its
 // backend begins with it now, and its time counts from here.
-type BodyWhole struct {
+type BodyComplete struct {
 	Request  RequestID
 	Deadline float64 // clock time at which the client stops waiting
 }
 
-// Established says that a streamed answer has begun. In a class that is not
+// ResponseStarted says that a streamed answer has begun. In a class that is not
 // Streamed it is a long one, whose first byte counts; the backend has done its work.
-type Established struct {
-	Request RequestID
-	Attempt int
-	Backend BackendID
-	Took    float64
+type ResponseStarted struct {
+	Request  RequestID
+	Attempt  int
+	Backend  BackendID
+	Duration float64
 }
 
 // AttemptEnd is the one end of an attempt.
 type AttemptEnd struct {
-	Request  RequestID
-	Attempt  int
-	Backend  BackendID
-	Outcome  Outcome
-	Took     float64
-	Done     bool    // the request is over
-	Use      int     // 1 + use of the customer in percent, 0: not told
-	Units    float64 // true units, 0: not told
-	LoadData []float64
+	Request     RequestID
+	Attempt     int
+	Backend     BackendID
+	Outcome     Outcome
+	Duration    float64
+	RequestDone bool    // the request is over
+	QuotaUse    int     // 1 + use of the customer in percent, 0: not told
+	ActualUnits float64 // true units, 0: not told
+	LoadData    []float64
 }
 
-// Probed is the result of a probe.
-type Probed struct {
+// ProbeResult is the result of a probe.
+type ProbeResult struct {
 	Backend  BackendID
 	Outcome  Outcome
-	Took     float64
+	Duration float64
 	LoadData []float64
 }
 
-// ClientGone says that a request is over without our answer.
-type ClientGone struct{ Request RequestID }
+// ClientDisconnected says that a request is over without our answer.
+type ClientDisconnected struct{ Request RequestID }
 
-// Timer is a timer that is due.
-type Timer struct{ Token uint64 }
+// TimerFired is a timer that is due.
+type TimerFired struct{ Token uint64 }
 
 // CounterReply answers one Count. Errored: it was added, but the total can't be
 // read. Broken: the connection ended, and it may have been added.
 type CounterReply struct {
-	Name    uint64
-	Outcome Outcome
-	Total   float64
-	Took    float64
+	Key      uint64
+	Outcome  Outcome
+	Total    float64
+	Duration float64
 }
 
-// CounterLate tells what came of a Count that had ended as TimedOut. Not every
+// LateCounterReply tells what came of a Count that had ended as TimedOut. Not every
 // one is told of.
-type CounterLate struct {
-	Call    uint64
+type LateCounterReply struct {
+	CallID  uint64
 	Outcome Outcome
 	Total   float64
 }
@@ -254,34 +254,34 @@
 // Its one answer is Checked. ID is of the same space as those of requests, and
 // ClientGone ends it with nothing spent.
 type Check struct {
-	ID        RequestID
-	Customer  CustomerID
-	Plan      int
-	Units     float64
-	FirstPeer int // as in Request
-	Gateways  int
-	Deadline  float64 // clock time until which it may wait for units
-	Partial   bool    // fewer units will do, if not all are to be had
+	ID           RequestID
+	Customer     CustomerID
+	Plan         int
+	Units        float64
+	FirstGateway int // as in Request
+	Gateways     int
+	Deadline     float64 // clock time until which it may wait for units
+	Partial      bool    // fewer units will do, if not all are to be had
 }
 
 // Peek asks what is known of a customer's store. Its answer is Checked.
 type Peek struct {
-	ID                  RequestID
-	Customer            CustomerID
-	Plan                int
-	FirstPeer, Gateways int
+	ID                     RequestID
+	Customer               CustomerID
+	Plan                   int
+	FirstGateway, Gateways int
 }
 
-// Give hands back units of a Check that were not used. Its answer is Checked, with
+// Refund hands back units of a Check that were not used. Its answer is Checked, with
 // what was taken back as Granted. Whoever drives the module sees to it that a
 // Check's units come back once.
-type Give struct {
-	ID                  RequestID
-	Customer            CustomerID
-	Plan                int
-	FirstPeer, Gateways int
-	Units               float64
-	Window              float64 // of the Checked that granted them
+type Refund struct {
+	ID                     RequestID
+	Customer               CustomerID
+	Plan                   int
+	FirstGateway, Gateways int
+	Units                  float64
+	Window                 float64 // of the Checked that granted them
 }
 
 // Detach takes a backend out by hand: it gets nothing more until Attach, whatever
@@ -292,11 +292,11 @@
 // hand mostly restarts it.
 type Attach struct{ Backend BackendID }
 
-// Fleet says how many gateways there are, where that is known better than by the
+// FleetUpdate says how many gateways there are, where that is known better than by the
 // settings.
-type Fleet struct {
-	Share int // what is spent while the counter is away is divided by it, where a customer may come to all gateways
-	Cold  int // that send to a cold backend
+type FleetUpdate struct {
+	LocalShares int // what is spent while the counter is away is divided by it, where a customer may come to all gateways
+	ColdSenders int // that send to a cold backend
 }
 
 // PeerMessage is data from another gateway.
@@ -305,33 +305,33 @@
 	Data []byte
 }
 
-func (Backends) event()     {}
-func (Request) event()      {}
-func (Established) event()  {}
-func (BodyWhole) event()    {}
-func (AttemptEnd) event()   {}
-func (Probed) event()       {}
-func (ClientGone) event()   {}
-func (Timer) event()        {}
-func (CounterReply) event() {}
-func (CounterLate) event()  {}
-func (*Check) event()       {}
-func (Peek) event()         {}
-func (Give) event()         {}
-func (Detach) event()       {}
-func (Attach) event()       {}
-func (Fleet) event()        {}
-func (PeerMessage) event()  {}
+func (Backends) event()           {}
+func (Request) event()            {}
+func (ResponseStarted) event()    {}
+func (BodyComplete) event()       {}
+func (AttemptEnd) event()         {}
+func (ProbeResult) event()        {}
+func (ClientDisconnected) event() {}
+func (TimerFired) event()         {}
+func (CounterReply) event()       {}
+func (LateCounterReply) event()   {}
+func (*Check) event()             {}
+func (Peek) event()               {}
+func (Refund) event()             {}
+func (Detach) event()             {}
+func (Attach) event()             {}
+func (FleetUpdate) event()        {}
+func (PeerMessage) event()        {}
 
 // Action is one thing for the gateway to do.
 type Action interface{ action() }
 
 // Send starts the next attempt of a request. Timeout 0: the client's deadline.
 type Send struct {
-	Request RequestID
-	Backend BackendID
-	Timeout float64
-	Paid    float64 // clock time at which its quota let it in
+	Request    RequestID
+	Backend    BackendID
+	Timeout    float64
+	AdmittedAt float64 // clock time at which its quota let it in
 }
 
 // Cancel stops waiting for an attempt.
@@ -344,8 +344,8 @@
 type Refuse struct {
 	Request    RequestID
 	RetryAfter float64
-	Why        Reason
-	Paid       float64 // as in Send; 0: it was never let in
+	Reason     Reason
+	AdmittedAt float64 // as in Send; 0: it was never let in
 }
 
 // Reason says what a refused request lacked.
@@ -353,17 +353,17 @@
 
 // The reasons.
 const (
-	NoQuota  Reason = iota // units of its customer's quota, or a place among its customer's
-	NoPlace                // a place in flight, or a backend, in time
-	NoAnswer               // an attempt that succeeded
+	QuotaExceeded  Reason = iota // units of its customer's quota, or a place among its customer's
+	NoCapacity                   // a place in flight, or a backend, in time
+	AttemptsFailed               // an attempt that succeeded
 )
 
 // Fail is a final answer with no promise about the effect.
 type Fail struct{ Request RequestID }
 
-// Checked answers a Check, Peek or Give. It comes as a pointer that is good until
+// CheckResult answers a Check, Peek or Give. It comes as a pointer that is good until
 // the next event.
-type Checked struct {
+type CheckResult struct {
 	ID         RequestID
 	Granted    float64 // units
 	Remaining  float64 // units in the store as known here; infinite without a quota
@@ -377,18 +377,18 @@
 // SetTimer asks for a Timer event. With a Request it may be left out once that
 // request is over and none of its attempts is out.
 type SetTimer struct {
-	In      float64
+	Delay   float64
 	Token   uint64
 	Request RequestID // 0: none
 }
 
-// Count adds to a shared number and asks for its total. A name that is new
+// CounterAdd adds to a shared number and asks for its total. A name that is new
 // starts at 0 and is forgotten after Keep. Call is what CounterLate names it by.
-type Count struct {
-	Call   uint64
-	Name   uint64
+type CounterAdd struct {
+	CallID uint64
+	Key    uint64
 	Amount float64
-	Keep   float64
+	TTL    float64
 }
 
 // Probe asks a backend for its load.
@@ -400,13 +400,13 @@
 // Log writes a line for the operators.
 type Log struct{ Text string }
 
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (*Checked) action()  {}
-func (SetTimer) action()  {}
-func (Count) action()     {}
-func (Probe) action()     {}
-func (Subscribe) action() {}
-func (Log) action()       {}
+func (Send) action()         {}
+func (Cancel) action()       {}
+func (Refuse) action()       {}
+func (Fail) action()         {}
+func (*CheckResult) action() {}
+func (SetTimer) action()     {}
+func (CounterAdd) action()   {}
+func (Probe) action()        {}
+func (Subscribe) action()    {}
+func (Log) action()          {}
--- a/traces/golden_test.go
+++ b/traces/golden_test.go
@@ -39,9 +39,9 @@
 		{"late", set, Begin{Sent: 8}, append(attempt(0, 10.5, rules.Served), Event{Kind: Answered, At: 11, Status: 200})},
 		{"repeated", set, Begin{Sent: 10, Repeated: true}, append(attempt(0, 10, rules.Served), Event{Kind: Answered, At: 10.25, Status: 200})},
 		{"share", always, Begin{Sent: 10}, append(attempt(0, 10, rules.Served), Event{Kind: Answered, At: 10.25, Status: 200})},
-		{"no quota", set, Begin{Sent: 10}, []Event{{Kind: Answered, At: 10.5, Status: 429, Reason: rules.NoQuota, RetryAfter: 0.5}}},
-		{"no place", set, Begin{Sent: 10}, []Event{{Kind: Answered, At: 10.5, Status: 429, Reason: rules.NoPlace, Paid: 10.1}}},
-		{"no answer", set, Begin{Sent: 10}, append(attempt(0, 10.2, rules.Full), Event{Kind: Answered, At: 10.5, Status: 429, Reason: rules.NoAnswer})},
+		{"no quota", set, Begin{Sent: 10}, []Event{{Kind: Answered, At: 10.5, Status: 429, Reason: rules.QuotaExceeded, RetryAfter: 0.5}}},
+		{"no place", set, Begin{Sent: 10}, []Event{{Kind: Answered, At: 10.5, Status: 429, Reason: rules.NoCapacity, Paid: 10.1}}},
+		{"no answer", set, Begin{Sent: 10}, append(attempt(0, 10.2, rules.Overloaded), Event{Kind: Answered, At: 10.5, Status: 429, Reason: rules.AttemptsFailed})},
 		{"failed", set, Begin{Sent: 10}, append(attempt(0, 10.2, rules.Errored), Event{Kind: Answered, At: 10.5, Status: 502})},
 		{"the client left", always, Begin{Sent: 10}, []Event{{Kind: ClientLeft, At: 11}}},
 	} {
--- a/traces/recorder.go
+++ b/traces/recorder.go
@@ -211,7 +211,7 @@
 		{"elderyard.never_ran", rules.NeverRan(a.outcome)},
 		{sampleRatioKey, ratio},
 	}
-	if a.outcome != rules.Served && a.outcome != rules.Cancelled && a.outcome != rules.Moot {
+	if a.outcome != rules.Served && a.outcome != rules.Cancelled && a.outcome != rules.NotSent {
 		span.Failed = true
 		span.Message = outcomeNames[a.outcome]
 	}
@@ -224,7 +224,7 @@
 	paidAt := 0.0
 	if len(t.attempts) > 0 {
 		end, paidAt = t.attempts[0].start, t.attempts[0].paidAt
-	} else if t.final.Reason != rules.NoQuota {
+	} else if t.final.Reason != rules.QuotaExceeded {
 		paidAt = t.final.Paid
 	}
 	if paidAt < t.startedAt {
--- a/traces/tally.go
+++ b/traces/tally.go
@@ -36,26 +36,26 @@
 }
 
 // OutcomeCount is the number of outcomes that an attempt can have.
-const OutcomeCount = int(rules.Moot) + 1
+const OutcomeCount = int(rules.NotSent) + 1
 
 // OutcomeName returns the outcome's name in exported metrics and spans.
 func OutcomeName(o rules.Outcome) string { return outcomeNames[o] }
 
 var outcomeNames = map[rules.Outcome]string{
-	rules.Served:        "served",
-	rules.Errored:       "error",
-	rules.Full:          "turned away",
-	rules.TimedOut:      "no answer in time",
-	rules.ConnectFailed: "no connection",
-	rules.Broken:        "connection ended",
-	rules.Cancelled:     "called off",
-	rules.Moot:          "not sent",
+	rules.Served:         "served",
+	rules.Errored:        "error",
+	rules.Overloaded:     "turned away",
+	rules.TimedOut:       "no answer in time",
+	rules.ConnectFailed:  "no connection",
+	rules.ConnectionLost: "connection ended",
+	rules.Cancelled:      "called off",
+	rules.NotSent:        "not sent",
 }
 
 var reasonNames = map[rules.Reason]string{
-	rules.NoQuota:  "no quota",
-	rules.NoPlace:  "no place",
-	rules.NoAnswer: "no attempt succeeded",
+	rules.QuotaExceeded:  "no quota",
+	rules.NoCapacity:     "no place",
+	rules.AttemptsFailed: "no attempt succeeded",
 }
 
 // outcomeName returns the outcome attribute of an answered request.
@@ -132,9 +132,9 @@
 		return EndServed
 	case e.Status != 429:
 		return EndFailed
-	case e.Reason == rules.NoQuota:
+	case e.Reason == rules.QuotaExceeded:
 		return EndNoQuota
-	case e.Reason == rules.NoPlace:
+	case e.Reason == rules.NoCapacity:
 		return EndNoPlace
 	}
 	return EndNoAnswer
--- a/traces/traces_test.go
+++ b/traces/traces_test.go
@@ -86,7 +86,7 @@
 	self.Span = SpanID{7}
 	spans := record(recorder, Begin{Context: client, Self: self, Class: 1, Sent: 10, Units: 2},
 		Event{Kind: Sent, At: 10.3, Attempt: 0, Span: SpanID{1}, Backend: "n1", Paid: 10.2},
-		Event{Kind: Ended, At: 10.4, Attempt: 0, Outcome: rules.Full},
+		Event{Kind: Ended, At: 10.4, Attempt: 0, Outcome: rules.Overloaded},
 		Event{Kind: Sent, At: 10.4, Attempt: 1, Span: SpanID{2}, Backend: "n2", Paid: 10.2},
 		Event{Kind: Answered, At: 10.6, Status: 200},
 		Event{Kind: Ended, At: 10.6, Attempt: 1, Outcome: rules.Served})
@@ -118,7 +118,7 @@
 func TestSampling(t *testing.T) {
 	served := []Event{{Kind: Sent, At: 10, Span: SpanID{1}, Paid: 10}, {Kind: Answered, At: 10.1, Status: 200}, {Kind: Ended, At: 10.1, Outcome: rules.Served}}
 	late := []Event{{Kind: Sent, At: 10, Span: SpanID{1}, Paid: 10}, {Kind: Answered, At: 10.5, Status: 200}, {Kind: Ended, At: 10.5, Outcome: rules.Served}}
-	refused := []Event{{Kind: Answered, At: 10, Status: 429, Reason: rules.NoPlace, Paid: 10}}
+	refused := []Event{{Kind: Answered, At: 10, Status: 429, Reason: rules.NoCapacity, Paid: 10}}
 	for name, k := range map[string]struct {
 		begin  Begin
 		events []Event
@@ -199,7 +199,7 @@
 		began, ends, roots, over := uint64(0), uint64(0), map[SpanID]bool{}, 0
 		for i, at := range rapid.SliceOfN(rapid.Float64Range(0, 100), 1, 300).Draw(t, "times") {
 			e := Event{Kind: EventKind(rapid.IntRange(0, 4).Draw(t, "kind")), At: at, Attempt: rapid.IntRange(0, 20).Draw(t, "attempt"),
-				Outcome: rules.Outcome(rapid.IntRange(0, int(rules.Moot)).Draw(t, "outcome")),
+				Outcome: rules.Outcome(rapid.IntRange(0, int(rules.NotSent)).Draw(t, "outcome")),
 				Status:  rapid.SampledFrom([]int{200, 429, 502}).Draw(t, "status"), Reason: rules.Reason(rapid.IntRange(0, 2).Draw(t, "reason")),
 				Paid: rapid.Float64Range(0, 100).Draw(t, "paid"), Span: SpanID{1, byte(i), byte(i >> 8)}}
 			id := rapid.IntRange(1, 20).Draw(t, "request")
