--- a/internal/owner/checks.go
+++ b/internal/owner/checks.go
@@ -8,7 +8,7 @@
 	// NewEvent makes the event from the id that the owner gives; nil where none is needed any more.
 	NewEvent(rules.RequestID) rules.Event
 	// Complete is told the module's answer.
-	Complete(rules.Checked)
+	Complete(rules.CheckResult)
 	// Abandoned tells whether to call the check off now that its asker's client has gone.
 	Abandoned() bool
 }
@@ -55,13 +55,13 @@
 	for _, c := range l.Checks {
 		if l.Loop.checks[c.id] == c && c.Abandoned() {
 			delete(l.Loop.checks, c.id)
-			l.Loop.Handle(rules.ClientGone{Request: c.id})
+			l.Loop.Handle(rules.ClientDisconnected{Request: c.id})
 		}
 	}
 }
 
 // checked passes an answer on.
-func (o *EventLoop) checked(a rules.Checked) {
+func (o *EventLoop) checked(a rules.CheckResult) {
 	if c := o.asking; c != nil && c.id == a.ID {
 		o.asking = nil
 		c.Complete(a)
