--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -7,58 +7,59 @@
 	"elderyard/rules"
 )
 
-// call is one addition on the counter that the module asked for.
+// call is an addition on the counter that the module requested.
 type call struct {
 	counter.Call
-	o       *EventLoop
-	id      uint64 // the module's
-	sent    float64
+	loop    *EventLoop
+	id      uint64 // assigned by the module
+	sentAt  float64
 	ended   bool
 	outcome rules.Outcome
 	total   float64
 }
 
-// callDone tells what became of a call.
-type callDone struct {
-	k       *call
+// callResult reports the outcome of a call to the event loop.
+type callResult struct {
+	call    *call
 	outcome rules.Outcome
 	total   float64
 }
 
 // Process records the outcome of a counter call.
-func (m callDone) Process() { m.k.o.endCall(m.k, m.outcome, m.total) }
+func (r callResult) Process() { r.call.loop.endCall(r.call, r.outcome, r.total) }
 
-func (o *EventLoop) count(c rules.CounterAdd) {
-	k := &call{o: o, id: c.CallID, sent: o.Clock.Now()}
-	if m := o.RollupCounts(); m != nil {
+// addToCounter starts the call for an addition and its timeout.
+func (l *EventLoop) addToCounter(add rules.CounterAdd) {
+	c := &call{loop: l, id: add.CallID, sentAt: l.Clock.Now()}
+	if m := l.RollupCounts(); m != nil {
 		m.Calls++
-		m.Units += c.Amount
+		m.Units += add.Amount
 	}
-	k.Key, k.Amount = c.Key, c.Amount
-	k.TTL = min(max(time.Duration(c.TTL*float64(time.Second)), leastKeep), mostKeep)
-	k.Report = func(_ *counter.Call, out rules.Outcome, total float64) { o.Post(callDone{k, out, total}) }
-	o.calls[k.Key] = append(o.calls[k.Key], k)
-	if o.counter == nil || !o.counter.Add(&k.Call) {
-		o.endCall(k, rules.Overloaded, 0)
+	c.Key, c.Amount = add.Key, add.Amount
+	c.TTL = min(max(time.Duration(add.TTL*float64(time.Second)), minCounterTTL), maxCounterTTL)
+	c.Report = func(_ *counter.Call, out rules.Outcome, total float64) { l.Post(callResult{c, out, total}) }
+	l.pendingCalls[c.Key] = append(l.pendingCalls[c.Key], c)
+	if l.counter == nil || !l.counter.Add(&c.Call) {
+		l.endCall(c, rules.Overloaded, 0)
 		return
 	}
-	o.ScheduleTimeout(k.sent+o.timeout, k)
+	l.ScheduleTimeout(c.sentAt+l.timeout, c)
 }
 
-// endCall takes a call's one end. Danger: the module takes the replies for one
-// name in the order of the calls, but a call that is turned away here, or goes
-// out on a new connection, may end before an earlier one; it waits for that. What
-// becomes of a call that was given up is told all the same.
-func (o *EventLoop) endCall(k *call, out rules.Outcome, total float64) {
-	if k.ended {
-		if k.outcome == rules.TimedOut {
-			o.Handle(rules.LateCounterReply{CallID: k.id, Outcome: out, Total: total})
+// endCall records the outcome of a call and delivers the replies that are ready. Replies for
+// a key must reach the module in the order of the calls: a call that is rejected locally,
+// or that uses a new connection, may end before an earlier one and then waits for it. The
+// late outcome of a call that had timed out is reported as well.
+func (l *EventLoop) endCall(c *call, out rules.Outcome, total float64) {
+	if c.ended {
+		if c.outcome == rules.TimedOut {
+			l.Handle(rules.LateCounterReply{CallID: c.id, Outcome: out, Total: total})
 		}
 		return
 	}
-	k.ended, k.outcome, k.total = true, out, total
-	o.ended[out]++
-	if m := o.RollupCounts(); m != nil {
+	c.ended, c.outcome, c.total = true, out, total
+	l.callsByOutcome[out]++
+	if m := l.RollupCounts(); m != nil {
 		switch out {
 		case rules.Overloaded, rules.ConnectFailed:
 			m.Full++
@@ -66,27 +67,28 @@
 			m.Silent++
 		}
 	}
-	for line := o.calls[k.Key]; len(line) > 0 && line[0].ended; line = o.calls[k.Key] {
-		k := line[0]
-		if o.calls[k.Key] = line[1:]; len(line) == 1 {
-			delete(o.calls, k.Key)
+	for queue := l.pendingCalls[c.Key]; len(queue) > 0 && queue[0].ended; queue = l.pendingCalls[c.Key] {
+		c := queue[0]
+		if l.pendingCalls[c.Key] = queue[1:]; len(queue) == 1 {
+			delete(l.pendingCalls, c.Key)
 		}
-		o.Handle(rules.CounterReply{Key: k.Key, Outcome: k.outcome, Total: k.total, Duration: o.Clock.Now() - k.sent})
+		l.Handle(rules.CounterReply{Key: c.Key, Outcome: c.outcome, Total: c.total, Duration: l.Clock.Now() - c.sentAt})
 	}
 }
 
-// Finished tells whether the call has ended.
-func (k *call) Finished() bool { return k.ended }
+// Finished reports whether the call has ended.
+func (c *call) Finished() bool { return c.ended }
 
-// Expire ends a call whose time is over. An answer that has begun, and may never
-// end, says as much as one that can't be read: the amount was added. Danger: told
-// as silence, it would pass for a crowd, and what it added would be lost. A refusal
-// cut to pieces on its way passes for added too; what is taken back then is one call's.
-func (k *call) Expire() {
-	k.Abandon()
+// Expire ends a call at its timeout. If the response has begun, the amount was added even
+// if the response never completes, so the outcome is the same as for an unreadable
+// response. As TimedOut it would pass for an overloaded counter, and the added amount would
+// be lost. A refusal that was truncated in transit counts as added too; that error is
+// limited to the amount of one call.
+func (c *call) Expire() {
+	c.Abandon()
 	outcome := rules.TimedOut
-	if k.ResponseStarted() {
+	if c.ResponseStarted() {
 		outcome = rules.Errored
 	}
-	k.o.endCall(k, outcome, 0)
+	c.loop.endCall(c, outcome, 0)
 }
--- a/internal/owner/checks.go
+++ b/internal/owner/checks.go
@@ -2,73 +2,73 @@
 
 import "elderyard/rules"
 
-// CheckRequester has a question to the module about a quota, and takes its answer. Its methods
-// run in the owner's goroutine and must not wait.
+// CheckRequester submits a quota check to the module and receives its result. Its methods
+// run in the event loop's goroutine and must not block.
 type CheckRequester interface {
-	// NewEvent makes the event from the id that the owner gives; nil where none is needed any more.
+	// NewEvent builds the event for the assigned id. It returns nil if no event is needed any more.
 	NewEvent(rules.RequestID) rules.Event
-	// Complete is told the module's answer.
+	// Complete receives the module's result.
 	Complete(rules.CheckResult)
-	// ShouldCancel tells whether to call the check off now that its asker's client has gone.
+	// ShouldCancel reports whether to cancel the check now that the requester's client has disconnected.
 	ShouldCancel() bool
 }
 
-// Check is one asker's question.
+// Check is a quota check of one requester.
 type Check struct {
 	CheckRequester
 	id rules.RequestID
 }
 
-// CheckBatch hands several checks to the module in order, in one message.
+// CheckBatch submits several checks to the module in order, in one message.
 type CheckBatch struct {
 	Loop   *EventLoop
 	Checks []*Check
 }
 
-// Process asks the module.
+// Process submits the checks.
 func (b CheckBatch) Process() {
-	b.Loop.moment = b.Loop.Clock.Now() // one for all of them
-	defer func() { b.Loop.moment = 0 }()
+	b.Loop.batchTime = b.Loop.Clock.Now() // the same time for all checks
+	defer func() { b.Loop.batchTime = 0 }()
 	for _, c := range b.Checks {
 		id := b.Loop.NewRequestID()
 		if ev := c.NewEvent(id); ev != nil {
-			// Most are answered at once and need no place in the map.
-			c.id, b.Loop.asking = id, c
+			// Most checks complete within Handle and never enter the map.
+			c.id, b.Loop.submitting = id, c
 			b.Loop.Handle(ev)
-			if b.Loop.asking != nil {
-				b.Loop.asking = nil
+			if b.Loop.submitting != nil {
+				b.Loop.submitting = nil
 				b.Loop.checks[id] = c
 			}
 		}
 	}
 }
 
-// CancelChecks calls off checks whose asker has gone: those that are not decided yet
-// spend nothing.
+// CancelChecks cancels checks whose client has disconnected. Checks that are not decided
+// yet spend nothing.
 type CancelChecks struct {
 	Loop   *EventLoop
 	Checks []*Check
 }
 
-// Process tells the module of those that still wait.
-func (l CancelChecks) Process() {
-	for _, c := range l.Checks {
-		if l.Loop.checks[c.id] == c && c.ShouldCancel() {
-			delete(l.Loop.checks, c.id)
-			l.Loop.Handle(rules.ClientDisconnected{Request: c.id})
+// Process cancels the checks that are still pending.
+func (c CancelChecks) Process() {
+	for _, check := range c.Checks {
+		if c.Loop.checks[check.id] == check && check.ShouldCancel() {
+			delete(c.Loop.checks, check.id)
+			c.Loop.Handle(rules.ClientDisconnected{Request: check.id})
 		}
 	}
 }
 
-// checked passes an answer on.
-func (o *EventLoop) checked(a rules.CheckResult) {
-	if c := o.asking; c != nil && c.id == a.ID {
-		o.asking = nil
-		c.Complete(a)
+// completeCheck passes a result to the requester of its check.
+func (l *EventLoop) completeCheck(result rules.CheckResult) {
+	if c := l.submitting; c != nil && c.id == result.ID {
+		l.submitting = nil
+		c.Complete(result)
 		return
 	}
-	if c := o.checks[a.ID]; c != nil {
-		delete(o.checks, a.ID)
-		c.Complete(a)
+	if c := l.checks[result.ID]; c != nil {
+		delete(l.checks, result.ID)
+		c.Complete(result)
 	}
 }
--- a/internal/owner/checks_test.go
+++ b/internal/owner/checks_test.go
@@ -10,86 +10,87 @@
 	"elderyard/rules"
 )
 
-// heldCounter takes calls and answers none until told.
-type heldCounter struct{ calls chan *counter.Call }
+// manualCounter hands its calls to the test, which answers them.
+type manualCounter struct{ calls chan *counter.Call }
 
-func (h heldCounter) Add(k *counter.Call) bool { h.calls <- k; return true }
+func (m manualCounter) Add(k *counter.Call) bool { m.calls <- k; return true }
 
-func start(t *testing.T, k Counter) *EventLoop {
+func startLoop(t *testing.T, k Counter) *EventLoop {
 	t.Helper()
 	set := rules.Settings{Classes: []rules.Class{{LatencyObjective: 1, Timeout: 2, Value: 1}}, Plans: []rules.Plan{{Price: 1, Rate: 0.001, Burst: 10}},
 		FleetSize: 1, Tick: 0.002, HasCounter: k != nil, CounterTimeout: testpeer.Patience.Seconds()}
-	o := New(set, 1, k)
-	o.Start(nil)
+	l := New(set, 1, k)
+	l.Start(nil)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); o.Run(ctx) }()
+	go func() { defer close(done); l.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-done })
-	return o
+	return l
 }
 
-// asker takes units, or has nothing to ask.
-type asker struct {
+// unitRequester requests units; with skipped set it reports there that it was called and
+// submits no event.
+type unitRequester struct {
 	units   float64
-	asked   chan struct{}
-	answers chan rules.CheckResult
+	skipped chan struct{}
+	results chan rules.CheckResult
 }
 
-func (a *asker) NewEvent(id rules.RequestID) rules.Event {
-	if a.asked != nil {
-		a.asked <- struct{}{}
+func (r *unitRequester) NewEvent(id rules.RequestID) rules.Event {
+	if r.skipped != nil {
+		r.skipped <- struct{}{}
 		return nil
 	}
-	return &rules.Check{ID: id, Customer: 7, Units: a.units, Gateways: 1, Deadline: float64(time.Now().Unix()) + 60}
+	return &rules.Check{ID: id, Customer: 7, Units: r.units, Gateways: 1, Deadline: float64(time.Now().Unix()) + 60}
 }
 
-func (a *asker) Complete(got rules.CheckResult) { a.answers <- got }
-func (a *asker) ShouldCancel() bool             { return true }
+func (r *unitRequester) Complete(result rules.CheckResult) { r.results <- result }
+func (r *unitRequester) ShouldCancel() bool                { return true }
 
-func take(units float64, answers chan rules.CheckResult) *Check {
-	return &Check{CheckRequester: &asker{units: units, answers: answers}}
+func newCheck(units float64, results chan rules.CheckResult) *Check {
+	return &Check{CheckRequester: &unitRequester{units: units, results: results}}
 }
 
-// A batch is decided in order, each check has one answer, and one that leaves
-// before its answer has none and spends nothing.
-func TestBatchAndLeave(t *testing.T) {
-	k := heldCounter{make(chan *counter.Call, 16)}
-	o := start(t, k)
-	answers := make(chan rules.CheckResult, 16)
-	stays, leaves, last := take(2, answers), take(5, answers), take(1, answers)
-	o.Post(CheckBatch{o, []*Check{stays, leaves, last}})
+// A batch is decided in order and each check gets one result. A check that is cancelled
+// before its result gets none and spends nothing.
+func TestBatchAndCancel(t *testing.T) {
+	k := manualCounter{make(chan *counter.Call, 16)}
+	l := startLoop(t, k)
+	results := make(chan rules.CheckResult, 16)
+	first, cancelled, last := newCheck(2, results), newCheck(5, results), newCheck(1, results)
+	l.Post(CheckBatch{l, []*Check{first, cancelled, last}})
 	call := testpeer.Wait(t, k.calls, "call")
-	o.Post(CancelChecks{o, []*Check{leaves}})
+	l.Post(CancelChecks{l, []*Check{cancelled}})
 	call.Report(call, rules.Served, call.Amount)
 	for i, want := range []float64{2, 1} {
-		if a := testpeer.Wait(t, answers, "answer"); a.Granted != want || !a.Shared {
-			t.Errorf("answer %d: %+v, want %g units", i, a, want)
+		if got := testpeer.Wait(t, results, "result"); got.Granted != want || !got.Shared {
+			t.Errorf("result %d: %+v, want %g units", i, got, want)
 		}
 	}
-	again := take(7, answers) // all that is left, if the one that left spent nothing
-	o.Post(CheckBatch{o, []*Check{again}})
+	remaining := newCheck(7, results) // all units that are left if the cancelled check spent nothing
+	l.Post(CheckBatch{l, []*Check{remaining}})
 	go func() {
 		for call := range k.calls {
 			call.Report(call, rules.Served, 10)
 		}
 	}()
-	if a := testpeer.Wait(t, answers, "answer"); a.Granted != 7 {
-		t.Errorf("the rest: %+v", a)
+	if got := testpeer.Wait(t, results, "result"); got.Granted != 7 {
+		t.Errorf("check for the remaining units: %+v, want 7 granted", got)
 	}
-	if len(answers) > 0 {
-		t.Errorf("one more answer: %+v", <-answers)
+	if len(results) > 0 {
+		t.Errorf("unexpected result: %+v", <-results)
 	}
 }
 
-// Without a front for requests a module's owner takes checks alone, and one that
-// needs no event is not asked.
-func TestChecksAlone(t *testing.T) {
-	o := start(t, nil)
-	answers := make(chan rules.CheckResult, 1)
-	asked := make(chan struct{}, 1)
-	o.Post(CheckBatch{o, []*Check{{CheckRequester: &asker{asked: asked}}, take(10, answers)}})
-	testpeer.Wait(t, asked, "question")
-	if a := testpeer.Wait(t, answers, "answer"); a.Granted != 10 || a.Shared {
-		t.Errorf("%+v", a)
+// Without a request handler the event loop serves checks only. A check without an event is
+// not submitted to the module.
+func TestChecksWithoutRequestHandler(t *testing.T) {
+	l := startLoop(t, nil)
+	results := make(chan rules.CheckResult, 1)
+	skipped := make(chan struct{}, 1)
+	l.Post(CheckBatch{l, []*Check{{CheckRequester: &unitRequester{skipped: skipped}}, newCheck(10, results)}})
+	testpeer.Wait(t, skipped, "call of NewEvent")
+	if got := testpeer.Wait(t, results, "result"); got.Granted != 10 || got.Shared {
+		t.Errorf("result %+v, want 10 units granted locally", got)
 	}
 }
--- a/internal/owner/clock_test.go
+++ b/internal/owner/clock_test.go
@@ -7,11 +7,12 @@
 	"elderyard/internal/testpeer"
 )
 
-// The windows of leases are cut from the clock, so gateways must agree on it.
+// The windows of leases are derived from the clock, so it must follow Unix time for gateways
+// to agree on them.
 func TestClock(t *testing.T) {
 	c := NewClock()
-	at := c.Now()
-	if d := time.Since(c.At(at)); d < 0 || d > testpeer.Patience || time.Since(time.Unix(int64(at), 0)) > testpeer.Patience {
-		t.Errorf("now is %f, %v ago", at, d)
+	now := c.Now()
+	if d := time.Since(c.At(now)); d < 0 || d > testpeer.Patience || time.Since(time.Unix(int64(now), 0)) > testpeer.Patience {
+		t.Errorf("Now is %f and converts to a time %v ago", now, d)
 	}
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,8 +1,8 @@
-// Package owner drives the decision module. One goroutine owns it: all that
-// happens comes to that in order, it runs the module's actions, and it waits for no
-// socket. Fronts and clients of other services talk to it by messages. The counter and
-// timers are carried out here; what concerns requests goes to the front that takes
-// them.
+// Package owner runs the decision module in an event loop. A single goroutine owns
+// the module: it delivers events in order, carries out the resulting actions and never
+// waits for a socket. Frontends and clients of other services communicate with it by
+// messages. The loop itself carries out counter calls and timers; actions on requests
+// go to the frontend that accepts the requests.
 package owner
 
 import (
@@ -17,206 +17,212 @@
 )
 
 const (
-	inboxSize = 1024
-	mostKeep  = 60 * time.Second // of a name; the counter takes longer ones for this
-	leastKeep = time.Millisecond
+	inboxSize     = 1024
+	maxCounterTTL = 60 * time.Second // the counter reduces longer TTLs to this one
+	minCounterTTL = time.Millisecond
 )
 
-// Message is something that happened. Take runs in the owner's goroutine and must
-// not wait.
+// Message is an occurrence for the event loop. Process runs in the loop's goroutine and
+// must not block.
 type Message interface{ Process() }
 
-// RequestHandler carries out the module's actions on requests, in the owner's goroutine.
+// RequestHandler carries out the module's actions on requests, in the loop's goroutine.
 type RequestHandler interface {
 	Send(rules.Send)
 	Cancel(rules.Cancel)
 	Refuse(rules.Refuse)
 	Fail(rules.Fail)
-	InFlight(rules.RequestID) bool // the request, or an attempt of it, is still out
+	InFlight(rules.RequestID) bool // whether the request or an attempt of it is in flight
 }
 
-// Counter takes calls without waiting; false where too many wait.
+// Counter accepts calls without blocking. Add returns false if its queue is full.
 type Counter interface {
 	Add(*counter.Call) bool
 }
 
-// EventLoop is the one owner of a decision module.
+// EventLoop owns a decision module.
 type EventLoop struct {
 	Clock  Clock
 	Rollup *rollup.Aggregator // nil: nothing is counted; set before Run
 
 	gateway  *rules.Gateway
-	counter  Counter // nil: there is none
-	timeout  float64 // seconds, of a call to the counter
-	requests RequestHandler
+	counter  Counter        // nil: no counter
+	timeout  float64        // seconds, of a call to the counter
+	requests RequestHandler // nil: the loop serves checks only
 
 	inbox   chan Message
-	stopped chan struct{} // closed when Run ends
+	stopped chan struct{} // closed when Run returns
 
-	nextID  rules.RequestID
-	checks  map[rules.RequestID]*Check // not answered yet
-	moment  float64                    // of the batch that is being handed over; 0: none is
-	asking  *Check                     // whose event the module has just now; nil: none
-	calls   map[uint64][]*call         // by name, in order, until their replies are handed on
-	ended   [rules.NotSent + 1]uint64  // calls, by outcome
-	timers  timerHeap
-	actions []rules.Action
-	pending []rules.Event // events that actions brought about
+	nextID         rules.RequestID
+	checks         map[rules.RequestID]*Check // not answered yet
+	batchTime      float64                    // time of the batch being processed; 0: none
+	submitting     *Check                     // whose event the module is handling; nil: none
+	pendingCalls   map[uint64][]*call         // by key, in order, until their replies are delivered
+	callsByOutcome [rules.NotSent + 1]uint64  // finished calls
+	timers         timerHeap
+	actions        []rules.Action
+	events         []rules.Event // queue of Handle; actions may append further events
 }
 
-// New makes the owner of a module with the given settings. Nothing happens before
+// New returns the event loop of a module with the given settings. Nothing happens before
 // Start.
 func New(set rules.Settings, seed uint64, k Counter) *EventLoop {
-	o := &EventLoop{Clock: NewClock(), counter: k, timeout: set.CounterTimeout,
+	l := &EventLoop{Clock: NewClock(), counter: k, timeout: set.CounterTimeout,
 		inbox: make(chan Message, inboxSize), stopped: make(chan struct{}),
-		checks: map[rules.RequestID]*Check{}, calls: map[uint64][]*call{}}
-	o.gateway, o.actions = rules.New(set, seed, o.Clock.Now(), nil)
-	return o
+		checks: map[rules.RequestID]*Check{}, pendingCalls: map[uint64][]*call{}}
+	l.gateway, l.actions = rules.New(set, seed, l.Clock.Now(), nil)
+	return l
 }
 
-// Start names who carries out the actions on requests, nil where only checks are
-// taken, and runs those that the module begins with. It comes before Run.
-func (o *EventLoop) Start(r RequestHandler) {
-	o.requests = r
-	o.act(o.actions)
+// Start sets the handler of request actions, nil if the loop serves checks only, and
+// carries out the module's initial actions. It must be called before Run.
+func (l *EventLoop) Start(r RequestHandler) {
+	l.requests = r
+	l.act(l.actions)
 }
 
-// Stats tells of the module at a moment, and of the calls to the counter so far by
-// outcome.
-func (o *EventLoop) Stats(ctx context.Context) (f rules.Stats, calls [rules.NotSent + 1]uint64, err error) {
-	q := figures{o, make(chan struct{}), &f, &calls}
-	if !o.Post(q) {
-		return f, calls, errEnded
+// Stats returns a snapshot of the module's statistics and the number of counter calls
+// so far by outcome.
+func (l *EventLoop) Stats(ctx context.Context) (stats rules.Stats, calls [rules.NotSent + 1]uint64, err error) {
+	q := statsQuery{l, make(chan struct{}), &stats, &calls}
+	if !l.Post(q) {
+		return stats, calls, errStopped
 	}
 	select {
 	case <-q.done:
-		return f, calls, nil
+		return stats, calls, nil
 	case <-ctx.Done():
 		return rules.Stats{}, [rules.NotSent + 1]uint64{}, ctx.Err()
-	case <-o.stopped:
-		return rules.Stats{}, [rules.NotSent + 1]uint64{}, errEnded
+	case <-l.stopped:
+		return rules.Stats{}, [rules.NotSent + 1]uint64{}, errStopped
 	}
 }
 
-var errEnded = errors.New("the owner has ended")
+var errStopped = errors.New("event loop has stopped")
 
-type figures struct {
-	o     *EventLoop
+// statsQuery is a call of Stats that waits for its result.
+type statsQuery struct {
+	loop  *EventLoop
 	done  chan struct{}
-	f     *rules.Stats
+	stats *rules.Stats
 	calls *[rules.NotSent + 1]uint64
 }
 
-// Process copies the figures for the caller.
-func (q figures) Process() {
-	*q.f, *q.calls = q.o.gateway.Stats(), q.o.ended
+// Process copies the statistics for the caller.
+func (q statsQuery) Process() {
+	*q.stats, *q.calls = q.loop.gateway.Stats(), q.loop.callsByOutcome
 	close(q.done)
 }
 
-// Post tells the owner something. It returns false once the owner has ended.
-func (o *EventLoop) Post(m Message) bool {
+// Post queues a message, waiting for room in the inbox. It returns false once the loop
+// has stopped.
+func (l *EventLoop) Post(m Message) bool {
 	select {
-	case o.inbox <- m:
+	case l.inbox <- m:
 		return true
-	case <-o.stopped:
+	case <-l.stopped:
 		return false
 	}
 }
 
-// Stopped is closed when Run has ended.
-func (o *EventLoop) Stopped() <-chan struct{} { return o.stopped }
+// Stopped returns a channel that is closed when Run has returned.
+func (l *EventLoop) Stopped() <-chan struct{} { return l.stopped }
 
-// Run works until ctx ends.
-func (o *EventLoop) Run(ctx context.Context) {
-	defer close(o.stopped)
+// Run processes messages and timers until ctx ends.
+func (l *EventLoop) Run(ctx context.Context) {
+	defer close(l.stopped)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-o.inbox:
+		case m := <-l.inbox:
 			m.Process()
 		case <-timer.C:
 		}
-		now := o.Clock.Now()
-		for len(o.timers) > 0 && (o.timers[0].at <= now || o.void(o.timers[0])) {
-			if t := o.timers.next(); !o.void(t) {
-				o.due(t)
+		now := l.Clock.Now()
+		for len(l.timers) > 0 && (l.timers[0].at <= now || l.obsolete(l.timers[0])) {
+			if t := l.timers.pop(); !l.obsolete(t) {
+				l.fire(t)
 			}
 		}
-		if len(o.timers) > 0 {
-			timer.Reset(time.Until(o.Clock.At(o.timers[0].at)))
+		if len(l.timers) > 0 {
+			timer.Reset(time.Until(l.Clock.At(l.timers[0].at)))
 		}
 	}
 }
 
 // RollupCounts returns the counts of the current interval, nil if nothing is counted. Only messages and actions may
 // call it.
-func (o *EventLoop) RollupCounts() *rollup.Counts {
-	if o.Rollup == nil {
+func (l *EventLoop) RollupCounts() *rollup.Counts {
+	if l.Rollup == nil {
 		return nil
 	}
-	return o.Rollup.Current(o.Now())
+	return l.Rollup.Current(l.Now())
 }
 
-// ScheduleTimeout has d told when the clock is at that time. Only messages and actions may
-// call it.
-func (o *EventLoop) ScheduleTimeout(at float64, d Timeout) { o.timers.add(timerEntry{at: at, due: d}) }
+// ScheduleTimeout calls t.Expire once the clock reaches at, unless t has finished by
+// then. Only messages and actions may call it.
+func (l *EventLoop) ScheduleTimeout(at float64, t Timeout) {
+	l.timers.push(timerEntry{at: at, timeout: t})
+}
 
-// NewRequestID is an id that no request or check that is out has. Only messages may call it.
-func (o *EventLoop) NewRequestID() rules.RequestID {
-	for taken := true; taken; {
-		o.nextID = max(o.nextID+1, 1) // 0 stands for no request
-		taken = o.live(o.nextID)
+// NewRequestID returns an id that no request or check in flight has. Only messages may call it.
+func (l *EventLoop) NewRequestID() rules.RequestID {
+	for inUse := true; inUse; {
+		l.nextID = max(l.nextID+1, 1) // 0 stands for no request
+		inUse = l.inFlight(l.nextID)
 	}
-	return o.nextID
+	return l.nextID
 }
 
-// Now is the time at which the module is asked. Only messages and actions may call
-// it.
-func (o *EventLoop) Now() float64 {
-	if o.moment != 0 {
-		return o.moment
+// Now returns the time that the module's current event is handled at: within a batch,
+// the time at which the batch began. Only messages and actions may call it.
+func (l *EventLoop) Now() float64 {
+	if l.batchTime != 0 {
+		return l.batchTime
 	}
-	return o.Clock.Now()
+	return l.Clock.Now()
 }
 
-// live tells whether a request or check is out.
-func (o *EventLoop) live(id rules.RequestID) bool {
-	if _, waits := o.checks[id]; waits {
+// inFlight reports whether a request or check with this id is in flight.
+func (l *EventLoop) inFlight(id rules.RequestID) bool {
+	if _, pending := l.checks[id]; pending {
 		return true
 	}
-	return o.requests != nil && o.requests.InFlight(id)
+	return l.requests != nil && l.requests.InFlight(id)
 }
 
-// Handle gives the module an event, and then what its actions brought about. Only
-// messages and actions may call it.
-func (o *EventLoop) Handle(ev rules.Event) {
-	o.pending = append(o.pending, ev)
-	if len(o.pending) > 1 {
-		return // an outer call is at it
+// Handle passes an event to the module and carries out the resulting actions. Events
+// raised by those actions are queued and handled before Handle returns. Only messages
+// and actions may call it.
+func (l *EventLoop) Handle(ev rules.Event) {
+	l.events = append(l.events, ev)
+	if len(l.events) > 1 {
+		return // an outer call of Handle processes the queue
 	}
-	for n := 0; n < len(o.pending); n++ {
-		o.actions = o.gateway.Handle(o.Now(), o.pending[n], o.actions[:0])
-		o.act(o.actions)
+	for n := 0; n < len(l.events); n++ {
+		l.actions = l.gateway.Handle(l.Now(), l.events[n], l.actions[:0])
+		l.act(l.actions)
 	}
-	clear(o.pending)
-	o.pending = o.pending[:0]
+	clear(l.events)
+	l.events = l.events[:0]
 }
 
-func (o *EventLoop) act(actions []rules.Action) {
+// act carries out the module's actions.
+func (l *EventLoop) act(actions []rules.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case rules.Send:
-			if m := o.RollupCounts(); m != nil {
+			if m := l.RollupCounts(); m != nil {
 				m.Sends++
 			}
-			o.requests.Send(a)
+			l.requests.Send(a)
 		case rules.Cancel:
-			o.requests.Cancel(a)
+			l.requests.Cancel(a)
 		case rules.Refuse:
-			if m := o.RollupCounts(); m != nil {
+			if m := l.RollupCounts(); m != nil {
 				switch a.Reason {
 				case rules.QuotaExceeded:
 					m.NoQuota++
@@ -226,40 +232,41 @@
 					m.NoAnswer++
 				}
 			}
-			o.requests.Refuse(a)
+			l.requests.Refuse(a)
 		case rules.Fail:
-			if m := o.RollupCounts(); m != nil {
+			if m := l.RollupCounts(); m != nil {
 				m.Failed++
 			}
-			o.requests.Fail(a)
+			l.requests.Fail(a)
 		case *rules.CheckResult:
-			o.checked(*a)
+			l.completeCheck(*a)
 		case rules.SetTimer:
-			o.timers.add(timerEntry{at: o.Clock.Now() + max(a.Delay, 0), token: a.Token, request: a.Request})
+			l.timers.push(timerEntry{at: l.Clock.Now() + max(a.Delay, 0), token: a.Token, request: a.Request})
 		case rules.CounterAdd:
-			o.count(a)
+			l.addToCounter(a)
 		case rules.Log:
 			log.Print(a.Text)
-		case rules.Subscribe: // the watch always runs
+		case rules.Subscribe: // the discovery watch always runs
 		}
 	}
 }
 
-// void tells whether nobody waits for a timer any more.
-func (o *EventLoop) void(t timerEntry) bool {
+// obsolete reports whether nothing waits for a timer any more.
+func (l *EventLoop) obsolete(t timerEntry) bool {
 	switch {
-	case t.due != nil:
-		return t.due.Finished()
+	case t.timeout != nil:
+		return t.timeout.Finished()
 	case t.request != 0:
-		return !o.live(t.request)
+		return !l.inFlight(t.request)
 	}
 	return false
 }
 
-func (o *EventLoop) due(t timerEntry) {
-	if t.due != nil {
-		t.due.Expire()
+// fire expires a timeout or delivers a timer to the module.
+func (l *EventLoop) fire(t timerEntry) {
+	if t.timeout != nil {
+		t.timeout.Expire()
 		return
 	}
-	o.Handle(rules.TimerFired{Token: t.token})
+	l.Handle(rules.TimerFired{Token: t.token})
 }
