--- a/internal/counter/http.go
+++ b/internal/counter/http.go
@@ -1,5 +1,6 @@
-// Package counter makes calls to the counter that all gateways share. What became of
-// a call is told with care: added, turned away, in doubt, late.
+// Package counter implements clients of the counter that all gateways share. It
+// distinguishes precisely what happened to a call: the amount was added, was rejected,
+// may have been added, or was confirmed late.
 package counter
 
 import (
@@ -24,26 +25,26 @@
 )
 
 const (
-	lanes           = 8               // streams of calls to the counter, each on a connection of its own
-	laneConns       = 4               // connections of a lane at most, those that stand still among them
-	mostCalls       = 512             // calls that wait on one lane
-	counterIdle     = 5 * time.Second // well below the 10 s after which the counter closes
-	counterStuck    = 1 * time.Second // an answer so late is given up with its connection
-	counterIdleLook = 1 * time.Second // between looks for idle lanes
-	mostTotal       = 64              // bytes of a total
-	countPath       = "/v1/count/"
-	mostCounterHead = 16 << 10 // bytes of an answer with its headers
+	pipelineCount     = 8               // pipelines of calls, each on a connection of its own
+	maxPipelineConns  = 4               // connections of a pipeline, stalled ones included
+	maxQueuedCalls    = 512             // calls waiting in a pipeline
+	httpIdleTimeout   = 5 * time.Second // well below the 10 s after which the counter closes
+	ioTimeout         = 1 * time.Second // of writing a call and of awaiting a response; then the connection is closed
+	idleCheckInterval = 1 * time.Second // between checks for idle connections
+	maxTotalBytes     = 64              // bytes of a total
+	countPath         = "/v1/count/"
+	maxResponseBytes  = 16 << 10 // bytes of a response with its headers
 )
 
 // Client makes calls to a shared counter.
 type Client interface {
-	Add(*Call) bool          // false where too many wait; it never waits itself
-	Run(ctx context.Context) // until ctx ends
-	Retarget(address string) // for all further calls
+	Add(*Call) bool          // queues a call without blocking; false if the queue is full
+	Run(ctx context.Context) // makes the queued calls until ctx ends
+	Retarget(address string) // sets the address for all further calls
 }
 
-// Open makes the client that the operator's file asks for; nil where the settings
-// have no counter. No connection is made before the first call.
+// Open returns the client that the operator's file specifies, nil if the settings have no
+// counter. No connection is made before the first call.
 func Open(s site.Counter, set rules.Settings, address string) (Client, error) {
 	timeout := time.Duration(set.CounterTimeout * float64(time.Second))
 	switch {
@@ -52,37 +53,39 @@
 	case s.Kind != "resp":
 		return NewHTTP(address, timeout), nil
 	}
-	store := RESPConfig{Address: address, User: s.User, Password: s.Password, Prefix: s.Prefix, Timeout: timeout}
+	config := RESPConfig{Address: address, User: s.User, Password: s.Password, Prefix: s.Prefix, Timeout: timeout}
 	if s.CA != "" {
 		roots, err := sockets.LoadCertPool(s.CA)
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: counter: %w", err)
 		}
-		store.TLS = &tls.Config{RootCAs: roots, ServerName: s.Name, MinVersion: tls.VersionTLS12}
+		config.TLS = &tls.Config{RootCAs: roots, ServerName: s.Name, MinVersion: tls.VersionTLS12}
 		if s.Name == "" {
-			if store.TLS.ServerName, _, err = net.SplitHostPort(address); err != nil {
+			if config.TLS.ServerName, _, err = net.SplitHostPort(address); err != nil {
 				return nil, fmt.Errorf("counter: %w", err)
 			}
 		}
 	}
-	return NewRESP(store), nil
+	return NewRESP(config), nil
 }
 
-// lines are the calls that wait. Those for one name stand in one line, so they go out
-// in order.
-type lines struct{ lanes [lanes]chan *Call }
+// callQueues holds the calls that wait to be sent. Calls for the same key share a queue, so
+// they are sent in order.
+type callQueues struct {
+	queues [pipelineCount]chan *Call
+}
 
-func newLines() (l lines) {
-	for i := range l.lanes {
-		l.lanes[i] = make(chan *Call, mostCalls)
+func newCallQueues() (q callQueues) {
+	for i := range q.queues {
+		q.queues[i] = make(chan *Call, maxQueuedCalls)
 	}
-	return l
+	return q
 }
 
-// Add hands a call over without waiting. It returns false where too many wait.
-func (c *lines) Add(k *Call) bool {
+// Add queues a call without blocking. It returns false if the queue is full.
+func (q *callQueues) Add(k *Call) bool {
 	select {
-	case c.lanes[k.Key%lanes] <- k:
+	case q.queues[k.Key%pipelineCount] <- k:
 		return true
 	default:
 		return false
@@ -93,237 +96,240 @@
 type Call struct {
 	Key    uint64
 	Amount float64
-	TTL    time.Duration // a new name lives so long
-	// Report is told once what became of the call, from a goroutine of the client's: Served
-	// with the total, Full (nothing was added), ConnectFailed (nothing was), Errored (it was, the
-	// total is lost), Broken and TimedOut (it may have been).
+	TTL    time.Duration // of a key that the call creates
+	// Report is called once with the outcome of the call, from a goroutine of the client: Served
+	// with the total, Overloaded or ConnectFailed (nothing was added), Errored (the amount was
+	// added, the total is unknown), ConnectionLost or TimedOut (it may have been added).
 	Report func(k *Call, o rules.Outcome, total float64)
 
-	rest    time.Duration // of its connection before it; 0: none
-	givenUp atomic.Bool   // not to be written any more
-	begun   atomic.Bool   // its answer has begun to come
+	idle            time.Duration // of its connection before the call; 0: not idle
+	abandoned       atomic.Bool   // must not be written any more
+	responseStarted atomic.Bool   // the first byte of its response has arrived
 }
 
-// Abandon tells the client that nobody waits. A call that has not been written never is.
-func (k *Call) Abandon() { k.givenUp.Store(true) }
+// Abandon tells the client that nothing waits for the result. A call that has not been
+// written yet is never written.
+func (k *Call) Abandon() { k.abandoned.Store(true) }
 
-// ResponseStarted tells whether the answer has begun to come.
-func (k *Call) ResponseStarted() bool { return k.begun.Load() }
+// ResponseStarted reports whether the response has begun to arrive.
+func (k *Call) ResponseStarted() bool { return k.responseStarted.Load() }
 
-// HTTP makes calls over a few pipelined connections. The calls for one name
-// keep to one lane, so they go out in order; a lane leaves a connection that
-// stands still for a new one. The counter holds 32 connections of a gateway.
+// HTTP makes calls over a few pipelined HTTP connections. Calls for the same key use the
+// same pipeline, so they are sent in order. A pipeline replaces a stalled connection with a
+// new one. The counter accepts 32 connections from a gateway.
 type HTTP struct {
-	address atomic.Pointer[string]
-	timeout time.Duration
-	trust   sockets.IdleEstimator
-	lines
+	address       atomic.Pointer[string]
+	timeout       time.Duration
+	idleEstimator sockets.IdleEstimator
+	callQueues
 	readers sync.WaitGroup // one for each connection
 }
 
-// NewHTTP calls the counter at address; one that takes longer than timeout to connect to has failed.
+// NewHTTP returns a client of the counter at address. A call fails if connecting takes longer
+// than timeout.
 func NewHTTP(address string, timeout time.Duration) *HTTP {
-	c := &HTTP{timeout: timeout, lines: newLines()}
+	c := &HTTP{timeout: timeout, callQueues: newCallQueues()}
 	c.Retarget(address)
 	return c
 }
 
-// Retarget sends all further calls to another address. What is out on the old one
+// Retarget sends all further calls to another address. Calls in flight at the old address
 // may still be answered there.
 func (c *HTTP) Retarget(address string) { c.address.Store(&address) }
 
-// Run keeps the lanes until ctx ends.
+// Run runs the pipelines until ctx ends.
 func (c *HTTP) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, calls := range c.lanes {
-		wg.Go(func() { c.lane(ctx, calls) })
+	for _, calls := range c.queues {
+		wg.Go(func() { c.runPipeline(ctx, calls) })
 	}
 	wg.Wait()
 	c.readers.Wait()
 }
 
-// lane writes the calls of one channel.
-func (c *HTTP) lane(ctx context.Context, calls <-chan *Call) {
-	var conn *counterConn
-	var open atomic.Int64
+// runPipeline writes the calls of one queue.
+func (c *HTTP) runPipeline(ctx context.Context, calls <-chan *Call) {
+	var conn *httpConn
+	var openConns atomic.Int64
 	defer func() {
 		if conn != nil {
 			conn.Close()
 		}
 	}()
-	look := time.NewTicker(counterIdleLook)
-	defer look.Stop()
-	used := time.Now()
+	idleCheck := time.NewTicker(idleCheckInterval)
+	defer idleCheck.Stop()
+	lastUsed := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
-			if conn != nil && (time.Since(used) > counterIdle || conn.host != *c.address.Load()) {
+		case <-idleCheck.C:
+			if conn != nil && (time.Since(lastUsed) > httpIdleTimeout || conn.host != *c.address.Load()) {
 				conn.retire()
 				conn = nil
 			}
 		case k := <-calls:
-			if k.givenUp.Load() {
-				k.Report(k, rules.TimedOut, 0) // nobody waits; never written, so never added
+			if k.abandoned.Load() {
+				k.Report(k, rules.TimedOut, 0) // abandoned before it was written, so never added
 				continue
 			}
-			rest := time.Since(used)
-			if conn != nil && (conn.host != *c.address.Load() || !conn.usable(rest) || conn.stands()) {
+			idle := time.Since(lastUsed)
+			if conn != nil && (conn.host != *c.address.Load() || !conn.usable(idle) || conn.stalled()) {
 				conn.retire()
 				conn = nil
 			}
-			if conn != nil && conn.out.Load() == 0 {
-				k.rest = rest
+			if conn != nil && conn.inFlight.Load() == 0 {
+				k.idle = idle
 			}
 			if conn == nil {
 				var err error
-				if conn, err = c.dial(ctx, &open); err != nil {
+				if conn, err = c.dial(ctx, &openConns); err != nil {
 					conn = nil
 					k.Report(k, rules.ConnectFailed, 0)
 					continue
 				}
 			}
-			used = time.Now()
-			conn.call(k)
+			lastUsed = time.Now()
+			conn.send(k)
 		}
 	}
 }
 
-// counterConn is one connection: calls go out in order and so do the answers
-// come. A call that was given up keeps its place, so that its late answer is
-// not taken for the next call's.
-type counterConn struct {
+// httpConn is a connection on which responses arrive in the order of the calls. An abandoned
+// call keeps its place, so that its late response is not taken for that of the next call.
+type httpConn struct {
 	net.Conn
-	host    string
-	dead    atomic.Bool
-	out     atomic.Int64           // calls without an answer
-	head    atomic.Pointer[Call]   // whose answer comes next
-	waiting chan *Call             // written, in order
-	open    *atomic.Int64          // connections of its lane
-	trust   *sockets.IdleEstimator // the counter's
-	once    sync.Once
+	host          string
+	dead          atomic.Bool
+	inFlight      atomic.Int64         // calls without a response
+	current       atomic.Pointer[Call] // whose response is due next
+	sent          chan *Call           // written, in order
+	openConns     *atomic.Int64        // open connections of its pipeline
+	idleEstimator *sockets.IdleEstimator
+	retireOnce    sync.Once
 }
 
-// dial opens a connection and counts it in open until it has ended.
-func (c *HTTP) dial(ctx context.Context, open *atomic.Int64) (*counterConn, error) {
+// dial opens a connection and counts it in openConns until it has ended.
+func (c *HTTP) dial(ctx context.Context, openConns *atomic.Int64) (*httpConn, error) {
 	d := net.Dialer{Timeout: c.timeout, KeepAlive: -1}
 	address := *c.address.Load()
 	nc, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	conn := &counterConn{Conn: nc, host: address, waiting: make(chan *Call, mostCalls), open: open, trust: &c.trust}
-	open.Add(1)
+	conn := &httpConn{Conn: nc, host: address, sent: make(chan *Call, maxQueuedCalls), openConns: openConns,
+		idleEstimator: &c.idleEstimator}
+	openConns.Add(1)
 	c.readers.Go(func() {
-		defer open.Add(-1)
-		conn.read()
+		defer openConns.Add(-1)
+		conn.readResponses()
 	})
 	return conn, nil
 }
 
-// retire takes no more calls; the connection ends with its reader, once what is
-// out has been answered or given up. Only the lane's writer calls it, so nothing
-// joins waiting afterwards.
-func (c *counterConn) retire() { c.once.Do(func() { close(c.waiting) }) }
+// retire makes the connection accept no more calls. It is closed by its reader, once all
+// calls in flight have been answered or have timed out. Only the pipeline's writer may call it,
+// since nothing may be sent on c.sent afterwards.
+func (c *httpConn) retire() { c.retireOnce.Do(func() { close(c.sent) }) }
 
-// Close ends the connection at once; its reader reports what is still out.
-func (c *counterConn) Close() error {
+// Close closes the connection at once; its reader reports the calls in flight.
+func (c *httpConn) Close() error {
 	c.retire()
 	return c.Conn.Close()
 }
 
-// usable tells whether another call may be written after a rest. The counter may
-// close an idle connection sooner than agreed, and a call written then is in doubt.
-func (c *counterConn) usable(rest time.Duration) bool {
-	return !c.dead.Load() && rest <= counterIdle &&
-		(c.out.Load() > 0 || rest < c.trust.Limit(time.Now()) && sockets.Alive(c.Conn))
+// usable reports whether another call may be written after the connection was idle for the
+// given time. The counter may close an idle connection earlier than agreed, and it would be
+// unknown whether a call written then was added.
+func (c *httpConn) usable(idle time.Duration) bool {
+	return !c.dead.Load() && idle <= httpIdleTimeout &&
+		(c.inFlight.Load() > 0 || idle < c.idleEstimator.Limit(time.Now()) && sockets.Alive(c.Conn))
 }
 
-// stands tells whether the lane should leave a connection, since the call whose
-// answer is due has been given up and another connection may be had. Danger: an
-// answer that never ends holds up all answers behind it, and so calls that the
-// counter has served would time out, for many customers, as if it were crowded.
-// This covers a lost or silent connection as well. It could hurt with a counter
-// that is slow for all, which gets more connections from it, so these are few;
-// an answer that comes late is still read where it comes.
-func (c *counterConn) stands() bool {
-	k := c.head.Load()
-	return k != nil && k.givenUp.Load() && c.open.Load() < laneConns
+// stalled reports whether the pipeline should replace the connection, because the call whose
+// response is due has been abandoned and the pipeline may open another connection.
+// Without this, a response that never ends would block all responses behind it, and
+// calls that the counter has served would time out for many customers, as if the counter
+// were overloaded. It also covers a lost or silent connection. The drawback is that a
+// counter that is slow for everyone receives more connections, so their number is limited
+// to maxPipelineConns. A response that arrives late is still read on the old connection.
+func (c *httpConn) stalled() bool {
+	k := c.current.Load()
+	return k != nil && k.abandoned.Load() && c.openConns.Load() < maxPipelineConns
 }
 
-// call writes one call. Its answer is read only once it stands in the line;
-// where the line is full the connection is stuck.
-func (c *counterConn) call(k *Call) {
-	if len(c.waiting) == cap(c.waiting) {
+// send writes a call and queues it for the reader, which reads the response only after that.
+// If the reader's queue is full, the connection is stuck and the call fails.
+func (c *httpConn) send(k *Call) {
+	if len(c.sent) == cap(c.sent) {
 		k.Report(k, rules.ConnectFailed, 0)
 		return
 	}
 	text := fmt.Appendf(nil, "POST %s%016x?add=%s&ttl_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n",
 		countPath, k.Key, strconv.FormatFloat(k.Amount, 'f', -1, 64), k.TTL.Milliseconds(), c.host)
-	c.out.Add(1)
-	c.SetWriteDeadline(time.Now().Add(counterStuck))
+	c.inFlight.Add(1)
+	c.SetWriteDeadline(time.Now().Add(ioTimeout))
 	if _, err := c.Write(text); err != nil {
-		// The last byte was not written, so nothing was added.
+		// The request was not written completely, so nothing was added.
 		c.dead.Store(true)
 		k.Report(k, rules.ConnectFailed, 0)
 		return
 	}
-	c.waiting <- k
+	c.sent <- k
 }
 
-// read takes the answers in. What is out when the connection ends may have been
-// added.
-func (c *counterConn) read() {
+// readResponses reads the responses in order. Calls that are in flight when the connection
+// ends may have been added.
+func (c *httpConn) readResponses() {
 	defer c.Conn.Close()
-	left := &io.LimitedReader{R: c.Conn}
-	r := bufio.NewReader(left)
-	asked := &http.Request{Method: http.MethodPost}
+	limited := &io.LimitedReader{R: c.Conn}
+	r := bufio.NewReader(limited)
+	request := &http.Request{Method: http.MethodPost}
 	failed := false
-	for k := range c.waiting {
+	for k := range c.sent {
 		if failed {
 			k.Report(k, rules.ConnectionLost, 0)
 			continue
 		}
-		c.head.Store(k)
-		left.N = mostCounterHead
-		c.SetReadDeadline(time.Now().Add(counterStuck))
+		c.current.Store(k)
+		limited.N = maxResponseBytes
+		c.SetReadDeadline(time.Now().Add(ioTimeout))
 		outcome, total, err := rules.Errored, 0.0, error(nil)
 		if _, err = r.Peek(1); err != nil {
 			outcome = sockets.ReadErrorOutcome(err)
-			c.trust.Record(time.Now(), k.rest, outcome == rules.ConnectionLost)
+			c.idleEstimator.Record(time.Now(), k.idle, outcome == rules.ConnectionLost)
 		} else {
-			c.trust.Record(time.Now(), k.rest, false)
-			k.begun.Store(true)
-			outcome, total, err = readTotal(r, asked)
+			c.idleEstimator.Record(time.Now(), k.idle, false)
+			k.responseStarted.Store(true)
+			outcome, total, err = readTotal(r, request)
 		}
 		if err != nil {
 			failed = true
 			c.dead.Store(true)
 			c.Conn.Close()
 		}
-		c.head.Store(nil)
-		c.out.Add(-1)
+		c.current.Store(nil)
+		c.inFlight.Add(-1)
 		k.Report(k, outcome, total)
 	}
 }
 
-var errNoTotal = errors.New("no total")
+var errNoTotal = errors.New("response has no valid total")
 
-// readTotal reads the answer to a call. Danger: an answer that can't be read
-// says that the amount was added and no more. After it, and where a body has no
-// end of its own, the connection can't be trusted with the next call's.
-func readTotal(r *bufio.Reader, asked *http.Request) (rules.Outcome, float64, error) {
-	resp, err := http.ReadResponse(r, asked)
+// readTotal reads the response to a call. An unreadable response only shows that the amount
+// was added. After it, and after a body without a delimited end, the connection must not be
+// used for another call.
+func readTotal(r *bufio.Reader, request *http.Request) (rules.Outcome, float64, error) {
+	resp, err := http.ReadResponse(r, request)
 	if err != nil {
 		return rules.Errored, 0, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostTotal+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxTotalBytes+1))
 	resp.Body.Close()
 	switch {
 	case err != nil:
 		return rules.Errored, 0, err
-	case len(body) > mostTotal, !sockets.Delimited(resp):
+	case len(body) > maxTotalBytes, !sockets.Delimited(resp):
 		return rules.Errored, 0, errNoTotal
 	}
 	switch resp.StatusCode {
@@ -338,5 +344,5 @@
 	case http.StatusBadRequest, http.StatusNotFound:
 		return rules.ConnectFailed, 0, nil // nothing was added
 	}
-	return rules.ConnectionLost, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
+	return rules.ConnectionLost, 0, fmt.Errorf("status %s", resp.Status) // proves nothing about the addition
 }
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -16,154 +16,155 @@
 	"elderyard/rules"
 )
 
-// RESPConfig says how a RESP store is reached.
+// RESPConfig specifies how to reach a RESP store.
 type RESPConfig struct {
 	Address        string
 	User, Password string      // empty password: no AUTH
-	TLS            *tls.Config // nil: plain
-	Prefix         string      // of all names
+	TLS            *tls.Config // nil: plaintext
+	Prefix         string      // of all keys
 	Timeout        time.Duration
 }
 
-// RESP makes calls on a store that speaks RESP. One call is one transaction: the
-// number grows, and a name that has no end yet is given one. It needs the store's INCRBYFLOAT,
-// and PEXPIRE with NX. Calls for one name keep to one lane and so to their order; a lane has one
-// connection, which it leaves for a new one when an answer is overdue.
+// RESP makes calls on a store that speaks RESP. A call is one transaction that increments the
+// number and sets an expiry on a key that has none. It requires INCRBYFLOAT, and PEXPIRE with
+// NX. Calls for the same key use the same pipeline, so they are sent in order. A pipeline has one
+// connection, which it replaces with a new one when a response is overdue.
 type RESP struct {
-	store   RESPConfig
+	config  RESPConfig
 	address atomic.Pointer[string]
-	lines
+	callQueues
 	readers sync.WaitGroup
 }
 
-// replyBounds are what the answers of one connection may hold.
+// replyBounds limits the replies on one connection.
 var replyBounds = resp.Bounds{Args: 8, Bulk: 1 << 10, Total: 4 << 10, Depth: 2}
 
 const (
-	callReplies = 5               // MULTI, two queued, EXEC: four; the greeting counts for itself
-	storeRest   = 5 * time.Second // a connection rests so long at most
-	mostMoves   = 4               // redirections to another address in a row
+	maxReplies      = 5               // of MULTI, INCRBYFLOAT, PEXPIRE and EXEC, and one of AUTH, which dial reads
+	respIdleTimeout = 5 * time.Second // after which a connection is no longer used
+	maxRedirects    = 4               // to another address in a row
 )
 
-// NewRESP calls a RESP store.
-func NewRESP(s RESPConfig) *RESP {
-	c := &RESP{store: s, lines: newLines()}
-	c.Retarget(s.Address)
+// NewRESP returns a client of a RESP store.
+func NewRESP(config RESPConfig) *RESP {
+	c := &RESP{config: config, callQueues: newCallQueues()}
+	c.Retarget(config.Address)
 	return c
 }
 
 // Retarget sends all further calls to another address.
 func (c *RESP) Retarget(address string) { c.address.Store(&address) }
 
-// Run keeps the lanes until ctx ends.
+// Run runs the pipelines until ctx ends.
 func (c *RESP) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, calls := range c.lanes {
-		wg.Go(func() { (&storeLane{c: c, calls: calls}).run(ctx) })
+	for _, calls := range c.queues {
+		wg.Go(func() { (&respPipeline{client: c, calls: calls}).run(ctx) })
 	}
 	wg.Wait()
 	c.readers.Wait()
 }
 
-// storeLane writes the calls of one channel.
-type storeLane struct {
-	c     *RESP
-	calls <-chan *Call
-	conn  *storeConn
-	moved atomic.Pointer[string] // where the store sent this lane; nil: nowhere
-	moves atomic.Int64
-	used  time.Time
+// respPipeline writes the calls of one queue.
+type respPipeline struct {
+	client    *RESP
+	calls     <-chan *Call
+	conn      *respConn
+	redirect  atomic.Pointer[string] // address that the store redirected this pipeline to; nil: none
+	redirects atomic.Int64           // redirects and failed dials since the last success
+	lastUsed  time.Time
 }
 
-func (l *storeLane) run(ctx context.Context) {
+func (p *respPipeline) run(ctx context.Context) {
 	defer func() {
-		if l.conn != nil {
-			l.conn.retire()
-			l.conn.Close()
+		if p.conn != nil {
+			p.conn.retire()
+			p.conn.Close()
 		}
 	}()
-	look := time.NewTicker(counterIdleLook)
-	defer look.Stop()
+	idleCheck := time.NewTicker(idleCheckInterval)
+	defer idleCheck.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
-			if l.conn != nil && time.Since(l.used) > storeRest {
-				l.leave()
+		case <-idleCheck.C:
+			if p.conn != nil && time.Since(p.lastUsed) > respIdleTimeout {
+				p.retireConn()
 			}
-		case k := <-l.calls:
-			l.call(ctx, k)
+		case k := <-p.calls:
+			p.send(ctx, k)
 		}
 	}
 }
 
-func (l *storeLane) leave() {
-	l.conn.retire()
-	l.conn = nil
+func (p *respPipeline) retireConn() {
+	p.conn.retire()
+	p.conn = nil
 }
 
-// target is the address for the next call. A move that leads nowhere is forgotten.
-func (l *storeLane) target() string {
-	if to := l.moved.Load(); to != nil && l.moves.Load() < mostMoves {
+// target returns the address for the next call. After maxRedirects redirects or failed
+// dials without a success it returns to the configured address.
+func (p *respPipeline) target() string {
+	if to := p.redirect.Load(); to != nil && p.redirects.Load() < maxRedirects {
 		return *to
 	}
-	l.moved.Store(nil)
-	l.moves.Store(0)
-	return *l.c.address.Load()
+	p.redirect.Store(nil)
+	p.redirects.Store(0)
+	return *p.client.address.Load()
 }
 
-func (l *storeLane) call(ctx context.Context, k *Call) {
-	if k.givenUp.Load() {
-		k.Report(k, rules.TimedOut, 0) // nobody waits; never written, so never added
+// send writes a call, on a new connection if the present one is not usable.
+func (p *respPipeline) send(ctx context.Context, k *Call) {
+	if k.abandoned.Load() {
+		k.Report(k, rules.TimedOut, 0) // abandoned before it was written, so never added
 		return
 	}
-	address := l.target()
-	if c := l.conn; c != nil && (c.dead.Load() || c.address != address || time.Since(l.used) > storeRest || c.stands() ||
-		c.out.Load() == 0 && !sockets.Alive(c.raw)) {
-		l.leave()
+	address := p.target()
+	if c := p.conn; c != nil && (c.dead.Load() || c.address != address || time.Since(p.lastUsed) > respIdleTimeout || c.stalled() ||
+		c.inFlight.Load() == 0 && !sockets.Alive(c.raw)) {
+		p.retireConn()
 	}
-	if l.conn == nil {
-		conn, err := l.dial(ctx, address)
+	if p.conn == nil {
+		conn, err := p.dial(ctx, address)
 		if err != nil {
-			l.moves.Add(1)
+			p.redirects.Add(1)
 			k.Report(k, rules.ConnectFailed, 0)
 			return
 		}
-		l.conn = conn
+		p.conn = conn
 	}
-	l.used = time.Now()
-	l.conn.write(k, l.c.store.Prefix)
+	p.lastUsed = time.Now()
+	p.conn.write(k, p.client.config.Prefix)
 }
 
-// storeConn is one connection: transactions go out in order, and so come their
-// answers.
-type storeConn struct {
+// respConn is a connection on which replies arrive in the order of the transactions.
+type respConn struct {
 	net.Conn
-	raw     net.Conn // below TLS
-	address string
-	lane    *storeLane
-	dead    atomic.Bool
-	out     atomic.Int64
-	head    atomic.Pointer[Call]
-	waiting chan *Call
-	once    sync.Once
+	raw        net.Conn // below TLS
+	address    string
+	pipeline   *respPipeline
+	dead       atomic.Bool
+	inFlight   atomic.Int64         // calls without a response
+	current    atomic.Pointer[Call] // whose response is due next
+	sent       chan *Call           // written, in order
+	retireOnce sync.Once
 }
 
-var errLogin = errors.New("the store does not let us in")
+var errLogin = errors.New("store rejected the login")
 
-// dial opens a connection and says who we are. Nothing has been added if it fails.
-func (l *storeLane) dial(ctx context.Context, address string) (*storeConn, error) {
-	s := &l.c.store
-	ctx, cancel := context.WithTimeout(ctx, max(s.Timeout, time.Millisecond))
+// dial opens a connection and authenticates. If it fails, nothing has been added.
+func (p *respPipeline) dial(ctx context.Context, address string) (*respConn, error) {
+	config := &p.client.config
+	ctx, cancel := context.WithTimeout(ctx, max(config.Timeout, time.Millisecond))
 	defer cancel()
 	raw, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	conn := &storeConn{Conn: raw, raw: raw, address: address, lane: l, waiting: make(chan *Call, mostCalls)}
-	if s.TLS != nil {
-		t := tls.Client(raw, s.TLS)
+	conn := &respConn{Conn: raw, raw: raw, address: address, pipeline: p, sent: make(chan *Call, maxQueuedCalls)}
+	if config.TLS != nil {
+		t := tls.Client(raw, config.TLS)
 		if err := t.HandshakeContext(ctx); err != nil {
 			raw.Close()
 			return nil, err
@@ -171,12 +172,12 @@
 		conn.Conn = t
 	}
 	r := resp.NewReader(conn.Conn, replyBounds)
-	if s.Password != "" {
+	if config.Password != "" {
 		w := resp.Writer{}
-		if s.User != "" {
-			w.Command("AUTH", s.User, s.Password)
+		if config.User != "" {
+			w.Command("AUTH", config.User, config.Password)
 		} else {
-			w.Command("AUTH", s.Password)
+			w.Command("AUTH", config.Password)
 		}
 		deadline, _ := ctx.Deadline()
 		conn.SetDeadline(deadline)
@@ -194,139 +195,140 @@
 		}
 		conn.SetDeadline(time.Time{})
 	}
-	l.c.readers.Go(func() { conn.read(r) })
+	p.client.readers.Go(func() { conn.readResponses(r) })
 	return conn, nil
 }
 
-// retire takes no more calls; the connection ends with its reader. Only the lane
-// calls it.
-func (c *storeConn) retire() { c.once.Do(func() { close(c.waiting) }) }
+// retire makes the connection accept no more calls. It is closed by its reader. Only the
+// pipeline's writer may call it.
+func (c *respConn) retire() { c.retireOnce.Do(func() { close(c.sent) }) }
 
-// stands tells whether the call whose answer is due has been given up: what is
-// behind it would be held up.
-func (c *storeConn) stands() bool {
-	k := c.head.Load()
-	return k != nil && k.givenUp.Load()
+// stalled reports whether the call whose response is due has been abandoned: it would delay
+// the calls behind it.
+func (c *respConn) stalled() bool {
+	k := c.current.Load()
+	return k != nil && k.abandoned.Load()
 }
 
-// write sends a call as one transaction.
-func (c *storeConn) write(k *Call, prefix string) {
-	if len(c.waiting) == cap(c.waiting) {
+// write sends a call as one transaction and queues it for the reader.
+func (c *respConn) write(k *Call, prefix string) {
+	if len(c.sent) == cap(c.sent) {
 		k.Report(k, rules.ConnectFailed, 0)
 		return
 	}
-	name := prefix + strconv.FormatUint(k.Key, 16)
+	key := prefix + strconv.FormatUint(k.Key, 16)
 	var w resp.Writer
 	w.Command("MULTI")
-	w.Command("INCRBYFLOAT", name, strconv.FormatFloat(k.Amount, 'f', -1, 64))
-	w.Command("PEXPIRE", name, strconv.FormatInt(max(k.TTL.Milliseconds(), 1), 10), "NX")
+	w.Command("INCRBYFLOAT", key, strconv.FormatFloat(k.Amount, 'f', -1, 64))
+	w.Command("PEXPIRE", key, strconv.FormatInt(max(k.TTL.Milliseconds(), 1), 10), "NX")
 	w.Command("EXEC")
-	c.out.Add(1)
-	c.SetWriteDeadline(time.Now().Add(counterStuck))
+	c.inFlight.Add(1)
+	c.SetWriteDeadline(time.Now().Add(ioTimeout))
 	if _, err := c.Conn.Write(w.Buf); err != nil {
-		// EXEC was not written whole, so nothing was added.
+		// EXEC was not written completely, so nothing was added.
 		c.dead.Store(true)
 		k.Report(k, rules.ConnectFailed, 0)
 		return
 	}
-	c.waiting <- k
+	c.sent <- k
 }
 
-// read takes the answers in. What is out when the connection ends may have been added.
-func (c *storeConn) read(r *resp.Reader) {
+// readResponses reads the responses in order. Calls that are in flight when the connection
+// ends may have been added.
+func (c *respConn) readResponses(r *resp.Reader) {
 	defer c.Close()
 	failed := false
-	for k := range c.waiting {
+	for k := range c.sent {
 		if failed {
 			k.Report(k, rules.ConnectionLost, 0)
 			continue
 		}
-		c.head.Store(k)
-		c.SetReadDeadline(time.Now().Add(counterStuck))
-		outcome, total, err := c.answer(r)
+		c.current.Store(k)
+		c.SetReadDeadline(time.Now().Add(ioTimeout))
+		outcome, total, err := c.readTransaction(r)
 		if err != nil {
 			failed = true
 			c.dead.Store(true)
 			c.Close()
 		}
-		c.head.Store(nil)
-		c.out.Add(-1)
+		c.current.Store(nil)
+		c.inFlight.Add(-1)
 		k.Report(k, outcome, total)
 	}
 }
 
-var errLeave = errors.New("the connection is of no further use")
+var errUnusable = errors.New("connection can't be used for further calls")
 
-// answer reads the four replies of a transaction. Danger: until EXEC has answered
-// with the total nothing is known, and an answer to it that can't be read says that
-// it was added; an error before it has the store drop all of it.
-func (c *storeConn) answer(r *resp.Reader) (outcome rules.Outcome, total float64, err error) {
-	var refusal string
-	for i := range callReplies - 1 {
+// readTransaction reads the four replies of a transaction. The outcome is unknown until the
+// reply to EXEC. An unreadable reply to EXEC shows that the amount was added. After an error in
+// an earlier reply the store discards the whole transaction.
+func (c *respConn) readTransaction(r *resp.Reader) (outcome rules.Outcome, total float64, err error) {
+	var errorReply string
+	for i := range maxReplies - 1 {
 		v, err := r.Reply()
 		if err != nil {
-			if errors.Is(err, resp.ErrProtocol) && i == callReplies-2 {
-				return rules.Errored, 0, err // EXEC was answered, in whatever words
+			if errors.Is(err, resp.ErrProtocol) && i == maxReplies-2 {
+				return rules.Errored, 0, err // EXEC was answered, though not readably
 			}
 			return sockets.ReadErrorOutcome(err), 0, err
 		}
 		switch {
-		case i < callReplies-2 && v.Kind == resp.Error:
-			if refusal == "" {
-				refusal = v.Str
+		case i < maxReplies-2 && v.Kind == resp.Error:
+			if errorReply == "" {
+				errorReply = v.Str
 			}
-		case i < callReplies-2 && v.Kind != resp.Simple:
-			return rules.ConnectionLost, 0, errLeave // not the answer to what was asked: all behind it is in doubt
-		case i < callReplies-2:
+		case i < maxReplies-2 && v.Kind != resp.Simple:
+			return rules.ConnectionLost, 0, errUnusable // not a reply to this command: no later reply can be attributed either
+		case i < maxReplies-2:
 		case v.Kind == resp.Error:
-			if refusal == "" || !strings.HasPrefix(v.Str, "EXECABORT") && !strings.HasPrefix(refusal, "NOAUTH") {
-				refusal = v.Str
+			if errorReply == "" || !strings.HasPrefix(v.Str, "EXECABORT") && !strings.HasPrefix(errorReply, "NOAUTH") {
+				errorReply = v.Str
 			}
-			return c.refused(refusal)
+			return c.rejected(errorReply)
 		case v.Kind == resp.Null:
-			return rules.Overloaded, 0, nil // dropped as a whole
+			return rules.Overloaded, 0, nil // the store discarded the transaction
 		case v.Kind != resp.Array || len(v.List) != 2:
-			return rules.Errored, 0, errLeave
+			return rules.Errored, 0, errUnusable
 		case v.List[0].Kind == resp.Error:
-			return c.refused(v.List[0].Str) // the number is no number, or too large: nothing was added
+			return c.rejected(v.List[0].Str) // the stored value is not a number, or too large: nothing was added
 		default:
 			text := v.List[0].Str
 			if v.List[0].Kind == resp.Double {
 				total = v.List[0].Num
 			} else if total, err = strconv.ParseFloat(text, 64); err != nil || v.List[0].Kind != resp.Bulk {
-				return rules.Errored, 0, errLeave
+				return rules.Errored, 0, errUnusable
 			}
 			if total != total || total-total != 0 {
-				return rules.Errored, 0, errLeave
+				return rules.Errored, 0, errUnusable
 			}
-			c.lane.moves.Store(0)
+			c.pipeline.redirects.Store(0)
 			return rules.Served, total, nil
 		}
 	}
-	return rules.Errored, 0, errLeave
+	return rules.Errored, 0, errUnusable
 }
 
-// refused tells what an error means for the call and its connection. In all of them
-// nothing was added.
-func (c *storeConn) refused(text string) (rules.Outcome, float64, error) {
+// rejected maps an error reply to the outcome of the call. The returned error is non-nil if
+// the connection must not be used any more. In all cases nothing was added.
+func (c *respConn) rejected(text string) (rules.Outcome, float64, error) {
 	code, rest, _ := strings.Cut(text, " ")
 	switch code {
 	case "LOADING", "OOM", "BUSY", "TRYAGAIN", "CLUSTERDOWN", "MASTERDOWN":
-		return rules.Overloaded, 0, nil // the store is there and can't now: as a counter that turns calls away
+		return rules.Overloaded, 0, nil // temporarily unable, as a counter that sheds load
 	case "MOVED", "ASK":
-		// This name lives elsewhere. ASK holds for one call alone, and would need a word before it: it
-		// counts as turned away, until the move is over and the answer is MOVED.
+		// Another node serves this key. ASK applies to a single call and would require an ASKING command
+		// before it. Its call counts as rejected until the migration ends and the reply is MOVED.
 		if words := strings.Fields(rest); code == "MOVED" && len(words) == 2 {
 			if _, port, err := net.SplitHostPort(words[1]); err == nil && port != "" {
-				c.lane.moves.Add(1)
-				c.lane.moved.Store(&words[1])
+				c.pipeline.redirects.Add(1)
+				c.pipeline.redirect.Store(&words[1])
 			}
 		}
 		return rules.Overloaded, 0, nil
 	case "READONLY":
-		return rules.Overloaded, 0, errLeave // a copy: the next connection may meet the one that writes
+		return rules.Overloaded, 0, errUnusable // a replica: a new connection may reach the primary
 	case "NOAUTH", "WRONGPASS", "NOPERM":
-		return rules.ConnectFailed, 0, errLeave
+		return rules.ConnectFailed, 0, errUnusable
 	}
 	return rules.ConnectFailed, 0, nil
 }
--- a/internal/counter/size_test.go
+++ b/internal/counter/size_test.go
@@ -13,7 +13,7 @@
 	"elderyard/rules"
 )
 
-// countingRelay passes connections on to an address and counts the bytes each way.
+// countingRelay forwards connections to an address and counts the bytes in each direction.
 type countingRelay struct {
 	listener       net.Listener
 	sent, received atomic.Int64
@@ -30,24 +30,24 @@
 	t.Cleanup(func() { listener.Close(); relay.running.Wait() })
 	relay.running.Go(func() {
 		for {
-			near, err := listener.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			far, err := net.Dial("tcp", address)
+			server, err := net.Dial("tcp", address)
 			if err != nil {
-				near.Close()
+				client.Close()
 				continue
 			}
-			relay.running.Go(func() { relay.pass(far, near, &relay.sent) })
-			relay.running.Go(func() { relay.pass(near, far, &relay.received) })
+			relay.running.Go(func() { relay.copy(server, client, &relay.sent) })
+			relay.running.Go(func() { relay.copy(client, server, &relay.received) })
 		}
 	})
 	return relay
 }
 
-// pass copies until one side ends, and then ends the other.
-func (r *countingRelay) pass(to, from net.Conn, count *atomic.Int64) {
+// copy copies bytes until one connection ends, and then closes the destination.
+func (r *countingRelay) copy(to, from net.Conn, count *atomic.Int64) {
 	defer to.Close()
 	buffer := make([]byte, 4096)
 	for {
@@ -64,30 +64,30 @@
 	}
 }
 
-// What one call costs on the wire, without headers of TCP and IP. The figure of
-// docs/capacity/slopes.json is the one that this logs.
+// Measures the bytes on the wire per call, without TCP and IP headers. The figure in
+// docs/capacity/slopes.json is the one that this test logs.
 func TestBytesOfACall(t *testing.T) {
-	door, err := link.Listen("g0")
+	listener, err := link.Listen("g0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := counter.Start(counter.Config{Parts: 1, Conns: lanes * laneConns, Idle: testpeer.Patience, MostRecords: 1}, door)
+	server, err := counter.Start(counter.Config{Parts: 1, Conns: pipelineCount * maxPipelineConns, Idle: testpeer.Patience, MostRecords: 1}, listener)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(far.Close)
-	relay := startCountingRelay(t, far.Address("g0"))
-	client, _, _ := startCounter(t, relay.listener.Addr().String())
+	t.Cleanup(server.Close)
+	relay := startCountingRelay(t, server.Address("g0"))
+	client, _, _ := startClient(t, relay.listener.Addr().String())
 
 	const calls = 500
-	ended := make(chan rules.Outcome, 1)
+	outcomes := make(chan rules.Outcome, 1)
 	for i := range calls {
 		call := &Call{Key: uint64(i) * 0x9e3779b97f4a7c15, Amount: 1.5, TTL: 20 * time.Second}
-		call.Report = func(_ *Call, outcome rules.Outcome, _ float64) { ended <- outcome }
+		call.Report = func(_ *Call, outcome rules.Outcome, _ float64) { outcomes <- outcome }
 		if !client.Add(call) {
-			t.Fatal("the lane is full")
+			t.Fatal("call queue is full")
 		}
-		if outcome := testpeer.Wait(t, ended, "reply"); outcome != rules.Served {
+		if outcome := testpeer.Wait(t, outcomes, "outcome"); outcome != rules.Served {
 			t.Fatalf("call %d: outcome %v", i, outcome)
 		}
 	}
