--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery follows the platform's list of backends and reads its entries for
+// Package discovery follows the platform's list of backends and converts its entries for
 // the decision module.
 package discovery
 
@@ -22,24 +22,24 @@
 )
 
 const (
-	watchWait    = 4 * time.Second        // how long a watch may stand open
-	watchGrace   = 1 * time.Second        // and how long after that its answer may take
-	listTimeout  = 2 * time.Second        // for a call that does not wait
-	dialLimit    = 500 * time.Millisecond // for a connection to come up: what is told binds within 2 s, so there is time for another
-	watchRetry   = 100 * time.Millisecond // pause after a failed call: a watch lapses after 200 ms
-	mostListing  = 4 << 20                // bytes of one answer
-	listPath     = "/registry/instances"
-	complaintGap = 10 * time.Second // between lines about a discovery that stays down
+	watchTimeout     = 4 * time.Second        // how long the server may hold a watch open
+	watchGrace       = 1 * time.Second        // how much longer the response to a watch may take
+	listTimeout      = 2 * time.Second        // of a call that the server does not hold open
+	dialTimeout      = 500 * time.Millisecond // a change must take effect within 2 s, so this leaves time for another attempt
+	retryDelay       = 100 * time.Millisecond // after a failed call; a watch lapses after 200 ms
+	maxListingBytes  = 4 << 20                // of one response
+	listPath         = "/registry/instances"
+	errorLogInterval = 10 * time.Second // between log lines while discovery stays unavailable
 )
 
-// Listing is discovery's list of backends, or the changes to it.
+// Listing is a full list of backends, or the changes since a generation.
 type Listing struct {
 	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // all there are, not changes alone
+	Reset      bool       `json:"reset"` // a full list, not only changes
 	Instances  []Instance `json:"instances"`
 }
 
-// Instance is one backend in discovery's form.
+// Instance is one backend as discovery encodes it.
 type Instance struct {
 	ID          string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -50,161 +50,163 @@
 	Weight      float64 `json:"weight"`
 	StartedAtMs int64   `json:"startedAtMs"`
 
-	fault error // why the entry can't be read
+	decodeErr error // why the entry can't be decoded
 }
 
-// UnmarshalJSON reads an entry. Danger: one that can't be read would cost all the others
-// of its answer, drains among them; of that one, what can be read is kept with the fault.
+// UnmarshalJSON decodes an entry. It never returns an error: otherwise one invalid entry would cost all
+// others of its response, drains among them. An invalid entry keeps the fields that could be decoded,
+// and its error.
 func (i *Instance) UnmarshalJSON(text []byte) error {
 	type entry Instance // without this method
 	if err := json.Unmarshal(text, (*entry)(i)); err != nil {
-		i.fault = err
+		i.decodeErr = err
 	}
 	return nil
 }
 
-var lifecycles = map[string]rules.BackendState{"Ready": rules.Ready, "Terminating": rules.Draining, "Gone": rules.Removed}
+// backendStates maps the lifecycles of instances.
+var backendStates = map[string]rules.BackendState{"Ready": rules.Ready, "Terminating": rules.Draining, "Gone": rules.Removed}
 
-// BackendID derives the module's id from the name alone, so that all gateways
-// agree on it whatever order they hear of backends in.
+// BackendID derives the module's id from the instance id alone, so that all gateways
+// agree on it regardless of the order in which they learn of backends.
 func BackendID(instance string) rules.BackendID {
 	h := fnv.New32a()
 	io.WriteString(h, instance)
 	return rules.BackendID(h.Sum32())
 }
 
-// Backend translates an entry. The module's clock is Unix time (see owner.Clock), so
-// a start needs its unit changed only.
+// Backend converts an entry. The module's clock is Unix time (see owner.Clock), so the start
+// time only changes its unit.
 //
-// Danger: an entry that is not understood must not keep a backend in use, which
-// may just be what it would end. With the error comes the backend as one that drains;
-// of an entry with no name there is none. One that drains or is gone needs no more than
-// its name and that.
+// An invalid entry must not keep a backend in use, since it may be the entry that should end
+// its use. The backend returned with an error is therefore draining. A caller must ignore it if the
+// entry has no id. An entry that is draining or gone only needs a valid id and lifecycle.
 func (i Instance) Backend(d *wire.Deployment) (rules.Backend, error) {
-	state, known := lifecycles[i.Lifecycle]
+	state, known := backendStates[i.Lifecycle]
 	b := rules.Backend{ID: BackendID(i.ID), Zone: slices.Index(d.Zones, i.Zone), Kind: slices.Index(d.Kinds, i.MachineType),
 		Cell: i.Cell, State: state, Weight: i.Weight, StartedAt: float64(max(i.StartedAtMs, 0)) / 1000}
 	if len(d.Zones) == 0 {
-		b.Zone = 0 // all are in one place
+		b.Zone = 0 // without zones in the settings, all backends are in one zone
 	}
 	var err error
 	switch {
-	case i.fault != nil:
-		err = i.fault
+	case i.decodeErr != nil:
+		err = i.decodeErr
 	case i.ID == "":
-		err = errors.New("it has no name")
+		err = errors.New("no instance id")
 	case !known:
-		err = fmt.Errorf("lifecycle %q is not known", i.Lifecycle)
+		err = fmt.Errorf("unknown lifecycle %q", i.Lifecycle)
 	case state != rules.Ready:
 	case b.Zone < 0:
-		// Danger: two unknown zones must not pass for one that drops repeats.
-		err = fmt.Errorf("zone %q is not known", i.Zone)
+		// Two unknown zones must not be treated as the same zone, in which repeats are deduplicated.
+		err = fmt.Errorf("unknown zone %q", i.Zone)
 	case i.Weight < 0 || i.StartedAtMs < 0 || i.Cell < 0:
-		err = fmt.Errorf("weight %g, start %d or cell %d is impossible", i.Weight, i.StartedAtMs, i.Cell)
+		err = fmt.Errorf("weight %g, start time %d or cell %d is negative", i.Weight, i.StartedAtMs, i.Cell)
 	}
 	if err != nil && b.State != rules.Removed {
 		b.State = rules.Draining
 	}
 	if err != nil || b.Zone < 0 {
-		b.Zone, b.Cell = -1, -1 // no other is in these, so no repeat goes there
+		b.Zone, b.Cell = -1, -1 // shared with no other backend, so no repeat is sent there
 	}
 	if err != nil {
-		err = fmt.Errorf("instance %q is left out: %w", i.ID, err)
+		err = fmt.Errorf("ignoring invalid instance %q: %w", i.ID, err)
 	}
 	return b, err
 }
 
-// Watcher follows discovery and hands on each answer that brings news.
+// Watcher follows discovery and passes on each listing that contains new information.
 type Watcher struct {
 	follower
-	address string
-	client  *http.Client
-	heard   func(Listing)
+	address   string
+	client    *http.Client
+	onListing func(Listing)
 }
 
-// NewWatcher follows the discovery at an address. Heard is told each answer, in the
-// goroutine of Run.
-func NewWatcher(address string, heard func(Listing)) *Watcher {
+// NewWatcher returns a watcher of the discovery service at address. onListing is called with
+// each new listing, in the goroutine of Run.
+func NewWatcher(address string, onListing func(Listing)) *Watcher {
 	d := net.Dialer{KeepAlive: -1}
-	return newWatcher(address, heard, d.DialContext)
+	return newWatcher(address, onListing, d.DialContext)
 }
 
-// newWatcher does so over connections of connect. Danger: one that never comes up would
-// take the time of a whole watch, and what discovery has to tell binds though no watch is open.
-func newWatcher(address string, heard func(Listing), connect func(ctx context.Context, network, address string) (net.Conn, error)) *Watcher {
-	bounded := func(ctx context.Context, network, address string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, dialLimit)
+// newWatcher is NewWatcher with a dial function. Dialing is limited to dialTimeout: otherwise a
+// connection that is never established would take the time of a whole watch, while changes must take
+// effect whether or not a watch is open.
+func newWatcher(address string, onListing func(Listing), dial func(ctx context.Context, network, address string) (net.Conn, error)) *Watcher {
+	limitedDial := func(ctx context.Context, network, address string) (net.Conn, error) {
+		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
-		return connect(ctx, network, address)
+		return dial(ctx, network, address)
 	}
-	return &Watcher{follower: *newFollower(rand.Uint64()), address: address, heard: heard,
-		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: mostCalls, DialContext: bounded}}}
+	return &Watcher{follower: *newFollower(rand.Uint64()), address: address, onListing: onListing,
+		client: &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: maxOpenCalls, DialContext: limitedDial}}}
 }
 
-// SetSeed sets what draws the distances between calls to a crowded discovery, before Run.
-// Without it they come from a seed of the process's own.
+// SetSeed sets the seed of the random delays between calls to an overloaded discovery. It must be
+// called before Run. Without it each process uses a random seed.
 func (w *Watcher) SetSeed(seed uint64) { w.random = rand.New(rand.NewPCG(seed, 0)) }
 
-// outcome is how one call ended.
-type outcome struct {
+// callResult is the result of one call.
+type callResult struct {
 	id      int
 	listing Listing
-	err     error // errRefused, an answerError, or what broke the call
+	err     error // errRefused, a responseError, or the failure of the call
 }
 
-// errRefused means that discovery turned a call away for now.
+// errRefused means that discovery temporarily rejects calls.
 var errRefused = errors.New("refused")
 
-// answerError is an answer that is none: another status, or text that is no list.
-type answerError struct{ error }
+// responseError is an invalid response: an unexpected status, or a body that is not a listing.
+type responseError struct{ error }
 
-// Run asks until ctx ends: once for the list, from then on for changes. A
-// failed call is made again soon, on a new connection, from the last version
-// that arrived; what changed meanwhile comes with its answer. The follower says when
-// which call is made; here is the I/O.
+// Run follows discovery until ctx ends: it requests the full list once, and then changes. A
+// failed call is soon repeated on a new connection from the last generation received, so its
+// response includes the changes made meanwhile. The follower decides when to make which call;
+// Run does the I/O.
 func (w *Watcher) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
-	began := time.Now()
-	outcomes := make(chan outcome)
+	start := time.Now()
+	results := make(chan callResult)
 	cancels := map[int]context.CancelFunc{}
 	var calls sync.WaitGroup
 	defer w.client.CloseIdleConnections()
 	defer calls.Wait()
 	defer stop()
-	complain := complaints()
+	logError := newErrorLogger()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
-		next := w.advance(time.Since(began))
-		if next.overdue {
-			complain(errors.New("no answer in time"))
+		step := w.advance(time.Since(start))
+		if step.overdue {
+			logError(errors.New("no response in time"))
 			w.client.CloseIdleConnections()
 		}
-		for _, id := range next.ended {
+		for _, id := range step.expired {
 			cancels[id]()
 			delete(cancels, id)
 		}
-		if c := next.opened; c != nil {
-			bounded, cancel := context.WithCancel(ctx)
+		if c := step.opened; c != nil {
+			callCtx, cancel := context.WithCancel(ctx)
 			cancels[c.id] = cancel
 			calls.Go(func() {
-				l, err := w.ask(bounded, *c)
+				l, err := w.fetch(callCtx, *c)
 				select {
-				case outcomes <- outcome{c.id, l, err}:
+				case results <- callResult{c.id, l, err}:
 				case <-ctx.Done():
 				}
 			})
 		}
-		timer.Reset(max(next.wake-time.Since(began), 0))
+		timer.Reset(max(step.wakeAt-time.Since(start), 0))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case o := <-outcomes:
-			if cancel, open := cancels[o.id]; open {
+		case r := <-results:
+			if cancel, open := cancels[r.id]; open {
 				cancel()
-				delete(cancels, o.id)
-				if err := w.take(o, time.Since(began)); err != nil && ctx.Err() == nil {
-					complain(err)
+				delete(cancels, r.id)
+				if err := w.handle(r, time.Since(start)); err != nil && ctx.Err() == nil {
+					logError(err)
 					w.client.CloseIdleConnections()
 				}
 			}
@@ -212,50 +214,50 @@
 	}
 }
 
-// take passes the end of a call on, to the follower and, where it brings news, to heard.
-func (w *Watcher) take(o outcome, now time.Duration) error {
-	var bad answerError
+// handle passes the result of a call to the follower, and new listings to onListing.
+func (w *Watcher) handle(r callResult, now time.Duration) error {
+	var invalid responseError
 	switch {
-	case errors.Is(o.err, errRefused):
-		w.refused(o.id, now)
-	case errors.As(o.err, &bad):
-		w.rejected(o.id, now)
-	case o.err != nil:
-		w.broken(o.id, now)
+	case errors.Is(r.err, errRefused):
+		w.handleRefusal(r.id, now)
+	case errors.As(r.err, &invalid):
+		w.handleInvalid(r.id, now)
+	case r.err != nil:
+		w.handleFailure(r.id, now)
 	default:
-		l, err := w.answered(o.id, o.listing, now)
+		l, err := w.handleListing(r.id, r.listing, now)
 		if l != nil {
-			w.heard(*l)
+			w.onListing(*l)
 		}
 		return err
 	}
-	return o.err
+	return r.err
 }
 
-// complaints logs errors, with gaps of complaintGap at least.
-func complaints() func(error) {
+// newErrorLogger returns a function that logs errors, at most one each errorLogInterval.
+func newErrorLogger() func(error) {
 	var last time.Time
 	return func(err error) {
-		if time.Since(last) > complaintGap {
+		if time.Since(last) > errorLogInterval {
 			last = time.Now()
 			log.Printf("discovery: %v", err)
 		}
 	}
 }
 
-// read reads an answer. Danger: what names no version or no instances at all, an empty object or
-// another service's word, would be taken for the news that all backends have gone.
-func read(text []byte) (Listing, error) {
+// parseListing parses a response. It rejects a response without a generation or instances: an
+// empty object, or the response of another service, would mean that all backends are gone.
+func parseListing(text []byte) (Listing, error) {
 	var raw struct {
 		Generation *int64
 		Reset      bool
-		Instances  json.RawMessage // null where none has changed
+		Instances  json.RawMessage // null if none has changed
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return Listing{}, fmt.Errorf("list: %w", err)
 	}
 	if raw.Generation == nil || raw.Instances == nil {
-		return Listing{}, errors.New("list: it names no generation or no instances")
+		return Listing{}, errors.New("list: generation or instances missing")
 	}
 	l := Listing{Generation: *raw.Generation, Reset: raw.Reset}
 	if err := json.Unmarshal(raw.Instances, &l.Instances); err != nil {
@@ -264,12 +266,12 @@
 	return l, nil
 }
 
-// ask makes one call and reads its answer.
-func (w *Watcher) ask(ctx context.Context, c call) (Listing, error) {
+// fetch makes one call and reads its response.
+func (w *Watcher) fetch(ctx context.Context, c call) (Listing, error) {
 	url := "http://" + w.address + listPath
-	switch c.form {
+	switch c.kind {
 	case watch:
-		url += fmt.Sprintf("?since=%d&timeout_ms=%d", c.since, watchWait.Milliseconds())
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", c.since, watchTimeout.Milliseconds())
 	case poll:
 		url += fmt.Sprintf("?since=%d&timeout_ms=0", c.since)
 	}
@@ -282,20 +284,20 @@
 		return Listing{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostListing+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListingBytes+1))
 	switch {
 	case err != nil:
 		return Listing{}, err
-	case len(body) > mostListing:
-		return Listing{}, fmt.Errorf("list: over %d bytes", mostListing)
+	case len(body) > maxListingBytes:
+		return Listing{}, fmt.Errorf("list: more than %d bytes", maxListingBytes)
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		return Listing{}, fmt.Errorf("status %s: %w", resp.Status, errRefused)
 	case resp.StatusCode != http.StatusOK:
-		return Listing{}, answerError{fmt.Errorf("status %s", resp.Status)}
+		return Listing{}, responseError{fmt.Errorf("status %s", resp.Status)}
 	}
-	l, err := read(body)
+	l, err := parseListing(body)
 	if err != nil {
-		return Listing{}, answerError{err}
+		return Listing{}, responseError{err}
 	}
 	return l, nil
 }
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -7,146 +7,149 @@
 	"time"
 )
 
-// Limits of calls to discovery. A call that is due has another opened beside it and is
-// still read until its end, since an answer that arrives counts as told.
+// Time limits of calls to discovery. Once a call has been open for its hedge delay, another
+// call is opened beside it. The first is still read until its timeout, since the gateway counts
+// as informed by a response that arrives.
 const (
-	watchDue    = watchWait + watchGrace
-	watchEnd    = watchDue + watchGrace   // nothing the watch may bring counts as told later
-	callEnd     = 5 * time.Second         // of the other calls
-	pollDueLow  = 1200 * time.Millisecond // a poll is due between these two, the earlier the staler the list
-	pollDueHigh = 2 * time.Second
-	pollDueMost = 3 * time.Second // where answers take long
-	overSlowest = 1.25            // times the slowest answer of late: then a poll is late
-	mostCalls   = 2               // open at once
+	watchHedgeDelay = watchTimeout + watchGrace
+	watchCallLimit  = watchHedgeDelay + watchGrace // the gateway does not count as informed by a later response
+	callLimit       = 5 * time.Second              // of calls other than watches
+
+	pollHedgeDelayMin     = 1200 * time.Millisecond // the hedge delay of a poll is between min and max, the shorter the staler the list
+	pollHedgeDelayMax     = 2 * time.Second
+	pollHedgeDelaySlowMax = 3 * time.Second // max while responses are slow
+	pollHedgeFactor       = 1.25            // a poll is slow after this many times the slowest recent response
+	maxOpenCalls          = 2
 )
 
-// Pace of calls to a crowded discovery.
+// Intervals between calls to an overloaded discovery.
 const (
-	toldWithin   = 6 * time.Second        // a change has to be known so long after discovery had it
-	answerTime   = 800 * time.Millisecond // kept of that for the next answer
-	dueReserve   = 1 * time.Second        // kept of it for the call beside a poll that is late
-	retryReserve = 2 * time.Second        // and for a call after a refusal, which may be refused as well
-	gapStart     = 3 * time.Second        // from one answered poll to the next, opening to opening
-	gapLow       = 2500 * time.Millisecond
-	gapHigh      = 4 * time.Second
-	gapLeast     = 2 * time.Second // where answers take long
-	gapGrowth    = 1.3             // at a refusal
-	gapDecay     = 0.95            // at an answer
-	gapSpread    = 0.2             // share of the gap that is drawn at random
-	slowDecay    = 0.9             // of the slowest answer, at each further one
-	shortPause   = 100 * time.Millisecond
+	maxStaleness    = 6 * time.Second        // within which a change must be known
+	responseReserve = 800 * time.Millisecond // part of maxStaleness reserved for the next response
+	hedgeReserve    = 1 * time.Second        // part reserved for the hedged call beside a slow poll
+	retryReserve    = 2 * time.Second        // part reserved for a call after a refusal, which may be refused as well
+
+	pollIntervalInitial = 3 * time.Second // from the opening of an answered poll to that of the next
+	pollIntervalMin     = 2500 * time.Millisecond
+	pollIntervalMax     = 4 * time.Second
+	pollIntervalSlowMin = 2 * time.Second // min while responses are slow
+	pollIntervalGrowth  = 1.3             // factor at a refusal
+	pollIntervalDecay   = 0.95            // factor at a response
+	pollIntervalJitter  = 0.2             // random fraction of the interval
+	slowestDecay        = 0.9             // factor on the slowest recent response at each further one
+	minPause            = 100 * time.Millisecond
 
-	backoffStart  = 1 * time.Second // window of the first call after a refusal
-	backoffGrowth = 1.5
-	backoffHigh   = 2500 * time.Millisecond
-	backoffUrgent = 500 * time.Millisecond // window where the list is about to be too stale
-	urgentFor     = toldWithin             // after that time a crowd that still refuses is spared
-	backoffLeast  = 0.2                    // share of the window that always passes
+	backoffInitial     = 1 * time.Second // maximum delay of the first call after a refusal
+	backoffFactor      = 1.5
+	backoffMax         = 2500 * time.Millisecond
+	backoffUrgent      = 500 * time.Millisecond // maximum delay while the list is about to become too stale
+	urgentTime         = maxStaleness           // for how long; after that, a discovery that still refuses is relieved
+	backoffMinFraction = 0.2                    // of the maximum delay
 
-	quickAnswer     = 100 * time.Millisecond // an agent that is not crowded answers at once
-	mostQuickNeeded = 64
-	mostSilent      = 3 // watches without an answer; then polls
+	fastResponse     = 100 * time.Millisecond // a discovery that is not overloaded answers polls within this time
+	maxFastNeeded    = 64
+	maxSilentWatches = 3 // without a response in a row; then the follower polls
 )
 
-// never is a time that does not come.
+// never is a time that is not reached.
 const never = time.Duration(1<<63 - 1)
 
-// form is what a call asks for.
-type form int
+// callKind is what a call requests.
+type callKind int
 
 const (
-	wholeList form = iota // all there are
-	watch                 // changes, as soon as there are any
-	poll                  // changes up to now
+	fullList callKind = iota
+	watch             // changes, as soon as there are any
+	poll              // changes up to now
 )
 
-// call is one call to discovery. Times are durations since the follower began.
+// call is one call to discovery. Times are durations since the follower was created.
 type call struct {
-	id      int
-	form    form
-	since   int64 // the version it names; none for a whole list
-	taken   int   // answers that had been taken in when it was opened
-	began   time.Duration
-	due     time.Duration // another is opened beside it
-	end     time.Duration // it is given up
-	overdue bool
+	id             int
+	kind           callKind
+	since          int64 // the generation it requests changes from; unused for a full list
+	appliedAtStart int   // listings that had been applied when it was opened
+	openedAt       time.Duration
+	hedgeAt        time.Duration // when another call is opened beside it
+	expiresAt      time.Duration // when it is cancelled
+	overdue        bool          // hedgeAt has passed
 }
 
-// step is what has to be done now, and when to look again.
+// step is what the caller of advance must do now, and when to call it again.
 type step struct {
-	overdue bool  // the newest call has just become due
-	ended   []int // calls that are given up
+	overdue bool  // the newest call has just reached its hedgeAt
+	expired []int // calls to cancel
 	opened  *call // a call to make; nil for none
-	wake    time.Duration
+	wakeAt  time.Duration
 }
 
-// follower decides when discovery is called and in which form, and which answers are
-// taken in. It has no clock and does no I/O: each method is told the time since it began.
+// follower decides when to call discovery and how, and which responses to apply. It has no clock
+// and does no I/O: each method receives the time since the follower was created.
 //
-// While calls are answered it keeps a watch open. A refusal shows that discovery is
-// crowded: from then on it polls, at random distances that keep the fleet apart and a
-// change known within toldWithin, until polls are answered at once again.
+// While calls are answered it keeps a watch open. A refusal shows that discovery is overloaded.
+// From then on the follower polls, at random intervals that spread the calls of the fleet and keep
+// the list at most maxStaleness old, until polls are answered fast again.
 type follower struct {
-	since  int64 // the version that is known
-	listed bool  // a version is known that changes can be asked for from
-	taken  int   // answers taken in
+	since   int64 // the generation that is known
+	synced  bool  // changes can be requested from since; otherwise the next call requests the full list
+	applied int   // listings applied
 
 	random  *rand.Rand
-	calls   []call // open, oldest first
+	calls   []call // open calls, oldest first
 	lastID  int
-	next    time.Duration // when the next call is opened
-	crowded bool
+	nextAt  time.Duration // when the next call is opened
+	polling bool          // discovery is overloaded
 
-	fresh       time.Duration // what discovery had by then is known
-	refusals    int           // since the last answer
-	silent      int           // watches without an answer, one after another
-	gap         time.Duration
-	slowest     time.Duration // of late, from opening to answer
-	quick       int           // polls answered at once, one after another
-	quickNeeded int           // of those, before the next watch
+	freshAt         time.Duration // the changes that discovery had at this time are known
+	refusals        int           // since the last response
+	silentWatches   int           // watches without a response in a row
+	pollInterval    time.Duration
+	slowestResponse time.Duration // of recent full lists and polls, from opening to response
+	fastResponses   int           // polls answered fast in a row
+	fastNeeded      int           // fast responses needed before the next watch
 }
 
 func newFollower(seed uint64) *follower {
-	return &follower{random: rand.New(rand.NewPCG(seed, 0)), gap: gapStart}
+	return &follower{random: rand.New(rand.NewPCG(seed, 0)), pollInterval: pollIntervalInitial}
 }
 
-// advance returns what has to be done at a time.
+// advance returns what must be done at the given time.
 func (f *follower) advance(now time.Duration) step {
 	var s step
-	if c := f.newest(); c != nil && !c.overdue && now >= c.due {
+	if c := f.newest(); c != nil && !c.overdue && now >= c.hedgeAt {
 		c.overdue, s.overdue = true, true
-		f.pastDue(c.form, now)
+		f.scheduleHedge(c.kind, now)
 	}
 	f.calls = slices.DeleteFunc(f.calls, func(c call) bool {
-		if now >= c.end {
-			s.ended = append(s.ended, c.id)
+		if now >= c.expiresAt {
+			s.expired = append(s.expired, c.id)
 			return true
 		}
 		return false
 	})
-	if now >= f.next && len(f.calls) < mostCalls {
+	if now >= f.nextAt && len(f.calls) < maxOpenCalls {
 		s.opened = f.open(now)
 	}
-	s.wake = f.wake()
+	s.wakeAt = f.wakeAt()
 	return s
 }
 
-// wake is when advance has something to do again.
-func (f *follower) wake() time.Duration {
+// wakeAt returns when advance must be called next.
+func (f *follower) wakeAt() time.Duration {
 	at := never
-	if len(f.calls) < mostCalls {
-		at = f.next
+	if len(f.calls) < maxOpenCalls {
+		at = f.nextAt
 	}
 	for _, c := range f.calls {
-		at = min(at, c.end)
+		at = min(at, c.expiresAt)
 	}
 	if c := f.newest(); c != nil && !c.overdue {
-		at = min(at, c.due)
+		at = min(at, c.hedgeAt)
 	}
 	return at
 }
 
-// newest is the call that was opened last, if it is still open.
+// newest returns the call that was opened last, nil if it is no longer open.
 func (f *follower) newest() *call {
 	if n := len(f.calls); n > 0 && f.calls[n-1].id == f.lastID {
 		return &f.calls[n-1]
@@ -154,40 +157,42 @@
 	return nil
 }
 
+// open opens the next call.
 func (f *follower) open(now time.Duration) *call {
 	f.lastID++
-	c := call{id: f.lastID, since: f.since, taken: f.taken, began: now}
+	c := call{id: f.lastID, since: f.since, appliedAtStart: f.applied, openedAt: now}
 	switch {
-	case !f.listed:
-		c.form, c.due, c.end = wholeList, now+listTimeout, now+callEnd
-	case f.crowded:
-		stale := f.fresh + toldWithin - dueReserve
-		latest := max(pollDueHigh, min(time.Duration(overSlowest*float64(f.slowest)), pollDueMost))
-		c.form, c.due, c.end = poll, now+min(max(stale-now, pollDueLow), latest), now+callEnd
+	case !f.synced:
+		c.kind, c.hedgeAt, c.expiresAt = fullList, now+listTimeout, now+callLimit
+	case f.polling:
+		staleAt := f.freshAt + maxStaleness - hedgeReserve
+		maxDelay := max(pollHedgeDelayMax, min(time.Duration(pollHedgeFactor*float64(f.slowestResponse)), pollHedgeDelaySlowMax))
+		c.kind, c.hedgeAt, c.expiresAt = poll, now+min(max(staleAt-now, pollHedgeDelayMin), maxDelay), now+callLimit
 	default:
-		c.form, c.due, c.end = watch, now+watchDue, now+watchEnd
+		c.kind, c.hedgeAt, c.expiresAt = watch, now+watchHedgeDelay, now+watchCallLimit
 	}
 	f.calls = append(f.calls, c)
-	f.next = never
+	f.nextAt = never
 	return &c
 }
 
-// pastDue plans the call beside one that is due.
-func (f *follower) pastDue(was form, now time.Duration) {
-	f.next = now + watchRetry
-	switch was {
+// scheduleHedge schedules the call beside an overdue one.
+func (f *follower) scheduleHedge(overdue callKind, now time.Duration) {
+	f.nextAt = now + retryDelay
+	switch overdue {
 	case watch:
-		f.silent++
-		if f.silent >= mostSilent {
-			f.enterCrowd()
+		f.silentWatches++
+		if f.silentWatches >= maxSilentWatches {
+			f.startPolling()
 		}
 	case poll:
-		f.next = now
+		f.nextAt = now
 	}
 }
 
-// close removes a call that has ended. It reports false for one that was given up.
-func (f *follower) close(id int) (c call, last, ok bool) {
+// remove removes a call that has ended. isLast reports whether no call was opened after it, and
+// ok is false for a call that had expired.
+func (f *follower) remove(id int) (c call, isLast, ok bool) {
 	at := slices.IndexFunc(f.calls, func(c call) bool { return c.id == id })
 	if at < 0 {
 		return call{}, false, false
@@ -197,132 +202,132 @@
 	return c, id == f.lastID, true
 }
 
-// answered takes in an answer. It returns the listing to hand on, nil where the answer
-// brings nothing that is not known, and an error for changes that can't be right.
-func (f *follower) answered(id int, l Listing, now time.Duration) (*Listing, error) {
-	c, last, ok := f.close(id)
+// handleListing applies a response. It returns the listing to pass on, nil if the response
+// contains nothing new, and an error for changes that can't be applied.
+func (f *follower) handleListing(id int, l Listing, now time.Duration) (*Listing, error) {
+	c, isLast, ok := f.remove(id)
 	if !ok {
 		return nil, nil
 	}
-	changes := c.form != wholeList && !l.Reset
-	overtaken := c.taken != f.taken // by another answer
-	if !overtaken && changes && l.Generation < f.since {
-		// Danger: what it calls changes is older than what is known, and would put back what has gone.
-		f.listed = false
-		f.retry(last, now)
-		return nil, fmt.Errorf("changes of version %d after %d", l.Generation, f.since)
+	isDelta := c.kind != fullList && !l.Reset
+	overtaken := c.appliedAtStart != f.applied // by the response to another call
+	if !overtaken && isDelta && l.Generation < f.since {
+		// These changes are older than the known generation: applying them would restore backends that are gone.
+		f.synced = false
+		f.scheduleRetry(isLast, now)
+		return nil, fmt.Errorf("changes of generation %d are older than the known generation %d", l.Generation, f.since)
 	}
-	f.measure(c, now)
-	if overtaken && (l.Generation <= f.since || changes && c.since > f.since) {
-		f.plan(c, last, false, now)
+	f.recordResponse(c, now)
+	if overtaken && (l.Generation <= f.since || isDelta && c.since > f.since) {
+		f.scheduleNext(c, isLast, false, now)
 		return nil, nil
 	}
-	l.Reset = !changes
-	f.since, f.listed = l.Generation, true
-	f.taken++
-	f.plan(c, last, true, now)
+	l.Reset = !isDelta
+	f.since, f.synced = l.Generation, true
+	f.applied++
+	f.scheduleNext(c, isLast, true, now)
 	return &l, nil
 }
 
-// measure takes note of how a call was answered.
-func (f *follower) measure(c call, now time.Duration) {
-	took := now - c.began
-	f.fresh = max(f.fresh, c.began)
-	f.refusals, f.silent = 0, 0
-	if c.form == watch {
-		f.quickNeeded /= 2
+// recordResponse updates the measurements of discovery's response times.
+func (f *follower) recordResponse(c call, now time.Duration) {
+	duration := now - c.openedAt
+	f.freshAt = max(f.freshAt, c.openedAt)
+	f.refusals, f.silentWatches = 0, 0
+	if c.kind == watch {
+		f.fastNeeded /= 2
 	} else {
-		f.slowest = max(took, time.Duration(slowDecay*float64(f.slowest)))
-		f.gap = max(gapLow, time.Duration(gapDecay*float64(f.gap)))
+		f.slowestResponse = max(duration, time.Duration(slowestDecay*float64(f.slowestResponse)))
+		f.pollInterval = max(pollIntervalMin, time.Duration(pollIntervalDecay*float64(f.pollInterval)))
 	}
-	f.quick++
-	if took > quickAnswer {
-		f.quick = 0
+	f.fastResponses++
+	if duration > fastResponse {
+		f.fastResponses = 0
 	}
 }
 
-// plan sets when the call after an answer is opened. News tells whether the answer was
-// taken in: a watch that is still open then names an old version.
-func (f *follower) plan(c call, last, news bool, now time.Duration) {
+// scheduleNext schedules the call after a response. applied says whether the response was
+// applied: a watch that is still open then requests changes from an old generation.
+func (f *follower) scheduleNext(c call, isLast, applied bool, now time.Duration) {
 	newer := f.newest()
 	switch {
-	case newer != nil && (newer.form == poll || !news):
-		return // what comes next is planned when that one ends
-	case !f.crowded:
-		f.next = now
-	case !last:
+	case newer != nil && (newer.kind == poll || !applied):
+		return // the next call is scheduled when the newer one ends
+	case !f.polling:
+		f.nextAt = now
+	case !isLast:
 		return
-	case f.quick >= f.quickNeeded:
-		f.crowded, f.next = false, now
+	case f.fastResponses >= f.fastNeeded:
+		f.polling, f.nextAt = false, now
 	default:
-		longest := min(max(toldWithin-answerTime-f.slowest, gapLeast), f.gap)
-		f.next = max(c.began+f.within(longest, 1-gapSpread), now+shortPause)
+		longest := min(max(maxStaleness-responseReserve-f.slowestResponse, pollIntervalSlowMin), f.pollInterval)
+		f.nextAt = max(c.openedAt+f.jitter(longest, 1-pollIntervalJitter), now+minPause)
 	}
 }
 
-// refused takes note that discovery turned a call away for now.
-func (f *follower) refused(id int, now time.Duration) {
-	_, last, ok := f.close(id)
+// handleRefusal handles a call that discovery temporarily rejects.
+func (f *follower) handleRefusal(id int, now time.Duration) {
+	_, isLast, ok := f.remove(id)
 	if !ok {
 		return
 	}
-	f.enterCrowd()
+	f.startPolling()
 	f.refusals++
-	f.gap = min(gapHigh, time.Duration(gapGrowth*float64(f.gap)))
-	f.retry(last, now)
+	f.pollInterval = min(pollIntervalMax, time.Duration(pollIntervalGrowth*float64(f.pollInterval)))
+	f.scheduleRetry(isLast, now)
 }
 
-// broken takes note of a call that ended without an answer.
-func (f *follower) broken(id int, now time.Duration) {
-	if _, last, ok := f.close(id); ok {
-		f.retry(last, now)
+// handleFailure handles a call that ended without a response.
+func (f *follower) handleFailure(id int, now time.Duration) {
+	if _, isLast, ok := f.remove(id); ok {
+		f.scheduleRetry(isLast, now)
 	}
 }
 
-// rejected takes note of an answer that is none. The version may be the trouble, so the
-// next call asks for the whole list.
-func (f *follower) rejected(id int, now time.Duration) {
-	c, last, ok := f.close(id)
+// handleInvalid handles an invalid response. The generation may be the cause, so the next call
+// requests the full list.
+func (f *follower) handleInvalid(id int, now time.Duration) {
+	c, isLast, ok := f.remove(id)
 	if !ok {
 		return
 	}
-	if c.taken == f.taken {
-		f.listed = false
+	if c.appliedAtStart == f.applied {
+		f.synced = false
 	}
-	f.retry(last, now)
+	f.scheduleRetry(isLast, now)
 }
 
-// retry plans the call after one that failed. Last tells whether none was opened since.
-func (f *follower) retry(last bool, now time.Duration) {
-	if !last {
+// scheduleRetry schedules the call after a failed one, unless another call was opened since.
+func (f *follower) scheduleRetry(isLast bool, now time.Duration) {
+	if !isLast {
 		return
 	}
-	if !f.crowded {
-		f.next = now + watchRetry
+	if !f.polling {
+		f.nextAt = now + retryDelay
 		return
 	}
-	window := backoffStart
-	for i := 1; i < f.refusals && window < backoffHigh; i++ {
-		window = min(backoffHigh, time.Duration(backoffGrowth*float64(window)))
+	maxDelay := backoffInitial
+	for i := 1; i < f.refusals && maxDelay < backoffMax; i++ {
+		maxDelay = min(backoffMax, time.Duration(backoffFactor*float64(maxDelay)))
 	}
-	if left := f.fresh + toldWithin - retryReserve - now; left > -urgentFor {
-		window = min(window, max(left, backoffUrgent))
+	if left := f.freshAt + maxStaleness - retryReserve - now; left > -urgentTime {
+		maxDelay = min(maxDelay, max(left, backoffUrgent))
 	}
-	f.next = now + f.within(window, backoffLeast)
+	f.nextAt = now + f.jitter(maxDelay, backoffMinFraction)
 }
 
-// enterCrowd goes over to polls. The sooner after the last return, the more of them have
-// to be answered at once before the next watch.
-func (f *follower) enterCrowd() {
-	if f.crowded {
-		f.quick = 0
+// startPolling switches from watches to polls. The sooner this happens after the last return to
+// watches, the more polls must be answered fast before the next watch.
+func (f *follower) startPolling() {
+	if f.polling {
+		f.fastResponses = 0
 		return
 	}
-	f.crowded, f.quick = true, 0
-	f.quickNeeded = min(max(2*f.quickNeeded, 1), mostQuickNeeded)
+	f.polling, f.fastResponses = true, 0
+	f.fastNeeded = min(max(2*f.fastNeeded, 1), maxFastNeeded)
 }
 
-// within draws a duration from least, a share of longest, up to longest.
-func (f *follower) within(longest time.Duration, least float64) time.Duration {
-	return time.Duration((least + (1-least)*f.random.Float64()) * float64(longest))
+// jitter returns a random duration between minFraction of longest and longest.
+func (f *follower) jitter(longest time.Duration, minFraction float64) time.Duration {
+	return time.Duration((minFraction + (1-minFraction)*f.random.Float64()) * float64(longest))
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -5,162 +5,170 @@
 	"time"
 )
 
-// form names for messages.
-func (f form) String() string { return [...]string{"whole list", "watch", "poll"}[f] }
+// String names the kind in messages.
+func (k callKind) String() string { return [...]string{"full list", "watch", "poll"}[k] }
 
-// opened lets the follower act at its next wake, and returns the call that it opens.
-func opened(t *testing.T, f *follower, want form) (call, time.Duration) {
+// nextCall advances the follower until it opens a call, which must be of the wanted kind, and
+// returns the call and the time.
+func nextCall(t *testing.T, f *follower, want callKind) (call, time.Duration) {
 	t.Helper()
-	for now := f.wake(); now != never; now = f.wake() {
+	for now := f.wakeAt(); now != never; now = f.wakeAt() {
 		if s := f.advance(now); s.opened != nil {
-			if s.opened.form != want {
-				t.Fatalf("at %v: a %v, want a %v", now, s.opened.form, want)
+			if s.opened.kind != want {
+				t.Fatalf("at %v: call of kind %v, want %v", now, s.opened.kind, want)
 			}
 			return *s.opened, now
 		}
 	}
-	t.Fatal("no call is opened any more")
+	t.Fatal("no further call is scheduled")
 	panic("unreachable")
 }
 
-// watching returns a follower of version 1 with its watch, opened at the time.
-func watching(t *testing.T) (f *follower, c call, now time.Duration) {
+// newWatching returns a follower that knows generation 1 and has just opened a watch, the watch
+// and the time.
+func newWatching(t *testing.T) (f *follower, c call, now time.Duration) {
 	t.Helper()
 	f = newFollower(1)
-	c, now = opened(t, f, wholeList)
-	if _, err := f.answered(c.id, Listing{Generation: 1}, now); err != nil {
+	c, now = nextCall(t, f, fullList)
+	if _, err := f.handleListing(c.id, Listing{Generation: 1}, now); err != nil {
 		t.Fatal(err)
 	}
-	c, now = opened(t, f, watch)
+	c, now = nextCall(t, f, watch)
 	return f, c, now
 }
 
-// polling returns one that was refused, with its first poll.
-func polling(t *testing.T) (f *follower, c call, now time.Duration) {
+// newPolling returns a follower that was refused and has just opened its first poll, the poll
+// and the time.
+func newPolling(t *testing.T) (f *follower, c call, now time.Duration) {
 	t.Helper()
-	f, c, now = watching(t)
-	f.refused(c.id, now)
-	c, now = opened(t, f, poll)
+	f, c, now = newWatching(t)
+	f.handleRefusal(c.id, now)
+	c, now = nextCall(t, f, poll)
 	return f, c, now
 }
 
-func TestUncrowdedWatchIsOpenedAgainAtOnce(t *testing.T) {
-	f, c, now := watching(t)
+// While discovery is not overloaded, the next watch is opened at once, from the new generation.
+func TestNextWatchOpensAtOnce(t *testing.T) {
+	f, c, now := newWatching(t)
 	for g := int64(2); g < 10; g++ {
-		now += watchWait
-		l, err := f.answered(c.id, Listing{Generation: g}, now)
+		now += watchTimeout
+		l, err := f.handleListing(c.id, Listing{Generation: g}, now)
 		if err != nil || l == nil || l.Generation != g || l.Reset {
 			t.Fatalf("%+v, %v", l, err)
 		}
-		next, at := opened(t, f, watch)
+		next, at := nextCall(t, f, watch)
 		if at != now || next.since != g {
-			t.Errorf("opened at %v from version %d, want %v and %d", at, next.since, now, g)
+			t.Errorf("opened at %v from generation %d, want %v and %d", at, next.since, now, g)
 		}
 		c = next
 	}
 }
 
-func TestPauseAfterAFailure(t *testing.T) {
-	for name, fails := range map[string]struct {
-		end  func(*follower, int, time.Duration)
-		next form
+// Each kind of failure is followed by a call of the right kind after the right delay.
+func TestRetryAfterFailure(t *testing.T) {
+	for name, failure := range map[string]struct {
+		handle func(*follower, int, time.Duration)
+		next   callKind
 	}{
-		"a broken call goes on from its version":   {(*follower).broken, watch},
-		"a bad answer costs the version":           {(*follower).rejected, wholeList},
-		"changes that are older cost it too":       {func(f *follower, id int, now time.Duration) { f.answered(id, Listing{Generation: 0}, now) }, wholeList},
-		"a refusal keeps the version, in its poll": {(*follower).refused, poll},
+		"a failed call keeps the generation":                 {(*follower).handleFailure, watch},
+		"an invalid response discards the generation":        {(*follower).handleInvalid, fullList},
+		"changes older than the known generation discard it": {func(f *follower, id int, now time.Duration) { f.handleListing(id, Listing{Generation: 0}, now) }, fullList},
+		"a refusal keeps the generation for the poll":        {(*follower).handleRefusal, poll},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, c, now := watching(t)
-			fails.end(f, c.id, now)
-			next, at := opened(t, f, fails.next)
-			if next.form == wholeList != !f.listed || next.form != wholeList && next.since != 1 {
+			f, c, now := newWatching(t)
+			failure.handle(f, c.id, now)
+			next, at := nextCall(t, f, failure.next)
+			if next.kind == fullList != !f.synced || next.kind != fullList && next.since != 1 {
 				t.Errorf("%+v", next)
 			}
-			if at < now+watchRetry || at > now+backoffStart || next.form != poll && at != now+watchRetry {
+			if at < now+retryDelay || at > now+backoffInitial || next.kind != poll && at != now+retryDelay {
 				t.Errorf("%v after the failure", at-now)
 			}
 		})
 	}
 }
 
-func TestSilentWatchIsOpenedAnewAndStillReadForAWhile(t *testing.T) {
-	f, first, now := watching(t)
-	second, at := opened(t, f, watch)
-	if want := now + watchDue + watchRetry; at != want {
-		t.Errorf("opened anew at %v, want %v", at, want)
+// A watch without a response is hedged by another one and is still read until its own timeout.
+func TestHedgeOfSilentWatch(t *testing.T) {
+	f, first, now := newWatching(t)
+	second, at := nextCall(t, f, watch)
+	if want := now + watchHedgeDelay + retryDelay; at != want {
+		t.Errorf("the second watch opened at %v, want %v", at, want)
 	}
 	if len(f.calls) != 2 {
 		t.Fatalf("%d calls are open", len(f.calls))
 	}
-	if s := f.advance(now + watchEnd); len(s.ended) != 1 || s.ended[0] != first.id {
-		t.Errorf("ended %v", s.ended)
+	if s := f.advance(now + watchCallLimit); len(s.expired) != 1 || s.expired[0] != first.id {
+		t.Errorf("expired calls %v, want the first", s.expired)
 	}
-	if l, err := f.answered(first.id, Listing{Generation: 9}, now+watchEnd); l != nil || err != nil || f.since != 1 {
-		t.Errorf("an answer to a call that was given up: %+v, %v", l, err)
+	if l, err := f.handleListing(first.id, Listing{Generation: 9}, now+watchCallLimit); l != nil || err != nil || f.since != 1 {
+		t.Errorf("a response to an expired call was applied: %+v, %v", l, err)
 	}
-	if l, err := f.answered(second.id, Listing{Generation: 2}, now+watchEnd); err != nil || l == nil {
+	if l, err := f.handleListing(second.id, Listing{Generation: 2}, now+watchCallLimit); err != nil || l == nil {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
 
-func TestSilentWatchesGiveWayToPolls(t *testing.T) {
-	f, _, _ := watching(t)
-	for range mostSilent - 1 {
-		opened(t, f, watch)
+// After several watches without a response the follower polls.
+func TestPollingAfterSilentWatches(t *testing.T) {
+	f, _, _ := newWatching(t)
+	for range maxSilentWatches - 1 {
+		nextCall(t, f, watch)
 	}
-	opened(t, f, poll)
+	nextCall(t, f, poll)
 }
 
-// A late answer is taken in, and the call that was opened beside it is not left to bring
-// the next change: it names an old version.
-func TestLateAnswerIsTakenIn(t *testing.T) {
+// A late response is applied, and a new watch is opened: the call that was opened beside the late
+// one requests changes from an old generation.
+func TestLateResponseIsApplied(t *testing.T) {
 	f := newFollower(1)
-	first, _ := opened(t, f, wholeList)
-	second, now := opened(t, f, wholeList)
-	if l, err := f.answered(first.id, Listing{Generation: 5}, now); err != nil || l == nil || !l.Reset {
+	first, _ := nextCall(t, f, fullList)
+	second, now := nextCall(t, f, fullList)
+	if l, err := f.handleListing(first.id, Listing{Generation: 5}, now); err != nil || l == nil || !l.Reset {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	third, at := opened(t, f, watch)
+	third, at := nextCall(t, f, watch)
 	if at != now || third.since != 5 {
-		t.Errorf("at %v: %+v", at, third)
+		t.Errorf("at %v: %+v, want a watch from generation 5 at %v", at, third, now)
 	}
-	if l, err := f.answered(second.id, Listing{Generation: 5}, now); l != nil || err != nil {
-		t.Errorf("what is known was taken in again: %+v, %v", l, err)
+	if l, err := f.handleListing(second.id, Listing{Generation: 5}, now); l != nil || err != nil {
+		t.Errorf("a known listing was applied again: %+v, %v", l, err)
 	}
-	if n := f.advance(now); n.opened != nil {
-		t.Errorf("%+v was opened beside the watch", n.opened)
+	if s := f.advance(now); s.opened != nil {
+		t.Errorf("%+v was opened beside the watch", s.opened)
 	}
 }
 
-func TestAnswerThatAnotherOvertook(t *testing.T) {
+// A response that was overtaken by that of another call is applied only if it is newer.
+func TestOvertakenResponse(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer Listing
-		news   bool
+		response Listing
+		applied  bool
 	}{
-		"older changes":   {Listing{Generation: 2}, false},
-		"an older list":   {Listing{Generation: 2, Reset: true}, false},
-		"the same":        {Listing{Generation: 3}, false},
-		"newer changes":   {Listing{Generation: 4}, true},
-		"a newer list":    {Listing{Generation: 4, Reset: true}, true},
-		"nothing changed": {Listing{Generation: 1}, false},
+		"older changes":       {Listing{Generation: 2}, false},
+		"an older full list":  {Listing{Generation: 2, Reset: true}, false},
+		"the same generation": {Listing{Generation: 3}, false},
+		"newer changes":       {Listing{Generation: 4}, true},
+		"a newer full list":   {Listing{Generation: 4, Reset: true}, true},
+		"nothing changed":     {Listing{Generation: 1}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, first, _ := watching(t)
-			second, now := opened(t, f, watch)
-			if _, err := f.answered(second.id, Listing{Generation: 3}, now); err != nil {
+			f, first, _ := newWatching(t)
+			second, now := nextCall(t, f, watch)
+			if _, err := f.handleListing(second.id, Listing{Generation: 3}, now); err != nil {
 				t.Fatal(err)
 			}
-			l, err := f.answered(first.id, c.answer, now)
-			if err != nil || (l != nil) != c.news || !f.listed {
+			l, err := f.handleListing(first.id, c.response, now)
+			if err != nil || (l != nil) != c.applied || !f.synced {
 				t.Errorf("%+v, %v", l, err)
 			}
 			want := int64(3)
-			if c.news {
+			if c.applied {
 				want = 4
 			}
-			if next, _ := opened(t, f, watch); next.since != want {
-				t.Errorf("asked from %d, want %d", next.since, want)
+			if next, _ := nextCall(t, f, watch); next.since != want {
+				t.Errorf("the next watch is from generation %d, want %d", next.since, want)
 			}
 			if len(f.calls) != 1 {
 				t.Errorf("%d calls are open", len(f.calls))
@@ -169,128 +177,136 @@
 	}
 }
 
-// After a restart of discovery versions begin anew. Changes from before it are not taken for news.
-func TestChangesFromBeforeARestartOfDiscovery(t *testing.T) {
-	f, c, now := watching(t)
-	if _, err := f.answered(c.id, Listing{Generation: 40}, now); err != nil {
+// Generations restart with discovery. Changes sent before a restart must not be applied after it,
+// although their generation is higher.
+func TestChangesFromBeforeDiscoveryRestart(t *testing.T) {
+	f, c, now := newWatching(t)
+	if _, err := f.handleListing(c.id, Listing{Generation: 40}, now); err != nil {
 		t.Fatal(err)
 	}
-	first, _ := opened(t, f, watch)
-	second, now := opened(t, f, watch)
-	if l, err := f.answered(second.id, Listing{Generation: 2, Reset: true}, now); err != nil || l == nil || f.since != 2 {
+	first, _ := nextCall(t, f, watch)
+	second, now := nextCall(t, f, watch)
+	if l, err := f.handleListing(second.id, Listing{Generation: 2, Reset: true}, now); err != nil || l == nil || f.since != 2 {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	if l, err := f.answered(first.id, Listing{Generation: 41}, now); l != nil || err != nil || f.since != 2 {
+	if l, err := f.handleListing(first.id, Listing{Generation: 41}, now); l != nil || err != nil || f.since != 2 {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
 
-func TestPollsAreApartAndInTime(t *testing.T) {
-	f, c, now := polling(t)
-	seen := map[time.Duration]bool{}
+// Polls are randomly spaced, close enough for a change to be known in time.
+func TestPollSpacing(t *testing.T) {
+	f, c, now := newPolling(t)
+	intervals := map[time.Duration]bool{}
 	for range 100 {
-		began := now
-		now += 3 * quickAnswer
-		if _, err := f.answered(c.id, Listing{Generation: 1}, now); err != nil {
+		openedAt := now
+		now += 3 * fastResponse
+		if _, err := f.handleListing(c.id, Listing{Generation: 1}, now); err != nil {
 			t.Fatal(err)
 		}
-		c, now = opened(t, f, poll)
-		apart := now - began
-		if apart < 2*time.Second || apart > toldWithin-2*time.Second {
-			t.Fatalf("polls %v apart", apart)
+		c, now = nextCall(t, f, poll)
+		interval := now - openedAt
+		if interval < 2*time.Second || interval > maxStaleness-2*time.Second {
+			t.Fatalf("interval of %v between polls", interval)
 		}
-		seen[apart] = true
+		intervals[interval] = true
 	}
-	if len(seen) < 90 {
-		t.Errorf("%d distances among 100", len(seen))
+	if len(intervals) < 90 {
+		t.Errorf("%d different intervals among 100, want at least 90", len(intervals))
 	}
 }
 
-func TestRefusalsSpaceCallsOut(t *testing.T) {
-	f, c, now := polling(t)
-	f.fresh = now + time.Hour // no change is overdue
-	latest := time.Duration(0)
+// Refusals increase the delay before the next call, less so while the list is about to become too
+// stale.
+func TestBackoffAfterRefusals(t *testing.T) {
+	f, c, now := newPolling(t)
+	f.freshAt = now + time.Hour // the list is not stale
+	longest := time.Duration(0)
 	for range 30 {
-		f.refused(c.id, now)
-		next, at := opened(t, f, poll)
-		if at-now < shortPause || at-now > backoffHigh {
-			t.Fatalf("%v after a refusal", at-now)
+		f.handleRefusal(c.id, now)
+		next, at := nextCall(t, f, poll)
+		if at-now < minPause || at-now > backoffMax {
+			t.Fatalf("delay of %v after a refusal", at-now)
 		}
-		latest = max(latest, at-now)
+		longest = max(longest, at-now)
 		c, now = next, at
 	}
-	if latest < backoffStart || f.gap != gapHigh {
-		t.Errorf("pauses of %v at most, %v from poll to poll", latest, f.gap)
+	if longest < backoffInitial || f.pollInterval != pollIntervalMax {
+		t.Errorf("delays of at most %v and a poll interval of %v, want at least %v and exactly %v", longest, f.pollInterval, backoffInitial, pollIntervalMax)
 	}
-	// The staler the list, the sooner the next, until it is stale for long.
-	for stale, most := range map[time.Duration]time.Duration{toldWithin: backoffUrgent, toldWithin / 2: toldWithin/2 - retryReserve, 3 * toldWithin: backoffHigh} {
+	// The staler the list, the sooner the next call, until the list has been stale for long.
+	for stale, limit := range map[time.Duration]time.Duration{maxStaleness: backoffUrgent, maxStaleness / 2: maxStaleness/2 - retryReserve, 3 * maxStaleness: backoffMax} {
 		longest := time.Duration(0)
 		for range 50 {
-			f.fresh = now - stale
-			f.refused(c.id, now)
-			next, at := opened(t, f, poll)
+			f.freshAt = now - stale
+			f.handleRefusal(c.id, now)
+			next, at := nextCall(t, f, poll)
 			longest = max(longest, at-now)
 			c, now = next, at
 		}
-		if longest > most || longest < most*8/10 {
-			t.Errorf("%v at most after refusals with a list %v old, want up to %v", longest, stale, most)
+		if longest > limit || longest < limit*8/10 {
+			t.Errorf("longest delay after refusals is %v with a list %v old, want up to %v", longest, stale, limit)
 		}
 	}
 }
 
-func TestPollThatIsNotAnsweredStaysBesideTheNext(t *testing.T) {
-	f, first, now := polling(t)
-	second, at := opened(t, f, poll)
-	if at-now < pollDueLow || at-now > pollDueHigh || len(f.calls) != 2 {
-		t.Fatalf("%v later, %d calls", at-now, len(f.calls))
+// A poll without a response stays open beside the next one until its own timeout, and at most two
+// calls are open.
+func TestHedgeOfUnansweredPoll(t *testing.T) {
+	f, first, now := newPolling(t)
+	second, at := nextCall(t, f, poll)
+	if at-now < pollHedgeDelayMin || at-now > pollHedgeDelayMax || len(f.calls) != 2 {
+		t.Fatalf("hedged after %v, %d calls open", at-now, len(f.calls))
 	}
-	_, third := opened(t, f, poll) // no more than two
-	if third != now+callEnd || len(f.calls) != 2 || f.calls[0].id != second.id {
-		t.Errorf("the third %v after the first, %+v", third-now, f.calls)
+	_, third := nextCall(t, f, poll) // opened only when the first expires
+	if third != now+callLimit || len(f.calls) != 2 || f.calls[0].id != second.id {
+		t.Errorf("the third poll opened %v after the first, open calls %+v", third-now, f.calls)
 	}
-	if l, err := f.answered(first.id, Listing{Generation: 2}, third); l != nil || err != nil {
+	if l, err := f.handleListing(first.id, Listing{Generation: 2}, third); l != nil || err != nil {
 		t.Errorf("%+v, %v", l, err)
 	}
-	if l, err := f.answered(second.id, Listing{Generation: 2}, third); l == nil || err != nil {
+	if l, err := f.handleListing(second.id, Listing{Generation: 2}, third); l == nil || err != nil {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
 
-// Answers at once lead back to the watch; the oftener that was refused, the more of them it takes.
-func TestBackToTheWatch(t *testing.T) {
-	f, c, now := polling(t)
-	for needed := 1; needed <= mostQuickNeeded; needed *= 2 {
+// Fast responses to polls lead back to a watch. Each time the watch is refused, more fast responses
+// are needed for the next one.
+func TestReturnToWatch(t *testing.T) {
+	f, c, now := newPolling(t)
+	for needed := 1; needed <= maxFastNeeded; needed *= 2 {
 		for range needed - 1 {
-			f.answered(c.id, Listing{Generation: 1}, now)
-			c, now = opened(t, f, poll)
+			f.handleListing(c.id, Listing{Generation: 1}, now)
+			c, now = nextCall(t, f, poll)
 		}
-		f.answered(c.id, Listing{Generation: 1}, now)
+		f.handleListing(c.id, Listing{Generation: 1}, now)
 		var at time.Duration
-		if c, at = opened(t, f, watch); at != now {
-			t.Fatalf("the watch %v after the poll", at-now)
+		if c, at = nextCall(t, f, watch); at != now {
+			t.Fatalf("the watch opened %v after the poll", at-now)
 		}
-		f.refused(c.id, now)
-		c, now = opened(t, f, poll)
+		f.handleRefusal(c.id, now)
+		c, now = nextCall(t, f, poll)
 	}
-	if f.quickNeeded != mostQuickNeeded {
-		t.Errorf("%d needed, want %d at most", f.quickNeeded, mostQuickNeeded)
+	if f.fastNeeded != maxFastNeeded {
+		t.Errorf("%d fast responses needed, want the maximum of %d", f.fastNeeded, maxFastNeeded)
 	}
 }
 
-func TestSlowAnswersAreNoWayBackAndBringPollsForward(t *testing.T) {
-	f, c, now := polling(t)
+// Slow responses do not lead back to a watch, and the next poll follows soon.
+func TestSlowResponsesPreventWatches(t *testing.T) {
+	f, c, now := newPolling(t)
 	for range 20 {
-		began := now
+		openedAt := now
 		now += 3 * time.Second
-		f.answered(c.id, Listing{Generation: 1}, now)
-		c, now = opened(t, f, poll)
-		if now-began > 3*time.Second+shortPause {
-			t.Fatalf("%v from poll to poll", now-began)
+		f.handleListing(c.id, Listing{Generation: 1}, now)
+		c, now = nextCall(t, f, poll)
+		if now-openedAt > 3*time.Second+minPause {
+			t.Fatalf("interval of %v between polls", now-openedAt)
 		}
 	}
 }
 
-// Whatever happens, at most two calls are open, and there is always a next look.
+// In any sequence of events at most two calls are open, and another wake-up is scheduled.
 func FuzzFollower(fuzz *testing.F) {
 	fuzz.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
 	fuzz.Add([]byte("\x01\x01\x05\x05\x05\x05\x02\x02\x03\x03\x04\x04"))
@@ -299,25 +315,25 @@
 		now := time.Duration(0)
 		for _, b := range script {
 			f.advance(now)
-			if len(f.calls) > mostCalls {
+			if len(f.calls) > maxOpenCalls {
 				t.Fatalf("%d calls are open", len(f.calls))
 			}
-			wake := f.wake()
-			if wake == never || wake-now > watchEnd {
-				t.Fatalf("the next look is %v away", wake-now)
+			wakeAt := f.wakeAt()
+			if wakeAt == never || wakeAt-now > watchCallLimit {
+				t.Fatalf("the next wake-up is %v away", wakeAt-now)
 			}
 			id := f.lastID - int(b>>3&1)
 			switch b & 7 {
 			case 0, 1:
-				f.answered(id, Listing{Generation: int64(b >> 4), Reset: b&1 == 1}, now)
+				f.handleListing(id, Listing{Generation: int64(b >> 4), Reset: b&1 == 1}, now)
 			case 2:
-				f.refused(id, now)
+				f.handleRefusal(id, now)
 			case 3:
-				f.broken(id, now)
+				f.handleFailure(id, now)
 			case 4:
-				f.rejected(id, now)
+				f.handleInvalid(id, now)
 			default:
-				now = max(wake, now)
+				now = max(wakeAt, now)
 			}
 		}
 	})
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -16,10 +16,10 @@
 	"elderyard/internal/testpeer"
 )
 
-// The figures of docs/capacity/slopes.json are those of -list-sizes 1100,2200,4400,8800,17600.
+// The figures in docs/capacity/slopes.json were measured with -list-sizes 1100,2200,4400,8800,17600.
 var listSizes = flag.String("list-sizes", "50", "sizes of lists of backends whose bytes are counted, such as 50,100")
 
-// countingConn counts the bytes of a connection, both ways.
+// countingConn counts the bytes of a connection in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -37,7 +37,7 @@
 	return n, err
 }
 
-// What a whole list, a watch without news and a change of one backend cost a gateway, call and answer.
+// Measures the bytes that a gateway sends and receives for a full list, a watch without changes and a change of one backend.
 func TestBytesOfLists(t *testing.T) {
 	for _, text := range strings.Split(*listSizes, ",") {
 		size, err := strconv.Atoi(text)
@@ -48,30 +48,31 @@
 	}
 }
 
+// countListBytes runs the measurement for a list of the given size.
 func countListBytes(t *testing.T, size int) {
-	door, err := link.Listen("g0")
+	listener, err := link.Listen("g0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	source := registry.Start(func(_, id string) string { return "10.20.30.40:8080" }, 1, door)
-	t.Cleanup(source.Close)
+	server := registry.Start(func(_, id string) string { return "10.20.30.40:8080" }, 1, listener)
+	t.Cleanup(server.Close)
 	backend := func(i int, started int64) registry.Instance {
 		return registry.Instance{ID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Zone: fmt.Sprintf("zone-%d", i%4), Type: "standard-8", Cell: i % 64,
 			Lifecycle: registry.Ready, Weight: 1, StartedAt: started}
 	}
-	const started = 1_790_000_000_000 // a start in milliseconds, of the usual number of digits
+	const started = 1_790_000_000_000 // a start time in milliseconds with a realistic number of digits
 	for i := range size {
-		source.Set(backend(i, started))
+		server.Set(backend(i, started))
 	}
 
 	var bytes atomic.Int64
 	var dialer net.Dialer
-	type answer struct {
+	type response struct {
 		Listing
-		bytes int64 // of all calls and answers up to this one
+		bytes int64 // of all calls and responses up to this one
 	}
-	heard := make(chan answer, 64)
-	watcher := newWatcher(source.Address("g0"), func(l Listing) { heard <- answer{l, bytes.Load()} }, func(ctx context.Context, network, address string) (net.Conn, error) {
+	listings := make(chan response, 64)
+	watcher := newWatcher(server.Address("g0"), func(l Listing) { listings <- response{l, bytes.Load()} }, func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dialer.DialContext(ctx, network, address)
 		return countingConn{c, &bytes}, err
 	})
@@ -80,16 +81,16 @@
 	running.Go(func() { watcher.Run(ctx) })
 	defer func() { cancel(); running.Wait() }()
 
-	list := testpeer.Wait(t, heard, "the whole list")
+	list := testpeer.Wait(t, listings, "the whole list")
 	if !list.Reset || len(list.Instances) != size {
 		t.Fatalf("reset %v, %d instances of %d", list.Reset, len(list.Instances), size)
 	}
-	empty := testpeer.Wait(t, heard, "a watch without news")
+	empty := testpeer.Wait(t, listings, "a watch without news")
 	if empty.Reset || len(empty.Instances) != 0 {
 		t.Fatalf("%+v", empty)
 	}
-	source.Set(backend(0, started+1))
-	change := testpeer.Wait(t, heard, "one change")
+	server.Set(backend(0, started+1))
+	change := testpeer.Wait(t, listings, "one change")
 	if change.Reset || len(change.Instances) != 1 {
 		t.Fatalf("%+v", change)
 	}
