--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -1,6 +1,6 @@
-// Package launch starts a gateway as a program: from the environment, the platform's
-// configuration and the operator's file to its end. The programs differ only in
-// whether they can take part among the gateways of their site.
+// Package launch runs a gateway program: it reads the environment, the platform's configuration and the
+// operator's file, and runs the gateway until it ends. The programs differ only in whether they can
+// join the other gateways of their site.
 package launch
 
 import (
@@ -21,26 +21,27 @@
 	"elderyard/internal/telemetry"
 )
 
+// defaultSite is the operator's file if ELDERYARD_SITE is not set. It need not exist.
 const defaultSite = "deploy/site.toml"
 
-// OpenPeers takes up a gateway's part among those of its site, by its configuration; nil
-// where it is to take none.
+// OpenPeers joins the gateways of the site as the configuration specifies. It returns nil if the gateway
+// should not join them.
 type OpenPeers func(*config.Config) (gateway.Fellows, error)
 
-// Main runs a gateway until it is asked to end, and ends the process with status 1
-// where it can't be run.
+// Main runs a gateway until it is asked to stop. If the gateway can't run, it exits with status 1.
 func Main(open OpenPeers) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hup := make(chan os.Signal, 1) // one that waits stands for all: the file is read whole
-	signal.Notify(hup, syscall.SIGHUP)
-	if err := run(ctx, hup, open); err != nil {
+	reload := make(chan os.Signal, 1) // one pending signal is enough, since a reload reads the whole file
+	signal.Notify(reload, syscall.SIGHUP)
+	if err := run(ctx, reload, open); err != nil {
 		fmt.Fprintln(os.Stderr, "elderyard:", err)
 		os.Exit(1)
 	}
 }
 
-func run(ctx context.Context, hup <-chan os.Signal, open OpenPeers) error {
+// run runs a gateway until ctx ends, and reloads its configuration at each signal from reload.
+func run(ctx context.Context, reload <-chan os.Signal, open OpenPeers) error {
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
 		return fmt.Errorf("EDGE_CONFIG is not set")
@@ -49,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Site, err = operatorsFile(); err != nil {
+	if c.Site, err = readSiteSettings(); err != nil {
 		return err
 	}
 	export, err := telemetry.FromSite(c.Site.Telemetry, os.Getenv, c.Name)
@@ -65,7 +66,7 @@
 	fd := -1
 	if text := os.Getenv("EDGE_LISTEN_FD"); text != "" {
 		if fd, err = strconv.Atoi(text); err != nil || fd < 3 {
-			return fmt.Errorf("EDGE_LISTEN_FD: %q is not a descriptor that came with the process", text)
+			return fmt.Errorf("EDGE_LISTEN_FD: %q is not an inherited file descriptor", text)
 		}
 		c.Share()
 	}
@@ -73,11 +74,11 @@
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * c.Site.Memory.HeapShare))
 	debug.SetGCPercent(c.Site.Memory.HeapGrow)
 	log.SetPrefix(c.Name + " ")
-	fellows, err := open(&c)
+	peers, err := open(&c)
 	if err != nil {
 		return fmt.Errorf("operator's file: %w", err)
 	}
-	return gateway.Run(ctx, &c, fd, export, fellows, gateway.Reload{Signal: hup, Read: func() (config.Config, error) {
+	return gateway.Run(ctx, &c, fd, export, peers, gateway.Reload{Signal: reload, Read: func() (config.Config, error) {
 		next, err := config.Read(path)
 		if fd >= 0 {
 			next.Share()
@@ -86,8 +87,8 @@
 	}})
 }
 
-// operatorsFile reads the operator's file. One that is named must be there.
-func operatorsFile() (site.Settings, error) {
+// readSiteSettings reads the operator's file. A file that ELDERYARD_SITE names must exist.
+func readSiteSettings() (site.Settings, error) {
 	path := os.Getenv("ELDERYARD_SITE")
 	if path == "" {
 		return site.Read(defaultSite)
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback gives listeners addresses that stay theirs while they are down.
+// Package loopback allocates loopback addresses that a listener can reuse after a restart.
 package loopback
 
 import (
@@ -8,19 +8,21 @@
 	"sync/atomic"
 )
 
-var given atomic.Uint32 // addresses by this process; the counter is all that is shared, so no two are alike
+// allocated counts the addresses that Host has returned. It is the only shared state, so no address
+// is returned twice.
+var allocated atomic.Uint32
 
-// Host returns a loopback address that nobody else in this process is given, and hardly anybody in another.
+// Host returns a loopback address that is unique in this process and most likely unique among processes.
 //
-// Danger: a port of 127.0.0.1 that was given up, even for a moment, is free for all the machine's outgoing
-// connections, which take any free port of the same address. On a busy machine whoever listened there finds it
-// taken when it starts again.
+// A port of 127.0.0.1 that is released, even for a moment, can be used by any outgoing connection of the
+// machine, since those use any free port of that address. On a busy machine a restarting listener would find its
+// port in use.
 func Host() string {
-	n := given.Add(1) - 1
+	n := allocated.Add(1) - 1
 	return fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%200, 1+n/250%250, 1+n%250)
 }
 
-// FreeAddress finds a port for a program that is to listen, end and listen again.
+// FreeAddress returns an address with an unused port, for a program that listens, stops and listens again.
 func FreeAddress() (address string, err error) {
 	l, err := net.Listen("tcp", Host()+":0")
 	if err != nil {
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -5,29 +5,29 @@
 	"testing"
 )
 
-// Connections go out from 127.0.0.1 by ports that the kernel picks; none may be in the way of a listener that
-// starts again.
-func TestAFreedAddressIsNotTakenByOutgoingConnections(t *testing.T) {
+// Outgoing connections use ports of 127.0.0.1 that the kernel chooses. None of them may conflict with a restarting
+// listener.
+func TestAddressSurvivesOutgoingConnections(t *testing.T) {
 	seen := map[string]bool{}
 	for range 300 {
-		at, err := FreeAddress()
+		address, err := FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
-		host, port, err := net.SplitHostPort(at)
+		host, port, err := net.SplitHostPort(address)
 		if err != nil || seen[host] {
-			t.Fatalf("%s again, or %v", at, err)
+			t.Fatalf("%s is invalid or was returned twice: %v", address, err)
 		}
 		seen[host] = true
-		// What such a connection does, on the very port.
-		taken, err := net.Listen("tcp", "127.0.0.1:"+port)
+		// Occupies the port on 127.0.0.1, as an outgoing connection would.
+		occupied, err := net.Listen("tcp", "127.0.0.1:"+port)
 		if err != nil {
-			continue // another program has that one
+			continue // in use by another program
 		}
-		l, err := net.Listen("tcp", at)
-		taken.Close()
+		l, err := net.Listen("tcp", address)
+		occupied.Close()
 		if err != nil {
-			t.Fatalf("%s is taken: %v", at, err)
+			t.Fatalf("%s is in use: %v", address, err)
 		}
 		l.Close()
 	}
--- a/internal/sockets/authorities.go
+++ b/internal/sockets/certpool.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// LoadCertPool reads the certificates of a PEM file.
+// LoadCertPool returns the CA certificates of a PEM file.
 func LoadCertPool(path string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/sockets/closed_linux.go
+++ b/internal/sockets/closed_linux.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// TCP states in which the other side has closed or reset the connection, as in the
+// TCP states in which the peer has closed or reset the connection, as in the
 // kernel's include/net/tcp_states.h.
 const (
 	tcpClose     = 7
@@ -11,9 +11,9 @@
 	tcpClosing   = 11
 )
 
-// closedBehindData reports whether the other side has closed or reset a connection that
-// still holds unread bytes. The state is the first byte of struct tcp_info, of which the
-// kernel gives as many bytes as are asked for. A socket that is not TCP counts as open.
+// closedBehindData reports whether the peer has closed or reset a connection that still
+// holds unread bytes. The state is the first byte of struct tcp_info, of which the kernel
+// returns as many bytes as are requested. A socket that is not TCP counts as open.
 func closedBehindData(fd uintptr) bool {
 	info, err := syscall.GetsockoptInet4Addr(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	if err != nil {
--- a/internal/sockets/closed_other.go
+++ b/internal/sockets/closed_other.go
@@ -2,5 +2,5 @@
 
 package sockets
 
-// closedBehindData reports false: there is no portable way to ask.
+// closedBehindData returns false: there is no portable way to query the state.
 func closedBehindData(uintptr) bool { return false }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,5 +1,6 @@
-// Package sockets holds what all of a gateway's connections have in common:
-// whether one still stands, what its end proves, and how long it may rest.
+// Package sockets contains what all connections of a gateway have in common: whether a
+// connection is still open, what its end means for the outcome of a request, and how long
+// it may be idle.
 package sockets
 
 import (
@@ -12,8 +13,8 @@
 	"elderyard/rules"
 )
 
-// Peek looks, without waiting, at what a socket has to say: n is 1 where bytes have
-// come, 0 where the other side has ended, and err syscall.EAGAIN where neither.
+// Peek checks, without blocking, what can be read from a socket: n is 1 if data is available
+// and 0 if the peer has closed the connection; err is syscall.EAGAIN if neither holds.
 func Peek(fd uintptr) (n int, err error) {
 	for {
 		var b [1]byte
@@ -24,10 +25,10 @@
 	}
 }
 
-// look has f see the descriptor of a connection. Control and not Read, which would
-// fail for a time-out that passed since the last use, and would wait for a reader. Known is
-// false where the connection has no descriptor to show.
-func look(conn net.Conn, f func(fd uintptr)) (known bool, err error) {
+// withDescriptor calls f with the descriptor of a connection. It uses Control instead of Read, which
+// would fail if a deadline has passed since the last use, and would wait for other readers. known is
+// false if the connection does not expose a descriptor.
+func withDescriptor(conn net.Conn, f func(fd uintptr)) (known bool, err error) {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
 		return false, nil
@@ -39,38 +40,38 @@
 	return true, raw.Control(f)
 }
 
-// Alive looks, without waiting, whether an idle connection still stands and has
-// nothing to say. Danger: what is written to one that the other side has closed
-// ends as a reset, which is no proof that it had no effect.
+// Alive reports, without blocking, whether an idle connection is open and has no data to read. It must
+// be checked before a write: data written to a connection that the peer has closed causes a reset,
+// which does not prove that the data had no effect.
 func Alive(conn net.Conn) bool {
-	quiet := false
-	known, err := look(conn, func(fd uintptr) {
+	idle := false
+	known, err := withDescriptor(conn, func(fd uintptr) {
 		_, err := Peek(fd)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		idle = errors.Is(err, syscall.EAGAIN)
 	})
-	return !known || err == nil && quiet
+	return !known || err == nil && idle
 }
 
-// PeerClosed reports, without waiting, whether the other side has closed or reset a
-// connection. Danger: bytes that it sent before and that nobody has read yet hide the
-// end from a read; where the system can, its state of the connection is asked as well.
+// PeerClosed reports, without blocking, whether the peer has closed or reset a connection. Data that
+// it sent before and that is still unread would hide the close from a read, so where the operating
+// system supports it, the state of the connection is queried as well.
 func PeerClosed(conn net.Conn) bool {
-	gone := false
-	known, err := look(conn, func(fd uintptr) {
+	closed := false
+	known, err := withDescriptor(conn, func(fd uintptr) {
 		n, err := Peek(fd)
 		switch {
 		case err != nil:
-			gone = !errors.Is(err, syscall.EAGAIN)
+			closed = !errors.Is(err, syscall.EAGAIN)
 		case n == 0:
-			gone = true
+			closed = true
 		default:
-			gone = closedBehindData(fd)
+			closed = closedBehindData(fd)
 		}
 	})
-	return known && (err != nil || gone)
+	return known && (err != nil || closed)
 }
 
-// ReadErrorOutcome tells a time-out from a connection that ended.
+// ReadErrorOutcome returns the outcome for a read error: a timeout or a lost connection.
 func ReadErrorOutcome(err error) rules.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return rules.TimedOut
@@ -78,9 +79,8 @@
 	return rules.ConnectionLost
 }
 
-// Delimited tells whether the end of a body is told by a length or by chunks.
-// Where neither tells it, the connection's end does. Danger: a reset or a bound of the
-// reader's own must not pass for that.
+// Delimited reports whether a response body has a length or is chunked. Otherwise it ends with the
+// connection, and the caller must not take a reset or its own size limit for that end.
 func Delimited(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -10,11 +10,11 @@
 	"elderyard/internal/testpeer"
 )
 
-// The end of a connection is seen at once, whether or not unread bytes stand before it,
-// and an open connection with unread bytes is not taken for closed.
-func TestGone(t *testing.T) {
+// A closed connection is detected at once, with or without unread bytes before the end, and an
+// open connection with unread bytes is not taken for closed.
+func TestPeerClosed(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]func(*net.TCPConn){
+	for name, end := range map[string]func(*net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
 		"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"reset":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -22,32 +22,33 @@
 		for _, unread := range []string{"", "unread"} {
 			t.Run(name+" behind "+unread, func(t *testing.T) {
 				t.Parallel()
-				door := testpeer.New(t)
-				client, err := net.Dial("tcp", door.Address())
+				peer := testpeer.New(t)
+				client, err := net.Dial("tcp", peer.Address())
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer client.Close()
-				near, _ := door.Accept(t)
+				conn, _ := peer.Accept(t)
 				if _, err := io.WriteString(client, unread); err != nil {
 					t.Fatal(err)
 				}
-				waitUntil(t, "the bytes are there", func() bool { return sockets.Alive(near) == (unread == "") })
-				if sockets.PeerClosed(near) {
+				waitUntil(t, "the bytes have arrived", func() bool { return sockets.Alive(conn) == (unread == "") })
+				if sockets.PeerClosed(conn) {
 					t.Error("an open connection is taken for closed")
 				}
-				leave(client.(*net.TCPConn))
-				waitUntil(t, "the end is seen", func() bool { return sockets.PeerClosed(near) })
+				end(client.(*net.TCPConn))
+				waitUntil(t, "the close is detected", func() bool { return sockets.PeerClosed(conn) })
 			})
 		}
 	}
 }
 
-func waitUntil(t *testing.T, what string, is func() bool) {
+// waitUntil polls a condition until it holds, or fails the test.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testpeer.Patience); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits, but no longer than a context lasts.
+// Package wait provides sleeps that end early when a context ends.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d. It returns false where ctx ended first.
+// For waits for d. It returns false if ctx ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -18,5 +18,5 @@
 	}
 }
 
-// Until waits until t. It returns false where ctx ended first.
+// Until waits until t. It returns false if ctx ended first.
 func Until(ctx context.Context, t time.Time) bool { return For(ctx, time.Until(t)) }
