--- a/internal/counter/http.go
+++ b/internal/counter/http.go
@@ -282,7 +282,7 @@
 	failed := false
 	for k := range c.waiting {
 		if failed {
-			k.Report(k, rules.ConnectionLost, 0)
+			k.Report(k, rules.ConnectionBroken, 0)
 			continue
 		}
 		c.head.Store(k)
@@ -291,7 +291,7 @@
 		outcome, total, err := rules.Errored, 0.0, error(nil)
 		if _, err = r.Peek(1); err != nil {
 			outcome = sockets.Ended(err)
-			c.trust.Note(time.Now(), k.rest, outcome == rules.ConnectionLost)
+			c.trust.Note(time.Now(), k.rest, outcome == rules.ConnectionBroken)
 		} else {
 			c.trust.Note(time.Now(), k.rest, false)
 			k.begun.Store(true)
@@ -338,5 +338,5 @@
 	case http.StatusBadRequest, http.StatusNotFound:
 		return rules.ConnectFailed, 0, nil // nothing was added
 	}
-	return rules.ConnectionLost, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
+	return rules.ConnectionBroken, 0, fmt.Errorf("status %s", resp.Status) // which proves nothing
 }
--- a/internal/counter/http_test.go
+++ b/internal/counter/http_test.go
@@ -70,7 +70,7 @@
 	add(5)
 	testpeer.ReadRequest(t, r)
 	conn.Close()
-	if got := testpeer.Wait(t, replies, "reply"); got.outcome != rules.ConnectionLost {
+	if got := testpeer.Wait(t, replies, "reply"); got.outcome != rules.ConnectionBroken {
 		t.Errorf("reply after a break: %v", got)
 	}
 	// The next goes out on a new connection.
@@ -96,8 +96,8 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + strings.Repeat("1", 65), rules.Errored},
 		{"HTTP/1.1 2x0 OK\r\n\r\n12", rules.Errored},
 		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", mostCounterHead), rules.Errored},
-		{"HTTP/1.1 102 Processing\r\n\r\n", rules.ConnectionLost},
-		{"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\n12", rules.ConnectionLost},
+		{"HTTP/1.1 102 Processing\r\n\r\n", rules.ConnectionBroken},
+		{"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\n12", rules.ConnectionBroken},
 	} {
 		add(1)
 		conn, r := far.Accept(t)
@@ -108,7 +108,7 @@
 		if got := testpeer.Wait(t, replies, "reply"); got != (reply{1, c.outcome, 0}) {
 			t.Errorf("%.60q: reply %v", c.answer, got)
 		}
-		if got := testpeer.Wait(t, replies, "reply"); got != (reply{2, rules.ConnectionLost, 0}) {
+		if got := testpeer.Wait(t, replies, "reply"); got != (reply{2, rules.ConnectionBroken, 0}) {
 			t.Errorf("%.60q: reply to the call behind it %v", c.answer, got)
 		}
 	}
@@ -245,7 +245,7 @@
 		add(2)
 		testpeer.ReadRequest(t, r)
 		conn.Close()
-		if got := testpeer.Wait(t, replies, "reply"); got.outcome != rules.ConnectionLost {
+		if got := testpeer.Wait(t, replies, "reply"); got.outcome != rules.ConnectionBroken {
 			t.Fatalf("reply %v", got)
 		}
 	}
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -238,7 +238,7 @@
 	failed := false
 	for k := range c.waiting {
 		if failed {
-			k.Report(k, rules.ConnectionLost, 0)
+			k.Report(k, rules.ConnectionBroken, 0)
 			continue
 		}
 		c.head.Store(k)
@@ -276,7 +276,7 @@
 				refusal = v.Str
 			}
 		case i < callReplies-2 && v.Kind != resp.Simple:
-			return rules.ConnectionLost, 0, errLeave // not the answer to what was asked: all behind it is in doubt
+			return rules.ConnectionBroken, 0, errLeave // not the answer to what was asked: all behind it is in doubt
 		case i < callReplies-2:
 		case v.Kind == resp.Error:
 			if refusal == "" || !strings.HasPrefix(v.Str, "EXECABORT") && !strings.HasPrefix(refusal, "NOAUTH") {
--- a/internal/counter/resp_test.go
+++ b/internal/counter/resp_test.go
@@ -83,8 +83,8 @@
 		{"not let in", respstore.Fault{Queue: "NOAUTH Authentication required."}, rules.ConnectFailed, false, 2},
 		{"no right", respstore.Fault{Queue: "NOPERM no"}, rules.ConnectFailed, false, 2},
 		{"no such command", respstore.Fault{Queue: "ERR unknown command"}, rules.ConnectFailed, false, 1},
-		{"lost after it was added", respstore.Fault{Lost: true}, rules.ConnectionLost, true, 2},
-		{"cut after it was added", respstore.Fault{Cut: true}, rules.ConnectionLost, true, 2},
+		{"lost after it was added", respstore.Fault{Lost: true}, rules.ConnectionBroken, true, 2},
+		{"cut after it was added", respstore.Fault{Cut: true}, rules.ConnectionBroken, true, 2},
 		{"no number", respstore.Fault{Spoilt: true}, rules.Errored, true, 2},
 	} {
 		s := newStore(t, nil, "")
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -418,13 +418,13 @@
 			if sound {
 				a.passed(rules.Served)
 			} else {
-				a.passed(rules.ConnectionLost)
+				a.passed(rules.ConnectionBroken)
 			}
 		}
 		return res
 	}
 	ours := a.release()
-	if forgotten := res.outcome == rules.ConnectionLost && c.left.N == mostAnswer; ours && c.rest > 0 {
+	if forgotten := res.outcome == rules.ConnectionBroken && c.left.N == mostAnswer; ours && c.rest > 0 {
 		p.trust.Note(time.Now(), c.rest, forgotten)
 	}
 	if ours && reuse {
@@ -516,7 +516,7 @@
 			resp.Body = untilEnd{resp.Body, c.left}
 		}
 		if resp.ContentLength > mostBulk {
-			return result{outcome: rules.ConnectionLost}, false
+			return result{outcome: rules.ConnectionBroken}, false
 		}
 		if resp.StatusCode != http.StatusOK && resp.ContentLength > inlineBody {
 			return result{outcome: rules.Errored}, false
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -71,20 +71,20 @@
 		{"503 without proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
 		{"504 without proof", "HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
 		{"500 never proves it", "HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
-		{"closed without a word", "", rules.ConnectionLost, "", false},
-		{"body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\n" + long, rules.ConnectionLost, "", false},
-		{"headers without end", "HTTP/1.1 200 OK\r\nX: " + long + long, rules.ConnectionLost, "", false},
+		{"closed without a word", "", rules.ConnectionBroken, "", false},
+		{"body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", rules.ConnectionBroken, "", false},
+		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\n" + long, rules.ConnectionBroken, "", false},
+		{"headers without end", "HTTP/1.1 200 OK\r\nX: " + long + long, rules.ConnectionBroken, "", false},
 		{"an end told by the connection alone", "HTTP/1.1 200 OK\r\n\r\nok", rules.Served, "ok", false},
 		{"an error that ends so", "HTTP/1.1 500 No\r\n\r\nno", rules.Errored, "", false},
 		{"turned away in an answer that ends so", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\n", rules.Overloaded, "", false},
-		{"an end told by the bound alone", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", mostAnswer-100) + "\r\n\r\n" + long, rules.ConnectionLost, "", false},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"a bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", rules.ConnectionLost, "", false},
+		{"an end told by the bound alone", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", mostAnswer-100) + "\r\n\r\n" + long, rules.ConnectionBroken, "", false},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", rules.ConnectionBroken, "", false},
+		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", rules.ConnectionBroken, "", false},
+		{"a bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", rules.ConnectionBroken, "", false},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", rules.ConnectionBroken, "", false},
 		{"more than belongs to it", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", rules.Served, "ok", false},
-		{"no HTTP", "SSH-2.0\r\n\r\n", rules.ConnectionLost, "", false},
+		{"no HTTP", "SSH-2.0\r\n\r\n", rules.ConnectionBroken, "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newPeer(t)
@@ -219,7 +219,7 @@
 	_, r := backend.Accept(t)
 	readRequest(t, r)
 	p.update(1, backend.Address(), 5)
-	if got := wait(t, out, "result"); got.outcome != rules.ConnectionLost {
+	if got := wait(t, out, "result"); got.outcome != rules.ConnectionBroken {
 		t.Errorf("out at the old life: outcome %d", got.outcome)
 	}
 	for n, address := range []string{backend.Address(), moved.Address()} {
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -47,7 +47,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c := newBackendConn(readerConn{r: strings.NewReader(text)}, nil)
 		res, reuse := c.answer(http.MethodGet)
-		if res.outcome == rules.Served && len(res.body) > inlineBody || res.outcome == rules.ConnectionLost && reuse {
+		if res.outcome == rules.Served && len(res.body) > inlineBody || res.outcome == rules.ConnectionBroken && reuse {
 			t.Errorf("outcome %d, %d bytes, used again %t", res.outcome, len(res.body), reuse)
 		}
 	})
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -46,7 +46,7 @@
 		ended = attemptOnce()
 		readRequest(t, r) // on the same connection
 		conn.Close()
-		if got := wait(t, ended, "outcome"); got != rules.ConnectionLost {
+		if got := wait(t, ended, "outcome"); got != rules.ConnectionBroken {
 			t.Fatalf("outcome %d on a forgotten connection", got)
 		}
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -147,7 +147,7 @@
 
 // divide passes on how many gateways there are.
 func (l *Loop) divide(share, cold int) {
-	l.Post(divided{l, rules.FleetUpdate{LocalShares: share, ColdSenders: cold}})
+	l.Post(divided{l, rules.FleetUpdate{QuotaDivisor: share, ColdSenders: cold}})
 }
 
 // leave takes a client's leaving. Danger: an answer may just have been given that
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -62,7 +62,7 @@
 		switch out {
 		case rules.Overloaded, rules.ConnectFailed:
 			m.Full++
-		case rules.TimedOut, rules.ConnectionLost:
+		case rules.TimedOut, rules.ConnectionBroken:
 			m.Silent++
 		}
 	}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -75,7 +75,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return rules.TimedOut
 	}
-	return rules.ConnectionLost
+	return rules.ConnectionBroken
 }
 
 // Delimited tells whether the end of a body is told by a length or by chunks.
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -223,7 +223,7 @@
 
 // outcomes maps the codes of the wire; the missing ones are errors.
 var outcomes = map[uint8]rules.Outcome{0: rules.Served, 255: rules.Errored, 254: rules.Overloaded,
-	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.ConnectionLost, 250: rules.Cancelled, 249: rules.NotSent}
+	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.ConnectionBroken, 250: rules.Cancelled, 249: rules.NotSent}
 
 // event reads the fields of an event that needs nothing but the record.
 func (c *cursor) event(code uint8) (rules.Event, error) {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -135,12 +135,12 @@
 			return s, fmt.Errorf("settings: key scope %q is not known", c.KeyScope)
 		}
 		s.Classes = append(s.Classes, rules.Class{LatencyObjective: c.ObjectiveS, ObjectiveWorkFactor: c.AimStretch,
-			Timeout: c.DeadlineS, Value: c.Points, LateValueShare: c.LateWorth, Idempotency: effect,
+			Timeout: c.DeadlineS, Value: c.Points, LateValueFraction: c.LateWorth, Idempotency: effect,
 			Scope: scope, DedupeWindow: c.WindowS, Streamed: c.Streamed})
 	}
 	for _, p := range o.Packages {
 		s.Plans = append(s.Plans, rules.Plan{Price: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
-			MaxConcurrent: int(p.AtOnce), OverQuotaValueShare: p.OverWorth, OverQuotaCostShare: p.BeyondCosts,
+			MaxConcurrent: int(p.AtOnce), OverQuotaValueFraction: p.OverWorth, OverQuotaCostFraction: p.BeyondCosts,
 			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CapSlack})
 	}
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
--- a/rules/capacity_test.go
+++ b/rules/capacity_test.go
@@ -53,7 +53,7 @@
 	set.Classes = []Class{{LatencyObjective: 1.8, Timeout: 4.4, Value: 1}}
 	// A tenant may have twice what its part of the load is, and two seconds of that at once.
 	rate := 2 * siteRate / siteTenants
-	set.Plans = []Plan{{Price: 1, Rate: rate, Burst: 2 * rate, OverQuotaCostShare: 1}}
+	set.Plans = []Plan{{Price: 1, Rate: rate, Burst: 2 * rate, OverQuotaCostFraction: 1}}
 	l := &loadedGateway{now: 1000, rng: rand.New(rand.NewPCG(1, 2)), spread: spread, counted: map[uint64]*countedNumber{},
 		tenants: max(siteTenants*spread/siteGateways, 1)}
 	var actions []Action
--- a/rules/checks_test.go
+++ b/rules/checks_test.go
@@ -263,7 +263,7 @@
 				if len(calls) > 0 {
 					c := calls[0]
 					calls = calls[1:]
-					r := CounterReply{Key: c.Key, Outcome: []Outcome{Served, Served, Served, TimedOut, Overloaded, Errored, ConnectionLost}[rng.IntN(7)]}
+					r := CounterReply{Key: c.Key, Outcome: []Outcome{Served, Served, Served, TimedOut, Overloaded, Errored, ConnectionBroken}[rng.IntN(7)]}
 					if r.Outcome != Overloaded {
 						s[c.Key] += c.Amount
 					}
--- a/rules/divide_test.go
+++ b/rules/divide_test.go
@@ -23,7 +23,7 @@
 	} {
 		d := start(t, set, some(2)...)
 		if c.share > 0 {
-			d.handle(FleetUpdate{LocalShares: c.share, ColdSenders: 2})
+			d.handle(FleetUpdate{QuotaDivisor: c.share, ColdSenders: 2})
 		}
 		if got := d.g.terms(&set.Plans[0], c.gateways, 0).localBurst; got != c.want {
 			t.Errorf("share by %d, %d gateways: %g units, want %g", c.share, c.gateways, got, c.want)
@@ -38,7 +38,7 @@
 	set.FleetSize = 2
 	d := start(t, set, some(2)...)
 	before := d.g.terms(&set.Plans[0], 2, 0)
-	d.handle(FleetUpdate{LocalShares: 1 << 30, ColdSenders: 9})
+	d.handle(FleetUpdate{QuotaDivisor: 1 << 30, ColdSenders: 9})
 	after := d.g.terms(&set.Plans[0], 2, 0)
 	if before.exact != after.exact || before.window != after.window || before.allowance != after.allowance || before.first != after.first {
 		t.Errorf("%+v became %+v", before, after)
@@ -51,7 +51,7 @@
 	if got, want := d.g.senders(), float64(max(testSettings().FleetSize, 1)); got != want {
 		t.Errorf("%g senders by the settings, want %g", got, want)
 	}
-	d.handle(FleetUpdate{LocalShares: 7, ColdSenders: 9})
+	d.handle(FleetUpdate{QuotaDivisor: 7, ColdSenders: 9})
 	if got := d.g.senders(); got != 9 {
 		t.Errorf("%g senders, want 9", got)
 	}
@@ -71,7 +71,7 @@
 	if got := saved(FleetUpdate{}); got != coldSave {
 		t.Errorf("one of two saved %g sends, want %g", got, coldSave)
 	}
-	if got, most := saved(FleetUpdate{LocalShares: 7, ColdSenders: 20}), 20*coldMin/20; got <= 0 || got > most {
+	if got, most := saved(FleetUpdate{QuotaDivisor: 7, ColdSenders: 20}), 20*coldMin/20; got <= 0 || got > most {
 		t.Errorf("one of twenty saved %g sends, want at most %g", got, most)
 	}
 }
--- a/rules/fleet_cold_test.go
+++ b/rules/fleet_cold_test.go
@@ -121,7 +121,7 @@
 	begin := func(i int) {
 		f.begin(i)
 		if c.known {
-			f.handle(i, FleetUpdate{LocalShares: gateways, ColdSenders: gateways})
+			f.handle(i, FleetUpdate{QuotaDivisor: gateways, ColdSenders: gateways})
 		}
 		for _, at := range f.told {
 			at[i] = min(at[i], f.now) // it begins with the present list
--- a/rules/fleet_counter_test.go
+++ b/rules/fleet_counter_test.go
@@ -6,7 +6,7 @@
 // and what they said while it was away must not keep it from calling.
 func TestCallsComeBackWithTheCounter(t *testing.T) {
 	f := newFleet(5, 100, 60, func(s *Settings) {
-		s.Plans = []Plan{{Price: 1, Rate: 0.6, Burst: 3, OverQuotaCostShare: 1.2}}
+		s.Plans = []Plan{{Price: 1, Rate: 0.6, Burst: 3, OverQuotaCostFraction: 1.2}}
 	})
 	f.perS = 100 // of 600 tries a second
 	f.load(600, f.now+20)
--- a/rules/fleet_hard_test.go
+++ b/rules/fleet_hard_test.go
@@ -27,7 +27,7 @@
 // One customer asks for 7.8 times its quota. Through four gateways the store is kept exactly, up to what is paid at one
 // time and counted at another. Through all 300 it is met by each once in a while, and what holds it are denials.
 func TestOneCustomerFarBeyondItsQuota(t *testing.T) {
-	p := Plan{Price: 1, Rate: 12, Burst: 18, OverQuotaCostShare: 0.5}
+	p := Plan{Price: 1, Rate: 12, Burst: 18, OverQuotaCostFraction: 0.5}
 	for _, k := range []struct {
 		gateways, through int
 		most              float64 // share of what its quota allows that is sent beyond it
--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -447,7 +447,7 @@
 // each gateway, and those within it must be served.
 func TestQuotaOfManyGatewaysUnderACrowdedCounter(t *testing.T) {
 	f := newFleet(3, 80, 60, func(s *Settings) {
-		s.Plans = []Plan{{Price: 1, Rate: 0.6, Burst: 3, OverQuotaCostShare: 1.2}}
+		s.Plans = []Plan{{Price: 1, Rate: 0.6, Burst: 3, OverQuotaCostFraction: 1.2}}
 	})
 	f.perS = 110
 	const calm, heavy, through = 240, 24, 60
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -202,7 +202,7 @@
 // lastUse is when an answer earns nothing any more.
 func (g *Gateway) lastUse(j *job) float64 {
 	at := j.Deadline - 2*g.set.Tick
-	if j.class.LateValueShare == 0 && j.class.ObjectiveWorkFactor == 0 {
+	if j.class.LateValueFraction == 0 && j.class.ObjectiveWorkFactor == 0 {
 		at = min(at, j.SentAt+j.class.LatencyObjective-g.elapsed(j.Request, j.class))
 	}
 	return at
@@ -595,7 +595,7 @@
 		g.spread += 0.02 * (math.Abs(took-g.latency) - g.spread)
 		g.latency += 0.02 * (took - g.latency)
 		g.press(took / j.class.LatencyObjective)
-	case Errored, ConnectionLost, ConnectFailed:
+	case Errored, ConnectionBroken, ConnectFailed:
 		g.blame(s)
 	case Overloaded:
 		g.blame(s)
@@ -1015,14 +1015,14 @@
 	gain := min(max((g.now-g.crowdAt)/crowdSpan, crowdGain), 1)
 	g.crowdAt = g.now
 	g.crowd -= gain * g.crowd
-	if (e.Outcome == TimedOut || e.Outcome == ConnectionLost) && !k.slot && k.window == c.window {
+	if (e.Outcome == TimedOut || e.Outcome == ConnectionBroken) && !k.slot && k.window == c.window {
 		c.doubt += k.units + math.Abs(k.fill)
 		if e.Outcome == TimedOut {
 			g.lost = append(g.lost[max(len(g.lost)+1-lostMost, 0):], k)
 		}
 	}
 	switch {
-	case e.Outcome == Errored || e.Outcome == ConnectionLost:
+	case e.Outcome == Errored || e.Outcome == ConnectionBroken:
 		// Danger: a spoilt answer or connection says nothing of a crowd. Were it taken for one, calls would be
 		// left out that the counter bears, and customers refused inside their quotas.
 		if e.Outcome == Errored && k.slot && k.units > 0 {
@@ -1066,7 +1066,7 @@
 	k := g.lost[at]
 	c := k.customer
 	g.lost = slices.Delete(g.lost, at, at+1)
-	if k.window != c.window || e.Outcome == TimedOut || e.Outcome == ConnectionLost {
+	if k.window != c.window || e.Outcome == TimedOut || e.Outcome == ConnectionBroken {
 		return
 	}
 	c.doubt = max(c.doubt-k.units-math.Abs(k.fill), 0)
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -23,7 +23,7 @@
 	return Settings{
 		Classes: []Class{{LatencyObjective: 0.8, Timeout: 2, Value: 1},
 			{LatencyObjective: 1, Timeout: 3, Value: 3, Idempotency: IdempotentByKey, Scope: ScopeCell, DedupeWindow: 2}},
-		Plans:     []Plan{{Price: 0.5, Rate: 2, Burst: 4, OverQuotaCostShare: 1}, {Price: 1.5, Rate: 20, Burst: 40, OverQuotaCostShare: 1}},
+		Plans:     []Plan{{Price: 0.5, Rate: 2, Burst: 4, OverQuotaCostFraction: 1}, {Price: 1.5, Rate: 20, Burst: 40, OverQuotaCostFraction: 1}},
 		FleetSize: 2, Tick: 0.002, HasCounter: true, CounterTimeout: 0.05,
 		CanCancel: true, CanHedge: true, CanSendRetryAfter: true, MaxRetryAfter: 0.5, MaxAttempts: 4, AnswerSlack: 0.008,
 		DrainGrace: 1, ColdMinCapacity: 0.2, WarmUpTime: 10, OverloadFactor: 2, OverloadTime: 2,
@@ -161,7 +161,7 @@
 	for _, c := range []struct {
 		how  Outcome
 		more bool
-	}{{Overloaded, true}, {ConnectFailed, true}, {Errored, false}, {ConnectionLost, false}, {TimedOut, false}} {
+	}{{Overloaded, true}, {ConnectFailed, true}, {Errored, false}, {ConnectionBroken, false}, {TimedOut, false}} {
 		d := start(t, set, some(4)...)
 		id := d.ask(0, 1, 1)
 		first := one[Send](t, d.last)
@@ -368,7 +368,7 @@
 func TestCeilingHoldsWhateverOrderGatewaysAskIn(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		plan := Plan{Price: 1, Rate: 10, Burst: 10, OverQuotaCostShare: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
+		plan := Plan{Price: 1, Rate: 10, Burst: 10, OverQuotaCostFraction: 1, CeilingRate: 17, CeilingBurst: 17, CeilingSlack: 1.7}
 		set := testSettings()
 		set.Plans[0] = plan
 		gateways := []int{3, 8}[seed%2] // an exact store, and short windows
@@ -894,7 +894,7 @@
 			}
 			n := o.out[0]
 			o.out = o.out[1:]
-			how := []Outcome{Served, Served, Errored, Overloaded, TimedOut, ConnectionLost, ConnectFailed}[rng.IntN(7)]
+			how := []Outcome{Served, Served, Errored, Overloaded, TimedOut, ConnectionBroken, ConnectFailed}[rng.IntN(7)]
 			done := o.ended || how == Served
 			o.ended = done
 			take(d.handle(AttemptEnd{Request: o.ID, Attempt: n, Backend: o.attempts[n].Backend, Outcome: how, Duration: 0.1,
@@ -903,7 +903,7 @@
 			if len(calls) > 0 {
 				c := calls[0]
 				calls = calls[1:]
-				take(d.handle(CounterReply{Key: c.Key, Outcome: []Outcome{Served, Served, TimedOut, Overloaded, Errored, ConnectionLost}[rng.IntN(6)],
+				take(d.handle(CounterReply{Key: c.Key, Outcome: []Outcome{Served, Served, TimedOut, Overloaded, Errored, ConnectionBroken}[rng.IntN(6)],
 					Total: max(c.Amount+float64(rng.IntN(3)), 0)}))
 			}
 		case 5:
--- a/rules/state.go
+++ b/rules/state.go
@@ -406,8 +406,8 @@
 // away. What goes by the counter's own names, such as whether a store is exact, must be the
 // same at all gateways, and rests on the settings alone.
 func (g *Gateway) parts(gateways int) float64 {
-	if g.divide.LocalShares > 0 && gateways >= g.set.FleetSize {
-		gateways = g.divide.LocalShares
+	if g.divide.QuotaDivisor > 0 && gateways >= g.set.FleetSize {
+		gateways = g.divide.QuotaDivisor
 	}
 	return float64(max(gateways, 1) + g.set.CheckFrontends)
 }
--- a/rules/streamed_test.go
+++ b/rules/streamed_test.go
@@ -85,7 +85,7 @@
 	if out := d.handle(TimerFired{Token: uint64(timerEnd)<<56 | uint64(id)}); len(out) != 0 {
 		t.Errorf("at its old end: %v", out)
 	}
-	d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: ConnectionLost, RequestDone: true})
+	d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: ConnectionBroken, RequestDone: true})
 	if s := d.g.servers[sent.Backend]; s.fail != 0 || d.g.inFlight != 0 || d.g.latency > 0.11 || len(d.g.jobs) != 0 {
 		t.Errorf("fail %g, %d in flight, latency %g, %d requests", s.fail, d.g.inFlight, d.g.latency, len(d.g.jobs))
 	}
--- a/rules/types.go
+++ b/rules/types.go
@@ -41,7 +41,7 @@
 	ObjectiveWorkFactor float64 // the aim grows by this many times the request's own work
 	Timeout             float64 // the client's patience over all its tries
 	Value               float64
-	LateValueShare      float64 // share of the worth between aim and deadline
+	LateValueFraction   float64 // share of the worth between aim and deadline
 	Idempotency         Idempotency
 	Scope               DedupeScope
 	DedupeWindow        float64 // how long the scope remembers a keyed request
@@ -50,15 +50,15 @@
 
 // Plan is what a customer has bought. A rate or limit of 0 means none.
 type Plan struct {
-	Price               float64 // factor on the worth of a request
-	Rate                float64 // units a second
-	Burst               float64 // units the quota's store holds at most
-	MaxConcurrent       int     // attempts out at once, over all gateways
-	OverQuotaValueShare float64 // share of the worth earned beyond the quota
-	OverQuotaCostShare  float64 // share of the worth that a send beyond the quota costs
-	CeilingRate         float64
-	CeilingBurst        float64
-	CeilingSlack        float64
+	Price                  float64 // factor on the worth of a request
+	Rate                   float64 // units a second
+	Burst                  float64 // units the quota's store holds at most
+	MaxConcurrent          int     // attempts out at once, over all gateways
+	OverQuotaValueFraction float64 // share of the worth earned beyond the quota
+	OverQuotaCostFraction  float64 // share of the worth that a send beyond the quota costs
+	CeilingRate            float64
+	CeilingBurst           float64
+	CeilingSlack           float64
 }
 
 // LoadField is one value of a backend's load report.
@@ -161,7 +161,7 @@
 	Overloaded
 	TimedOut
 	ConnectFailed
-	ConnectionLost
+	ConnectionBroken
 	Cancelled
 	NotSent
 )
@@ -295,8 +295,8 @@
 // FleetUpdate says how many gateways there are, where that is known better than by the
 // settings.
 type FleetUpdate struct {
-	LocalShares int // what is spent while the counter is away is divided by it, where a customer may come to all gateways
-	ColdSenders int // that send to a cold backend
+	QuotaDivisor int // what is spent while the counter is away is divided by it, where a customer may come to all gateways
+	ColdSenders  int // that send to a cold backend
 }
 
 // PeerMessage is data from another gateway.
--- a/traces/tally.go
+++ b/traces/tally.go
@@ -42,14 +42,14 @@
 func OutcomeName(o rules.Outcome) string { return outcomeNames[o] }
 
 var outcomeNames = map[rules.Outcome]string{
-	rules.Served:         "served",
-	rules.Errored:        "error",
-	rules.Overloaded:     "turned away",
-	rules.TimedOut:       "no answer in time",
-	rules.ConnectFailed:  "no connection",
-	rules.ConnectionLost: "connection ended",
-	rules.Cancelled:      "called off",
-	rules.NotSent:        "not sent",
+	rules.Served:           "served",
+	rules.Errored:          "error",
+	rules.Overloaded:       "turned away",
+	rules.TimedOut:         "no answer in time",
+	rules.ConnectFailed:    "no connection",
+	rules.ConnectionBroken: "connection ended",
+	rules.Cancelled:        "called off",
+	rules.NotSent:          "not sent",
 }
 
 var reasonNames = map[rules.Reason]string{
