--- a/rules/rules.go
+++ b/rules/rules.go
@@ -108,7 +108,7 @@
 	g.worths = append(g.worths, 0) // level 0: beyond the quota
 	slices.Sort(g.worths)
 	g.worths = slices.Compact(g.worths)
-	g.makeRoom(seed)
+	g.allocate(seed)
 	if set.SubscribeDiscovery {
 		g.do(Subscribe{})
 	}
--- a/rules/state.go
+++ b/rules/state.go
@@ -241,8 +241,8 @@
 	share                   int // of the places, without the counter
 }
 
-// makeRoom allocates what the levels and the settings call for.
-func (g *Gateway) makeRoom(seed uint64) {
+// allocate allocates what the levels and the settings call for.
+func (g *Gateway) allocate(seed uint64) {
 	g.rng = rand.New(rand.NewPCG(seed, seed>>1))
 	g.jobs = map[RequestID]*job{}
 	g.servers = map[BackendID]*server{}
