--- a/internal/counter/http.go
+++ b/internal/counter/http.go
@@ -99,7 +99,7 @@
 	TTL    time.Duration // of a key that the call creates
 	// Report is called once with the outcome of the call, from a goroutine of the client: Served
 	// with the total, Overloaded or ConnectFailed (nothing was added), Errored (the amount was
-	// added, the total is unknown), ConnectionLost or TimedOut (it may have been added).
+	// added, the total is unknown), ConnectionBroken or TimedOut (it may have been added).
 	Report func(k *Call, o rules.Outcome, total float64)
 
 	idle            time.Duration // of its connection before the call; 0: not idle
@@ -288,7 +288,7 @@
 	failed := false
 	for k := range c.sent {
 		if failed {
-			k.Report(k, rules.ConnectionLost, 0)
+			k.Report(k, rules.ConnectionBroken, 0)
 			continue
 		}
 		c.current.Store(k)
@@ -297,7 +297,7 @@
 		outcome, total, err := rules.Errored, 0.0, error(nil)
 		if _, err = r.Peek(1); err != nil {
 			outcome = sockets.ReadErrorOutcome(err)
-			c.idleEstimator.Record(time.Now(), k.idle, outcome == rules.ConnectionLost)
+			c.idleEstimator.Record(time.Now(), k.idle, outcome == rules.ConnectionBroken)
 		} else {
 			c.idleEstimator.Record(time.Now(), k.idle, false)
 			k.responseStarted.Store(true)
@@ -344,5 +344,5 @@
 	case http.StatusBadRequest, http.StatusNotFound:
 		return rules.ConnectFailed, 0, nil // nothing was added
 	}
-	return rules.ConnectionLost, 0, fmt.Errorf("status %s", resp.Status) // proves nothing about the addition
+	return rules.ConnectionBroken, 0, fmt.Errorf("status %s", resp.Status) // proves nothing about the addition
 }
--- a/internal/counter/http_test.go
+++ b/internal/counter/http_test.go
@@ -75,7 +75,7 @@
 	add(5)
 	testpeer.ReadRequest(t, r)
 	conn.Close()
-	if got := testpeer.Wait(t, results, "result"); got.outcome != rules.ConnectionLost {
+	if got := testpeer.Wait(t, results, "result"); got.outcome != rules.ConnectionBroken {
 		t.Errorf("result of a call whose connection was closed: %v", got)
 	}
 	// The next call uses a new connection.
@@ -101,8 +101,8 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n" + strings.Repeat("1", 65), rules.Errored},
 		{"HTTP/1.1 2x0 OK\r\n\r\n12", rules.Errored},
 		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxResponseBytes), rules.Errored},
-		{"HTTP/1.1 102 Processing\r\n\r\n", rules.ConnectionLost},
-		{"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\n12", rules.ConnectionLost},
+		{"HTTP/1.1 102 Processing\r\n\r\n", rules.ConnectionBroken},
+		{"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\n12", rules.ConnectionBroken},
 	} {
 		add(1)
 		conn, r := server.Accept(t)
@@ -113,7 +113,7 @@
 		if got := testpeer.Wait(t, results, "result"); got != (result{1, c.outcome, 0}) {
 			t.Errorf("%.60q: result %v, want outcome %d", c.response, got, c.outcome)
 		}
-		if got := testpeer.Wait(t, results, "result"); got != (result{2, rules.ConnectionLost, 0}) {
+		if got := testpeer.Wait(t, results, "result"); got != (result{2, rules.ConnectionBroken, 0}) {
 			t.Errorf("%.60q: result of the call behind it: %v", c.response, got)
 		}
 	}
@@ -251,8 +251,8 @@
 		add(2)
 		testpeer.ReadRequest(t, r)
 		conn.Close()
-		if got := testpeer.Wait(t, results, "result"); got.outcome != rules.ConnectionLost {
-			t.Fatalf("result %v, want a lost connection", got)
+		if got := testpeer.Wait(t, results, "result"); got.outcome != rules.ConnectionBroken {
+			t.Fatalf("result %v, want a broken connection", got)
 		}
 	}
 }
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -240,7 +240,7 @@
 	failed := false
 	for k := range c.sent {
 		if failed {
-			k.Report(k, rules.ConnectionLost, 0)
+			k.Report(k, rules.ConnectionBroken, 0)
 			continue
 		}
 		c.current.Store(k)
@@ -278,7 +278,7 @@
 				errorReply = v.Str
 			}
 		case i < maxReplies-2 && v.Kind != resp.Simple:
-			return rules.ConnectionLost, 0, errUnusable // not a reply to this command: no later reply can be attributed either
+			return rules.ConnectionBroken, 0, errUnusable // not a reply to this command: no later reply can be attributed either
 		case i < maxReplies-2:
 		case v.Kind == resp.Error:
 			if errorReply == "" || !strings.HasPrefix(v.Str, "EXECABORT") && !strings.HasPrefix(errorReply, "NOAUTH") {
--- a/internal/counter/resp_test.go
+++ b/internal/counter/resp_test.go
@@ -85,8 +85,8 @@
 		{"not authenticated", respstore.Fault{Queue: "NOAUTH Authentication required."}, rules.ConnectFailed, false, 2},
 		{"no permission", respstore.Fault{Queue: "NOPERM no"}, rules.ConnectFailed, false, 2},
 		{"unknown command", respstore.Fault{Queue: "ERR unknown command"}, rules.ConnectFailed, false, 1},
-		{"connection closed after the addition", respstore.Fault{Lost: true}, rules.ConnectionLost, true, 2},
-		{"reply truncated after the addition", respstore.Fault{Cut: true}, rules.ConnectionLost, true, 2},
+		{"connection closed after the addition", respstore.Fault{Lost: true}, rules.ConnectionBroken, true, 2},
+		{"reply truncated after the addition", respstore.Fault{Cut: true}, rules.ConnectionBroken, true, 2},
 		{"total is not a number", respstore.Fault{Spoilt: true}, rules.Errored, true, 2},
 	} {
 		s := newStore(t, nil, "")
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -63,7 +63,7 @@
 		switch out {
 		case rules.Overloaded, rules.ConnectFailed:
 			m.Full++
-		case rules.TimedOut, rules.ConnectionLost:
+		case rules.TimedOut, rules.ConnectionBroken:
 			m.Silent++
 		}
 	}
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -71,12 +71,12 @@
 	return known && (err != nil || closed)
 }
 
-// ReadErrorOutcome returns the outcome for a read error: a timeout or a lost connection.
+// ReadErrorOutcome returns the outcome for a read error: a timeout or a broken connection.
 func ReadErrorOutcome(err error) rules.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return rules.TimedOut
 	}
-	return rules.ConnectionLost
+	return rules.ConnectionBroken
 }
 
 // Delimited reports whether a response body has a length or is chunked. Otherwise it ends with the
