--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -53,9 +53,9 @@
 	decodeErr error // why the entry can't be decoded
 }
 
-// UnmarshalJSON decodes an entry. It never returns an error: otherwise one invalid entry would cost all
-// others of its response, drains among them. An invalid entry keeps the fields that could be decoded,
-// and its error.
+// UnmarshalJSON decodes an entry. It never returns an error: otherwise one invalid entry would discard
+// all others of its response, drains among them. An invalid entry keeps the fields that could be
+// decoded, and the error.
 func (i *Instance) UnmarshalJSON(text []byte) error {
 	type entry Instance // without this method
 	if err := json.Unmarshal(text, (*entry)(i)); err != nil {
@@ -79,8 +79,9 @@
 // time only changes its unit.
 //
 // An invalid entry must not keep a backend in use, since it may be the entry that should end
-// its use. The backend returned with an error is therefore draining. A caller must ignore it if the
-// entry has no id. An entry that is draining or gone only needs a valid id and lifecycle.
+// its use. The backend returned with an error is therefore draining, or removed if the entry says so.
+// A caller must ignore it if the entry has no id. An entry that is draining or gone only needs a valid
+// id and lifecycle.
 func (i Instance) Backend(d *wire.Deployment) (rules.Backend, error) {
 	state, known := backendStates[i.Lifecycle]
 	b := rules.Backend{ID: BackendID(i.ID), Zone: slices.Index(d.Zones, i.Zone), Kind: slices.Index(d.Kinds, i.MachineType),
