--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -311,14 +311,14 @@
 // rejected maps an error reply to the outcome of the call. The returned error is non-nil if
 // the connection must not be used any more. In all cases nothing was added.
 func (c *respConn) rejected(text string) (rules.Outcome, float64, error) {
-	code, rest, _ := strings.Cut(text, " ")
+	code, arguments, _ := strings.Cut(text, " ")
 	switch code {
 	case "LOADING", "OOM", "BUSY", "TRYAGAIN", "CLUSTERDOWN", "MASTERDOWN":
 		return rules.Overloaded, 0, nil // temporarily unable, as a counter that sheds load
 	case "MOVED", "ASK":
 		// Another node serves this key. ASK applies to a single call and would require an ASKING command
 		// before it. Its call counts as rejected until the migration ends and the reply is MOVED.
-		if words := strings.Fields(rest); code == "MOVED" && len(words) == 2 {
+		if words := strings.Fields(arguments); code == "MOVED" && len(words) == 2 {
 			if _, port, err := net.SplitHostPort(words[1]); err == nil && port != "" {
 				c.pipeline.redirects.Add(1)
 				c.pipeline.redirect.Store(&words[1])
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -25,7 +25,7 @@
 	watchTimeout     = 4 * time.Second        // how long the server may hold a watch open
 	watchGrace       = 1 * time.Second        // how much longer the response to a watch may take
 	listTimeout      = 2 * time.Second        // of a call that the server does not hold open
-	dialTimeout      = 500 * time.Millisecond // a change must take effect within 2 s, so this leaves time for another attempt
+	dialTimeout      = 500 * time.Millisecond // a change must take effect within 2 s: leaves time for another dial
 	retryDelay       = 100 * time.Millisecond // after a failed call; a watch lapses after 200 ms
 	maxListingBytes  = 4 << 20                // of one response
 	listPath         = "/registry/instances"
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -15,7 +15,7 @@
 	watchCallLimit  = watchHedgeDelay + watchGrace // the gateway does not count as informed by a later response
 	callLimit       = 5 * time.Second              // of calls other than watches
 
-	pollHedgeDelayMin     = 1200 * time.Millisecond // the hedge delay of a poll is between min and max, the shorter the staler the list
+	pollHedgeDelayMin     = 1200 * time.Millisecond // between min and max: the staler the list, the shorter the delay
 	pollHedgeDelayMax     = 2 * time.Second
 	pollHedgeDelaySlowMax = 3 * time.Second // max while responses are slow
 	pollHedgeFactor       = 1.25            // a poll is slow after this many times the slowest recent response
