--- a/fleet/agents.go
+++ b/fleet/agents.go
@@ -30,7 +30,7 @@
 // Drain takes an instance out of service, or puts it back in.
 type Drain struct {
 	Instance string    `json:"instance"`
-	On       bool      `json:"on"`
+	Drained  bool      `json:"on"`
 	By       string    `json:"by"`
 	At       time.Time `json:"at"`
 }
@@ -133,14 +133,14 @@
 	if _, found := s.AgentOf(drain.Instance); !found {
 		return Outcome{Rejected: fmt.Sprintf("there is no instance %s", drain.Instance)}
 	}
-	if s.drained[drain.Instance] == drain.On {
+	if s.drained[drain.Instance] == drain.Drained {
 		return Outcome{}
 	}
 	if s.drained == nil {
 		s.drained = map[string]bool{}
 	}
 	what := "instance " + drain.Instance + " was drained"
-	if s.drained[drain.Instance] = drain.On; !drain.On {
+	if s.drained[drain.Instance] = drain.Drained; !drain.Drained {
 		delete(s.drained, drain.Instance)
 		what = "instance " + drain.Instance + " was let back into service"
 	}
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -25,12 +25,12 @@
 func goldenEntries() map[string]Entry {
 	version := uint64(12)
 	return map[string]Entry{
-		"command": {Command: &revisions.Command{Request: "r-1", Parent: 4, Content: goldenContent(), Author: "ann", Message: "why", At: goldenTime}},
-		"restore": {Command: &revisions.Command{Request: "r-2", Parent: 5, Restore: 2, Author: "bob", Message: "back", At: goldenTime}},
+		"command": {Command: &revisions.Command{IdempotencyKey: "r-1", Parent: 4, Content: goldenContent(), Author: "ann", Message: "why", At: goldenTime}},
+		"restore": {Command: &revisions.Command{IdempotencyKey: "r-2", Parent: 5, Restore: 2, Author: "bob", Message: "back", At: goldenTime}},
 		"turn":    {RolloutChange: &RolloutChange{New: 5, State: rollout.Paused, Reason: "paused by ann", By: "ann", At: goldenTime}},
 		"enroll":  {Enroll: &Enroll{Agent: Agent{Name: "a1", Address: "127.0.0.1:7400", Instances: []string{"g0", "g1"}}, At: goldenTime}},
 		"remove":  {Remove: &Remove{Agent: "a1", By: "ann", At: goldenTime}},
-		"drain":   {Drain: &Drain{Instance: "g1", On: true, By: "ann", At: goldenTime}},
+		"drain":   {Drain: &Drain{Instance: "g1", Drained: true, By: "ann", At: goldenTime}},
 		"undrain": {Drain: &Drain{Instance: "g1", By: "ann", At: goldenTime}},
 		"belong":  {RosterChange: &RosterChange{Names: []string{"g0", "g1"}, At: goldenTime}},
 		"records": {Records: &records.Change{IdempotencyKey: "c-1", Author: "ann", Message: "plans", At: goldenTime, Operations: []records.Operation{
@@ -77,7 +77,7 @@
 func TestGoldenOutcome(t *testing.T) {
 	content := goldenContent()
 	outcome := Outcome{
-		Result: revisions.Result{Status: Busy, Revision: revisions.Revision{Number: 5, Parent: 4, Content: *content, Checksum: content.Sum(),
+		Result: revisions.Result{Status: Busy, Revision: revisions.Revision{Number: 5, Parent: 4, Content: *content, Checksum: content.Checksum(),
 			Author: "ann", Message: "why", At: goldenTime}},
 		Rejected: "there is no agent a9",
 		Records:  &records.Result{Status: records.Invalid, Version: 12, Problem: &records.Problem{Key: "plan/gold", Field: "price_weight", Reason: "is missing"}},
@@ -117,19 +117,19 @@
 	state := &State{}
 	names := []string{"g0", "g1", "g2"}
 	for i, entry := range []Entry{
-		{Command: &revisions.Command{Request: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
+		{Command: &revisions.Command{IdempotencyKey: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
 		{RolloutChange: &RolloutChange{New: 1, State: rollout.Applied, Reason: "all 2 instances have revision 1", At: goldenTime}},
-		{Command: &revisions.Command{Request: "r-2", Parent: 1, Content: goldenContent(), Author: "bob", Message: "second", At: goldenTime}},
+		{Command: &revisions.Command{IdempotencyKey: "r-2", Parent: 1, Content: goldenContent(), Author: "bob", Message: "second", At: goldenTime}},
 		{RolloutChange: &RolloutChange{New: 2, State: rollout.Applied, Reason: "all 2 instances have revision 2", At: goldenTime}},
-		{Command: &revisions.Command{Request: "r-3", Parent: 2, Restore: 1, Author: "ann", Message: "third", At: goldenTime}},
+		{Command: &revisions.Command{IdempotencyKey: "r-3", Parent: 2, Restore: 1, Author: "ann", Message: "third", At: goldenTime}},
 		{RolloutChange: &RolloutChange{New: 3, State: rollout.Paused, Reason: "paused by ann", By: "ann", At: goldenTime}},
-		{Command: &revisions.Command{Request: "r-4", Parent: 3, Content: &revisions.Content{File: "d"}, Author: "ann", At: goldenTime}}, // busy
+		{Command: &revisions.Command{IdempotencyKey: "r-4", Parent: 3, Content: &revisions.Content{File: "d"}, Author: "ann", At: goldenTime}}, // busy
 		{Enroll: &Enroll{Agent: Agent{Name: "a1", Address: "127.0.0.1:7400", Instances: names[:2]}, At: goldenTime}},
 		{Enroll: &Enroll{Agent: Agent{Name: "a2", Address: "127.0.0.1:7401", Instances: names[2:]}, At: goldenTime}},
 		{Enroll: &Enroll{Agent: Agent{Name: "a3", Address: "127.0.0.1:7402", Instances: []string{"g9"}}, At: goldenTime}},
 		{Remove: &Remove{Agent: "a3", By: "ann", At: goldenTime}},
-		{Drain: &Drain{Instance: "g0", On: true, By: "ann", At: goldenTime}},
-		{Drain: &Drain{Instance: "g1", On: true, By: "ann", At: goldenTime}},
+		{Drain: &Drain{Instance: "g0", Drained: true, By: "ann", At: goldenTime}},
+		{Drain: &Drain{Instance: "g1", Drained: true, By: "ann", At: goldenTime}},
 		{Drain: &Drain{Instance: "g0", By: "ann", At: goldenTime}},
 		{RosterChange: &RosterChange{Names: names[:2], At: goldenTime}},
 		{RosterChange: &RosterChange{Names: names, At: goldenTime}},
--- a/fleet/rollout.go
+++ b/fleet/rollout.go
@@ -17,8 +17,8 @@
 	At       time.Time     `json:"at"` // the time of the present state
 }
 
-// Wanted returns the revision that all instances converge to by the present state, 0 for none; see rollout.Machine.Wanted.
-func (r Rollout) Wanted() uint64 {
+// DesiredRevision returns the revision that all instances converge to by the present state, 0 for none; see rollout.Machine.DesiredRevision.
+func (r Rollout) DesiredRevision() uint64 {
 	switch r.State {
 	case rollout.RollingBack, rollout.RolledBack, rollout.PartlyRolledBack:
 		return r.Previous
@@ -62,8 +62,8 @@
 	if change.New != current.New {
 		return Outcome{Rejected: fmt.Sprintf("the rollout is that of revision %d, not of %d", current.New, change.New)}
 	}
-	isRollback := current.Wanted() != current.New
-	toAdvance := Rollout{New: 1, State: change.State}.Wanted() == 1
+	isRollback := current.DesiredRevision() != current.New
+	toAdvance := Rollout{New: 1, State: change.State}.DesiredRevision() == 1
 	if isRollback && toAdvance || current.State.Ended() && !change.State.Ended() {
 		return Outcome{Rejected: fmt.Sprintf("the rollout is %s, and can't be %s", current.State, change.State)}
 	}
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -30,7 +30,7 @@
 	apply(t, &s, rolloutChange(2, rollout.RollingBack, "it broke"))
 	apply(t, &s, rolloutChange(2, rollout.RolledBack, "all are back"))
 	r := s.Rollout()
-	if r.Wanted() != 1 || r.Reason != "all are back" {
+	if r.DesiredRevision() != 1 || r.Reason != "all are back" {
 		t.Fatalf("%+v", r)
 	}
 	// The next one replaces the revision that runs, not the head.
@@ -69,7 +69,7 @@
 		apply(t, &s, command(fmt.Sprint("x", i), i+1, fmt.Sprint("bad", i)))
 		apply(t, &s, rolloutChange(i+2, rollout.RolledBack, ""))
 	}
-	if r, found := s.Revision(1); !found || r.Content.File != "good" || s.Rollout().Wanted() != 1 {
+	if r, found := s.Revision(1); !found || r.Content.File != "good" || s.Rollout().DesiredRevision() != 1 {
 		t.Fatalf("%v %+v", found, s.Rollout())
 	}
 	text, err := s.Snapshot()
--- a/fleet/snapshot.go
+++ b/fleet/snapshot.go
@@ -83,7 +83,7 @@
 		return err
 	}
 	s.rollout, s.previous = stored.Rollout, stored.Previous
-	if previous := s.previous; previous != nil && (previous.Checksum != previous.Content.Sum() || previous.Number != s.rollout.Previous) {
+	if previous := s.previous; previous != nil && (previous.Checksum != previous.Content.Checksum() || previous.Number != s.rollout.Previous) {
 		return fmt.Errorf("snapshot: revision %d, which the rollout goes back to, does not fit its checksum or its number", previous.Number)
 	}
 	for _, number := range []uint64{s.rollout.New, s.rollout.Previous} {
@@ -106,7 +106,7 @@
 		}
 	}
 	for _, name := range stored.Drained {
-		if outcome := s.applyDrain(&Drain{Instance: name, On: true}); outcome.Rejected != "" {
+		if outcome := s.applyDrain(&Drain{Instance: name, Drained: true}); outcome.Rejected != "" {
 			return fmt.Errorf("snapshot: %s", outcome.Rejected)
 		}
 	}
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -98,10 +98,10 @@
 // applyCommand applies a command to the history. A new revision begins a rollout.
 func (s *State) applyCommand(command revisions.Command) (Outcome, error) {
 	head, _ := s.history.Head()
-	if !s.rollout.Ended() && !s.history.HasResult(command.Request) {
+	if !s.rollout.Ended() && !s.history.HasResult(command.IdempotencyKey) {
 		return Outcome{Result: revisions.Result{Status: Busy, Revision: head}}, nil
 	}
-	wanted := s.rollout.Wanted()
+	wanted := s.rollout.DesiredRevision()
 	previous, found := s.Revision(wanted) // before Apply: the history may drop it
 	result, err := s.history.Apply(command)
 	if err != nil {
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -28,7 +28,7 @@
 }
 
 func command(request string, parent uint64, file string) Entry {
-	return Entry{Command: &revisions.Command{Request: request, Parent: parent, Content: &revisions.Content{File: file}, Author: "ann", At: at}}
+	return Entry{Command: &revisions.Command{IdempotencyKey: request, Parent: parent, Content: &revisions.Content{File: file}, Author: "ann", At: at}}
 }
 
 func rolloutChange(revision uint64, state rollout.State, reason string) Entry {
--- a/internal/agent/cached_revisions.go
+++ b/internal/agent/cached_revisions.go
@@ -38,7 +38,7 @@
 			return revision, err
 		}
 	}
-	if revision.Number != number || revision.Checksum != revision.Content.Sum() || revision.Checksum != order.Checksum {
+	if revision.Number != number || revision.Checksum != revision.Content.Checksum() || revision.Checksum != order.Checksum {
 		return revision, fmt.Errorf("revision %d came damaged", number)
 	}
 	a.mu.Lock()
@@ -91,7 +91,7 @@
 		err = json.Unmarshal(text, &a.cachedRevisions)
 	}
 	for n, r := range a.cachedRevisions {
-		if r.Number != n || r.Checksum != r.Content.Sum() {
+		if r.Number != n || r.Checksum != r.Content.Checksum() {
 			delete(a.cachedRevisions, n)
 			err = fmt.Errorf("revision %d does not fit its checksum", n)
 		}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -133,7 +133,7 @@
 func goldenRevision() revisions.Revision {
 	r := revisions.Revision{Number: 4, Parent: 3, Author: "ann", Message: "raise <limits>", At: goldenTime,
 		Content: revisions.Content{File: "[gateway]\n", Overlays: map[string]string{"g0": "[site]\n"}, RestartGeneration: 2}}
-	r.Checksum = r.Content.Sum()
+	r.Checksum = r.Content.Checksum()
 	return r
 }
 
--- a/internal/agent/handlers.go
+++ b/internal/agent/handlers.go
@@ -84,7 +84,7 @@
 		return list
 	}
 	a.store.View(func(s *fleet.State) {
-		list.Wanted = s.Rollout().Wanted()
+		list.Wanted = s.Rollout().DesiredRevision()
 		for _, r := range s.Revisions() {
 			r.Content = revisions.Content{}
 			list.Revisions = append(list.Revisions, r)
@@ -204,7 +204,7 @@
 	if err := request.read(&got); err != nil {
 		return nil, err
 	}
-	command := revisions.Command{Request: got.Request, Parent: got.Parent, Restore: got.Restore, Content: got.Content, Author: request.name,
+	command := revisions.Command{IdempotencyKey: got.Request, Parent: got.Parent, Restore: got.Restore, Content: got.Content, Author: request.name,
 		Message: got.Message, At: time.Now().UTC()}
 	if err := command.Check(); err != nil {
 		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
@@ -259,7 +259,7 @@
 		if err := c.read(&v); err != nil {
 			return nil, err
 		}
-		_, err := a.propose(ctx, fleet.Entry{Drain: &fleet.Drain{Instance: v.Name, On: on, By: c.name, At: time.Now().UTC()}})
+		_, err := a.propose(ctx, fleet.Entry{Drain: &fleet.Drain{Instance: v.Name, Drained: on, By: c.name, At: time.Now().UTC()}})
 		return struct{}{}, err
 	}
 }
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -27,7 +27,7 @@
 		s := a.processes[name].State()
 		o := agentapi.Observed{Name: name, State: s.Status.State, Why: s.Status.Reason, Crashes: s.Status.Crashes, PID: s.PID}
 		if s.Status.Running != nil && s.PID != 0 {
-			o.Running, o.Content = s.Status.Running.Revision, s.Status.Running.Content
+			o.Running, o.Content = s.Status.Running.Revision, s.Status.Running.ContentChecksum
 		}
 		o.MembershipView, o.Unreachable = s.Membership.Line, s.Membership.Unreachable
 		if s.Status.Desired != nil {
@@ -129,7 +129,7 @@
 			if now != nil {
 				p.SetDesired(ctx, nil)
 			}
-		case now == nil || now.Revision != o.Revision || now.Content != o.Checksum:
+		case now == nil || now.Revision != o.Revision || now.ContentChecksum != o.Checksum:
 			a.applyOrder(ctx, p, o)
 		default:
 			a.clearRejection(name) // the rejected revision is not ordered any more
--- a/internal/agentapi/status.go
+++ b/internal/agentapi/status.go
@@ -60,7 +60,7 @@
 func (s *Status) SetDesired(state *fleet.State) {
 	head, _ := state.Head()
 	s.Rollout = state.Rollout()
-	s.Head, s.Wanted = head.Number, s.Rollout.Wanted()
+	s.Head, s.Wanted = head.Number, s.Rollout.DesiredRevision()
 	for _, a := range state.Agents() {
 		for _, name := range a.Instances {
 			s.Instances = append(s.Instances, InstanceStatus{Name: name, Agent: a.Name, Drained: state.Drained(name)})
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -65,7 +65,7 @@
 	d := func(d strict.Duration) time.Duration { return time.Duration(d) }
 	return rollout.Policy{Canaries: r.Canaries, Waves: r.Waves, MaxUnavailable: r.MostAway, ReadyTimeout: d(r.ReadyWithin), SoakDuration: d(r.SoakFor),
 		SilenceTimeout: d(r.SilentAfter), MaxSilent: r.MostSilent, MaxServiceDrop: r.ServiceFall, LowServiceWindow: d(r.ServiceFor),
-		Deadline: d(r.Deadline), RollbackTimeout: d(r.RollbackWithin)}
+		Timeout: d(r.Deadline), RollbackTimeout: d(r.RollbackWithin)}
 }
 
 // Keys lists the keys of the file that this package gives a meaning.
@@ -96,7 +96,7 @@
 // Parse reads a content. Name is that of the file in errors; an overlay goes by
 // its instance's name. What an instance would make of it is told by Render.
 func Parse(name string, c revisions.Content) (*Document, error) {
-	d := &Document{overlays: map[string]overlay{}, turn: c.RestartGeneration, sum: c.Sum()}
+	d := &Document{overlays: map[string]overlay{}, turn: c.RestartGeneration, sum: c.Checksum()}
 	d.names = func(instance string) (string, []byte) {
 		if text, found := c.Overlays[instance]; found {
 			return "overlay " + instance, []byte(text)
@@ -218,7 +218,7 @@
 		return nil, d.blame(i.Name, "gateway", err.Error())
 	}
 	turn := fmt.Appendf(nil, "%d", d.turn)
-	r.Spec = supervise.Spec{Revision: revision, Content: d.sum, Files: sum(r.Config, r.Site, turn), Fixed: sum(fixed, r.Site, turn), MaxRequestDuration: longest}
+	r.Spec = supervise.Spec{Revision: revision, ContentChecksum: d.sum, FilesChecksum: sum(r.Config, r.Site, turn), StartupChecksum: sum(fixed, r.Site, turn), MaxRequestDuration: longest}
 	return r, nil
 }
 
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -78,14 +78,14 @@
 	if r.Spec.MaxRequestDuration != 1010*time.Millisecond || r.Spec.Revision != 1 {
 		t.Fatalf("%+v", r)
 	}
-	if other := render(t, c, "g0"); other.Spec.Files == r.Spec.Files {
+	if other := render(t, c, "g0"); other.Spec.FilesChecksum == r.Spec.FilesChecksum {
 		t.Fatal("two instances have one checksum")
 	}
 	d, _ := Parse("site.toml", c)
 	if p := d.Policy(); p.Canaries != 2 || p.SoakDuration != 3*time.Second || p.MaxUnavailable != 1 {
 		t.Fatalf("%+v", p)
 	}
-	if again := render(t, c, "g1"); again.Spec != r.Spec || r.Spec.Content != c.Sum() {
+	if again := render(t, c, "g1"); again.Spec != r.Spec || r.Spec.ContentChecksum != c.Checksum() {
 		t.Fatal("the same content gives another checksum")
 	}
 }
--- a/internal/document/golden_test.go
+++ b/internal/document/golden_test.go
@@ -56,7 +56,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "=== %s\n%s\n--- site\n%s--- revision %d, longest %v\ncontent %s\nfiles %s\nfixed %s\n",
-			instance.Name, r.Config, r.Site, r.Spec.Revision, r.Spec.MaxRequestDuration, r.Spec.Content, r.Spec.Files, r.Spec.Fixed)
+			instance.Name, r.Config, r.Site, r.Spec.Revision, r.Spec.MaxRequestDuration, r.Spec.ContentChecksum, r.Spec.FilesChecksum, r.Spec.StartupChecksum)
 	}
 	golden.Text(t, "rendered.txt", b.String())
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -179,7 +179,7 @@
 		return &RejectedError{err.Error()}
 	}
 	for _, action := range slices.Clone(actions) {
-		change, is := action.(rollout.Changed)
+		change, is := action.(rollout.Transition)
 		if !is {
 			continue
 		}
@@ -198,7 +198,7 @@
 
 // commit has the voters agree on a change of the rollout's state. A change that the
 // site's state rejects means that another leader has gone on.
-func (t *term) commit(ctx context.Context, change rollout.Changed, operator string) error {
+func (t *term) commit(ctx context.Context, change rollout.Transition, operator string) error {
 	out, err := t.store.Propose(ctx, fleet.Entry{RolloutChange: &fleet.RolloutChange{New: t.machineRevision, State: rollout.State(change.To),
 		Reason: fleet.Truncate(change.Reason, fleet.MaxTextBytes), By: operator, At: time.Now().UTC()}})
 	if err == nil && out.Rejected != "" {
--- a/internal/process/golden_test.go
+++ b/internal/process/golden_test.go
@@ -26,7 +26,7 @@
 // TestGoldenProcessState pins the file by which a new agent finds the gateways of the
 // one before it.
 func TestGoldenProcessState(t *testing.T) {
-	spec := supervise.Spec{Revision: 4, Content: "c4", Files: "f4", Fixed: "x4", MaxRequestDuration: 3 * time.Second}
+	spec := supervise.Spec{Revision: 4, ContentChecksum: "c4", FilesChecksum: "f4", StartupChecksum: "x4", MaxRequestDuration: 3 * time.Second}
 	golden.Complete(t, savedState{PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2})
 	for name, state := range map[string]savedState{
 		"state.json":      {PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2},
@@ -43,7 +43,7 @@
 	}
 	// A state of before revisions had checksums.
 	oldState := `{"pid":4711,"started":"12345 0d9c","spec":{"revision":4,"files":"f4","fixed":"x4","longest_ns":3000000000},"crashes":2}`
-	spec.Content = ""
+	spec.ContentChecksum = ""
 	if got, err := loadStateFrom(t, []byte(oldState)); err != nil || !reflect.DeepEqual(got, savedState{PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2}) {
 		t.Errorf("an old state decodes to %+v, %v", got, err)
 	}
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -53,19 +53,19 @@
 // and after it.
 func goldenEntries() (before, after []fleet.Entry) {
 	before = []fleet.Entry{
-		{Command: &revisions.Command{Request: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
+		{Command: &revisions.Command{IdempotencyKey: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
 		{RolloutChange: &fleet.RolloutChange{New: 1, State: rollout.Applied, Reason: "all 2 instances have revision 1", At: goldenTime}},
 		{Enroll: &fleet.Enroll{Agent: fleet.Agent{Name: "a1", Address: "127.0.0.1:7400", Instances: []string{"g0", "g1"}}, At: goldenTime}},
-		{Drain: &fleet.Drain{Instance: "g1", On: true, By: "ann", At: goldenTime}},
+		{Drain: &fleet.Drain{Instance: "g1", Drained: true, By: "ann", At: goldenTime}},
 		{RosterChange: &fleet.RosterChange{Names: []string{"g0", "g1"}, At: goldenTime}},
 		{Records: goldenPlan("gold")},
 		{Audit: &fleet.Event{At: goldenTime, Who: "ann", What: "replica r0 was added"}},
 	}
 	after = []fleet.Entry{
-		{Command: &revisions.Command{Request: "r-2", Parent: 1, Content: goldenContent(), Author: "bob", Message: "second", At: goldenTime}},
+		{Command: &revisions.Command{IdempotencyKey: "r-2", Parent: 1, Content: goldenContent(), Author: "bob", Message: "second", At: goldenTime}},
 		{RolloutChange: &fleet.RolloutChange{New: 2, State: rollout.RollingBack, Reason: "aborted by ann", By: "ann", At: goldenTime}},
 		{RolloutChange: &fleet.RolloutChange{New: 2, State: rollout.RolledBack, Reason: "all are back", At: goldenTime}},
-		{Command: &revisions.Command{Request: "r-3", Parent: 2, Restore: 1, Author: "ann", Message: "third", At: goldenTime}},
+		{Command: &revisions.Command{IdempotencyKey: "r-3", Parent: 2, Restore: 1, Author: "ann", Message: "third", At: goldenTime}},
 		{Enroll: &fleet.Enroll{Agent: fleet.Agent{Name: "a2", Address: "127.0.0.1:7401", Instances: []string{"g2"}}, At: goldenTime}},
 		{Enroll: &fleet.Enroll{Agent: fleet.Agent{Name: "a3", Address: "127.0.0.1:7402", Instances: []string{"g9"}}, At: goldenTime}},
 		{Remove: &fleet.Remove{Agent: "a3", By: "ann", At: goldenTime}},
@@ -224,7 +224,7 @@
 	var contents []revisions.Content
 	for _, r := range s.Revisions() {
 		contents = append(contents, r.Content)
-		if r.Checksum != r.Content.Sum() || !r.At.Equal(goldenTime) {
+		if r.Checksum != r.Content.Checksum() || !r.At.Equal(goldenTime) {
 			t.Errorf("revision %+v", r)
 		}
 	}
--- a/internal/replica/voter_test.go
+++ b/internal/replica/voter_test.go
@@ -129,7 +129,7 @@
 }
 
 func command(request string, parent uint64, file string) fleet.Entry {
-	return fleet.Entry{Command: &revisions.Command{Request: request, Parent: parent, Content: &revisions.Content{File: file}, Author: "ann", At: at}}
+	return fleet.Entry{Command: &revisions.Command{IdempotencyKey: request, Parent: parent, Content: &revisions.Content{File: file}, Author: "ann", At: at}}
 }
 
 // rolloutApplied returns the entry that ends the rollout of a revision.
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -149,7 +149,7 @@
 	if err := g.call(ctx, fetchWithin, http.MethodGet, fmt.Sprintf("/v1/revisions/%d", order.Revision), nil, &revision); err != nil {
 		return err
 	}
-	if revision.Number != order.Revision || revision.Checksum != order.Checksum || revision.Content.Sum() != order.Checksum {
+	if revision.Number != order.Revision || revision.Checksum != order.Checksum || revision.Content.Checksum() != order.Checksum {
 		return fmt.Errorf("%s: revision %d came damaged", g.Name, order.Revision)
 	}
 	return nil
--- a/lease/granter.go
+++ b/lease/granter.go
@@ -72,5 +72,5 @@
 	return grant != nil && now < grant.until
 }
 
-// Last returns the highest session number that was ever opened.
-func (g *Granter) Last() Session { return g.highest }
+// HighestSession returns the highest session number that was ever opened.
+func (g *Granter) HighestSession() Session { return g.highest }
--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -133,7 +133,7 @@
 			open = []Session{session}
 		}
 		next, _ := NewGranter(terms)
-		next.Recover(h.granterSide.at(h.now), open, h.granter.Last())
+		next.Recover(h.granterSide.at(h.now), open, h.granter.HighestSession())
 		h.granter = next
 	case 1:
 		request := h.holder.Release(h.holderSide.at(h.now))
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -76,8 +76,8 @@
 	return true, ""
 }
 
-// Until returns the end of the lease by the holder's own clock, unless a response extends it before.
-func (h *Holder) Until() Time { return h.until }
+// ExpiresAt returns the end of the lease by the holder's own clock, unless a response extends it before.
+func (h *Holder) ExpiresAt() Time { return h.until }
 
 // Session returns the number that must accompany each effect.
 func (h *Holder) Session() Session { return h.session }
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -16,8 +16,8 @@
 
 func TestLeaseCountsFromSendingOfRequest(t *testing.T) {
 	h := newTestHolder(t)
-	if want := terms.holderDuration(); h.Until() != want || want >= terms.Duration {
-		t.Errorf("until %v, want %v, less than %v", h.Until(), want, terms.Duration)
+	if want := terms.holderDuration(); h.ExpiresAt() != want || want >= terms.Duration {
+		t.Errorf("until %v, want %v, less than %v", h.ExpiresAt(), want, terms.Duration)
 	}
 	request, due := h.Tick(3 * time.Second)
 	if !due {
@@ -25,8 +25,8 @@
 	}
 	h.Tick(4 * time.Second)
 	h.HandleResponse(Response{7, request.Number, true})
-	if want := 3*time.Second + terms.holderDuration(); h.Until() != want {
-		t.Errorf("until %v, want %v, counted from the request", h.Until(), want)
+	if want := 3*time.Second + terms.holderDuration(); h.ExpiresAt() != want {
+		t.Errorf("until %v, want %v, counted from the request", h.ExpiresAt(), want)
 	}
 }
 
@@ -35,7 +35,7 @@
 	first, _ := h.Tick(2 * time.Second)
 	second, _ := h.Tick(4 * time.Second)
 	h.HandleResponse(Response{7, second.Number, true})
-	until := h.Until()
+	until := h.ExpiresAt()
 	for _, test := range []struct {
 		name     string
 		response Response
@@ -47,8 +47,8 @@
 		{"end of another session", Response{8, second.Number, false}},
 	} {
 		h.HandleResponse(test.response)
-		if h.Until() != until {
-			t.Errorf("%s: %+v moved the end from %v to %v", test.name, test.response, until, h.Until())
+		if h.ExpiresAt() != until {
+			t.Errorf("%s: %+v moved the end from %v to %v", test.name, test.response, until, h.ExpiresAt())
 		}
 	}
 	if valid, reason := h.Valid(4 * time.Second); !valid {
--- a/revisions/command.go
+++ b/revisions/command.go
@@ -9,13 +9,13 @@
 
 // Command is one change that an operator requests.
 type Command struct {
-	Request string    `json:"request"`           // idempotency key: the same for every repeat of the command
-	Parent  uint64    `json:"parent"`            // the revision that it was made from; the command conflicts unless this is the head
-	Restore uint64    `json:"restore,omitempty"` // number of the revision whose content is restored; 0: Content is set
-	Content *Content  `json:"content,omitempty"`
-	Author  string    `json:"author"`
-	Message string    `json:"message,omitempty"`
-	At      time.Time `json:"at"`
+	IdempotencyKey string    `json:"request"`           // idempotency key: the same for every repeat of the command
+	Parent         uint64    `json:"parent"`            // the revision that it was made from; the command conflicts unless this is the head
+	Restore        uint64    `json:"restore,omitempty"` // number of the revision whose content is restored; 0: Content is set
+	Content        *Content  `json:"content,omitempty"`
+	Author         string    `json:"author"`
+	Message        string    `json:"message,omitempty"`
+	At             time.Time `json:"at"`
 }
 
 // Status is the result of a command.
@@ -37,8 +37,8 @@
 
 // Check returns a *FieldError for a command that is invalid in any state.
 func (c *Command) Check() error {
-	if !validName(c.Request) {
-		return fieldErrorf("request", nameRule, c.Request, MaxNameBytes)
+	if !validName(c.IdempotencyKey) {
+		return fieldErrorf("request", nameRule, c.IdempotencyKey, MaxNameBytes)
 	}
 	if !validName(c.Author) {
 		return fieldErrorf("author", nameRule, c.Author, MaxNameBytes)
--- a/revisions/golden_test.go
+++ b/revisions/golden_test.go
@@ -20,14 +20,14 @@
 
 func goldenCommands() (withContent, withRestore Command) {
 	content := goldenContent()
-	withContent = Command{Request: "r-1", Parent: 4, Content: &content, Author: "ann", Message: "why & what", At: goldenTime}
-	withRestore = Command{Request: "r-2", Parent: 5, Restore: 2, Author: "bob", Message: "back", At: goldenTime}
+	withContent = Command{IdempotencyKey: "r-1", Parent: 4, Content: &content, Author: "ann", Message: "why & what", At: goldenTime}
+	withRestore = Command{IdempotencyKey: "r-2", Parent: 5, Restore: 2, Author: "bob", Message: "back", At: goldenTime}
 	return withContent, withRestore
 }
 
 func goldenRevision() Revision {
 	content := goldenContent()
-	return Revision{Number: 5, Parent: 4, Content: content, Checksum: content.Sum(), Author: "ann", Message: "why", At: goldenTime}
+	return Revision{Number: 5, Parent: 4, Content: content, Checksum: content.Checksum(), Author: "ann", Message: "why", At: goldenTime}
 }
 
 func TestGoldenCommands(t *testing.T) {
@@ -88,12 +88,12 @@
 	content := goldenContent()
 	history := &History{}
 	for _, command := range []Command{
-		{Request: "first", Content: &Content{File: "a"}, Author: "ann", At: goldenTime},
-		{Request: "second", Parent: 1, Content: &content, Author: "bob", Message: "more", At: goldenTime.Add(time.Second)},
-		{Request: "same", Parent: 2, Content: &content, Author: "bob", At: goldenTime.Add(2 * time.Second)},
-		{Request: "late", Parent: 1, Content: &Content{File: "c"}, Author: "eve", At: goldenTime.Add(3 * time.Second)},
-		{Request: "lost", Parent: 2, Restore: 9, Author: "eve", At: goldenTime.Add(4 * time.Second)},
-		{Request: "back", Parent: 2, Restore: 1, Author: "ann", Message: "as it was", At: goldenTime.Add(5 * time.Second)},
+		{IdempotencyKey: "first", Content: &Content{File: "a"}, Author: "ann", At: goldenTime},
+		{IdempotencyKey: "second", Parent: 1, Content: &content, Author: "bob", Message: "more", At: goldenTime.Add(time.Second)},
+		{IdempotencyKey: "same", Parent: 2, Content: &content, Author: "bob", At: goldenTime.Add(2 * time.Second)},
+		{IdempotencyKey: "late", Parent: 1, Content: &Content{File: "c"}, Author: "eve", At: goldenTime.Add(3 * time.Second)},
+		{IdempotencyKey: "lost", Parent: 2, Restore: 9, Author: "eve", At: goldenTime.Add(4 * time.Second)},
+		{IdempotencyKey: "back", Parent: 2, Restore: 1, Author: "ann", Message: "as it was", At: goldenTime.Add(5 * time.Second)},
 	} {
 		if _, err := history.Apply(command); err != nil {
 			t.Fatal(err)
--- a/revisions/history.go
+++ b/revisions/history.go
@@ -56,11 +56,11 @@
 	if err := command.Check(); err != nil {
 		return Result{}, err
 	}
-	if result, found := h.earlierResult(command.Request); found {
+	if result, found := h.earlierResult(command.IdempotencyKey); found {
 		return result, nil
 	}
 	result := h.apply(command)
-	h.recordResult(command.Request, result)
+	h.recordResult(command.IdempotencyKey, result)
 	return result, nil
 }
 
@@ -93,7 +93,7 @@
 		}
 		content = restored.Content
 	}
-	sum := content.Sum()
+	sum := content.Checksum()
 	if len(h.revisions) > 0 && sum == head.Checksum {
 		return Result{Unchanged, head}
 	}
@@ -119,7 +119,7 @@
 
 func (h *History) recordResult(request string, result Result) {
 	h.results = append(h.results, requestResult{request, result.Status, result.Revision.Number})
-	if over := len(h.results) - MaxRequests; over > 0 {
+	if over := len(h.results) - MaxResults; over > 0 {
 		h.results = slices.Delete(h.results, 0, over)
 	}
 }
--- a/revisions/revision.go
+++ b/revisions/revision.go
@@ -28,7 +28,7 @@
 	MaxNameBytes    = 256       // of the name of an author, an instance or a request
 	MaxRevisions    = 200       // in the history
 	MaxHistoryBytes = 64 << 20  // of their contents together; the oldest are dropped first
-	MaxRequests     = 1000      // whose results are remembered
+	MaxResults      = 1000      // whose results are remembered
 )
 
 // Content is the part of a revision that an operator writes.
@@ -49,8 +49,8 @@
 	At       time.Time `json:"at"` // by the clock of the voter that accepted it
 }
 
-// Sum returns the checksum of a content. Every part is preceded by its length, so that no two contents hash the same bytes.
-func (c *Content) Sum() string {
+// Checksum returns the checksum of a content. Every part is preceded by its length, so that no two contents hash the same bytes.
+func (c *Content) Checksum() string {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%d:%s", len(c.File), c.File)
 	for _, name := range slices.Sorted(maps.Keys(c.Overlays)) {
--- a/revisions/revisions_test.go
+++ b/revisions/revisions_test.go
@@ -15,7 +15,7 @@
 var at = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
 func command(request string, parent uint64, file string) Command {
-	return Command{Request: request, Parent: parent, Content: &Content{File: file}, Author: "ann", At: at}
+	return Command{IdempotencyKey: request, Parent: parent, Content: &Content{File: file}, Author: "ann", At: at}
 }
 
 func apply(t *testing.T, h *History, c Command) Result {
@@ -67,11 +67,11 @@
 	var h History
 	apply(t, &h, command("1", 0, "a"))
 	apply(t, &h, command("2", 1, "b"))
-	back := Command{Request: "3", Parent: 2, Restore: 1, Author: "ann", At: at}
+	back := Command{IdempotencyKey: "3", Parent: 2, Restore: 1, Author: "ann", At: at}
 	if r := apply(t, &h, back); r.Status != Accepted || r.Revision.Number != 3 || r.Revision.Content.File != "a" {
 		t.Fatalf("%+v", r)
 	}
-	back.Request, back.Parent, back.Restore = "4", 3, 77
+	back.IdempotencyKey, back.Parent, back.Restore = "4", 3, 77
 	if r := apply(t, &h, back); r.Status != UnknownRevision {
 		t.Fatalf("%+v", r)
 	}
@@ -79,11 +79,11 @@
 
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
-	for i := range MaxRequests + 50 {
+	for i := range MaxResults + 50 {
 		apply(t, &h, command(fmt.Sprint(i), uint64(i), fmt.Sprint(i)))
 	}
 	list := h.List()
-	if len(list) != MaxRevisions || len(h.results) != MaxRequests || list[0].Number != MaxRequests+50 {
+	if len(list) != MaxRevisions || len(h.results) != MaxResults || list[0].Number != MaxResults+50 {
 		t.Fatalf("%d revisions, %d results, head %d", len(list), len(h.results), list[0].Number)
 	}
 	if _, found := h.Get(1); found {
@@ -123,7 +123,7 @@
 
 func TestInvalidCommandsAreRejectedWithTheirField(t *testing.T) {
 	for field, change := range map[string]func(*Command){
-		"request":  func(c *Command) { c.Request = "" },
+		"request":  func(c *Command) { c.IdempotencyKey = "" },
 		"author":   func(c *Command) { c.Author = "a\nb" },
 		"message":  func(c *Command) { c.Message = strings.Repeat("m", MaxMessageBytes+1) },
 		"content":  func(c *Command) { c.Content = nil },
@@ -144,7 +144,7 @@
 			t.Errorf("%s was encoded", field)
 		}
 	}
-	good, err := (&Command{Request: "1", Content: &Content{File: "a"}, Author: "ann", At: at}).Encode()
+	good, err := (&Command{IdempotencyKey: "1", Content: &Content{File: "a"}, Author: "ann", At: at}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,10 +162,10 @@
 	seen := map[string]Content{}
 	for _, c := range []Content{{}, {File: "ab"}, {File: "a", Overlays: map[string]string{"b": ""}}, {File: "a", Overlays: map[string]string{"": "b"}},
 		{File: "", Overlays: map[string]string{"a": "b"}}, {File: "1:a1:b"}, {File: "", Overlays: map[string]string{"a": "", "b": ""}}} {
-		if other, twice := seen[c.Sum()]; twice {
+		if other, twice := seen[c.Checksum()]; twice {
 			t.Errorf("%+v and %+v", c, other)
 		}
-		seen[c.Sum()] = c
+		seen[c.Checksum()] = c
 	}
 }
 
@@ -238,7 +238,7 @@
 			t.Fatalf("what was decoded can't be encoded: %v", err)
 		}
 		d, err := Decode(again)
-		if err != nil || d.Request != c.Request || !d.At.Equal(c.At) || (c.Content != nil && d.Content.Sum() != c.Content.Sum()) {
+		if err != nil || d.IdempotencyKey != c.IdempotencyKey || !d.At.Equal(c.At) || (c.Content != nil && d.Content.Checksum() != c.Content.Checksum()) {
 			t.Fatalf("%v: %+v became %+v", err, c, d)
 		}
 	})
@@ -256,7 +256,7 @@
 		if h.Restore(text) != nil {
 			return
 		}
-		if head, any := h.Head(); any && head.Checksum != head.Content.Sum() {
+		if head, any := h.Head(); any && head.Checksum != head.Content.Checksum() {
 			t.Fatal("a revision with a wrong checksum was accepted")
 		}
 	})
--- a/revisions/snapshot.go
+++ b/revisions/snapshot.go
@@ -30,14 +30,14 @@
 	if stored.Version != snapshotVersion {
 		return fmt.Errorf("snapshot: form %d is not known, %d is", stored.Version, snapshotVersion)
 	}
-	if len(stored.Revisions) > MaxRevisions || len(stored.Results) > MaxRequests {
+	if len(stored.Revisions) > MaxRevisions || len(stored.Results) > MaxResults {
 		return errors.New("snapshot: more than a history keeps")
 	}
 	for i, r := range stored.Revisions {
 		switch {
 		case r.Number == 0 || r.Parent != r.Number-1 || i > 0 && r.Number != stored.Revisions[i-1].Number+1:
 			return fmt.Errorf("snapshot: revision %d does not follow the one before", r.Number)
-		case r.Checksum != r.Content.Sum():
+		case r.Checksum != r.Content.Checksum():
 			return fmt.Errorf("snapshot: revision %d does not fit its checksum", r.Number)
 		}
 	}
--- a/rollout/events.go
+++ b/rollout/events.go
@@ -81,12 +81,12 @@
 	Revision Revision
 }
 
-// Changed reports that the state of the rollout or the phase of an instance has changed, and why.
-type Changed struct {
+// Transition reports that the state of the rollout or the phase of an instance has changed, and why.
+type Transition struct {
 	Instance string // "": the rollout
 	From, To string // states of the rollout, or phases of the instance
 	Reason   string
 }
 
-func (Assign) action()  {}
-func (Changed) action() {}
+func (Assign) action()     {}
+func (Transition) action() {}
--- a/rollout/finish.go
+++ b/rollout/finish.go
@@ -22,9 +22,9 @@
 	m.setState(state, reason)
 }
 
-// Wanted returns the revision that all instances converge to by the present state: the previous one once the rollout is
+// DesiredRevision returns the revision that all instances converge to by the present state: the previous one once the rollout is
 // rolled back, else the new one. It is 0 before the first rollout.
-func (m *Machine) Wanted() Revision {
+func (m *Machine) DesiredRevision() Revision {
 	switch m.state {
 	case RollingBack, RolledBack, PartlyRolledBack:
 		return m.previous
@@ -39,7 +39,7 @@
 		return inst.assigned
 	}
 	if m.state.Ended() {
-		return m.Wanted()
+		return m.DesiredRevision()
 	}
 	return m.previous
 }
@@ -68,7 +68,7 @@
 // convergeInstance assigns the wanted revision to an instance of the list if it needs it, and reports whether the
 // instance has it.
 func (m *Machine) convergeInstance(inst *instance, list []*instance) bool {
-	wanted := m.Wanted()
+	wanted := m.DesiredRevision()
 	switch {
 	case wanted == 0:
 		return true // nothing is to run
--- a/rollout/gates.go
+++ b/rollout/gates.go
@@ -5,8 +5,8 @@
 // checkGates checks the deadline and the instances that were assigned the new revision, and rolls back if a condition of
 // the policy is not met.
 func (m *Machine) checkGates() {
-	if m.elapsed-m.directionStart > m.policy.Deadline {
-		m.rollBack(fmt.Sprintf("it took longer than %v", m.policy.Deadline))
+	if m.elapsed-m.directionStart > m.policy.Timeout {
+		m.rollBack(fmt.Sprintf("it took longer than %v", m.policy.Timeout))
 		return
 	}
 	silent := 0
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -117,7 +117,7 @@
 // setState sets the state of the rollout and reports the change.
 func (m *Machine) setState(state State, reason string) {
 	if state != m.state {
-		m.actions = append(m.actions, Changed{From: string(m.state), To: string(state), Reason: reason})
+		m.actions = append(m.actions, Transition{From: string(m.state), To: string(state), Reason: reason})
 	}
 	m.state, m.reason = state, reason
 }
@@ -126,7 +126,7 @@
 // which it is for an instance that joins.
 func (m *Machine) setPhase(inst *instance, phase Phase, reason string) {
 	if phase != inst.phase || inst.phase == PhasePending {
-		m.actions = append(m.actions, Changed{Instance: inst.name, From: string(inst.phase), To: string(phase), Reason: reason})
+		m.actions = append(m.actions, Transition{Instance: inst.name, From: string(inst.phase), To: string(phase), Reason: reason})
 	}
 	inst.phase = phase
 }
--- a/rollout/machine_test.go
+++ b/rollout/machine_test.go
@@ -135,7 +135,7 @@
 		"no waves":                  func(p *Policy) { p.Waves = nil },
 		"waves do not end at 1":     func(p *Policy) { p.Waves = []float64{0.5} },
 		"waves do not rise":         func(p *Policy) { p.Waves = []float64{0.5, 0.2, 1} },
-		"no deadline":               func(p *Policy) { p.Deadline = 0 },
+		"no deadline":               func(p *Policy) { p.Timeout = 0 },
 		"service may drop to 0":     func(p *Policy) { p.MaxServiceDrop = 1 },
 		"negative number of silent": func(p *Policy) { p.MaxSilent = -1 },
 		"negative soak duration":    func(p *Policy) { p.SoakDuration = -1 },
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -16,7 +16,7 @@
 	MaxSilent        int           // assigned instances that may be silent
 	MaxServiceDrop   float64       // fraction by which the service level may be below that at the start; 0: it is not checked
 	LowServiceWindow time.Duration // how long it may be below that
-	Deadline         time.Duration // from the start to the end, pauses included
+	Timeout          time.Duration // from the start to the end, pauses included
 	RollbackTimeout  time.Duration // from the start of a rollback until it ends without the instances that are missing
 }
 
@@ -30,7 +30,7 @@
 		return fmt.Errorf("most away: %d is below 1: nobody could ever be told", p.MaxUnavailable)
 	case p.MaxSilent < 0:
 		return fmt.Errorf("most silent: %d is below 0", p.MaxSilent)
-	case p.ReadyTimeout <= 0 || p.SilenceTimeout <= 0 || p.Deadline <= 0 || p.RollbackTimeout <= 0:
+	case p.ReadyTimeout <= 0 || p.SilenceTimeout <= 0 || p.Timeout <= 0 || p.RollbackTimeout <= 0:
 		return fmt.Errorf("ready within, silent after, deadline and rollback within must be above 0")
 	case p.SoakDuration < 0 || p.LowServiceWindow < 0:
 		return fmt.Errorf("soak for and service for must not be below 0")
--- a/rollout/property_test.go
+++ b/rollout/property_test.go
@@ -33,8 +33,8 @@
 			r.Fatalf("%s: %s", status.State, status.Reason)
 		}
 		for name, n := range s.nodes {
-			if n.Revision != status.Wanted {
-				r.Fatalf("%s: %s; %s has revision %d where %d is wanted\n%s", status.State, status.Reason, name, n.Revision, status.Wanted, strings.Join(s.changes, "\n"))
+			if n.Revision != status.Desired {
+				r.Fatalf("%s: %s; %s has revision %d where %d is wanted\n%s", status.State, status.Reason, name, n.Revision, status.Desired, strings.Join(s.changes, "\n"))
 			}
 		}
 		if status.State != Applied && status.State != RolledBack {
--- a/rollout/reports.go
+++ b/rollout/reports.go
@@ -70,7 +70,7 @@
 	}
 	delete(m.instances, e.Instance)
 	m.order = slices.DeleteFunc(m.order, func(name string) bool { return name == e.Instance })
-	m.actions = append(m.actions, Changed{Instance: e.Instance, Reason: "it no longer belongs to the site"})
+	m.actions = append(m.actions, Transition{Instance: e.Instance, Reason: "it no longer belongs to the site"})
 }
 
 // handleServiceLevel rolls back if the service level has been too low for LowServiceWindow and the new revision may be
--- a/rollout/site_test.go
+++ b/rollout/site_test.go
@@ -10,7 +10,7 @@
 
 func policy() Policy {
 	return Policy{Canaries: 1, Waves: []float64{0.5, 1}, MaxUnavailable: 1, ReadyTimeout: 20 * time.Second, SoakDuration: 10 * time.Second,
-		SilenceTimeout: 8 * time.Second, MaxSilent: 1, MaxServiceDrop: 0.1, LowServiceWindow: 5 * time.Second, Deadline: 10 * time.Minute,
+		SilenceTimeout: 8 * time.Second, MaxSilent: 1, MaxServiceDrop: 0.1, LowServiceWindow: 5 * time.Second, Timeout: 10 * time.Minute,
 		RollbackTimeout: 5 * time.Minute}
 }
 
@@ -56,7 +56,7 @@
 	actions, err := s.m.Handle(s.now, ev)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Changed:
+		case Transition:
 			if a.Reason == "" {
 				s.t.Fatalf("%+v has no reason", a)
 			}
@@ -156,8 +156,8 @@
 // the excepted.
 func (s *site) expect(t *testing.T, state State, wanted Revision, except ...string) {
 	t.Helper()
-	if got := s.m.Status(); got.State != state || s.m.Wanted() != wanted {
-		t.Fatalf("%s, revision %d wanted: %s\n%s", got.State, s.m.Wanted(), got.Reason, strings.Join(s.changes, "\n"))
+	if got := s.m.Status(); got.State != state || s.m.DesiredRevision() != wanted {
+		t.Fatalf("%s, revision %d wanted: %s\n%s", got.State, s.m.DesiredRevision(), got.Reason, strings.Join(s.changes, "\n"))
 	}
 	for name, n := range s.nodes {
 		if n.Revision != wanted && !slices.Contains(except, name) {
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -11,7 +11,7 @@
 	Reason    string
 	New       Revision
 	Previous  Revision
-	Wanted    Revision         // see Machine.Wanted
+	Desired   Revision         // see Machine.Wanted
 	Wave      int              // from 1, the canaries
 	Waves     int              // number of waves, the canaries' included
 	Instances []InstanceStatus // by name
@@ -28,7 +28,7 @@
 
 // Status returns the present state of the rollout, or of the last one.
 func (m *Machine) Status() Status {
-	status := Status{State: m.state, Reason: m.reason, New: m.target, Previous: m.previous, Wanted: m.Wanted(), Wave: m.wave + 1, Waves: len(m.policy.Waves) + 1}
+	status := Status{State: m.state, Reason: m.reason, New: m.target, Previous: m.previous, Desired: m.DesiredRevision(), Wave: m.wave + 1, Waves: len(m.policy.Waves) + 1}
 	for _, inst := range m.instances {
 		status.Instances = append(status.Instances, InstanceStatus{inst.name, inst.phase, inst.assigned, inst.observed, inst.silent})
 	}
--- a/supervise/golden_test.go
+++ b/supervise/golden_test.go
@@ -11,7 +11,7 @@
 // about it.
 
 func goldenSpec(revision uint64) Spec {
-	return Spec{Revision: revision, Content: "c0ffee", Files: "f11e5", Fixed: "f1bed", MaxRequestDuration: 90 * time.Second}
+	return Spec{Revision: revision, ContentChecksum: "c0ffee", FilesChecksum: "f11e5", StartupChecksum: "f1bed", MaxRequestDuration: 90 * time.Second}
 }
 
 func TestGoldenSpec(t *testing.T) {
--- a/supervise/machine.go
+++ b/supervise/machine.go
@@ -156,7 +156,7 @@
 		switch {
 		case m.desired == nil:
 			m.setState(Down, "")
-		case m.running != nil && m.running.Files != m.desired.Files:
+		case m.running != nil && m.running.FilesChecksum != m.desired.FilesChecksum:
 			// The desired files are not those that crashed, so the backoff does not apply to them.
 			m.backoff = 0
 			m.spawn()
@@ -197,7 +197,7 @@
 func (m *Machine) reconcile(now time.Time) {
 	switch StepBetween(m.running, m.desired) {
 	case StepNone:
-		if m.running.Revision != m.desired.Revision || m.running.Content != m.desired.Content {
+		if m.running.Revision != m.desired.Revision || m.running.ContentChecksum != m.desired.ContentChecksum {
 			spec := *m.desired
 			m.running = &spec
 			m.actions = append(m.actions, SetRevision{spec})
--- a/supervise/supervise.go
+++ b/supervise/supervise.go
@@ -16,10 +16,10 @@
 // Spec is what a gateway runs with. Between two specs with the same Files only the revision number changes; with the
 // same Fixed a reload suffices; otherwise a restart is needed.
 type Spec struct {
-	Revision uint64 `json:"revision"`
-	Content  string `json:"content,omitempty"` // the revision's checksum: another site's revision may have the same number
-	Files    string `json:"files"`             // checksum of all files that are written for the process
-	Fixed    string `json:"fixed"`             // checksum of what the process reads at its start only
+	Revision        uint64 `json:"revision"`
+	ContentChecksum string `json:"content,omitempty"` // the revision's checksum: another site's revision may have the same number
+	FilesChecksum   string `json:"files"`             // checksum of all files that are written for the process
+	StartupChecksum string `json:"fixed"`             // checksum of what the process reads at its start only
 	// MaxRequestDuration is how long the gateway may take to answer a request, and so to shut down.
 	MaxRequestDuration time.Duration `json:"longest_ns"`
 }
@@ -45,9 +45,9 @@
 		return StepStop
 	case from == nil:
 		return StepStart
-	case from.Files == to.Files:
+	case from.FilesChecksum == to.FilesChecksum:
 		return StepNone
-	case from.Fixed == to.Fixed:
+	case from.StartupChecksum == to.StartupChecksum:
 		return StepReload
 	}
 	return StepRestart
--- a/supervise/supervise_test.go
+++ b/supervise/supervise_test.go
@@ -240,12 +240,12 @@
 			}
 			p.spawning, p.spec, p.terminations, p.kills = true, a.Spec, 0, 0
 		case Reload:
-			if !p.running || a.Spec.Fixed != p.spec.Fixed {
+			if !p.running || a.Spec.StartupChecksum != p.spec.StartupChecksum {
 				p.t.Fatal("a reload where a restart is needed")
 			}
 			p.spec = a.Spec
 		case SetRevision:
-			if a.Spec.Files != p.spec.Files {
+			if a.Spec.FilesChecksum != p.spec.FilesChecksum {
 				p.t.Fatal("a new revision number for other files")
 			}
 			p.spec = a.Spec
