--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -2,30 +2,30 @@
 
 import "fmt"
 
-// advance assigns the new revision to as many instances as the wave and MaxUnavailable allow, and goes on to the next wave
-// once this one is complete.
+// advance assigns the new revision to as many instances as the wave and MaxUnavailable allow, and moves to the next
+// wave once this one is complete.
 func (m *Machine) advance() {
 	for m.advanceWave() {
 	}
 }
 
-// advanceWave advances the present wave and reports whether the next one begins.
+// advanceWave advances the current wave and reports whether the next one begins.
 func (m *Machine) advanceWave() (next bool) {
 	if len(m.order) == 0 {
 		m.setState(Applied, "the site has no instances")
 		return false
 	}
-	list := m.participants()
-	if len(list) == 0 {
-		return false // no instance can prove the revision; the deadline decides
+	participants := m.participants()
+	if len(participants) == 0 {
+		return false // no instance can prove the revision: the rollout waits until Policy.Timeout
 	}
-	wave := m.progress(list)
-	if !m.assignWave(list, wave.assigned) || wave.pending {
+	progress := m.countProgress(participants)
+	if !m.assignWave(participants, progress.assigned) || progress.pending {
 		return false
 	}
-	if wave.updated == 0 {
-		// A wave without an updated instance proves nothing.
-		if wave.assigned > 0 {
+	if progress.updated == 0 {
+		// A wave without an updated instance proves nothing about the revision.
+		if progress.assigned > 0 {
 			m.rollBack("nobody who was told is heard of and ready")
 		}
 		return false
@@ -38,36 +38,36 @@
 	return false
 }
 
-// waveProgress counts the instances of a list by their progress to the new revision.
+// waveProgress is the progress of the participants towards the new revision.
 type waveProgress struct {
-	assigned int  // instances that were assigned it
+	assigned int  // instances that were assigned the new revision
 	updated  int  // instances in PhaseUpdated
-	pending  bool // some that were assigned it may still complete the update
+	pending  bool // some of the assigned instances may still complete the update
 }
 
-func (m *Machine) progress(list []*instance) (wave waveProgress) {
-	for _, inst := range list {
+func (m *Machine) countProgress(participants []*instance) (progress waveProgress) {
+	for _, inst := range participants {
 		if inst.phase == PhaseUpdated {
-			wave.updated++
+			progress.updated++
 		}
 		if inst.assigned != m.target {
 			continue
 		}
-		wave.assigned++
+		progress.assigned++
 		if inst.phase != PhaseUpdated && inst.phase != PhaseFailed && !inst.silent {
-			wave.pending = true
+			progress.pending = true
 		}
 	}
-	return wave
+	return progress
 }
 
-// assignWave assigns the new revision to further instances of the list until the present wave has its size; assigned is
-// the number of those that were assigned it before. They count into the wave even if they joined or returned later, so
-// that they do not enlarge it. It reports whether nothing was left to assign.
-func (m *Machine) assignWave(list []*instance, assigned int) (complete bool) {
+// assignWave assigns the new revision to further participants until the current wave has its size, and reports whether
+// nothing was left to assign. The argument assigned is the number of participants that have been assigned it before.
+// All of them count towards the wave, also those that joined or returned later, so that they do not enlarge it.
+func (m *Machine) assignWave(participants []*instance, assigned int) (complete bool) {
 	complete = true
-	size := m.waveSize(len(list))
-	for _, inst := range list {
+	size := m.waveSize(len(participants))
+	for _, inst := range participants {
 		if assigned >= size {
 			break
 		}
@@ -75,17 +75,17 @@
 			continue
 		}
 		complete = false
-		if !m.mayAssign(inst, list) {
+		if !m.mayAssign(inst, participants) {
 			break
 		}
 		m.assign(inst, m.target)
-		m.setPhase(inst, PhaseUpdating, fmt.Sprintf("told, in wave %d", m.wave+1))
+		m.setPhase(inst, PhaseUpdating, fmt.Sprintf("assigned in wave %d", m.wave+1))
 		assigned++
 	}
 	return complete
 }
 
-// waveSize returns how many of count instances have been assigned by the end of the present wave.
+// waveSize returns how many of count instances are assigned by the end of the current wave.
 func (m *Machine) waveSize(count int) int {
 	canaries := min(m.policy.Canaries, count)
 	if m.wave == 0 {
@@ -95,6 +95,6 @@
 	return max(canaries, int(fraction*float64(count)+oneMinusEpsilon))
 }
 
-// oneMinusEpsilon rounds a product up when it is added before truncation. It is below 1 so that the rounding error of a
+// oneMinusEpsilon is added before truncation to round a product up. It is below 1 so that the rounding error of a
 // product that should be an integer does not add an instance.
 const oneMinusEpsilon = 0.999999
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// BenchmarkRollout is a complete rollout over 1,000 instances that update at once and report one by one.
+// BenchmarkRollout runs a complete rollout to 1,000 instances that update instantly and report one by one.
 func BenchmarkRollout(b *testing.B) {
 	const n = 1000
 	for b.Loop() {
-		p := policy()
-		p.SoakDuration, p.MaxUnavailable = 0, n/10
-		m, err := New(p)
+		policy := testPolicy()
+		policy.SoakDuration, policy.MaxUnavailable = 0, n/10
+		machine, err := New(policy)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -24,22 +24,22 @@
 			running[name] = 1
 			initial[name] = InitialInstance{Observed: Observed{Revision: 1, Ready: true}}
 		}
-		if _, err := m.Handle(now, Start{New: 2, Previous: 1, Instances: initial}); err != nil {
+		if _, err := machine.Handle(now, Start{New: 2, Previous: 1, Instances: initial}); err != nil {
 			b.Fatal(err)
 		}
 		events := 0
-		for m.Status().State == Advancing {
+		for machine.Status().State == Advancing {
 			for name := range running {
 				now = now.Add(time.Millisecond)
-				running[name] = m.InstanceRevision(name)
+				running[name] = machine.InstanceRevision(name)
 				events++
-				if _, err := m.Handle(now, InstanceReported{name, Observed{Revision: running[name], Ready: true}}); err != nil {
+				if _, err := machine.Handle(now, InstanceReported{name, Observed{Revision: running[name], Ready: true}}); err != nil {
 					b.Fatal(err)
 				}
 			}
 		}
-		if s := m.Status(); s.State != Applied {
-			b.Fatal(s.State, s.Reason)
+		if status := machine.Status(); status.State != Applied {
+			b.Fatal(status.State, status.Reason)
 		}
 		b.ReportMetric(float64(events), "reports/op")
 	}
--- a/rollout/finish.go
+++ b/rollout/finish.go
@@ -2,19 +2,20 @@
 
 import "fmt"
 
-// finish ends the rollout, in the state complete if all instances are ready with the wanted revision, else in partial.
-func (m *Machine) finish(complete, partial State, wanted Revision) {
+// finish ends the rollout: in state complete if all instances are ready with the desired revision, otherwise in
+// partial.
+func (m *Machine) finish(complete, partial State, desired Revision) {
 	var missing []string
 	for _, name := range m.order {
-		if inst := m.instances[name]; inst.silent || inst.observed.Revision != wanted || !inst.observed.Ready {
+		if inst := m.instances[name]; inst.silent || inst.observed.Revision != desired || !inst.observed.Ready {
 			missing = append(missing, name)
 		}
 	}
 	state := complete
-	reason := fmt.Sprintf("all %d instances have revision %d", len(m.order), wanted)
+	reason := fmt.Sprintf("all %d instances have revision %d", len(m.order), desired)
 	if len(missing) > 0 {
 		state = partial
-		reason = fmt.Sprintf("revision %d is wanted everywhere; these have yet to take it: %v", wanted, missing)
+		reason = fmt.Sprintf("revision %d is wanted everywhere; these have yet to take it: %v", desired, missing)
 	}
 	if state == RolledBack || state == PartlyRolledBack {
 		reason += "; " + m.reason
@@ -22,8 +23,8 @@
 	m.setState(state, reason)
 }
 
-// DesiredRevision returns the revision that all instances converge to by the present state: the previous one once the rollout is
-// rolled back, else the new one. It is 0 before the first rollout.
+// DesiredRevision returns the revision to which all instances converge: the previous one from the start of a rollback
+// on, otherwise the new one. It is 0 before the first rollout.
 func (m *Machine) DesiredRevision() Revision {
 	switch m.state {
 	case RollingBack, RolledBack, PartlyRolledBack:
@@ -32,7 +33,7 @@
 	return m.target
 }
 
-// InstanceRevision returns the revision that an instance should run now, 0 for none. An instance that is unknown gets the
+// InstanceRevision returns the revision that an instance should run now, 0 for none. For an unknown instance it is the
 // previous revision until the rollout has ended.
 func (m *Machine) InstanceRevision(instance string) Revision {
 	if inst := m.instances[instance]; inst != nil && inst.assigned != 0 {
@@ -44,17 +45,17 @@
 	return m.previous
 }
 
-// converge assigns the wanted revision to instances that return or join after the end, within MaxUnavailable. Instances
-// that have it are not assigned it again.
+// converge assigns the desired revision to instances that return or join after the end of the rollout, within
+// MaxUnavailable. Instances that have it are not assigned it again.
 func (m *Machine) converge() {
-	list := m.participants()
+	participants := m.participants()
 	converged := true
-	for _, inst := range list {
-		if !m.convergeInstance(inst, list) {
+	for _, inst := range participants {
+		if !m.convergeInstance(inst, participants) {
 			converged = false
 		}
 	}
-	if !converged || len(list) < len(m.order) {
+	if !converged || len(participants) < len(m.order) {
 		return
 	}
 	switch m.state {
@@ -65,42 +66,42 @@
 	}
 }
 
-// convergeInstance assigns the wanted revision to an instance of the list if it needs it, and reports whether the
-// instance has it.
-func (m *Machine) convergeInstance(inst *instance, list []*instance) bool {
-	wanted := m.DesiredRevision()
+// convergeInstance assigns the desired revision to a participant that needs it, and reports whether the instance has
+// it.
+func (m *Machine) convergeInstance(inst *instance, participants []*instance) bool {
+	desired := m.DesiredRevision()
 	switch {
-	case wanted == 0:
+	case desired == 0:
 		return true // nothing is to run
 	case inst.silent:
 		return false
-	case inst.observed.Revision == wanted:
+	case inst.observed.Revision == desired:
 		if !inst.observed.Ready {
 			return false
 		}
 		if inst.phase != PhaseUpdated && inst.phase != PhaseRolledBack && inst.phase != PhasePending {
-			m.settle(inst, wanted)
+			m.markConverged(inst, desired)
 		}
 		return true
-	case inst.assigned == wanted && m.elapsed-inst.assignedAt < m.policy.ReadyTimeout:
-		return false // it is updating; if it does not become ready in time, it is assigned again
-	case !m.mayAssign(inst, list):
+	case inst.assigned == desired && m.elapsed-inst.assignedAt < m.policy.ReadyTimeout:
+		return false // updating; if it is not ready in time, it is assigned the revision again
+	case !m.mayAssign(inst, participants):
 		return false
 	}
 	phase := PhaseUpdating
-	if wanted == m.previous {
+	if desired == m.previous {
 		phase = PhaseRollingBack
 	}
-	m.assign(inst, wanted)
-	m.setPhase(inst, phase, "told after the end")
+	m.assign(inst, desired)
+	m.setPhase(inst, phase, "assigned after the end of the rollout")
 	return false
 }
 
-// settle sets the phase of an instance that is ready with the wanted revision after the end.
-func (m *Machine) settle(inst *instance, wanted Revision) {
+// markConverged sets the phase of an instance that is ready with the desired revision after the end of the rollout.
+func (m *Machine) markConverged(inst *instance, desired Revision) {
 	phase := PhaseUpdated
-	if wanted == m.previous {
+	if desired == m.previous {
 		phase = PhaseRolledBack
 	}
-	m.setPhase(inst, phase, fmt.Sprintf("ready with revision %d", wanted))
+	m.setPhase(inst, phase, fmt.Sprintf("ready with revision %d", desired))
 }
--- a/rollout/gates.go
+++ b/rollout/gates.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// checkGates checks the deadline and the instances that were assigned the new revision, and rolls back if a condition of
-// the policy is not met.
+// checkGates rolls back if the rollout has exceeded its timeout, or if an instance that was assigned the new revision
+// fails a condition of the policy.
 func (m *Machine) checkGates() {
 	if m.elapsed-m.directionStart > m.policy.Timeout {
 		m.rollBack(fmt.Sprintf("it took longer than %v", m.policy.Timeout))
@@ -29,54 +29,54 @@
 	}
 }
 
-// checkInstance updates the phase of an instance that was assigned the new revision. It returns why the rollout must
-// be rolled back, "" if it need not.
+// checkInstance updates the phase of an instance that was assigned the new revision. It returns why the rollout must be
+// rolled back, or "" if it need not be.
 func (m *Machine) checkInstance(inst *instance) (failure string) {
 	switch {
-	case inst.startedUnready:
-		m.checkStartedUnready(inst)
-	case inst.observed.Crashes > inst.crashesBefore:
-		m.setPhase(inst, PhaseFailed, "it ended unasked")
+	case inst.unreadyAtAssignment:
+		m.checkUnreadyAtAssignment(inst)
+	case inst.observed.Crashes > inst.crashesAtAssignment:
+		m.setPhase(inst, PhaseFailed, "process ended unexpectedly")
 		return fmt.Sprintf("%s ended unasked with revision %d", inst.name, m.target)
 	case inst.readySince < 0:
 		return m.checkReadyDeadline(inst)
 	case m.soaked(inst):
 		m.setPhase(inst, PhaseUpdated, fmt.Sprintf("ready and without a crash for %v", m.policy.SoakDuration))
 	case inst.phase == PhaseUpdating:
-		m.setPhase(inst, PhaseSoaking, "it is ready")
+		m.setPhase(inst, PhaseSoaking, "ready")
 	}
 	return ""
 }
 
-// checkReadyDeadline checks an instance that is not ready. It returns why the rollout must be rolled back, "" if it need
-// not.
+// checkReadyDeadline checks whether an instance that is not ready is past ReadyTimeout. It returns why the rollout must
+// be rolled back, or "" if it need not be.
 func (m *Machine) checkReadyDeadline(inst *instance) (failure string) {
 	if m.elapsed-inst.assignedAt <= m.policy.ReadyTimeout {
 		return ""
 	}
 	if inst.phase == PhaseUpdated {
-		// It was ready before, so ReadyTimeout counts from when it was found unready.
+		// It was ready before, so ReadyTimeout counts from when it was first found not ready.
 		inst.assignedAt = m.elapsed
-		m.setPhase(inst, PhaseUpdating, "it is not ready any more")
+		m.setPhase(inst, PhaseUpdating, "no longer ready")
 		return ""
 	}
 	m.setPhase(inst, PhaseFailed, fmt.Sprintf("not ready within %v", m.policy.ReadyTimeout))
 	return fmt.Sprintf("%s was not ready with revision %d within %v", inst.name, m.target, m.policy.ReadyTimeout)
 }
 
-// soaked reports whether an instance has been ready for the policy's SoakDuration.
+// soaked reports whether an instance has been ready for SoakDuration.
 func (m *Machine) soaked(inst *instance) bool {
 	return inst.readySince >= 0 && m.elapsed-inst.readySince >= m.policy.SoakDuration
 }
 
-// checkStartedUnready updates the phase of an instance that was not ready at its assignment. It may recover, and never
-// causes a rollback.
-func (m *Machine) checkStartedUnready(inst *instance) {
+// checkUnreadyAtAssignment updates the phase of an instance that was not ready at its assignment. The instance may
+// recover, but its failure never causes a rollback.
+func (m *Machine) checkUnreadyAtAssignment(inst *instance) {
 	switch {
 	case m.soaked(inst):
-		inst.startedUnready, inst.crashesBefore = false, inst.observed.Crashes
-		m.setPhase(inst, PhaseUpdated, fmt.Sprintf("it was not ready before, and has been for %v", m.policy.SoakDuration))
+		inst.unreadyAtAssignment, inst.crashesAtAssignment = false, inst.observed.Crashes
+		m.setPhase(inst, PhaseUpdated, fmt.Sprintf("not ready at its assignment, but ready for %v since", m.policy.SoakDuration))
 	case m.elapsed-inst.assignedAt > m.policy.ReadyTimeout+m.policy.SoakDuration && inst.phase != PhaseFailed:
-		m.setPhase(inst, PhaseFailed, "it was not ready before it was told, and is not well now")
+		m.setPhase(inst, PhaseFailed, "not ready at its assignment, and has not recovered")
 	}
 }
--- a/rollout/golden_test.go
+++ b/rollout/golden_test.go
@@ -6,8 +6,8 @@
 	"elderyard/internal/golden"
 )
 
-// TestGoldenTexts: states stand in the voters' log and snapshots, states and phases in
-// the answers of the agents' interface.
+// TestGoldenTexts pins the values that leave the process: states are stored in the voters' log and snapshots, and
+// states and phases are returned by the agents' interface.
 func TestGoldenTexts(t *testing.T) {
 	golden.Constants(t, map[string]string{
 		string(Idle):             "idle",
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// noTime stands for a moment of the machine's clock that has not come.
+// noTime marks a time on the machine's clock as unset.
 const noTime time.Duration = -1
 
-// Machine runs one rollout after another. It is not safe for concurrent use; New makes one.
+// Machine runs one rollout after another. It is not safe for concurrent use. Create it with New.
 type Machine struct {
 	policy Policy
 
 	state          State
-	reason         string // of the state
+	reason         string // why it is in this state
 	target         Revision
 	previous       Revision
-	baseline       float64 // service level at the start
+	baseline       float64 // service level at the start of the rollout
 	instances      map[string]*instance
-	order          []string      // names of the instances in the order of assignment
-	wave           int           // 0: the canaries; else Policy.Waves[wave-1]
-	elapsed        time.Duration // of the machine's own clock, see advanceClock
-	lastEvent      time.Time
-	directionStart time.Duration // when the rollout began to advance or to roll back
-	lowSince       time.Duration // since when the service level is too low, or noTime
+	order          []string      // instance names in the order of assignment
+	wave           int           // 0: the canaries; otherwise Policy.Waves[wave-1]
+	elapsed        time.Duration // the time on the machine's own clock, see advanceClock
+	lastEventAt    time.Time
+	directionStart time.Duration // when the rollout started to advance or to roll back
+	lowSince       time.Duration // since when the service level has been too low, or noTime
 	actions        []Action
 }
 
-// New returns a machine without a rollout. It fails if the policy is invalid.
+// New returns an idle machine. The error is that of Policy.Validate.
 func New(policy Policy) (*Machine, error) {
 	if err := policy.Validate(); err != nil {
 		return nil, err
@@ -35,8 +35,8 @@
 	return &Machine{policy: policy, state: Idle, instances: map[string]*instance{}, lowSince: noTime}, nil
 }
 
-// Handle handles an event that happened at now and returns the actions to take, in a slice that is valid until the next
-// call. If the event is not possible in the present state, the error is an *EventError and nothing has changed.
+// Handle processes an event that happened at now and returns the actions to take, in a slice that is valid until the
+// next call. An event that is not allowed in the current state returns an *EventError and changes nothing.
 func (m *Machine) Handle(now time.Time, event Event) ([]Action, error) {
 	m.actions = m.actions[:0]
 	if err := m.checkEvent(event); err != nil {
@@ -66,17 +66,17 @@
 	return m.actions, nil
 }
 
-// EventError reports that an event is not possible in the state that a machine is in.
+// EventError reports an event that is not allowed in the state that the machine is in.
 type EventError struct {
 	Event  Event
 	State  State
 	reason string
 }
 
-// Error returns why the event is not possible.
+// Error returns why the event is not allowed.
 func (e *EventError) Error() string { return e.reason }
 
-// checkEvent returns an *EventError if an event is not possible in the present state.
+// checkEvent returns an *EventError if an event is not allowed in the current state.
 func (m *Machine) checkEvent(event Event) error {
 	var reason string
 	switch e := event.(type) {
@@ -101,20 +101,21 @@
 	return nil
 }
 
-// running reports whether the rollout is on its way to the new revision.
+// running reports whether the rollout still proceeds to the new revision: it is Advancing or Paused.
 func (m *Machine) running() bool { return m.state == Advancing || m.state == Paused }
 
-// advanceClock advances the machine's clock by the time since the last event. The clock never goes back, and a gap between
-// two events counts for at most half of SilenceTimeout: otherwise a wall clock that is set ahead, or a machine that was
-// suspended, would make all instances silent and late at once, and one that is set back would defer all deadlines.
+// advanceClock advances the machine's clock by the time since the last event. The clock never goes back, and a gap
+// between two events counts for at most half of SilenceTimeout. Otherwise setting the wall clock forward, or suspending
+// the process, would make all instances silent and overdue at once, and setting the wall clock back would postpone all
+// deadlines.
 func (m *Machine) advanceClock(now time.Time) {
-	if !m.lastEvent.IsZero() {
-		m.elapsed += min(max(now.Sub(m.lastEvent), 0), m.policy.SilenceTimeout/2)
+	if !m.lastEventAt.IsZero() {
+		m.elapsed += min(max(now.Sub(m.lastEventAt), 0), m.policy.SilenceTimeout/2)
 	}
-	m.lastEvent = now
+	m.lastEventAt = now
 }
 
-// setState sets the state of the rollout and reports the change.
+// setState sets the state of the rollout and reports the transition.
 func (m *Machine) setState(state State, reason string) {
 	if state != m.state {
 		m.actions = append(m.actions, Transition{From: string(m.state), To: string(state), Reason: reason})
@@ -122,8 +123,8 @@
 	m.state, m.reason = state, reason
 }
 
-// setPhase sets the phase of an instance and reports the change. PhasePending is reported even if it is the phase already,
-// which it is for an instance that joins.
+// setPhase sets the phase of an instance and reports the transition. PhasePending is reported even if the phase does
+// not change, since an instance that joins starts in it.
 func (m *Machine) setPhase(inst *instance, phase Phase, reason string) {
 	if phase != inst.phase || inst.phase == PhasePending {
 		m.actions = append(m.actions, Transition{Instance: inst.name, From: string(inst.phase), To: string(phase), Reason: reason})
@@ -131,7 +132,7 @@
 	inst.phase = phase
 }
 
-// step decides on what is due after an event.
+// step makes the decisions that are due after an event.
 func (m *Machine) step() {
 	if m.state == Idle {
 		return
--- a/rollout/machine_test.go
+++ b/rollout/machine_test.go
@@ -8,115 +8,127 @@
 	"time"
 )
 
+// TestRolloutAdvancesInWaves checks that only the canary is assigned the new revision until it has been updated.
 func TestRolloutAdvancesInWaves(t *testing.T) {
-	s := newSite(t, policy(), 10)
+	s := newSite(t, testPolicy(), 10)
 	s.start(t)
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	assigned := 0
-	for _, n := range s.nodes {
-		if n.Revision == 2 || n.assigned == 2 {
+	for _, inst := range s.instances {
+		if inst.Revision == 2 || inst.assigned == 2 {
 			assigned++
 		}
 	}
 	if assigned != 1 {
-		t.Fatalf("%d were assigned the revision before the canary was updated", assigned)
+		t.Fatalf("%d instances were assigned the revision before the canary was updated, want 1", assigned)
 	}
-	s.pass(3 * time.Minute)
+	s.advance(3 * time.Minute)
 	s.expect(t, Applied, 2)
 }
 
-// TestOneFault has one fault occur, and checks how the rollout ends.
-func TestOneFault(t *testing.T) {
+// TestSingleFault injects one fault or command into a rollout and checks how the rollout ends.
+func TestSingleFault(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(*site)
-		during func(*site) // after the canary was assigned the revision
-		state  State
-		wanted Revision
-		except []string // instances without the wanted revision
-		reason string   // a part of some change's text
+		before      func(*site) // runs before the start of the rollout
+		during      func(*site) // runs after the canary was assigned the revision
+		wantState   State
+		wantDesired Revision
+		wantMissing []string // instances without the desired revision
+		wantReason  string   // part of the text of a transition
 	}{
-		"canary crashes ten seconds after its start": {func(s *site) { s.nodes["g00"].crashesWith, s.nodes["g00"].crashDelay = 2, 9*time.Second }, nil, RolledBack, 1, nil, "g00 ended unasked with revision 2"},
-		"one of the last crashes":                    {func(s *site) { s.nodes["g08"].crashesWith, s.nodes["g08"].crashDelay = 2, 5*time.Second }, nil, RolledBack, 1, nil, "g08 ended unasked"},
-		"one rejects the revision":                   {func(s *site) { s.nodes["g03"].rejects = 2 }, nil, RolledBack, 1, nil, "g03 refused revision 2: it does not parse"},
-		"one is never ready":                         {func(s *site) { s.nodes["g04"].updateDuration = time.Hour }, nil, PartlyRolledBack, 1, nil, "g04 was not ready"},
-		"canary falls silent":                        {nil, func(s *site) { s.nodes["g00"].dead = true }, PartlyRolledBack, 1, nil, "nobody who was told is heard of and ready"},
-		"one falls silent later":                     {nil, func(s *site) { s.pass(18 * time.Second); s.nodes["g02"].dead = true }, PartlyApplied, 2, []string{"g02"}, "[g02]"},
-		"two fall silent":                            {nil, func(s *site) { s.pass(25 * time.Second); s.nodes["g01"].dead, s.nodes["g02"].dead = true, true }, PartlyRolledBack, 1, []string{"g01", "g02"}, "are silent"},
-		"one is unreachable from the start":          {func(s *site) { s.nodes["g05"].dead = true }, nil, PartlyApplied, 2, []string{"g05"}, "[g05]"},
-		"operator aborts":                            {nil, func(s *site) { s.pass(40 * time.Second); s.event(Abort{"ann"}) }, RolledBack, 1, nil, "aborted by ann"},
+		"canary crashes ten seconds after its start": {func(s *site) { s.instances["g00"].crashesOnRevision, s.instances["g00"].crashDelay = 2, 9*time.Second }, nil, RolledBack, 1, nil, "g00 ended unasked with revision 2"},
+		"last instance crashes":                      {func(s *site) { s.instances["g08"].crashesOnRevision, s.instances["g08"].crashDelay = 2, 5*time.Second }, nil, RolledBack, 1, nil, "g08 ended unasked"},
+		"instance rejects the revision":              {func(s *site) { s.instances["g03"].rejectsRevision = 2 }, nil, RolledBack, 1, nil, "g03 refused revision 2: it does not parse"},
+		"instance is never ready":                    {func(s *site) { s.instances["g04"].updateDuration = time.Hour }, nil, PartlyRolledBack, 1, nil, "g04 was not ready"},
+		"canary falls silent":                        {nil, func(s *site) { s.instances["g00"].dead = true }, PartlyRolledBack, 1, nil, "nobody who was told is heard of and ready"},
+		"instance falls silent later":                {nil, func(s *site) { s.advance(18 * time.Second); s.instances["g02"].dead = true }, PartlyApplied, 2, []string{"g02"}, "[g02]"},
+		"two instances fall silent": {nil, func(s *site) {
+			s.advance(25 * time.Second)
+			s.instances["g01"].dead, s.instances["g02"].dead = true, true
+		}, PartlyRolledBack, 1, []string{"g01", "g02"}, "are silent"},
+		"instance is unreachable from the start": {func(s *site) { s.instances["g05"].dead = true }, nil, PartlyApplied, 2, []string{"g05"}, "[g05]"},
+		"operator aborts":                        {nil, func(s *site) { s.advance(40 * time.Second); s.handle(Abort{"ann"}) }, RolledBack, 1, nil, "aborted by ann"},
 		"service level drops": {nil, func(s *site) {
-			s.pass(20 * time.Second)
+			s.advance(20 * time.Second)
 			for range 7 {
-				s.event(ServiceReported{0.7})
-				s.pass(time.Second)
+				s.handle(ServiceReported{0.7})
+				s.advance(time.Second)
 			}
 		}, RolledBack, 1, nil, "the service is at 0.700"},
-		"service level drops briefly": {nil, func(s *site) { s.event(ServiceReported{0.7}); s.pass(3 * time.Second); s.event(ServiceReported{0.95}) }, Applied, 2, nil, ""},
-		"one joins": {nil, func(s *site) {
-			s.nodes["new"] = &fakeInstance{Observed: Observed{Revision: 1, Ready: true}, updateDuration: time.Second}
+		"service level drops briefly": {nil, func(s *site) {
+			s.handle(ServiceReported{0.7})
+			s.advance(3 * time.Second)
+			s.handle(ServiceReported{0.95})
 		}, Applied, 2, nil, ""},
-		"one is removed": {nil, func(s *site) { delete(s.nodes, "g07"); s.event(InstanceRemoved{"g07"}) }, Applied, 2, nil, ""},
-		"clock jumps": {nil, func(s *site) {
+		"instance joins": {nil, func(s *site) {
+			s.instances["new"] = &fakeInstance{Observed: Observed{Revision: 1, Ready: true}, updateDuration: time.Second}
+		}, Applied, 2, nil, ""},
+		"instance is removed": {nil, func(s *site) { delete(s.instances, "g07"); s.handle(InstanceRemoved{"g07"}) }, Applied, 2, nil, ""},
+		"wall clock jumps": {nil, func(s *site) {
 			s.now = s.now.Add(24 * time.Hour)
-			s.pass(time.Second)
+			s.advance(time.Second)
 			s.now = s.now.Add(-48 * time.Hour)
 		}, Applied, 2, nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, policy(), 10)
-			if test.change != nil {
-				test.change(s)
+			s := newSite(t, testPolicy(), 10)
+			if test.before != nil {
+				test.before(s)
 			}
 			s.start(t)
-			s.pass(time.Second)
+			s.advance(time.Second)
 			if test.during != nil {
 				test.during(s)
 			}
-			s.pass(12 * time.Minute)
-			s.expect(t, test.state, test.wanted, test.except...)
-			if all := strings.Join(s.changes, "\n"); !strings.Contains(all, test.reason) {
-				t.Errorf("no change has the text %q:\n%s", test.reason, all)
+			s.advance(12 * time.Minute)
+			s.expect(t, test.wantState, test.wantDesired, test.wantMissing...)
+			if all := strings.Join(s.transitions, "\n"); !strings.Contains(all, test.wantReason) {
+				t.Errorf("no transition has the text %q:\n%s", test.wantReason, all)
 			}
-			// Instances that return long after the end get the wanted revision.
-			s.heal()
-			s.pass(5 * time.Minute)
-			s.expect(t, map[Revision]State{1: RolledBack, 2: Applied}[test.wanted], test.wanted)
+			// Instances that return long after the end of the rollout get the desired revision.
+			s.clearFaults()
+			s.advance(5 * time.Minute)
+			s.expect(t, map[Revision]State{1: RolledBack, 2: Applied}[test.wantDesired], test.wantDesired)
 		})
 	}
 }
 
+// TestPauseStopsAssignments checks that a paused rollout updates no further instances, and completes after it is
+// resumed.
 func TestPauseStopsAssignments(t *testing.T) {
-	s := newSite(t, policy(), 6)
+	s := newSite(t, testPolicy(), 6)
 	s.start(t)
-	s.pass(time.Second)
-	if err := s.event(Pause{"ann"}); err != nil {
+	s.advance(time.Second)
+	if err := s.handle(Pause{"ann"}); err != nil {
 		t.Fatal(err)
 	}
-	s.pass(2 * time.Minute)
+	s.advance(2 * time.Minute)
 	updated := 0
-	for _, n := range s.nodes {
-		if n.Revision == 2 {
+	for _, inst := range s.instances {
+		if inst.Revision == 2 {
 			updated++
 		}
 	}
-	if updated != 1 || s.m.Status().State != Paused {
-		t.Fatalf("%d instances were updated while the rollout was %s", updated, s.m.Status().State)
+	if updated != 1 || s.machine.Status().State != Paused {
+		t.Fatalf("%d instances are updated and the rollout is %s, want 1 and paused", updated, s.machine.Status().State)
 	}
-	if err := s.event(Resume{"bob"}); err != nil {
+	if err := s.handle(Resume{"bob"}); err != nil {
 		t.Fatal(err)
 	}
-	s.pass(3 * time.Minute)
+	s.advance(3 * time.Minute)
 	s.expect(t, Applied, 2)
 }
 
-func TestImpossibleEventsChangeNothing(t *testing.T) {
-	s := newSite(t, policy(), 3)
+// TestEventsNotAllowedInStateChangeNothing checks that an event that is not allowed returns an *EventError and leaves
+// the state as it was.
+func TestEventsNotAllowedInStateChangeNothing(t *testing.T) {
+	s := newSite(t, testPolicy(), 3)
 	expectError := func(event Event, state State) {
 		t.Helper()
-		err := s.event(event)
-		var impossible *EventError
-		if !errors.As(err, &impossible) || !reflect.DeepEqual(impossible.Event, event) || impossible.State != state || s.m.Status().State != state {
-			t.Errorf("%#v while %s: %v", event, state, err)
+		err := s.handle(event)
+		var eventError *EventError
+		if !errors.As(err, &eventError) || !reflect.DeepEqual(eventError.Event, event) || eventError.State != state || s.machine.Status().State != state {
+			t.Errorf("%#v in state %s: %v, and the state is %s", event, state, err, s.machine.Status().State)
 		}
 	}
 	for _, event := range []Event{Pause{"a"}, Resume{"a"}, Abort{"a"}, Start{New: 0}, Start{New: 3, Previous: 3}} {
@@ -130,34 +142,35 @@
 
 func TestInvalidPoliciesAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*Policy){
-		"no canary":                 func(p *Policy) { p.Canaries = 0 },
-		"none may be unavailable":   func(p *Policy) { p.MaxUnavailable = 0 },
-		"no waves":                  func(p *Policy) { p.Waves = nil },
-		"waves do not end at 1":     func(p *Policy) { p.Waves = []float64{0.5} },
-		"waves do not rise":         func(p *Policy) { p.Waves = []float64{0.5, 0.2, 1} },
-		"no deadline":               func(p *Policy) { p.Timeout = 0 },
-		"service may drop to 0":     func(p *Policy) { p.MaxServiceDrop = 1 },
-		"negative number of silent": func(p *Policy) { p.MaxSilent = -1 },
-		"negative soak duration":    func(p *Policy) { p.SoakDuration = -1 },
+		"no canary":                           func(p *Policy) { p.Canaries = 0 },
+		"no instance may be unavailable":      func(p *Policy) { p.MaxUnavailable = 0 },
+		"no waves":                            func(p *Policy) { p.Waves = nil },
+		"waves do not end at 1":               func(p *Policy) { p.Waves = []float64{0.5} },
+		"waves do not rise":                   func(p *Policy) { p.Waves = []float64{0.5, 0.2, 1} },
+		"no timeout":                          func(p *Policy) { p.Timeout = 0 },
+		"service level may drop to 0":         func(p *Policy) { p.MaxServiceDrop = 1 },
+		"negative number of silent instances": func(p *Policy) { p.MaxSilent = -1 },
+		"negative soak duration":              func(p *Policy) { p.SoakDuration = -1 },
 	} {
-		p := policy()
-		change(&p)
-		if _, err := New(p); err == nil {
-			t.Errorf("%s: %+v was accepted", name, p)
+		policy := testPolicy()
+		change(&policy)
+		if _, err := New(policy); err == nil {
+			t.Errorf("%s: %+v was accepted", name, policy)
 		}
 	}
 }
 
+// TestSiteWithoutInstancesIsAppliedAtOnce checks that a rollout to no instances ends at once, and that an instance that
+// joins later gets the desired revision.
 func TestSiteWithoutInstancesIsAppliedAtOnce(t *testing.T) {
-	s := newSite(t, policy(), 0)
+	s := newSite(t, testPolicy(), 0)
 	s.start(t)
-	if status := s.m.Status(); status.State != Applied {
-		t.Fatalf("%+v", status)
+	if status := s.machine.Status(); status.State != Applied {
+		t.Fatalf("status %+v, want state %s", status, Applied)
 	}
-	// An instance that joins later gets the wanted revision.
-	s.nodes["g00"] = &fakeInstance{updateDuration: time.Second}
-	s.pass(time.Minute)
-	if got := s.nodes["g00"].Revision; got != 2 {
-		t.Fatal(got)
+	s.instances["g00"] = &fakeInstance{updateDuration: time.Second}
+	s.advance(time.Minute)
+	if got := s.instances["g00"].Revision; got != 2 {
+		t.Fatalf("the instance runs revision %d, want 2", got)
 	}
 }
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Policy bounds a rollout. Times are of the machine's clock, see Machine.Handle.
+// Policy sets the limits of a rollout. Durations are measured on the machine's clock, see Machine.Handle.
 type Policy struct {
-	Canaries         int           // instances of the first wave
-	Waves            []float64     // fractions of all instances that are assigned by the end of each further wave, rising to 1
-	MaxUnavailable   int           // instances that may be unavailable at once for any cause, except silent ones and those past ReadyTimeout
-	ReadyTimeout     time.Duration // from an assignment until the instance must be ready; otherwise the rollout is rolled back
-	SoakDuration     time.Duration // how long it must then be ready without a crash
-	SilenceTimeout   time.Duration // how long after its last report an instance is silent
-	MaxSilent        int           // assigned instances that may be silent
-	MaxServiceDrop   float64       // fraction by which the service level may be below that at the start; 0: it is not checked
-	LowServiceWindow time.Duration // how long it may be below that
-	Timeout          time.Duration // from the start to the end, pauses included
-	RollbackTimeout  time.Duration // from the start of a rollback until it ends without the instances that are missing
+	Canaries         int           // number of instances in the first wave
+	Waves            []float64     // fraction of all instances assigned by the end of each further wave, rising to 1
+	MaxUnavailable   int           // instances that may be unavailable at once, except those silent or past ReadyTimeout
+	ReadyTimeout     time.Duration // from an assignment until the instance is ready; beyond it the rollout is rolled back
+	SoakDuration     time.Duration // how long an instance must then stay ready without a crash
+	SilenceTimeout   time.Duration // time since its last report after which an instance is silent
+	MaxSilent        int           // assigned instances that may be silent before the rollout is rolled back
+	MaxServiceDrop   float64       // fraction by which the service level may fall below that at the start; 0: not checked
+	LowServiceWindow time.Duration // how long the service level may stay below that limit
+	Timeout          time.Duration // from the start to the end, including pauses; beyond it the rollout is rolled back
+	RollbackTimeout  time.Duration // from the start of a rollback until it ends without the missing instances
 }
 
-// Validate returns an error if a rollout with the policy could not begin or not end. The error names the setting by the
-// operators' words.
+// Validate returns an error if a rollout with this policy could not start or could not end. The error is shown to
+// operators, so it uses the words of the configuration file.
 func (p *Policy) Validate() error {
 	switch {
 	case p.Canaries < 1:
--- a/rollout/reports.go
+++ b/rollout/reports.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// handleReport handles the report of an instance.
+// handleReport processes the report of an instance.
 func (m *Machine) handleReport(report InstanceReported) {
 	inst := m.instances[report.Instance]
 	if inst == nil {
-		inst = &instance{name: report.Instance, phase: PhasePending, readySince: noTime, downSince: m.elapsed}
+		inst = &instance{name: report.Instance, phase: PhasePending, readySince: noTime, unavailableSince: m.elapsed}
 		m.instances[report.Instance] = inst
 		m.order = append(m.order, report.Instance)
-		m.setPhase(inst, PhasePending, "it is new to the site")
+		m.setPhase(inst, PhasePending, "joined the site")
 	}
 	if inst.silent {
 		inst.silent = false
@@ -21,7 +21,7 @@
 		}
 	}
 	if inst.observed.Ready && !report.Ready {
-		inst.downSince = m.elapsed
+		inst.unavailableSince = m.elapsed
 	}
 	inst.observed, inst.reported, inst.lastReportAt = report.Observed, true, m.elapsed
 	if report.Ready && report.Revision == m.target {
@@ -34,27 +34,27 @@
 	}
 }
 
-// handleReturn handles the first report of an instance that was silent.
+// handleReturn processes the first report of an instance that was silent.
 func (m *Machine) handleReturn(inst *instance, observed Observed) {
-	const reason = "it is heard of again"
+	const reason = "reporting again"
 	if inst.assigned == 0 {
 		m.setPhase(inst, PhasePending, reason)
 		return
 	}
-	inst.assignedAt, inst.readySince = m.elapsed, noTime // its time starts anew: it may not have received the assignment
+	inst.assignedAt, inst.readySince = m.elapsed, noTime // ReadyTimeout restarts: the assignment may be lost
 	if m.state == RollingBack || m.state == RolledBack || m.state == PartlyRolledBack {
 		m.setPhase(inst, PhaseRollingBack, reason)
 		return
 	}
-	inst.crashesBefore = observed.Crashes
+	inst.crashesAtAssignment = observed.Crashes
 	m.setPhase(inst, PhaseUpdating, reason)
 }
 
-// handleRejection handles an instance's rejection of a revision, see Rejected.
+// handleRejection processes an instance's rejection of a revision, see Rejected.
 func (m *Machine) handleRejection(e Rejected) {
 	inst := m.instances[e.Instance]
 	if inst == nil || e.Revision != inst.assigned || inst.assigned == 0 {
-		return // of an earlier assignment
+		return // it rejects an earlier assignment
 	}
 	inst.lastReportAt = m.elapsed
 	m.setPhase(inst, PhaseRejected, e.Reason)
@@ -63,14 +63,14 @@
 	}
 }
 
-// handleRemoval handles an instance's removal from the site.
+// handleRemoval drops an instance that was removed from the site.
 func (m *Machine) handleRemoval(e InstanceRemoved) {
 	if m.instances[e.Instance] == nil {
 		return
 	}
 	delete(m.instances, e.Instance)
 	m.order = slices.DeleteFunc(m.order, func(name string) bool { return name == e.Instance })
-	m.actions = append(m.actions, Transition{Instance: e.Instance, Reason: "it no longer belongs to the site"})
+	m.actions = append(m.actions, Transition{Instance: e.Instance, Reason: "removed from the site"})
 }
 
 // handleServiceLevel rolls back if the service level has been too low for LowServiceWindow and the new revision may be
@@ -110,6 +110,6 @@
 		}
 		inst.silent = true
 		inst.readySince = noTime
-		m.setPhase(inst, PhaseSilent, fmt.Sprintf("not heard of for %v", m.policy.SilenceTimeout))
+		m.setPhase(inst, PhaseSilent, fmt.Sprintf("no report for %v", m.policy.SilenceTimeout))
 	}
 }
--- a/rollout/rollback.go
+++ b/rollout/rollback.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// rollBack begins a rollback. Instances are assigned the previous revision by continueRollback: with the same event if that
-// event demanded the rollback, with the next one if a gate did.
+// rollBack starts a rollback. continueRollback then assigns the previous revision to the instances: during the same
+// event if the event itself caused the rollback, during the next one if a gate did.
 func (m *Machine) rollBack(reason string) {
 	m.setState(RollingBack, reason)
 	m.directionStart = m.elapsed
@@ -24,10 +24,10 @@
 		m.setState(RolledBack, "there is no revision before: nothing is to run; "+m.reason)
 		return
 	}
-	list := m.participants()
+	participants := m.participants()
 	pending := 0
-	for _, inst := range list {
-		if m.rollBackInstance(inst, list) {
+	for _, inst := range participants {
+		if m.rollBackInstance(inst, participants) {
 			pending++
 		}
 	}
@@ -37,9 +37,8 @@
 	}
 }
 
-// rollBackInstance rolls back one instance of the list if it needs to, and reports whether the rollback must wait
-// for it.
-func (m *Machine) rollBackInstance(inst *instance, list []*instance) (pending bool) {
+// rollBackInstance rolls back one participant if necessary, and reports whether the rollback must wait for it.
+func (m *Machine) rollBackInstance(inst *instance, participants []*instance) (pending bool) {
 	switch {
 	case inst.assigned == m.previous && inst.readySince >= 0:
 		if inst.phase != PhaseRolledBack {
@@ -52,10 +51,10 @@
 		return true
 	case inst.reported && inst.observed.Revision == m.previous && inst.phase == PhasePending:
 		return false // it was never assigned the new revision
-	case !m.mayAssign(inst, list):
+	case !m.mayAssign(inst, participants):
 		return true
 	}
 	m.assign(inst, m.previous)
-	m.setPhase(inst, PhaseRollingBack, fmt.Sprintf("told to go back to revision %d", m.previous))
+	m.setPhase(inst, PhaseRollingBack, fmt.Sprintf("rolling back to revision %d", m.previous))
 	return true
 }
--- a/rollout/site_test.go
+++ b/rollout/site_test.go
@@ -8,170 +8,176 @@
 	"time"
 )
 
-func policy() Policy {
+// testPolicy allows one unavailable and one silent instance.
+func testPolicy() Policy {
 	return Policy{Canaries: 1, Waves: []float64{0.5, 1}, MaxUnavailable: 1, ReadyTimeout: 20 * time.Second, SoakDuration: 10 * time.Second,
 		SilenceTimeout: 8 * time.Second, MaxSilent: 1, MaxServiceDrop: 0.1, LowServiceWindow: 5 * time.Second, Timeout: 10 * time.Minute,
 		RollbackTimeout: 5 * time.Minute}
 }
 
-// site simulates instances: each updates as it is assigned, is unavailable for a while and then ready, unless it has a
-// fault.
+// site simulates the instances of a site. An instance that is assigned a revision is unavailable for its updateDuration
+// and then ready, unless it has a fault. The site is also the machine's driver.
 type site struct {
-	t       testing.TB
-	m       *Machine
-	now     time.Time
-	policy  Policy
-	nodes   map[string]*fakeInstance
-	changes []string
-	queue   []Event // that assignments caused
-	busy    bool
+	t           testing.TB
+	machine     *Machine
+	now         time.Time
+	policy      Policy
+	instances   map[string]*fakeInstance
+	transitions []string // texts of all transitions
+	queue       []Event  // caused by assignments, not handled yet
+	handling    bool     // an event from the queue is being handled
 }
 
+// fakeInstance is a simulated instance with its faults.
 type fakeInstance struct {
 	Observed
-	assigned       Revision
-	updateDuration time.Duration // from an assignment to ready
-	readyAt        time.Time
-	dead           bool
-	crashesWith    Revision
-	crashDelay     time.Duration // from ready to the crash
-	rejects        Revision
-	updating       bool // it is unavailable because of an assignment
-	assignedAt     time.Time
+	assigned          Revision
+	updateDuration    time.Duration // from an assignment until it is ready
+	readyAt           time.Time
+	dead              bool // does not report, and ignores assignments
+	crashesOnRevision Revision
+	crashDelay        time.Duration // from ready until it crashes
+	rejectsRevision   Revision
+	updating          bool // unavailable because of an assignment
+	assignedAt        time.Time
 }
 
-func newSite(t testing.TB, p Policy, n int) *site {
-	m, err := New(p)
+func newSite(t testing.TB, policy Policy, count int) *site {
+	machine, err := New(policy)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &site{t: t, m: m, policy: p, now: time.Unix(1_800_000_000, 0), nodes: map[string]*fakeInstance{}}
-	for i := range n {
-		s.nodes[fmt.Sprintf("g%02d", i)] = &fakeInstance{Observed: Observed{Revision: 1, Ready: true}, updateDuration: 2 * time.Second}
+	s := &site{t: t, machine: machine, policy: policy, now: time.Unix(1_800_000_000, 0), instances: map[string]*fakeInstance{}}
+	for i := range count {
+		s.instances[fmt.Sprintf("g%02d", i)] = &fakeInstance{Observed: Observed{Revision: 1, Ready: true}, updateDuration: 2 * time.Second}
 	}
 	return s
 }
 
-func (s *site) event(ev Event) error {
-	actions, err := s.m.Handle(s.now, ev)
-	for _, a := range actions {
-		switch a := a.(type) {
+// handle passes an event to the machine and carries out its actions.
+func (s *site) handle(event Event) error {
+	actions, err := s.machine.Handle(s.now, event)
+	for _, action := range actions {
+		switch action := action.(type) {
 		case Transition:
-			if a.Reason == "" {
-				s.t.Fatalf("%+v has no reason", a)
+			if action.Reason == "" {
+				s.t.Fatalf("%+v has no reason", action)
 			}
-			s.changes = append(s.changes, fmt.Sprintf("%s: %s -> %s: %s", a.Instance, a.From, a.To, a.Reason))
+			s.transitions = append(s.transitions, fmt.Sprintf("%s: %s -> %s: %s", action.Instance, action.From, action.To, action.Reason))
 		case Assign:
-			s.assign(a)
+			s.assign(action)
 		}
 	}
-	for len(s.queue) > 0 && !s.busy {
+	for len(s.queue) > 0 && !s.handling {
 		next := s.queue[0]
 		s.queue = s.queue[1:]
-		s.busy = true
-		if err := s.event(next); err != nil {
+		s.handling = true
+		if err := s.handle(next); err != nil {
 			s.t.Fatal(err)
 		}
-		s.busy = false
+		s.handling = false
 	}
 	return err
 }
 
-// assign carries an assignment out, and fails the test if more than MaxUnavailable instances are unavailable by assignments.
-func (s *site) assign(a Assign) {
-	n := s.nodes[a.Instance]
-	if n == nil || n.dead {
+// assign carries out an assignment. It fails the test if assignments make more than MaxUnavailable instances
+// unavailable.
+func (s *site) assign(assignment Assign) {
+	inst := s.instances[assignment.Instance]
+	if inst == nil || inst.dead {
 		return
 	}
-	if a.Revision == n.rejects {
-		s.queue = append(s.queue, Rejected{a.Instance, a.Revision, "it does not parse"})
+	if assignment.Revision == inst.rejectsRevision {
+		s.queue = append(s.queue, Rejected{assignment.Instance, assignment.Revision, "it does not parse"})
 		return
 	}
-	if a.Revision == n.Revision && n.Ready {
+	if assignment.Revision == inst.Revision && inst.Ready {
 		return
 	}
-	if n.Ready {
-		n.updating, n.assignedAt = true, s.now
+	if inst.Ready {
+		inst.updating, inst.assignedAt = true, s.now
 	}
-	n.assigned, n.Ready, n.readyAt = a.Revision, false, s.now.Add(n.updateDuration)
+	inst.assigned, inst.Ready, inst.readyAt = assignment.Revision, false, s.now.Add(inst.updateDuration)
 	unavailable := 0
-	for name, n := range s.nodes {
-		if i := s.m.instances[name]; i != nil && i.silent {
-			continue // it is back, and the machine can't know yet
+	for name, inst := range s.instances {
+		if known := s.machine.instances[name]; known != nil && known.silent {
+			continue // it may be back without the machine having received its report
 		}
-		if n.updating && !n.Ready && !n.dead && s.now.Sub(n.assignedAt) <= s.policy.ReadyTimeout {
+		if inst.updating && !inst.Ready && !inst.dead && s.now.Sub(inst.assignedAt) <= s.policy.ReadyTimeout {
 			unavailable++
 		}
 	}
 	if unavailable > s.policy.MaxUnavailable {
-		s.t.Fatalf("%d instances are unavailable by assignments, and %d may be: %+v\n%s", unavailable, s.policy.MaxUnavailable, a, strings.Join(s.changes, "\n"))
+		s.t.Fatalf("assignments made %d instances unavailable, at most %d are allowed: %+v\n%s", unavailable, s.policy.MaxUnavailable, assignment, strings.Join(s.transitions, "\n"))
 	}
 }
 
+// start begins a rollout of revision 2 in place of revision 1.
 func (s *site) start(t testing.TB) {
 	t.Helper()
 	initial := map[string]InitialInstance{}
-	for name, n := range s.nodes {
-		initial[name] = InitialInstance{Observed: n.Observed, Unreachable: n.dead}
+	for name, inst := range s.instances {
+		initial[name] = InitialInstance{Observed: inst.Observed, Unreachable: inst.dead}
 	}
-	if err := s.event(Start{New: 2, Previous: 1, Instances: initial, ServiceLevel: 0.95}); err != nil {
+	if err := s.handle(Start{New: 2, Previous: 1, Instances: initial, ServiceLevel: 0.95}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// pass lets time pass, second by second.
-func (s *site) pass(d time.Duration) {
-	for ; d > 0; d -= time.Second {
+// advance advances the clock by a duration, second by second, and lets the instances update, crash and report.
+func (s *site) advance(duration time.Duration) {
+	for ; duration > 0; duration -= time.Second {
 		s.now = s.now.Add(time.Second)
 		for _, name := range s.names() {
-			n := s.nodes[name]
-			if n == nil || n.dead {
+			inst := s.instances[name]
+			if inst == nil || inst.dead {
 				continue
 			}
-			if !n.Ready && !s.now.Before(n.readyAt) {
-				n.Ready, n.updating = true, false
-				if n.assigned != 0 {
-					n.Revision = n.assigned
+			if !inst.Ready && !s.now.Before(inst.readyAt) {
+				inst.Ready, inst.updating = true, false
+				if inst.assigned != 0 {
+					inst.Revision = inst.assigned
 				}
 			}
-			if n.Ready && n.crashesWith == n.Revision && s.now.Sub(n.readyAt) >= n.crashDelay {
-				n.Crashes++
-				n.Ready, n.readyAt = false, s.now.Add(n.updateDuration)
+			if inst.Ready && inst.crashesOnRevision == inst.Revision && s.now.Sub(inst.readyAt) >= inst.crashDelay {
+				inst.Crashes++
+				inst.Ready, inst.readyAt = false, s.now.Add(inst.updateDuration)
 			}
-			s.event(InstanceReported{name, n.Observed})
+			s.handle(InstanceReported{name, inst.Observed})
 		}
-		s.event(Tick{})
+		s.handle(Tick{})
 	}
 }
 
-func (s *site) names() (list []string) {
-	for name := range s.nodes {
-		list = append(list, name)
+// names returns the names of the instances, sorted.
+func (s *site) names() (names []string) {
+	for name := range s.instances {
+		names = append(names, name)
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(names)
+	return names
 }
 
-// expect fails the test unless the rollout is in a state in which the revision is wanted, and all instances have it but
-// the excepted.
-func (s *site) expect(t *testing.T, state State, wanted Revision, except ...string) {
+// expect fails the test unless the rollout has this state and this desired revision, and all instances but the missing
+// ones run that revision.
+func (s *site) expect(t *testing.T, state State, desired Revision, missing ...string) {
 	t.Helper()
-	if got := s.m.Status(); got.State != state || s.m.DesiredRevision() != wanted {
-		t.Fatalf("%s, revision %d wanted: %s\n%s", got.State, s.m.DesiredRevision(), got.Reason, strings.Join(s.changes, "\n"))
+	if got := s.machine.Status(); got.State != state || s.machine.DesiredRevision() != desired {
+		t.Fatalf("state %q with desired revision %d, want %q with %d: %s\n%s", got.State, s.machine.DesiredRevision(), state, desired, got.Reason, strings.Join(s.transitions, "\n"))
 	}
-	for name, n := range s.nodes {
-		if n.Revision != wanted && !slices.Contains(except, name) {
-			t.Errorf("%s has revision %d", name, n.Revision)
+	for name, inst := range s.instances {
+		if inst.Revision != desired && !slices.Contains(missing, name) {
+			t.Errorf("%s runs revision %d, want %d", name, inst.Revision, desired)
 		}
 	}
 }
 
-// heal removes all faults: every instance runs and becomes ready.
-func (s *site) heal() {
-	for _, n := range s.nodes {
-		n.dead, n.crashesWith, n.rejects, n.updateDuration = false, 0, 0, time.Second
-		if !n.Ready {
-			n.readyAt = s.now
+// clearFaults removes all faults, so that every instance runs and becomes ready.
+func (s *site) clearFaults() {
+	for _, inst := range s.instances {
+		inst.dead, inst.crashesOnRevision, inst.rejectsRevision, inst.updateDuration = false, 0, 0, time.Second
+		if !inst.Ready {
+			inst.readyAt = s.now
 		}
 	}
 }
--- a/rollout/start.go
+++ b/rollout/start.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// checkStart returns why a rollout can't start, "" if it can.
+// checkStart returns why a rollout can't start, or "" if it can.
 func (m *Machine) checkStart(e Start) (reason string) {
 	switch {
 	case m.state != Idle && !m.state.Ended():
@@ -19,7 +19,7 @@
 	return ""
 }
 
-// start begins a rollout or takes over one, see Start.
+// start begins a rollout or takes one over, see Start.
 func (m *Machine) start(e Start) {
 	m.target, m.previous, m.baseline = e.New, e.Previous, e.ServiceLevel
 	m.wave, m.directionStart, m.lowSince = 0, m.elapsed, noTime
@@ -34,7 +34,7 @@
 	}
 }
 
-// addInstances replaces all instances by those of a Start.
+// addInstances replaces all instances with those of a Start event.
 func (m *Machine) addInstances(initial map[string]InitialInstance) {
 	m.instances, m.order = map[string]*instance{}, nil
 	for name, state := range initial {
@@ -45,7 +45,7 @@
 }
 
 // compareInstances orders instances for assignment. Ready ones come first: a canary that was not ready before proves
-// nothing. Otherwise names decide, so that every machine uses the same order.
+// nothing about the revision. The rest of the order is by name, so that every machine uses the same one.
 func compareInstances(a, b *instance) int {
 	if a.observed.Ready != b.observed.Ready {
 		if a.observed.Ready {
@@ -56,8 +56,8 @@
 	return strings.Compare(a.name, b.name)
 }
 
-// resume marks the instances that the previous machine assigned the new revision. Otherwise InstanceRevision would return
-// the previous revision for them until their wave comes.
+// resume marks the instances to which the previous machine assigned the new revision. Otherwise InstanceRevision would
+// return the previous revision for them until their wave begins.
 func (m *Machine) resume(e Start) {
 	for _, name := range m.order {
 		initial := e.Instances[name]
@@ -67,8 +67,8 @@
 		inst := m.instances[name]
 		inst.assigned = e.New
 		inst.assignedAt = m.elapsed
-		inst.crashesBefore = initial.Crashes
-		inst.startedUnready = !initial.Ready
-		m.setPhase(inst, PhaseUpdating, "told before this machine had the lead")
+		inst.crashesAtAssignment = initial.Crashes
+		inst.unreadyAtAssignment = !initial.Ready
+		m.setPhase(inst, PhaseUpdating, "assigned before this machine took over")
 	}
 }
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Status is the state of a rollout for display.
+// Status is a snapshot of a rollout for display.
 type Status struct {
 	State     State
 	Reason    string
 	New       Revision
 	Previous  Revision
-	Desired   Revision         // see Machine.Wanted
-	Wave      int              // from 1, the canaries
-	Waves     int              // number of waves, the canaries' included
-	Instances []InstanceStatus // by name
+	Desired   Revision         // see Machine.DesiredRevision
+	Wave      int              // starting at 1 for the canaries
+	Waves     int              // number of waves, including that of the canaries
+	Instances []InstanceStatus // sorted by name
 }
 
 // InstanceStatus is the state of one instance.
@@ -23,10 +23,10 @@
 	Phase    Phase
 	Assigned Revision // 0: none
 	Observed Observed
-	Silent   bool // it has not reported for Policy.SilenceTimeout
+	Silent   bool // no report for Policy.SilenceTimeout
 }
 
-// Status returns the present state of the rollout, or of the last one.
+// Status returns the state of the current rollout or, if it has ended, of the last one.
 func (m *Machine) Status() Status {
 	status := Status{State: m.state, Reason: m.reason, New: m.target, Previous: m.previous, Desired: m.DesiredRevision(), Wave: m.wave + 1, Waves: len(m.policy.Waves) + 1}
 	for _, inst := range m.instances {
