--- a/fleet/agents.go
+++ b/fleet/agents.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Agent is one agent of the site with the instances that it runs.
+// Agent is an agent of the site with the instances that it runs.
 type Agent struct {
 	Name      string   `json:"name"`
 	Address   string   `json:"address"`
@@ -27,7 +27,7 @@
 	At    time.Time `json:"at"`
 }
 
-// Drain takes an instance out of service, or puts it back in.
+// Drain takes an instance out of service or, if Drained is false, puts it back into service.
 type Drain struct {
 	Instance string    `json:"instance"`
 	Drained  bool      `json:"on"`
@@ -35,19 +35,19 @@
 	At       time.Time `json:"at"`
 }
 
-// Agents returns all agents by name.
-func (s *State) Agents() (list []Agent) {
+// Agents returns all agents, sorted by name.
+func (s *State) Agents() (agents []Agent) {
 	for _, name := range slices.Sorted(maps.Keys(s.agents)) {
-		list = append(list, s.agents[name])
+		agents = append(agents, s.agents[name])
 	}
-	return list
+	return agents
 }
 
-// AgentOf returns the agent that runs an instance, and false if there is none.
+// AgentOf returns the agent that runs an instance, and false if no agent does.
 func (s *State) AgentOf(instance string) (Agent, bool) {
-	for _, a := range s.agents {
-		if _, found := slices.BinarySearch(a.Instances, instance); found {
-			return a, true
+	for _, agent := range s.agents {
+		if _, found := slices.BinarySearch(agent.Instances, instance); found {
+			return agent, true
 		}
 	}
 	return Agent{}, false
@@ -96,7 +96,7 @@
 	return Outcome{}
 }
 
-// instanceConflict returns why an agent can't have its instances beside the other agents, "" if it can.
+// instanceConflict returns why an agent can't have its instances besides those of the other agents, or "" if it can.
 func (s *State) instanceConflict(agent Agent) (reason string) {
 	total := len(agent.Instances)
 	for _, other := range s.agents {
@@ -116,16 +116,16 @@
 	return ""
 }
 
-func (s *State) applyRemove(r *Remove) Outcome {
-	agent, found := s.agents[r.Agent]
+func (s *State) applyRemove(remove *Remove) Outcome {
+	agent, found := s.agents[remove.Agent]
 	if !found {
-		return Outcome{Rejected: fmt.Sprintf("there is no agent %s", r.Agent)}
+		return Outcome{Rejected: fmt.Sprintf("there is no agent %s", remove.Agent)}
 	}
 	delete(s.agents, agent.Name)
 	for _, name := range agent.Instances {
 		delete(s.drained, name)
 	}
-	s.logEvent(r.At, r.By, fmt.Sprintf("agent %s was removed with its instances %v", agent.Name, agent.Instances))
+	s.logEvent(remove.At, remove.By, fmt.Sprintf("agent %s was removed with its instances %v", agent.Name, agent.Instances))
 	return Outcome{}
 }
 
--- a/fleet/audit.go
+++ b/fleet/audit.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Event is one entry of the audit log.
+// Event is an event in the audit log.
 type Event struct {
 	At   time.Time `json:"at"`
 	Who  string    `json:"who"`
 	What string    `json:"what"`
 }
 
-// Events returns the audit log, the oldest first.
+// Events returns the audit log, oldest first.
 func (s *State) Events() []Event { return slices.Clone(s.events) }
 
 func (e *Event) check() error {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// logEvent appends to the audit log and drops the oldest event beyond MaxEvents.
+// logEvent appends an event to the audit log, and drops the oldest one if there are more than MaxEvents.
 func (s *State) logEvent(at time.Time, who, what string) {
 	s.events = append(s.events, Event{at, who, Truncate(what, MaxTextBytes)})
 	if over := len(s.events) - MaxEvents; over > 0 {
@@ -32,12 +32,12 @@
 	}
 }
 
-// Truncate returns a text cut to at most maxBytes bytes. One that was cut is valid UTF-8 and ends with a mark; maxBytes must
-// be at least 4, the mark's length.
+// Truncate returns a text of at most maxBytes bytes, which must be at least 4. A text that was truncated is valid UTF-8
+// and ends with an ellipsis of 4 bytes.
 func Truncate(text string, maxBytes int) string {
-	const mark = " ..."
+	const ellipsis = " ..."
 	if len(text) <= maxBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxBytes-len(mark)], "") + mark
+	return strings.ToValidUTF8(text[:maxBytes-len(ellipsis)], "") + ellipsis
 }
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -10,7 +10,7 @@
 	"elderyard/revisions"
 )
 
-// Entry is one change that the voters agree on. Exactly one of its fields is set.
+// Entry is one change of the replicated state. Exactly one of its fields is set.
 type Entry struct {
 	Command       *revisions.Command `json:"command,omitempty"`
 	RolloutChange *RolloutChange     `json:"turn,omitempty"`
@@ -18,11 +18,12 @@
 	Remove        *Remove            `json:"remove,omitempty"`
 	Drain         *Drain             `json:"drain,omitempty"`
 	RosterChange  *RosterChange      `json:"belong,omitempty"`
-	Records       *records.Change    `json:"records,omitempty"` // its values are validated when it is applied
-	Audit         *Event             `json:"noted,omitempty"`   // of a change outside the state, such as of the voters
+	Records       *records.Change    `json:"records,omitempty"` // its operations are validated when it is applied
+	Audit         *Event             `json:"noted,omitempty"`   // logs a change outside the state, such as of the voters
 }
 
-// Encode encodes an entry for the replicated log. It returns an error for an entry that is invalid in any state.
+// Encode encodes an entry for the replicated log. It returns an error for an entry that is invalid regardless of the
+// state.
 func (e *Entry) Encode() ([]byte, error) {
 	if err := e.check(); err != nil {
 		return nil, err
@@ -30,8 +31,8 @@
 	return json.Marshal(e)
 }
 
-// Decode decodes the output of Encode and rejects anything else. An unknown key is an error: a voter that skipped it would
-// reach another state than one that knows it.
+// Decode decodes the output of Encode and rejects any other input. An unknown key is an error: a voter that ignored it
+// would reach a different state than a voter that knows it.
 func Decode(text []byte) (Entry, error) {
 	var e Entry
 	if len(text) > maxEntryBytes {
@@ -43,17 +44,17 @@
 	return e, e.check()
 }
 
-// check returns an error for an entry that is invalid in any state.
+// check returns an error for an entry that is invalid regardless of the state.
 func (e *Entry) check() error {
-	parts := 0
+	count := 0
 	for _, set := range []bool{e.Command != nil, e.RolloutChange != nil, e.Enroll != nil, e.Remove != nil, e.Drain != nil,
 		e.RosterChange != nil, e.Records != nil, e.Audit != nil} {
 		if set {
-			parts++
+			count++
 		}
 	}
-	if parts != 1 {
-		return fmt.Errorf("entry: %d parts are set, and one must be", parts)
+	if count != 1 {
+		return fmt.Errorf("entry: %d parts are set, and one must be", count)
 	}
 	switch {
 	case e.Command != nil:
@@ -74,11 +75,11 @@
 	return e.Audit.check()
 }
 
-// CheckName returns an error for a name that an agent or an instance can't have; what is "agent" or "instance". Names
-// become names of files and of processes.
-func CheckName(what, name string) error {
+// CheckName returns an error for an invalid name of an agent or an instance. The kind, "agent" or "instance", begins
+// the error's text. Names are restricted because they become the names of files and processes.
+func CheckName(kind, name string) error {
 	if name == "" || len(name) > maxNameBytes || strings.HasPrefix(name, ".") || !members.HasOnlyNameCharacters(name) {
-		return fmt.Errorf("%s %.40q: a name has letters, digits, '-', '_' and '.', at most %d, and does not begin with '.'", what, name, maxNameBytes)
+		return fmt.Errorf("%s %.40q: a name has letters, digits, '-', '_' and '.', at most %d, and does not begin with '.'", kind, name, maxNameBytes)
 	}
 	return nil
 }
--- a/fleet/entry_test.go
+++ b/fleet/entry_test.go
@@ -8,13 +8,13 @@
 func TestInvalidEntriesAndNamesAreRejected(t *testing.T) {
 	const drain, remove = `"drain":{"instance":"a","on":true,"by":"x","at":"2026-12-01T00:00:00Z"}`, `"remove":{"agent":"a","by":"x","at":"2026-12-01T00:00:00Z"}`
 	for name, text := range map[string]string{
-		"no part":                `{}`,
-		"two parts":              `{` + drain + `,` + remove + `}`,
+		"no field":               `{}`,
+		"two fields":             `{` + drain + `,` + remove + `}`,
 		"instance is a path":     `{"drain":{"instance":"../a"}}`,
 		"instances out of order": `{"enroll":{"agent":{"name":"a","address":"","instances":["b","a"]}}}`,
 		"no revision":            `{"turn":{"new":0,"state":"x"}}`,
 		"unknown key":            `{"what":1}`,
-		"followed by another":    `{"remove":{"agent":"a"}} x`,
+		"trailing data":          `{"remove":{"agent":"a"}} x`,
 		"empty":                  ``,
 		"null":                   `null`,
 	} {
@@ -29,30 +29,32 @@
 	}
 }
 
+// TestTruncate includes a character that would be cut in the middle.
 func TestTruncate(t *testing.T) {
-	for _, c := range [][2]string{{"", ""}, {"12345678", "12345678"}, {"123456789", "1234 ..."}, {"123é56789", "123 ..."}} {
-		if got := Truncate(c[0], 8); got != c[1] {
-			t.Errorf("%q: %q", c[0], got)
+	for _, test := range []struct{ text, want string }{{"", ""}, {"12345678", "12345678"}, {"123456789", "1234 ..."}, {"123é56789", "123 ..."}} {
+		if got := Truncate(test.text, 8); got != test.want {
+			t.Errorf("Truncate(%q, 8) = %q, want %q", test.text, got, test.want)
 		}
 	}
 }
 
+// FuzzDecode checks that any entry that is accepted can be applied to a new state and encoded again.
 func FuzzDecode(f *testing.F) {
-	e := command("1", 0, "a")
-	text, _ := e.Encode()
+	valid := command("1", 0, "a")
+	text, _ := valid.Encode()
 	f.Add(text)
 	f.Add([]byte(`{"drain":{"instance":"a","on":true,"by":"x","at":"2026-12-01T00:00:00Z"}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		e, err := Decode(text)
+		entry, err := Decode(text)
 		if err != nil {
 			return
 		}
 		var s State
-		if _, err := s.Apply(1, e); err != nil {
-			t.Fatalf("what was decoded can't be applied: %v", err)
+		if _, err := s.Apply(1, entry); err != nil {
+			t.Fatalf("a decoded entry can't be applied: %v", err)
 		}
-		if _, err := e.Encode(); err != nil {
-			t.Fatal(err)
+		if _, err := entry.Encode(); err != nil {
+			t.Fatalf("a decoded entry can't be encoded: %v", err)
 		}
 	})
 }
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -12,8 +12,8 @@
 	"elderyard/rollout"
 )
 
-// The golden files of this package are what the voters' logs and snapshots of existing
-// sites contain, and what the agents' interface answers.
+// The golden files of this package pin the format of the replicated log and snapshots of existing sites, and of the
+// responses of the agents' interface.
 
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
@@ -21,7 +21,7 @@
 	return &revisions.Content{File: "[site]\nname = \"<1> & \\t\"\n", Overlays: map[string]string{"g0": "a = 1\n"}, RestartGeneration: 3}
 }
 
-// goldenEntries returns an entry of each kind by the name of its file.
+// goldenEntries returns an entry of each kind, by the kind in the name of its golden file.
 func goldenEntries() map[string]Entry {
 	version := uint64(12)
 	return map[string]Entry{
@@ -41,9 +41,9 @@
 }
 
 func TestGoldenEntries(t *testing.T) {
-	var all []any
+	var entries []any
 	for kind, entry := range goldenEntries() {
-		all = append(all, entry)
+		entries = append(entries, entry)
 		name := "entry-" + kind + ".json"
 		encoded, err := entry.Encode()
 		if err != nil {
@@ -58,11 +58,11 @@
 			return err
 		})
 	}
-	golden.Complete(t, all...)
+	golden.Complete(t, entries...)
 }
 
-// TestUnknownKeyIsRejected: a voter that skipped a key would reach another state than
-// one that knows it.
+// TestUnknownKeyIsRejected checks that no voter ignores an unknown key: it would reach a different state than a voter
+// that knows the key.
 func TestUnknownKeyIsRejected(t *testing.T) {
 	for kind := range goldenEntries() {
 		golden.Decode(t, "entry-"+kind+".json", func(text []byte) error {
@@ -87,9 +87,9 @@
 }
 
 func TestGoldenRollout(t *testing.T) {
-	present := Rollout{New: 5, Previous: 3, State: rollout.RollingBack, Reason: "g0 was not ready", By: "ann", At: goldenTime}
-	golden.Complete(t, present)
-	golden.JSON(t, "rollout.json", present)
+	current := Rollout{New: 5, Previous: 3, State: rollout.RollingBack, Reason: "g0 was not ready", By: "ann", At: goldenTime}
+	golden.Complete(t, current)
+	golden.JSON(t, "rollout.json", current)
 }
 
 func TestGoldenAgent(t *testing.T) {
@@ -106,12 +106,12 @@
 
 func TestGoldenTexts(t *testing.T) {
 	golden.Constants(t, map[string]string{string(Busy): "busy"})
-	if acceptedReason != "it has been accepted" { // by it a leader finds that nobody has begun a rollout
-		t.Errorf("an accepted rollout's reason is %q", acceptedReason)
+	if acceptedReason != "it has been accepted" { // by this text a leader recognizes a rollout that has not been started
+		t.Errorf("the reason of a rollout that has not been started is %q", acceptedReason)
 	}
 }
 
-// goldenState has been through an entry of each kind; every part of it is set.
+// goldenState returns a state to which an entry of each kind has been applied, so that all of its parts are set.
 func goldenState(t *testing.T) *State {
 	t.Helper()
 	state := &State{}
@@ -151,16 +151,16 @@
 		t.Fatal(err)
 	}
 	golden.File(t, "state.json", encoded)
-	var form snapshot
-	golden.Decode(t, "state.json", func(text []byte) error { return revisions.DecodeStrict(text, &form) })
-	golden.Complete(t, form)
+	var decoded snapshot
+	golden.Decode(t, "state.json", func(text []byte) error { return revisions.DecodeStrict(text, &decoded) })
+	golden.Complete(t, decoded)
 	var restored State
 	golden.Decode(t, "state.json", restored.Restore)
-	again, err := restored.Snapshot()
+	reencoded, err := restored.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.File(t, "state.json", again)
+	golden.File(t, "state.json", reencoded)
 	if !reflect.DeepEqual(restored.Agents(), state.Agents()) || !reflect.DeepEqual(restored.Events(), state.Events()) ||
 		!reflect.DeepEqual(restored.Revisions(), state.Revisions()) || restored.Rollout() != state.Rollout() ||
 		!reflect.DeepEqual(restored.Roster(), state.Roster()) || !restored.Drained("g1") || restored.Drained("g0") ||
--- a/fleet/records_test.go
+++ b/fleet/records_test.go
@@ -16,6 +16,7 @@
 	acmeTenant = `{"plan":"gold","requests_per_second":50}`
 )
 
+// putRecord returns an operation that sets the record with this key, in text form, to a value.
 func putRecord(key, value string) records.Operation {
 	parsed, err := records.ParseKey(key)
 	if err != nil {
@@ -24,58 +25,63 @@
 	return records.Operation{Key: parsed, Value: json.RawMessage(value)}
 }
 
-func recordsEntry(request string, operations ...records.Operation) Entry {
+func recordsEntry(idempotencyKey string, operations ...records.Operation) Entry {
 	at := time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC)
-	return Entry{Records: &records.Change{IdempotencyKey: request, Author: "ann", Message: "why", At: at, Operations: operations}}
+	return Entry{Records: &records.Change{IdempotencyKey: idempotencyKey, Author: "ann", Message: "why", At: at, Operations: operations}}
 }
 
-func applyRecords(t *testing.T, s *State, index uint64, e Entry, want records.Status) records.Result {
+// applyRecords encodes, decodes and applies an entry, and checks the status of its result.
+func applyRecords(t *testing.T, s *State, index uint64, entry Entry, want records.Status) records.Result {
 	t.Helper()
-	text, err := e.Encode()
+	text, err := entry.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e, err = Decode(text); err != nil {
+	if entry, err = Decode(text); err != nil {
 		t.Fatal(err)
 	}
-	out, err := s.Apply(index, e)
-	if err != nil || out.Records == nil || out.Records.Status != want {
-		t.Fatalf("index %d: %+v, %v, want %s", index, out.Records, err, want)
+	outcome, err := s.Apply(index, entry)
+	if err != nil || outcome.Records == nil || outcome.Records.Status != want {
+		t.Fatalf("index %d: %+v, %v, want %s", index, outcome.Records, err, want)
 	}
-	return *out.Records
+	return *outcome.Records
 }
 
+// TestRecordsChange checks that a change is atomic, that a repeated change returns the first result, and that the audit
+// log describes an accepted change once.
 func TestRecordsChange(t *testing.T) {
 	var s State
 	first := recordsEntry("1", putRecord("plan/gold", goldPlan), putRecord("tenant/acme", acmeTenant))
 	if got := applyRecords(t, &s, 7, first, records.Accepted); got.Version != 7 {
-		t.Fatalf("version %d at index 7", got.Version)
+		t.Fatalf("the result has version %d, want 7, the index", got.Version)
 	}
 	if got := applyRecords(t, &s, 8, first, records.Accepted); got.Version != 7 {
-		t.Fatalf("a repeat's result has version %d", got.Version)
+		t.Fatalf("the result of the repeated change has version %d, want 7", got.Version)
 	}
 	invalid := recordsEntry("2", putRecord("plan/silver", goldPlan), putRecord("tenant/zed", `{"plan":"copper"}`))
 	got := applyRecords(t, &s, 9, invalid, records.Invalid)
 	if got.Problem.Key != "tenant/zed" || got.Problem.Field != "plan" {
-		t.Fatalf("%+v", got.Problem)
+		t.Fatalf("problem %+v, want one of field plan of tenant/zed", got.Problem)
 	}
 	if s.Records().Version() != 7 || s.Records().Len() != 2 {
-		t.Fatalf("version %d with %d records", s.Records().Version(), s.Records().Len())
+		t.Fatalf("after the invalid change: version %d with %d records, want 7 with 2", s.Records().Version(), s.Records().Len())
 	}
 	events := s.Events()
 	if len(events) != 1 || events[0].Who != "ann" || events[0].What != "records version 7: 2 put, 0 deleted: plan/gold tenant/acme: why" {
-		t.Fatalf("%+v", events)
+		t.Fatalf("events %+v", events)
 	}
 	if _, err := s.Apply(9, recordsEntry("3", putRecord("plan/silver", goldPlan))); err == nil {
-		t.Fatal("an index was accepted twice")
+		t.Fatal("an index was accepted a second time")
 	}
 }
 
+// TestRecordsInSnapshot checks that a snapshot contains the records and the results of earlier changes, and has no
+// records at all if there has been no change of records, as in releases without support for records.
 func TestRecordsInSnapshot(t *testing.T) {
 	var s State
 	without, err := s.Snapshot()
 	if err != nil || strings.Contains(string(without), "records") {
-		t.Fatalf("%s, %v", without, err)
+		t.Fatalf("snapshot without records: %s, %v", without, err)
 	}
 	applyRecords(t, &s, 3, recordsEntry("1", putRecord("plan/gold", goldPlan)), records.Accepted)
 	with, err := s.Snapshot()
@@ -87,16 +93,16 @@
 		t.Fatal(err)
 	}
 	if r := restored.Records(); r.Version() != 3 || r.Digest() != s.Records().Digest() {
-		t.Fatalf("version %d, digest %s", r.Version(), r.Digest())
+		t.Fatalf("restored version %d with digest %s, want 3 with %s", r.Version(), r.Digest(), s.Records().Digest())
 	}
-	// A repeat is recognized after a restore.
+	// A repeated change is recognized after a restore.
 	applyRecords(t, &restored, 4, recordsEntry("1", putRecord("plan/gold", goldPlan)), records.Accepted)
 	if restored.Records().Version() != 3 {
-		t.Fatal("a repeat was applied again after a restore")
+		t.Fatal("a repeated change was applied again after a restore")
 	}
-	// A snapshot of a program without support for records replaces all records.
+	// A snapshot of a release without support for records removes all records.
 	if err := restored.Restore(without); err != nil || restored.Records().Len() != 0 {
-		t.Fatalf("%d records, %v", restored.Records().Len(), err)
+		t.Fatalf("after the restore of a snapshot without records: %d records, %v", restored.Records().Len(), err)
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(with, &fields); err != nil {
@@ -115,7 +121,7 @@
 		t.Fatal(err)
 	}
 	if err := s.Restore(damaged); err == nil || s.Records().Len() != 1 {
-		t.Fatalf("a damaged snapshot: %v, %d records", err, s.Records().Len())
+		t.Fatalf("damaged snapshot: %v, and the state has %d records, want 1", err, s.Records().Len())
 	}
 }
 
@@ -125,14 +131,14 @@
 		many[i] = putRecord(fmt.Sprintf("plan/p%d", i), goldPlan)
 	}
 	large := putRecord("plan/gold", `"`+strings.Repeat("x", MaxRecordsChangeBytes)+`"`)
-	for unit, e := range map[string]Entry{"operations": recordsEntry("1", many...), "bytes": recordsEntry("1", large)} {
-		_, err := e.Encode()
-		var limit *RecordsLimitError
-		if !errors.As(err, &limit) || limit.Unit != unit || limit.Value <= limit.Limit || !strings.Contains(err.Error(), "allowed") {
+	for unit, entry := range map[string]Entry{"operations": recordsEntry("1", many...), "bytes": recordsEntry("1", large)} {
+		_, err := entry.Encode()
+		var limitError *RecordsLimitError
+		if !errors.As(err, &limitError) || limitError.Unit != unit || limitError.Value <= limitError.Limit || !strings.Contains(err.Error(), "allowed") {
 			t.Errorf("too many %s: %v", unit, err)
 		}
 	}
-	e := recordsEntry("1", many[:records.MaxOperations]...)
+	largest := recordsEntry("1", many[:records.MaxOperations]...)
 	var s State
-	applyRecords(t, &s, 1, e, records.Accepted)
+	applyRecords(t, &s, 1, largest, records.Accepted)
 }
--- a/fleet/rollout.go
+++ b/fleet/rollout.go
@@ -7,17 +7,18 @@
 	"elderyard/rollout"
 )
 
-// Rollout is the state of the present rollout, or of the last one, as the voters have agreed on it.
+// Rollout is the replicated state of the current rollout or, if it has ended, of the last one.
 type Rollout struct {
 	New      uint64        `json:"new"`
 	Previous uint64        `json:"before"`
 	State    rollout.State `json:"state"`
 	Reason   string        `json:"why"`
-	By       string        `json:"by"` // the author of New
-	At       time.Time     `json:"at"` // the time of the present state
+	By       string        `json:"by"` // the author of revision New
+	At       time.Time     `json:"at"` // when the rollout entered its state
 }
 
-// DesiredRevision returns the revision that all instances converge to by the present state, 0 for none; see rollout.Machine.DesiredRevision.
+// DesiredRevision returns the revision to which all instances converge, 0 for none. It agrees with
+// rollout.Machine.DesiredRevision.
 func (r Rollout) DesiredRevision() uint64 {
 	switch r.State {
 	case rollout.RollingBack, rollout.RolledBack, rollout.PartlyRolledBack:
@@ -26,16 +27,18 @@
 	return r.New
 }
 
-// Ended reports whether another rollout may begin.
+// Ended reports whether another rollout may start.
 func (r Rollout) Ended() bool { return r.New == 0 || r.State.Ended() }
 
-// acceptedReason is the Reason of a rollout that no leader has begun. It stands in stored entries, and Started goes by it.
+// acceptedReason is the Reason of a rollout that no leader has started yet. It is part of the replicated state, and
+// Started relies on it.
 const acceptedReason = "it has been accepted"
 
-// Started reports whether a leader has begun the rollout, so that the next leader takes it over.
+// Started reports whether a leader has started the rollout, so that the next leader must take it over.
 func (r Rollout) Started() bool { return r.State != rollout.Advancing || r.Reason != acceptedReason }
 
-// RolloutChange sets the state of the rollout of New. By is empty if the rollout's machine decided.
+// RolloutChange sets the state of the rollout of revision New. By is the operator, or empty if the rollout's machine
+// made the decision.
 type RolloutChange struct {
 	New    uint64        `json:"new"`
 	State  rollout.State `json:"state"`
@@ -44,7 +47,7 @@
 	At     time.Time     `json:"at"`
 }
 
-// Rollout returns the present rollout or the last one.
+// Rollout returns the current rollout or, if it has ended, the last one.
 func (s *State) Rollout() Rollout { return s.rollout }
 
 func (c *RolloutChange) check() error {
@@ -54,9 +57,9 @@
 	return nil
 }
 
-// applyRolloutChange sets the state of the present rollout. A leader that lost its leadership may have decided on an
-// outdated state, so two invariants hold whatever it proposes: a rollback never becomes an advance again, and an ended
-// rollout never runs again.
+// applyRolloutChange sets the state of the current rollout. A leader that has lost its leadership may have decided on a
+// stale state, so two invariants hold whatever it proposes: a rollout that is rolling back never advances again, and
+// one that has ended never runs again.
 func (s *State) applyRolloutChange(change *RolloutChange) Outcome {
 	current := &s.rollout
 	if change.New != current.New {
--- a/fleet/rollout_test.go
+++ b/fleet/rollout_test.go
@@ -8,40 +8,44 @@
 	"elderyard/rollout"
 )
 
+// TestAcceptedCommandBeginsRollout checks that a command is Busy during a rollout, and that a rollout replaces the
+// revision that the instances run rather than the head.
 func TestAcceptedCommandBeginsRollout(t *testing.T) {
 	var s State
-	if out := apply(t, &s, command("1", 0, "a")); out.Result.Status != revisions.Accepted {
-		t.Fatalf("%+v", out)
+	if outcome := apply(t, &s, command("1", 0, "a")); outcome.Result.Status != revisions.Accepted {
+		t.Fatalf("first command: %+v", outcome)
 	}
 	if r := s.Rollout(); r.New != 1 || r.Previous != 0 || r.State != rollout.Advancing || r.By != "ann" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("first rollout: %+v", r)
 	}
-	if out := apply(t, &s, command("2", 1, "b")); out.Result.Status != Busy || out.Result.Revision.Number != 1 {
-		t.Fatalf("a second rollout during the first: %+v", out)
+	if outcome := apply(t, &s, command("2", 1, "b")); outcome.Result.Status != Busy || outcome.Result.Revision.Number != 1 {
+		t.Fatalf("second command during the first rollout: %+v", outcome)
 	}
-	// A repeat gets its result again, busy or not.
-	if out := apply(t, &s, command("1", 0, "a")); out.Result.Status != revisions.Accepted || out.Result.Revision.Number != 1 {
-		t.Fatalf("%+v", out)
+	// A repeated command returns its first result even during a rollout.
+	if outcome := apply(t, &s, command("1", 0, "a")); outcome.Result.Status != revisions.Accepted || outcome.Result.Revision.Number != 1 {
+		t.Fatalf("repeated command: %+v", outcome)
 	}
 	apply(t, &s, rolloutChange(1, rollout.Applied, "all have it"))
-	if out := apply(t, &s, command("2", 1, "b")); out.Result.Status != revisions.Accepted {
-		t.Fatalf("%+v", out)
+	if outcome := apply(t, &s, command("2", 1, "b")); outcome.Result.Status != revisions.Accepted {
+		t.Fatalf("second command after the first rollout: %+v", outcome)
 	}
 	apply(t, &s, rolloutChange(2, rollout.RollingBack, "it broke"))
 	apply(t, &s, rolloutChange(2, rollout.RolledBack, "all are back"))
 	r := s.Rollout()
 	if r.DesiredRevision() != 1 || r.Reason != "all are back" {
-		t.Fatalf("%+v", r)
+		t.Fatalf("after the rollback: %+v", r)
 	}
-	// The next one replaces the revision that runs, not the head.
+	// The next rollout replaces the revision that the instances run, not the head.
 	apply(t, &s, command("3", 2, "c"))
 	if r := s.Rollout(); r.New != 3 || r.Previous != 1 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("third rollout: %+v", r)
 	}
 }
 
-func TestLateRolloutChangeRevertsNothing(t *testing.T) {
-	for _, test := range []struct{ current, late rollout.State }{
+// TestStaleRolloutChangeIsRejected checks that a change proposed by a leader that has lost its leadership neither turns
+// a rollback into an advance nor restarts a rollout that has ended.
+func TestStaleRolloutChangeIsRejected(t *testing.T) {
+	for _, test := range []struct{ current, stale rollout.State }{
 		{rollout.RollingBack, rollout.Advancing}, {rollout.RollingBack, rollout.Applied}, {rollout.RolledBack, rollout.PartlyApplied},
 		{rollout.Applied, rollout.Advancing}, {rollout.PartlyRolledBack, rollout.RollingBack},
 	} {
@@ -50,17 +54,19 @@
 		apply(t, &s, rolloutChange(1, rollout.Applied, ""))
 		apply(t, &s, command("2", 1, "b"))
 		apply(t, &s, rolloutChange(2, test.current, "first"))
-		if out := apply(t, &s, rolloutChange(2, test.late, "late")); out.Rejected == "" || s.Rollout().State != test.current {
-			t.Errorf("%s after %s: %+v", test.late, test.current, s.Rollout())
+		if outcome := apply(t, &s, rolloutChange(2, test.stale, "late")); outcome.Rejected == "" || s.Rollout().State != test.current {
+			t.Errorf("change to %q in state %q: %+v", test.stale, test.current, s.Rollout())
 		}
 	}
 	var s State
 	apply(t, &s, command("1", 0, "a"))
-	if out := apply(t, &s, rolloutChange(7, rollout.Applied, "")); out.Rejected == "" || s.Rollout().State != rollout.Advancing {
+	if outcome := apply(t, &s, rolloutChange(7, rollout.Applied, "")); outcome.Rejected == "" || s.Rollout().State != rollout.Advancing {
 		t.Error("a change of another rollout was accepted")
 	}
 }
 
+// TestPreviousRevisionOutlivesHistory guards against the loss of the revision that the instances run: when more
+// revisions are rolled back in a row than the history holds, it is dropped from the history but still needed.
 func TestPreviousRevisionOutlivesHistory(t *testing.T) {
 	var s State
 	apply(t, &s, command("0", 0, "good"))
@@ -70,7 +76,7 @@
 		apply(t, &s, rolloutChange(i+2, rollout.RolledBack, ""))
 	}
 	if r, found := s.Revision(1); !found || r.Content.File != "good" || s.Rollout().DesiredRevision() != 1 {
-		t.Fatalf("%v %+v", found, s.Rollout())
+		t.Fatalf("revision 1 found: %v, rollout %+v", found, s.Rollout())
 	}
 	text, err := s.Snapshot()
 	if err != nil {
@@ -81,6 +87,6 @@
 		t.Fatal(err)
 	}
 	if _, found := restored.Revision(1); !found {
-		t.Fatal("it is not in the snapshot")
+		t.Fatal("revision 1 is not in the snapshot")
 	}
 }
--- a/fleet/roster.go
+++ b/fleet/roster.go
@@ -8,14 +8,14 @@
 	"elderyard/members"
 )
 
-// RosterChange sets the instances that are members of the site. It is an entry of its own rather than derived from the
-// agents' entries: voters that start from snapshots of different ages must reach the same epochs.
+// RosterChange sets the instances that are members of the site. It is a separate entry rather than derived from the
+// entries of the agents, so that voters that start from snapshots of different ages reach the same epochs.
 type RosterChange struct {
 	Names []string  `json:"names"` // sorted, without duplicates
 	At    time.Time `json:"at"`
 }
 
-// Check returns an error for names that no roster can have.
+// Check returns an error for a list of names that is not a valid roster.
 func (c *RosterChange) Check() error {
 	if len(c.Names) == 0 || len(c.Names) > members.MaxRosterSize {
 		return fmt.Errorf("roster: %d names, and 1 to %d may be", len(c.Names), members.MaxRosterSize)
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Roster returns the members of the site as the voters have agreed on them. Its epoch is 0 before the first RosterChange.
+// Roster returns the members of the site. Its epoch is 0 before the first RosterChange.
 func (s *State) Roster() members.Roster { return s.roster }
 
 func (s *State) applyRosterChange(change *RosterChange) Outcome {
--- a/fleet/roster_test.go
+++ b/fleet/roster_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestRosterChanges checks that the epoch increases with each change of the members and only then, and that invalid
+// rosters are rejected.
 func TestRosterChanges(t *testing.T) {
 	var s State
 	apply := func(names ...string) {
@@ -17,12 +19,12 @@
 		t.Errorf("a new site has epoch %d", s.Roster().Epoch)
 	}
 	apply("g0", "g1")
-	apply("g0", "g1") // again: nothing changes
+	apply("g0", "g1") // no change
 	apply("g0", "g1", "g2")
 	apply("g0", "g2")
 	r := s.Roster()
 	if r.Epoch != 3 || len(r.Members) != 2 || r.Members[0].Since != 0 || r.Members[1].Since != 2 {
-		t.Errorf("%+v", r)
+		t.Errorf("roster %+v", r)
 	}
 	text, err := s.Snapshot()
 	if err != nil {
@@ -30,11 +32,11 @@
 	}
 	var restored State
 	if err := restored.Restore(text); err != nil || !reflect.DeepEqual(restored.Roster(), r) {
-		t.Errorf("after a snapshot: %+v, %v", restored.Roster(), err)
+		t.Errorf("restored roster %+v, %v", restored.Roster(), err)
 	}
-	for _, bad := range [][]string{{}, {"b", "a"}, {"a", "a"}, {"a b"}} {
-		if _, err := s.Apply(1, Entry{RosterChange: &RosterChange{Names: bad}}); err == nil {
-			t.Errorf("%v was accepted", bad)
+	for _, invalid := range [][]string{{}, {"b", "a"}, {"a", "a"}, {"a b"}} {
+		if _, err := s.Apply(1, Entry{RosterChange: &RosterChange{Names: invalid}}); err == nil {
+			t.Errorf("roster %v was accepted", invalid)
 		}
 	}
 	if s.Roster().Epoch != 3 {
@@ -42,16 +44,17 @@
 	}
 }
 
-// TestSnapshotWithoutRoster: a site without a roster has the snapshots of programs without support for rosters.
+// TestSnapshotWithoutRoster checks that releases without support for rosters can read the snapshots of a site without a
+// roster.
 func TestSnapshotWithoutRoster(t *testing.T) {
 	var s State
 	text, err := s.Snapshot()
-	if err != nil || string(text) != `{"form":1,"history":`+string(historyOf(t, &s))+`,"rollout":{"new":0,"before":0,"state":"","why":"","by":"","at":"0001-01-01T00:00:00Z"},"agents":null,"drained":null,"events":null}` {
-		t.Errorf("%s, %v", text, err)
+	if err != nil || string(text) != `{"form":1,"history":`+string(historySnapshot(t, &s))+`,"rollout":{"new":0,"before":0,"state":"","why":"","by":"","at":"0001-01-01T00:00:00Z"},"agents":null,"drained":null,"events":null}` {
+		t.Errorf("snapshot %s, %v", text, err)
 	}
 }
 
-func historyOf(t *testing.T, s *State) []byte {
+func historySnapshot(t *testing.T, s *State) []byte {
 	t.Helper()
 	text, err := s.history.Snapshot()
 	if err != nil {
--- a/fleet/snapshot.go
+++ b/fleet/snapshot.go
@@ -11,7 +11,7 @@
 	"elderyard/revisions"
 )
 
-// snapshot is the stored form of a state.
+// snapshot is the encoded form of a State.
 type snapshot struct {
 	Version  int                 `json:"form"`
 	History  json.RawMessage     `json:"history"`
@@ -20,10 +20,11 @@
 	Agents   []Agent             `json:"agents"`
 	Drained  []string            `json:"drained"`
 	Roster   *members.Roster     `json:"roster,omitempty"`
-	Records  []byte              `json:"records,omitempty"` // the encoding of records.Store; none: there has been no change of records
+	Records  []byte              `json:"records,omitempty"` // snapshot of the records.Store; nil: no change of records yet
 	Events   []Event             `json:"events"`
 }
 
+// snapshotVersion is the version of the snapshot format.
 const snapshotVersion = 1
 
 // Snapshot encodes the complete state. Equal states have equal encodings.
@@ -36,7 +37,7 @@
 	if s.roster.Epoch > 0 {
 		roster = &s.roster
 	}
-	stored, err := s.snapshotRecords()
+	recordsSnapshot, err := s.snapshotRecords()
 	if err != nil {
 		return nil, err
 	}
@@ -48,13 +49,13 @@
 		Agents:   s.Agents(),
 		Drained:  slices.Sorted(maps.Keys(s.drained)),
 		Roster:   roster,
-		Records:  stored,
+		Records:  recordsSnapshot,
 		Events:   s.events,
 	})
 }
 
-// Restore replaces the state by the one that Snapshot encoded. It returns an error and changes nothing if that is cut short,
-// altered or contradicts itself.
+// Restore replaces the state with one that Snapshot encoded. It returns an error and changes nothing if the snapshot is
+// truncated, altered or inconsistent.
 func (s *State) Restore(text []byte) error {
 	var stored snapshot
 	if err := revisions.DecodeStrict(text, &stored); err != nil {
@@ -72,12 +73,12 @@
 	if len(stored.Events) > MaxEvents {
 		return errors.New("snapshot: more events than a state keeps")
 	}
-	next.events = stored.Events // in place of those that restoreAgents logged
+	next.events = stored.Events // replaces the events that restoreAgents logged
 	*s = next
 	return nil
 }
 
-// restoreRevisions restores the history and the rollout, whose revisions must be readable.
+// restoreRevisions restores the history and the rollout, and checks that the revisions of the rollout are available.
 func (s *State) restoreRevisions(stored *snapshot) error {
 	if err := s.history.Restore(stored.History); err != nil {
 		return err
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// restoreAgents restores the agents and the drains, as entries would have made them.
+// restoreAgents restores the agents and the drained instances by applying the entries that would create them.
 func (s *State) restoreAgents(stored *snapshot) error {
 	for _, agent := range stored.Agents {
 		enroll := &Enroll{Agent: agent}
--- a/fleet/snapshot_test.go
+++ b/fleet/snapshot_test.go
@@ -11,30 +11,31 @@
 	"elderyard/rollout"
 )
 
-// TestSnapshotsRestoreAnyState: after any entries, a state that is restored from its snapshot has the same snapshot.
+// TestSnapshotsRestoreAnyState applies random entries, and checks after each one that a state restored from a snapshot
+// has the same snapshot.
 func TestSnapshotsRestoreAnyState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
 		for n := range rapid.IntRange(0, 40).Draw(t, "entries") {
 			head, _ := s.Head()
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, fmt.Sprint("name", n))
-			var e Entry
+			var entry Entry
 			switch rapid.IntRange(0, 4).Draw(t, fmt.Sprint("kind", n)) {
 			case 0:
-				e = command(fmt.Sprint(rapid.IntRange(0, 30).Draw(t, fmt.Sprint("request", n))), head.Number, name+fmt.Sprint(n))
+				entry = command(fmt.Sprint(rapid.IntRange(0, 30).Draw(t, fmt.Sprint("request", n))), head.Number, name+fmt.Sprint(n))
 			case 1:
 				if head.Number == 0 {
 					continue
 				}
-				e = rolloutChange(head.Number, rapid.SampledFrom([]rollout.State{rollout.Paused, rollout.Advancing, rollout.RollingBack, rollout.RolledBack, rollout.Applied}).Draw(t, fmt.Sprint("state", n)), "so")
+				entry = rolloutChange(head.Number, rapid.SampledFrom([]rollout.State{rollout.Paused, rollout.Advancing, rollout.RollingBack, rollout.RolledBack, rollout.Applied}).Draw(t, fmt.Sprint("state", n)), "so")
 			case 2:
-				e = Entry{Enroll: &Enroll{Agent{name, "", []string{name + "0", name + "1"}}, at}}
+				entry = Entry{Enroll: &Enroll{Agent{name, "", []string{name + "0", name + "1"}}, at}}
 			case 3:
-				e = Entry{Drain: &Drain{name + "0", n%2 == 0, "ann", at}}
+				entry = Entry{Drain: &Drain{name + "0", n%2 == 0, "ann", at}}
 			case 4:
-				e = Entry{Remove: &Remove{name, "ann", at}}
+				entry = Entry{Remove: &Remove{name, "ann", at}}
 			}
-			if _, err := s.Apply(1, e); err != nil {
+			if _, err := s.Apply(1, entry); err != nil {
 				t.Fatal(err)
 			}
 			text, err := s.Snapshot()
@@ -45,9 +46,9 @@
 			if err := restored.Restore(text); err != nil {
 				t.Fatalf("%v\n%s", err, text)
 			}
-			again, _ := restored.Snapshot()
-			if string(again) != string(text) || !reflect.DeepEqual(restored.Rollout(), s.Rollout()) {
-				t.Fatalf("%s\n%s", text, again)
+			reencoded, _ := restored.Snapshot()
+			if string(reencoded) != string(text) || !reflect.DeepEqual(restored.Rollout(), s.Rollout()) {
+				t.Fatalf("snapshot and that of the restored state differ:\n%s\n%s", text, reencoded)
 			}
 		}
 	})
@@ -59,22 +60,22 @@
 	apply(t, &s, rolloutChange(1, rollout.Applied, ""))
 	apply(t, &s, command("2", 1, "b"))
 	apply(t, &s, Entry{Enroll: &Enroll{Agent{"a1", "", []string{"g0"}}, at}})
-	good, _ := s.Snapshot()
+	valid, _ := s.Snapshot()
 	for name, text := range map[string]string{
-		"cut short":           string(good[:len(good)/2]),
-		"followed":            string(good) + "x",
-		"another form":        strings.Replace(string(good), `"form":1,"history"`, `"form":9,"history"`, 1),
-		"changed":             strings.Replace(string(good), `"file":"a"`, `"file":"A"`, 1),
-		"another rollout":     strings.Replace(string(good), `"new":2`, `"new":9`, 1),
-		"drain without agent": strings.Replace(string(good), `"drained":null`, `"drained":["g7"]`, 1),
-		"invalid agent name":  strings.Replace(string(good), `"name":"a1"`, `"name":"/"`, 1),
+		"truncated":                      string(valid[:len(valid)/2]),
+		"trailing data":                  string(valid) + "x",
+		"unknown version":                strings.Replace(string(valid), `"form":1,"history"`, `"form":9,"history"`, 1),
+		"changed content":                strings.Replace(string(valid), `"file":"a"`, `"file":"A"`, 1),
+		"unknown revision":               strings.Replace(string(valid), `"new":2`, `"new":9`, 1),
+		"drained instance without agent": strings.Replace(string(valid), `"drained":null`, `"drained":["g7"]`, 1),
+		"invalid agent name":             strings.Replace(string(valid), `"name":"a1"`, `"name":"/"`, 1),
 	} {
-		if text == string(good) {
-			t.Fatalf("%s: the test changed nothing", name)
+		if text == string(valid) {
+			t.Fatalf("%s: the snapshot was not modified", name)
 		}
 		var restored State
 		if err := restored.Restore([]byte(text)); err == nil || !reflect.DeepEqual(restored, State{}) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, and the state is %+v", name, err, restored)
 		}
 	}
 }
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -1,12 +1,13 @@
-// Package fleet is the state that the voters of a site agree on: the revisions, the present rollout, the agents with their
-// instances, which instances operators have drained, the roster, the records, and the audit log. It is a pure state
-// machine: entries go in, in the order of the replicated log, and every voter reaches the same State. It does no I/O and
-// reads no clock; times come with the entries.
+// Package fleet is the replicated state of a site: its revisions, the current rollout, the agents with their instances,
+// the drained instances, the roster, the records, and the audit log. It is a pure state machine: entries are applied in
+// the order of the replicated log, and every voter reaches the same State. It does no I/O and reads no clock; entries
+// carry their times.
 //
-// It decides no rollout: the leader does so with package rollout and proposes RolloutChange entries. It neither replicates
-// nor stores: package internal/replica owns the State, applies entries in one goroutine and lets others read under a lock.
-// A caller must not change what the accessors return, nor use it after the read, and must not apply an entry that did not
-// come from the log: that voter's state would differ from the others' for good.
+// Rollouts are decided elsewhere: the leader does so with package rollout, and proposes RolloutChange entries.
+// Replication and storage are the job of package internal/replica, which owns the State, applies entries in one
+// goroutine and lets others read under a lock. Callers must not change what the accessors return, nor use it after they
+// have released the lock. They must not apply an entry that did not come from the log: the state of that voter would
+// differ from that of the others for good.
 package fleet
 
 import (
@@ -18,36 +19,37 @@
 	"elderyard/rollout"
 )
 
-// Bounds of a State and its entries. They are part of the replicated state machine: voters with other values would reach
-// another state.
+// Limits of a State and its entries. They are part of the replicated state machine: voters with different limits would
+// reach different states.
 const (
 	MaxAgents     = 4096
 	MaxInstances  = 8192     // of all agents together
-	MaxEvents     = 2000     // of the audit log; the oldest are dropped
+	MaxEvents     = 2000     // in the audit log; the oldest are dropped
 	MaxTextBytes  = 4 << 10  // of a reason or an event
 	maxNameBytes  = 128      // of an agent's or an instance's name, and of an address
 	maxEntryBytes = 32 << 20 // of an encoded entry
 )
 
-// Outcome is the result of an entry that is valid.
+// Outcome is the result of a valid entry.
 type Outcome struct {
 	Result   revisions.Result `json:"result"`            // of a Command
-	Rejected string           `json:"refused"`           // why the entry was rejected and nothing has changed; "": it was accepted
+	Rejected string           `json:"refused"`           // why the entry was rejected and changed nothing; "": accepted
 	Records  *records.Result  `json:"records,omitempty"` // of a change of records
 }
 
-// Busy is the status of a command that arrived during a rollout. It is not remembered: the same command may be retried
-// after the rollout has ended.
+// Busy is the status of a command that arrived during a rollout. It is not stored as the command's result: the same
+// command may be retried after the rollout has ended.
 const Busy revisions.Status = "busy"
 
-// State is the replicated state of a site. It is not safe for concurrent use. The zero value is the state of a new site.
+// State is the replicated state of a site. It is not safe for concurrent use. The zero value is the state of a new
+// site.
 type State struct {
 	history  revisions.History
 	rollout  Rollout
 	previous *revisions.Revision // the revision that the rollout replaces, even if the history has dropped it; nil: none
 	agents   map[string]Agent    // by name
-	drained  map[string]bool     // by instance
-	roster   members.Roster      // epoch 0: none has been agreed on
+	drained  map[string]bool     // by instance; true for each that is drained
+	roster   members.Roster      // epoch 0: none yet
 	records  records.Store
 	events   []Event
 }
@@ -55,7 +57,8 @@
 // Head returns the newest revision, and false for a new site.
 func (s *State) Head() (revisions.Revision, bool) { return s.history.Head() }
 
-// Revision returns a revision of the history, or the one that the present rollout replaces, and false for any other.
+// Revision returns a revision of the history or the one that the current rollout replaces, and false for any other
+// number.
 func (s *State) Revision(number uint64) (revisions.Revision, bool) {
 	if s.previous != nil && s.previous.Number == number {
 		return *s.previous, true
@@ -63,13 +66,13 @@
 	return s.history.Get(number)
 }
 
-// Revisions returns the history, the newest first.
+// Revisions returns the history, newest first.
 func (s *State) Revisions() []revisions.Revision { return s.history.List() }
 
-// Apply applies an entry. The index is the entry's position in the replicated log, from 1; it becomes the version of the
-// records that the entry changes. An entry that conflicts with the state changes nothing, and Outcome has the reason. An
-// error is returned for an entry that Decode would have rejected, and for a change of records whose index is not above the
-// last one; nothing has changed then either.
+// Apply applies an entry. The index is the entry's position in the replicated log, starting at 1; it becomes the
+// version of the records that the entry changes. An entry that conflicts with the state changes nothing, and Outcome
+// has the reason. Apply returns an error, and changes nothing, for an entry that Decode would reject and for a change
+// of records whose index is not above that of the last one.
 func (s *State) Apply(index uint64, entry Entry) (Outcome, error) {
 	if err := entry.check(); err != nil {
 		return Outcome{}, err
@@ -101,21 +104,21 @@
 	if !s.rollout.Ended() && !s.history.HasResult(command.IdempotencyKey) {
 		return Outcome{Result: revisions.Result{Status: Busy, Revision: head}}, nil
 	}
-	wanted := s.rollout.DesiredRevision()
-	previous, found := s.Revision(wanted) // before Apply: the history may drop it
+	desired := s.rollout.DesiredRevision()
+	previous, found := s.Revision(desired) // before Apply, which may drop it from the history
 	result, err := s.history.Apply(command)
 	if err != nil {
 		return Outcome{}, err
 	}
 	revision := result.Revision
-	if result.Status != revisions.Accepted || revision.Number != head.Number+1 { // the latter: a repeat
+	if result.Status != revisions.Accepted || revision.Number != head.Number+1 { // an older number: a repeated command
 		return Outcome{Result: result}, nil
 	}
 	s.previous = nil
 	if found {
 		s.previous = &previous
 	}
-	s.rollout = Rollout{New: revision.Number, Previous: wanted, State: rollout.Advancing, Reason: acceptedReason, By: command.Author, At: command.At}
+	s.rollout = Rollout{New: revision.Number, Previous: desired, State: rollout.Advancing, Reason: acceptedReason, By: command.Author, At: command.At}
 	s.logEvent(command.At, command.Author, fmt.Sprintf("revision %d was applied on %d: %s", revision.Number, revision.Parent, command.Message))
 	return Outcome{Result: result}, nil
 }
--- a/fleet/state_test.go
+++ b/fleet/state_test.go
@@ -10,9 +10,10 @@
 
 var at = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-func apply(t testing.TB, s *State, e Entry) Outcome {
+// apply encodes, decodes and applies an entry.
+func apply(t testing.TB, s *State, entry Entry) Outcome {
 	t.Helper()
-	text, err := e.Encode()
+	text, err := entry.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,15 +21,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := s.Apply(1, decoded)
+	outcome, err := s.Apply(1, decoded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return out
+	return outcome
 }
 
-func command(request string, parent uint64, file string) Entry {
-	return Entry{Command: &revisions.Command{IdempotencyKey: request, Parent: parent, Content: &revisions.Content{File: file}, Author: "ann", At: at}}
+// command returns an entry with a command that applies a new file on a parent.
+func command(idempotencyKey string, parent uint64, file string) Entry {
+	return Entry{Command: &revisions.Command{IdempotencyKey: idempotencyKey, Parent: parent, Content: &revisions.Content{File: file}, Author: "ann", At: at}}
 }
 
 func rolloutChange(revision uint64, state rollout.State, reason string) Entry {
