--- a/supervise/events.go
+++ b/supervise/events.go
@@ -1,28 +1,28 @@
 package supervise
 
-// Event is something that happened to the process or to its desired state.
+// Event is an input of the Machine: something that happened to the process, or a new desired state.
 type Event interface{ event() }
 
 type (
-	// DesiredState sets the spec that is to run; nil: no process.
+	// DesiredState sets the spec to run; nil means no process.
 	DesiredState struct{ Spec *Spec }
-	// Adopted reports that a process of an earlier driver runs with Spec. It is the desired spec until DesiredState
-	// sets another.
+	// Adopted reports that a process started by an earlier driver runs with Spec. Unless DesiredState has set another
+	// one, this is the desired spec.
 	Adopted struct{ Spec Spec }
 	// Started reports that a Spawn succeeded.
 	Started struct{}
 	// StartFailed reports that a Spawn failed. It counts as a crash.
 	StartFailed struct{ Reason string }
-	// ReloadFailed reports that the files of a Reload could not be written: the process runs with Previous still.
+	// ReloadFailed reports that the files of a Reload could not be written: the process still runs with Previous.
 	ReloadFailed struct {
 		Previous Spec
 		Reason   string
 	}
-	// Exited reports that the process has ended, for whatever reason.
+	// Exited reports that the process has ended, for any reason.
 	Exited struct{ Reason string }
 	// Health is the result of a health check.
 	Health struct{ Ready bool }
-	// Tick lets time pass: without another event one must come when Due has come.
+	// Tick reports only the time. The driver sends it if no other event happens before Due.
 	Tick struct{}
 )
 
@@ -35,19 +35,20 @@
 func (Health) event()       {}
 func (Tick) event()         {}
 
-// Action is something that the driver must do.
+// Action is an output of the Machine that the driver must carry out.
 type Action interface{ action() }
 
 type (
-	// Spawn writes the files of a spec and starts the process. The driver answers with Started or StartFailed.
+	// Spawn writes the files of a spec and starts the process. The driver responds with Started or StartFailed.
 	Spawn struct{ Spec Spec }
-	// Reload writes the files of a spec and has the process read them. The driver answers with ReloadFailed if it fails.
+	// Reload writes the files of a spec and makes the process reload them. If it fails, the driver responds with
+	// ReloadFailed.
 	Reload struct{ Spec, Previous Spec }
-	// SetRevision records that the process runs another revision, whose files are the same.
+	// SetRevision records that the process runs another revision with the same files.
 	SetRevision struct{ Spec Spec }
-	// Terminate starts the graceful shutdown of the process.
+	// Terminate starts a graceful shutdown of the process.
 	Terminate struct{}
-	// Kill ends the process at once.
+	// Kill ends the process immediately.
 	Kill struct{}
 )
 
--- a/supervise/golden_test.go
+++ b/supervise/golden_test.go
@@ -7,8 +7,8 @@
 	"elderyard/internal/golden"
 )
 
-// The golden files of this package are what an agent stores of each process and answers
-// about it.
+// The golden files of this package pin what an agent stores about each process, and the responses of the agents'
+// interface about it.
 
 func goldenSpec(revision uint64) Spec {
 	return Spec{Revision: revision, ContentChecksum: "c0ffee", FilesChecksum: "f11e5", StartupChecksum: "f1bed", MaxRequestDuration: 90 * time.Second}
@@ -21,8 +21,8 @@
 }
 
 func TestGoldenStatus(t *testing.T) {
-	running, wanted := goldenSpec(7), goldenSpec(8)
-	status := Status{State: BackingOff, Reason: "it ended: exit status 1", Running: &running, Desired: &wanted, Crashes: 4}
+	running, desired := goldenSpec(7), goldenSpec(8)
+	status := Status{State: BackingOff, Reason: "it ended: exit status 1", Running: &running, Desired: &desired, Crashes: 4}
 	golden.Complete(t, status)
 	golden.JSON(t, "status.json", status)
 }
--- a/supervise/machine.go
+++ b/supervise/machine.go
@@ -8,32 +8,32 @@
 // State is the state of a process.
 type State string
 
-// The states.
+// The states of a process.
 const (
 	Down        State = "down"     // no process runs, and none is desired
-	BackingOff  State = "pausing"  // it crashed and its next start is delayed
-	Starting    State = "starting" // it was spawned and is not ready
-	Ready       State = "ready"    // it answers that it is ready
-	Terminating State = "leaving"  // it shuts down
+	BackingOff  State = "pausing"  // the process crashed, and the next start is delayed
+	Starting    State = "starting" // the process was spawned or adopted, and is not ready
+	Ready       State = "ready"    // the last health check succeeded
+	Terminating State = "leaving"  // the process is shutting down
 )
 
-// Machine supervises the process of one instance. It is not safe for concurrent use; New makes one.
+// Machine supervises the process of one instance. It is not safe for concurrent use. Create it with New.
 type Machine struct {
 	policy       Policy
 	state        State
 	reason       string
 	desired      *Spec
-	running      *Spec // of the last Spawn, Reload or SetRevision; of the last process where none runs
+	running      *Spec // the spec of the last Spawn, Reload or SetRevision, kept after the process has ended
 	crashes      int
 	backoff      time.Duration
-	deadline     time.Time // BackingOff: of the start; Terminating: of the kill
+	deadline     time.Time // BackingOff: when to start the process; Terminating: when to kill it
 	startedAt    time.Time
-	killed       bool // the present process was killed
-	spawnPending bool // a Spawn has neither started nor failed yet
+	killed       bool // the current process was killed
+	spawnPending bool // a Spawn has neither succeeded nor failed yet
 	actions      []Action
 }
 
-// New returns a machine without a process; crashes is the number of crashes so far. It returns the error of
+// New returns a machine without a process. The argument crashes is the number of crashes so far. The error is that of
 // Policy.Validate.
 func New(policy Policy, crashes int) (*Machine, error) {
 	if err := policy.Validate(); err != nil {
@@ -42,21 +42,21 @@
 	return &Machine{policy: policy, state: Down, crashes: crashes}, nil
 }
 
-// Status is the state of an instance for display, as the agents' interface answers it.
+// Status is the state of an instance for display, as the agents' interface returns it.
 type Status struct {
 	State   State  `json:"state"`
 	Reason  string `json:"why,omitempty"`
-	Running *Spec  `json:"running,omitempty"` // of the process; of the last one where none runs
+	Running *Spec  `json:"running,omitempty"` // spec of the process, or of the last one if none runs
 	Desired *Spec  `json:"wanted,omitempty"`
-	Crashes int    `json:"crashes"` // ends without Terminate, and failed starts
+	Crashes int    `json:"crashes"` // exits without Terminate, and failed starts
 }
 
-// Status returns the present state. The specs that it points to must not be changed.
+// Status returns the current state. The caller must not change the specs that it points to.
 func (m *Machine) Status() Status {
 	return Status{m.state, m.reason, m.running, m.desired, m.crashes}
 }
 
-// Due returns when a Tick is needed at the latest; zero: time alone causes no action.
+// Due returns the time by which the machine needs a Tick, or zero if no action is due without another event.
 func (m *Machine) Due() time.Time {
 	if m.state == BackingOff || m.state == Terminating && !m.killed {
 		return m.deadline
@@ -64,8 +64,8 @@
 	return time.Time{}
 }
 
-// Handle handles an event that happened at now and returns the actions to take, in a slice that is valid until the next
-// call.
+// Handle processes an event that happened at now and returns the actions to take, in a slice that is valid until the
+// next call.
 func (m *Machine) Handle(now time.Time, event Event) []Action {
 	m.actions = m.actions[:0]
 	switch e := event.(type) {
@@ -81,7 +81,7 @@
 		m.handleCrash(now, e.Reason)
 	case ReloadFailed:
 		m.handleReloadFailure(e)
-		return m.actions // the next event retries; to retry at once would loop while the cause lasts
+		return m.actions // retried at the next event: an immediate retry would loop while the cause persists
 	case Exited:
 		m.handleExit(now, e.Reason)
 	case Health:
@@ -113,7 +113,7 @@
 
 func (m *Machine) handleHealth(ready bool) {
 	switch {
-	case ready && m.state == Starting && !m.spawnPending: // else it is the answer of an earlier process
+	case ready && m.state == Starting && !m.spawnPending: // otherwise an earlier process was checked
 		m.setState(Ready, "")
 	case !ready && m.state == Ready:
 		m.setState(Starting, "it is not ready any more")
@@ -130,7 +130,7 @@
 	}
 }
 
-// handleCrash delays the next start, by an exponential backoff.
+// handleCrash delays the next start by an exponential backoff.
 func (m *Machine) handleCrash(now time.Time, reason string) {
 	m.crashes++
 	if m.backoff == 0 || m.state == Ready && now.Sub(m.startedAt) >= m.policy.BackoffResetUptime {
@@ -142,7 +142,8 @@
 	m.setState(BackingOff, reason)
 }
 
-// step takes the actions that the present state and time demand, at most one Spawn, Reload, SetRevision, Terminate or Kill.
+// step takes the actions that are due in the current state and at this time: at most one Spawn, Reload, SetRevision,
+// Terminate or Kill.
 func (m *Machine) step(now time.Time) {
 	switch m.state {
 	case Down:
@@ -150,14 +151,14 @@
 			m.spawn()
 		}
 	case BackingOff:
-		// A deadline is never further away than the backoff: otherwise a wall clock that is set back would delay the
+		// The deadline is never further away than the backoff: otherwise setting the wall clock back would delay the
 		// start by as much.
 		m.deadline = earlierTime(m.deadline, now.Add(m.backoff))
 		switch {
 		case m.desired == nil:
 			m.setState(Down, "")
 		case m.running != nil && m.running.FilesChecksum != m.desired.FilesChecksum:
-			// The desired files are not those that crashed, so the backoff does not apply to them.
+			// The process crashed with other files, so the backoff does not apply to the desired ones.
 			m.backoff = 0
 			m.spawn()
 		case !now.Before(m.deadline):
@@ -168,7 +169,7 @@
 			m.reconcile(now)
 		}
 	case Terminating:
-		m.deadline = earlierTime(m.deadline, now.Add(m.killDelay())) // as above
+		m.deadline = earlierTime(m.deadline, now.Add(m.killDelay())) // as for BackingOff
 		if !m.killed && !now.Before(m.deadline) {
 			m.killed = true
 			m.actions = append(m.actions, Kill{})
@@ -176,9 +177,10 @@
 	}
 }
 
-// killDelay returns how long the process may take to shut down.
+// killDelay returns how long the process may take to shut down before it is killed.
 func (m *Machine) killDelay() time.Duration { return m.running.MaxRequestDuration + m.policy.KillDelay }
 
+// earlierTime returns the earlier of two times.
 func earlierTime(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
@@ -193,7 +195,7 @@
 	m.actions = append(m.actions, Spawn{spec})
 }
 
-// reconcile begins the transition of a running process to the desired spec.
+// reconcile takes the step that brings a running process to the desired spec.
 func (m *Machine) reconcile(now time.Time) {
 	switch StepBetween(m.running, m.desired) {
 	case StepNone:
