--- a/revisions/command.go
+++ b/revisions/command.go
@@ -7,41 +7,41 @@
 	"unicode/utf8"
 )
 
-// Command is one change that an operator requests.
+// Command is a change requested by an operator.
 type Command struct {
-	IdempotencyKey string    `json:"request"`           // idempotency key: the same for every repeat of the command
-	Parent         uint64    `json:"parent"`            // the revision that it was made from; the command conflicts unless this is the head
-	Restore        uint64    `json:"restore,omitempty"` // number of the revision whose content is restored; 0: Content is set
+	IdempotencyKey string    `json:"request"`           // the same for all repeats of the command
+	Parent         uint64    `json:"parent"`            // the revision that it is based on, which must be the head
+	Restore        uint64    `json:"restore,omitempty"` // the revision whose content to restore; 0 if Content is set
 	Content        *Content  `json:"content,omitempty"`
 	Author         string    `json:"author"`
 	Message        string    `json:"message,omitempty"`
 	At             time.Time `json:"at"`
 }
 
-// Status is the result of a command.
+// Status is the kind of a command's result.
 type Status string
 
-// The results of a command.
+// The kinds of results.
 const (
 	Accepted        Status = "accepted"
-	Unchanged       Status = "no change" // the head has this content already
-	Conflict        Status = "conflict"  // the head is not the parent: nothing has changed
+	Unchanged       Status = "no change" // the head already has this content
+	Conflict        Status = "conflict"  // the parent is not the head; nothing has changed
 	UnknownRevision Status = "unknown"   // the revision to restore is not in the history
 )
 
-// Result is the result of a command with the revision that was created, or, unless Status is Accepted, the head.
+// Result is the result of a command. Revision is the new revision if Status is Accepted, otherwise the head.
 type Result struct {
 	Status   Status   `json:"answer"`
 	Revision Revision `json:"revision"`
 }
 
-// Check returns a *FieldError for a command that is invalid in any state.
+// Check returns a *FieldError for a command that is invalid regardless of the state.
 func (c *Command) Check() error {
 	if !validName(c.IdempotencyKey) {
-		return fieldErrorf("request", nameRule, c.IdempotencyKey, MaxNameBytes)
+		return fieldErrorf("request", invalidNameFormat, c.IdempotencyKey, MaxNameBytes)
 	}
 	if !validName(c.Author) {
-		return fieldErrorf("author", nameRule, c.Author, MaxNameBytes)
+		return fieldErrorf("author", invalidNameFormat, c.Author, MaxNameBytes)
 	}
 	switch {
 	case len(c.Message) > MaxMessageBytes || !utf8.ValidString(c.Message):
@@ -66,8 +66,9 @@
 	return json.Marshal(c)
 }
 
-// Decode decodes the output of Encode and rejects anything else. An unknown key is an error: a voter that skipped it would
-// reach another state than one that knows it. A command that was decoded but is invalid is a *FieldError.
+// Decode decodes the output of Encode and rejects any other input. An unknown key is an error: a voter that ignored it
+// would reach a different state than a voter that knows it. For a well-formed command that is invalid the error wraps a
+// *FieldError.
 func Decode(text []byte) (Command, error) {
 	var c Command
 	if len(text) > maxEncodedBytes {
@@ -82,5 +83,5 @@
 	return c, nil
 }
 
-// maxEncodedBytes bounds the input of Decode. JSON encodes one byte as six at most.
+// maxEncodedBytes limits the input of Decode. JSON encodes one byte of text as at most six bytes.
 const maxEncodedBytes = 6*MaxContentBytes + 64<<10
--- a/revisions/golden_test.go
+++ b/revisions/golden_test.go
@@ -9,8 +9,8 @@
 	"elderyard/internal/golden"
 )
 
-// The golden files of this package are what the voters' logs and snapshots of
-// existing sites contain, and what the agents' interface answers.
+// The golden files of this package pin the format of the replicated log and snapshots of existing sites, and of the
+// responses of the agents' interface.
 
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestUnknownKeyIsRejected: a voter that skipped a key would reach another state than
-// one that knows it.
+// TestUnknownKeyIsRejected checks that no voter ignores an unknown key: it would reach a different state than a voter
+// that knows the key.
 func TestUnknownKeyIsRejected(t *testing.T) {
 	golden.Decode(t, "command-content.json", func(text []byte) error {
 		if _, err := Decode(append([]byte(`{"later":1,`), text[1:]...)); err == nil {
@@ -81,8 +81,8 @@
 	})
 }
 
-// goldenHistory has revisions with and without a parent, one that was restored, and a
-// result of each kind.
+// goldenHistory returns a history with revisions with and without a parent, one with restored content, and a result of
+// each kind.
 func goldenHistory(t *testing.T) *History {
 	t.Helper()
 	content := goldenContent()
@@ -109,9 +109,9 @@
 		t.Fatal(err)
 	}
 	golden.File(t, "history.json", encoded)
-	var form snapshot
-	golden.Decode(t, "history.json", func(text []byte) error { return json.Unmarshal(text, &form) })
-	golden.Complete(t, form)
+	var decoded snapshot
+	golden.Decode(t, "history.json", func(text []byte) error { return json.Unmarshal(text, &decoded) })
+	golden.Complete(t, decoded)
 	var restored History
 	golden.Decode(t, "history.json", restored.Restore)
 	if !reflect.DeepEqual(&restored, history) {
--- a/revisions/history.go
+++ b/revisions/history.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// History is the latest revisions and the results of the latest commands, within the bounds of this package. It is not safe
-// for concurrent use. The zero value is the history of a new site.
+// History contains the latest revisions and the results of the latest commands, within the limits of this package. It
+// is not safe for concurrent use. The zero value is the history of a new site.
 type History struct {
-	revisions []Revision      // by number, without gaps; the last is the head
-	results   []requestResult // the oldest first
+	revisions []Revision     // by number, without gaps; the last one is the head
+	results   []storedResult // oldest first
 }
 
-// requestResult is the result of an earlier command. It must outlive the command's retries: otherwise an operator whose
-// response was lost would create a second revision by the same request.
-type requestResult struct {
-	Request string `json:"request"`
-	Status  Status `json:"answer"`
-	Number  uint64 `json:"number"` // of the result's revision; 0: none
+// storedResult is the result of an earlier command. It must be kept for longer than the command may be retried:
+// otherwise an operator whose response was lost would create a second revision by repeating the command.
+type storedResult struct {
+	IdempotencyKey string `json:"request"`
+	Status         Status `json:"answer"`
+	Number         uint64 `json:"number"` // number of the result's revision; 0: none
 }
 
 // Head returns the newest revision, and false for a new site.
@@ -37,21 +37,21 @@
 	return h.revisions[i], true
 }
 
-// List returns the history, the newest first.
+// List returns the history, newest first.
 func (h *History) List() []Revision {
-	list := slices.Clone(h.revisions)
-	slices.Reverse(list)
-	return list
+	newestFirst := slices.Clone(h.revisions)
+	slices.Reverse(newestFirst)
+	return newestFirst
 }
 
-// HasResult reports whether the command of a request has been applied and is remembered.
-func (h *History) HasResult(request string) bool {
-	return slices.ContainsFunc(h.results, func(r requestResult) bool { return r.Request == request })
+// HasResult reports whether the result of the command with an idempotency key is stored.
+func (h *History) HasResult(idempotencyKey string) bool {
+	return slices.ContainsFunc(h.results, func(r storedResult) bool { return r.IdempotencyKey == idempotencyKey })
 }
 
-// Apply applies a command. It is a compare-and-swap on the parent: of two commands that were made from the same revision,
-// the second changes nothing and its result is Conflict. A repeat of a command gets the first one's result again. The error
-// is that of Command.Check, and nothing has changed then.
+// Apply applies a command. It is a compare-and-swap on the parent: of two commands that are based on the same revision,
+// the second changes nothing and its result is Conflict. A repeated command returns the result of the first one. The
+// error is that of Command.Check, and nothing has changed then.
 func (h *History) Apply(command Command) (Result, error) {
 	if err := command.Check(); err != nil {
 		return Result{}, err
@@ -60,14 +60,14 @@
 		return result, nil
 	}
 	result := h.apply(command)
-	h.recordResult(command.IdempotencyKey, result)
+	h.storeResult(command.IdempotencyKey, result)
 	return result, nil
 }
 
-// earlierResult returns the result of a request that has been applied. Its revision may have been dropped since, and then
-// only the number is left.
-func (h *History) earlierResult(request string) (Result, bool) {
-	i := slices.IndexFunc(h.results, func(r requestResult) bool { return r.Request == request })
+// earlierResult returns the stored result of the command with an idempotency key. If the history has dropped the
+// result's revision since, only the number of that revision is set.
+func (h *History) earlierResult(idempotencyKey string) (Result, bool) {
+	i := slices.IndexFunc(h.results, func(r storedResult) bool { return r.IdempotencyKey == idempotencyKey })
 	if i < 0 {
 		return Result{}, false
 	}
@@ -76,7 +76,7 @@
 	return Result{h.results[i].Status, revision}, true
 }
 
-// apply applies a valid command that has no result yet.
+// apply applies a valid command that has not been applied before.
 func (h *History) apply(command Command) Result {
 	head, _ := h.Head()
 	if command.Parent != head.Number {
@@ -93,18 +93,19 @@
 		}
 		content = restored.Content
 	}
-	sum := content.Checksum()
-	if len(h.revisions) > 0 && sum == head.Checksum {
+	checksum := content.Checksum()
+	if len(h.revisions) > 0 && checksum == head.Checksum {
 		return Result{Unchanged, head}
 	}
-	next := Revision{Number: head.Number + 1, Parent: head.Number, Content: content, Checksum: sum,
+	next := Revision{Number: head.Number + 1, Parent: head.Number, Content: content, Checksum: checksum,
 		Author: command.Author, Message: command.Message, At: command.At}
 	h.revisions = append(h.revisions, next)
 	h.truncate()
 	return Result{Accepted, next}
 }
 
-// truncate drops the oldest revisions beyond the bounds. The head and the one before it stay, whatever their size.
+// truncate drops the oldest revisions beyond the limits. The head and the revision before it are kept regardless of
+// their size.
 func (h *History) truncate() {
 	total, first := 0, len(h.revisions)
 	for first > 0 {
@@ -117,8 +118,9 @@
 	h.revisions = slices.Delete(h.revisions, 0, first)
 }
 
-func (h *History) recordResult(request string, result Result) {
-	h.results = append(h.results, requestResult{request, result.Status, result.Revision.Number})
+// storeResult stores the result of a command, and drops the oldest one beyond MaxResults.
+func (h *History) storeResult(idempotencyKey string, result Result) {
+	h.results = append(h.results, storedResult{idempotencyKey, result.Status, result.Revision.Number})
 	if over := len(h.results) - MaxResults; over > 0 {
 		h.results = slices.Delete(h.results, 0, over)
 	}
--- a/revisions/revision.go
+++ b/revisions/revision.go
@@ -1,10 +1,11 @@
-// Package revisions is the desired state of a site: numbered, immutable revisions of the operator's file with the overlays
-// of single instances, each with its parent, author, message and checksum. It is a pure state machine: commands go in, in
-// the order of the replicated log, and every voter reaches the same History. It does no I/O and reads no clock.
+// Package revisions is the desired state of a site: numbered, immutable revisions of the operator's file with its
+// overlays for individual instances, each with a parent, an author, a message and a checksum. It is a pure state
+// machine: commands are applied in the order of the replicated log, and every voter reaches the same History. It does
+// no I/O and reads no clock.
 //
-// It does not interpret the file (package internal/site does) and does not decide when an instance gets a revision (package
-// rollout does). The owner of a History is the state that embeds it, package fleet's State; a caller must not change what
-// the accessors return, and must not apply a command outside the log's order.
+// The file is interpreted by package internal/site, and when an instance gets a revision is decided by package rollout.
+// A History is owned by fleet.State, which contains it. Callers must not change what the accessors return, and must not
+// apply a command out of the order of the log.
 package revisions
 
 import (
@@ -18,38 +19,39 @@
 	"unicode/utf8"
 )
 
-// Bounds of what an operator may send, and of a History. They are part of the replicated state machine: voters with other
-// values would reach another state.
+// Limits of what an operator may send, and of a History. They are part of the replicated state machine: voters with
+// different limits would reach different states.
 const (
-	MaxFileBytes    = 256 << 10 // of a file, or of an instance's overlay
-	MaxOverlays     = 1000      // instances with an overlay
-	MaxContentBytes = 4 << 20   // of file and overlays together
+	MaxFileBytes    = 256 << 10 // of a file, or of the overlay of an instance
+	MaxOverlays     = 1000      // number of instances with an overlay
+	MaxContentBytes = 4 << 20   // of the file and all overlays together
 	MaxMessageBytes = 4 << 10   // of a message
-	MaxNameBytes    = 256       // of the name of an author, an instance or a request
-	MaxRevisions    = 200       // in the history
-	MaxHistoryBytes = 64 << 20  // of their contents together; the oldest are dropped first
-	MaxResults      = 1000      // whose results are remembered
+	MaxNameBytes    = 256       // of an author, an instance name or an idempotency key
+	MaxRevisions    = 200       // number of revisions in a History
+	MaxHistoryBytes = 64 << 20  // of their contents together; the oldest revisions are dropped first
+	MaxResults      = 1000      // number of commands whose results are stored
 )
 
 // Content is the part of a revision that an operator writes.
 type Content struct {
 	File              string            `json:"file"`               // the operator's file, as text
-	Overlays          map[string]string `json:"overlays,omitempty"` // by instance: keys that take precedence over the file's there
-	RestartGeneration uint64            `json:"turn,omitempty"`     // a revision that differs in nothing else restarts every instance
+	Overlays          map[string]string `json:"overlays,omitempty"` // by instance; override keys of the file
+	RestartGeneration uint64            `json:"turn,omitempty"`     // a new value alone restarts every instance
 }
 
-// Revision is one desired state. It is immutable.
+// Revision is one version of the desired state. It is immutable.
 type Revision struct {
-	Number   uint64    `json:"number"` // from 1
-	Parent   uint64    `json:"parent"` // 0: none
+	Number   uint64    `json:"number"` // starting at 1
+	Parent   uint64    `json:"parent"` // 0 for the first revision
 	Content  Content   `json:"content"`
 	Checksum string    `json:"checksum"` // of the content, SHA-256 in hex
 	Author   string    `json:"author"`
 	Message  string    `json:"message,omitempty"`
-	At       time.Time `json:"at"` // by the clock of the voter that accepted it
+	At       time.Time `json:"at"` // on the clock of the voter that accepted it
 }
 
-// Checksum returns the checksum of a content. Every part is preceded by its length, so that no two contents hash the same bytes.
+// Checksum returns the checksum of the content. The length of each part is hashed before the part, so that no two
+// contents hash the same bytes.
 func (c *Content) Checksum() string {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%d:%s", len(c.File), c.File)
@@ -62,7 +64,7 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// size returns the number of bytes of a content.
+// size returns the size of the content in bytes.
 func (c *Content) size() int {
 	total := len(c.File)
 	for name, text := range c.Overlays {
@@ -71,9 +73,9 @@
 	return total
 }
 
-// FieldError reports that a field of a command, by its JSON key, has an invalid value.
+// FieldError reports an invalid value in a field of a command.
 type FieldError struct {
-	Field  string
+	Field  string // the JSON key
 	Reason string
 }
 
@@ -96,7 +98,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.Overlays)) {
 		text := c.Overlays[name]
 		if !validName(name) {
-			return fieldErrorf("overlays", "instance: "+nameRule, name, MaxNameBytes)
+			return fieldErrorf("overlays", "instance: "+invalidNameFormat, name, MaxNameBytes)
 		}
 		if len(text) > MaxFileBytes || !utf8.ValidString(text) {
 			return fieldErrorf("overlays", "%s: it is not text in UTF-8 of at most %d bytes", name, MaxFileBytes)
@@ -108,10 +110,10 @@
 	return nil
 }
 
-// nameRule is the reason for the rejection of a name, with the name and its limit as arguments.
-const nameRule = "%.40q is empty, longer than %d bytes or no plain text"
+// invalidNameFormat is the reason why a name is rejected, with the name and MaxNameBytes as arguments.
+const invalidNameFormat = "%.40q is empty, longer than %d bytes or no plain text"
 
-// validName reports whether a name is non-empty, short enough and without control characters.
+// validName reports whether a name is non-empty, short enough and free of control characters.
 func validName(name string) bool {
 	return name != "" && len(name) <= MaxNameBytes && utf8.ValidString(name) &&
 		!strings.ContainsFunc(name, func(r rune) bool { return r < ' ' || r == 0x7f })
--- a/revisions/revisions_test.go
+++ b/revisions/revisions_test.go
@@ -14,44 +14,49 @@
 
 var at = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-func command(request string, parent uint64, file string) Command {
-	return Command{IdempotencyKey: request, Parent: parent, Content: &Content{File: file}, Author: "ann", At: at}
+// command returns a command that applies a new file on a parent.
+func command(idempotencyKey string, parent uint64, file string) Command {
+	return Command{IdempotencyKey: idempotencyKey, Parent: parent, Content: &Content{File: file}, Author: "ann", At: at}
 }
 
-func apply(t *testing.T, h *History, c Command) Result {
+func apply(t *testing.T, history *History, command Command) Result {
 	t.Helper()
-	r, err := h.Apply(c)
+	result, err := history.Apply(command)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
+// TestConcurrentCommandsConflict checks that the second of two commands on the same parent changes nothing and gets the
+// revision that it conflicts with.
 func TestConcurrentCommandsConflict(t *testing.T) {
 	var h History
 	if r := apply(t, &h, command("1", 0, "a")); r.Status != Accepted || r.Revision.Number != 1 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("result of the first command: %+v", r)
 	}
-	won := apply(t, &h, command("2", 1, "b"))
-	lost := command("3", 1, "c")
-	lost.Author = "bob"
-	if r := apply(t, &h, lost); r.Status != Conflict || r.Revision.Number != won.Revision.Number || r.Revision.Author != "ann" || !r.Revision.At.Equal(at) {
-		t.Fatalf("the second command's result is %+v", r)
+	accepted := apply(t, &h, command("2", 1, "b"))
+	conflicting := command("3", 1, "c")
+	conflicting.Author = "bob"
+	if r := apply(t, &h, conflicting); r.Status != Conflict || r.Revision.Number != accepted.Revision.Number || r.Revision.Author != "ann" || !r.Revision.At.Equal(at) {
+		t.Fatalf("result of the conflicting command: %+v", r)
 	}
 	if head, _ := h.Head(); head.Number != 2 || head.Content.File != "b" || head.Parent != 1 {
-		t.Fatalf("%+v", head)
+		t.Fatalf("head %+v", head)
 	}
 }
 
+// TestRepeatedCommandCreatesNoSecondRevision guards against a second revision when a client whose response was lost
+// repeats its command.
 func TestRepeatedCommandCreatesNoSecondRevision(t *testing.T) {
 	var h History
 	first := apply(t, &h, command("1", 0, "a"))
 	apply(t, &h, command("2", 1, "b"))
 	if r := apply(t, &h, command("1", 0, "a")); !reflect.DeepEqual(r, first) {
-		t.Fatalf("%+v, at first %+v", r, first)
+		t.Fatalf("result of the repeated command: %+v, want %+v", r, first)
 	}
 	if n := len(h.List()); n != 2 {
-		t.Fatalf("%d revisions", n)
+		t.Fatalf("%d revisions, want 2", n)
 	}
 }
 
@@ -59,7 +64,7 @@
 	var h History
 	apply(t, &h, command("1", 0, "a"))
 	if r := apply(t, &h, command("2", 1, "a")); r.Status != Unchanged || r.Revision.Number != 1 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("result %+v", r)
 	}
 }
 
@@ -67,60 +72,63 @@
 	var h History
 	apply(t, &h, command("1", 0, "a"))
 	apply(t, &h, command("2", 1, "b"))
-	back := Command{IdempotencyKey: "3", Parent: 2, Restore: 1, Author: "ann", At: at}
-	if r := apply(t, &h, back); r.Status != Accepted || r.Revision.Number != 3 || r.Revision.Content.File != "a" {
-		t.Fatalf("%+v", r)
+	restore := Command{IdempotencyKey: "3", Parent: 2, Restore: 1, Author: "ann", At: at}
+	if r := apply(t, &h, restore); r.Status != Accepted || r.Revision.Number != 3 || r.Revision.Content.File != "a" {
+		t.Fatalf("result of restoring revision 1: %+v", r)
 	}
-	back.IdempotencyKey, back.Parent, back.Restore = "4", 3, 77
-	if r := apply(t, &h, back); r.Status != UnknownRevision {
-		t.Fatalf("%+v", r)
+	restore.IdempotencyKey, restore.Parent, restore.Restore = "4", 3, 77
+	if r := apply(t, &h, restore); r.Status != UnknownRevision {
+		t.Fatalf("result of restoring an unknown revision: %+v", r)
 	}
 }
 
+// TestHistoryIsBounded checks the limits on the numbers of revisions and results.
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
 	for i := range MaxResults + 50 {
 		apply(t, &h, command(fmt.Sprint(i), uint64(i), fmt.Sprint(i)))
 	}
-	list := h.List()
-	if len(list) != MaxRevisions || len(h.results) != MaxResults || list[0].Number != MaxResults+50 {
-		t.Fatalf("%d revisions, %d results, head %d", len(list), len(h.results), list[0].Number)
+	revisions := h.List()
+	if len(revisions) != MaxRevisions || len(h.results) != MaxResults || revisions[0].Number != MaxResults+50 {
+		t.Fatalf("%d revisions, %d results, head %d", len(revisions), len(h.results), revisions[0].Number)
 	}
 	if _, found := h.Get(1); found {
-		t.Error("the first revision is still there")
+		t.Error("the first revision is still in the history")
 	}
-	if r, found := h.Get(list[10].Number); !found || r.Number != list[10].Number {
-		t.Error("one of the history is not found")
+	if r, found := h.Get(revisions[10].Number); !found || r.Number != revisions[10].Number {
+		t.Errorf("Get(%d) found %v", revisions[10].Number, found)
 	}
 }
 
 func TestSnapshotIsCompleteAndInvalidOneChangesNothing(t *testing.T) {
 	var h History
-	c := command("1", 0, "a = 1\n")
-	c.Content.Overlays = map[string]string{"g1": "b = 2"}
-	apply(t, &h, c)
+	withOverlay := command("1", 0, "a = 1\n")
+	withOverlay.Content.Overlays = map[string]string{"g1": "b = 2"}
+	apply(t, &h, withOverlay)
 	apply(t, &h, command("2", 1, "b"))
 	text, err := h.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var other History
-	if err := other.Restore(text); err != nil || !reflect.DeepEqual(h, other) {
-		t.Fatalf("%v %+v", err, other)
+	var restored History
+	if err := restored.Restore(text); err != nil || !reflect.DeepEqual(h, restored) {
+		t.Fatalf("restored %+v, %v", restored, err)
 	}
-	for name, bad := range map[string][]byte{
-		"cut short":    text[:len(text)/2],
-		"changed":      bytes.Replace(text, []byte(`"a = 1\n"`), []byte(`"a = 2\n"`), 1),
-		"out of order": bytes.Replace(text, []byte(`"number":2`), []byte(`"number":5`), 1),
-		"other form":   bytes.Replace(text, []byte(`"form":1`), []byte(`"form":2`), 1),
-		"empty":        nil,
+	for name, invalid := range map[string][]byte{
+		"truncated":       text[:len(text)/2],
+		"changed content": bytes.Replace(text, []byte(`"a = 1\n"`), []byte(`"a = 2\n"`), 1),
+		"out of order":    bytes.Replace(text, []byte(`"number":2`), []byte(`"number":5`), 1),
+		"unknown version": bytes.Replace(text, []byte(`"form":1`), []byte(`"form":2`), 1),
+		"empty":           nil,
 	} {
-		if err := other.Restore(bad); err == nil || !reflect.DeepEqual(h, other) {
-			t.Errorf("%s: %v", name, err)
+		if err := restored.Restore(invalid); err == nil || !reflect.DeepEqual(h, restored) {
+			t.Errorf("%s: %v, and the history is %+v", name, err, restored)
 		}
 	}
 }
 
+// TestInvalidCommandsAreRejectedWithTheirField checks that the error names the invalid field, and that Decode rejects
+// malformed input.
 func TestInvalidCommandsAreRejectedWithTheirField(t *testing.T) {
 	for field, change := range map[string]func(*Command){
 		"request":  func(c *Command) { c.IdempotencyKey = "" },
@@ -132,25 +140,25 @@
 		"file":     func(c *Command) { c.Content.File = strings.Repeat("f", MaxFileBytes+1) },
 		"overlays": func(c *Command) { c.Content.Overlays = map[string]string{"": "x"} },
 	} {
-		c := command("1", 0, "a")
-		change(&c)
+		invalid := command("1", 0, "a")
+		change(&invalid)
 		var h History
-		_, err := h.Apply(c)
-		var invalid *FieldError
-		if !errors.As(err, &invalid) || invalid.Field != field || !strings.HasPrefix(err.Error(), field+":") || len(h.revisions)+len(h.results) > 0 {
+		_, err := h.Apply(invalid)
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) || fieldError.Field != field || !strings.HasPrefix(err.Error(), field+":") || len(h.revisions)+len(h.results) > 0 {
 			t.Errorf("%s: %v", field, err)
 		}
-		if _, err := c.Encode(); err == nil {
-			t.Errorf("%s was encoded", field)
+		if _, err := invalid.Encode(); err == nil {
+			t.Errorf("a command with an invalid %s was encoded", field)
 		}
 	}
-	good, err := (&Command{IdempotencyKey: "1", Content: &Content{File: "a"}, Author: "ann", At: at}).Encode()
+	valid, err := (&Command{IdempotencyKey: "1", Content: &Content{File: "a"}, Author: "ann", At: at}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{
-		"empty": "", "cut short": "{", "followed": string(good) + "x", "too long": strings.Repeat(" ", maxEncodedBytes+1),
-		"unknown key": strings.Replace(string(good), `"author"`, `"auhtor"`, 1),
+		"empty": "", "truncated": "{", "trailing data": string(valid) + "x", "too long": strings.Repeat(" ", maxEncodedBytes+1),
+		"unknown key": strings.Replace(string(valid), `"author"`, `"auhtor"`, 1),
 	} {
 		if _, err := Decode([]byte(text)); err == nil {
 			t.Errorf("%s: %.60q was accepted", name, text)
@@ -158,45 +166,47 @@
 	}
 }
 
+// TestDifferentContentsHaveDifferentChecksums uses contents that would hash the same bytes without the lengths of their
+// parts.
 func TestDifferentContentsHaveDifferentChecksums(t *testing.T) {
 	seen := map[string]Content{}
 	for _, c := range []Content{{}, {File: "ab"}, {File: "a", Overlays: map[string]string{"b": ""}}, {File: "a", Overlays: map[string]string{"": "b"}},
 		{File: "", Overlays: map[string]string{"a": "b"}}, {File: "1:a1:b"}, {File: "", Overlays: map[string]string{"a": "", "b": ""}}} {
-		if other, twice := seen[c.Checksum()]; twice {
-			t.Errorf("%+v and %+v", c, other)
+		if other, found := seen[c.Checksum()]; found {
+			t.Errorf("%+v and %+v have the same checksum", c, other)
 		}
 		seen[c.Checksum()] = c
 	}
 }
 
-// TestAnyCommandsMakeUnbrokenChain runs random commands against a model that is one
-// number and one text, with snapshots in between.
+// TestAnyCommandsMakeUnbrokenChain compares random commands, with restores from snapshots in between, to a model that
+// has only the number and the file of the head.
 func TestAnyCommandsMakeUnbrokenChain(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		h := &History{}
+		history := &History{}
 		number, file := uint64(0), ""
 		results := map[string]Result{}
 		for range rapid.IntRange(1, 60).Draw(r, "commands") {
-			request := fmt.Sprint(rapid.IntRange(0, 80).Draw(r, "request"))
+			key := fmt.Sprint(rapid.IntRange(0, 80).Draw(r, "request"))
 			parent := uint64(rapid.IntRange(max(0, int(number)-2), int(number)+1).Draw(r, "parent"))
 			text := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "file")
-			got, err := h.Apply(command(request, parent, text))
+			got, err := history.Apply(command(key, parent, text))
 			if err != nil {
 				r.Fatal(err)
 			}
-			before, repeat := results[request]
+			first, repeated := results[key]
 			switch {
-			case repeat:
-				if !reflect.DeepEqual(got, before) {
-					r.Fatalf("a repeat's result is %+v after %+v", got, before)
+			case repeated:
+				if !reflect.DeepEqual(got, first) {
+					r.Fatalf("result of a repeated command: %+v, want %+v", got, first)
 				}
 			case parent != number:
 				if got.Status != Conflict || got.Revision.Number != number {
-					r.Fatalf("parent %d of %d: %+v", parent, number, got)
+					r.Fatalf("parent %d with head %d: %+v", parent, number, got)
 				}
 			case number > 0 && text == file:
 				if got.Status != Unchanged {
-					r.Fatalf("%+v", got)
+					r.Fatalf("unchanged content: %+v", got)
 				}
 			default:
 				number, file = number+1, text
@@ -204,46 +214,49 @@
 					r.Fatalf("%+v, want number %d", got, number)
 				}
 			}
-			results[request] = got
+			results[key] = got
 			if rapid.IntRange(0, 9).Draw(r, "snapshot") == 0 {
-				s, err := h.Snapshot()
+				snapshot, err := history.Snapshot()
 				if err != nil {
 					r.Fatal(err)
 				}
-				h = &History{}
-				if err := h.Restore(s); err != nil {
+				history = &History{}
+				if err := history.Restore(snapshot); err != nil {
 					r.Fatal(err)
 				}
 			}
 		}
-		if head, _ := h.Head(); head.Number != number || head.Content.File != file {
+		if head, _ := history.Head(); head.Number != number || head.Content.File != file {
 			r.Fatalf("head %+v, want %d %q", head, number, file)
 		}
 	})
 }
 
+// FuzzDecode checks that any command that is accepted survives encoding and decoding.
 func FuzzDecode(f *testing.F) {
-	c := command("1", 0, "a")
-	text, _ := c.Encode()
+	valid := command("1", 0, "a")
+	text, _ := valid.Encode()
 	f.Add(text)
 	f.Add([]byte(`{"request":"1","restore":3,"author":"a","at":"2026-01-01T00:00:00Z"}`))
 	f.Add([]byte(`{"request":"1","content":{"file":"\ud800"},"author":"a","at":"2026-01-01T00:00:00Z"}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c, err := Decode(text)
+		decoded, err := Decode(text)
 		if err != nil {
 			return
 		}
-		again, err := c.Encode()
+		reencoded, err := decoded.Encode()
 		if err != nil {
-			t.Fatalf("what was decoded can't be encoded: %v", err)
+			t.Fatalf("a decoded command can't be encoded: %v", err)
 		}
-		d, err := Decode(again)
-		if err != nil || d.IdempotencyKey != c.IdempotencyKey || !d.At.Equal(c.At) || (c.Content != nil && d.Content.Checksum() != c.Content.Checksum()) {
-			t.Fatalf("%v: %+v became %+v", err, c, d)
+		got, err := Decode(reencoded)
+		if err != nil || got.IdempotencyKey != decoded.IdempotencyKey || !got.At.Equal(decoded.At) ||
+			(decoded.Content != nil && got.Content.Checksum() != decoded.Content.Checksum()) {
+			t.Fatalf("%v: %+v became %+v", err, decoded, got)
 		}
 	})
 }
 
+// FuzzRestore checks that no snapshot with a wrong checksum is accepted.
 func FuzzRestore(f *testing.F) {
 	var h History
 	if _, err := h.Apply(command("1", 0, "a")); err != nil {
@@ -256,31 +269,32 @@
 		if h.Restore(text) != nil {
 			return
 		}
-		if head, any := h.Head(); any && head.Checksum != head.Content.Checksum() {
+		if head, found := h.Head(); found && head.Checksum != head.Content.Checksum() {
 			t.Fatal("a revision with a wrong checksum was accepted")
 		}
 	})
 }
 
+// TestHistoryIsBoundedInBytes checks that a history holds as many revisions as fit into MaxHistoryBytes.
 func TestHistoryIsBoundedInBytes(t *testing.T) {
 	var h History
-	big := map[string]string{}
+	overlays := map[string]string{}
 	for i := range 12 {
-		big[fmt.Sprint("g", i)] = strings.Repeat("x", MaxFileBytes)
+		overlays[fmt.Sprint("g", i)] = strings.Repeat("x", MaxFileBytes)
 	}
-	each := 0
+	contentBytes := 0
 	for n := range uint64(40) {
-		c := command(fmt.Sprint(n), n, fmt.Sprint(n))
-		c.Content.Overlays = big
-		if r := apply(t, &h, c); r.Status != Accepted {
-			t.Fatalf("%+v", r.Status)
+		large := command(fmt.Sprint(n), n, fmt.Sprint(n))
+		large.Content.Overlays = overlays
+		if r := apply(t, &h, large); r.Status != Accepted {
+			t.Fatalf("status %q, want %q", r.Status, Accepted)
 		}
-		each = c.Content.size()
+		contentBytes = large.Content.size()
 	}
-	if n := len(h.List()); n*each > MaxHistoryBytes || (n+1)*each <= MaxHistoryBytes {
-		t.Fatalf("%d revisions of %d bytes", n, each)
+	if n := len(h.List()); n*contentBytes > MaxHistoryBytes || (n+1)*contentBytes <= MaxHistoryBytes {
+		t.Fatalf("%d revisions of %d bytes", n, contentBytes)
 	}
 	if head, _ := h.Head(); head.Number != 40 {
-		t.Fatal(head.Number)
+		t.Fatalf("head %d, want 40", head.Number)
 	}
 }
--- a/revisions/snapshot.go
+++ b/revisions/snapshot.go
@@ -6,13 +6,14 @@
 	"fmt"
 )
 
-// snapshot is the stored form of a history.
+// snapshot is the encoded form of a History.
 type snapshot struct {
-	Version   int             `json:"form"`
-	Revisions []Revision      `json:"revisions"`
-	Results   []requestResult `json:"answered"`
+	Version   int            `json:"form"`
+	Revisions []Revision     `json:"revisions"`
+	Results   []storedResult `json:"answered"`
 }
 
+// snapshotVersion is the version of the snapshot format.
 const snapshotVersion = 1
 
 // Snapshot encodes the complete history. Equal histories have equal encodings.
@@ -20,8 +21,8 @@
 	return json.Marshal(snapshot{snapshotVersion, h.revisions, h.results})
 }
 
-// Restore replaces the history by the one that Snapshot encoded. It returns an error and changes nothing if that is cut
-// short, altered, out of order or larger than the bounds.
+// Restore replaces the history with one that Snapshot encoded. It returns an error and changes nothing if the snapshot
+// is truncated, altered, out of order or exceeds the limits.
 func (h *History) Restore(text []byte) error {
 	var stored snapshot
 	if err := json.Unmarshal(text, &stored); err != nil {
--- a/revisions/strict.go
+++ b/revisions/strict.go
@@ -7,8 +7,7 @@
 	"io"
 )
 
-// DecodeStrict decodes one JSON value into the one that target points to. A key that the target does not have, or anything
-// after the value, is an error.
+// DecodeStrict decodes a JSON value into the value that target points to. Unknown keys and trailing data are errors.
 func DecodeStrict(text []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
