--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -14,19 +14,21 @@
 	return h
 }
 
-func TestLeaseCountsFromSendingOfRequest(t *testing.T) {
+// TestLeaseIsMeasuredFromRequest checks that neither the initial lease nor a renewal is measured from the response,
+// which may arrive late.
+func TestLeaseIsMeasuredFromRequest(t *testing.T) {
 	h := newTestHolder(t)
 	if want := terms.holderDuration(); h.ExpiresAt() != want || want >= terms.Duration {
-		t.Errorf("until %v, want %v, less than %v", h.ExpiresAt(), want, terms.Duration)
+		t.Errorf("lease expires at %v, want %v, and before %v", h.ExpiresAt(), want, terms.Duration)
 	}
 	request, due := h.Tick(3 * time.Second)
 	if !due {
-		t.Fatal("no renewal is due after the renew interval")
+		t.Fatal("no renewal request is due after the renew interval")
 	}
 	h.Tick(4 * time.Second)
 	h.HandleResponse(Response{7, request.Number, true})
 	if want := 3*time.Second + terms.holderDuration(); h.ExpiresAt() != want {
-		t.Errorf("until %v, want %v, counted from the request", h.ExpiresAt(), want)
+		t.Errorf("lease expires at %v, want %v, measured from the request", h.ExpiresAt(), want)
 	}
 }
 
@@ -35,7 +37,7 @@
 	first, _ := h.Tick(2 * time.Second)
 	second, _ := h.Tick(4 * time.Second)
 	h.HandleResponse(Response{7, second.Number, true})
-	until := h.ExpiresAt()
+	expiresAt := h.ExpiresAt()
 	for _, test := range []struct {
 		name     string
 		response Response
@@ -47,8 +49,8 @@
 		{"end of another session", Response{8, second.Number, false}},
 	} {
 		h.HandleResponse(test.response)
-		if h.ExpiresAt() != until {
-			t.Errorf("%s: %+v moved the end from %v to %v", test.name, test.response, until, h.ExpiresAt())
+		if h.ExpiresAt() != expiresAt {
+			t.Errorf("%s: %+v moved the end of the lease from %v to %v", test.name, test.response, expiresAt, h.ExpiresAt())
 		}
 	}
 	if valid, reason := h.Valid(4 * time.Second); !valid {
@@ -60,12 +62,13 @@
 	}
 }
 
-func TestSuspensionIsNoticedBeforeEffect(t *testing.T) {
+// TestSuspensionIsDetectedBeforeEffect checks that a holder without a Tick for longer than MaxTickGap may not act.
+func TestSuspensionIsDetectedBeforeEffect(t *testing.T) {
 	h := newTestHolder(t)
 	if valid, reason := h.Valid(1500 * time.Millisecond); !valid {
-		t.Errorf("%s", reason)
+		t.Errorf("the lease is not valid: %s", reason)
 	}
-	if valid, reason := h.Valid(3 * time.Second); valid || reason != "this process slept" {
-		t.Errorf("valid %v: %s", valid, reason)
+	if valid, reason := h.Valid(3 * time.Second); valid || reason != "the process was suspended" {
+		t.Errorf("after a suspension: valid %v, reason %q", valid, reason)
 	}
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -11,12 +11,12 @@
 
 func TestTermsCheck(t *testing.T) {
 	for name, change := range map[string]func(*Terms){
-		"negative drift":             func(t *Terms) { t.Drift = -1 },
-		"drift is no number":         func(t *Terms) { t.Drift = math.NaN() },
-		"no duration":                func(t *Terms) { t.Duration = 0 },
-		"too few renewals":           func(t *Terms) { t.RenewInterval = 4 * time.Second },
-		"margin leaves too little":   func(t *Terms) { t.Margin = 9 * time.Second },
-		"no bound between two ticks": func(t *Terms) { t.MaxTickGap = 0 },
+		"negative drift":   func(t *Terms) { t.Drift = -1 },
+		"drift is NaN":     func(t *Terms) { t.Drift = math.NaN() },
+		"no duration":      func(t *Terms) { t.Duration = 0 },
+		"too few renewals": func(t *Terms) { t.RenewInterval = 4 * time.Second },
+		"margin too large": func(t *Terms) { t.Margin = 9 * time.Second },
+		"no tick gap":      func(t *Terms) { t.MaxTickGap = 0 },
 	} {
 		invalid := terms
 		change(&invalid)
