--- a/fleet/snapshot.go
+++ b/fleet/snapshot.go
@@ -37,7 +37,7 @@
 	if s.roster.Epoch > 0 {
 		roster = &s.roster
 	}
-	recordsSnapshot, err := s.snapshotRecords()
+	storedRecords, err := s.snapshotRecords()
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 		Agents:   s.Agents(),
 		Drained:  slices.Sorted(maps.Keys(s.drained)),
 		Roster:   roster,
-		Records:  recordsSnapshot,
+		Records:  storedRecords,
 		Events:   s.events,
 	})
 }
--- a/revisions/history.go
+++ b/revisions/history.go
@@ -93,11 +93,11 @@
 		}
 		content = restored.Content
 	}
-	checksum := content.Checksum()
-	if len(h.revisions) > 0 && checksum == head.Checksum {
+	sum := content.Checksum()
+	if len(h.revisions) > 0 && sum == head.Checksum {
 		return Result{Unchanged, head}
 	}
-	next := Revision{Number: head.Number + 1, Parent: head.Number, Content: content, Checksum: checksum,
+	next := Revision{Number: head.Number + 1, Parent: head.Number, Content: content, Checksum: sum,
 		Author: command.Author, Message: command.Message, At: command.At}
 	h.revisions = append(h.revisions, next)
 	h.truncate()
