--- a/lease/lease.go
+++ b/lease/lease.go
@@ -21,7 +21,7 @@
 	"time"
 )
 
-// Errors for errors.Is.
+// Errors that callers distinguish with errors.Is.
 var (
 	// ErrInvalidTerms reports terms under which a lease could not be held or renewed.
 	ErrInvalidTerms = errors.New("invalid lease terms")
