--- a/capacity/size.go
+++ b/capacity/size.go
@@ -123,11 +123,11 @@
 	}
 	switch site := &s.Site; {
 	case site.Zones < site.Regions:
-		return strict.At(file, text, "site.zones", "%d zones can't make up %d regions", site.Zones, site.Regions)
+		return strict.ErrorAt(file, text, "site.zones", "%d zones can't make up %d regions", site.Zones, site.Regions)
 	case site.Services > site.Backends:
-		return strict.At(file, text, "site.services", "%d services of %d backends", site.Services, site.Backends)
+		return strict.ErrorAt(file, text, "site.services", "%d services of %d backends", site.Services, site.Backends)
 	case s.Assumptions.GatewaysPerTenant > site.Gateways:
-		return strict.At(file, text, "assumptions.gateways_per_tenant", "%d, and there are %d gateways", s.Assumptions.GatewaysPerTenant, site.Gateways)
+		return strict.ErrorAt(file, text, "assumptions.gateways_per_tenant", "%d, and there are %d gateways", s.Assumptions.GatewaysPerTenant, site.Gateways)
 	}
 	return nil
 }
@@ -150,9 +150,9 @@
 		}
 		switch {
 		case math.IsNaN(number), number < allowed.least, number > allowed.most:
-			return strict.At(file, text, key, "%g is not between %g and %g", number, allowed.least, allowed.most)
+			return strict.ErrorAt(file, text, key, "%g is not between %g and %g", number, allowed.least, allowed.most)
 		case allowed.above && number == allowed.least:
-			return strict.At(file, text, key, "it must be given, and above %g: %s", allowed.least, value.Type().Field(i).Tag.Get("doc"))
+			return strict.ErrorAt(file, text, key, "it must be given, and above %g: %s", allowed.least, value.Type().Field(i).Tag.Get("doc"))
 		}
 	}
 	return nil
--- a/capacity/slopes.go
+++ b/capacity/slopes.go
@@ -89,7 +89,7 @@
 		return "measure", "it must be named"
 	case !known:
 		problem = fmt.Sprintf("there is no measure %q", s.Measure)
-		if near := strict.Near(s.Measure, measureNames()); near != "" {
+		if near := strict.Closest(s.Measure, measureNames()); near != "" {
 			problem += fmt.Sprintf("; did you mean %q?", near)
 		}
 		return "measure", problem
@@ -141,7 +141,7 @@
 	if _, rest, ok := strings.Cut(err.Error(), "unknown field "); ok {
 		field := strings.Trim(rest, `"`)
 		problem := "there is no such key"
-		if near := strict.Near(field, slopeKeys); near != "" {
+		if near := strict.Closest(field, slopeKeys); near != "" {
 			problem += fmt.Sprintf("; did you mean %q?", near)
 		}
 		return d.errorAt(d.fieldOffset(start, len(d.text), field), key+"."+field, "%s", problem)
--- a/cmd/elderyard-peers/main.go
+++ b/cmd/elderyard-peers/main.go
@@ -19,7 +19,7 @@
 		if set == nil || err != nil {
 			return nil, err
 		}
-		set.WaitForAddress = c.Inherited
+		set.WaitForAddress = c.InheritedListener
 		p, err := peers.Open(*set)
 		if err != nil {
 			return nil, err // not a nil of another type
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -108,7 +108,7 @@
 		return Config{}, err
 	}
 	if key, err := c.check(); err != nil {
-		return Config{}, strict.At(path, text, key, "%v", err)
+		return Config{}, strict.ErrorAt(path, text, key, "%v", err)
 	}
 	home, err := filepath.Abs(filepath.Dir(path))
 	if err != nil {
@@ -243,7 +243,7 @@
 }
 
 func (c *Config) checkRESP() (key string, err error) {
-	if key, err := c.RESP.Check(); err != nil {
+	if key, err := c.RESP.Validate(); err != nil {
 		return key, err
 	}
 	if c.RESP.Listen != "" && len(c.Instances) == 0 {
--- a/internal/agent/limit_commands.go
+++ b/internal/agent/limit_commands.go
@@ -142,7 +142,7 @@
 	rand.Read(seed[:])
 	o := owner.New(set, binary.LittleEndian.Uint64(seed[:]), shared)
 	o.Start(nil)
-	front, err := respfront.Open(f.a.config.RESP, o, set, c.PlanNames)
+	front, err := respfront.FromSite(f.a.config.RESP, o, set, c.PlanNames)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,19 +18,19 @@
 
 // Config is what a gateway is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Operator  string // where the operators' staff call; empty: nowhere
-	StateDir  string // what must outlive an upgrade is kept there; empty: nothing is
-	Inherited bool   // Listen is a socket that came with the process, shared with others in an upgrade
-	Discovery string
-	Counter   string // empty where the deployment has none
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int // file descriptors
-	Known     discovery.Listing
-	Site      site.Settings // the operator's; the platform says nothing of it
+	Name              string
+	Listen            string // where clients connect
+	Operator          string // where the operators' staff call; empty: nowhere
+	StateDir          string // what must outlive an upgrade is kept there; empty: nothing is
+	InheritedListener bool   // Listen is a socket that came with the process, shared with others in an upgrade
+	Discovery         string
+	Counter           string // empty where the deployment has none
+	Seed              uint64
+	Cores             float64
+	MemoryMB          int
+	Sockets           int // file descriptors
+	InitialBackends   discovery.Listing
+	Site              site.Settings // the operator's; the platform says nothing of it
 	wire.Deployment
 }
 
@@ -72,7 +72,7 @@
 		return Config{}, errors.New("no settings")
 	}
 	c := Config{Name: raw.Name, Listen: raw.Listen, Operator: raw.Operator, Discovery: raw.Discovery, Counter: raw.Counter,
-		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, Known: raw.Known,
+		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, InitialBackends: raw.Known,
 		Site: site.Defaults()}
 	var err error
 	if c.Deployment, err = wire.ParseDeployment(raw.Settings); err != nil {
@@ -84,10 +84,10 @@
 	return c, c.check()
 }
 
-// Share takes half of the limits: with an inherited socket, two processes run
+// HalveLimits takes half of the limits: with an inherited socket, two processes run
 // side by side during an upgrade, and the limits hold for both together.
-func (c *Config) Share() {
-	c.Inherited = true
+func (c *Config) HalveLimits() {
+	c.InheritedListener = true
 	c.MemoryMB, c.Sockets = max(c.MemoryMB/2, leastMemoryMB), max(c.Sockets/2, leastSockets)
 }
 
@@ -117,7 +117,7 @@
 		return fmt.Errorf("limits: %g cores, %d MB and %d sockets are too little", c.Cores, c.MemoryMB, c.Sockets)
 	case c.FleetSize < 1 || c.Rank < 0 || c.Rank >= c.FleetSize:
 		return fmt.Errorf("settings: rank %d is not among %d gateways", c.Rank, c.FleetSize)
-	case c.Tick <= 0 || c.ConnectTimeout <= 0 || c.KeepAlive <= 0:
+	case c.Tick <= 0 || c.ConnectTimeout <= 0 || c.KeepaliveTimeout <= 0:
 		return errors.New("settings: tick, connect time-out and keep-alive must be above 0")
 	case c.Settings.HasCounter && c.CounterTimeout <= 0:
 		return errors.New("settings: the counter's time-out must be above 0")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.Rank != 1 || c.ClassNames[1] != "booking" || c.PlanNames[1] != "council" ||
-		c.KeepAlive != 15 || c.Sockets != 1024 || c.Known.Generation != 41 || c.Zones[1] != "b" {
+		c.KeepaliveTimeout != 15 || c.Sockets != 1024 || c.InitialBackends.Generation != 41 || c.Zones[1] != "b" {
 		t.Errorf("read %+v", c)
 	}
 	for _, bad := range [][2]string{
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -37,7 +37,7 @@
 }
 
 // replyBounds are what the answers of one connection may hold.
-var replyBounds = resp.Bounds{Args: 8, Bulk: 1 << 10, Total: 4 << 10, Depth: 2}
+var replyBounds = resp.Limits{Args: 8, Bulk: 1 << 10, Total: 4 << 10, Depth: 2}
 
 const (
 	callReplies = 5               // MULTI, two queued, EXEC: four; the greeting counts for itself
@@ -285,15 +285,15 @@
 			return c.refused(refusal)
 		case v.Kind == resp.Null:
 			return rules.Overloaded, 0, nil // dropped as a whole
-		case v.Kind != resp.Array || len(v.List) != 2:
+		case v.Kind != resp.Array || len(v.Elements) != 2:
 			return rules.Errored, 0, errLeave
-		case v.List[0].Kind == resp.Error:
-			return c.refused(v.List[0].Str) // the number is no number, or too large: nothing was added
+		case v.Elements[0].Kind == resp.Error:
+			return c.refused(v.Elements[0].Str) // the number is no number, or too large: nothing was added
 		default:
-			text := v.List[0].Str
-			if v.List[0].Kind == resp.Double {
-				total = v.List[0].Num
-			} else if total, err = strconv.ParseFloat(text, 64); err != nil || v.List[0].Kind != resp.Bulk {
+			text := v.Elements[0].Str
+			if v.Elements[0].Kind == resp.Double {
+				total = v.Elements[0].Float
+			} else if total, err = strconv.ParseFloat(text, 64); err != nil || v.Elements[0].Kind != resp.Bulk {
 				return rules.Errored, 0, errLeave
 			}
 			if total != total || total-total != 0 {
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -109,7 +109,7 @@
 	}
 	p := d.base.Rollout.policy()
 	if err := p.Validate(); err != nil {
-		return nil, strict.At(name, []byte(c.File), "rollout", "%v", err)
+		return nil, strict.ErrorAt(name, []byte(c.File), "rollout", "%v", err)
 	}
 	for _, instance := range slices.Sorted(maps.Keys(c.Overlays)) {
 		var o overlay
@@ -164,7 +164,7 @@
 	for _, key := range slices.Sorted(maps.Keys(whole)) {
 		if !slices.Contains(own, key) {
 			text := "there is no such key"
-			if near := strict.Near(key, own); near != "" {
+			if near := strict.Closest(key, own); near != "" {
 				text += fmt.Sprintf("; did you mean %q?", near)
 			}
 			return nil, d.blame(i.Name, "gateway."+key, text)
@@ -236,11 +236,11 @@
 func (d *Document) blame(instance, key, text string) error {
 	name, source := d.names(instance)
 	var at *strict.Error
-	if err := strict.At(name, source, key, "%s", text); errors.As(err, &at) && at.Line > 0 {
+	if err := strict.ErrorAt(name, source, key, "%s", text); errors.As(err, &at) && at.Line > 0 {
 		return err
 	}
 	name, source = d.names("")
-	return strict.At(name, source, key, "%s", text)
+	return strict.ErrorAt(name, source, key, "%s", text)
 }
 
 var quoted = regexp.MustCompile(`unknown field "([^"]+)"|field [A-Za-z.]*\.([A-Za-z_]+) of type`)
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -293,7 +293,7 @@
 		return q, errors.New(planHeader + " names no plan")
 	}
 	customer := h.Get(clientHeader)
-	n, err := site.AccountID(customer)
+	n, err := site.ParseAccountID(customer)
 	if err != nil {
 		return q, errors.New(clientHeader + " is not the number of a customer")
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,7 +146,7 @@
 // serve is Run on sockets that are open. Desk is the operators', or nil.
 func serve(ctx context.Context, c *config.Config, listener, desk net.Listener, export *telemetry.Settings, fellows Fellows, reload Reload) error {
 	share := divideDescriptors(c, fellows != nil, desk != nil)
-	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), share.backends)
+	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepaliveTimeout), share.backends)
 	c.Settings.CheckFrontends = c.Site.Quotas.Fronts
 	calls, err := counter.Open(c.Site.Counter, c.Settings, c.Counter)
 	if err != nil {
@@ -204,7 +204,7 @@
 		}
 		outByHand{front.loop, out}.Process()
 	}
-	front.loop.list(c.Known, rules.CachedList)
+	front.loop.list(c.InitialBackends, rules.CachedList)
 	wg.Go(func() { front.loop.Run(inner) })
 	wg.Go(func() { pools.sweep(inner) })
 	if fellows != nil {
@@ -226,7 +226,7 @@
 	}
 	unwatch := watch(c.Discovery)
 	known := time.AfterFunc(knownAfter, func() {
-		if len(c.Known.Instances) > 0 {
+		if len(c.InitialBackends.Instances) > 0 {
 			gotList()
 		}
 	})
@@ -244,7 +244,7 @@
 	took := make(chan struct{}) // all that is taken has come
 	wg.Go(func() {
 		defer close(took)
-		if c.Inherited {
+		if c.InheritedListener {
 			// Danger: what this process takes before it can serve, the other one would have served.
 			select {
 			case <-listed:
@@ -294,12 +294,12 @@
 		log.Printf("resp.most_clients: %d descriptors leave room for %d clients, not %d", c.Sockets, most, set.Most)
 		set.Most = most
 	}
-	front, err := respfront.Open(set, o, c.Settings, c.PlanNames)
+	front, err := respfront.FromSite(set, o, c.Settings, c.PlanNames)
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
 	}
 	l, err := net.Listen("tcp", c.Site.RESP.Listen)
-	if err != nil && !c.Inherited {
+	if err != nil && !c.InheritedListener {
 		return nil, fmt.Errorf("limit commands: %w", err)
 	}
 	return func(ctx context.Context) {
@@ -355,14 +355,14 @@
 	front.leaving.Store(true)
 	kill := began.Add(killed(c))
 	quiet := time.Duration(0)
-	if c.Inherited {
+	if c.InheritedListener {
 		quiet = stayFor / 2
 		callers.Close()
 	}
 	for end := began.Add(stayFor); time.Now().Before(end); time.Sleep(endLook) {
 		callers.closeQuiet(quiet, never)
 	}
-	if !c.Inherited {
+	if !c.InheritedListener {
 		callers.finish()
 	}
 	<-took
--- a/internal/lab/fault.go
+++ b/internal/lab/fault.go
@@ -45,7 +45,7 @@
 	for _, kind := range faultKinds {
 		known = append(known, kind.name)
 	}
-	if near := strict.Near(name, known); near != "" {
+	if near := strict.Closest(name, known); near != "" {
 		return wrong("kind", "there is no fault %q; did you mean %q?", name, near)
 	}
 	return wrong("kind", "there is no fault %q; they are %s", name, strings.Join(known, ", "))
--- a/internal/lab/load/takes.go
+++ b/internal/lab/load/takes.go
@@ -29,7 +29,7 @@
 	holdUnit     = 150 * time.Millisecond // before one is given back
 )
 
-var replyBounds = resp.Bounds{Args: 64, Bulk: 1 << 10, Total: 8 << 10, Depth: 2}
+var replyBounds = resp.Limits{Args: 64, Bulk: 1 << 10, Total: 8 << 10, Depth: 2}
 
 // take plays one arrival as a limit command. All its choices are drawn from the
 // seed and its number.
@@ -142,16 +142,16 @@
 	case v.Kind == resp.Error:
 		t.Error = v.Str
 		return
-	case v.Kind == resp.Array && len(v.List) == throttleFigures && v.List[0].Kind == resp.Int:
+	case v.Kind == resp.Array && len(v.Elements) == throttleFigures && v.Elements[0].Kind == resp.Int:
 		t.Outcome = audit.Refused
-		if v.List[0].Int == 0 {
+		if v.Elements[0].Int == 0 {
 			t.Outcome, t.Granted = audit.Served, t.Asked
 		}
 		return
 	}
 	figures := map[string]string{}
-	for i := 0; i+1 < len(v.List); i += 2 {
-		figures[v.List[i].Str] = text(v.List[i+1])
+	for i := 0; i+1 < len(v.Elements); i += 2 {
+		figures[v.Elements[i].Str] = text(v.Elements[i+1])
 	}
 	name := "granted"
 	if t.Gives {
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -66,13 +66,13 @@
 	}
 	for key, value := range map[string]string{"about": s.About, "provokes": s.Provokes} {
 		if value == "" {
-			return s, strict.At(file, text, key, "is missing")
+			return s, strict.ErrorAt(file, text, key, "is missing")
 		}
 	}
 	site := s.Site()
 	site.defaults()
 	if err := site.check(); err != nil {
-		return s, strict.At(file, text, err.key, "%s", err.text)
+		return s, strict.ErrorAt(file, text, err.key, "%s", err.text)
 	}
 	return s, nil
 }
@@ -127,7 +127,7 @@
 			names = append(names, s.Name)
 		}
 		hint := "the names are " + strings.Join(names, ", ")
-		if near := strict.Near(name, names); near != "" {
+		if near := strict.Closest(name, names); near != "" {
 			hint = fmt.Sprintf("did you mean %q?", near)
 		}
 		return Scenario{}, fmt.Errorf("scenario %q: neither a scenario nor a file; %s", name, hint)
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -67,7 +67,7 @@
 		if fd, err = strconv.Atoi(text); err != nil || fd < 3 {
 			return fmt.Errorf("EDGE_LISTEN_FD: %q is not a descriptor that came with the process", text)
 		}
-		c.Share()
+		c.HalveLimits()
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(c.Cores)))
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * c.Site.Memory.HeapShare))
@@ -80,7 +80,7 @@
 	return gateway.Run(ctx, &c, fd, export, fellows, gateway.Reload{Signal: hup, Read: func() (config.Config, error) {
 		next, err := config.Read(path)
 		if fd >= 0 {
-			next.Share()
+			next.HalveLimits()
 		}
 		return next, err
 	}})
--- a/internal/peers/roster_file.go
+++ b/internal/peers/roster_file.go
@@ -25,7 +25,7 @@
 		return members.Roster{}, err
 	}
 	if key, err := r.Check(); err != nil {
-		return members.Roster{}, strict.At(file, text, key, "%v", err)
+		return members.Roster{}, strict.ErrorAt(file, text, key, "%v", err)
 	}
 	return r, nil
 }
--- a/internal/peers/settings.go
+++ b/internal/peers/settings.go
@@ -80,7 +80,7 @@
 		return fmt.Errorf("own name: %w", err)
 	}
 	for what, address := range map[string]string{"peers.listen": s.Listen, "peers.advertise": s.Advertise} {
-		if err := site.IPPort(address); err != nil {
+		if err := site.CheckIPPort(address); err != nil {
 			return fmt.Errorf("%s: %w", what, err)
 		}
 	}
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -13,8 +13,8 @@
 	"strconv"
 )
 
-// Bounds are what one command, or one reply, may hold.
-type Bounds struct {
+// Limits are what one command, or one reply, may hold.
+type Limits struct {
 	Args  int // of a command, or values of a reply in all
 	Bulk  int // bytes of one
 	Total int // bytes of all
@@ -33,11 +33,11 @@
 // Reader reads commands and replies.
 type Reader struct {
 	r      *bufio.Reader
-	bounds Bounds
+	bounds Limits
 }
 
 // NewReader reads from r within bounds.
-func NewReader(r io.Reader, b Bounds) *Reader { return &Reader{bufio.NewReaderSize(r, 4<<10), b} }
+func NewReader(r io.Reader, b Limits) *Reader { return &Reader{bufio.NewReaderSize(r, 4<<10), b} }
 
 // Reset reads from r from now on.
 func (r *Reader) Reset(from io.Reader) { r.r.Reset(from) }
@@ -280,11 +280,11 @@
 
 // Value is one reply.
 type Value struct {
-	Kind Kind
-	Str  string  // of Simple, Error, Bulk, BigNum, Verb
-	Int  int64   // of Int; 1 for a true Bool
-	Num  float64 // of Double
-	List []Value // of Array, Map (names and values in turn), Set, Push
+	Kind     Kind
+	Str      string  // of Simple, Error, Bulk, BigNum, Verb
+	Int      int64   // of Int; 1 for a true Bool
+	Float    float64 // of Double
+	Elements []Value // of Array, Map (names and values in turn), Set, Push
 }
 
 // Reply reads one reply.
@@ -327,7 +327,7 @@
 			return Value{}, protocol("neither true nor false")
 		}
 	case Double:
-		if v.Num, err = strconv.ParseFloat(string(rest), 64); err != nil {
+		if v.Float, err = strconv.ParseFloat(string(rest), 64); err != nil {
 			return Value{}, protocol("a number that is none")
 		}
 	case Bulk, Verb:
@@ -366,7 +366,7 @@
 			if err != nil {
 				return Value{}, ended(err)
 			}
-			v.List = append(v.List, e)
+			v.Elements = append(v.Elements, e)
 		}
 	default:
 		return Value{}, protocol("unknown kind %q", head[0])
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -16,7 +16,7 @@
 	"github.com/tidwall/redcon"
 )
 
-var bounds = Bounds{Args: 64, Bulk: 1 << 10, Total: 4 << 10, Depth: 4}
+var bounds = Limits{Args: 64, Bulk: 1 << 10, Total: 4 << 10, Depth: 4}
 
 func words(args [][]byte) []string {
 	var out []string
@@ -111,19 +111,19 @@
 		w.Set(1)
 		w.Int(3)
 		v, err := NewReader(bytes.NewReader(w.Buf), bounds).Reply()
-		if err != nil || len(v.List) != 10 {
+		if err != nil || len(v.Elements) != 10 {
 			t.Fatalf("version %d: %+v, %v", version, v, err)
 		}
 		want := []Value{{Kind: Simple, Str: "OK"}, {Kind: Error, Str: "ERR no  way"}, {Kind: Int, Int: -7}, {Kind: Bulk, Str: "a\r\nb"},
-			{Kind: Null}, {Kind: Double, Num: 1.5}, {Kind: Double, Num: math.Inf(1)}, {Kind: Bool, Int: 1},
-			{Kind: Map, List: []Value{{Kind: Bulk, Str: "n"}, {Kind: Bool}}}, {Kind: Set, List: []Value{{Kind: Int, Int: 3}}}}
+			{Kind: Null}, {Kind: Double, Float: 1.5}, {Kind: Double, Float: math.Inf(1)}, {Kind: Bool, Int: 1},
+			{Kind: Map, Elements: []Value{{Kind: Bulk, Str: "n"}, {Kind: Bool}}}, {Kind: Set, Elements: []Value{{Kind: Int, Int: 3}}}}
 		if version == 2 {
 			want[5], want[6], want[7] = Value{Kind: Bulk, Str: "1.5"}, Value{Kind: Bulk, Str: "inf"}, Value{Kind: Int, Int: 1}
-			want[8] = Value{Kind: Array, List: []Value{{Kind: Bulk, Str: "n"}, {Kind: Int}}}
+			want[8] = Value{Kind: Array, Elements: []Value{{Kind: Bulk, Str: "n"}, {Kind: Int}}}
 			want[9].Kind = Array
 		}
-		if !reflect.DeepEqual(v.List, want) {
-			t.Errorf("version %d:\n%+v, want\n%+v", version, v.List, want)
+		if !reflect.DeepEqual(v.Elements, want) {
+			t.Errorf("version %d:\n%+v, want\n%+v", version, v.Elements, want)
 		}
 	}
 	for _, bad := range []string{"*-2\r\n", "*100\r\n", "%40\r\n", ":x\r\n", "#x\r\n", ",x\r\n", "$5000\r\n", "=2\r\nab\r\n", "_1\r\n", "\r\n", "?\r\n",
@@ -253,11 +253,11 @@
 		for _, version := range []int{2, 3} {
 			w := Writer{Version: version}
 			w.Milli(n)
-			v, err := NewReader(bytes.NewReader(w.Buf), Bounds{Args: 1, Bulk: 64, Total: 64}).Reply()
+			v, err := NewReader(bytes.NewReader(w.Buf), Limits{Args: 1, Bulk: 64, Total: 64}).Reply()
 			if version == 2 && err == nil {
-				v.Num, err = strconv.ParseFloat(v.Str, 64)
+				v.Float, err = strconv.ParseFloat(v.Str, 64)
 			}
-			if err != nil || v.Num != float64(n)/1000 {
+			if err != nil || v.Float != float64(n)/1000 {
 				t.Errorf("%d in version %d: %q, %v", n, version, w.Buf, err)
 			}
 		}
--- a/internal/respfront/front.go
+++ b/internal/respfront/front.go
@@ -22,7 +22,7 @@
 }
 
 // bounds of one command. The longest has a dozen words.
-var bounds = resp.Bounds{Args: 256, Bulk: 4 << 10, Total: 16 << 10, Depth: 1}
+var bounds = resp.Limits{Args: 256, Bulk: 4 << 10, Total: 16 << 10, Depth: 1}
 
 const (
 	mostBatch = 256                   // commands of a pipeline that are handed on together
--- a/internal/respfront/front_test.go
+++ b/internal/respfront/front_test.go
@@ -139,7 +139,7 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(testpeer.Patience))
-	return &talk{c, t, resp.NewReader(c, resp.Bounds{Args: 1000, Bulk: 1 << 16, Total: 1 << 18, Depth: 5})}
+	return &talk{c, t, resp.NewReader(c, resp.Limits{Args: 1000, Bulk: 1 << 16, Total: 1 << 18, Depth: 5})}
 }
 
 // say writes commands, a line each, and returns their replies as text.
@@ -162,7 +162,7 @@
 	case resp.Int:
 		return fmt.Sprint(v.Int)
 	case resp.Double:
-		return fmt.Sprint(v.Num)
+		return fmt.Sprint(v.Float)
 	case resp.Bool:
 		return fmt.Sprint(v.Int == 1)
 	case resp.Null:
@@ -171,7 +171,7 @@
 		return "-" + v.Str
 	case resp.Array, resp.Map, resp.Set, resp.Push:
 		var parts []string
-		for _, e := range v.List {
+		for _, e := range v.Elements {
 			parts = append(parts, text(e))
 		}
 		return "[" + strings.Join(parts, " ") + "]"
--- a/internal/respfront/limit.go
+++ b/internal/respfront/limit.go
@@ -34,7 +34,7 @@
 
 // account reads an account's number, and sees to it that the user may ask for it.
 func (s *session) account(text string) (uint64, bool) {
-	n, err := site.AccountID(text)
+	n, err := site.ParseAccountID(text)
 	if err != nil {
 		s.fail(fmt.Sprintf("ERR account '%.64s' is not 16 hexadecimal digits below 0000000200000000", text))
 		return 0, false
--- a/internal/respfront/open.go
+++ b/internal/respfront/open.go
@@ -13,12 +13,12 @@
 	"elderyard/rules"
 )
 
-// Open makes a front from the operator's file, for an owner whose module has these
+// FromSite makes a front from the operator's file, for an owner whose module has these
 // settings and plans. It opens no socket.
-func Open(s site.RESP, o *owner.EventLoop, set rules.Settings, plans []string) (*Front, error) {
+func FromSite(s site.RESP, o *owner.EventLoop, set rules.Settings, plans []string) (*Front, error) {
 	accounts := map[uint64]string{}
 	for _, a := range s.Account {
-		id, err := site.AccountID(a.ID)
+		id, err := site.ParseAccountID(a.ID)
 		if err != nil {
 			return nil, fmt.Errorf("resp.account: %w", err)
 		}
@@ -52,7 +52,7 @@
 		made.Accounts = nil
 	} else {
 		for _, text := range u.Accounts {
-			id, err := site.AccountID(text)
+			id, err := site.ParseAccountID(text)
 			if err != nil {
 				return User{}, fmt.Errorf("accounts: %w", err)
 			}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -171,11 +171,11 @@
 		{"peers.most_kb", float64(s.Peers.MostKB), 8, 65536},
 	} {
 		if !(r.value >= r.least && r.value <= r.most) {
-			return Settings{}, strict.At(file, text, r.key, "%g is not between %g and %g", r.value, r.least, r.most)
+			return Settings{}, strict.ErrorAt(file, text, r.key, "%g is not between %g and %g", r.value, r.least, r.most)
 		}
 	}
 	if key, err := s.check(); err != nil {
-		return Settings{}, strict.At(file, text, key, "%v", err)
+		return Settings{}, strict.ErrorAt(file, text, key, "%v", err)
 	}
 	return s, nil
 }
@@ -200,7 +200,7 @@
 	if key, err := s.Peers.check(); err != nil {
 		return key, err
 	}
-	return s.RESP.Check()
+	return s.RESP.Validate()
 }
 
 func (p *Peers) check() (key string, err error) {
@@ -219,7 +219,7 @@
 		return "peers.site", errors.New("it is longer than 64 bytes")
 	}
 	for key, address := range map[string]string{"peers.listen": p.Listen, "peers.advertise": p.Advertise} {
-		if err := IPPort(address); address != "" && err != nil {
+		if err := CheckIPPort(address); address != "" && err != nil {
 			return key, err
 		}
 	}
@@ -229,21 +229,21 @@
 			return fmt.Sprintf("peers.reach[%d].name", i), fmt.Errorf("%q is empty or stands twice", r.Name)
 		}
 		seen[r.Name] = true
-		if err := IPPort(r.Address); err != nil {
+		if err := CheckIPPort(r.Address); err != nil {
 			return fmt.Sprintf("peers.reach[%d].address", i), err
 		}
 	}
 	for _, seed := range p.Seeds {
-		if err := IPPort(seed); err != nil && !seen[seed] {
+		if err := CheckIPPort(seed); err != nil && !seen[seed] {
 			return "peers.seeds", fmt.Errorf("%q is neither an IP address with a port nor a name that reach has", seed)
 		}
 	}
 	return "", nil
 }
 
-// IPPort finds what is wrong with an address. Names are not looked up: who must
+// CheckIPPort finds what is wrong with an address. Names are not looked up: who must
 // find the others when little works rests on nothing else.
-func IPPort(address string) error {
+func CheckIPPort(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil || bad != nil || n == 0 {
 		return fmt.Errorf("%q is not an IP address with a port", address)
@@ -277,9 +277,9 @@
 	return "", nil
 }
 
-// Check finds what is wrong with the settings of a front, with the key that it
+// Validate finds what is wrong with the settings of a front, with the key that it
 // stands at, which begins with "resp".
-func (r *RESP) Check() (key string, err error) {
+func (r *RESP) Validate() (key string, err error) {
 	switch {
 	case r.Most < 1 || r.Most > 100000:
 		return "resp.most_clients", fmt.Errorf("%d is not between 1 and 100000", r.Most)
@@ -297,7 +297,7 @@
 	}
 	seen := map[string]bool{}
 	for i, a := range r.Account {
-		if _, err := AccountID(a.ID); err != nil || seen[a.ID] {
+		if _, err := ParseAccountID(a.ID); err != nil || seen[a.ID] {
 			return fmt.Sprintf("resp.account[%d].id", i), fmt.Errorf("%q is not 16 hexadecimal digits below 0000000200000000, or stands twice", a.ID)
 		}
 		seen[a.ID] = true
@@ -309,7 +309,7 @@
 		}
 		seen[u.Name] = true
 		for _, id := range u.Accounts {
-			if _, err := AccountID(id); err != nil && id != "*" {
+			if _, err := ParseAccountID(id); err != nil && id != "*" {
 				return fmt.Sprintf("resp.user[%d].accounts", i), fmt.Errorf("%q is neither an account nor *", id)
 			}
 		}
@@ -320,8 +320,8 @@
 // accounts is what all their numbers are below.
 const accounts = 1 << 33
 
-// AccountID reads an account's number: 16 hexadecimal digits.
-func AccountID(text string) (uint64, error) {
+// ParseAccountID reads an account's number: 16 hexadecimal digits.
+func ParseAccountID(text string) (uint64, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 || n >= accounts {
 		return 0, fmt.Errorf("%q is not an account", text)
--- a/internal/standin/respstore/respstore.go
+++ b/internal/standin/respstore/respstore.go
@@ -225,7 +225,7 @@
 }
 
 func (s *Store) serve(conn net.Conn) {
-	r := resp.NewReader(conn, resp.Bounds{Args: 64, Bulk: 64 << 10, Total: 256 << 10})
+	r := resp.NewReader(conn, resp.Limits{Args: 64, Bulk: 64 << 10, Total: 256 << 10})
 	c := &client{in: s.password == "", w: resp.Writer{Version: 2}, came: time.Now}
 	if whose, ok := conn.(interface {
 		Peer() string
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -64,7 +64,7 @@
 		line, _ := first.Position()
 		key := strings.Join(first.Key(), ".")
 		text := "there is no such key"
-		if near := Near(first.Key()[len(first.Key())-1], known(reflect.TypeOf(v), first.Key()[:len(first.Key())-1])); near != "" {
+		if near := Closest(first.Key()[len(first.Key())-1], known(reflect.TypeOf(v), first.Key()[:len(first.Key())-1])); near != "" {
 			text += fmt.Sprintf("; did you mean %q?", near)
 		}
 		return &Error{file, line, key, text}
@@ -75,9 +75,9 @@
 	return &Error{File: file, Text: err.Error()}
 }
 
-// At returns an error about a key, such as "fault[1].kind", with its line in
+// ErrorAt returns an error about a key, such as "fault[1].kind", with its line in
 // the text.
-func At(file string, text []byte, key, format string, a ...any) error {
+func ErrorAt(file string, text []byte, key, format string, a ...any) error {
 	return &Error{file, lineOf(text, key), key, fmt.Sprintf(format, a...)}
 }
 
@@ -135,8 +135,8 @@
 	return keys
 }
 
-// Near returns the name that a word was probably meant to be, or "".
-func Near(word string, names []string) string {
+// Closest returns the name that a word was probably meant to be, or "".
+func Closest(word string, names []string) string {
 	best, least := "", 1+len(word)/3
 	for _, n := range names {
 		if d := distance(strings.ToLower(word), strings.ToLower(n)); d <= least {
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -57,7 +57,7 @@
 	text := []byte("name = 'x'\n\n[inner]\nrate = 1\n\n[[fault]]\nkind = 'a'\n[[fault]]\n\nkind = 'b'\n")
 	for key, line := range map[string]int{"name": 1, "inner.rate": 4, "fault[0].kind": 7, "fault[1].kind": 10, "fault[1].other": 8, "none": 0} {
 		var e *Error
-		if err := At("f", text, key, "bad %d", 5); !errors.As(err, &e) || e.Line != line || e.Text != "bad 5" {
+		if err := ErrorAt("f", text, key, "bad %d", 5); !errors.As(err, &e) || e.Line != line || e.Text != "bad 5" {
 			t.Errorf("%s: %v, want line %d", key, err, line)
 		}
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -95,7 +95,7 @@
 type Deployment struct {
 	rules.Settings
 	ClassNames, PlanNames, Zones, Kinds []string
-	KeepAlive                           float64 // seconds; idle connections are closed after it
+	KeepaliveTimeout                    float64 // seconds; idle connections are closed after it
 }
 
 // ParseSettings reads the settings of an Attach record.
@@ -110,7 +110,7 @@
 	if err := json.Unmarshal(text, &o); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
-	d := Deployment{Zones: o.Localities, Kinds: o.Kinds, KeepAlive: o.Allowed.KeepaliveS}
+	d := Deployment{Zones: o.Localities, Kinds: o.Kinds, KeepaliveTimeout: o.Allowed.KeepaliveS}
 	for _, c := range o.Classes {
 		d.ClassNames = append(d.ClassNames, c.Name)
 	}
