--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -1,6 +1,5 @@
-// Package resp reads and writes RESP, versions 2 and 3, as published: commands as
-// a server takes them, replies as either side writes and reads them. What a peer can
-// make grow is bounded.
+// Package resp reads and writes RESP, versions 2 and 3, as published: commands on the
+// server's side, replies on both sides. Everything that a peer can make grow is limited.
 package resp
 
 import (
@@ -13,43 +12,46 @@
 	"strconv"
 )
 
-// Limits are what one command, or one reply, may hold.
+// Limits are the maximum sizes of one command or one reply.
 type Limits struct {
-	Args  int // of a command, or values of a reply in all
-	Bulk  int // bytes of one
-	Total int // bytes of all
-	Depth int // of a reply
+	Args  int // arguments of a command, or values of a reply including the nested ones
+	Bulk  int // bytes of one bulk string
+	Total int // bytes of all arguments or values
+	Depth int // nesting levels of a reply
 }
 
-// ErrProtocol is what can't be read on from: the connection ends with it.
+// ErrProtocol means that the input is malformed and nothing after it can be parsed: the
+// connection must be closed.
 //
 //lint:ignore ST1005 the text is the one that RESP servers send to their clients
 var ErrProtocol = errors.New("Protocol error")
 
-func protocol(format string, a ...any) error {
-	return fmt.Errorf("%w: %s", ErrProtocol, fmt.Sprintf(format, a...))
+func protocolError(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", ErrProtocol, fmt.Sprintf(format, args...))
 }
 
 // Reader reads commands and replies.
 type Reader struct {
 	r      *bufio.Reader
-	bounds Limits
+	limits Limits
 }
 
-// NewReader reads from r within bounds.
-func NewReader(r io.Reader, b Limits) *Reader { return &Reader{bufio.NewReaderSize(r, 4<<10), b} }
+// NewReader returns a reader of r that rejects commands and replies beyond the limits.
+func NewReader(r io.Reader, limits Limits) *Reader {
+	return &Reader{bufio.NewReaderSize(r, 4<<10), limits}
+}
 
-// Reset reads from r from now on.
-func (r *Reader) Reset(from io.Reader) { r.r.Reset(from) }
+// Reset discards what is buffered and switches to another source.
+func (r *Reader) Reset(source io.Reader) { r.r.Reset(source) }
 
-// Buffered is how many bytes have come and not been read.
+// Buffered returns the number of bytes that have been received and not yet been read.
 func (r *Reader) Buffered() int { return r.r.Buffered() }
 
-// line reads up to the end of a line, without it. It is good until the next read.
+// line reads one line and returns it without its end. It is valid until the next read.
 func (r *Reader) line() ([]byte, error) {
 	text, err := r.r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return nil, protocol("too big a line")
+		return nil, protocolError("too big a line")
 	}
 	if err != nil {
 		if err == io.EOF && len(text) > 0 {
@@ -64,14 +66,14 @@
 	return text, nil
 }
 
-// integer reads a length as it stands: digits, and a minus.
-func integer(text []byte) (int64, bool) {
+// parseInteger parses digits after an optional sign.
+func parseInteger(text []byte) (int64, bool) {
 	if len(text) == 0 || len(text) > 20 {
 		return 0, false
 	}
-	neg := text[0] == '-'
+	negative := text[0] == '-'
 	digits := text
-	if neg || text[0] == '+' {
+	if negative || text[0] == '+' {
 		digits = text[1:]
 	}
 	if len(digits) == 0 {
@@ -87,15 +89,16 @@
 	if n > math.MaxInt64 {
 		return 0, false
 	}
-	if neg {
+	if negative {
 		return -int64(n), true
 	}
 	return int64(n), true
 }
 
-// Command reads one command: an array of bulk strings, or a line of words. It
-// appends its words to args and their bytes to text, and returns both. An empty line or array is no
-// command: args comes back as it was. The words are good as long as text is.
+// Command reads one command: an array of bulk strings, or a line of words. It appends
+// its arguments to args and their bytes to text, and returns both. An empty line or array
+// is not a command: args is returned unchanged. The arguments are slices of text and
+// valid as long as its bytes are not overwritten.
 func (r *Reader) Command(args [][]byte, text []byte) ([][]byte, []byte, error) {
 	first, err := r.r.Peek(1)
 	if err != nil {
@@ -108,117 +111,119 @@
 	if err != nil {
 		return args, text, err
 	}
-	n, ok := integer(head[1:])
-	if !ok || n > int64(r.bounds.Args) {
-		return args, text, protocol("invalid multibulk length")
+	n, ok := parseInteger(head[1:])
+	if !ok || n > int64(r.limits.Args) {
+		return args, text, protocolError("invalid multibulk length")
 	}
-	type span struct{ from, to int }
-	var few [16]span
-	spans, total := few[:0], 0
+	type span struct{ start, end int }
+	var initial [16]span // saves an allocation for most commands
+	spans, total := initial[:0], 0
 	for range max(n, 0) {
 		head, err := r.line()
 		if err != nil {
-			return args, text, ended(err)
+			return args, text, unexpectedEOF(err)
 		}
 		if len(head) == 0 || head[0] != '$' {
-			got := byte(' ')
+			found := byte(' ')
 			if len(head) > 0 {
-				got = head[0]
+				found = head[0]
 			}
-			return args, text, protocol("expected '$', got '%c'", got)
+			return args, text, protocolError("expected '$', got '%c'", found)
 		}
-		size, ok := integer(head[1:])
-		if total += int(min(size, int64(r.bounds.Total)+1)); !ok || size < 0 || size > int64(r.bounds.Bulk) || total > r.bounds.Total {
-			return args, text, protocol("invalid bulk length")
+		size, ok := parseInteger(head[1:])
+		if total += int(min(size, int64(r.limits.Total)+1)); !ok || size < 0 || size > int64(r.limits.Bulk) || total > r.limits.Total {
+			return args, text, protocolError("invalid bulk length")
 		}
-		from := len(text)
+		start := len(text)
 		text = append(text, make([]byte, size)...)
-		if _, err := io.ReadFull(r.r, text[from:]); err != nil {
-			return args, text, ended(err)
+		if _, err := io.ReadFull(r.r, text[start:]); err != nil {
+			return args, text, unexpectedEOF(err)
 		}
 		if err := r.crlf(); err != nil {
 			return args, text, err
 		}
-		spans = append(spans, span{from, len(text)})
+		spans = append(spans, span{start, len(text)})
 	}
 	for _, s := range spans {
-		args = append(args, text[s.from:s.to:s.to])
+		args = append(args, text[s.start:s.end:s.end])
 	}
 	return args, text, nil
 }
 
-// ended turns an end in the midst of something into an error that says so.
-func ended(err error) error {
+// unexpectedEOF replaces io.EOF within a command or reply by io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
+// crlf reads the end of a bulk string.
 func (r *Reader) crlf() error {
-	a, err := r.r.ReadByte()
+	first, err := r.r.ReadByte()
 	if err != nil {
-		return ended(err)
+		return unexpectedEOF(err)
 	}
-	b, err := r.r.ReadByte()
+	second, err := r.r.ReadByte()
 	if err != nil {
-		return ended(err)
+		return unexpectedEOF(err)
 	}
-	if a != '\r' || b != '\n' {
-		return protocol("a bulk string without its end")
+	if first != '\r' || second != '\n' {
+		return protocolError("a bulk string without its end")
 	}
 	return nil
 }
 
-// inline reads a command that stands in one line, its words split at blanks, with
-// quotes as the published form has them.
+// inline reads an inline command: one line of words that are separated by white space
+// and may be quoted.
 func (r *Reader) inline(args [][]byte, text []byte) ([][]byte, []byte, error) {
 	line, err := r.line()
 	if err != nil {
 		return args, text, err
 	}
-	if len(line) > r.bounds.Total {
-		return args, text, protocol("too big inline request")
+	if len(line) > r.limits.Total {
+		return args, text, protocolError("too big inline request")
 	}
-	type span struct{ from, to int }
+	type span struct{ start, end int }
 	var spans []span
 	for i := 0; ; {
-		for i < len(line) && blank(line[i]) {
+		for i < len(line) && isSpace(line[i]) {
 			i++
 		}
 		if i == len(line) {
 			break
 		}
-		if len(spans) == r.bounds.Args {
-			return args, text, protocol("too many words")
+		if len(spans) == r.limits.Args {
+			return args, text, protocolError("too many words")
 		}
-		from := len(text)
-		for i < len(line) && !blank(line[i]) {
-			quote := line[i]
-			if quote != '"' && quote != '\'' {
-				text = append(text, quote)
+		start := len(text)
+		for i < len(line) && !isSpace(line[i]) {
+			char := line[i]
+			if char != '"' && char != '\'' {
+				text = append(text, char)
 				i++
 				continue
 			}
 			var ok bool
-			if text, i, ok = quoted(text, line, i); !ok || i < len(line) && !blank(line[i]) {
-				return args, text, protocol("unbalanced quotes in request")
+			if text, i, ok = unquote(text, line, i); !ok || i < len(line) && !isSpace(line[i]) {
+				return args, text, protocolError("unbalanced quotes in request")
 			}
 		}
-		spans = append(spans, span{from, len(text)})
+		spans = append(spans, span{start, len(text)})
 	}
 	for _, s := range spans {
-		args = append(args, text[s.from:s.to:s.to])
+		args = append(args, text[s.start:s.end:s.end])
 	}
 	return args, text, nil
 }
 
-func blank(b byte) bool {
+func isSpace(b byte) bool {
 	return b == ' ' || b == '\t' || b == '\r' || b == '\v' || b == '\f' || b == 0
 }
 
-// quoted reads what stands between the quote at i and its end.
-func quoted(text, line []byte, i int) ([]byte, int, bool) {
+// unquote appends the text of the quoted string that begins at line[i] to text. It
+// returns the index after the closing quote, and false if there is none.
+func unquote(text, line []byte, i int) ([]byte, int, bool) {
 	quote := line[i]
 	for i++; i < len(line); i++ {
 		b := line[i]
@@ -231,14 +236,14 @@
 				i++
 				b = '\''
 			}
-		case line[i+1] == 'x' && i+3 < len(line) && hex(line[i+2]) >= 0 && hex(line[i+3]) >= 0:
-			b = byte(hex(line[i+2])<<4 | hex(line[i+3]))
+		case line[i+1] == 'x' && i+3 < len(line) && hexDigit(line[i+2]) >= 0 && hexDigit(line[i+3]) >= 0:
+			b = byte(hexDigit(line[i+2])<<4 | hexDigit(line[i+3]))
 			i += 3
 		default:
 			i++
 			b = line[i]
-			if at := bytes.IndexByte([]byte("nrtba"), b); at >= 0 {
-				b = "\n\r\t\b\a"[at]
+			if n := bytes.IndexByte([]byte("nrtba"), b); n >= 0 {
+				b = "\n\r\t\b\a"[n]
 			}
 		}
 		text = append(text, b)
@@ -246,7 +251,8 @@
 	return text, i, false
 }
 
-func hex(b byte) int {
+// hexDigit returns the value of a hexadecimal digit, or -1.
+func hexDigit(b byte) int {
 	switch {
 	case '0' <= b && b <= '9':
 		return int(b - '0')
@@ -258,133 +264,135 @@
 	return -1
 }
 
-// Kind is the type of a reply by its first byte.
+// Kind is the type of a value, by the first byte of its encoding.
 type Kind byte
 
-// The kinds. Text, whole numbers and so on come as Str; Null stands for all forms of it.
+// The kinds. Null also stands for the null bulk string and the null array of version 2.
 const (
-	Simple Kind = '+'
-	Error  Kind = '-'
-	Int    Kind = ':'
-	Bulk   Kind = '$'
-	Array  Kind = '*'
-	Null   Kind = '_'
-	Double Kind = ','
-	Bool   Kind = '#'
-	BigNum Kind = '('
-	Verb   Kind = '='
-	Map    Kind = '%'
-	Set    Kind = '~'
-	Push   Kind = '>'
+	Simple    Kind = '+'
+	Error     Kind = '-'
+	Int       Kind = ':'
+	Bulk      Kind = '$'
+	Array     Kind = '*'
+	Null      Kind = '_'
+	Double    Kind = ','
+	Bool      Kind = '#'
+	BigNumber Kind = '('
+	Verbatim  Kind = '='
+	Map       Kind = '%'
+	Set       Kind = '~'
+	Push      Kind = '>'
 )
 
-// Value is one reply.
+// Value is one reply, or a value in it.
 type Value struct {
 	Kind     Kind
-	Str      string  // of Simple, Error, Bulk, BigNum, Verb
+	Str      string  // of Simple, Error, Bulk, BigNumber and Verbatim, of that without its format
 	Int      int64   // of Int; 1 for a true Bool
 	Float    float64 // of Double
-	Elements []Value // of Array, Map (names and values in turn), Set, Push
+	Elements []Value // of Array, Set, Push, and Map with keys and values in turn
 }
 
 // Reply reads one reply.
 func (r *Reader) Reply() (Value, error) {
-	left, bytes := r.bounds.Args, r.bounds.Total
-	return r.value(r.bounds.Depth, &left, &bytes)
+	values, bytes := r.limits.Args, r.limits.Total
+	return r.value(r.limits.Depth, &values, &bytes)
 }
 
-func (r *Reader) value(depth int, left, bytes *int) (Value, error) {
-	if *left--; *left < 0 || depth < 0 {
-		return Value{}, protocol("too many values, or too deep")
+// value reads a value that may have depth levels of nesting. It counts down the values
+// and bytes that remain of the limits.
+func (r *Reader) value(depth int, values, bytes *int) (Value, error) {
+	if *values--; *values < 0 || depth < 0 {
+		return Value{}, protocolError("too many values, or too deep")
 	}
 	head, err := r.line()
 	if err != nil {
 		return Value{}, err
 	}
 	if len(head) == 0 {
-		return Value{}, protocol("an empty line")
+		return Value{}, protocolError("an empty line")
 	}
-	v, rest := Value{Kind: Kind(head[0])}, head[1:]
-	if *bytes -= len(rest); *bytes < 0 {
-		return Value{}, protocol("too long")
+	v, payload := Value{Kind: Kind(head[0])}, head[1:]
+	if *bytes -= len(payload); *bytes < 0 {
+		return Value{}, protocolError("too long")
 	}
-	n, number := integer(rest)
+	n, isInteger := parseInteger(payload)
 	switch v.Kind {
-	case Simple, Error, BigNum:
-		v.Str = string(rest)
+	case Simple, Error, BigNumber:
+		v.Str = string(payload)
 	case Null:
-		if len(rest) > 0 {
-			return Value{}, protocol("a null with a value")
+		if len(payload) > 0 {
+			return Value{}, protocolError("a null with a value")
 		}
 	case Int:
-		if v.Int = n; !number {
-			return Value{}, protocol("a number that is none")
+		if v.Int = n; !isInteger {
+			return Value{}, protocolError("a number that is none")
 		}
 	case Bool:
-		if v.Int = 0; string(rest) == "t" {
+		if v.Int = 0; string(payload) == "t" {
 			v.Int = 1
-		} else if string(rest) != "f" {
-			return Value{}, protocol("neither true nor false")
+		} else if string(payload) != "f" {
+			return Value{}, protocolError("neither true nor false")
 		}
 	case Double:
-		if v.Float, err = strconv.ParseFloat(string(rest), 64); err != nil {
-			return Value{}, protocol("a number that is none")
+		if v.Float, err = strconv.ParseFloat(string(payload), 64); err != nil {
+			return Value{}, protocolError("a number that is none")
 		}
-	case Bulk, Verb:
-		if number && n == -1 && v.Kind == Bulk {
+	case Bulk, Verbatim:
+		if isInteger && n == -1 && v.Kind == Bulk {
 			return Value{Kind: Null}, nil
 		}
-		if !number || n < 0 || n > int64(r.bounds.Bulk) || n > int64(*bytes) {
-			return Value{}, protocol("invalid bulk length")
+		if !isInteger || n < 0 || n > int64(r.limits.Bulk) || n > int64(*bytes) {
+			return Value{}, protocolError("invalid bulk length")
 		}
 		*bytes -= int(n)
 		text := make([]byte, n)
 		if _, err := io.ReadFull(r.r, text); err != nil {
-			return Value{}, ended(err)
+			return Value{}, unexpectedEOF(err)
 		}
 		if err := r.crlf(); err != nil {
 			return Value{}, err
 		}
-		if v.Str = string(text); v.Kind == Verb {
+		if v.Str = string(text); v.Kind == Verbatim {
 			if len(text) < 4 || text[3] != ':' {
-				return Value{}, protocol("a text without its kind")
+				return Value{}, protocolError("a text without its kind")
 			}
 			v.Str = string(text[4:])
 		}
 	case Array, Set, Push, Map:
-		if number && n == -1 && v.Kind == Array {
+		if isInteger && n == -1 && v.Kind == Array {
 			return Value{Kind: Null}, nil
 		}
 		if v.Kind == Map {
 			n *= 2
 		}
-		if !number || n < 0 || n > int64(*left) {
-			return Value{}, protocol("invalid multibulk length")
+		if !isInteger || n < 0 || n > int64(*values) {
+			return Value{}, protocolError("invalid multibulk length")
 		}
 		for range n {
-			e, err := r.value(depth-1, left, bytes)
+			element, err := r.value(depth-1, values, bytes)
 			if err != nil {
-				return Value{}, ended(err)
+				return Value{}, unexpectedEOF(err)
 			}
-			v.Elements = append(v.Elements, e)
+			v.Elements = append(v.Elements, element)
 		}
 	default:
-		return Value{}, protocol("unknown kind %q", head[0])
+		return Value{}, protocolError("unknown kind %q", head[0])
 	}
 	return v, nil
 }
 
-// Ready tells whether a whole command has come, so that Command would not wait. What
-// can't be read counts as whole: its error needs no wait either.
+// Ready reports whether Command would return without waiting for input: a whole command
+// has been received, or the part that has been received is malformed.
 func (r *Reader) Ready() bool {
-	p, _ := r.r.Peek(r.r.Buffered())
+	rest, _ := r.r.Peek(r.r.Buffered())
 	line := func() ([]byte, bool) {
-		i := bytes.IndexByte(p, '\n')
+		i := bytes.IndexByte(rest, '\n')
 		if i < 0 {
 			return nil, false
 		}
-		head := p[:i]
-		p = p[i+1:]
+		head := rest[:i]
+		rest = rest[i+1:]
 		if i > 0 && head[i-1] == '\r' {
 			head = head[:i-1]
 		}
@@ -394,8 +402,8 @@
 	if !ok || len(head) == 0 || head[0] != '*' {
 		return ok
 	}
-	n, ok := integer(head[1:])
-	if !ok || n > int64(r.bounds.Args) {
+	n, ok := parseInteger(head[1:])
+	if !ok || n > int64(r.limits.Args) {
 		return true
 	}
 	for range max(n, 0) {
@@ -406,14 +414,14 @@
 		if len(head) == 0 || head[0] != '$' {
 			return true
 		}
-		size, ok := integer(head[1:])
-		if !ok || size < 0 || size > int64(r.bounds.Bulk) {
+		size, ok := parseInteger(head[1:])
+		if !ok || size < 0 || size > int64(r.limits.Bulk) {
 			return true
 		}
-		if int64(len(p)) < size+2 {
+		if int64(len(rest)) < size+2 {
 			return false
 		}
-		p = p[size+2:]
+		rest = rest[size+2:]
 	}
 	return true
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -16,21 +16,21 @@
 	"github.com/tidwall/redcon"
 )
 
-var bounds = Limits{Args: 64, Bulk: 1 << 10, Total: 4 << 10, Depth: 4}
+var limits = Limits{Args: 64, Bulk: 1 << 10, Total: 4 << 10, Depth: 4}
 
-func words(args [][]byte) []string {
-	var out []string
-	for _, a := range args {
-		out = append(out, string(a))
+func toStrings(args [][]byte) []string {
+	var list []string
+	for _, arg := range args {
+		list = append(list, string(arg))
 	}
-	return out
+	return list
 }
 
 func TestCommands(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want []string
-		err  error // ErrProtocol, or the end
+		err  error
 	}{
 		{"*2\r\n$4\r\nECHO\r\n$3\r\na\nb\r\n", []string{"ECHO", "a\nb"}, nil},
 		{"*1\r\n$0\r\n\r\n", []string{""}, nil},
@@ -62,33 +62,34 @@
 		{"*2\r\n$4\r", nil, io.ErrUnexpectedEOF},
 		{"", nil, io.EOF},
 	} {
-		args, _, err := NewReader(strings.NewReader(c.text), bounds).Command(nil, nil)
-		if !errors.Is(err, c.err) || err == nil && !reflect.DeepEqual(words(args), c.want) {
-			t.Errorf("%.60q: %q, %v; want %q, %v", c.text, words(args), err, c.want, c.err)
+		args, _, err := NewReader(strings.NewReader(c.text), limits).Command(nil, nil)
+		if !errors.Is(err, c.err) || err == nil && !reflect.DeepEqual(toStrings(args), c.want) {
+			t.Errorf("%.60q: %q, %v; want %q, %v", c.text, toStrings(args), err, c.want, c.err)
 		}
 	}
 }
 
-// Commands of one pipeline keep their words although the buffer grows under them.
-func TestPipelineKeepsItsWords(t *testing.T) {
+// The arguments of earlier commands of a pipeline stay valid when the text buffer is
+// reallocated for later ones.
+func TestPipelineArgsSurviveBufferGrowth(t *testing.T) {
 	var w Writer
 	for i := range 100 {
 		w.Command("ECHO", fmt.Sprint(i))
 	}
-	r := NewReader(bytes.NewReader(w.Buf), bounds)
+	r := NewReader(bytes.NewReader(w.Buf), limits)
 	var text []byte
-	var all [][][]byte
+	var commands [][][]byte
 	for range 100 {
 		var args [][]byte
 		var err error
 		if args, text, err = r.Command(nil, text); err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, args)
+		commands = append(commands, args)
 	}
-	for i, args := range all {
+	for i, args := range commands {
 		if len(args) != 2 || string(args[1]) != fmt.Sprint(i) {
-			t.Errorf("command %d: %q", i, words(args))
+			t.Errorf("command %d: %q", i, toStrings(args))
 		}
 	}
 }
@@ -110,7 +111,7 @@
 		w.Bool(false)
 		w.Set(1)
 		w.Int(3)
-		v, err := NewReader(bytes.NewReader(w.Buf), bounds).Reply()
+		v, err := NewReader(bytes.NewReader(w.Buf), limits).Reply()
 		if err != nil || len(v.Elements) != 10 {
 			t.Fatalf("version %d: %+v, %v", version, v, err)
 		}
@@ -128,15 +129,14 @@
 	}
 	for _, bad := range []string{"*-2\r\n", "*100\r\n", "%40\r\n", ":x\r\n", "#x\r\n", ",x\r\n", "$5000\r\n", "=2\r\nab\r\n", "_1\r\n", "\r\n", "?\r\n",
 		strings.Repeat("*1\r\n", 6) + ":1\r\n"} {
-		if v, err := NewReader(strings.NewReader(bad), bounds).Reply(); !errors.Is(err, ErrProtocol) {
+		if v, err := NewReader(strings.NewReader(bad), limits).Reply(); !errors.Is(err, ErrProtocol) {
 			t.Errorf("%q: %+v, %v", bad, v, err)
 		}
 	}
 }
 
-// Streams of commands are read alike by this reader and by a well-known server's,
-// however they are cut.
-func TestReaderAgainstAnother(t *testing.T) {
+// Random streams of commands, split into random reads, are parsed as redcon parses them.
+func TestCommandsMatchRedcon(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		var w Writer
@@ -158,58 +158,58 @@
 			}
 			w.Command(list...)
 		}
-		other := redcon.NewReader(bytes.NewReader(w.Buf))
-		mine := NewReader(&cutReader{bytes.NewReader(w.Buf), rng}, bounds)
+		reference := redcon.NewReader(bytes.NewReader(w.Buf))
+		reader := NewReader(&shortReader{bytes.NewReader(w.Buf), rng}, limits)
 		for n := 0; ; n++ {
-			want, err := other.ReadCommand()
-			got, _, mineErr := mine.Command(nil, nil)
+			want, err := reference.ReadCommand()
+			got, _, gotErr := reader.Command(nil, nil)
 			if err != nil {
-				if mineErr == nil {
-					t.Fatalf("seed %d: one more command %q", seed, words(got))
+				if gotErr == nil {
+					t.Fatalf("seed %d: parsed another command %q after the last", seed, toStrings(got))
 				}
 				break
 			}
-			if mineErr != nil || !reflect.DeepEqual(words(got), words(want.Args)) {
-				t.Fatalf("seed %d, command %d: %q, %v; want %q", seed, n, words(got), mineErr, words(want.Args))
+			if gotErr != nil || !reflect.DeepEqual(toStrings(got), toStrings(want.Args)) {
+				t.Fatalf("seed %d, command %d: %q, %v; want %q", seed, n, toStrings(got), gotErr, toStrings(want.Args))
 			}
 		}
 	}
 }
 
-// cutReader gives what it reads in pieces.
-type cutReader struct {
+// shortReader returns 1 to 9 bytes from each read.
+type shortReader struct {
 	r   io.Reader
 	rng *rand.Rand
 }
 
-func (c *cutReader) Read(p []byte) (int, error) { return c.r.Read(p[:min(len(p), 1+c.rng.IntN(9))]) }
+func (s *shortReader) Read(p []byte) (int, error) { return s.r.Read(p[:min(len(p), 1+s.rng.IntN(9))]) }
 
-// Whatever comes, a command is within bounds, and what was read is never more than came.
+// On any input, parsed commands are within the limits.
 func FuzzCommand(f *testing.F) {
 	for _, seed := range []string{"*2\r\n$4\r\nECHO\r\n$1\r\na\r\n", "PING\r\n", "*1000000000\r\n", "*1\r\n$-5\r\n", "echo \"\\x4", "*-1\r\n*1\r\n$1\r\n\r\n"} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r := NewReader(bytes.NewReader(text), bounds)
+		r := NewReader(bytes.NewReader(text), limits)
 		for {
 			args, buf, err := r.Command(nil, nil)
 			if err != nil {
 				return
 			}
-			if len(args) > bounds.Args || len(buf) > bounds.Total {
-				t.Fatalf("%d words of %d bytes", len(args), len(buf))
+			if len(args) > limits.Args || len(buf) > limits.Total {
+				t.Fatalf("%d arguments of %d bytes, beyond the limits", len(args), len(buf))
 			}
 		}
 	})
 }
 
-// Whatever comes, a reply is within bounds.
+// Reply doesn't panic or loop on any input.
 func FuzzReply(f *testing.F) {
 	for _, seed := range []string{"+OK\r\n", "*2\r\n:1\r\n$1\r\na\r\n", "%1\r\n+a\r\n#t\r\n", ">2\r\n+a\r\n_\r\n", ",inf\r\n", "=5\r\ntxt:a\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n:1\r\n"} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r := NewReader(bytes.NewReader(text), bounds)
+		r := NewReader(bytes.NewReader(text), limits)
 		for {
 			if _, err := r.Reply(); err != nil {
 				return
@@ -227,7 +227,7 @@
 		var args [][]byte
 		var text []byte
 		src := bytes.NewReader(nil)
-		r := NewReader(src, bounds)
+		r := NewReader(src, limits)
 		for b.Loop() {
 			src.Reset(w.Buf)
 			r.Reset(src)
@@ -247,7 +247,7 @@
 	})
 }
 
-// A number in thousandths reads back as the number that Double would write.
+// Milli writes the same value as Double, in both versions.
 func TestMilli(t *testing.T) {
 	for _, n := range []int64{0, 1, 10, 100, 999, 1000, 1001, 1010, 1100, 20000, 19999, 123456789, 999999999999999, -1, -1500} {
 		for _, version := range []int{2, 3} {
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -7,13 +7,15 @@
 	"strings"
 )
 
-// Writer appends replies to a buffer, in the version that its peer asked for.
+// Writer appends replies to a buffer, in the version of the protocol that the peer has
+// chosen.
 type Writer struct {
 	Buf     []byte
 	Version int // 2 or 3
 }
 
-func (w *Writer) head(k Kind, n int) {
+// header writes the first line of a value with a length.
+func (w *Writer) header(k Kind, n int) {
 	if n >= 0 && n < 10 {
 		w.Buf = append(w.Buf, byte(k), byte('0'+n), '\r', '\n')
 		return
@@ -23,7 +25,7 @@
 	w.Buf = append(w.Buf, '\r', '\n')
 }
 
-// line writes text that may hold no end of a line; what would end it becomes a blank.
+// line writes a value of one line. Line breaks in its text become spaces.
 func (w *Writer) line(k Kind, text string) {
 	if strings.ContainsAny(text, "\r\n") {
 		text = strings.NewReplacer("\r", " ", "\n", " ").Replace(text)
@@ -33,36 +35,38 @@
 	w.Buf = append(w.Buf, '\r', '\n')
 }
 
-// Simple writes a word such as OK.
+// Simple writes a simple string such as OK.
 func (w *Writer) Simple(text string) { w.line(Simple, text) }
 
 // Error writes an error; its first word is its code.
 func (w *Writer) Error(text string) { w.line(Error, text) }
 
-// Int writes a whole number.
+// Int writes an integer.
 func (w *Writer) Int(n int64) {
 	w.Buf = append(w.Buf, byte(Int))
 	w.Buf = strconv.AppendInt(w.Buf, n, 10)
 	w.Buf = append(w.Buf, '\r', '\n')
 }
 
-// Bulk writes text of any bytes.
+// Bulk writes a bulk string, which may have any bytes.
 func (w *Writer) Bulk(text string) {
-	w.head(Bulk, len(text))
+	w.header(Bulk, len(text))
 	w.Buf = append(w.Buf, text...)
 	w.Buf = append(w.Buf, '\r', '\n')
 }
 
-// Name writes text that Named has made ready, as a bulk.
-func (w *Writer) Name(n Named) { w.Buf = append(w.Buf, n...) }
+// Encoded writes a bulk string that has been encoded before.
+func (w *Writer) Encoded(bulk EncodedBulk) { w.Buf = append(w.Buf, bulk...) }
 
-// Named is a bulk as it is written, for names that stand in many replies.
-type Named string
+// EncodedBulk is an encoded bulk string, for texts that many replies have.
+type EncodedBulk string
 
-// MakeNamed makes text ready for Name.
-func MakeNamed(text string) Named { return Named(fmt.Sprintf("$%d\r\n%s\r\n", len(text), text)) }
+// EncodeBulk encodes a bulk string for Writer.Encoded.
+func EncodeBulk(text string) EncodedBulk {
+	return EncodedBulk(fmt.Sprintf("$%d\r\n%s\r\n", len(text), text))
+}
 
-// Null writes nothing there.
+// Null writes a null.
 func (w *Writer) Null() {
 	if w.Version < 3 {
 		w.Buf = append(w.Buf, "$-1\r\n"...)
@@ -71,21 +75,21 @@
 	w.Buf = append(w.Buf, "_\r\n"...)
 }
 
-// Double writes a number, in version 2 as text.
-func (w *Writer) Double(x float64) {
-	if n := int64(x); float64(n) == x && n > -1e15 && n < 1e15 { // most are whole, and these cost less
+// Double writes a floating-point number, in version 2 as a bulk string.
+func (w *Writer) Double(value float64) {
+	if n := int64(value); float64(n) == value && n > -1e15 && n < 1e15 { // most are integers, which are cheaper to format
 		var digits [20]byte
 		text := strconv.AppendInt(digits[:0], n, 10)
-		w.digits(text)
+		w.number(text)
 		return
 	}
-	text := strconv.FormatFloat(x, 'g', -1, 64)
+	text := strconv.FormatFloat(value, 'g', -1, 64)
 	switch {
-	case math.IsInf(x, 1):
+	case math.IsInf(value, 1):
 		text = "inf"
-	case math.IsInf(x, -1):
+	case math.IsInf(value, -1):
 		text = "-inf"
-	case math.IsNaN(x):
+	case math.IsNaN(value):
 		text = "nan"
 	}
 	if w.Version < 3 {
@@ -95,26 +99,26 @@
 	w.line(Double, text)
 }
 
-// Milli writes a number that is given in thousandths, as Double would.
+// Milli writes a number that is passed in thousandths as Double writes it.
 func (w *Writer) Milli(n int64) {
 	if n%1000 == 0 || n < 0 {
-		w.Double(float64(n) / 1000) // its short way is for whole numbers
+		w.Double(float64(n) / 1000) // integers take its fast path
 		return
 	}
 	var digits [24]byte
 	text := strconv.AppendInt(digits[:0], n/1000, 10)
-	rest := n % 1000
-	text = append(text, '.', byte('0'+rest/100), byte('0'+rest/10%10), byte('0'+rest%10))
+	fraction := n % 1000
+	text = append(text, '.', byte('0'+fraction/100), byte('0'+fraction/10%10), byte('0'+fraction%10))
 	for text[len(text)-1] == '0' {
 		text = text[:len(text)-1]
 	}
-	w.digits(text)
+	w.number(text)
 }
 
-// digits writes a number that is made out, in version 2 as text.
-func (w *Writer) digits(text []byte) {
+// number writes a formatted floating-point number, in version 2 as a bulk string.
+func (w *Writer) number(text []byte) {
 	if w.Version < 3 {
-		w.head(Bulk, len(text))
+		w.header(Bulk, len(text))
 	} else {
 		w.Buf = append(w.Buf, byte(Double))
 	}
@@ -122,48 +126,50 @@
 	w.Buf = append(w.Buf, '\r', '\n')
 }
 
-// Bool writes true or false, in version 2 as 1 or 0.
-func (w *Writer) Bool(b bool) {
+// Bool writes a boolean, in version 2 as the integer 1 or 0.
+func (w *Writer) Bool(value bool) {
 	switch {
-	case w.Version >= 3 && b:
+	case w.Version >= 3 && value:
 		w.Buf = append(w.Buf, "#t\r\n"...)
 	case w.Version >= 3:
 		w.Buf = append(w.Buf, "#f\r\n"...)
-	case b:
+	case value:
 		w.Int(1)
 	default:
 		w.Int(0)
 	}
 }
 
-// Array begins a list of n values.
-func (w *Writer) Array(n int) { w.head(Array, n) }
+// Array writes the header of an array of n values. The caller writes the values.
+func (w *Writer) Array(n int) { w.header(Array, n) }
 
-// Map begins n names with a value each, in version 2 a list.
+// Map writes the header of a map of n keys, in version 2 of an array. The caller writes
+// keys and values in turn.
 func (w *Writer) Map(n int) {
 	if w.Version < 3 {
-		w.head(Array, 2*n)
+		w.header(Array, 2*n)
 		return
 	}
-	w.head(Map, n)
+	w.header(Map, n)
 }
 
-// Set begins n values without an order, in version 2 a list.
+// Set writes the header of a set of n values, in version 2 of an array.
 func (w *Writer) Set(n int) {
 	if w.Version < 3 {
-		w.head(Array, n)
+		w.header(Array, n)
 		return
 	}
-	w.head(Set, n)
+	w.header(Set, n)
 }
 
-// Push begins n values that answer no command. Only version 3 has it.
-func (w *Writer) Push(n int) { w.head(Push, n) }
+// Push writes the header of n values that are not a reply to a command. Only version 3
+// has it.
+func (w *Writer) Push(n int) { w.header(Push, n) }
 
 // Command writes a command as a client does.
-func (w *Writer) Command(words ...string) {
-	w.head(Array, len(words))
-	for _, word := range words {
-		w.Bulk(word)
+func (w *Writer) Command(args ...string) {
+	w.header(Array, len(args))
+	for _, arg := range args {
+		w.Bulk(arg)
 	}
 }
--- a/internal/respfront/limit.go
+++ b/internal/respfront/limit.go
@@ -20,16 +20,16 @@
 
 // Words that stand in nearly every reply.
 var (
-	wordGranted      = resp.MakeNamed("granted")
-	wordSource       = resp.MakeNamed("source")
-	wordShared       = resp.MakeNamed("shared")
-	wordNone         = resp.MakeNamed("none")
-	wordLocal        = resp.MakeNamed("local")
-	wordRetryAfterMs = resp.MakeNamed("retry_after_ms")
-	wordResetAfterMs = resp.MakeNamed("reset_after_ms")
-	wordRepeated     = resp.MakeNamed("repeated")
-	wordRemaining    = resp.MakeNamed("remaining")
-	wordExact        = resp.MakeNamed("exact")
+	wordGranted      = resp.EncodeBulk("granted")
+	wordSource       = resp.EncodeBulk("source")
+	wordShared       = resp.EncodeBulk("shared")
+	wordNone         = resp.EncodeBulk("none")
+	wordLocal        = resp.EncodeBulk("local")
+	wordRetryAfterMs = resp.EncodeBulk("retry_after_ms")
+	wordResetAfterMs = resp.EncodeBulk("reset_after_ms")
+	wordRepeated     = resp.EncodeBulk("repeated")
+	wordRemaining    = resp.EncodeBulk("remaining")
+	wordExact        = resp.EncodeBulk("exact")
 )
 
 // account reads an account's number, and sees to it that the user may ask for it.
@@ -160,30 +160,30 @@
 func taken(w *replies, r *slot) {
 	a := &r.answer
 	w.Map(7)
-	w.Name(wordGranted)
+	w.Encoded(wordGranted)
 	w.Double(a.Granted)
 	known(w, a)
-	w.Name(wordSource)
+	w.Encoded(wordSource)
 	switch {
 	case a.Granted == 0:
-		w.Name(wordNone)
+		w.Encoded(wordNone)
 	case a.Shared:
-		w.Name(wordShared)
+		w.Encoded(wordShared)
 	default:
-		w.Name(wordLocal)
+		w.Encoded(wordLocal)
 	}
-	w.Name(wordRetryAfterMs)
+	w.Encoded(wordRetryAfterMs)
 	w.Int(ms(a.RetryAfter))
-	w.Name(wordResetAfterMs)
+	w.Encoded(wordResetAfterMs)
 	w.Int(ms(a.ResetAfter))
-	w.Name(wordRepeated)
+	w.Encoded(wordRepeated)
 	w.Bool(r.repeated)
 }
 
 // known writes what is left and how exactly that is known. Of a repeated take
 // nothing new is known; without a quota, what is left is without end.
 func known(w *replies, a *rules.CheckResult) {
-	w.Name(wordRemaining)
+	w.Encoded(wordRemaining)
 	switch {
 	case math.IsNaN(a.Remaining):
 		w.Null()
@@ -192,7 +192,7 @@
 	default:
 		w.Double(a.Remaining)
 	}
-	w.Name(wordExact)
+	w.Encoded(wordExact)
 	w.Bool(a.Exact)
 }
 
@@ -206,7 +206,7 @@
 	s.ask(func(w *replies, r *slot) {
 		w.Map(3)
 		known(w, &r.answer)
-		w.Name(wordResetAfterMs)
+		w.Encoded(wordResetAfterMs)
 		w.Int(ms(r.answer.ResetAfter))
 	})
 }
--- a/internal/site/golden_test.go
+++ b/internal/site/golden_test.go
@@ -12,7 +12,7 @@
 	"elderyard/internal/golden"
 )
 
-// The keys of the operator's file with what they mean, and the settings of a gateway without the file.
+// The keys of the operator's file with their descriptions, and the defaults.
 func TestGoldenKeysAndDefaults(t *testing.T) {
 	var b strings.Builder
 	for _, k := range Keys() {
@@ -22,7 +22,7 @@
 	golden.Text(t, "defaults.toml", encoded(t, Defaults()))
 }
 
-// A file that sets every key to another value than the default is read whole.
+// A file that sets every key to another value than its default is parsed completely.
 func TestGoldenFileWithEveryKey(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
 	if err != nil {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	for _, field := range golden.UnsetFields(settings) {
-		if field != "site.Settings.Telemetry.Traces" && field != "site.Settings.Telemetry.Metrics" { // their defaults are true
+		if field != "site.Settings.Telemetry.Traces" && field != "site.Settings.Telemetry.Metrics" { // the file sets them to false
 			t.Errorf("the file does not set %s", field)
 		}
 	}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,6 +1,6 @@
-// Package site reads the operator's file: the settings that the platform does
-// not hand a gateway, and that an operator decides. A gateway without the file
-// behaves as one with an empty file.
+// Package site reads the operator's file: the settings of a gateway that the platform's
+// configuration doesn't have and that an operator chooses. A missing file is the same as
+// an empty one.
 package site
 
 import (
@@ -16,8 +16,12 @@
 	"elderyard/internal/strict"
 )
 
-// Settings are all that the operator's file can say. Every key has its one
-// description here, in its doc tag; `elderctl site keys` prints them.
+// Settings are the content of the operator's file. The doc tags are the only descriptions
+// of the keys; `elderctl site keys` prints them.
+//
+// An error about a value of a wrong type has the names of the Go type and field in its
+// text, which agents report as the reason why they rejected a revision. So the names of
+// these types and their fields are part of the interface.
 type Settings struct {
 	Clients Clients `toml:"clients" doc:"connections of clients"`
 	Memory  Memory  `toml:"memory" doc:"how the memory limit is used"`
@@ -30,7 +34,7 @@
 	Peers     Peers     `toml:"peers" doc:"the other gateways of the site; needs the program elderyard-peers"`
 }
 
-// Peers says how a gateway and the others of its site know each other.
+// Peers configures membership among the gateways of a site.
 type Peers struct {
 	Listen    string          `toml:"listen" doc:"IP address and port for the others, UDP and TCP; default none, and the gateway knows nobody"`
 	Advertise string          `toml:"advertise" doc:"IP address and port that the others are told; default listen"`
@@ -44,20 +48,21 @@
 	Reach     []PeerReach     `toml:"reach" doc:"members that are reached from here at another address than they say"`
 }
 
-// PeerReach is where one member is reached from here.
+// PeerReach is the address of one member as seen from this machine, if that differs from
+// the one that the member advertises.
 type PeerReach struct {
 	Name    string `toml:"name" doc:"its name"`
 	Address string `toml:"address" doc:"IP address and port"`
 }
 
-// Rollup says where the gateway's counts of short intervals are written.
+// Rollup configures the file of the gateway's counts per short interval.
 type Rollup struct {
 	Dir   string          `toml:"dir" doc:"folder for the file, NAME.moments by the gateway's name; default none, nothing is counted"`
 	Every strict.Duration `toml:"every" doc:"length of a span; 10ms to 1m, default 100ms"`
 	MB    int             `toml:"most_mb" doc:"the file grows no further than this; 1 to 1024, default 16"`
 }
 
-// Telemetry says what is exported to a collector of OpenTelemetry.
+// Telemetry configures the export to an OpenTelemetry collector.
 type Telemetry struct {
 	Endpoint string            `toml:"endpoint" doc:"URL of a collector, such as http://127.0.0.1:4318; default what OTEL_EXPORTER_OTLP_ENDPOINT says, else none, and nothing is exported"`
 	Protocol string            `toml:"protocol" doc:"http, protobuf over HTTP, or grpc; default http"`
@@ -73,12 +78,12 @@
 	QueueKB  int               `toml:"queue_kb" doc:"what may wait for the collector, of traces and of metrics each; 64 to 65536, default 1024"`
 }
 
-// Quotas tells who else draws on them.
+// Quotas configures how many other processes grant units of the same quotas.
 type Quotas struct {
 	Fronts int `toml:"fronts" doc:"processes beside the gateways that grant units of any account, such as agents with a RESP front; local shares are divided among them too, so it is the same in all of them; 0 to 64, default 0"`
 }
 
-// Counter says what the shared counter is.
+// Counter configures the shared counter.
 type Counter struct {
 	Kind     string `toml:"kind" doc:"http, the platform's counter, or resp, a store that speaks RESP; default http"`
 	User     string `toml:"user" doc:"user of the RESP store; default none"`
@@ -88,7 +93,7 @@
 	Prefix   string `toml:"prefix" doc:"what its names begin with in the RESP store; default elderyard:"`
 }
 
-// RESP is the front for limit commands.
+// RESP configures the server for limit commands.
 type RESP struct {
 	Listen  string          `toml:"listen" doc:"address for limit commands; default none, no front"`
 	Most    int             `toml:"most_clients" doc:"connections at most, of a gateway no more than a quarter of its descriptors; 1 to 100000, default 64"`
@@ -107,7 +112,7 @@
 	Plan string `toml:"plan" doc:"its plan"`
 }
 
-// RESPUser is one user.
+// RESPUser is a user that may connect to the server for limit commands.
 type RESPUser struct {
 	Name     string   `toml:"name" doc:"its name"`
 	Password string   `toml:"password_sha256" doc:"SHA-256 of its password, 64 hexadecimal digits"`
@@ -115,19 +120,19 @@
 	Commands []string `toml:"commands" doc:"limit commands that it may run, or * for all"`
 }
 
-// Clients bounds what clients may hold.
+// Clients limits what client connections may use.
 type Clients struct {
 	SocketShare float64 `toml:"socket_share" doc:"share of the descriptors, less 64 of the gateway's own (76 with an operator's address) and those of limit commands' clients, for clients; backends get the rest; 0.1 to 0.9, default 0.75"`
 	MemoryShare float64 `toml:"memory_share" doc:"share of the memory limit for clients that stand idle; 0.05 to 0.5, default 0.25"`
 }
 
-// Memory steers the collector.
+// Memory configures the garbage collector.
 type Memory struct {
 	HeapShare float64 `toml:"heap_share" doc:"share of the memory limit that the heap is held to; stacks, sockets and the program have the rest; 0.3 to 0.9, default 0.7"`
 	HeapGrow  int     `toml:"heap_grow" doc:"percent by which the heap may grow between collections; 50 to 1000, default 400"`
 }
 
-// Defaults are the settings of a gateway without the file.
+// Defaults returns the settings of a gateway without the file.
 func Defaults() Settings {
 	return Settings{Clients: Clients{SocketShare: 0.75, MemoryShare: 0.25}, Memory: Memory{HeapShare: 0.7, HeapGrow: 400},
 		Counter: Counter{Kind: "http", Prefix: "elderyard:"}, RESP: RESP{Most: 64, Idle: strict.Duration(5 * time.Minute)},
@@ -137,7 +142,7 @@
 			Timeout: strict.Duration(10 * time.Second), Flush: strict.Duration(500 * time.Millisecond), QueueKB: 1024}}
 }
 
-// Read reads the file at path. Where there is none, the defaults hold.
+// Read reads the file at path. If there is none, it returns the defaults.
 func Read(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -149,16 +154,16 @@
 	return Parse(path, text)
 }
 
-// Parse reads the file's text. File names it in errors.
+// Parse parses and validates the text of a file. Errors have the given name of the file.
 func Parse(file string, text []byte) (Settings, error) {
 	s := Defaults()
 	if err := strict.Decode(file, text, &s); err != nil {
 		return Settings{}, err
 	}
 	for _, r := range []struct {
-		key         string
-		value       float64
-		least, most float64
+		key      string
+		value    float64
+		min, max float64
 	}{
 		{"clients.socket_share", s.Clients.SocketShare, 0.1, 0.9},
 		{"clients.memory_share", s.Clients.MemoryShare, 0.05, 0.5},
@@ -170,49 +175,50 @@
 		{"moments.most_mb", float64(s.Rollup.MB), 1, 1024},
 		{"peers.most_kb", float64(s.Peers.MostKB), 8, 65536},
 	} {
-		if !(r.value >= r.least && r.value <= r.most) {
-			return Settings{}, strict.ErrorAt(file, text, r.key, "%g is not between %g and %g", r.value, r.least, r.most)
+		if !(r.value >= r.min && r.value <= r.max) {
+			return Settings{}, strict.ErrorAt(file, text, r.key, "%g is not between %g and %g", r.value, r.min, r.max)
 		}
 	}
-	if key, err := s.check(); err != nil {
+	if key, err := s.validate(); err != nil {
 		return Settings{}, strict.ErrorAt(file, text, key, "%v", err)
 	}
 	return s, nil
 }
 
-// check finds what no range tells, with the key that it stands at.
-func (s *Settings) check() (key string, err error) {
-	k := &s.Counter
+// validate checks the settings that aren't plain numbers with a range. It returns the
+// first error and the key that it is about.
+func (s *Settings) validate() (key string, err error) {
+	counter := &s.Counter
 	switch {
-	case k.Kind != "http" && k.Kind != "resp":
-		return "counter.kind", fmt.Errorf("%q is neither http nor resp", k.Kind)
-	case k.User != "" && k.Password == "":
+	case counter.Kind != "http" && counter.Kind != "resp":
+		return "counter.kind", fmt.Errorf("%q is neither http nor resp", counter.Kind)
+	case counter.User != "" && counter.Password == "":
 		return "counter.user", errors.New("a user needs a password")
-	case len(k.Prefix) > 64:
+	case len(counter.Prefix) > 64:
 		return "counter.prefix", errors.New("it is longer than 64 bytes")
 	}
 	if every := time.Duration(s.Rollup.Every); every < 10*time.Millisecond || every > time.Minute {
 		return "moments.every", fmt.Errorf("%v is not between 10ms and 1m", every)
 	}
-	if key, err := s.Telemetry.check(); err != nil {
+	if key, err := s.Telemetry.validate(); err != nil {
 		return key, err
 	}
-	if key, err := s.Peers.check(); err != nil {
+	if key, err := s.Peers.validate(); err != nil {
 		return key, err
 	}
 	return s.RESP.Validate()
 }
 
-func (p *Peers) check() (key string, err error) {
+func (p *Peers) validate() (key string, err error) {
 	if every := time.Duration(p.Every); every < 100*time.Millisecond || every > 10*time.Second {
 		return "peers.every", fmt.Errorf("%v is not between 100ms and 10s", every)
 	}
 	if p.Listen == "" {
 		return "", nil
 	}
-	for _, f := range [][2]string{{"site", p.Site}, {"key_file", p.KeyFile}, {"dir", p.Dir}} {
-		if f[1] == "" {
-			return "peers." + f[0], errors.New("it is needed with listen")
+	for _, required := range [][2]string{{"site", p.Site}, {"key_file", p.KeyFile}, {"dir", p.Dir}} {
+		if required[1] == "" {
+			return "peers." + required[0], errors.New("it is needed with listen")
 		}
 	}
 	if len(p.Site) > 64 {
@@ -223,42 +229,42 @@
 			return key, err
 		}
 	}
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	for i, r := range p.Reach {
-		if r.Name == "" || seen[r.Name] {
+		if r.Name == "" || names[r.Name] {
 			return fmt.Sprintf("peers.reach[%d].name", i), fmt.Errorf("%q is empty or stands twice", r.Name)
 		}
-		seen[r.Name] = true
+		names[r.Name] = true
 		if err := CheckIPPort(r.Address); err != nil {
 			return fmt.Sprintf("peers.reach[%d].address", i), err
 		}
 	}
 	for _, seed := range p.Seeds {
-		if err := CheckIPPort(seed); err != nil && !seen[seed] {
+		if err := CheckIPPort(seed); err != nil && !names[seed] {
 			return "peers.seeds", fmt.Errorf("%q is neither an IP address with a port nor a name that reach has", seed)
 		}
 	}
 	return "", nil
 }
 
-// CheckIPPort finds what is wrong with an address. Names are not looked up: who must
-// find the others when little works rests on nothing else.
+// CheckIPPort returns an error unless an address is an IP address with a port. Host names
+// aren't allowed: members must find each other while DNS doesn't work.
 func CheckIPPort(address string) error {
 	host, port, err := net.SplitHostPort(address)
-	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil || bad != nil || n == 0 {
+	if n, portErr := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil || portErr != nil || n == 0 {
 		return fmt.Errorf("%q is not an IP address with a port", address)
 	}
 	return nil
 }
 
-func (t *Telemetry) check() (key string, err error) {
+func (t *Telemetry) validate() (key string, err error) {
 	for _, d := range []struct {
-		key         string
-		value       strict.Duration
-		least, most time.Duration
+		key      string
+		value    strict.Duration
+		min, max time.Duration
 	}{{"interval", t.Interval, 100 * time.Millisecond, time.Hour}, {"timeout", t.Timeout, 100 * time.Millisecond, time.Minute}, {"flush", t.Flush, 0, 10 * time.Second}} {
-		if v := time.Duration(d.value); v < d.least || v > d.most {
-			return "telemetry." + d.key, fmt.Errorf("%v is not between %v and %v", v, d.least, d.most)
+		if v := time.Duration(d.value); v < d.min || v > d.max {
+			return "telemetry." + d.key, fmt.Errorf("%v is not between %v and %v", v, d.min, d.max)
 		}
 	}
 	if t.Endpoint != "" {
@@ -269,16 +275,16 @@
 	if t.Protocol != "http" && t.Protocol != "grpc" {
 		return "telemetry.protocol", fmt.Errorf("%q is neither http nor grpc", t.Protocol)
 	}
-	for i, k := range t.Keep {
-		if !slices.Contains([]string{"failed", "refused", "late", "repeated"}, k) {
-			return fmt.Sprintf("telemetry.keep[%d]", i), fmt.Errorf("%q is none of failed, refused, late, repeated", k)
+	for i, outcome := range t.Keep {
+		if !slices.Contains([]string{"failed", "refused", "late", "repeated"}, outcome) {
+			return fmt.Sprintf("telemetry.keep[%d]", i), fmt.Errorf("%q is none of failed, refused, late, repeated", outcome)
 		}
 	}
 	return "", nil
 }
 
-// Validate finds what is wrong with the settings of a front, with the key that it
-// stands at, which begins with "resp".
+// Validate returns the first error of the settings and the key that it is about, which
+// begins with "resp".
 func (r *RESP) Validate() (key string, err error) {
 	switch {
 	case r.Most < 1 || r.Most > 100000:
@@ -295,19 +301,19 @@
 			return "resp.listen", fmt.Errorf("%q is not an address with a port", r.Listen)
 		}
 	}
-	seen := map[string]bool{}
+	used := map[string]bool{}
 	for i, a := range r.Account {
-		if _, err := ParseAccountID(a.ID); err != nil || seen[a.ID] {
+		if _, err := ParseAccountID(a.ID); err != nil || used[a.ID] {
 			return fmt.Sprintf("resp.account[%d].id", i), fmt.Errorf("%q is not 16 hexadecimal digits below 0000000200000000, or stands twice", a.ID)
 		}
-		seen[a.ID] = true
+		used[a.ID] = true
 	}
-	clear(seen)
+	clear(used)
 	for i, u := range r.User {
-		if u.Name == "" || seen[u.Name] {
+		if u.Name == "" || used[u.Name] {
 			return fmt.Sprintf("resp.user[%d].name", i), fmt.Errorf("%q is empty or stands twice", u.Name)
 		}
-		seen[u.Name] = true
+		used[u.Name] = true
 		for _, id := range u.Accounts {
 			if _, err := ParseAccountID(id); err != nil && id != "*" {
 				return fmt.Sprintf("resp.user[%d].accounts", i), fmt.Errorf("%q is neither an account nor *", id)
@@ -317,17 +323,17 @@
 	return "", nil
 }
 
-// accounts is what all their numbers are below.
-const accounts = 1 << 33
+// accountIDLimit is above all numbers of accounts.
+const accountIDLimit = 1 << 33
 
-// ParseAccountID reads an account's number: 16 hexadecimal digits.
+// ParseAccountID parses the number of an account: 16 hexadecimal digits.
 func ParseAccountID(text string) (uint64, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
-	if err != nil || len(text) != 16 || n >= accounts {
+	if err != nil || len(text) != 16 || n >= accountIDLimit {
 		return 0, fmt.Errorf("%q is not an account", text)
 	}
 	return n, nil
 }
 
-// Keys lists every key of the file with what it means.
+// Keys returns the keys of the file with their descriptions.
 func Keys() [][2]string { return strict.Keys(Settings{}) }
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,6 +1,6 @@
-// Package strict reads TOML files that people write: an unknown key, a wrong
-// type or a value out of range is one error that names file and line, with the
-// key that was probably meant.
+// Package strict decodes TOML files that people write: an unknown key, a wrong type or a
+// value out of range is one error with file and line, and for an unknown key with a
+// suggestion.
 package strict
 
 import (
@@ -15,47 +15,48 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a time written as text, such as "1.5s".
+// Duration is a duration that is written as text, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads what time.ParseDuration reads.
+// UnmarshalText parses the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
+	value, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is not a time such as \"1.5s\" or \"200ms\"", text)
 	}
-	*d = Duration(v)
+	*d = Duration(value)
 	return nil
 }
 
-// MarshalText writes the form that UnmarshalText reads.
+// MarshalText writes the format that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Error is what is wrong with a file, and where.
+// Error is an error in a file, with its position.
 type Error struct {
 	File string
-	Line int    // from 1; 0 where no line can be named
+	Line int    // from 1; 0 if it is not known
 	Key  string // such as "fault[1].kind"; may be empty
 	Text string
 }
 
+// Error returns the position and the text.
 func (e *Error) Error() string {
-	where := e.File
+	position := e.File
 	if e.Line > 0 {
-		where = fmt.Sprintf("%s:%d", e.File, e.Line)
+		position = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
 	if e.Key != "" {
-		where += ": " + e.Key
+		position += ": " + e.Key
 	}
-	return where + ": " + e.Text
+	return position + ": " + e.Text
 }
 
-// Decode reads text into the struct that v points to.
+// Decode decodes text into the struct that v points to. An error is an *Error.
 func Decode(file string, text []byte, v any) error {
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := d.Decode(v)
 	var missing *toml.StrictMissingError
-	var bad *toml.DecodeError
+	var malformed *toml.DecodeError
 	switch {
 	case err == nil:
 		return nil
@@ -64,53 +65,53 @@
 		line, _ := first.Position()
 		key := strings.Join(first.Key(), ".")
 		text := "there is no such key"
-		if near := Closest(first.Key()[len(first.Key())-1], known(reflect.TypeOf(v), first.Key()[:len(first.Key())-1])); near != "" {
-			text += fmt.Sprintf("; did you mean %q?", near)
+		if suggestion := Closest(first.Key()[len(first.Key())-1], tableKeys(reflect.TypeOf(v), first.Key()[:len(first.Key())-1])); suggestion != "" {
+			text += fmt.Sprintf("; did you mean %q?", suggestion)
 		}
 		return &Error{file, line, key, text}
-	case errors.As(err, &bad):
-		line, _ := bad.Position()
-		return &Error{file, line, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: ")}
+	case errors.As(err, &malformed):
+		line, _ := malformed.Position()
+		return &Error{file, line, strings.Join(malformed.Key(), "."), strings.TrimPrefix(malformed.Error(), "toml: ")}
 	}
 	return &Error{File: file, Text: err.Error()}
 }
 
-// ErrorAt returns an error about a key, such as "fault[1].kind", with its line in
-// the text.
-func ErrorAt(file string, text []byte, key, format string, a ...any) error {
-	return &Error{file, lineOf(text, key), key, fmt.Sprintf(format, a...)}
+// ErrorAt returns an *Error about a key, such as "fault[1].kind", with its line in the
+// text.
+func ErrorAt(file string, text []byte, key, format string, args ...any) error {
+	return &Error{file, lineOf(text, key), key, fmt.Sprintf(format, args...)}
 }
 
-// lineOf finds the line on which a key is set, or its table begins. It knows
-// tables and arrays of tables as people write them, and returns 0 for others.
+// lineOf returns the line on which a key is set, or else on which its table begins. It
+// recognizes headers of tables and arrays of tables, and returns 0 for other syntax.
 func lineOf(text []byte, key string) int {
-	table, last := "", key
+	table, name := "", key
 	if i := strings.LastIndex(key, "."); i >= 0 {
-		table, last = key[:i], key[i+1:]
+		table, name = key[:i], key[i+1:]
 	}
-	at, begun, counts := "", 0, map[string]int{}
+	current, tableLine, counts := "", 0, map[string]int{}
 	for n, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
-		if name, ok := strings.CutPrefix(line, "[["); ok {
-			name, _, _ = strings.Cut(name, "]]")
-			name = strings.TrimSpace(name)
-			at = fmt.Sprintf("%s[%d]", name, counts[name])
-			counts[name]++
-		} else if name, ok := strings.CutPrefix(line, "["); ok {
-			name, _, _ = strings.Cut(name, "]")
-			at = strings.TrimSpace(name)
-		} else if k, _, ok := strings.Cut(line, "="); ok && at == table && strings.TrimSpace(k) == last {
+		if header, ok := strings.CutPrefix(line, "[["); ok {
+			header, _, _ = strings.Cut(header, "]]")
+			header = strings.TrimSpace(header)
+			current = fmt.Sprintf("%s[%d]", header, counts[header])
+			counts[header]++
+		} else if header, ok := strings.CutPrefix(line, "["); ok {
+			header, _, _ = strings.Cut(header, "]")
+			current = strings.TrimSpace(header)
+		} else if left, _, ok := strings.Cut(line, "="); ok && current == table && strings.TrimSpace(left) == name {
 			return n + 1
 		}
-		if begun == 0 && at != "" && (at == table || at == key) {
-			begun = n + 1
+		if tableLine == 0 && current != "" && (current == table || current == key) {
+			tableLine = n + 1
 		}
 	}
-	return begun
+	return tableLine
 }
 
-// known returns the keys that a struct has at a path of tables.
-func known(t reflect.Type, path []string) []string {
+// tableKeys returns the keys that a struct has in the table at path.
+func tableKeys(t reflect.Type, path []string) []string {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
 	}
@@ -119,13 +120,13 @@
 	}
 	var keys []string
 	for i := range t.NumField() {
-		f := t.Field(i)
-		name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
+		field := t.Field(i)
+		name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 		if name == "" || name == "-" {
 			continue
 		}
 		if len(path) > 0 && name == path[0] {
-			return known(f.Type, path[1:])
+			return tableKeys(field.Type, path[1:])
 		}
 		keys = append(keys, name)
 	}
@@ -135,22 +136,23 @@
 	return keys
 }
 
-// Closest returns the name that a word was probably meant to be, or "".
+// Closest returns the name with the smallest edit distance to a misspelt word, or "" if
+// none is within a distance of 1 plus a third of its length.
 func Closest(word string, names []string) string {
-	best, least := "", 1+len(word)/3
-	for _, n := range names {
-		if d := distance(strings.ToLower(word), strings.ToLower(n)); d <= least {
-			if d < least || best == "" {
-				best, least = n, d
+	best, smallest := "", 1+len(word)/3
+	for _, name := range names {
+		if d := editDistance(strings.ToLower(word), strings.ToLower(name)); d <= smallest {
+			if d < smallest || best == "" {
+				best, smallest = name, d
 			}
 		}
 	}
 	return best
 }
 
-// distance is the number of letters to change, add, leave out or swap with the
-// next one.
-func distance(a, b string) int {
+// editDistance returns the Damerau-Levenshtein distance in its restricted form: the
+// number of letters to replace, insert, delete or swap with the next one.
+func editDistance(a, b string) int {
 	rows := make([][]int, len(a)+1)
 	for i := range rows {
 		rows[i] = make([]int, len(b)+1)
@@ -174,8 +176,8 @@
 	return rows[len(a)][len(b)]
 }
 
-// Keys lists the keys of a struct for a person to read, each with its doc tag.
-// Tables come as "table.key".
+// Keys returns the keys of a struct, each with its doc tag, for the help of commands. A
+// key in a table is "table.key".
 func Keys(v any) [][2]string { return keysOf(reflect.TypeOf(v), "") }
 
 func keysOf(t reflect.Type, prefix string) (list [][2]string) {
@@ -183,18 +185,18 @@
 		t = t.Elem()
 	}
 	for i := range t.NumField() {
-		f := t.Field(i)
-		name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
+		field := t.Field(i)
+		name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 		if name == "" || name == "-" {
 			continue
 		}
-		inner := f.Type
-		for inner.Kind() == reflect.Slice {
-			inner = inner.Elem()
+		element := field.Type
+		for element.Kind() == reflect.Slice {
+			element = element.Elem()
 		}
-		list = append(list, [2]string{prefix + name, f.Tag.Get("doc")})
-		if inner.Kind() == reflect.Struct {
-			list = append(list, keysOf(inner, prefix+name+".")...)
+		list = append(list, [2]string{prefix + name, field.Tag.Get("doc")})
+		if element.Kind() == reflect.Struct {
+			list = append(list, keysOf(element, prefix+name+".")...)
 		}
 	}
 	return slices.Clip(list)
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -18,7 +18,7 @@
 	} `toml:"fault"`
 }
 
-func TestDecodeReadsWhatIsRight(t *testing.T) {
+func TestDecode(t *testing.T) {
 	var f file
 	if err := Decode("f.toml", []byte("name = 'x'\nfor = '1.5s'\n[inner]\nrate = 2\n[[fault]]\nkind = 'a'\n"), &f); err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestErrorsNameThePlaceAndTheLikelyKey(t *testing.T) {
+func TestErrorsHaveLineAndSuggestion(t *testing.T) {
 	for text, want := range map[string]string{
 		"nmae = 'x'":                    `f.toml:1: nmae: there is no such key; did you mean "name"?`,
 		"name = 'x'\n[inner]\nrat = 1":  `f.toml:3: inner.rat: there is no such key; did you mean "rate"?`,
@@ -42,18 +42,18 @@
 		err := Decode("f.toml", []byte(text), &f)
 		var e *Error
 		if !errors.As(err, &e) {
-			t.Fatalf("%q: %v", text, err)
+			t.Fatalf("%q: error %v is not an *Error", text, err)
 		}
 		if want != "" && err.Error() != want {
-			t.Errorf("%q:\n%v\n%s", text, err, want)
+			t.Errorf("%q:\ngot  %v\nwant %s", text, err, want)
 		}
 		if e.Line == 0 {
-			t.Errorf("%q: no line in %v", text, err)
+			t.Errorf("%q: error has no line: %v", text, err)
 		}
 	}
 }
 
-func TestAtFindsTheLine(t *testing.T) {
+func TestErrorAtFindsLine(t *testing.T) {
 	text := []byte("name = 'x'\n\n[inner]\nrate = 1\n\n[[fault]]\nkind = 'a'\n[[fault]]\n\nkind = 'b'\n")
 	for key, line := range map[string]int{"name": 1, "inner.rate": 4, "fault[0].kind": 7, "fault[1].kind": 10, "fault[1].other": 8, "none": 0} {
 		var e *Error
@@ -67,7 +67,7 @@
 	got := Keys(file{})
 	want := [][2]string{{"name", "what it is called"}, {"for", ""}, {"inner", "a table"}, {"inner.rate", "a second"}, {"fault", ""}, {"fault.kind", ""}}
 	if !slices.Equal(got, want) {
-		t.Fatalf("%v", got)
+		t.Fatalf("got %v, want %v", got, want)
 	}
 }
 
@@ -77,7 +77,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var v file
 		if err := Decode("f", text, &v); err != nil && err.Error() == "" {
-			t.Fatal("an error without a text")
+			t.Fatal("error without a text")
 		}
 		lineOf(text, "fault[1].kind")
 	})
