--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Wirehost runs the decision module of many gateways on the simulator's wire:
-// batches of events on standard input, one reply for each on standard output.
+// Wirehost runs the decision modules of many gateways for the simulator: it reads batches
+// of events from standard input and writes one reply for each to standard output.
 package main
 
 import (
@@ -20,15 +20,15 @@
 	}
 }
 
-// instance is one gateway; gateway is nil while it is stopped.
+// instance is one gateway.
 type instance struct {
 	settings rules.Settings
-	gateway  *rules.Gateway
+	gateway  *rules.Gateway // nil while the instance is stopped
 	actions  []rules.Action
-	listed   bool // it is in the order of this reply
+	inReply  bool // the order of the current reply has it
 }
 
-// host keeps the instances apart: nothing passes from one to another.
+// host is the instances. They are independent: none sees the events of another.
 type host struct {
 	instances map[uint32]*instance
 	order     []uint32 // instances with events in this batch
@@ -60,7 +60,7 @@
 	}
 }
 
-// run hands a batch to its instances and fills the reply.
+// run passes a batch to its instances and fills the reply.
 func (h *host) run(b wire.Batch, reply *wire.Reply) error {
 	reply.Reset(b.Seq)
 	h.order = h.order[:0]
@@ -71,7 +71,7 @@
 	}
 	for _, number := range h.order {
 		i := h.instances[number]
-		i.listed = false
+		i.inReply = false
 		if err := reply.Add(number, i.actions); err != nil {
 			return err
 		}
@@ -79,6 +79,7 @@
 	return nil
 }
 
+// record applies one record to its instance.
 func (h *host) record(now float64, rec wire.Record) error {
 	i := h.instances[rec.Gateway]
 	if i == nil {
@@ -88,8 +89,8 @@
 		i = &instance{}
 		h.instances[rec.Gateway] = i
 	}
-	if !i.listed {
-		i.listed, i.actions = true, i.actions[:0]
+	if !i.inReply {
+		i.inReply, i.actions = true, i.actions[:0]
 		h.order = append(h.order, rec.Gateway)
 	}
 	switch {
@@ -99,7 +100,7 @@
 		i.gateway, i.actions = rules.New(rec.Start.Settings, rec.Start.Seed, now, i.actions)
 	case rec.Stop:
 		i.gateway, i.actions = nil, i.actions[:0]
-	case i.gateway != nil: // events for a stopped instance are void
+	case i.gateway != nil: // events for a stopped instance are ignored
 		if r, ok := rec.Event.(rules.Request); ok {
 			if r.Class >= len(i.settings.Classes) || r.Plan >= len(i.settings.Plans) {
 				return fmt.Errorf("request %d: no such class or plan in the settings", r.ID)
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -31,6 +31,8 @@
 	return append(out, settings...)
 }
 
+// An instance that stops and starts again within one batch replies with the actions since
+// its last start only.
 func TestRestartInOneBatch(t *testing.T) {
 	in := batch(1, instanceRecord(2), attach(), []byte{25}, attach())
 	in = append(in, batch(2)...)
@@ -39,7 +41,7 @@
 		t.Fatal(err)
 	}
 	got := out.Bytes()
-	if n := binary.BigEndian.Uint32(got[4:]); n != 2 { // its name and one timer, from the new life only
+	if n := binary.BigEndian.Uint32(got[4:]); n != 2 { // the instance and one timer, both from the second start
 		t.Errorf("%d records in the first reply, want 2", n)
 	}
 	if second := got[4+binary.BigEndian.Uint32(got):]; !bytes.Equal(second, []byte{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 2}) {
@@ -48,16 +50,16 @@
 }
 
 func TestUnknownPlanAndInstance(t *testing.T) {
-	ask := append([]byte{18}, make([]byte, 37)...)
-	ask[10] = 9 // plan
-	for _, in := range [][]byte{batch(1, instanceRecord(2), attach(), ask), batch(1, instanceRecord(2), []byte{25})} {
+	request := append([]byte{18}, make([]byte, 37)...)
+	request[10] = 9 // plan
+	for _, in := range [][]byte{batch(1, instanceRecord(2), attach(), request), batch(1, instanceRecord(2), []byte{25})} {
 		if err := serve(bytes.NewReader(in), &bytes.Buffer{}); err == nil {
-			t.Error("no error")
+			t.Error("an unknown plan or instance was accepted")
 		}
 	}
 }
 
-// TestMain lets the test binary stand in for the command.
+// TestMain runs the command instead of the tests if WIREHOST_TEST_RUN is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("WIREHOST_TEST_RUN") != "" {
 		main()
@@ -66,14 +68,14 @@
 	os.Exit(m.Run())
 }
 
-func TestMalformedInputEndsTheCommand(t *testing.T) {
+func TestMalformedInputExits(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "WIREHOST_TEST_RUN=1")
 	cmd.Stdin = strings.NewReader("this is no frame, but it is long enough")
 	var errs bytes.Buffer
 	cmd.Stderr = &errs
 	if err := cmd.Run(); err == nil {
-		t.Error("exit 0")
+		t.Error("exit status 0 after malformed input")
 	}
 	if text := errs.String(); strings.Count(text, "\n") != 1 || strings.Contains(text, "goroutine") {
 		t.Errorf("want one plain line on stderr, got %q", text)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads what the platform tells a gateway at its start. An agent's front
-// reads the same file, so it is no part of the gateway.
+// Package config reads the configuration file that the platform gives a gateway at its
+// start. The server for limit commands in an agent reads the same file, so this is not
+// part of package gateway.
 package config
 
 import (
@@ -16,28 +17,28 @@
 	"elderyard/internal/wire"
 )
 
-// Config is what a gateway is told at its start.
+// Config is the configuration of a gateway at its start.
 type Config struct {
 	Name              string
-	Listen            string // where clients connect
-	Operator          string // where the operators' staff call; empty: nowhere
-	StateDir          string // what must outlive an upgrade is kept there; empty: nothing is
-	InheritedListener bool   // Listen is a socket that came with the process, shared with others in an upgrade
+	Listen            string // address for clients
+	Operator          string // address for operators; empty: none
+	StateDir          string // directory of the state that survives an upgrade; empty: none does
+	InheritedListener bool   // the listener of Listen was passed to the process; during an upgrade two processes share it
 	Discovery         string
-	Counter           string // empty where the deployment has none
+	Counter           string // empty if the deployment has none
 	Seed              uint64
 	Cores             float64
 	MemoryMB          int
 	Sockets           int // file descriptors
 	InitialBackends   discovery.Listing
-	Site              site.Settings // the operator's; the platform says nothing of it
+	Site              site.Settings // from the operator's file, not from the platform
 	wire.Deployment
 }
 
-// least are the limits below which a gateway can't do its work.
+// A gateway can't work below these limits.
 const (
-	leastMemoryMB = 16
-	leastSockets  = 128
+	minMemoryMB = 16
+	minSockets  = 128 // file descriptors
 )
 
 // Read reads the configuration file at path.
@@ -53,9 +54,9 @@
 	return c, nil
 }
 
-// Parse reads the text of a configuration file.
+// Parse parses and validates the text of a configuration file.
 func Parse(text []byte) (Config, error) {
-	var raw struct {
+	var raw struct { // the names of fields without a tag are keys of the file, and appear in errors
 		Name, Listen, Operator, Discovery, Counter, Seed string
 		Limits                                           struct {
 			Cores    float64 `json:"cores"`
@@ -81,18 +82,19 @@
 	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
 		return Config{}, fmt.Errorf("seed: %w", err)
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-// HalveLimits takes half of the limits: with an inherited socket, two processes run
-// side by side during an upgrade, and the limits hold for both together.
+// HalveLimits halves the limits, for a process with an inherited listener: during an upgrade
+// two processes run side by side, and the limits apply to both together.
 func (c *Config) HalveLimits() {
 	c.InheritedListener = true
-	c.MemoryMB, c.Sockets = max(c.MemoryMB/2, leastMemoryMB), max(c.Sockets/2, leastSockets)
+	c.MemoryMB, c.Sockets = max(c.MemoryMB/2, minMemoryMB), max(c.Sockets/2, minSockets)
 }
 
-// check finds what a gateway could not run with, before any socket is opened.
-func (c *Config) check() error {
+// validate returns an error if a gateway could not run with the configuration. It must be
+// called before any socket is opened.
+func (c *Config) validate() error {
 	addresses := map[string]string{"listen": c.Listen, "discovery": c.Discovery}
 	if c.Settings.HasCounter {
 		addresses["counter"] = c.Counter
@@ -113,7 +115,7 @@
 		}
 	}
 	switch {
-	case c.Cores <= 0 || c.MemoryMB < leastMemoryMB || c.Sockets < leastSockets:
+	case c.Cores <= 0 || c.MemoryMB < minMemoryMB || c.Sockets < minSockets:
 		return fmt.Errorf("limits: %g cores, %d MB and %d sockets are too little", c.Cores, c.MemoryMB, c.Sockets)
 	case c.FleetSize < 1 || c.Rank < 0 || c.Rank >= c.FleetSize:
 		return fmt.Errorf("settings: rank %d is not among %d gateways", c.Rank, c.FleetSize)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.Rank != 1 || c.ClassNames[1] != "booking" || c.PlanNames[1] != "council" ||
 		c.KeepaliveTimeout != 15 || c.Sockets != 1024 || c.InitialBackends.Generation != 41 || c.Zones[1] != "b" {
-		t.Errorf("read %+v", c)
+		t.Errorf("parsed %+v", c)
 	}
 	for _, bad := range [][2]string{
 		{`{`, ``},
@@ -40,10 +40,10 @@
 		}
 		_, err := Parse([]byte(strings.Replace(text, bad[0], bad[1], 1)))
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", bad[1], err)
+			t.Errorf("%s instead of %s: error %v, want one line", bad[1], bad[0], err)
 		}
 	}
 	if _, err := Read(t.TempDir() + "/none"); err == nil {
-		t.Error("a missing file was read")
+		t.Error("a missing file was read without an error")
 	}
 }
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,7 +1,6 @@
-// Package document reads what a revision says: one file for all gateways of a
-// site, with overlays for single ones. From it come the two files that a gateway
-// reads, checked by the gateway's own parsers, and the policy by which a change
-// goes out.
+// Package document parses the content of a revision: one file for all gateways of a site,
+// with overlays for single ones. It renders the two files that each gateway reads,
+// validated by the gateway's own parsers, and provides the policy of the rollout.
 package document
 
 import (
@@ -28,7 +27,11 @@
 	"elderyard/supervise"
 )
 
-// file is the form of a revision's file. An overlay has the first two tables.
+// file is the format of a revision's file. An overlay has the first two tables.
+//
+// An error about a value of a wrong type has the names of the Go type and field in its
+// text, which agents report as the reason why they rejected a revision. So the names of
+// these types and their fields are part of the interface.
 type file struct {
 	Gateway map[string]any `toml:"gateway" doc:"what a gateway is told of its site; keys as in its own configuration, less name and listen, which are the instance's"`
 	Site    map[string]any `toml:"site" doc:"the operator's settings; see elderctl site keys"`
@@ -40,7 +43,7 @@
 	Site    map[string]any `toml:"site"`
 }
 
-// Rollout is the part of the file that says how a change goes out.
+// Rollout is the part of the file with the policy of the rollout.
 type Rollout struct {
 	Canaries       int             `toml:"canaries" doc:"instances of the first wave; default 1"`
 	Waves          []float64       `toml:"waves" doc:"shares of all instances that have been told by the end of each further wave, rising to 1; default 0.25, 1"`
@@ -56,28 +59,29 @@
 }
 
 func defaults() Rollout {
-	s := func(n int) strict.Duration { return strict.Duration(time.Duration(n) * time.Second) }
-	return Rollout{Canaries: 1, Waves: []float64{0.25, 1}, MostAway: 1, ReadyWithin: s(30), SoakFor: s(20), SilentAfter: s(10),
-		MostSilent: 1, ServiceFor: s(30), Deadline: s(3600), RollbackWithin: s(600)}
+	seconds := func(n int) strict.Duration { return strict.Duration(time.Duration(n) * time.Second) }
+	return Rollout{Canaries: 1, Waves: []float64{0.25, 1}, MostAway: 1, ReadyWithin: seconds(30), SoakFor: seconds(20), SilentAfter: seconds(10),
+		MostSilent: 1, ServiceFor: seconds(30), Deadline: seconds(3600), RollbackWithin: seconds(600)}
 }
 
 func (r *Rollout) policy() rollout.Policy {
-	d := func(d strict.Duration) time.Duration { return time.Duration(d) }
-	return rollout.Policy{Canaries: r.Canaries, Waves: r.Waves, MaxUnavailable: r.MostAway, ReadyTimeout: d(r.ReadyWithin), SoakDuration: d(r.SoakFor),
-		SilenceTimeout: d(r.SilentAfter), MaxSilent: r.MostSilent, MaxServiceDrop: r.ServiceFall, LowServiceWindow: d(r.ServiceFor),
-		Deadline: d(r.Deadline), RollbackTimeout: d(r.RollbackWithin)}
+	duration := func(d strict.Duration) time.Duration { return time.Duration(d) }
+	return rollout.Policy{Canaries: r.Canaries, Waves: r.Waves, MaxUnavailable: r.MostAway, ReadyTimeout: duration(r.ReadyWithin), SoakDuration: duration(r.SoakFor),
+		SilenceTimeout: duration(r.SilentAfter), MaxSilent: r.MostSilent, MaxServiceDrop: r.ServiceFall, LowServiceWindow: duration(r.ServiceFor),
+		Deadline: duration(r.Deadline), RollbackTimeout: duration(r.RollbackWithin)}
 }
 
-// Keys lists the keys of the file that this package gives a meaning.
+// Keys returns the keys of the file with their descriptions, except those within the
+// gateway and site tables.
 func Keys() [][2]string { return strict.Keys(file{}) }
 
-// Document is the content of a revision, read.
+// Document is the parsed content of a revision.
 type Document struct {
-	base     file
-	overlays map[string]overlay
-	turn     uint64
-	sum      string
-	names    func(instance string) (string, []byte) // of the text to blame
+	base              file
+	overlays          map[string]overlay // by instance
+	restartGeneration uint64
+	checksum          string
+	source            func(instance string) (string, []byte) // name and text of its overlay, or else of the file
 }
 
 // Instance is one gateway of an agent.
@@ -86,34 +90,35 @@
 	Listen string // host and port for clients
 }
 
-// Rendered is what one instance reads, and what it takes to get there.
+// Rendered is the files of one instance, and the spec by which an agent decides whether
+// they need a reload or a restart.
 type Rendered struct {
 	Config []byte // JSON, for EDGE_CONFIG
 	Site   []byte // TOML, for ELDERYARD_SITE
 	Spec   supervise.Spec
 }
 
-// Parse reads a content. Name is that of the file in errors; an overlay goes by
-// its instance's name. What an instance would make of it is told by Render.
-func Parse(name string, c revisions.Content) (*Document, error) {
-	d := &Document{overlays: map[string]overlay{}, turn: c.RestartGeneration, sum: c.Sum()}
-	d.names = func(instance string) (string, []byte) {
-		if text, found := c.Overlays[instance]; found {
+// Parse parses a content. Errors have the given name for its file, and the name of the
+// instance for an overlay. It doesn't validate the settings of the gateways: Render does.
+func Parse(name string, content revisions.Content) (*Document, error) {
+	d := &Document{overlays: map[string]overlay{}, restartGeneration: content.RestartGeneration, checksum: content.Sum()}
+	d.source = func(instance string) (string, []byte) {
+		if text, found := content.Overlays[instance]; found {
 			return "overlay " + instance, []byte(text)
 		}
-		return name, []byte(c.File)
+		return name, []byte(content.File)
 	}
 	d.base.Rollout = defaults()
-	if err := strict.Decode(name, []byte(c.File), &d.base); err != nil {
+	if err := strict.Decode(name, []byte(content.File), &d.base); err != nil {
 		return nil, err
 	}
 	p := d.base.Rollout.policy()
 	if err := p.Validate(); err != nil {
-		return nil, strict.ErrorAt(name, []byte(c.File), "rollout", "%v", err)
+		return nil, strict.ErrorAt(name, []byte(content.File), "rollout", "%v", err)
 	}
-	for _, instance := range slices.Sorted(maps.Keys(c.Overlays)) {
+	for _, instance := range slices.Sorted(maps.Keys(content.Overlays)) {
 		var o overlay
-		if err := strict.Decode("overlay "+instance, []byte(c.Overlays[instance]), &o); err != nil {
+		if err := strict.Decode("overlay "+instance, []byte(content.Overlays[instance]), &o); err != nil {
 			return nil, err
 		}
 		d.overlays[instance] = o
@@ -121,108 +126,109 @@
 	return d, nil
 }
 
-// Check reads a content and renders it for an instance of no overlay, and for
-// each that has one.
-func Check(name string, c revisions.Content) error {
-	d, err := Parse(name, c)
+// Check parses a content and renders it for each instance that has an overlay, or for one
+// without an overlay if there are none.
+func Check(name string, content revisions.Content) error {
+	d, err := Parse(name, content)
 	if err != nil {
 		return err
 	}
-	// The instances of the site may all have overlays that the base does not go
-	// without; who has none is found by the agents.
-	names := slices.Sorted(maps.Keys(c.Overlays))
-	if len(names) == 0 {
-		names = []string{"any"}
+	// The file may be invalid without an overlay if all instances of the site have one.
+	// Which instances have none is known only to the agents, which validate them.
+	instances := slices.Sorted(maps.Keys(content.Overlays))
+	if len(instances) == 0 {
+		instances = []string{"any"}
 	}
-	for _, n := range names {
-		if _, err := d.Render(0, Instance{Name: n, Listen: "127.0.0.1:1"}); err != nil {
+	for _, name := range instances {
+		if _, err := d.Render(0, Instance{Name: name, Listen: "127.0.0.1:1"}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Policy is how this document goes out.
+// Policy returns the rollout policy of the document.
 func (d *Document) Policy() rollout.Policy { return d.base.Rollout.policy() }
 
-// DefaultPolicy is that of a document that says nothing of it.
+// DefaultPolicy returns the rollout policy of a document without a rollout table.
 func DefaultPolicy() rollout.Policy {
 	r := defaults()
 	return r.policy()
 }
 
-// own are the keys of a gateway's configuration that a file may set.
-var own = []string{"discovery", "counter", "seed", "limits", "known", "settings"}
+// gatewayKeys are the keys of a gateway's configuration that a file may set.
+var gatewayKeys = []string{"discovery", "counter", "seed", "limits", "known", "settings"}
 
-// reloads are those that a running gateway reads again.
-var reloads = []string{"discovery", "counter"}
+// reloadableKeys are those that a running gateway reads again when it reloads.
+var reloadableKeys = []string{"discovery", "counter"}
 
-// Render makes the files of one instance. An error names file, line and key as
-// far as they can be told.
-func (d *Document) Render(revision uint64, i Instance) (*Rendered, error) {
-	whole := merge(d.base.Gateway, d.overlays[i.Name].Gateway)
-	for _, key := range slices.Sorted(maps.Keys(whole)) {
-		if !slices.Contains(own, key) {
+// Render returns the files of one instance. Errors have the file, line and key if they can
+// be determined.
+func (d *Document) Render(revision uint64, instance Instance) (*Rendered, error) {
+	gateway := merge(d.base.Gateway, d.overlays[instance.Name].Gateway)
+	for _, key := range slices.Sorted(maps.Keys(gateway)) {
+		if !slices.Contains(gatewayKeys, key) {
 			text := "there is no such key"
-			if near := strict.Closest(key, own); near != "" {
-				text += fmt.Sprintf("; did you mean %q?", near)
+			if suggestion := strict.Closest(key, gatewayKeys); suggestion != "" {
+				text += fmt.Sprintf("; did you mean %q?", suggestion)
 			}
-			return nil, d.blame(i.Name, "gateway."+key, text)
+			return nil, d.keyError(instance.Name, "gateway."+key, text)
 		}
 	}
-	settings, err := json.Marshal(whole["settings"])
+	settings, err := json.Marshal(gateway["settings"])
 	if err != nil {
-		return nil, d.blame(i.Name, "gateway.settings", err.Error())
+		return nil, d.keyError(instance.Name, "gateway.settings", err.Error())
 	}
-	if whole["settings"] == nil {
-		return nil, d.blame(i.Name, "gateway.settings", "is missing")
+	if gateway["settings"] == nil {
+		return nil, d.keyError(instance.Name, "gateway.settings", "is missing")
 	}
 	if err := wire.CheckKeys(settings); err != nil {
-		return nil, d.blameKey(i.Name, err)
+		return nil, d.parserError(instance.Name, err)
 	}
-	seed := sha256.Sum256([]byte(i.Name))
-	whole["name"], whole["listen"] = i.Name, i.Listen
+	seed := sha256.Sum256([]byte(instance.Name))
+	gateway["name"], gateway["listen"] = instance.Name, instance.Listen
 	for key, value := range map[string]any{"seed": hex.EncodeToString(seed[:8]), "counter": "",
 		"known": map[string]any{"generation": 0, "reset": true, "instances": []any{}}} {
-		if whole[key] == nil {
-			whole[key] = value
+		if gateway[key] == nil {
+			gateway[key] = value
 		}
 	}
 	r := &Rendered{}
-	if r.Config, err = json.MarshalIndent(whole, "", " "); err != nil {
-		return nil, d.blame(i.Name, "gateway", err.Error())
+	if r.Config, err = json.MarshalIndent(gateway, "", " "); err != nil {
+		return nil, d.keyError(instance.Name, "gateway", err.Error())
 	}
 	parsed, err := config.Parse(r.Config)
 	if err != nil {
-		return nil, d.blameKey(i.Name, err)
+		return nil, d.parserError(instance.Name, err)
 	}
 	longest := time.Duration(0)
 	for _, class := range parsed.Classes {
 		longest = max(longest, time.Duration((class.Timeout+parsed.AnswerSlack)*float64(time.Second)))
 	}
-	if r.Site, err = toml.Marshal(merge(d.base.Site, d.overlays[i.Name].Site)); err != nil {
-		return nil, d.blame(i.Name, "site", err.Error())
+	if r.Site, err = toml.Marshal(merge(d.base.Site, d.overlays[instance.Name].Site)); err != nil {
+		return nil, d.keyError(instance.Name, "site", err.Error())
 	}
 	if _, err := site.Parse("site", r.Site); err != nil {
-		var at *strict.Error
-		if errors.As(err, &at) && at.Key != "" {
-			return nil, d.blame(i.Name, "site."+at.Key, at.Text)
+		var siteErr *strict.Error
+		if errors.As(err, &siteErr) && siteErr.Key != "" {
+			return nil, d.keyError(instance.Name, "site."+siteErr.Key, siteErr.Text)
 		}
-		return nil, d.blame(i.Name, "site", err.Error())
+		return nil, d.keyError(instance.Name, "site", err.Error())
 	}
-	for _, key := range reloads {
-		delete(whole, key)
+	for _, key := range reloadableKeys {
+		delete(gateway, key)
 	}
-	fixed, err := json.Marshal(whole)
+	fixed, err := json.Marshal(gateway)
 	if err != nil {
-		return nil, d.blame(i.Name, "gateway", err.Error())
+		return nil, d.keyError(instance.Name, "gateway", err.Error())
 	}
-	turn := fmt.Appendf(nil, "%d", d.turn)
-	r.Spec = supervise.Spec{Revision: revision, Content: d.sum, Files: sum(r.Config, r.Site, turn), Fixed: sum(fixed, r.Site, turn), MaxRequestDuration: longest}
+	generation := fmt.Appendf(nil, "%d", d.restartGeneration)
+	r.Spec = supervise.Spec{Revision: revision, Content: d.checksum, Files: checksum(r.Config, r.Site, generation), Fixed: checksum(fixed, r.Site, generation), MaxRequestDuration: longest}
 	return r, nil
 }
 
-func sum(parts ...[]byte) string {
+// checksum returns the SHA-256 of parts, each preceded by its length.
+func checksum(parts ...[]byte) string {
 	h := sha256.New()
 	for _, p := range parts {
 		fmt.Fprintf(h, "%d:", len(p))
@@ -231,59 +237,61 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// blame makes an error about a key of what an instance is told, with the line
-// of the overlay if that sets it, else of the file.
-func (d *Document) blame(instance, key, text string) error {
-	name, source := d.names(instance)
-	var at *strict.Error
-	if err := strict.ErrorAt(name, source, key, "%s", text); errors.As(err, &at) && at.Line > 0 {
+// keyError returns an error about a key of an instance's settings, with the line of its
+// overlay if that sets the key, or else of the file.
+func (d *Document) keyError(instance, key, text string) error {
+	name, source := d.source(instance)
+	var overlayErr *strict.Error
+	if err := strict.ErrorAt(name, source, key, "%s", text); errors.As(err, &overlayErr) && overlayErr.Line > 0 {
 		return err
 	}
-	name, source = d.names("")
+	name, source = d.source("")
 	return strict.ErrorAt(name, source, key, "%s", text)
 }
 
-var quoted = regexp.MustCompile(`unknown field "([^"]+)"|field [A-Za-z.]*\.([A-Za-z_]+) of type`)
+// keyInError matches the key in an error of encoding/json.
+var keyInError = regexp.MustCompile(`unknown field "([^"]+)"|field [A-Za-z.]*\.([A-Za-z_]+) of type`)
 
-// blameKey makes an error of a parser of JSON, which knows no lines, into one of
-// the line that sets the key it speaks of.
-func (d *Document) blameKey(instance string, err error) error {
+// parserError returns the error of a JSON parser, which has no line, with the line that
+// sets the key in its text.
+func (d *Document) parserError(instance string, err error) error {
 	text := strings.ReplaceAll(err.Error(), "json: ", "")
-	if found := quoted.FindStringSubmatch(text); found != nil {
-		key := found[1] + found[2]
-		for _, whose := range []string{instance, ""} {
-			name, source := d.names(whose)
+	if match := keyInError.FindStringSubmatch(text); match != nil {
+		key := match[1] + match[2]
+		for _, candidate := range []string{instance, ""} {
+			name, source := d.source(candidate)
 			for n, line := range bytes.Split(source, []byte("\n")) {
-				before, _, set := bytes.Cut(line, []byte("="))
-				if set && regexp.MustCompile(`(^|[\s{,.])"?`+regexp.QuoteMeta(key)+`"?\s*$`).Match(before) {
+				before, _, assigned := bytes.Cut(line, []byte("="))
+				if assigned && regexp.MustCompile(`(^|[\s{,.])"?`+regexp.QuoteMeta(key)+`"?\s*$`).Match(before) {
 					return &strict.Error{File: name, Line: n + 1, Key: key, Text: text}
 				}
 			}
 		}
 	}
-	return d.blame(instance, "gateway", text)
+	return d.keyError(instance, "gateway", text)
 }
 
-// merge lays one tree over another. Lists are replaced whole. Neither is changed.
-func merge(under, over map[string]any) map[string]any {
-	out := map[string]any{}
-	for key, value := range under {
-		if table, is := value.(map[string]any); is {
+// merge returns a copy of base with the values of override. Tables are merged; lists are
+// replaced. Neither argument is changed.
+func merge(base, override map[string]any) map[string]any {
+	merged := map[string]any{}
+	for key, value := range base {
+		if table, isTable := value.(map[string]any); isTable {
 			value = merge(table, nil)
 		}
-		out[key] = value
+		merged[key] = value
 	}
-	for key, value := range over {
-		table, is := value.(map[string]any)
-		below, was := out[key].(map[string]any)
+	for key, value := range override {
+		table, isTable := value.(map[string]any)
+		baseTable, wasTable := merged[key].(map[string]any)
 		switch {
-		case is && was:
-			out[key] = merge(below, table)
-		case is:
-			out[key] = merge(table, nil)
+		case isTable && wasTable:
+			merged[key] = merge(baseTable, table)
+		case isTable:
+			merged[key] = merge(table, nil)
 		default:
-			out[key] = value
+			merged[key] = value
 		}
 	}
-	return out
+	return merged
 }
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -63,7 +63,7 @@
 	return r
 }
 
-func TestAnInstanceGetsWhatItsGatewayReads(t *testing.T) {
+func TestRenderedFilesAreParsedByGateway(t *testing.T) {
 	c := content(good)
 	c.Overlays = map[string]string{"g1": "[gateway.settings]\nrank = 1\n[site.clients]\nmemory_share = 0.1\n"}
 	r := render(t, c, "g1")
@@ -79,42 +79,42 @@
 		t.Fatalf("%+v", r)
 	}
 	if other := render(t, c, "g0"); other.Spec.Files == r.Spec.Files {
-		t.Fatal("two instances have one checksum")
+		t.Fatal("two instances have the same checksum")
 	}
 	d, _ := Parse("site.toml", c)
 	if p := d.Policy(); p.Canaries != 2 || p.SoakDuration != 3*time.Second || p.MaxUnavailable != 1 {
 		t.Fatalf("%+v", p)
 	}
 	if again := render(t, c, "g1"); again.Spec != r.Spec || r.Spec.Content != c.Sum() {
-		t.Fatal("the same content gives another checksum")
+		t.Fatal("rendering the same content again gives another checksum")
 	}
 }
 
-func TestWhatAChangeTakes(t *testing.T) {
+func TestStepOfChange(t *testing.T) {
 	from := render(t, content(good), "g0").Spec
 	again := content(good)
 	again.RestartGeneration = 1
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		content revisions.Content
 		step    supervise.Step
 	}{
-		"the rollout's own":  {content(strings.Replace(good, "canaries = 2", "canaries = 3", 1)), supervise.StepNone},
-		"a comment":          {content("# new\n" + good), supervise.StepNone},
+		"rollout policy":     {content(strings.Replace(good, "canaries = 2", "canaries = 3", 1)), supervise.StepNone},
+		"comment":            {content("# new\n" + good), supervise.StepNone},
 		"discovery":          {content(strings.Replace(good, "7001", "7003", 1)), supervise.StepReload},
-		"the counter":        {content(strings.Replace(good, "7002", "7003", 1)), supervise.StepReload},
-		"a plan":             {content(strings.Replace(good, "depth = 20.0", "depth = 30.0", 1)), supervise.StepRestart},
-		"an operator's key":  {content(strings.Replace(good, "0.6", "0.5", 1)), supervise.StepRestart},
-		"another turn":       {again, supervise.StepRestart},
-		"two of the changes": {content(strings.Replace(strings.Replace(good, "7001", "7003", 1), "0.6", "0.5", 1)), supervise.StepRestart},
+		"counter":            {content(strings.Replace(good, "7002", "7003", 1)), supervise.StepReload},
+		"plan":               {content(strings.Replace(good, "depth = 20.0", "depth = 30.0", 1)), supervise.StepRestart},
+		"operator's file":    {content(strings.Replace(good, "0.6", "0.5", 1)), supervise.StepRestart},
+		"restart generation": {again, supervise.StepRestart},
+		"reload and restart": {content(strings.Replace(strings.Replace(good, "7001", "7003", 1), "0.6", "0.5", 1)), supervise.StepRestart},
 	} {
 		to := render(t, c.content, "g0").Spec
 		if step := supervise.StepBetween(&from, &to); step != c.step {
-			t.Errorf("%s: %s, want %s", what, step, c.step)
+			t.Errorf("change of %s: step %s, want %s", name, step, c.step)
 		}
 	}
 }
 
-func TestWhatIsWrongIsNamedWithItsLine(t *testing.T) {
+func TestErrorsHaveLine(t *testing.T) {
 	replace := func(a, b string) string { return strings.Replace(good, a, b, 1) }
 	for text, want := range map[string]string{
 		replace("[rollout]", "[roll]"):                              `site.toml:33: roll: there is no such key`,
@@ -135,7 +135,7 @@
 	} {
 		err := Check("site.toml", content(text))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("error %v, want %s", err, want)
 		}
 	}
 	c := content(good)
@@ -148,7 +148,7 @@
 	} {
 		c.Overlays = map[string]string{"g1": text}
 		if err := Check("site.toml", c); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("error %v, want %s", err, want)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 func FuzzCheck(f *testing.F) {
 	f.Add(good, "[gateway.settings]\nrank = 1")
 	f.Add("[gateway]\nsettings = [1, {a = nan}]", "gateway = 1")
-	f.Fuzz(func(t *testing.T, file, over string) {
-		_ = Check("f", revisions.Content{File: file, Overlays: map[string]string{"g0": over}})
+	f.Fuzz(func(t *testing.T, file, overlay string) {
+		_ = Check("f", revisions.Content{File: file, Overlays: map[string]string{"g0": overlay}})
 	})
 }
--- a/internal/document/golden_test.go
+++ b/internal/document/golden_test.go
@@ -14,13 +14,13 @@
 	"elderyard/revisions"
 )
 
-// The keys of a revision's file, and the policy of one that says nothing of it.
+// The keys of a revision's file with their descriptions, and the default policy.
 func TestGoldenKeysAndDefaults(t *testing.T) {
 	var b strings.Builder
 	for _, k := range Keys() {
 		fmt.Fprintf(&b, "%s: %s\n", k[0], k[1])
 	}
-	fmt.Fprintf(&b, "gateway may set: %s\na running gateway reads again: %s\n", strings.Join(own, " "), strings.Join(reloads, " "))
+	fmt.Fprintf(&b, "gateway may set: %s\na running gateway reads again: %s\n", strings.Join(gatewayKeys, " "), strings.Join(reloadableKeys, " "))
 	golden.Text(t, "keys.txt", b.String())
 	text, err := toml.Marshal(defaults())
 	if err != nil {
@@ -29,7 +29,8 @@
 	golden.Text(t, "rollout-defaults.toml", string(text))
 }
 
-// The files that an instance gets, and the checksums by which agents know whether it has them.
+// The rendered files of instances, and the checksums by which agents find out whether an
+// instance already has them.
 func TestGoldenRenderedFiles(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "revision.toml"))
 	if err != nil {
@@ -61,7 +62,7 @@
 	golden.Text(t, "rendered.txt", b.String())
 }
 
-// An overlay has two of the file's tables.
+// An overlay has the first two tables of the file.
 func TestGoldenOverlayKeys(t *testing.T) {
 	var b strings.Builder
 	for _, k := range strict.Keys(overlay{}) {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
 // Package wire translates between the simulator's binary frames and the events
-// and actions of package rules. It changes words and units and decides nothing.
+// and actions of package rules. It converts names and units and decides nothing.
 package wire
 
 import (
@@ -12,33 +12,33 @@
 	"elderyard/rules"
 )
 
-// Codes of the records in a batch.
+// Codes of the records in a batch. A comment has the protocol's name where it differs.
 const (
 	codeAttach      = 16
 	codeSync        = 17
-	codeAsk         = 18
+	codeRequest     = 18 // Ask
 	codeEstablished = 19
 	codeAttemptEnd  = 20
 	codeAborted     = 21
-	codeAlarm       = 22
-	codeChecked     = 23
+	codeTimer       = 22 // Alarm
+	codeProbed      = 23 // Checked
 	codePeerData    = 24
 	codeTeardown    = 25
 	codeCounter     = 26
 	codeManifest    = 27
-	codeFor         = 28
+	codeInstance    = 28 // For
 )
 
 const (
-	batchHeader = 20      // bytes: clock, length, records, number
-	afterLength = 8       // bytes of the header that the length counts
-	maxFrame    = 1 << 30 // a longer frame is taken for a broken one
-	entrySize   = 22      // bytes of one entry of a list
-	maxSheets   = 16      // lists that can be in use at a time
-	flagRepeat  = 2
+	batchHeader = 20      // bytes: time, length, number of records, sequence number
+	afterLength = 8       // bytes of the header that the length includes
+	maxFrame    = 1 << 30 // bytes; a longer frame is rejected as malformed
+	entrySize   = 22      // bytes of one entry of a list of backends
+	maxLists    = 16      // lists of backends that can be defined at a time
+	flagRetry   = 2       // the client marked the request as a retry
 )
 
-// Start is the Attach of an instance.
+// Start is the Attach record, which starts an instance.
 type Start struct {
 	Seed     uint64
 	Settings rules.Settings
@@ -53,42 +53,43 @@
 	Event   rules.Event
 }
 
-// Batch is all that happens at one moment.
+// Batch is the records of one point in time.
 type Batch struct {
 	Now     float64
 	Seq     uint32
 	Records []Record
 }
 
-// Decoder reads batches. It keeps the numbered lists that batches refer to.
+// Decoder reads batches. It keeps the lists of backends, which later batches refer to by
+// number.
 type Decoder struct {
-	r      io.Reader
-	frame  []byte
-	sheets [maxSheets][]rules.Backend
-	known  [maxSheets]bool
+	r       io.Reader
+	frame   []byte
+	lists   [maxLists][]rules.Backend
+	defined [maxLists]bool
 }
 
-// NewDecoder returns a decoder of the frames in r.
+// NewDecoder returns a decoder of the frames that r has.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
-// Next reads one batch. It returns io.EOF where the input ends between frames.
+// Next reads one batch. It returns io.EOF if the input ends between frames.
 func (d *Decoder) Next() (Batch, error) {
-	var head [batchHeader]byte
-	if _, err := io.ReadFull(d.r, head[:]); err != nil {
+	var header [batchHeader]byte
+	if _, err := io.ReadFull(d.r, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
 			return Batch{}, errors.New("the input ends within a header")
 		}
 		return Batch{}, err
 	}
-	b := Batch{Now: math.Float64frombits(binary.BigEndian.Uint64(head[0:])),
-		Seq: binary.BigEndian.Uint32(head[16:])}
-	length := binary.BigEndian.Uint32(head[8:])
-	count := binary.BigEndian.Uint32(head[12:])
+	b := Batch{Now: math.Float64frombits(binary.BigEndian.Uint64(header[0:])),
+		Seq: binary.BigEndian.Uint32(header[16:])}
+	length := binary.BigEndian.Uint32(header[8:])
+	count := binary.BigEndian.Uint32(header[12:])
 	if length < afterLength || length > maxFrame {
 		return b, fmt.Errorf("batch %d: impossible length %d", b.Seq, length)
 	}
 	if math.IsNaN(b.Now) || math.IsInf(b.Now, 0) {
-		return b, fmt.Errorf("batch %d: the clock is no number", b.Seq)
+		return b, fmt.Errorf("batch %d: the time is not a number", b.Seq)
 	}
 	body, err := d.read(int(length) - afterLength)
 	if err != nil {
@@ -101,25 +102,28 @@
 	return b, nil
 }
 
-// read takes n bytes, growing the buffer only as they arrive.
+// read reads n bytes. It grows the buffer only as they arrive: a false length must not
+// allocate memory.
 func (d *Decoder) read(n int) ([]byte, error) {
-	const step = 1 << 20
+	const chunk = 1 << 20
 	d.frame = d.frame[:0]
 	for len(d.frame) < n {
-		from, part := len(d.frame), min(step, n-len(d.frame))
-		d.frame = append(d.frame, make([]byte, part)...)
-		if _, err := io.ReadFull(d.r, d.frame[from:]); err != nil {
+		start, size := len(d.frame), min(chunk, n-len(d.frame))
+		d.frame = append(d.frame, make([]byte, size)...)
+		if _, err := io.ReadFull(d.r, d.frame[start:]); err != nil {
 			return nil, err
 		}
 	}
 	return d.frame, nil
 }
 
+// records decodes the records of a frame. Each applies to the instance of the last
+// instance record before it.
 func (d *Decoder) records(body []byte, count uint32) ([]Record, error) {
-	c := &cursor{rest: body}
+	c := &cursor{data: body}
 	var out []Record
 	var gateway uint32
-	named := false
+	haveInstance := false
 	for i := range count {
 		code := c.u8()
 		if c.short {
@@ -131,25 +135,25 @@
 			return nil, fmt.Errorf("record %d (code %d): the frame is too short", i, code)
 		case err != nil:
 			return nil, fmt.Errorf("record %d (code %d): %w", i, code, err)
-		case code == codeFor:
-			gateway, named = rec.Gateway, true
+		case code == codeInstance:
+			gateway, haveInstance = rec.Gateway, true
 		case code == codeManifest:
-		case !named:
+		case !haveInstance:
 			return nil, fmt.Errorf("record %d (code %d): no instance was named", i, code)
 		default:
 			rec.Gateway = gateway
 			out = append(out, rec)
 		}
 	}
-	if len(c.rest) > 0 {
-		return nil, fmt.Errorf("%d bytes follow the last record", len(c.rest))
+	if len(c.data) > 0 {
+		return nil, fmt.Errorf("%d bytes follow the last record", len(c.data))
 	}
 	return out, nil
 }
 
 func (d *Decoder) record(c *cursor, code uint8) (Record, error) {
 	switch code {
-	case codeFor:
+	case codeInstance:
 		return Record{Gateway: c.u32()}, nil
 	case codeManifest:
 		return Record{}, d.manifest(c)
@@ -171,12 +175,13 @@
 	return Record{Event: ev}, err
 }
 
+// manifest decodes the definition of a list of backends.
 func (d *Decoder) manifest(c *cursor) error {
-	sheet, n := c.u32(), c.u32()
-	if sheet >= maxSheets {
-		return fmt.Errorf("list number %d is too high", sheet)
+	list, n := c.u32(), c.u32()
+	if list >= maxLists {
+		return fmt.Errorf("list number %d is too high", list)
 	}
-	if uint64(n)*entrySize > uint64(len(c.rest)) {
+	if uint64(n)*entrySize > uint64(len(c.data)) {
 		c.short = true
 		return nil
 	}
@@ -196,14 +201,15 @@
 		}
 		entries[i].Weight, entries[i].StartedAt = c.f32(), c.f64()
 	}
-	d.sheets[sheet], d.known[sheet] = entries, true
+	d.lists[list], d.defined[list] = entries, true
 	return nil
 }
 
+// sync decodes a result of discovery, whose backends are a list that was defined before.
 func (d *Decoder) sync(c *cursor) (rules.Event, error) {
 	form := c.u8()
-	c.u32() // revision: changes come in order and none is missing
-	sheet := c.u32()
+	c.u32() // revision; not needed, since changes arrive in order and none is missing
+	list := c.u32()
 	if c.short {
 		return nil, nil
 	}
@@ -215,21 +221,21 @@
 	if kind == rules.ListFailed {
 		return rules.Backends{Kind: kind}, nil
 	}
-	if sheet >= maxSheets || !d.known[sheet] {
-		return nil, fmt.Errorf("list %d was not defined", sheet)
+	if list >= maxLists || !d.defined[list] {
+		return nil, fmt.Errorf("list %d was not defined", list)
 	}
-	return rules.Backends{Kind: kind, Entries: d.sheets[sheet]}, nil
+	return rules.Backends{Kind: kind, Entries: d.lists[list]}, nil
 }
 
-// outcomes maps the codes of the wire; the missing ones are errors.
+// outcomes maps the codes of the protocol. Any other code is an error.
 var outcomes = map[uint8]rules.Outcome{0: rules.Served, 255: rules.Errored, 254: rules.Overloaded,
 	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.ConnectionLost, 250: rules.Cancelled, 249: rules.NotSent}
 
-// event reads the fields of an event that needs nothing but the record.
+// event decodes the events that don't depend on the state of the decoder.
 func (c *cursor) event(code uint8) (rules.Event, error) {
 	switch code {
-	case codeAsk:
-		return c.ask(), nil
+	case codeRequest:
+		return c.request(), nil
 	case codeEstablished:
 		e := rules.ResponseStarted{Request: rules.RequestID(c.u32()), Backend: rules.BackendID(c.u32())}
 		e.Duration, e.Attempt = c.f64(), int(c.u8())
@@ -238,9 +244,9 @@
 		return c.attemptEnd()
 	case codeAborted:
 		return rules.ClientDisconnected{Request: rules.RequestID(c.u32())}, nil
-	case codeAlarm:
+	case codeTimer:
 		return rules.TimerFired{Token: c.u64()}, nil
-	case codeChecked:
+	case codeProbed:
 		e := rules.ProbeResult{Backend: rules.BackendID(c.u32())}
 		var err error
 		e.Outcome, err = c.outcome()
@@ -259,10 +265,10 @@
 	return nil, errors.New("the code is not known")
 }
 
-func (c *cursor) ask() rules.Event {
+func (c *cursor) request() rules.Event {
 	r := rules.Request{ID: rules.RequestID(c.u32()), FirstGateway: int(c.f32()), Plan: int(c.u16()),
 		Customer: rules.CustomerID(c.u64()), Gateways: int(c.f32()), Units: c.f32()}
-	r.IsRetry = c.u8()&flagRepeat != 0
+	r.IsRetry = c.u8()&flagRetry != 0
 	r.Class, r.Deadline = int(c.u16()), c.f64()
 	return r
 }
@@ -287,9 +293,10 @@
 	return o, nil
 }
 
+// report decodes the load data that a backend reports.
 func (c *cursor) report() []float64 {
 	n := int(c.u8())
-	if n == 0 || n*4 > len(c.rest) {
+	if n == 0 || n*4 > len(c.data) {
 		c.short = c.short || n > 0
 		return nil
 	}
@@ -300,29 +307,30 @@
 	return out
 }
 
-// cursor walks over the fields of a frame. Past the end it reads zeros and
-// notes that the frame was short.
+// cursor reads the fields of a frame in order. Beyond the end it returns zeros and sets
+// short.
 type cursor struct {
-	rest  []byte
+	data  []byte // not read yet
 	short bool
 }
 
 func (c *cursor) bytes(n int) []byte {
-	if n < 0 || n > len(c.rest) {
-		c.short, c.rest = true, nil
+	if n < 0 || n > len(c.data) {
+		c.short, c.data = true, nil
 		return nil
 	}
-	out := c.rest[:n]
-	c.rest = c.rest[n:]
+	out := c.data[:n]
+	c.data = c.data[n:]
 	return out
 }
 
+// number reads a big-endian integer of n bytes.
 func (c *cursor) number(n int) uint64 {
-	var v uint64
+	var value uint64
 	for _, b := range c.bytes(n) {
-		v = v<<8 | uint64(b)
+		value = value<<8 | uint64(b)
 	}
-	return v
+	return value
 }
 
 func (c *cursor) u8() uint8    { return uint8(c.number(1)) }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,29 +8,29 @@
 	"elderyard/rules"
 )
 
-// Codes of the records in a reply.
+// Codes of the records in a reply. A comment has the protocol's name where it differs.
 const (
-	codeAskLoad       = 80
-	codeDropAttempt   = 81
-	codeSleep         = 82
-	codeCount         = 85
-	codeDecline       = 86
-	codeSpeaking      = 87
-	codeStreamChanges = 88
-	codeAbort         = 89
-	codePassOn        = 91
-	codeLog           = 92
+	codeProbe           = 80 // AskLoad
+	codeCancel          = 81 // DropAttempt
+	codeSetTimer        = 82 // Sleep
+	codeCount           = 85
+	codeRefuse          = 86 // Decline
+	codeInstanceActions = 87 // Speaking
+	codeSubscribe       = 88 // StreamChanges
+	codeFail            = 89 // Abort
+	codeSend            = 91 // PassOn
+	codeLog             = 92
 )
 
-const replyHeader = 12 // bytes: length, records, number
+const replyHeader = 12 // bytes: length, number of records, sequence number
 
-// Reply collects the actions of all instances in answer to one batch.
+// Reply is the frame with the actions of all instances for one batch.
 type Reply struct {
 	buf   []byte
 	count uint32
 }
 
-// Reset empties the reply for the batch numbered seq.
+// Reset empties the reply and sets the sequence number of the batch that it answers.
 func (r *Reply) Reset(seq uint32) {
 	r.buf = append(r.buf[:0], make([]byte, replyHeader)...)
 	binary.BigEndian.PutUint32(r.buf[8:], seq)
@@ -42,7 +42,7 @@
 	if len(actions) == 0 {
 		return nil
 	}
-	r.start(codeSpeaking)
+	r.start(codeInstanceActions)
 	r.u32(gateway)
 	for _, a := range actions {
 		if err := r.action(a); err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Bytes returns the finished frame; it is valid until the next Reset.
+// Bytes returns the complete frame, which is valid until the next Reset.
 func (r *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(r.buf[0:], uint32(len(r.buf)-4))
 	binary.BigEndian.PutUint32(r.buf[4:], r.count)
@@ -62,23 +62,23 @@
 func (r *Reply) action(a rules.Action) error {
 	switch a := a.(type) {
 	case rules.Send:
-		r.start(codePassOn)
+		r.start(codeSend)
 		r.u32(uint32(a.Request))
 		r.f64(a.Timeout)
 		r.u32(uint32(a.Backend))
 	case rules.Cancel:
-		r.start(codeDropAttempt)
+		r.start(codeCancel)
 		r.u32(uint32(a.Request))
 		r.buf = append(r.buf, uint8(a.Attempt))
 	case rules.Refuse:
-		r.start(codeDecline)
+		r.start(codeRefuse)
 		r.u32(uint32(a.Request))
 		r.f64(a.RetryAfter)
 	case rules.Fail:
-		r.start(codeAbort)
+		r.start(codeFail)
 		r.u32(uint32(a.Request))
 	case rules.SetTimer:
-		r.start(codeSleep)
+		r.start(codeSetTimer)
 		r.f64(a.Delay)
 		r.u64(a.Token)
 	case rules.CounterAdd:
@@ -87,10 +87,10 @@
 		r.u32(math.Float32bits(float32(a.Amount)))
 		r.f64(a.TTL)
 	case rules.Probe:
-		r.start(codeAskLoad)
+		r.start(codeProbe)
 		r.u32(uint32(a.Backend))
 	case rules.Subscribe:
-		r.start(codeStreamChanges)
+		r.start(codeSubscribe)
 		r.buf = append(r.buf, 1)
 	case rules.Log:
 		r.start(codeLog)
@@ -103,6 +103,7 @@
 	return nil
 }
 
+// start begins a record.
 func (r *Reply) start(code uint8) {
 	r.buf = append(r.buf, code)
 	r.count++
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,8 @@
 	"elderyard/rules"
 )
 
-// options mirrors the JSON of an Attach record; unknown keys are passed over.
+// options is the JSON of an Attach record. Unknown keys are ignored. An error about a
+// value of a wrong type has the name of this type in its text, which operators see.
 type options struct {
 	Allowed struct {
 		Cancel          bool    `json:"cancel"`
@@ -17,28 +18,28 @@
 		MaxOpen         int     `json:"maxOpen"`
 		MaxRetryAfterS  float64 `json:"maxRetryAfterS"`
 		MayDuplicate    bool    `json:"mayDuplicate"`
-		MostTries       int     `json:"mostTries"`
+		MaxAttempts     int     `json:"mostTries"`
 		Probes          bool    `json:"probes"`
 		RetryAfter      bool    `json:"retryAfter"`
 	} `json:"allowed"`
 	Classes []struct {
-		AimStretch float64 `json:"aimStretch"`
-		DeadlineS  float64 `json:"deadlineS"`
-		Effect     string  `json:"effect"`
-		KeyScope   string  `json:"keyScope"`
-		LateWorth  float64 `json:"lateWorth"`
-		Name       string  `json:"name"`
-		ObjectiveS float64 `json:"objectiveS"`
-		Points     float64 `json:"points"`
-		Streamed   bool    `json:"streamed"`
-		WindowS    float64 `json:"windowS"`
+		ObjectiveWorkFactor float64 `json:"aimStretch"`
+		DeadlineS           float64 `json:"deadlineS"`
+		Effect              string  `json:"effect"`
+		KeyScope            string  `json:"keyScope"`
+		LateValue           float64 `json:"lateWorth"`
+		Name                string  `json:"name"`
+		ObjectiveS          float64 `json:"objectiveS"`
+		Points              float64 `json:"points"`
+		Streamed            bool    `json:"streamed"`
+		WindowS             float64 `json:"windowS"`
 	} `json:"classes"`
 	Discovery  string `json:"discovery"`
 	FamilyInfo struct {
 		CounterPrice    float64 `json:"counterPrice"`
 		CounterTimeoutS float64 `json:"counterTimeoutS"`
 		HasCounter      bool    `json:"hasCounter"`
-		MostUnits       float64 `json:"mostUnits"`
+		MaxUnits        float64 `json:"mostUnits"`
 		TruedUp         bool    `json:"truedUp"`
 	} `json:"familyInfo"`
 	FleetSize  int `json:"fleetSize"`
@@ -58,16 +59,16 @@
 		OverloadForS float64 `json:"overloadForS"`
 	} `json:"obligations"`
 	Packages []struct {
-		AtOnce        float64 `json:"atOnce"`
-		BeyondCosts   float64 `json:"beyondCosts"`
-		CapSlack      float64 `json:"capSlack"`
-		CeilingBurst  float64 `json:"ceilingBurst"`
-		Depth         float64 `json:"depth"`
-		Name          string  `json:"name"`
-		NeverOverRate float64 `json:"neverOverRate"`
-		OverWorth     float64 `json:"overWorth"`
-		Pays          float64 `json:"pays"`
-		UnitsPerS     float64 `json:"unitsPerS"`
+		AtOnce         float64 `json:"atOnce"`
+		BeyondCosts    float64 `json:"beyondCosts"`
+		CapSlack       float64 `json:"capSlack"`
+		CeilingBurst   float64 `json:"ceilingBurst"`
+		Depth          float64 `json:"depth"`
+		Name           string  `json:"name"`
+		NeverOverRate  float64 `json:"neverOverRate"`
+		OverQuotaValue float64 `json:"overWorth"`
+		Pays           float64 `json:"pays"`
+		UnitsPerS      float64 `json:"unitsPerS"`
 	} `json:"packages"`
 	Prices struct {
 		CrossZone float64 `json:"crossZone"`
@@ -90,21 +91,21 @@
 	"cpu_share": rules.LoadCPU, "svc_ms": rules.LoadServiceMillis,
 	"served_ps": rules.LoadServedPerSecond, "failed_ps": rules.LoadErrorsPerSecond}
 
-// Deployment is all that the settings state: what the decisions need, and the
-// names by which sockets speak of the same things, in the settings' order.
+// Deployment is the content of the settings: what package rules needs, and the names that
+// are used on sockets for the same classes, plans, zones and kinds, in the same order.
 type Deployment struct {
 	rules.Settings
 	ClassNames, PlanNames, Zones, Kinds []string
-	KeepaliveTimeout                    float64 // seconds; idle connections are closed after it
+	KeepaliveTimeout                    float64 // seconds after which idle connections are closed
 }
 
-// ParseSettings reads the settings of an Attach record.
+// ParseSettings parses the settings of an Attach record.
 func ParseSettings(text []byte) (rules.Settings, error) {
 	d, err := ParseDeployment(text)
 	return d.Settings, err
 }
 
-// ParseDeployment reads the settings with the names in them.
+// ParseDeployment parses the settings together with the names.
 func ParseDeployment(text []byte) (Deployment, error) {
 	var o options
 	if err := json.Unmarshal(text, &o); err != nil {
@@ -122,9 +123,9 @@
 	return d, err
 }
 
-// settings translates the options into what the decisions need.
+// settings converts the options to the settings of package rules.
 func (o *options) settings() (rules.Settings, error) {
-	s := o.figures()
+	s := o.scalars()
 	for _, c := range o.Classes {
 		effect, known := effects[c.Effect]
 		if !known {
@@ -134,13 +135,13 @@
 		if !known && effect == rules.IdempotentByKey {
 			return s, fmt.Errorf("settings: key scope %q is not known", c.KeyScope)
 		}
-		s.Classes = append(s.Classes, rules.Class{LatencyObjective: c.ObjectiveS, ObjectiveWorkFactor: c.AimStretch,
-			Timeout: c.DeadlineS, Value: c.Points, LateValueShare: c.LateWorth, Idempotency: effect,
+		s.Classes = append(s.Classes, rules.Class{LatencyObjective: c.ObjectiveS, ObjectiveWorkFactor: c.ObjectiveWorkFactor,
+			Timeout: c.DeadlineS, Value: c.Points, LateValueShare: c.LateValue, Idempotency: effect,
 			Scope: scope, DedupeWindow: c.WindowS, Streamed: c.Streamed})
 	}
 	for _, p := range o.Packages {
 		s.Plans = append(s.Plans, rules.Plan{Price: p.Pays, Rate: p.UnitsPerS, Burst: p.Depth,
-			MaxConcurrent: int(p.AtOnce), OverQuotaValueShare: p.OverWorth, OverQuotaCostShare: p.BeyondCosts,
+			MaxConcurrent: int(p.AtOnce), OverQuotaValueShare: p.OverQuotaValue, OverQuotaCostShare: p.BeyondCosts,
 			CeilingRate: p.NeverOverRate, CeilingBurst: p.CeilingBurst, CeilingSlack: p.CapSlack})
 	}
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
@@ -149,8 +150,8 @@
 	return s, nil
 }
 
-// figures translates all that is neither a class nor a plan.
-func (o *options) figures() rules.Settings {
+// scalars converts the settings other than classes and plans.
+func (o *options) scalars() rules.Settings {
 	s := rules.Settings{
 		Rank: o.Rank, FleetSize: o.FleetSize, Zone: o.Locality, Tick: o.TickS,
 		SubscribeDiscovery: o.Discovery == "ask",
@@ -160,12 +161,12 @@
 		HasCounter:       o.FamilyInfo.HasCounter,
 		CounterTimeout:   o.FamilyInfo.CounterTimeoutS,
 		CounterCallPrice: o.FamilyInfo.CounterPrice,
-		MaxUnits:         o.FamilyInfo.MostUnits,
+		MaxUnits:         o.FamilyInfo.MaxUnits,
 		EstimatedUnits:   o.FamilyInfo.TruedUp,
 
 		CanCancel: o.Allowed.Cancel, CanProbe: o.Allowed.Probes, CanHedge: o.Allowed.MayDuplicate,
 		CanSendRetryAfter: o.Allowed.RetryAfter, MaxRetryAfter: o.Allowed.MaxRetryAfterS,
-		MaxAttempts: o.Allowed.MostTries, MaxOpenRequests: o.Allowed.MaxOpen,
+		MaxAttempts: o.Allowed.MaxAttempts, MaxOpenRequests: o.Allowed.MaxOpen,
 		ConnectTimeout: o.Allowed.ConnectTimeoutS,
 
 		AnswerSlack: o.Obligations.AnswerSlackS, DrainGrace: o.Obligations.DrainGraceS,
@@ -181,8 +182,8 @@
 	return s
 }
 
-// CheckKeys finds a key of the settings that is not known. What a person writes
-// is held to it; the platform may send more than is known here.
+// CheckKeys returns an error about the first unknown key of the settings. It is for files
+// that people write; what the platform sends may have keys that this version doesn't know.
 func CheckKeys(text []byte) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -108,22 +108,22 @@
 }
 
 func TestMalformedInput(t *testing.T) {
-	for name, c := range map[string]struct{ in, says string }{
+	for name, c := range map[string]struct{ in, want string }{
 		"short header":      {"4020d3126e978d50 0000", "within a header"},
 		"impossible length": {"4020d3126e978d50 00000004 00000000 00000001", "impossible length"},
 		"huge length":       {"4020d3126e978d50 ffffffff 00000000 00000001", "impossible length"},
 		"cut frame":         {"4020d3126e978d50 00000020 00000001 00000001 1c", "within the frame"},
 		"unknown code":      {"4020d3126e978d50 0000000e 00000002 00000001 1c 00000003 63", "not known"},
 		"short record":      {"4020d3126e978d50 0000000b 00000001 00000001 1c 0000", "too short"},
-		"nobody named":      {"4020d3126e978d50 00000011 00000001 00000001 16 000000000000004d", "no instance was named"},
-		"left over":         {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record"},
+		"no instance":       {"4020d3126e978d50 00000011 00000001 00000001 16 000000000000004d", "no instance was named"},
+		"trailing byte":     {"4020d3126e978d50 00000009 00000000 00000001 00", "follow the last record"},
 		"missing list":      {"4020d3126e978d50 00000017 00000002 00000001 1c 00000003 11 00 00000029 00000004", "not defined"},
 		"bad settings": {"4020d3126e978d50 0000001c 00000002 00000001 1c 00000003 10 0000000000000001 00000002 7b7b",
 			"settings"},
 	} {
 		_, err := NewDecoder(bytes.NewReader(frame(t, c.in))).Next()
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: error %v, want one that says %q", name, err, c.says)
+		if err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: error %v, want one that contains %q", name, err, c.want)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		t.Errorf("empty batch: %v %v", b, err)
 	}
 	if _, err := d.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("after the last batch: %v, want io.EOF", err)
 	}
 }
 
@@ -158,7 +158,7 @@
 		t.Errorf("settings %+v", s)
 	}
 	if _, err := ParseSettings([]byte(`{"classes": [{"effect": "thrice"}], "packages": [{}]}`)); err == nil {
-		t.Error("an unknown effect was let pass")
+		t.Error("an unknown effect was accepted")
 	}
 }
 
