--- a/internal/respfront/bench_test.go
+++ b/internal/respfront/bench_test.go
@@ -18,8 +18,8 @@
 	"elderyard/rules"
 )
 
-// bare answers each command with a take's reply, and decides nothing.
-func bare(l net.Listener) {
+// serveFixedReplies replies to each command as to a take, without deciding anything.
+func serveFixedReplies(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -27,13 +27,13 @@
 		}
 		go func() {
 			defer conn.Close()
-			r := resp.NewReader(conn, bounds)
+			r := resp.NewReader(conn, commandLimits)
 			var args [][]byte
 			var text []byte
 			w := resp.Writer{Version: 2}
 			for {
 				w.Buf = w.Buf[:0]
-				for n := 0; n == 0 || n < mostBatch && r.Ready(); n++ {
+				for n := 0; n == 0 || n < maxBatch && r.Ready(); n++ {
 					var err error
 					if args, text, err = r.Command(args[:0], text[:0]); err != nil {
 						return
@@ -56,9 +56,10 @@
 	}
 }
 
-// BenchmarkTakes measures takes, client and server in one process and so on the
-// same cores (-cpu 1), pipelined by 1 and by 64: of the front, of a handler on the same reader that
-// decides nothing, and of a well-known library's server loop that does neither.
+// BenchmarkTakes measures takes in pipelines of 1 and of 64 commands, with client and
+// server in one process and so on the same cores (-cpu 1). Servers are this package's, a
+// handler on the same reader that decides nothing, and redcon's server loop, which neither
+// uses the reader nor decides anything.
 func BenchmarkTakes(b *testing.B) {
 	set := rules.Settings{Classes: []rules.Class{{LatencyObjective: 1, Timeout: 2, Value: 1}},
 		Plans: []rules.Plan{{Price: 1, Rate: 1e9, Burst: 1e9}}, FleetSize: 1, Tick: 0.002}
@@ -68,16 +69,16 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			o := owner.New(set, 1, nil)
-			o.Start(nil)
-			d, err := NewDesk(o, set, []string{"p"}, nil, "p")
+			loop := owner.New(set, 1, nil)
+			loop.Start(nil)
+			d, err := NewLimiter(loop, set, []string{"p"}, nil, "p")
 			if err != nil {
 				b.Fatal(err)
 			}
 			ctx, stop := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
-			wg.Go(func() { o.Run(ctx) })
-			wg.Go(func() { New(d, Settings{Most: 10, Idle: time.Minute}).Serve(ctx, l) })
+			wg.Go(func() { loop.Run(ctx) })
+			wg.Go(func() { New(d, Settings{MaxConnections: 10, IdleTimeout: time.Minute}).Serve(ctx, l) })
 			return l.Addr().String(), func() { stop(); wg.Wait() }
 		},
 		"bare": func(b *testing.B) (string, func()) {
@@ -85,7 +86,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			go bare(l)
+			go serveFixedReplies(l)
 			return l.Addr().String(), func() { l.Close() }
 		},
 		"redcon": func(b *testing.B) (string, func()) {
@@ -115,11 +116,11 @@
 				for range depth {
 					w.Command("LIMIT.TAKE", "0000000000000001", "1")
 				}
-				// The client is to cost little: it counts lines, of which each reply has as many as the first one.
+				// To cost little, the client only counts lines: each reply has as many as the first one.
 				buf := make([]byte, 256<<10)
-				var one resp.Writer
-				one.Command("LIMIT.TAKE", "0000000000000001", "1")
-				conn.Write(one.Buf)
+				var single resp.Writer
+				single.Command("LIMIT.TAKE", "0000000000000001", "1")
+				conn.Write(single.Buf)
 				conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 				lines := 0
 				for n, err := 0, error(nil); err == nil; lines += bytes.Count(buf[:n], []byte("\n")) {
@@ -132,12 +133,12 @@
 					if _, err := conn.Write(w.Buf); err != nil {
 						b.Fatal(err)
 					}
-					for left := lines * depth; left > 0; {
-						k, err := conn.Read(buf)
+					for remaining := lines * depth; remaining > 0; {
+						n, err := conn.Read(buf)
 						if err != nil {
 							b.Fatal(err)
 						}
-						left -= bytes.Count(buf[:k], []byte("\n"))
+						remaining -= bytes.Count(buf[:n], []byte("\n"))
 					}
 				}
 				b.StopTimer()
@@ -147,25 +148,25 @@
 	}
 }
 
-// BenchmarkIdleConnections measures what an idle connection costs the server's
-// heap and stacks; half of it is the client's side, measured alone and taken off.
+// BenchmarkIdleConnections measures the heap and stack memory of an idle connection. About
+// half of a figure is the client's side of the connection.
 func BenchmarkIdleConnections(b *testing.B) {
 	const conns = 2000
 	set := rules.Settings{Classes: []rules.Class{{LatencyObjective: 1, Timeout: 2, Value: 1}}, Plans: []rules.Plan{{Price: 1}}, FleetSize: 1, Tick: 0.002}
-	memory := func() float64 {
+	memoryInUse := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapInuse + m.StackInuse)
 	}
-	cost := func(serve func(l net.Listener) (stop func())) float64 {
+	bytesPerConn := func(serve func(l net.Listener) (stop func())) float64 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
 		stop := serve(l)
-		before := memory()
-		var list []net.Conn
+		before := memoryInUse()
+		var clients []net.Conn
 		for range conns {
 			c, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
@@ -175,34 +176,34 @@
 			if _, err := io.ReadFull(c, make([]byte, len("+PONG\r\n"))); err != nil {
 				b.Fatal(err)
 			}
-			list = append(list, c)
+			clients = append(clients, c)
 		}
-		each := (memory() - before) / conns
-		for _, c := range list {
+		perConn := (memoryInUse() - before) / conns
+		for _, c := range clients {
 			c.Close()
 		}
 		stop()
-		return each
+		return perConn
 	}
 	for b.Loop() {
-		front := cost(func(l net.Listener) func() {
-			o := owner.New(set, 1, nil)
-			o.Start(nil)
-			d, err := NewDesk(o, set, []string{"p"}, nil, "p")
+		server := bytesPerConn(func(l net.Listener) func() {
+			loop := owner.New(set, 1, nil)
+			loop.Start(nil)
+			d, err := NewLimiter(loop, set, []string{"p"}, nil, "p")
 			if err != nil {
 				b.Fatal(err)
 			}
 			ctx, stop := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
-			wg.Go(func() { o.Run(ctx) })
-			wg.Go(func() { New(d, Settings{Most: conns, Idle: time.Minute}).Serve(ctx, l) })
+			wg.Go(func() { loop.Run(ctx) })
+			wg.Go(func() { New(d, Settings{MaxConnections: conns, IdleTimeout: time.Minute}).Serve(ctx, l) })
 			return func() { stop(); wg.Wait() }
 		})
-		library := cost(func(l net.Listener) func() {
+		redconServer := bytesPerConn(func(l net.Listener) func() {
 			go redcon.Serve(l, func(c redcon.Conn, _ redcon.Command) { c.WriteString("PONG") }, nil, nil)
 			return func() { l.Close() }
 		})
-		b.ReportMetric(front, "front-B/conn")
-		b.ReportMetric(library, "redcon-B/conn")
+		b.ReportMetric(server, "front-B/conn")
+		b.ReportMetric(redconServer, "redcon-B/conn")
 	}
 }
--- a/internal/respfront/commands.go
+++ b/internal/respfront/commands.go
@@ -9,34 +9,34 @@
 	"elderyard/internal/resp"
 )
 
-// level is the version of the published command set that INFO and HELLO name, since
-// clients choose by it what to send. It is not this product's.
-const level = "7.0.0"
+// redisVersion is the version of the published command set that INFO and HELLO return:
+// clients choose by it which commands they send. It is not the version of this program.
+const redisVersion = "7.0.0"
 
-type replies = resp.Writer
+type replyWriter = resp.Writer
 
 // command is one entry of the table.
 type command struct {
 	name    string
-	arity   int // as published: the words with the name; below 0: at least so many
+	arity   int // as published: the number of words including the name; negative: the minimum
 	limit   bool
 	summary string
 	run     func(s *session, args []string)
 }
 
-// table lists all commands. A function, since handlers look it up.
+// table returns all commands, ordered by name. It is a function because handlers use it.
 func table() []command { return commands }
 
 var commands []command
 
-// The table refers to handlers that refer to it.
+// The table is set here because of the cycle between it and the handlers that use it.
 func init() {
 	commands = []command{
 		{"AUTH", -2, false, "Says who the client is.", auth},
 		{"CL.THROTTLE", -5, true, "Takes units of an account: limited, limit, remaining, retry after, reset after.", throttle},
 		{"CLIENT", -2, false, "Names the connection, and tells its number and name.", clientCommand},
 		{"COMMAND", -1, false, "Lists the commands.", commandCommand},
-		{"ECHO", 2, false, "Says what it is told.", func(s *session, a []string) { s.w().Bulk(a[1]); s.said() }},
+		{"ECHO", 2, false, "Says what it is told.", func(s *session, args []string) { s.writer().Bulk(args[1]); s.queue() }},
 		{"HELLO", -1, false, "Chooses the version of the protocol, and may say who the client is.", hello},
 		{"INFO", -1, false, "Tells what this is and what it has done.", info},
 		{"LIMIT.GIVE", -5, true, "Gives back units of a take that named a token.", limitGive},
@@ -45,34 +45,34 @@
 		{"LIMIT.STATS", 1, true, "Counts takes, refusals and gives.", limitStats},
 		{"LIMIT.TAKE", -3, true, "Takes units of an account's quota.", limitTake},
 		{"PING", -1, false, "Says PONG, or what it is told.", ping},
-		{"QUIT", -1, false, "Ends the connection.", func(s *session, _ []string) { s.w().Simple("OK"); s.said(); s.ending = true }},
+		{"QUIT", -1, false, "Ends the connection.", func(s *session, _ []string) { s.writer().Simple("OK"); s.queue(); s.closing = true }},
 		{"RESET", 1, false, "Forgets who the client is, its name and version.", reset},
 		{"SELECT", 2, false, "Chooses database 0, the only one.", selectCommand},
 	}
 }
 
-// find returns the command of a name in upper case, or nil.
-func find(name string) *command {
+// lookupCommand returns the command with a name in upper case, or nil.
+func lookupCommand(name string) *command {
 	all := table()
-	at, is := slices.BinarySearchFunc(all, name, func(c command, name string) int { return strings.Compare(c.name, name) })
-	if !is {
+	i, found := slices.BinarySearchFunc(all, name, func(c command, name string) int { return strings.Compare(c.name, name) })
+	if !found {
 		return nil
 	}
-	return &all[at]
+	return &all[i]
 }
 
-// dispatch runs one command, or answers why not.
+// dispatch runs one command, or replies with the error that prevents it.
 func (s *session) dispatch(args []string) {
 	name := strings.ToUpper(args[0])
-	c := find(name)
+	c := lookupCommand(name)
 	switch {
-	case s.user == nil && len(s.front.users) > 0 && name != "AUTH" && name != "HELLO" && name != "QUIT" && name != "RESET":
+	case s.user == nil && len(s.server.users) > 0 && name != "AUTH" && name != "HELLO" && name != "QUIT" && name != "RESET":
 		s.fail("NOAUTH Authentication required.")
 	case c == nil:
 		s.fail(fmt.Sprintf("ERR unknown command '%.64s'", args[0]))
 	case c.arity >= 0 && len(args) != c.arity, len(args) < -c.arity:
 		s.fail(fmt.Sprintf("ERR wrong number of arguments for '%s' command", strings.ToLower(name)))
-	case c.limit && !s.user.may(name):
+	case c.limit && !s.user.mayRun(name):
 		s.fail(fmt.Sprintf("NOPERM this user has no permissions to run the '%s' command", strings.ToLower(name)))
 	default:
 		c.run(s, args)
@@ -82,29 +82,30 @@
 func ping(s *session, args []string) {
 	switch len(args) {
 	case 1:
-		s.w().Simple("PONG")
-		s.said()
+		s.writer().Simple("PONG")
+		s.queue()
 	case 2:
-		s.w().Bulk(args[1])
-		s.said()
+		s.writer().Bulk(args[1])
+		s.queue()
 	default:
 		s.fail("ERR wrong number of arguments for 'ping' command")
 	}
 }
 
-// login is AUTH's part, of HELLO as well. It has answered if it returns false.
+// login sets the user, for AUTH and HELLO. If it returns false, it has replied with an
+// error.
 func (s *session) login(name, password string) bool {
-	if len(s.front.users) == 0 {
+	if len(s.server.users) == 0 {
 		s.fail("ERR AUTH called without any user configured")
 		return false
 	}
-	u := s.front.users.find(name, password)
-	if u == nil {
-		s.front.refused.Add(1)
+	user := s.server.users.find(name, password)
+	if user == nil {
+		s.server.failedLogins.Add(1)
 		s.fail("WRONGPASS invalid username-password pair or user is disabled.")
 		return false
 	}
-	s.user = u
+	s.user = user
 	return true
 }
 
@@ -119,13 +120,13 @@
 		return
 	}
 	if s.login(name, password) {
-		s.w().Simple("OK")
-		s.said()
+		s.writer().Simple("OK")
+		s.queue()
 	}
 }
 
 func hello(s *session, args []string) {
-	version, name, named, known := s.version, "", false, s.user
+	version, name, setName, previousUser := s.version, "", false, s.user
 	if len(args) > 1 {
 		n, err := strconv.Atoi(args[1])
 		if err != nil {
@@ -146,29 +147,29 @@
 			}
 			i += 2
 		case word == "SETNAME" && i+1 < len(args):
-			if name, named = strings.Clone(args[i+1]), true; !plain(name) {
-				s.user = known
-				s.fail(errName)
+			if name, setName = strings.Clone(args[i+1]), true; !validName(name) {
+				s.user = previousUser
+				s.fail(errClientName)
 				return
 			}
 			i++
 		default:
-			s.user = known
+			s.user = previousUser
 			s.fail("ERR syntax error in HELLO")
 			return
 		}
 	}
-	if s.user == nil && len(s.front.users) > 0 {
+	if s.user == nil && len(s.server.users) > 0 {
 		s.fail("NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH <user> <pass> " +
 			"option can be used to authenticate the client and select the RESP protocol version at the same time")
 		return
 	}
-	if s.version = version; named {
+	if s.version = version; setName {
 		s.name = name
 	}
-	w := s.w()
+	w := s.writer()
 	w.Map(7)
-	for _, pair := range [][2]string{{"server", "elderyard"}, {"version", level}} {
+	for _, pair := range [][2]string{{"server", "elderyard"}, {"version", redisVersion}} {
 		w.Bulk(pair[0])
 		w.Bulk(pair[1])
 	}
@@ -182,13 +183,13 @@
 	w.Bulk("master")
 	w.Bulk("modules")
 	w.Array(0)
-	s.said()
+	s.queue()
 }
 
 func reset(s *session, _ []string) {
 	s.version, s.name, s.user = 2, "", nil
-	s.w().Simple("RESET")
-	s.said()
+	s.writer().Simple("RESET")
+	s.queue()
 }
 
 func selectCommand(s *session, args []string) {
@@ -197,58 +198,58 @@
 	} else if n != 0 {
 		s.fail("ERR DB index is out of range")
 	} else {
-		s.w().Simple("OK")
-		s.said()
+		s.writer().Simple("OK")
+		s.queue()
 	}
 }
 
-const errName = "ERR Client names cannot contain spaces, newlines or special characters."
+const errClientName = "ERR Client names cannot contain spaces, newlines or special characters."
 
-const mostName = 64
+const maxNameBytes = 64
 
-func plain(name string) bool {
-	return len(name) <= mostName && !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' })
+func validName(name string) bool {
+	return len(name) <= maxNameBytes && !strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
 func clientCommand(s *session, args []string) {
 	sub := strings.ToUpper(args[1])
 	switch {
 	case sub == "ID" && len(args) == 2:
-		s.w().Int(s.id)
+		s.writer().Int(s.id)
 	case sub == "GETNAME" && len(args) == 2:
 		if s.name == "" {
-			s.w().Null()
+			s.writer().Null()
 		} else {
-			s.w().Bulk(s.name)
+			s.writer().Bulk(s.name)
 		}
 	case sub == "SETNAME" && len(args) == 3:
-		if !plain(args[2]) {
-			s.fail(errName)
+		if !validName(args[2]) {
+			s.fail(errClientName)
 			return
 		}
-		s.name = strings.Clone(args[2]) // not the text of the whole pipeline
-		s.w().Simple("OK")
+		s.name = strings.Clone(args[2]) // a substring would keep the text of the whole pipeline in memory
+		s.writer().Simple("OK")
 	case sub == "SETINFO" && len(args) == 4:
-		if what := strings.ToUpper(args[2]); what != "LIB-NAME" && what != "LIB-VER" || !plain(args[3]) {
+		if attribute := strings.ToUpper(args[2]); attribute != "LIB-NAME" && attribute != "LIB-VER" || !validName(args[3]) {
 			s.fail("ERR lib-name and lib-ver can be set, to text without spaces, newlines or special characters")
 			return
 		}
-		s.w().Simple("OK")
+		s.writer().Simple("OK")
 	case (sub == "NO-EVICT" || sub == "NO-TOUCH") && len(args) == 3:
-		if what := strings.ToUpper(args[2]); what != "ON" && what != "OFF" {
+		if mode := strings.ToUpper(args[2]); mode != "ON" && mode != "OFF" {
 			s.fail("ERR syntax error")
 			return
 		}
-		s.w().Simple("OK")
+		s.writer().Simple("OK")
 	default:
 		s.fail(fmt.Sprintf("ERR unknown subcommand or wrong number of arguments for '%.64s'", args[1]))
 		return
 	}
-	s.said()
+	s.queue()
 }
 
-// about writes a command's entry as COMMAND INFO has it.
-func (c *command) about(w *replies) {
+// writeInfo writes the entry of a command in the reply of COMMAND INFO.
+func (c *command) writeInfo(w *replyWriter) {
 	w.Array(10)
 	w.Bulk(strings.ToLower(c.name))
 	w.Int(int64(c.arity))
@@ -258,9 +259,9 @@
 	} else {
 		w.Simple("fast")
 	}
-	keyed := c.limit && c.name != "LIMIT.STATS"
-	for range 3 { // the first key, the last, the step
-		if keyed {
+	hasKey := c.limit && c.name != "LIMIT.STATS"
+	for range 3 { // positions of the first and the last key, and the step between keys
+		if hasKey {
 			w.Int(1)
 		} else {
 			w.Int(0)
@@ -273,13 +274,13 @@
 }
 
 func commandCommand(s *session, args []string) {
-	w, all := s.w(), table()
+	w, all := s.writer(), table()
 	if len(args) == 1 {
 		w.Array(len(all))
 		for i := range all {
-			all[i].about(w)
+			all[i].writeInfo(w)
 		}
-		s.said()
+		s.queue()
 		return
 	}
 	switch sub := strings.ToUpper(args[1]); {
@@ -294,8 +295,8 @@
 		}
 		w.Array(len(names))
 		for _, name := range names {
-			if c := find(strings.ToUpper(name)); c != nil {
-				c.about(w)
+			if c := lookupCommand(strings.ToUpper(name)); c != nil {
+				c.writeInfo(w)
 			} else {
 				w.Null()
 			}
@@ -324,30 +325,30 @@
 		s.fail(fmt.Sprintf("ERR unknown subcommand or wrong number of arguments for '%.64s'", args[1]))
 		return
 	}
-	s.said()
+	s.queue()
 }
 
 func info(s *session, args []string) {
-	want := func(section string) bool {
+	requested := func(section string) bool {
 		return len(args) == 1 || slices.ContainsFunc(args[1:], func(a string) bool {
 			a = strings.ToLower(a)
 			return a == section || a == "all" || a == "everything" || a == "default"
 		})
 	}
 	var b strings.Builder
-	if want("server") {
-		fmt.Fprintf(&b, "# Server\r\nserver_name:elderyard\r\nredis_version:%s\r\nredis_mode:standalone\r\n\r\n", level)
+	if requested("server") {
+		fmt.Fprintf(&b, "# Server\r\nserver_name:elderyard\r\nredis_version:%s\r\nredis_mode:standalone\r\n\r\n", redisVersion)
 	}
-	if want("clients") {
-		fmt.Fprintf(&b, "# Clients\r\nconnected_clients:%d\r\nmaxclients:%d\r\n\r\n", s.front.open.Load(), s.front.most)
+	if requested("clients") {
+		fmt.Fprintf(&b, "# Clients\r\nconnected_clients:%d\r\nmaxclients:%d\r\n\r\n", s.server.connections.Load(), s.server.maxConnections)
 	}
-	if want("limits") {
+	if requested("limits") {
 		b.WriteString("# Limits\r\n")
-		for _, st := range s.front.desk.counts() {
-			fmt.Fprintf(&b, "%s:%d\r\n", st.name, st.n)
+		for _, c := range s.server.limiter.counts() {
+			fmt.Fprintf(&b, "%s:%d\r\n", c.name, c.value)
 		}
 		b.WriteString("\r\n")
 	}
-	s.w().Bulk(strings.TrimSuffix(b.String(), "\r\n"))
-	s.said()
+	s.writer().Bulk(strings.TrimSuffix(b.String(), "\r\n"))
+	s.queue()
 }
--- a/internal/respfront/front_test.go
+++ b/internal/respfront/server_test.go
@@ -25,82 +25,83 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// numbers is a counter in memory: calls are answered in order, unless it is silent.
-type numbers struct {
-	calls chan *counter.Call
-	mu    sync.Mutex
-	total map[uint64]float64
-	quiet bool
+// fakeCounter is a counter in memory. It answers calls in order, unless it is silent.
+type fakeCounter struct {
+	calls  chan *counter.Call
+	mu     sync.Mutex
+	totals map[uint64]float64
+	silent bool
 }
 
-func (n *numbers) Add(k *counter.Call) bool {
+func (c *fakeCounter) Add(call *counter.Call) bool {
 	select {
-	case n.calls <- k:
+	case c.calls <- call:
 		return true
 	default:
 		return false
 	}
 }
 
-func (n *numbers) run(ctx context.Context) {
+func (c *fakeCounter) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case k := <-n.calls:
-			n.mu.Lock()
-			quiet := n.quiet
-			if !quiet {
-				n.total[k.Name] += k.Amount
+		case call := <-c.calls:
+			c.mu.Lock()
+			silent := c.silent
+			if !silent {
+				c.totals[call.Name] += call.Amount
 			}
-			total := n.total[k.Name]
-			n.mu.Unlock()
-			if !quiet {
-				k.Report(k, rules.Served, total)
+			total := c.totals[call.Name]
+			c.mu.Unlock()
+			if !silent {
+				call.Report(call, rules.Served, total)
 			}
 		}
 	}
 }
 
-func (n *numbers) silence(on bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.quiet = on
+func (c *fakeCounter) setSilent(silent bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silent = silent
 }
 
 const (
-	gold    = "0000000000000001" // a burst of 100 units that does not refill while a test runs
-	basic   = "0000000000000002" // 5
-	unknown = "0000000000000003"
+	gold    = "0000000000000001" // an account with a burst of 100 units, which doesn't refill during a test
+	basic   = "0000000000000002" // a burst of 5
+	unknown = "0000000000000003" // no configured plan
 	free    = "0000000000000004" // no quota
 )
 
+// rig is a running server with its event loop and counter.
 type rig struct {
 	address string
-	desk    *Desk
-	front   *Front
-	counter *numbers
-	stop    context.CancelFunc
-	ended   chan struct{}
+	limiter *Limiter
+	server  *Server
+	counter *fakeCounter
+	stop    context.CancelFunc // stops the server
+	stopped chan struct{}      // closed when the server has stopped
 }
 
 func newRig(t *testing.T, set Settings) *rig {
 	t.Helper()
-	r := &rig{counter: &numbers{calls: make(chan *counter.Call, 1024), total: map[uint64]float64{}}, ended: make(chan struct{})}
+	r := &rig{counter: &fakeCounter{calls: make(chan *counter.Call, 1024), totals: map[uint64]float64{}}, stopped: make(chan struct{})}
 	s := rules.Settings{Classes: []rules.Class{{LatencyObjective: 1, Timeout: 2, Value: 1}},
 		Plans:     []rules.Plan{{Price: 1, Rate: 1e-3, Burst: 100}, {Price: 1, Rate: 1e-3, Burst: 5}, {Price: 1}},
 		FleetSize: 3, Tick: 0.002, HasCounter: true, CounterTimeout: 0.5}
-	o := owner.New(s, 1, r.counter)
-	o.Start(nil)
+	loop := owner.New(s, 1, r.counter)
+	loop.Start(nil)
 	var err error
-	if r.desk, err = NewDesk(o, s, []string{"gold", "basic", "free"}, map[uint64]string{1: "gold", 2: "basic", 4: "free"}, ""); err != nil {
+	if r.limiter, err = NewLimiter(loop, s, []string{"gold", "basic", "free"}, map[uint64]string{1: "gold", 2: "basic", 4: "free"}, ""); err != nil {
 		t.Fatal(err)
 	}
-	if set.Most == 0 {
-		set.Most = 64
+	if set.MaxConnections == 0 {
+		set.MaxConnections = 64
 	}
-	if set.Idle == 0 {
-		set.Idle = time.Minute
+	if set.IdleTimeout == 0 {
+		set.IdleTimeout = time.Minute
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,30 +109,30 @@
 	}
 	r.address = l.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
-	front, end := context.WithCancel(ctx)
-	r.stop = end
+	serverCtx, stopServer := context.WithCancel(ctx)
+	r.stop = stopServer
 	var wg sync.WaitGroup
-	wg.Go(func() { o.Run(ctx) })
+	wg.Go(func() { loop.Run(ctx) })
 	wg.Go(func() { r.counter.run(ctx) })
-	r.front = New(r.desk, set)
-	wg.Go(func() { defer close(r.ended); r.front.Serve(front, l) })
+	r.server = New(r.limiter, set)
+	wg.Go(func() { defer close(r.stopped); r.server.Serve(serverCtx, l) })
 	t.Cleanup(func() {
-		end()
-		<-r.ended // the front ends before the owner
+		stopServer()
+		<-r.stopped // the server must stop before the event loop
 		stop()
 		wg.Wait()
 	})
 	return r
 }
 
-// talk is a connection that writes text as it stands.
-type talk struct {
+// rawClient is a connection that writes text without encoding it.
+type rawClient struct {
 	net.Conn
 	t *testing.T
 	r *resp.Reader
 }
 
-func (r *rig) talk(t *testing.T) *talk {
+func (r *rig) dial(t *testing.T) *rawClient {
 	t.Helper()
 	c, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -139,24 +140,25 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(testpeer.Patience))
-	return &talk{c, t, resp.NewReader(c, resp.Limits{Args: 1000, Bulk: 1 << 16, Total: 1 << 18, Depth: 5})}
+	return &rawClient{c, t, resp.NewReader(c, resp.Limits{Args: 1000, Bulk: 1 << 16, Total: 1 << 18, Depth: 5})}
 }
 
-// say writes commands, a line each, and returns their replies as text.
-func (c *talk) say(lines ...string) []string {
+// do writes commands, one per line, and returns their replies as text.
+func (c *rawClient) do(lines ...string) []string {
 	c.t.Helper()
 	io.WriteString(c, strings.Join(lines, "\r\n")+"\r\n")
-	var out []string
+	var replies []string
 	for range lines {
 		v, err := c.r.Reply()
 		if err != nil {
-			c.t.Fatalf("%q: %v after %q", lines, err, out)
+			c.t.Fatalf("%q: %v after the replies %q", lines, err, replies)
 		}
-		out = append(out, text(v))
+		replies = append(replies, text(v))
 	}
-	return out
+	return replies
 }
 
+// text formats a reply.
 func text(v resp.Value) string {
 	switch v.Kind {
 	case resp.Int:
@@ -171,18 +173,18 @@
 		return "-" + v.Str
 	case resp.Array, resp.Map, resp.Set, resp.Push:
 		var parts []string
-		for _, e := range v.Elements {
-			parts = append(parts, text(e))
+		for _, element := range v.Elements {
+			parts = append(parts, text(element))
 		}
 		return "[" + strings.Join(parts, " ") + "]"
 	}
 	return v.Str
 }
 
-// Every command has its answers, right and wrong.
+// Each command, with valid and invalid arguments, has the expected reply.
 func TestCommands(t *testing.T) {
 	r := newRig(t, Settings{})
-	c := r.talk(t)
+	c := r.dial(t)
 	for _, step := range [][2]string{
 		{"PING", "PONG"}, {"PING a", "a"}, {"PING a b", "-ERR wrong number of arguments for 'ping' command"},
 		{"echo 'a b'", "a b"}, {"SELECT 0", "OK"}, {"SELECT 1", "-ERR DB index is out of range"}, {"SELECT x", "-ERR value is not"},
@@ -221,21 +223,22 @@
 		{"LIMIT.STATS", "[takes 7 units 1000011 refused 2 local 1 repeats 0 gives 0 peeks 3]"},
 		{"QUIT", "OK"},
 	} {
-		if got := c.say(step[0])[0]; !strings.HasPrefix(got, step[1]) {
-			t.Errorf("%s: %s, want %s", step[0], got, step[1])
+		if got := c.do(step[0])[0]; !strings.HasPrefix(got, step[1]) {
+			t.Errorf("%s: got %s, want prefix %s", step[0], got, step[1])
 		}
 	}
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("after QUIT: %v", err)
+		t.Errorf("read after QUIT: %v, want io.EOF", err)
 	}
 }
 
-// A token counts once, on whatever connection; what it took comes back once.
+// A take with a token counts once, also from another connection, and its units can be
+// returned once.
 func TestTokens(t *testing.T) {
 	r := newRig(t, Settings{})
-	one, two := r.talk(t), r.talk(t)
-	// Take and give in one pipeline: the take is decided before the give is looked at.
-	got := one.say("LIMIT.TAKE "+basic+" 4 ID a", "LIMIT.GIVE "+basic+" 4 ID a", "LIMIT.TAKE "+basic+" 5 ID b")
+	one, two := r.dial(t), r.dial(t)
+	// In a pipeline, a take is decided before a give of its token runs.
+	got := one.do("LIMIT.TAKE "+basic+" 4 ID a", "LIMIT.GIVE "+basic+" 4 ID a", "LIMIT.TAKE "+basic+" 5 ID b")
 	if !strings.HasPrefix(got[0], "[granted 4 remaining 1") || !strings.HasPrefix(got[1], "[given 4 remaining 5") || !strings.HasPrefix(got[2], "[granted 5") {
 		t.Fatalf("%q", got)
 	}
@@ -250,75 +253,84 @@
 		{"LIMIT.TAKE " + basic + " 3", "[granted 0"},
 		{"LIMIT.TAKE " + basic + " 2", "[granted 2"},
 	} {
-		if got := two.say(step[0])[0]; !strings.HasPrefix(got, step[1]) {
-			t.Errorf("step %d, %s: %s, want %s", i, step[0], got, step[1])
+		if got := two.do(step[0])[0]; !strings.HasPrefix(got, step[1]) {
+			t.Errorf("step %d, %s: got %s, want prefix %s", i, step[0], got, step[1])
 		}
 	}
 }
 
-// A repeat that comes while the first is being decided has its answer, also when
-// the first one's client has gone; without a repeat that one spends nothing.
-func TestRepeatWhileDecided(t *testing.T) {
+// A repeat of a pending take receives its result, also if the client of the first one has
+// disconnected. A pending take without a repeat whose client disconnects takes no units.
+func TestRepeatOfPendingTake(t *testing.T) {
 	r := newRig(t, Settings{})
-	r.counter.silence(true)
-	one, two, three := r.talk(t), r.talk(t), r.talk(t)
-	io.WriteString(one, "LIMIT.TAKE "+basic+" 5 ID a WAIT 20000\r\n")
-	io.WriteString(three, "LIMIT.TAKE "+basic+" 2 ID c WAIT 20000\r\n")
-	r.until(t, "both are taken", func() bool { return r.open() == 2 })
-	io.WriteString(two, "LIMIT.TAKE "+basic+" 5 ID a WAIT 20000\r\n")
-	r.until(t, "the repeat waits", func() bool { return r.waits() == 1 })
-	one.Close()
-	three.Close()
-	r.until(t, "the lone one is forgotten", func() bool { return r.open() == 1 })
-	r.counter.silence(false)
-	v, err := two.r.Reply()
+	r.counter.setSilent(true)
+	first, repeat, lone := r.dial(t), r.dial(t), r.dial(t)
+	io.WriteString(first, "LIMIT.TAKE "+basic+" 5 ID a WAIT 20000\r\n")
+	io.WriteString(lone, "LIMIT.TAKE "+basic+" 2 ID c WAIT 20000\r\n")
+	r.waitFor(t, "both takes are pending", func() bool { return r.rememberedTakes() == 2 })
+	io.WriteString(repeat, "LIMIT.TAKE "+basic+" 5 ID a WAIT 20000\r\n")
+	r.waitFor(t, "the repeat waits", func() bool { return r.waitingRepeats() == 1 })
+	first.Close()
+	lone.Close()
+	r.waitFor(t, "the lone take is cancelled", func() bool { return r.rememberedTakes() == 1 })
+	r.counter.setSilent(false)
+	v, err := repeat.r.Reply()
 	if got := text(v); err != nil || !strings.HasPrefix(got, "[granted 5") || !strings.HasSuffix(got, "repeated 1]") {
-		t.Errorf("%s, %v", got, err)
+		t.Errorf("reply of the repeat: %s, %v", got, err)
 	}
 }
 
-// open counts the takes with a token that are remembered, in the owner's goroutine.
-func (r *rig) open() (n int) { r.inside(func() { n = r.desk.ledger.Len() }); return n }
+// rememberedTakes returns the number of takes with a token that are remembered.
+func (r *rig) rememberedTakes() (n int) {
+	r.runInLoop(func() { n = r.limiter.tokens.Len() })
+	return n
+}
 
-func (r *rig) waits() (n int) { r.inside(func() { n = len(r.desk.waiting) }); return n }
+// waitingRepeats returns the number of pending takes that have repeats.
+func (r *rig) waitingRepeats() (n int) {
+	r.runInLoop(func() { n = len(r.limiter.repeats) })
+	return n
+}
 
-type do struct {
+// call is a message to the event loop.
+type call struct {
 	f    func()
 	done chan struct{}
 }
 
-func (d do) Process() { d.f(); close(d.done) }
+func (c call) Process() { c.f(); close(c.done) }
 
-func (r *rig) inside(f func()) {
-	d := do{f, make(chan struct{})}
-	if r.desk.owner.Post(d) {
-		<-d.done
+// runInLoop runs f in the event loop's goroutine.
+func (r *rig) runInLoop(f func()) {
+	c := call{f, make(chan struct{})}
+	if r.limiter.loop.Post(c) {
+		<-c.done
 	}
 }
 
-func (r *rig) until(t *testing.T, what string, is func() bool) {
+func (r *rig) waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(testpeer.Patience); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting until %s", condition)
 		}
 	}
 }
 
-// A thousand pipelined takes whose client leaves before, in the midst of or after
-// the replies are spent once each; what did not come whole is not counted.
-func TestPipelineThatLeaves(t *testing.T) {
-	for name, read := range map[string]int{"before the reply": 0, "in the midst": 300, "after": math.MaxInt} {
+// A client pipelines 1000 takes and disconnects before, during or after the replies. Each
+// take counts at most once, and a command that was received incompletely doesn't count.
+func TestDisconnectWithPipelinedTakes(t *testing.T) {
+	for name, read := range map[string]int{"before the replies": 0, "during the replies": 300, "after the replies": math.MaxInt} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, Settings{})
-			c := r.talk(t)
+			c := r.dial(t)
 			var w resp.Writer
 			for range 1000 {
 				w.Command("LIMIT.TAKE", free, "1")
 			}
-			whole := len(w.Buf)
+			complete := len(w.Buf)
 			w.Command("LIMIT.TAKE", free, "1")
-			c.Write(w.Buf[:whole+(len(w.Buf)-whole)/2]) // the last one is cut in a bulk
+			c.Write(w.Buf[:complete+(len(w.Buf)-complete)/2]) // the last command ends within a bulk string
 			if read > 0 {
 				for range min(read, 1000) {
 					if _, err := c.r.Reply(); err != nil {
@@ -327,43 +339,44 @@
 				}
 			}
 			if read == 0 {
-				r.until(t, "the first are decided", func() bool { return r.desk.stats.takes.Load() > 0 })
+				r.waitFor(t, "the first takes are decided", func() bool { return r.limiter.stats.takes.Load() > 0 })
 			}
 			c.Close()
 			r.stop()
-			<-r.ended
-			takes, units := r.desk.stats.takes.Load(), r.desk.stats.units.Load()
+			<-r.stopped
+			takes, units := r.limiter.stats.takes.Load(), r.limiter.stats.units.Load()
 			if takes > 1000 || takes != units || read == math.MaxInt && takes != 1000 {
-				t.Errorf("%d takes, %d units", takes, units)
+				t.Errorf("%d takes of %d units in all", takes, units)
 			}
 		})
 	}
 }
 
-// What can't be read ends the connection with an error, after the replies that
-// are owed.
+// Malformed input closes the connection with an error, after the replies to the commands
+// before it.
 func TestProtocolErrors(t *testing.T) {
 	r := newRig(t, Settings{})
-	for _, bad := range []string{"*1000000000\r\n", "*1\r\n$-5\r\n", "*1\r\n$99999\r\n", "*1\r\n:1\r\n", "echo \"a\r\n", strings.Repeat("x", 1<<16)} {
-		c := r.talk(t)
-		io.WriteString(c, "PING\r\n"+bad)
-		first, err := c.r.Reply()
-		second, err2 := c.r.Reply()
-		if text(first) != "PONG" || err != nil || !strings.HasPrefix(text(second), "-ERR Protocol error") || err2 != nil {
-			t.Errorf("%.20q: %s %v, %s %v", bad, text(first), err, text(second), err2)
+	for _, malformed := range []string{"*1000000000\r\n", "*1\r\n$-5\r\n", "*1\r\n$99999\r\n", "*1\r\n:1\r\n", "echo \"a\r\n", strings.Repeat("x", 1<<16)} {
+		c := r.dial(t)
+		io.WriteString(c, "PING\r\n"+malformed)
+		pong, err := c.r.Reply()
+		failure, err2 := c.r.Reply()
+		if text(pong) != "PONG" || err != nil || !strings.HasPrefix(text(failure), "-ERR Protocol error") || err2 != nil {
+			t.Errorf("%.20q: replies %s %v, %s %v", malformed, text(pong), err, text(failure), err2)
 		}
 		if _, err := c.r.Reply(); err == nil {
-			t.Errorf("%.20q: the connection stays", bad)
+			t.Errorf("%.20q: the connection stays open", malformed)
 		}
 	}
 }
 
-// Users run what they may for whom they may; nobody else runs anything.
-func TestRights(t *testing.T) {
+// Users can run only their commands for their accounts, and clients that haven't logged in
+// can run none.
+func TestPermissions(t *testing.T) {
 	r := newRig(t, Settings{Users: []User{
 		{Name: "default", Password: sha256.Sum256([]byte("open")), Accounts: []uint64{1, 2}},
 		{Name: "reader", Password: sha256.Sum256([]byte("sesame")), Accounts: []uint64{2}, Commands: []string{"LIMIT.PEEK"}}}})
-	c := r.talk(t)
+	c := r.dial(t)
 	for _, step := range [][2]string{
 		{"PING", "-NOAUTH"}, {"LIMIT.PEEK " + basic, "-NOAUTH"}, {"INFO", "-NOAUTH"}, {"HELLO 3", "-NOAUTH HELLO"},
 		{"AUTH wrong", "-WRONGPASS"}, {"AUTH reader open", "-WRONGPASS"}, {"AUTH nobody open", "-WRONGPASS"},
@@ -373,22 +386,22 @@
 		{"AUTH open", "OK"}, {"LIMIT.TAKE " + gold + " 1", "[granted 1"}, {"LIMIT.TAKE " + free + " 1", "-NOPERM"},
 		{"HELLO 3 AUTH reader sesame SETNAME 'a b'", "-ERR Client names"}, {"LIMIT.TAKE " + gold + " 1", "[granted 1"},
 	} {
-		if got := c.say(step[0])[0]; !strings.HasPrefix(got, step[1]) {
-			t.Errorf("%s: %s, want %s", step[0], got, step[1])
+		if got := c.do(step[0])[0]; !strings.HasPrefix(got, step[1]) {
+			t.Errorf("%s: got %s, want prefix %s", step[0], got, step[1])
 		}
 	}
-	// RESET in mid-pipeline binds for what follows it, and version and user change where they stand.
-	got := c.say("HELLO 3", "LIMIT.PEEK "+gold, "RESET", "LIMIT.PEEK "+gold, "AUTH open", "LIMIT.PEEK "+gold)
+	// In a pipeline, RESET, HELLO and AUTH apply to the commands after them.
+	got := c.do("HELLO 3", "LIMIT.PEEK "+gold, "RESET", "LIMIT.PEEK "+gold, "AUTH open", "LIMIT.PEEK "+gold)
 	if !strings.Contains(got[1], "exact true") || got[2] != "RESET" || !strings.HasPrefix(got[3], "-NOAUTH") || got[4] != "OK" || !strings.Contains(got[5], "exact 1") {
 		t.Errorf("%q", got)
 	}
 }
 
-// A client that never reads is cut off, others are served, and the bound of
-// connections holds.
-func TestBounds(t *testing.T) {
-	r := newRig(t, Settings{Most: 2})
-	deaf := testpeer.DialNarrow(t, r.address, 4<<10)
+// A client that never reads its replies is disconnected while others are served, and the
+// maximum number of connections is enforced.
+func TestSlowReaderAndMaxConnections(t *testing.T) {
+	r := newRig(t, Settings{MaxConnections: 2})
+	nonReader := testpeer.DialNarrow(t, r.address, 4<<10)
 	var w resp.Writer
 	for range 200 {
 		w.Command("ECHO", strings.Repeat("x", 4000))
@@ -397,50 +410,51 @@
 	go func() {
 		defer close(written)
 		for {
-			if _, err := deaf.Write(w.Buf); err != nil {
+			if _, err := nonReader.Write(w.Buf); err != nil {
 				return
 			}
 		}
 	}()
-	other := r.talk(t)
-	if got := other.say("PING")[0]; got != "PONG" {
-		t.Errorf("beside a client that never reads: %s", got)
+	other := r.dial(t)
+	if got := other.do("PING")[0]; got != "PONG" {
+		t.Errorf("reply beside a client that never reads: %s", got)
 	}
-	third := r.talk(t)
+	third := r.dial(t)
 	if v, err := third.r.Reply(); err != nil || !strings.HasPrefix(text(v), "-ERR max number of clients") {
-		t.Errorf("one too many: %s, %v", text(v), err)
+		t.Errorf("reply beyond the maximum of connections: %s, %v", text(v), err)
 	}
-	// As the front has it: the client's own system may learn of the end much later.
-	r.until(t, "a client that never reads is cut off", func() bool { return r.front.open.Load() == 1 })
-	deaf.Close()
+	// Observed at the server: the client's kernel may notice the end much later.
+	r.waitFor(t, "the client that never reads is disconnected", func() bool { return r.server.connections.Load() == 1 })
+	nonReader.Close()
 	<-written
 }
 
-// An idle connection ends in time.
-func TestIdle(t *testing.T) {
-	r := newRig(t, Settings{Idle: 50 * time.Millisecond})
-	c := r.talk(t)
-	if c.say("PING")[0] != "PONG" {
-		t.Error("no answer")
+// An idle connection is closed after the idle timeout.
+func TestIdleTimeout(t *testing.T) {
+	r := newRig(t, Settings{IdleTimeout: 50 * time.Millisecond})
+	c := r.dial(t)
+	if c.do("PING")[0] != "PONG" {
+		t.Error("no reply to PING")
 	}
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("read from an idle connection: %v, want io.EOF", err)
 	}
 }
 
-// With a silent counter the local share grants, and says so.
+// While the counter doesn't answer, the local share of the quota grants units, and the
+// reply says that.
 func TestSilentCounter(t *testing.T) {
 	r := newRig(t, Settings{})
-	r.counter.silence(true)
-	c := r.talk(t)
-	got := c.say("LIMIT.TAKE "+basic+" 1", "LIMIT.TAKE "+basic+" 5")
+	r.counter.setSilent(true)
+	c := r.dial(t)
+	got := c.do("LIMIT.TAKE "+basic+" 1", "LIMIT.TAKE "+basic+" 5")
 	if !strings.HasPrefix(got[0], "[granted 1 remaining 0.6") || !strings.Contains(got[0], "exact 0 source local") || !strings.HasPrefix(got[1], "[granted 0") {
 		t.Errorf("%q", got)
 	}
 }
 
-// Ordinary clients drive every command unmodified, in both versions, with their
-// pools, pipelines and reconnects.
+// The unmodified go-redis client can run all commands, in both versions of the protocol, with its
+// connection pool, pipelines and reconnects.
 func TestGoRedis(t *testing.T) {
 	r := newRig(t, Settings{Users: []User{{Name: "app", Password: sha256.Sum256([]byte("secret"))}}})
 	ctx := context.Background()
@@ -493,17 +507,18 @@
 			t.Errorf("quit: %v", err)
 		}
 		if err := c.Ping(ctx).Err(); err != nil {
-			t.Errorf("after a connection ended: %v", err)
+			t.Errorf("ping after the connection was closed: %v", err)
 		}
 		c.Close()
 	}
-	wrong := redis.NewClient(&redis.Options{Addr: r.address, Username: "app", Password: "wrong", MaxRetries: -1})
-	defer wrong.Close()
-	if err := wrong.Ping(ctx).Err(); err == nil || !strings.Contains(err.Error(), "WRONGPASS") {
-		t.Errorf("a wrong password: %v", err)
+	denied := redis.NewClient(&redis.Options{Addr: r.address, Username: "app", Password: "wrong", MaxRetries: -1})
+	defer denied.Close()
+	if err := denied.Ping(ctx).Err(); err == nil || !strings.Contains(err.Error(), "WRONGPASS") {
+		t.Errorf("wrong password: %v", err)
 	}
 }
 
+// The unmodified rueidis client can run all commands, in both versions of the protocol.
 func TestRueidis(t *testing.T) {
 	r := newRig(t, Settings{Users: []User{{Name: "app", Password: sha256.Sum256([]byte("secret"))}}})
 	ctx := context.Background()
@@ -513,36 +528,36 @@
 		if err != nil {
 			t.Fatalf("version 2 %t: %v", version2, err)
 		}
-		do := func(words ...string) (rueidis.RedisMessage, error) {
-			return c.Do(ctx, c.B().Arbitrary(words...).Build()).ToMessage()
+		do := func(args ...string) (rueidis.RedisMessage, error) {
+			return c.Do(ctx, c.B().Arbitrary(args...).Build()).ToMessage()
 		}
 		m, err := do("LIMIT.TAKE", gold, "2", "ID", fmt.Sprint(version2))
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, err := m.AsMap()
-		if granted := answer["granted"]; err != nil {
+		reply, err := m.AsMap()
+		if granted := reply["granted"]; err != nil {
 			t.Errorf("take: %v", err)
 		} else if n, err := granted.AsFloat64(); n != 2 || err != nil {
 			t.Errorf("granted %g, %v", n, err)
 		}
-		for _, words := range [][]string{{"LIMIT.GIVE", gold, "2", "ID", fmt.Sprint(version2)}, {"LIMIT.PEEK", gold}, {"LIMIT.PLAN", gold}, {"LIMIT.STATS"},
+		for _, args := range [][]string{{"LIMIT.GIVE", gold, "2", "ID", fmt.Sprint(version2)}, {"LIMIT.PEEK", gold}, {"LIMIT.PLAN", gold}, {"LIMIT.STATS"},
 			{"CL.THROTTLE", gold, "99", "1", "1000"}, {"PING"}, {"ECHO", "x"}, {"INFO"}, {"COMMAND"}, {"CLIENT", "ID"}, {"CLIENT", "GETNAME"}} {
-			if _, err := do(words...); err != nil {
-				t.Errorf("%v: %v", words, err)
+			if _, err := do(args...); err != nil {
+				t.Errorf("%v: %v", args, err)
 			}
 		}
-		var many []rueidis.Completed
+		var takes []rueidis.Completed
 		for range 300 {
-			many = append(many, c.B().Arbitrary("LIMIT.TAKE", free, "1").Build())
+			takes = append(takes, c.B().Arbitrary("LIMIT.TAKE", free, "1").Build())
 		}
-		for _, res := range c.DoMulti(ctx, many...) {
+		for _, res := range c.DoMulti(ctx, takes...) {
 			if err := res.Error(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if m, err := do("LIMIT.TAKE", basic, "6"); err == nil {
-			t.Errorf("more than the burst: %v", m)
+			t.Errorf("a take of more than the burst succeeded: %v", m)
 		}
 		c.Close()
 	}
--- a/internal/respfront/session.go
+++ b/internal/respfront/session.go
@@ -12,87 +12,88 @@
 	"elderyard/internal/sockets"
 )
 
-// session is one connection: who its client is, and the replies that it is owed,
-// in order.
+// session is the state of one connection: its user, and the replies that are still to be
+// written, in order.
 type session struct {
-	front   *Front
+	server  *Server
 	raw     net.Conn // below TLS
 	conn    net.Conn
 	id      int64
 	version int
 	name    string
 	user    *User
-	ending  bool // after the replies that are owed
+	closing bool // close the connection after the queued replies
 
-	b      *buffers
-	args   []string // of the present command
-	slots  []*slot
-	next   *slot           // the command that is being read may make an ask of it
-	checks []*owner.Check  // of the slots that are not handed on yet
-	batch  *batch          // of these checks; nil: there are none
-	ctx    context.Context // the front's, for a command that has to settle what is before it
-	now    replies         // being written for the present command
-	broken bool            // the client has gone, or takes nothing
+	b       *buffers
+	args    []string // of the current command
+	replies []*queuedReply
+	next    *queuedReply    // the reply of the current command if it is a limit command
+	checks  []*owner.Check  // of the replies in batch
+	batch   *batch          // limit commands that aren't submitted yet; nil: none
+	ctx     context.Context // of the server, for commands that decide the batch before them
+	current replyWriter     // reply of the current command
+	broken  bool            // the client has disconnected or doesn't read its replies
 }
 
-// w is where the present command's reply is written; said must follow.
-func (s *session) w() *replies {
-	s.now = replies{Version: s.version}
-	return &s.now
+// writer returns the writer for the reply of the current command. queue must follow.
+func (s *session) writer() *replyWriter {
+	s.current = replyWriter{Version: s.version}
+	return &s.current
 }
 
-// said takes the reply that w was given.
-func (s *session) said() { s.slots = append(s.slots, &slot{text: s.now.Buf}) }
+// queue appends the reply that has been written to the queued ones.
+func (s *session) queue() { s.replies = append(s.replies, &queuedReply{text: s.current.Buf}) }
 
-// newAsk is an ask for the present command to fill in.
-func (s *session) newAsk() *ask {
+// newRequest returns the empty request of the current limit command.
+func (s *session) newRequest() *limitRequest {
 	if s.next == nil {
-		s.next = s.b.slot()
+		s.next = s.b.newReply()
 	}
-	s.next.ask = ask{}
-	return &s.next.ask
+	s.next.request = limitRequest{}
+	return &s.next.request
 }
 
+// fail replies with an error.
 func (s *session) fail(text string) {
-	s.w().Error(text)
-	s.said()
+	s.writer().Error(text)
+	s.queue()
 }
 
-// ask hands the command that newAsk was filled in for to the desk, with the next batch.
-func (s *session) ask(reply func(*replies, *slot)) {
+// submit adds the request of the current command to the batch. write will write its reply.
+func (s *session) submit(write func(*replyWriter, *queuedReply)) {
 	if s.batch == nil {
-		s.batch = s.b.batchOf()
+		s.batch = s.b.newBatch()
 	}
 	r := s.next
 	s.next = nil
-	r.desk, r.reply, r.version, r.batch = s.front.desk, reply, s.version, s.batch
+	r.limiter, r.write, r.version, r.batch = s.server.limiter, write, s.version, s.batch
 	r.repeated, r.err, r.decided, r.check = false, nil, false, owner.Check{CheckRequester: r}
-	s.batch.left++
-	s.slots = append(s.slots, r)
+	s.batch.undecided++
+	s.replies = append(s.replies, r)
 	s.checks = append(s.checks, &r.check)
 }
 
-// run answers commands until the connection ends or ctx does.
+// run serves commands until the connection or ctx ends.
 func (s *session) run(ctx context.Context) {
 	s.ctx = ctx
-	defer s.putBack()
-	for !s.ending && !s.broken {
-		s.conn.SetReadDeadline(time.Now().Add(s.front.idle))
+	defer s.releaseBuffers()
+	for !s.closing && !s.broken {
+		s.conn.SetReadDeadline(time.Now().Add(s.server.idleTimeout))
 		if ctx.Err() != nil {
-			return // looked at after the deadline is set: the front sets an earlier one at its end
+			return // checked after setting the deadline: the server sets an earlier one when ctx ends
 		}
-		if (s.b == nil || s.b.reader.Buffered() == 0) && !s.rest() {
+		if (s.b == nil || s.b.reader.Buffered() == 0) && !s.waitReadable() {
 			return
 		}
 		if s.b == nil {
-			s.b = s.front.buffers.Get().(*buffers)
+			s.b = s.server.buffers.Get().(*buffers)
 			s.b.reader.Reset(s.conn)
 		}
-		err := s.pipeline()
+		err := s.runPipeline()
 		if err != nil && errors.Is(err, resp.ErrProtocol) {
 			s.fail("ERR " + err.Error())
 		}
-		s.settle(ctx)
+		s.decideBatch(ctx)
 		s.flush()
 		if err != nil {
 			return
@@ -100,12 +101,12 @@
 	}
 }
 
-// rest waits for the next command. A plain connection keeps no buffer meanwhile.
-func (s *session) rest() bool {
+// waitReadable waits for the next command. A plain connection has no buffers meanwhile.
+func (s *session) waitReadable() bool {
 	if s.conn != s.raw {
-		return true // TLS may hold bytes of its own; the read waits
+		return true // TLS may have buffered bytes; the read waits
 	}
-	s.putBack()
+	s.releaseBuffers()
 	sc, ok := s.raw.(syscall.Conn)
 	if !ok {
 		return true
@@ -126,107 +127,110 @@
 	return err == nil && ready
 }
 
-func (s *session) putBack() {
+// releaseBuffers returns the buffers to the pool.
+func (s *session) releaseBuffers() {
 	if s.b == nil {
 		return
 	}
 	s.b.reader.Reset(nil)
 	s.next = nil
-	s.front.buffers.Put(s.b)
+	s.server.buffers.Put(s.b)
 	s.b = nil
 }
 
-// pipeline reads the commands that have come whole, as many as a batch holds, and
-// runs them. The first may still be on its way.
-func (s *session) pipeline() error {
+// runPipeline reads the commands that have been received completely, up to the size of a
+// batch, and runs them. It waits for the first.
+func (s *session) runPipeline() error {
 	b := s.b
 	b.text, b.lengths = b.text[:0], b.lengths[:0]
 	var err error
-	for n := 0; n < mostBatch && (n == 0 || b.reader.Ready()); n++ {
-		if b.words, b.text, err = b.reader.Command(b.words[:0], b.text); err != nil {
+	for n := 0; n < maxBatch && (n == 0 || b.reader.Ready()); n++ {
+		if b.args, b.text, err = b.reader.Command(b.args[:0], b.text); err != nil {
 			break
 		}
-		b.lengths = append(b.lengths, len(b.words))
-		for _, w := range b.words {
-			b.lengths = append(b.lengths, len(w))
+		b.lengths = append(b.lengths, len(b.args))
+		for _, arg := range b.args {
+			b.lengths = append(b.lengths, len(arg))
 		}
 	}
-	// The words stand in one buffer, one behind the other: one copy is all of them.
+	// The arguments are consecutive in one buffer, so one allocation copies all of them.
 	text := string(b.text)
-	for left := b.lengths; len(left) > 0 && !s.ending && !s.broken; {
+	for lengths := b.lengths; len(lengths) > 0 && !s.closing && !s.broken; {
 		var n int
-		n, left = left[0], left[1:]
+		n, lengths = lengths[0], lengths[1:]
 		s.args = s.args[:0]
-		for _, size := range left[:n] {
+		for _, size := range lengths[:n] {
 			s.args = append(s.args, text[:size])
 			text = text[size:]
 		}
-		if left = left[n:]; n > 0 {
+		if lengths = lengths[n:]; n > 0 {
 			s.dispatch(s.args)
 		}
 	}
-	if s.ending {
-		return nil // what came behind is not looked at
+	if s.closing {
+		return nil // what the client sent after QUIT is ignored, also if it is malformed
 	}
 	return err
 }
 
-// settle hands the limit commands on in one message and waits for their answers, at
-// the front's end for a moment.
-// Danger: a client that leaves while one waits for units must not have them taken.
-func (s *session) settle(ctx context.Context) {
+// decideBatch passes the limit commands of the batch to the event loop in one message and
+// waits for their results. When the server stops it waits for at most one poll interval.
+//
+// It must notice that the client has disconnected: otherwise a take that waits for units
+// would take them for a client that never learns of it.
+func (s *session) decideBatch(ctx context.Context) {
 	if s.batch == nil {
 		return
 	}
-	if !s.front.desk.owner.Post(owner.CheckBatch{Loop: s.front.desk.owner, Checks: s.checks}) {
+	if !s.server.limiter.loop.Post(owner.CheckBatch{Loop: s.server.limiter.loop, Checks: s.checks}) {
 		s.broken = true
 	}
-	look := time.NewTimer(goneLook)
-	defer look.Stop()
-	for waits := !s.broken; waits; {
+	poll := time.NewTimer(disconnectPollInterval)
+	defer poll.Stop()
+	for waiting := !s.broken; waiting; {
 		select {
 		case <-s.batch.done:
-			waits = false
-		case <-s.front.desk.owner.Stopped():
-			s.broken, waits = true, false
-		case <-look.C:
-			if look.Reset(goneLook); sockets.PeerClosed(s.raw) || ctx.Err() != nil {
-				s.front.desk.owner.Post(leaving{s.front.desk, s.slots})
-				s.broken, waits = true, false
+			waiting = false
+		case <-s.server.limiter.loop.Stopped():
+			s.broken, waiting = true, false
+		case <-poll.C:
+			if poll.Reset(disconnectPollInterval); sockets.PeerClosed(s.raw) || ctx.Err() != nil {
+				s.server.limiter.loop.Post(disconnect{s.server.limiter, s.replies})
+				s.broken, waiting = true, false
 			}
 		}
 	}
 	if s.broken {
-		s.b.batch = nil // the owner may still be at it
+		s.b.batch = nil // the event loop may still use it
 	}
 	s.batch, s.checks = nil, s.checks[:0]
 }
 
-// flush writes the replies that are owed. What a batch left undecided is not read:
-// its connection ends.
+// flush writes the queued replies. After a batch that was not decided, it drops them,
+// since the connection ends: their results may not be read.
 func (s *session) flush() {
 	if s.broken {
-		s.slots = nil
+		s.replies = nil
 		return
 	}
-	w := replies{Buf: s.b.out[:0]}
-	for _, r := range s.slots {
+	w := replyWriter{Buf: s.b.out[:0]}
+	for _, r := range s.replies {
 		switch {
-		case r.reply == nil:
+		case r.write == nil:
 			w.Buf = append(w.Buf, r.text...)
 		case r.err != nil:
 			w.Error("ERR " + r.err.Error())
 		default:
 			w.Version = r.version
-			r.reply(&w, r)
+			r.write(&w, r)
 		}
 		if r.decided {
-			s.b.spare = append(s.b.spare, r) // nobody else has it
+			s.b.free = append(s.b.free, r) // the event loop doesn't use it any more
 		}
 	}
-	s.slots = s.slots[:0]
+	s.replies = s.replies[:0]
 	s.b.out = w.Buf
-	s.conn.SetWriteDeadline(time.Now().Add(sendWait))
+	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := s.conn.Write(w.Buf); err != nil {
 		s.broken = true
 	}
--- /dev/null
+++ b/internal/respfront/site.go
@@ -0,0 +1,93 @@
+package respfront
+
+import (
+	"crypto/tls"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"elderyard/internal/owner"
+	"elderyard/internal/site"
+	"elderyard/internal/sockets"
+	"elderyard/rules"
+)
+
+// FromSite returns a server with the settings of the operator's file, for an event loop
+// whose module has the settings set and plans of these names. It opens no socket.
+func FromSite(s site.RESP, loop *owner.EventLoop, set rules.Settings, plans []string) (*Server, error) {
+	accounts := map[uint64]string{}
+	for _, a := range s.Account {
+		id, err := site.ParseAccountID(a.ID)
+		if err != nil {
+			return nil, fmt.Errorf("resp.account: %w", err)
+		}
+		accounts[id] = a.Plan
+	}
+	limiter, err := NewLimiter(loop, set, plans, accounts, s.Plan)
+	if err != nil {
+		return nil, fmt.Errorf("resp: %w", err)
+	}
+	settings := Settings{MaxConnections: s.Most, IdleTimeout: time.Duration(s.Idle)}
+	for _, u := range s.User {
+		user, err := newUser(u)
+		if err != nil {
+			return nil, fmt.Errorf("resp.user %s: %w", u.Name, err)
+		}
+		settings.Users = append(settings.Users, user)
+	}
+	if settings.TLS, err = serverTLS(s); err != nil {
+		return nil, fmt.Errorf("resp: %w", err)
+	}
+	return New(limiter, settings), nil
+}
+
+func newUser(u site.RESPUser) (User, error) {
+	hash, err := ParsePasswordHash(u.Password)
+	if err != nil {
+		return User{}, fmt.Errorf("password_sha256: %w", err)
+	}
+	user := User{Name: u.Name, Password: hash, Accounts: []uint64{}, Commands: []string{}}
+	if slices.Contains(u.Accounts, "*") {
+		user.Accounts = nil
+	} else {
+		for _, text := range u.Accounts {
+			id, err := site.ParseAccountID(text)
+			if err != nil {
+				return User{}, fmt.Errorf("accounts: %w", err)
+			}
+			user.Accounts = append(user.Accounts, id)
+		}
+	}
+	if slices.Contains(u.Commands, "*") {
+		user.Commands = nil
+		return user, nil
+	}
+	for _, name := range u.Commands {
+		name = strings.ToUpper(name)
+		if c := lookupCommand(name); c == nil || !c.limit {
+			return User{}, fmt.Errorf("commands: %q is not a limit command", name)
+		}
+		user.Commands = append(user.Commands, name)
+	}
+	return user, nil
+}
+
+// serverTLS returns the TLS configuration, or nil for plain connections.
+func serverTLS(s site.RESP) (*tls.Config, error) {
+	if s.Cert == "" {
+		return nil, nil
+	}
+	cert, err := tls.LoadX509KeyPair(s.Cert, s.Key)
+	if err != nil {
+		return nil, fmt.Errorf("cert: %w", err)
+	}
+	config := &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}
+	if s.CA != "" {
+		if config.ClientCAs, err = sockets.LoadCertPool(s.CA); err != nil {
+			return nil, err
+		}
+		config.ClientAuth = tls.RequireAndVerifyClientCert
+	}
+	return config, nil
+}
--- a/internal/respfront/tls_test.go
+++ b/internal/respfront/tls_test.go
@@ -13,23 +13,23 @@
 	"elderyard/internal/testpeer"
 )
 
-// Over TLS clients with the right certificate are served, one after another on a
-// connection that rests between; others, and plain ones, get nothing.
+// With TLS, a client with a valid certificate is served, also after its connection was
+// idle. Clients without one and plain connections are not.
 func TestTLS(t *testing.T) {
 	cert, pool := testpeer.Certificate(t)
-	mine, theirs := testpeer.Certificate(t)
-	r := newRig(t, Settings{TLS: &tls.Config{Certificates: []tls.Certificate{cert}, ClientCAs: theirs, ClientAuth: tls.RequireAndVerifyClientCert}})
+	clientCert, clientPool := testpeer.Certificate(t)
+	r := newRig(t, Settings{TLS: &tls.Config{Certificates: []tls.Certificate{cert}, ClientCAs: clientPool, ClientAuth: tls.RequireAndVerifyClientCert}})
 	ctx := context.Background()
-	good := redis.NewClient(&redis.Options{Addr: r.address, TLSConfig: &tls.Config{RootCAs: pool, Certificates: []tls.Certificate{mine}, ServerName: "127.0.0.1"}})
-	defer good.Close()
+	client := redis.NewClient(&redis.Options{Addr: r.address, TLSConfig: &tls.Config{RootCAs: pool, Certificates: []tls.Certificate{clientCert}, ServerName: "127.0.0.1"}})
+	defer client.Close()
 	for range 20 {
-		if err := good.Do(ctx, "LIMIT.TAKE", free, 1).Err(); err != nil {
+		if err := client.Do(ctx, "LIMIT.TAKE", free, 1).Err(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	bad := redis.NewClient(&redis.Options{Addr: r.address, MaxRetries: -1, TLSConfig: &tls.Config{RootCAs: pool, ServerName: "127.0.0.1"}})
-	defer bad.Close()
-	if err := bad.Ping(ctx).Err(); err == nil {
+	uncertified := redis.NewClient(&redis.Options{Addr: r.address, MaxRetries: -1, TLSConfig: &tls.Config{RootCAs: pool, ServerName: "127.0.0.1"}})
+	defer uncertified.Close()
+	if err := uncertified.Ping(ctx).Err(); err == nil {
 		t.Error("served without a certificate")
 	}
 	plain, err := net.Dial("tcp", r.address)
@@ -39,10 +39,10 @@
 	defer plain.Close()
 	plain.SetDeadline(time.Now().Add(testpeer.Patience))
 	plain.Write([]byte("PING\r\n"))
-	if v, err := resp.NewReader(plain, bounds).Reply(); err == nil && v.Str == "PONG" {
+	if v, err := resp.NewReader(plain, commandLimits).Reply(); err == nil && v.Str == "PONG" {
 		t.Error("served without TLS")
 	}
-	if n := r.desk.stats.takes.Load(); n != 20 {
-		t.Errorf("%d takes", n)
+	if n := r.limiter.stats.takes.Load(); n != 20 {
+		t.Errorf("%d takes, want 20", n)
 	}
 }
