--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -68,7 +68,7 @@
 		if fd, err = strconv.Atoi(text); err != nil || fd < 3 {
 			return fmt.Errorf("EDGE_LISTEN_FD: %q is not an inherited file descriptor", text)
 		}
-		c.Share()
+		c.HalveLimits()
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(c.Cores)))
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * c.Site.Memory.HeapShare))
@@ -81,7 +81,7 @@
 	return gateway.Run(ctx, &c, fd, export, peers, gateway.Reload{Signal: reload, Read: func() (config.Config, error) {
 		next, err := config.Read(path)
 		if fd >= 0 {
-			next.Share()
+			next.HalveLimits()
 		}
 		return next, err
 	}})
