--- a/cmd/elderyard-peers/main.go
+++ b/cmd/elderyard-peers/main.go
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	launch.Main(func(c *config.Config) (gateway.Fellows, error) {
+	launch.Main(func(c *config.Config) (gateway.Peers, error) {
 		set, err := peers.FromSite(c.Site.Peers, c.Name, c.Operator, os.Getenv, slog.Default())
 		if set == nil || err != nil {
 			return nil, err
--- a/cmd/elderyard/main.go
+++ b/cmd/elderyard/main.go
@@ -18,7 +18,7 @@
 func main() {
 	// The library that finds the others would cost every gateway 3 MB of resident
 	// memory, asked for or not: it is in a program of its own.
-	launch.Main(func(c *config.Config) (gateway.Fellows, error) {
+	launch.Main(func(c *config.Config) (gateway.Peers, error) {
 		if c.Site.Peers.Listen != "" {
 			return nil, errors.New("peers.listen: this program knows no other gateways; elderyard-peers does")
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,8 +51,8 @@
 	Read   func() (config.Config, error) // the new configuration
 }
 
-// Fellows are the other gateways of the site, as far as this one knows of them.
-type Fellows interface {
+// Peers are the other gateways of the site, as far as this one knows of them.
+type Peers interface {
 	// Run takes part until ctx ends. Told is called with each new number that what
 	// all have together is divided by, and that of the senders to a cold backend.
 	Run(ctx context.Context, told func(share, cold int))
@@ -99,7 +99,7 @@
 // the clients' listening socket where that came with the process, else below 0. Export
 // says where traces and metrics go; nil: nowhere. Fellows is nil where the gateway
 // knows of none.
-func Run(ctx context.Context, c *config.Config, fd int, export *telemetry.Settings, fellows Fellows, reload Reload) error {
+func Run(ctx context.Context, c *config.Config, fd int, export *telemetry.Settings, fellows Peers, reload Reload) error {
 	var listener net.Listener
 	var err error
 	if fd < 0 {
@@ -144,7 +144,7 @@
 }
 
 // serve is Run on sockets that are open. Desk is the operators', or nil.
-func serve(ctx context.Context, c *config.Config, listener, desk net.Listener, export *telemetry.Settings, fellows Fellows, reload Reload) error {
+func serve(ctx context.Context, c *config.Config, listener, desk net.Listener, export *telemetry.Settings, fellows Peers, reload Reload) error {
 	share := divideDescriptors(c, fellows != nil, desk != nil)
 	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), share.backends)
 	c.Settings.CheckFrontends = c.Site.Quotas.Fronts
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -28,7 +28,7 @@
 type operator struct {
 	front   *frontend
 	book    *handBook
-	fellows Fellows // nil: it knows of none
+	fellows Peers // nil: it knows of none
 }
 
 // handler has one entry for each call. Whatever is no call gets a no.
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -25,7 +25,7 @@
 
 // OpenPeers takes up a gateway's part among those of its site, by its configuration; nil
 // where it is to take none.
-type OpenPeers func(*config.Config) (gateway.Fellows, error)
+type OpenPeers func(*config.Config) (gateway.Peers, error)
 
 // Main runs a gateway until it is asked to end, and ends the process with status 1
 // where it can't be run.
