--- a/cmd/elderyard/deploy_test.go
+++ b/cmd/elderyard/deploy_test.go
@@ -34,15 +34,15 @@
 	}
 	build := exec.Command("/bin/sh", "-c", deploy.Build)
 	build.Dir = root
-	if said, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%s: %v\n%s", deploy.Build, err, said)
+	if output, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%s: %v\n%s", deploy.Build, err, output)
 	}
 	program := filepath.Join(root, "bin/elderyard")
-	t.Run("linked", func(t *testing.T) { linked(t, program) })
-	t.Run("run", func(t *testing.T) { oneProcess(t, root, deploy.Run, program) })
+	t.Run("linked", func(t *testing.T) { checkLinking(t, program) })
+	t.Run("run", func(t *testing.T) { checkSingleProcess(t, root, deploy.Run, program) })
 }
 
-func linked(t *testing.T, program string) {
+func checkLinking(t *testing.T, program string) {
 	file, err := elf.Open(program)
 	if err != nil {
 		t.Fatal(err)
@@ -68,16 +68,16 @@
 	}
 }
 
-func oneProcess(t *testing.T, root, run, program string) {
-	like, _, asked := waiting(t)
+func checkSingleProcess(t *testing.T, root, run, program string) {
+	template, _, discoveryCalls := commandWithSilentDiscovery(t)
 	cmd := exec.Command("/bin/sh", "-c", run)
-	cmd.Dir, cmd.Env = root, like.Env
+	cmd.Dir, cmd.Env = root, template.Env
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { cmd.Process.Kill(); cmd.Wait() }()
 	select {
-	case <-asked: // it runs
+	case <-discoveryCalls: // it runs
 	case <-time.After(20 * time.Second):
 		t.Fatal("discovery was not asked")
 	}
--- a/cmd/elderyard/descriptors_linux_test.go
+++ b/cmd/elderyard/descriptors_linux_test.go
@@ -21,45 +21,45 @@
 const (
 	descriptorLimit = 256 // the lowest limit that the platform sets
 	oldBackends     = 10
-	heldRequests    = 8
+	blockedRequests = 8
 	counterConns    = 32               // of one gateway, as many as the counter takes
 	idleClients     = 400              // of requests, and as many of limit commands
-	eventPatience   = 40 * time.Second // bounds each wait; none is expected to last so long
+	eventTimeout    = 40 * time.Second // bounds each wait; none is expected to last so long
 )
 
 // outageRig is all that stands round a gateway whose discovery has an outage.
-type outageRig struct {
-	t        *testing.T
-	address  string // of the gateway, for clients
-	limits   string // and for limit commands
-	registry registryStandIn
-	counter  counterStandIn
-	old, new backendStandIn
-	pid      int           // of the gateway
-	end      func() string // kills it, and returns what it said
-	after    string        // the list after the outage
-	nextID   atomic.Int64
+type outageTest struct {
+	t            *testing.T
+	address      string // of the gateway, for clients
+	limitAddress string // and for limit commands
+	registry     registryStandIn
+	counter      counterStandIn
+	old, new     backendStandIn
+	pid          int           // of the gateway
+	stopGateway  func() string // kills it, and returns what it said
+	listAfter    string        // the list after the outage
+	nextID       atomic.Int64
 }
 
 // registryStandIn answers with its list, and says nothing while it is down.
 type registryStandIn struct {
-	mu    sync.Mutex
-	down  bool
-	calls int // while down
-	list  string
-	told  atomic.Bool // the caller has the second list
+	mu            sync.Mutex
+	down          bool
+	calls         int // while down
+	list          string
+	hasSecondList atomic.Bool // the caller has the second list
 }
 
 func (r *registryStandIn) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
-	knows := q.URL.Query().Get("since") == "2"
-	list, down := r.list, r.down || knows // nothing changes any more
+	upToDate := q.URL.Query().Get("since") == "2"
+	list, down := r.list, r.down || upToDate // nothing changes any more
 	if r.down {
 		r.calls++
 	}
 	r.mu.Unlock()
-	if knows {
-		r.told.Store(true)
+	if upToDate {
+		r.hasSecondList.Store(true)
 	}
 	if down {
 		<-q.Context().Done()
@@ -92,14 +92,14 @@
 // backendStandIn counts the requests that it begins, and answers them; while it holds them,
 // once it is released.
 type backendStandIn struct {
-	begun    atomic.Int64
-	holds    atomic.Bool
+	received atomic.Int64
+	blocking atomic.Bool
 	released chan struct{}
 }
 
 func (b *backendStandIn) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	b.begun.Add(1)
-	if !b.holds.Load() {
+	b.received.Add(1)
+	if !b.blocking.Load() {
 		io.WriteString(w, "ok")
 		return
 	}
@@ -119,7 +119,7 @@
 }
 
 // startLimited starts the gateway in a process that may hold descriptorLimit descriptors.
-func (r *outageRig) startLimited() {
+func (r *outageTest) startLimited() {
 	t := r.t
 	list := func(generation int, addresses ...string) string {
 		entries := make([]string, len(addresses))
@@ -135,8 +135,8 @@
 	r.registry.set(false, list(1, addresses...))
 	after := list(2, append(addresses, serveStandIn(t, &r.new))...)
 	site := filepath.Join(t.TempDir(), "site.toml")
-	r.address, r.limits = unusedAddress(t), unusedAddress(t)
-	text := fmt.Sprintf("[clients]\nsocket_share = 0.9\n[resp]\nlisten = %q\nmost_clients = 100\n", r.limits)
+	r.address, r.limitAddress = unusedAddress(t), unusedAddress(t)
+	text := fmt.Sprintf("[clients]\nsocket_share = 0.9\n[resp]\nlisten = %q\nmost_clients = 100\n", r.limitAddress)
 	if err := os.WriteFile(site, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -154,17 +154,17 @@
 		t.Fatal(err)
 	}
 	r.pid = limited.Process.Pid
-	r.end = sync.OnceValue(func() string {
+	r.stopGateway = sync.OnceValue(func() string {
 		limited.Process.Kill()
 		limited.Wait()
 		return stderr.String()
 	})
 	t.Cleanup(func() {
-		if said := r.end(); t.Failed() {
-			t.Logf("the gateway said %.2000q", said)
+		if output := r.stopGateway(); t.Failed() {
+			t.Logf("the gateway said %.2000q", output)
 		}
 	})
-	r.until("the gateway is ready", func() bool {
+	r.waitUntil("the gateway is ready", func() bool {
 		resp, err := http.Get("http://" + r.address + "/health/ready")
 		if err != nil {
 			return false
@@ -172,7 +172,7 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	})
-	r.after = after
+	r.listAfter = after
 }
 
 // unusedAddress is one that no other test is likely to take before the program does.
@@ -187,7 +187,7 @@
 }
 
 // descriptors is how many the gateway holds.
-func (r *outageRig) descriptors() int {
+func (r *outageTest) descriptors() int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.pid))
 	if err != nil {
 		r.t.Fatal(err)
@@ -195,9 +195,9 @@
 	return len(entries)
 }
 
-func (r *outageRig) until(what string, is func() bool) {
+func (r *outageTest) waitUntil(what string, condition func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(eventPatience); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("never: %s", what)
 		}
@@ -205,16 +205,16 @@
 }
 
 // request is one of a client, on a connection of its own.
-type request struct{ answered chan answer }
+type request struct{ responses chan response }
 
 // answer is what a client reads: a status, or why there is none.
-type answer struct {
+type response struct {
 	status int
 	err    error
 }
 
 // ask sends a request of a customer of its own on a new connection.
-func (r *outageRig) ask() *request {
+func (r *outageTest) sendRequest() *request {
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
 		r.t.Fatal(err)
@@ -225,29 +225,29 @@
 		"X-Api-Key: %016x\r\nX-Time-Left-Ms: 100000\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", n, n); err != nil {
 		r.t.Fatal(err)
 	}
-	q := &request{make(chan answer, 1)}
+	request := &request{make(chan response, 1)}
 	go func() {
 		defer conn.Close()
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
-			q.answered <- answer{0, err}
+			request.responses <- response{0, err}
 			return
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
-		q.answered <- answer{resp.StatusCode, err}
+		request.responses <- response{resp.StatusCode, err}
 	}()
-	return q
+	return request
 }
 
 // served waits for the answer to a request, which must be 200.
-func (r *outageRig) served(what string, q *request) {
+func (r *outageTest) expectServed(what string, request *request) {
 	r.t.Helper()
 	select {
-	case a := <-q.answered:
-		if a.err != nil || a.status != http.StatusOK {
-			r.t.Errorf("%s: status %d, %v", what, a.status, a.err)
+	case response := <-request.responses:
+		if response.err != nil || response.status != http.StatusOK {
+			r.t.Errorf("%s: status %d, %v", what, response.status, response.err)
 		}
-	case <-time.After(eventPatience):
+	case <-time.After(eventTimeout):
 		r.t.Errorf("%s: no answer", what)
 	}
 }
@@ -255,28 +255,28 @@
 // serveByNew sends new requests, each once the one before it is out, until one is served,
 // which only the new backend does. It returns the others, which old backends hold. A new
 // connection may be shut before its request is read.
-func (r *outageRig) serveByNew() (held []*request) {
+func (r *outageTest) serveByNewBackend() (blocked []*request) {
 	for range oldBackends {
-		before := r.old.begun.Load()
-		q := r.ask()
-		var got *answer
-		r.until("the request is out or answered, or its connection shut", func() bool {
+		before := r.old.received.Load()
+		request := r.sendRequest()
+		var result *response
+		r.waitUntil("the request is out or answered, or its connection shut", func() bool {
 			select {
-			case a := <-q.answered:
-				got = &a
+			case a := <-request.responses:
+				result = &a
 				return true
 			default:
-				return r.old.begun.Load() > before
+				return r.old.received.Load() > before
 			}
 		})
 		switch {
-		case got == nil:
-			held = append(held, q)
-		case got.err != nil && r.old.begun.Load() == before: // shut unread
-		case got.err != nil || got.status != http.StatusOK:
-			r.t.Fatalf("a new request: status %d, %v", got.status, got.err)
+		case result == nil:
+			blocked = append(blocked, request)
+		case result.err != nil && r.old.received.Load() == before: // shut unread
+		case result.err != nil || result.status != http.StatusOK:
+			r.t.Fatalf("a new request: status %d, %v", result.status, result.err)
 		default:
-			return held
+			return blocked
 		}
 	}
 	r.t.Fatal("no new request was served by the new backend")
@@ -285,19 +285,19 @@
 
 // flood keeps idle clients connected to address until ctx ends, a new one for each that is
 // shut. It returns how many have been shut.
-func flood(ctx context.Context, wg *sync.WaitGroup, address string) *atomic.Int64 {
-	shut := &atomic.Int64{}
+func connectIdleClients(ctx context.Context, wg *sync.WaitGroup, address string) *atomic.Int64 {
+	closed := &atomic.Int64{}
 	for range idleClients {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				conn, err := net.DialTimeout("tcp", address, eventPatience)
+				conn, err := net.DialTimeout("tcp", address, eventTimeout)
 				if err == nil {
 					stop := context.AfterFunc(ctx, func() { conn.Close() })
 					io.Copy(io.Discard, conn) // until it is shut
 					stop()
 					conn.Close()
 					if ctx.Err() == nil {
-						shut.Add(1)
+						closed.Add(1)
 					}
 				}
 				select {
@@ -307,58 +307,58 @@
 			}
 		})
 	}
-	return shut
+	return closed
 }
 
 // Idle clients take all the descriptors that they can get while discovery is down. The
 // gateway keeps calling discovery on new connections, learns of a new backend once that
 // answers, calls the counter and serves a new request; no request that had begun is shut.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	r := &outageRig{t: t, old: backendStandIn{released: make(chan struct{})}}
+	r := &outageTest{t: t, old: backendStandIn{released: make(chan struct{})}}
 	r.startLimited()
 	for range 4 * oldBackends { // the gateway learns how long an answer takes
-		r.served("before the outage", r.ask())
+		r.expectServed("before the outage", r.sendRequest())
 	}
 	r.registry.set(true, r.registry.list)
-	r.old.holds.Store(true)
-	r.old.begun.Store(0)
+	r.old.blocking.Store(true)
+	r.old.received.Store(0)
 
-	var held []*request
-	for range heldRequests {
-		held = append(held, r.ask())
+	var blocked []*request
+	for range blockedRequests {
+		blocked = append(blocked, r.sendRequest())
 	}
-	r.until("all requests are out", func() bool { return r.old.begun.Load() == heldRequests })
+	r.waitUntil("all requests are out", func() bool { return r.old.received.Load() == blockedRequests })
 
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	shut, limitsShut := flood(ctx, &wg, r.address), flood(ctx, &wg, r.limits)
-	r.until("idle clients are shut", func() bool { return min(shut.Load(), limitsShut.Load()) >= 2*idleClients })
+	closed, limitsClosed := connectIdleClients(ctx, &wg, r.address), connectIdleClients(ctx, &wg, r.limitAddress)
+	r.waitUntil("idle clients are shut", func() bool { return min(closed.Load(), limitsClosed.Load()) >= 2*idleClients })
 	calls := r.registry.callsWhileDown()
-	most := 0
-	r.until("discovery is called again", func() bool {
-		most = max(most, r.descriptors())
+	maxDescriptors := 0
+	r.waitUntil("discovery is called again", func() bool {
+		maxDescriptors = max(maxDescriptors, r.descriptors())
 		return r.registry.callsWhileDown() >= calls+2
 	})
 
-	r.registry.set(false, r.after)
-	counted := r.counter.calls.Load()
-	r.until("the gateway has learned of the new backend", func() bool { return r.registry.told.Load() })
-	held = append(held, r.serveByNew()...)
-	if r.counter.calls.Load() == counted {
+	r.registry.set(false, r.listAfter)
+	counterCalls := r.counter.calls.Load()
+	r.waitUntil("the gateway has learned of the new backend", func() bool { return r.registry.hasSecondList.Load() })
+	blocked = append(blocked, r.serveByNewBackend()...)
+	if r.counter.calls.Load() == counterCalls {
 		t.Error("the counter was not called")
 	}
-	t.Logf("%d descriptors at most, %d and %d idle clients shut", most, shut.Load(), limitsShut.Load())
-	if most+counterConns > descriptorLimit {
+	t.Logf("%d descriptors at most, %d and %d idle clients shut", maxDescriptors, closed.Load(), limitsClosed.Load())
+	if maxDescriptors+counterConns > descriptorLimit {
 		t.Errorf("clients and backends left %d descriptors of %d; the counter's connections alone may be %d",
-			descriptorLimit-most, descriptorLimit, counterConns)
+			descriptorLimit-maxDescriptors, descriptorLimit, counterConns)
 	}
 	close(r.old.released)
-	for _, q := range held {
-		r.served("a request that was held", q)
+	for _, request := range blocked {
+		r.expectServed("a request that was held", request)
 	}
-	if said := r.end(); strings.Contains(said, "too many open files") {
+	if output := r.stopGateway(); strings.Contains(output, "too many open files") {
 		t.Error("the gateway ran out of descriptors")
 	}
 }
--- a/cmd/elderyard/main_test.go
+++ b/cmd/elderyard/main_test.go
@@ -54,7 +54,7 @@
 
 // waiting returns the command before a discovery that never answers, and tells of each
 // time that it is asked.
-func waiting(t *testing.T) (cmd *exec.Cmd, stderr *bytes.Buffer, asked <-chan struct{}) {
+func commandWithSilentDiscovery(t *testing.T) (cmd *exec.Cmd, stderr *bytes.Buffer, discoveryCalls <-chan struct{}) {
 	calls := make(chan struct{}, 16)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- struct{}{}
@@ -68,7 +68,7 @@
 	return cmd, stderr, calls
 }
 
-func TestBadConfiguration(t *testing.T) {
+func TestInvalidConfiguration(t *testing.T) {
 	cmd, stderr := command(t, `{"settings": {}}`)
 	var exit *exec.ExitError
 	if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
@@ -82,13 +82,13 @@
 // SIGHUP before the gateway is ready, and beside SIGTERM, must not end it in
 // another way than SIGTERM does.
 func TestSignals(t *testing.T) {
-	cmd, stderr, asked := waiting(t)
+	cmd, stderr, discoveryCalls := commandWithSilentDiscovery(t)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
 	select {
-	case <-asked: // it runs
+	case <-discoveryCalls: // it runs
 	case <-time.After(20 * time.Second):
 		t.Fatal("discovery was not asked")
 	}
@@ -104,7 +104,7 @@
 
 // A gateway must not start with an operator's file that it does not understand,
 // and must say where it is wrong.
-func TestBadOperatorsFile(t *testing.T) {
+func TestInvalidSiteFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "site.toml")
 	if err := os.WriteFile(path, []byte("[clients]\nsocket_shaer = 0.5\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 	if err := os.WriteFile(peers, []byte("[peers]\nlisten = '127.0.0.1:1'\nsite = 's'\nkey_file = 'k'\ndir = 'd'\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for file, says := range map[string]string{
+	for file, want := range map[string]string{
 		peers:           "elderyard: operator's file: peers.listen: this program knows no other gateways; elderyard-peers does",
 		path:            "elderyard: " + path + `:2: clients.socket_shaer: there is no such key; did you mean "socket_share"?`,
 		path + ".other": "elderyard: operator's file: ",
@@ -127,7 +127,7 @@
 		if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 			t.Errorf("ended with %v", err)
 		}
-		if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, says) {
+		if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, want) {
 			t.Errorf("said %q", text)
 		}
 	}
--- a/cmd/elderyard/restart_test.go
+++ b/cmd/elderyard/restart_test.go
@@ -21,7 +21,7 @@
 	"elderyard/internal/testpeer"
 )
 
-const restarted = 30 // processes
+const restartedGateways = 30 // processes
 
 // restartSite is a fleet of processes before one registry and one backend that lives.
 type restartSite struct {
@@ -43,12 +43,12 @@
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
 	t.Cleanup(backend.Close)
 	alive := strings.TrimPrefix(backend.URL, "http://")
-	gone, err := loopback.FreeAddress()
+	dead, err := loopback.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &restartSite{}
-	for i := range restarted {
+	for i := range restartedGateways {
 		l, err := link.Listen(fmt.Sprintf("n%d", i))
 		if err != nil {
 			t.Fatal(err)
@@ -59,7 +59,7 @@
 		if id == "alive" {
 			return alive
 		}
-		return gone
+		return dead
 	}, 1<<16, s.links...)
 	t.Cleanup(s.registry.Close)
 	s.registry.Set(registry.Instance{ID: "alive", Zone: "a", Type: "m", Lifecycle: registry.Ready, Weight: 1})
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &restartGateway{address: address, config: restartConfig(i, address, l.Address(), alive, gone)}
+		g := &restartGateway{address: address, config: restartConfig(i, address, l.Address(), alive, dead)}
 		s.gateways = append(s.gateways, g)
 		t.Cleanup(func() { g.kill() })
 	}
@@ -77,17 +77,17 @@
 
 // restartConfig is the configuration of a gateway that knows an old list: of its backends
 // but one is still there.
-func restartConfig(rank int, address, discovery, alive, gone string) string {
+func restartConfig(rank int, address, discovery, alive, dead string) string {
 	known := fmt.Sprintf(`{"instanceId": "alive", "hostPort": %q, "zone": "a", "machineType": "m", "lifecycle": "Ready", "weight": 1}`, alive)
 	for i := range 3 {
-		known += fmt.Sprintf(`, {"instanceId": "gone%d", "hostPort": %q, "zone": "a", "machineType": "m", "lifecycle": "Ready", "weight": 1}`, i, gone)
+		known += fmt.Sprintf(`, {"instanceId": "gone%d", "hostPort": %q, "zone": "a", "machineType": "m", "lifecycle": "Ready", "weight": 1}`, i, dead)
 	}
 	return fmt.Sprintf(`{"name": "n%d", "listen": %q, "discovery": %q, "seed": "%x",
 		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": {"generation": 7, "reset": true, "instances": [%s]},
 		"settings": {"fleetSize": %d, "rank": %d, "tickS": 0.002, "localities": ["a"], "kinds": ["m"],
 		"allowed": {"connectTimeoutS": 1, "keepaliveS": 15, "mostTries": 3},
 		"classes": [{"name": "c", "objectiveS": 2, "deadlineS": 2, "points": 1, "effect": "repeatable"}],
-		"packages": [{"name": "p", "pays": 1}]}}`, rank, address, discovery, rank+1, known, restarted, rank)
+		"packages": [{"name": "p", "pays": 1}]}}`, rank, address, discovery, rank+1, known, restartedGateways, rank)
 }
 
 func (g *restartGateway) start(t *testing.T) {
@@ -132,7 +132,7 @@
 }
 
 // load sends requests to all gateways in turn, until the test ends.
-func (s *restartSite) load(t *testing.T) {
+func (s *restartSite) startLoad(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
 	t.Cleanup(func() { cancel(); clients.Wait() })
@@ -142,7 +142,7 @@
 			client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 			for ctx.Err() == nil {
 				n := id.Add(1)
-				s.gateways[n%restarted].send(ctx, &client, n)
+				s.gateways[n%restartedGateways].send(ctx, &client, n)
 				time.Sleep(time.Millisecond)
 			}
 		})
@@ -172,7 +172,7 @@
 // allServe waits until every gateway has served a request from now on.
 func (s *restartSite) allServe(t *testing.T) {
 	t.Helper()
-	var before [restarted]int64
+	var before [restartedGateways]int64
 	for i, g := range s.gateways {
 		before[i] = g.served.Load()
 	}
@@ -188,19 +188,19 @@
 }
 
 // toldPeers returns how many gateways were told of a backend.
-func (s *restartSite) toldPeers(instance string) int {
-	told, _ := s.registry.Record()
+func (s *restartSite) informedGateways(instance string) int {
+	sent, _ := s.registry.Record()
 	peers := map[string]bool{}
-	for _, one := range told {
-		if one.Instance == instance {
-			peers[one.Peer] = true
+	for _, entry := range sent {
+		if entry.Instance == instance {
+			peers[entry.Peer] = true
 		}
 	}
 	return len(peers)
 }
 
 // silence makes the registry answer no gateway, or all again.
-func (s *restartSite) silence(on bool) {
+func (s *restartSite) setSilent(on bool) {
 	for _, l := range s.links {
 		s.registry.SetSilent(l.Peer(), on)
 	}
@@ -209,41 +209,41 @@
 // Processes that are all killed and started again beside load are ready and serve by the
 // list that they know from before, however old, while discovery answers none of them; and
 // when it does, all learn from it what is new.
-func TestRestartedProcessesAreReadyWithoutDiscovery(t *testing.T) {
+func TestRestartWithoutDiscovery(t *testing.T) {
 	s := newRestartSite(t)
 	for _, g := range s.gateways {
 		g.start(t)
 	}
 	s.allReady(t)
-	s.load(t)
-	crowd := registry.Crowd{Serving: 2, Waiting: 8, Service: 50 * time.Millisecond, Patience: 2 * time.Second, NoWatch: true}
+	s.startLoad(t)
+	overload := registry.Crowd{Serving: 2, Waiting: 8, Service: 50 * time.Millisecond, Patience: 2 * time.Second, NoWatch: true}
 	for _, step := range []struct {
-		name string
-		away func() // discovery answers none from now on
-		back func(t *testing.T)
+		name   string
+		stop   func() // discovery answers none from now on
+		resume func(t *testing.T)
 	}{
-		{"silent", func() { s.silence(true) }, func(*testing.T) { s.silence(false) }},
-		{"crowded", func() { s.silence(true); s.registry.SetCrowd(crowd) }, func(*testing.T) { s.silence(false) }},
+		{"silent", func() { s.setSilent(true) }, func(*testing.T) { s.setSilent(false) }},
+		{"crowded", func() { s.setSilent(true); s.registry.SetCrowd(overload) }, func(*testing.T) { s.setSilent(false) }},
 		{"down", func() { s.down() }, func(t *testing.T) { s.up(t) }},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			for _, g := range s.gateways {
 				g.kill()
 			}
-			step.away()
+			step.stop()
 			s.registry.Set(registry.Instance{ID: step.name, Zone: "a", Type: "m", Lifecycle: registry.Ready, Weight: 1})
 			for _, g := range s.gateways {
 				g.start(t)
 			}
 			s.allReady(t)
 			s.allServe(t)
-			if n := s.toldPeers(step.name); n > 0 {
+			if n := s.informedGateways(step.name); n > 0 {
 				t.Fatalf("discovery has answered %d of them meanwhile", n)
 			}
-			step.back(t)
-			for end := time.Now().Add(3 * testpeer.Patience); s.toldPeers(step.name) < restarted; time.Sleep(10 * time.Millisecond) {
+			step.resume(t)
+			for end := time.Now().Add(3 * testpeer.Patience); s.informedGateways(step.name) < restartedGateways; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("only %d have learnt what is new; calls: %+v", s.toldPeers(step.name), s.registry.Crowded())
+					t.Fatalf("only %d have learnt what is new; calls: %+v", s.informedGateways(step.name), s.registry.Crowded())
 				}
 			}
 			s.allServe(t)
--- a/cmd/elderyard/upgrade_test.go
+++ b/cmd/elderyard/upgrade_test.go
@@ -20,13 +20,13 @@
 )
 
 // place is what a gateway needs round it: two backends and their discovery.
-type place struct {
+type testSite struct {
 	discovery *httptest.Server
 	served    [2]atomic.Int64
 }
 
-func newSite(t *testing.T) *place {
-	s := &place{}
+func newTestSite(t *testing.T) *testSite {
+	s := &testSite{}
 	list := ""
 	for i := range s.served {
 		backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -54,12 +54,12 @@
 // process is one process of a gateway.
 type process struct {
 	*exec.Cmd
-	desk   string
-	stderr *bytes.Buffer
+	operatorAddress string
+	stderr          *bytes.Buffer
 }
 
 // start runs the program with the clients' socket as a descriptor of its own.
-func (s *place) start(t *testing.T, socket *os.File, folder string) *process {
+func (s *testSite) start(t *testing.T, socket *os.File, dir string) *process {
 	t.Helper()
 	// An address of its own, so that no other test is likely to take the port before the program does.
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(256), 1+rand.IntN(250))
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk := l.Addr().String()
+	operatorAddress := l.Addr().String()
 	l.Close()
 	cmd, stderr := command(t, `{"name": "n0", "listen": "127.0.0.1:1", "discovery": "`+
 		strings.TrimPrefix(s.discovery.URL, "http://")+`", "seed": "1", "limits": {"cores": 1, "memory_mb": 64, "sockets": 512},
@@ -75,13 +75,13 @@
 		"allowed": {"connectTimeoutS": 1, "keepaliveS": 15, "mostTries": 2},
 		"classes": [{"name": "c", "objectiveS": 2, "deadlineS": 2, "points": 1, "effect": "repeatable"}],
 		"packages": [{"name": "p", "pays": 1}]}}`)
-	cmd.Env = append(cmd.Env, "EDGE_OPERATOR="+desk, "EDGE_LISTEN_FD=3", "TMPDIR="+folder)
+	cmd.Env = append(cmd.Env, "EDGE_OPERATOR="+operatorAddress, "EDGE_LISTEN_FD=3", "TMPDIR="+dir)
 	cmd.ExtraFiles = []*os.File{socket}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
-	p := &process{cmd, desk, stderr}
+	p := &process{cmd, operatorAddress, stderr}
 	for end := time.Now().Add(20 * time.Second); p.call("GET", "/_ready", "") != 200; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never ready; it said %q", stderr)
@@ -93,7 +93,7 @@
 // call returns the status of a call to the operators' address, 0 for none.
 func (p *process) call(method, path, body string) int {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	req, err := http.NewRequest(method, "http://"+p.desk+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+p.operatorAddress+path, strings.NewReader(body))
 	if err != nil {
 		return 0
 	}
@@ -109,7 +109,7 @@
 // No request is lost or meets a closed door, on kept connections and new ones, and
 // what is out by hand stays out.
 func TestUpgradeLosesNothing(t *testing.T) {
-	s := newSite(t)
+	s := newTestSite(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -120,13 +120,13 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	folder := t.TempDir()
-	old := s.start(t, socket, folder)
+	dir := t.TempDir()
+	old := s.start(t, socket, dir)
 
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var wg sync.WaitGroup
-	var asked, good, nextID atomic.Int64
+	var sent, served, nextID atomic.Int64
 	var problems sync.Map
 	for n := range 8 {
 		wg.Go(func() {
@@ -139,7 +139,7 @@
 					"X-Tier": "p", "X-Api-Key": "0000000000000001", "X-Time-Left-Ms": "2000", "X-Call-Terms": "units=1,spread=1,first=0"} {
 					req.Header.Set(k, v)
 				}
-				asked.Add(1)
+				sent.Add(1)
 				resp, err := client.Do(req)
 				if err != nil {
 					problems.Store(err.Error(), true)
@@ -151,42 +151,42 @@
 					problems.Store(fmt.Sprint(resp.Status, " ", err), true)
 					continue
 				}
-				good.Add(1)
+				served.Add(1)
 				time.Sleep(2 * time.Millisecond)
 			}
 		})
 	}
-	progress := func(what string) {
+	expectProgress := func(what string) {
 		t.Helper()
-		from := good.Load()
-		for end := time.Now().Add(20 * time.Second); good.Load() < from+200; time.Sleep(time.Millisecond) {
+		from := served.Load()
+		for end := time.Now().Add(20 * time.Second); served.Load() < from+200; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: only %d more answers", what, good.Load()-from)
+				t.Fatalf("%s: only %d more answers", what, served.Load()-from)
 			}
 		}
 	}
-	progress("the old process alone")
+	expectProgress("the old process alone")
 	if got := old.call("POST", "/_backends/detach", `{"id":"s1"}`); got != 200 {
 		t.Fatalf("out by hand: %d", got)
 	}
 	time.Sleep(50 * time.Millisecond) // what was on its way there has arrived
-	out := s.served[1].Load()
-	next := s.start(t, socket, folder)
-	progress("both")
+	sentBefore := s.served[1].Load()
+	next := s.start(t, socket, dir)
+	expectProgress("both")
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := old.Wait(); err != nil {
 		t.Errorf("the old process: %v, saying %q", err, old.stderr)
 	}
-	progress("the new process alone")
-	if n := s.served[1].Load() - out; n > 0 {
+	expectProgress("the new process alone")
+	if n := s.served[1].Load() - sentBefore; n > 0 {
 		t.Errorf("the backend that is out by hand got %d requests", n)
 	}
 	if got := next.call("POST", "/_backends/attach", `{"id":"s1"}`); got != 200 {
 		t.Errorf("in again: %d", got)
 	}
-	for end := time.Now().Add(20 * time.Second); s.served[1].Load() == out; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); s.served[1].Load() == sentBefore; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the backend that is back gets nothing")
 		}
@@ -194,15 +194,15 @@
 	stop()
 	wg.Wait()
 	problems.Range(func(what, _ any) bool { t.Error(what); return true })
-	if asked.Load() != good.Load() {
-		t.Errorf("%d of %d requests were served", good.Load(), asked.Load())
+	if sent.Load() != served.Load() {
+		t.Errorf("%d of %d requests were served", served.Load(), sent.Load())
 	}
 }
 
 // A descriptor that is none ends the start with one line that says so.
-func TestBadDescriptor(t *testing.T) {
+func TestInvalidDescriptor(t *testing.T) {
 	for _, fd := range []string{"x", "0", "77"} {
-		s := newSite(t)
+		s := newTestSite(t)
 		cmd, stderr := command(t, `{"name": "n0", "listen": "127.0.0.1:1", "discovery": "`+
 			strings.TrimPrefix(s.discovery.URL, "http://")+`", "seed": "1", "limits": {"cores": 1, "memory_mb": 64, "sockets": 512},
 			"settings": {"fleetSize": 1, "tickS": 0.002, "allowed": {"connectTimeoutS": 1, "keepaliveS": 15},
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -16,7 +16,7 @@
 	"elderyard/rules"
 )
 
-const patience = testpeer.Patience
+const testTimeout = testpeer.Patience
 
 type peer = testpeer.Peer
 
@@ -32,34 +32,34 @@
 }
 
 func newAttempt(timeout time.Duration) *attempt {
-	a := &attempt{backend: 1, until: time.Now().Add(timeout), x: &exchange{method: "POST", uri: "/booking/7?a=%2F",
+	a := &attempt{backend: 1, socketDeadline: time.Now().Add(timeout), exchange: &exchange{method: "POST", uri: "/booking/7?a=%2F",
 		host: "origin.svc", header: http.Header{idHeader: {"id-1"}}, body: []byte("pickup")}}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
 
-func poolFor(t *testing.T, address string) *pools {
-	p := newPools(patience, time.Minute, 8)
+func newTestPools(t *testing.T, address string) *pools {
+	p := newPools(testTimeout, time.Minute, 8)
 	p.update(1, address, 0)
 	t.Cleanup(func() { p.remove(1) })
 	return p
 }
 
-func start(p *pools, a *attempt) <-chan result {
+func startAttempt(p *pools, a *attempt) <-chan result {
 	done := make(chan result, 1)
-	go func() { done <- p.attempt(a) }()
+	go func() { done <- p.send(a) }()
 	return done
 }
 
 // What comes back decides whether a request may be sent again: each row is one
 // line of the protocol's table.
 func TestOutcomes(t *testing.T) {
-	long := strings.Repeat("x", inlineBody+1)
+	long := strings.Repeat("x", maxBufferedBody+1)
 	for _, c := range []struct {
 		name, reply string
 		want        rules.Outcome
 		body        string
-		kept        bool // the connection
+		reused      bool // the connection
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", rules.Served, "ok", true},
 		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", rules.Served, "ok", true},
@@ -78,7 +78,7 @@
 		{"an end told by the connection alone", "HTTP/1.1 200 OK\r\n\r\nok", rules.Served, "ok", false},
 		{"an error that ends so", "HTTP/1.1 500 No\r\n\r\nno", rules.Errored, "", false},
 		{"turned away in an answer that ends so", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\n", rules.Overloaded, "", false},
-		{"an end told by the bound alone", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", mostAnswer-100) + "\r\n\r\n" + long, rules.ConnectionLost, "", false},
+		{"an end told by the bound alone", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedResponse-100) + "\r\n\r\n" + long, rules.ConnectionLost, "", false},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", rules.ConnectionLost, "", false},
 		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", rules.ConnectionLost, "", false},
 		{"a bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", rules.ConnectionLost, "", false},
@@ -88,13 +88,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newPeer(t)
-			p := poolFor(t, backend.Address())
-			done := start(p, newAttempt(patience))
+			p := newTestPools(t, backend.Address())
+			done := startAttempt(p, newAttempt(testTimeout))
 			conn, r := backend.Accept(t)
 			readRequest(t, r)
 			go func() {
 				io.WriteString(conn, c.reply)
-				if !c.kept {
+				if !c.reused {
 					conn.(*net.TCPConn).CloseWrite()
 				}
 			}()
@@ -104,8 +104,8 @@
 			}
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			if kept := len(p.targets[1].idle) == 1 && p.open == 1; kept != c.kept {
-				t.Errorf("connection kept: %t, %d open", kept, p.open)
+			if reused := len(p.endpoints[1].idle) == 1 && p.openConns == 1; reused != c.reused {
+				t.Errorf("connection kept: %t, %d open", reused, p.openConns)
 			}
 		})
 	}
@@ -113,15 +113,15 @@
 
 func TestRequestUnchanged(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.Address())
-	a := newAttempt(patience)
-	a.x.header[keyHeader] = []string{"key-1"}
-	a.x.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, inlineBody/4)
-	done := start(p, a)
+	p := newTestPools(t, backend.Address())
+	a := newAttempt(testTimeout)
+	a.exchange.header[keyHeader] = []string{"key-1"}
+	a.exchange.body = bytes.Repeat([]byte{0, 255, '\r', '\n'}, maxBufferedBody/4)
+	done := startAttempt(p, a)
 	conn, r := backend.Accept(t)
 	req, body := readRequest(t, r)
-	if req.Method != "POST" || req.RequestURI != a.x.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.x.body) ||
-		req.Header.Get(idHeader) != "id-1" || req.Header.Get(keyHeader) != "key-1" || req.Header.Get(leftHeader) == "" {
+	if req.Method != "POST" || req.RequestURI != a.exchange.uri || req.Host != "origin.svc" || !bytes.Equal(body, a.exchange.body) ||
+		req.Header.Get(idHeader) != "id-1" || req.Header.Get(keyHeader) != "key-1" || req.Header.Get(timeLeftHeader) == "" {
 		t.Errorf("got %s %s with %d bytes and %v", req.Method, req.RequestURI, len(body), req.Header)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -130,14 +130,14 @@
 
 func TestNeverConnected(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.Address())
+	p := newTestPools(t, backend.Address())
 	backend.Listener.Close()
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed {
+	if got := p.send(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed {
 		t.Errorf("refused: outcome %d", got.outcome)
 	}
 	p.remove(1)
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed || p.open != 0 {
-		t.Errorf("not listed: outcome %d, %d open", got.outcome, p.open)
+	if got := p.send(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed || p.openConns != 0 {
+		t.Errorf("not listed: outcome %d, %d open", got.outcome, p.openConns)
 	}
 }
 
@@ -145,10 +145,10 @@
 // the wait, and the connection with it.
 func TestSilentBackend(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.Address())
-	got := p.attempt(newAttempt(50 * time.Millisecond))
-	if got.outcome != rules.TimedOut || p.open != 0 {
-		t.Errorf("outcome %d, %d open", got.outcome, p.open)
+	p := newTestPools(t, backend.Address())
+	got := p.send(newAttempt(50 * time.Millisecond))
+	if got.outcome != rules.TimedOut || p.openConns != 0 {
+		t.Errorf("outcome %d, %d open", got.outcome, p.openConns)
 	}
 	conn, r := backend.Accept(t)
 	readRequest(t, r)
@@ -159,30 +159,30 @@
 
 // After callOff has returned the request has its final answer, and not a byte
 // may leave for it: neither by a dial that comes up later, nor on a connection.
-func TestCalledOff(t *testing.T) {
+func TestAbortedAttempt(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.Address())
-	a := newAttempt(patience)
-	a.callOff()
+	p := newTestPools(t, backend.Address())
+	a := newAttempt(testTimeout)
+	a.abort()
 	a.ctx = context.Background() // as if the dial had come up all the same
-	p.attempt(a)
+	p.send(a)
 	conn, r := backend.Accept(t)
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("sent after the call-off: %v", err)
 	}
 	conn.Close()
 
-	a = newAttempt(patience)
-	done := start(p, a)
+	a = newAttempt(testTimeout)
+	done := startAttempt(p, a)
 	_, r = backend.Accept(t)
 	readRequest(t, r)
-	a.callOff()
+	a.abort()
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("the connection after the call-off: %v", err)
 	}
 	wait(t, done, "result")
-	if p.open != 0 {
-		t.Errorf("%d connections open", p.open)
+	if p.openConns != 0 {
+		t.Errorf("%d connections open", p.openConns)
 	}
 }
 
@@ -190,18 +190,18 @@
 // a reset and could not be sent again; so the socket is looked at first.
 func TestClosedIdleConnection(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.Address())
-	done := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.Address())
+	done := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.Accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	wait(t, done, "result")
 	conn.Close()
-	until := time.Now().Add(patience)
-	for idle := p.targets[1].idle[0]; sockets.Alive(idle.Conn) && time.Now().Before(until); {
+	until := time.Now().Add(testTimeout)
+	for idle := p.endpoints[1].idle[0]; sockets.Alive(idle.Conn) && time.Now().Before(until); {
 		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
 	}
-	done = start(p, newAttempt(patience))
+	done = startAttempt(p, newAttempt(testTimeout))
 	conn, r = backend.Accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -212,42 +212,42 @@
 
 // The process behind an old connection is gone once its backend has started
 // anew; a request written there is lost or in doubt.
-func TestNewLife(t *testing.T) {
-	backend, moved := newPeer(t), newPeer(t)
-	p := poolFor(t, backend.Address())
-	out := start(p, newAttempt(patience))
+func TestBackendRestart(t *testing.T) {
+	backend, elsewhere := newPeer(t), newPeer(t)
+	p := newTestPools(t, backend.Address())
+	inFlight := startAttempt(p, newAttempt(testTimeout))
 	_, r := backend.Accept(t)
 	readRequest(t, r)
 	p.update(1, backend.Address(), 5)
-	if got := wait(t, out, "result"); got.outcome != rules.ConnectionLost {
+	if got := wait(t, inFlight, "result"); got.outcome != rules.ConnectionLost {
 		t.Errorf("out at the old life: outcome %d", got.outcome)
 	}
-	for n, address := range []string{backend.Address(), moved.Address()} {
+	for n, address := range []string{backend.Address(), elsewhere.Address()} {
 		p.update(1, address, 5)
-		done := start(p, newAttempt(patience))
-		conn, r := []*peer{backend, moved}[n].Accept(t)
+		done := startAttempt(p, newAttempt(testTimeout))
+		conn, r := []*peer{backend, elsewhere}[n].Accept(t)
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-		if got := wait(t, done, "result"); got.outcome != rules.Served || p.open != 1 {
-			t.Errorf("new life %d: outcome %d, %d open", n, got.outcome, p.open)
+		if got := wait(t, done, "result"); got.outcome != rules.Served || p.openConns != 1 {
+			t.Errorf("new life %d: outcome %d, %d open", n, got.outcome, p.openConns)
 		}
 	}
 }
 
 // A second copy of an answer may follow the first a little later: no other
 // request may be sent there meanwhile, lest the copy be taken for its answer.
-func TestLateCopy(t *testing.T) {
+func TestSurplusResponse(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.Address())
-	done := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.Address())
+	done := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.Accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 	wait(t, done, "result")
 	p.mu.Lock()
-	p.targets[1].idle[0].idle = time.Now().Add(settleTime) // so that the next surely comes within it
+	p.endpoints[1].idle[0].idleSince = time.Now().Add(reuseDelay) // so that the next surely comes within it
 	p.mu.Unlock()
-	done = start(p, newAttempt(patience))
+	done = startAttempt(p, newAttempt(testTimeout))
 	other, r := backend.Accept(t)
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
@@ -260,17 +260,17 @@
 // A draining backend gets nothing new, but what it has it may finish.
 func TestDrain(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.Address())
-	out := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.Address())
+	inFlight := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.Accept(t)
 	readRequest(t, r)
 	p.remove(1)
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed {
+	if got := p.send(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed {
 		t.Errorf("new work: outcome %d", got.outcome)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if got := wait(t, out, "result"); got.outcome != rules.Served || p.open != 0 {
-		t.Errorf("work in hand: outcome %d, %d open", got.outcome, p.open)
+	if got := wait(t, inFlight, "result"); got.outcome != rules.Served || p.openConns != 0 {
+		t.Errorf("work in hand: outcome %d, %d open", got.outcome, p.openConns)
 	}
 }
 
@@ -278,8 +278,8 @@
 // costs its backend work.
 func TestReuseAfterOldDeadline(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.Address())
-	done := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.Address())
+	done := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.Accept(t)
 	for i := range 2 {
 		readRequest(t, r)
@@ -287,25 +287,25 @@
 		if got := wait(t, done, "result"); got.outcome != rules.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
-		p.targets[1].idle[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
+		p.endpoints[1].idle[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
 		if i == 0 {
-			time.Sleep(2 * settleTime)
-			done = start(p, newAttempt(patience))
+			time.Sleep(2 * reuseDelay)
+			done = startAttempt(p, newAttempt(testTimeout))
 		}
 	}
-	if len(backend.Conns) != 0 || p.open != 1 {
-		t.Errorf("%d more connections, %d open", len(backend.Conns), p.open)
+	if len(backend.Conns) != 0 || p.openConns != 1 {
+		t.Errorf("%d more connections, %d open", len(backend.Conns), p.openConns)
 	}
 }
 
-func TestIdleLimitAndMostOpen(t *testing.T) {
+func TestIdleLimitAndMaxOpen(t *testing.T) {
 	backend := newPeer(t)
-	p := poolFor(t, backend.Address())
-	p.mostOpen = 1
-	first := start(p, newAttempt(patience))
+	p := newTestPools(t, backend.Address())
+	p.maxOpen = 1
+	first := startAttempt(p, newAttempt(testTimeout))
 	conn, r := backend.Accept(t)
 	readRequest(t, r)
-	if got := p.attempt(newAttempt(patience)); got.outcome != rules.ConnectFailed {
+	if got := p.send(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed {
 		t.Errorf("past the most connections: outcome %d", got.outcome)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -313,40 +313,40 @@
 	// An idle connection elsewhere gives way to one that is needed.
 	other := newPeer(t)
 	p.update(2, other.Address(), 0)
-	a := newAttempt(patience)
+	a := newAttempt(testTimeout)
 	a.backend = 2
-	first = start(p, a)
+	first = startAttempt(p, a)
 	conn, r = other.Accept(t)
 	readRequest(t, r)
-	if len(p.targets[1].idle) != 0 || p.open != 1 {
-		t.Errorf("%d idle, %d open", len(p.targets[1].idle), p.open)
+	if len(p.endpoints[1].idle) != 0 || p.openConns != 1 {
+		t.Errorf("%d idle, %d open", len(p.endpoints[1].idle), p.openConns)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	wait(t, first, "result")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closeOldest(p.targets[2], time.Now().Add(-time.Hour)); p.open != 1 {
+	if p.closeIdleBefore(p.endpoints[2], time.Now().Add(-time.Hour)); p.openConns != 1 {
 		t.Errorf("a fresh connection was closed")
 	}
-	if p.closeOldest(p.targets[2], time.Now().Add(time.Hour)); p.open != 0 || len(p.targets[2].idle) != 0 {
-		t.Errorf("%d open after the idle limit", p.open)
+	if p.closeIdleBefore(p.endpoints[2], time.Now().Add(time.Hour)); p.openConns != 0 || len(p.endpoints[2].idle) != 0 {
+		t.Errorf("%d open after the idle limit", p.openConns)
 	}
 }
 
 // Of the idle connections, those that have rested are counted, however many
 // have not.
-func TestSettledConnections(t *testing.T) {
+func TestReusableConnections(t *testing.T) {
 	now := time.Now()
-	for _, k := range []struct{ rested, fresh int }{{0, 0}, {0, 3}, {3, 0}, {2, 5}} {
-		var h target
-		for i := range k.rested {
-			h.idle = append(h.idle, &backendConn{idle: now.Add(-settleTime - time.Duration(k.rested-i))})
+	for _, counts := range []struct{ reusable, recent int }{{0, 0}, {0, 3}, {3, 0}, {2, 5}} {
+		var target endpoint
+		for i := range counts.reusable {
+			target.idle = append(target.idle, &backendConn{idleSince: now.Add(-reuseDelay - time.Duration(counts.reusable-i))})
 		}
-		for i := range k.fresh {
-			h.idle = append(h.idle, &backendConn{idle: now.Add(-settleTime + time.Duration(i+1))})
+		for i := range counts.recent {
+			target.idle = append(target.idle, &backendConn{idleSince: now.Add(-reuseDelay + time.Duration(i+1))})
 		}
-		if got := h.settled(now); got != k.rested {
-			t.Errorf("%+v: %d", k, got)
+		if got := target.reusable(now); got != counts.reusable {
+			t.Errorf("%+v: %d", counts, got)
 		}
 	}
 }
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -22,88 +22,88 @@
 //
 // It also sees a client leave behind what that sent ahead, and is closed for being
 // idle only where no request has begun on it.
-type guard struct {
+type clientConn struct {
 	*net.TCPConn
-	tainted atomic.Bool
-	turn    atomic.Int32 // whose turn it is to speak
-	over    atomic.Bool  // the client's end was seen while it was the gateway's turn
+	ambiguous  atomic.Bool
+	phase      atomic.Int32 // whose turn it is to speak
+	peerClosed atomic.Bool  // the client's end was seen while it was the gateway's turn
 
-	mu    sync.Mutex
-	begun bool // something has come since the last answer
-	shut  bool // closed as idle: what is read now is nobody's
+	mu             sync.Mutex
+	requestStarted bool // something has come since the last answer
+	closedAsIdle   bool // closed as idle: what is read now is nobody's
 
-	ahead []byte // came behind the request that is being answered; the reader's own
+	pipelined []byte // came behind the request that is being answered; the reader's own
 
 	// The reader's own. After a chunked request it looks no further: the connection ends with its answer.
-	done    bool
-	body    int64 // bytes of it still to come
-	lengths int   // Content-Length lines of the head
-	chunked bool  // it has a Transfer-Encoding
-	folded  bool  // a line of either kind may go on in the next
-	part    linePart
-	name    [mostGuarded]byte // what came of the line's name, in lower case
-	named   int
-	kind    guardedLine
-	length  int64
-	digits  int
-	ended   bool // the digits have
+	scanDone     bool
+	bodyLeft     int64 // bytes of it still to come
+	lengthLines  int   // Content-Length lines of the head
+	chunked      bool  // it has a Transfer-Encoding
+	foldable     bool  // a line of either kind may go on in the next
+	state        scanState
+	name         [maxNameLength]byte // what came of the line's name, in lower case
+	nameLength   int
+	line         headerLine
+	length       int64
+	lengthDigits int
+	lengthEnded  bool // the digits have
 }
 
-type linePart int
+type scanState int
 
 const (
-	lineStart linePart = iota
+	lineStart scanState = iota
 	lineName
 	lineValue
 )
 
-type guardedLine int
+type headerLine int
 
 const (
-	otherLine guardedLine = iota
+	otherLine headerLine = iota
 	lengthLine
 	encodingLine
 )
 
 const (
-	mostGuarded  = len("transfer-encoding") + 1
-	mostDigits   = 15 // of a length
-	lengthName   = "content-length"
-	encodingName = "transfer-encoding"
+	maxNameLength   = len("transfer-encoding") + 1
+	maxLengthDigits = 15 // of a length
+	lengthName      = "content-length"
+	encodingName    = "transfer-encoding"
 )
 
 // Whose turn it is on a client's connection.
 const (
-	clientsTurn  int32 = iota
-	gatewaysTurn       // a request has come and has no answer yet
-	answersTurn        // its answer is on its way
+	awaitingRequest int32 = iota
+	requestOpen           // a request has come and has no answer yet
+	responding            // its answer is on its way
 )
 
-const mostAhead = 4 << 10 // bytes that a client may send behind an open request
+const maxPipelined = 4 << 10 // bytes that a client may send behind an open request
 
-var errAhead = errors.New("the client sends on and waits for no answer")
+var errPipelined = errors.New("the client sends on and waits for no answer")
 
 // Read is called by the server alone. While a request is answered the server asks for
 // one byte, to see the client leave.
-func (g *guard) Read(p []byte) (int, error) {
-	if len(p) == 1 && g.turn.Load() != clientsTurn {
-		return g.watch(p)
+func (cc *clientConn) Read(p []byte) (int, error) {
+	if len(p) == 1 && cc.phase.Load() != awaitingRequest {
+		return cc.watchForClose(p)
 	}
 	var n int
 	var err error
-	if len(g.ahead) > 0 {
-		if n = copy(p, g.ahead); n == len(g.ahead) {
-			g.ahead = nil
+	if len(cc.pipelined) > 0 {
+		if n = copy(p, cc.pipelined); n == len(cc.pipelined) {
+			cc.pipelined = nil
 		} else {
-			g.ahead = g.ahead[n:]
+			cc.pipelined = cc.pipelined[n:]
 		}
 	} else {
-		n, err = g.TCPConn.Read(p)
+		n, err = cc.TCPConn.Read(p)
 	}
-	if n > 0 && !g.begin() {
+	if n > 0 && !cc.markStarted() {
 		return 0, net.ErrClosed
 	}
-	g.look(p[:n])
+	cc.scan(p[:n])
 	return n, err
 }
 
@@ -111,93 +111,95 @@
 // behind its request the end of a client would go unseen, by end or reset alike, and work
 // would be sent on for nobody. A client that sends on without an answer is taken for
 // gone: its end might stand behind any number of bytes. One that has its answer may.
-func (g *guard) watch(p []byte) (int, error) {
-	n, err := g.TCPConn.Read(p)
-	g.ahead = append(g.ahead, p[:n]...)
+func (cc *clientConn) watchForClose(p []byte) (int, error) {
+	n, err := cc.TCPConn.Read(p)
+	cc.pipelined = append(cc.pipelined, p[:n]...)
 	for err == nil {
-		room := mostAhead - len(g.ahead)
+		space := maxPipelined - len(cc.pipelined)
 		switch {
-		case room > 0:
-			g.ahead = slices.Grow(g.ahead, room)
-			n, err = g.TCPConn.Read(g.ahead[len(g.ahead) : len(g.ahead)+room])
-			g.ahead = g.ahead[:len(g.ahead)+n]
-		case g.turn.Load() == answersTurn:
-			p[0], g.ahead = g.ahead[0], g.ahead[1:]
-			g.look(p)
+		case space > 0:
+			cc.pipelined = slices.Grow(cc.pipelined, space)
+			n, err = cc.TCPConn.Read(cc.pipelined[len(cc.pipelined) : len(cc.pipelined)+space])
+			cc.pipelined = cc.pipelined[:len(cc.pipelined)+n]
+		case cc.phase.Load() == responding:
+			p[0], cc.pipelined = cc.pipelined[0], cc.pipelined[1:]
+			cc.scan(p)
 			return 1, nil
 		default:
-			g.over.Store(true)
-			return 0, errAhead
+			cc.peerClosed.Store(true)
+			return 0, errPipelined
 		}
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) { // with that the server ends the watch
-		g.over.Store(true)
+		cc.peerClosed.Store(true)
 	}
 	return 0, err
 }
 
 // deserted looks, without waiting, whether the client has gone.
-func (g *guard) deserted() bool { return g.over.Load() || sockets.PeerClosed(g.TCPConn) }
+func (cc *clientConn) clientDisconnected() bool {
+	return cc.peerClosed.Load() || sockets.PeerClosed(cc.TCPConn)
+}
 
 // begin notes that something has come. It tells whether the connection still stands.
-func (g *guard) begin() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.begun = true
-	return !g.shut
+func (cc *clientConn) markStarted() bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.requestStarted = true
+	return !cc.closedAsIdle
 }
 
 // follow takes in what the server does with the connection. What came ahead of an
 // answer is the next request.
-func (g *guard) follow(s http.ConnState) {
-	switch s {
+func (cc *clientConn) onStateChange(state http.ConnState) {
+	switch state {
 	case http.StateActive:
-		g.turn.Store(gatewaysTurn)
+		cc.phase.Store(requestOpen)
 	case http.StateIdle:
-		g.turn.Store(clientsTurn)
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		g.begun = len(g.ahead) > 0
+		cc.phase.Store(awaitingRequest)
+		cc.mu.Lock()
+		defer cc.mu.Unlock()
+		cc.requestStarted = len(cc.pipelined) > 0
 	}
 }
 
 // answering notes that the request's answer is on its way.
-func (g *guard) answering() { g.turn.Store(answersTurn) }
+func (cc *clientConn) markResponding() { cc.phase.Store(responding) }
 
 // closeIdle closes the connection, unless a request has begun on it, read or not. Danger:
 // the server takes a request for begun only when it has read its head. Closed in
 // between, the request would still be carried out and its answer reach nobody.
-func (g *guard) closeIdle() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.begun || !sockets.Alive(g.TCPConn) {
+func (cc *clientConn) closeIfIdle() bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.requestStarted || !sockets.Alive(cc.TCPConn) {
 		return false
 	}
-	g.shut = true
-	g.Close()
+	cc.closedAsIdle = true
+	cc.Close()
 	return true
 }
 
 // look follows what was read, in order.
-func (g *guard) look(p []byte) {
-	for len(p) > 0 && !g.done {
-		if g.body > 0 {
-			n := min(g.body, int64(len(p)))
-			g.body -= n
+func (cc *clientConn) scan(p []byte) {
+	for len(p) > 0 && !cc.scanDone {
+		if cc.bodyLeft > 0 {
+			n := min(cc.bodyLeft, int64(len(p)))
+			cc.bodyLeft -= n
 			p = p[n:]
 			continue
 		}
-		p = p[g.line(p):]
+		p = p[cc.scanLine(p):]
 	}
 }
 
 // line takes in bytes of a head, to the end of the present line at most, and
 // returns how many.
-func (g *guard) line(p []byte) int {
+func (cc *clientConn) scanLine(p []byte) int {
 	for i := 0; i < len(p); i++ {
 		b := p[i]
 		switch {
-		case g.part == lineValue && g.kind == otherLine && b != '\n':
+		case cc.state == lineValue && cc.line == otherLine && b != '\n':
 			// Nothing of such a line matters but its end: most of all bytes are passed over here.
 			end := bytes.IndexByte(p[i:], '\n')
 			if end < 0 {
@@ -205,35 +207,35 @@
 			}
 			i += end - 1
 		case b == '\n':
-			if g.part == lineStart || g.part == lineName && g.named == 0 {
-				g.headEnd()
+			if cc.state == lineStart || cc.state == lineName && cc.nameLength == 0 {
+				cc.endHead()
 			} else {
-				g.lineEnd()
+				cc.endLine()
 			}
 			return i + 1
-		case g.part == lineStart && (b == ' ' || b == '\t'):
+		case cc.state == lineStart && (b == ' ' || b == '\t'):
 			// The line before goes on here.
-			g.part, g.kind = lineValue, otherLine
-			if g.folded {
-				g.taint()
+			cc.state, cc.line = lineValue, otherLine
+			if cc.foldable {
+				cc.markAmbiguous()
 			}
-		case g.part == lineStart && b == '\r':
-		case g.part == lineStart && b|0x20 != 'c' && b|0x20 != 't':
-			g.part, g.kind = lineValue, otherLine // neither of the two kinds begins so
-		case g.part == lineStart, g.part == lineName && b != ':':
-			g.part = lineName
-			if g.named < mostGuarded {
+		case cc.state == lineStart && b == '\r':
+		case cc.state == lineStart && b|0x20 != 'c' && b|0x20 != 't':
+			cc.state, cc.line = lineValue, otherLine // neither of the two kinds begins so
+		case cc.state == lineStart, cc.state == lineName && b != ':':
+			cc.state = lineName
+			if cc.nameLength < maxNameLength {
 				if 'A' <= b && b <= 'Z' {
 					b += 'a' - 'A'
 				}
-				g.name[g.named] = b
-				g.named++
+				cc.name[cc.nameLength] = b
+				cc.nameLength++
 			}
-		case g.part == lineName:
-			g.part = lineValue
-			g.kind = kindOf(string(g.name[:g.named]))
-		case g.kind == lengthLine:
-			g.digit(b)
+		case cc.state == lineName:
+			cc.state = lineValue
+			cc.line = headerLineOf(string(cc.name[:cc.nameLength]))
+		case cc.line == lengthLine:
+			cc.scanDigit(b)
 		}
 	}
 	return len(p)
@@ -241,7 +243,7 @@
 
 // kindOf tells a line by its name. One with blanks about it is refused by
 // net/http, but must not be missed here.
-func kindOf(name string) guardedLine {
+func headerLineOf(name string) headerLine {
 	switch strings.TrimRight(name, " \t") {
 	case lengthName:
 		return lengthLine
@@ -251,44 +253,44 @@
 	return otherLine
 }
 
-func (g *guard) digit(b byte) {
+func (cc *clientConn) scanDigit(b byte) {
 	switch {
-	case '0' <= b && b <= '9' && !g.ended && g.digits < mostDigits:
-		g.length = g.length*10 + int64(b-'0')
-		g.digits++
+	case '0' <= b && b <= '9' && !cc.lengthEnded && cc.lengthDigits < maxLengthDigits:
+		cc.length = cc.length*10 + int64(b-'0')
+		cc.lengthDigits++
 	case b == ' ' || b == '\t' || b == '\r':
-		g.ended = g.digits > 0
+		cc.lengthEnded = cc.lengthDigits > 0
 	default:
-		g.taint()
+		cc.markAmbiguous()
 	}
 }
 
-func (g *guard) lineEnd() {
-	g.folded = g.kind != otherLine
-	switch g.kind {
+func (cc *clientConn) endLine() {
+	cc.foldable = cc.line != otherLine
+	switch cc.line {
 	case lengthLine:
-		if g.lengths++; g.lengths > 1 || g.digits == 0 {
-			g.taint()
+		if cc.lengthLines++; cc.lengthLines > 1 || cc.lengthDigits == 0 {
+			cc.markAmbiguous()
 		}
 	case encodingLine:
-		g.chunked = true
+		cc.chunked = true
 	}
-	g.part, g.named, g.kind, g.ended = lineStart, 0, otherLine, false
+	cc.state, cc.nameLength, cc.line, cc.lengthEnded = lineStart, 0, otherLine, false
 }
 
-func (g *guard) headEnd() {
-	if g.chunked && g.lengths > 0 {
-		g.taint()
+func (cc *clientConn) endHead() {
+	if cc.chunked && cc.lengthLines > 0 {
+		cc.markAmbiguous()
 	}
-	if g.chunked {
-		g.done = true
+	if cc.chunked {
+		cc.scanDone = true
 	}
-	g.body = g.length
-	g.lengths, g.length, g.digits, g.chunked, g.folded = 0, 0, 0, false, false
-	g.part, g.named, g.kind, g.ended = lineStart, 0, otherLine, false
+	cc.bodyLeft = cc.length
+	cc.lengthLines, cc.length, cc.lengthDigits, cc.chunked, cc.foldable = 0, 0, 0, false, false
+	cc.state, cc.nameLength, cc.line, cc.lengthEnded = lineStart, 0, otherLine, false
 }
 
-func (g *guard) taint() {
-	g.tainted.Store(true)
-	g.done = true
+func (cc *clientConn) markAmbiguous() {
+	cc.ambiguous.Store(true)
+	cc.scanDone = true
 }
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -10,20 +10,20 @@
 )
 
 // look feeds the guard in pieces of n bytes.
-func look(text string, n int) *guard {
-	g := &guard{}
+func scanInPieces(text string, n int) *clientConn {
+	cc := &clientConn{}
 	for p := []byte(text); len(p) > 0; p = p[min(n, len(p)):] {
-		g.look(p[:min(n, len(p))])
+		cc.scan(p[:min(n, len(p))])
 	}
-	return g
+	return cc
 }
 
 // Whatever hides a request is seen however the bytes are cut, and nothing else is.
-func TestGuard(t *testing.T) {
+func TestAmbiguousFraming(t *testing.T) {
 	const start = "POST /a HTTP/1.1\r\nHost: h\r\n"
 	for _, c := range []struct {
 		name, text string
-		tainted    bool
+		ambiguous  bool
 	}{
 		{"a length", start + "Content-Length: 3\r\n\r\nabc" + start + "Content-Length: 2\r\n\r\nab", false},
 		{"chunks", start + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", false},
@@ -48,11 +48,11 @@
 		{"longer names", start + "X-Content-Length: x\r\nTransfer-Encodings: x\r\nContent-Lengths: x\r\n\r\n", false},
 	} {
 		if strings.HasPrefix(c.name, "behind a body") {
-			c.tainted = false // 29 bytes: the head's like is body, and what follows has a length alone
+			c.ambiguous = false // 29 bytes: the head's like is body, and what follows has a length alone
 		}
 		for _, n := range []int{1, 2, 7, len(c.text)} {
-			if g := look(c.text, n); g.tainted.Load() != c.tainted {
-				t.Errorf("%s, cut into %d: tainted %t", c.name, n, !c.tainted)
+			if cc := scanInPieces(c.text, n); cc.ambiguous.Load() != c.ambiguous {
+				t.Errorf("%s, cut into %d: tainted %t", c.name, n, !c.ambiguous)
 			}
 		}
 	}
@@ -60,13 +60,13 @@
 
 // FuzzGuard holds the guard to net/http's reading: whatever net/http takes for a
 // request with chunks, the raw head of which has a length too, is tainted.
-func FuzzGuard(f *testing.F) {
+func FuzzAmbiguousFraming(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\nHost: h\n\nPOST / HTTP/1.1\nHost: h\nContent-Length:1\ntransfer-encoding:\tchunked\n\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		g := &guard{}
-		g.look(text)
+		cc := &clientConn{}
+		cc.scan(text)
 		raw := bytes.NewReader(text)
 		r := bufio.NewReader(raw)
 		for {
@@ -78,7 +78,7 @@
 			head := text[from : len(text)-raw.Len()-r.Buffered()]
 			if len(req.TransferEncoding) > 0 {
 				for line := range bytes.Lines(head) {
-					if name, _, _ := bytes.Cut(line, []byte(":")); strings.EqualFold(string(name), lengthName) && !g.tainted.Load() {
+					if name, _, _ := bytes.Cut(line, []byte(":")); strings.EqualFold(string(name), lengthName) && !cc.ambiguous.Load() {
 						t.Fatalf("not seen in %q", head)
 					}
 				}
--- a/internal/gateway/disconnect_linux_test.go
+++ b/internal/gateway/disconnect_linux_test.go
@@ -16,7 +16,7 @@
 )
 
 // clientExits are the ways in which a client closes its connection.
-var clientExits = map[string]func(*net.TCPConn){
+var disconnects = map[string]func(*net.TCPConn){
 	"half close": func(c *net.TCPConn) { c.CloseWrite() },
 	"close":      func(c *net.TCPConn) { c.Close() },
 	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -25,31 +25,31 @@
 // startHeldServer serves requests for l as frontend does, except that the turn of the loop
 // in which a request arrives lasts until the returned function is called: no timer is due
 // and nothing else is taken in before. Each request is sent to arrived.
-func startHeldServer(t *testing.T, l *Loop, arrived chan<- *exchange) (address string, release func()) {
+func startBlockedServer(t *testing.T, l *Loop, arrived chan<- *exchange) (address string, release func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := make(chan struct{})
-	release = sync.OnceFunc(func() { close(held) })
-	callers := newClients(listener, 8)
-	server := (&frontend{}).server(callers, patience)
+	blocked := make(chan struct{})
+	release = sync.OnceFunc(func() { close(blocked) })
+	callers := newClientListener(listener, 8)
+	server := (&frontend{}).server(callers, testTimeout)
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		http.NewResponseController(w).SetReadDeadline(time.Time{})
-		x := newExchange(l, r.Header.Get(idHeader), "lookup")
-		x.method, x.conn = http.MethodGet, guardOf(r)
-		l.Post(step(func() {
-			l.arrive(x)
-			arrived <- x
-			<-held
+		ex := newExchange(l, r.Header.Get(idHeader), "lookup")
+		ex.method, ex.conn = http.MethodGet, clientConnOf(r)
+		l.Post(loopFunc(func() {
+			l.accept(ex)
+			arrived <- ex
+			<-blocked
 		}))
 		select {
-		case a := <-x.reply:
+		case a := <-ex.reply:
 			a.write(w)
 		case <-r.Context().Done():
-			l.Post(clientGone{l, x})
-			gone(w)
+			l.Post(clientDisconnected{l, ex})
+			respondDisconnected(w)
 		case <-l.Stopped():
 		}
 	})
@@ -69,7 +69,7 @@
 		return c
 	case c := <-other.Conns:
 		return c
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no connection came")
 		return nil
 	}
@@ -79,42 +79,42 @@
 // coming up; a retry, as its first one was turned away; a second copy, as its timer is due
 // in the turn before the client's leaving is taken in. The server's read has seen the close
 // before the trigger, and the loop, held, has not: no byte reaches a backend.
-func TestClientLeavesAsAnAttemptBegins(t *testing.T) {
+func TestDisconnectAsAttemptStarts(t *testing.T) {
 	t.Parallel()
-	const notRun = "HTTP/1.1 503 X\r\n" + notRunHeader + ": 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	const notRun = "HTTP/1.1 503 X\r\n" + unprocessedHeader + ": 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	const served = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	for _, attempt := range []string{"first", "retry", "second copy"} {
-		for name, leave := range clientExits {
+		for name, disconnect := range disconnects {
 			t.Run(attempt+", "+name, func(t *testing.T) {
 				t.Parallel()
 				one, other := newPeer(t), newPeer(t)
 				mayDuplicate := fmt.Sprintf(`"cancel": true, "mayDuplicate": %t`, attempt == "second copy")
-				l, g := newGatedLoop(t, strings.Replace(testpeer.Settings, `"cancel": true`, mayDuplicate, 1), one)
+				l, g := newLoopWithDialGate(t, strings.Replace(testpeer.Settings, `"cancel": true`, mayDuplicate, 1), one)
 				// The module's measure of latency comes from this request alone.
 				began := time.Now()
 				earlier := newExchange(l, "earlier", "lookup")
-				l.Post(arrival{l, earlier})
-				wait(t, g.asked, "dial of the earlier request")
-				g.open <- struct{}{}
+				l.Post(requestArrived{l, earlier})
+				wait(t, g.dialing, "dial of the earlier request")
+				g.release <- struct{}{}
 				conn, br := one.Accept(t)
 				readRequest(t, br)
 				io.WriteString(conn, served)
 				wait(t, earlier.reply, "answer to the earlier request")
-				copyAfter := 3 * time.Since(began) // its mean deviation counts as half, four times
-				do(t, l, func() { l.list(listing(true, "Ready", one, other), 0) })
+				hedgeAfter := 3 * time.Since(began) // its mean deviation counts as half, four times
+				runInLoop(t, l, func() { l.applyListing(newListing(true, "Ready", one, other), 0) })
 
 				arrived := make(chan *exchange, 1)
-				address, release := startHeldServer(t, l, arrived)
+				address, release := startBlockedServer(t, l, arrived)
 				client, err := net.Dial("tcp", address)
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer client.Close()
-				io.WriteString(client, ask("GET", "lookup", ""))
-				x := wait(t, arrived, "request")
-				wait(t, g.asked, "dial of the first attempt")
+				io.WriteString(client, requestText("GET", "lookup", ""))
+				ex := wait(t, arrived, "request")
+				wait(t, g.dialing, "dial of the first attempt")
 				if attempt != "first" {
-					g.open <- struct{}{}
+					g.release <- struct{}{}
 					conn := acceptEither(t, one, other)
 					readRequest(t, bufio.NewReader(conn))
 					if attempt == "retry" {
@@ -125,36 +125,36 @@
 				next, nextHeld := make(chan struct{}), make(chan struct{}) // the turn before the leaving
 				releaseNext := sync.OnceFunc(func() { close(nextHeld) })
 				t.Cleanup(releaseNext)
-				l.Post(step(func() { close(next); <-nextHeld }))
+				l.Post(loopFunc(func() { close(next); <-nextHeld }))
 
-				leave(client.(*net.TCPConn))
-				for end := time.Now().Add(patience); !x.conn.over.Load(); time.Sleep(time.Millisecond) {
+				disconnect(client.(*net.TCPConn))
+				for end := time.Now().Add(testTimeout); !ex.conn.peerClosed.Load(); time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
 						t.Fatal("the client was not seen to leave")
 					}
 				}
 				if attempt == "second copy" {
-					time.Sleep(copyAfter) // the timer is what is tested
+					time.Sleep(hedgeAfter) // the timer is what is tested
 				}
 				if attempt != "first" {
 					release()
 					wait(t, next, "turn before the leaving")
-					wait(t, g.asked, "dial of the further attempt")
+					wait(t, g.dialing, "dial of the further attempt")
 				}
-				g.open <- struct{}{}
+				g.release <- struct{}{}
 				if got, err := io.ReadAll(acceptEither(t, one, other)); len(got) > 0 {
 					t.Errorf("a backend got %q, %v", got, err)
 				}
 				release()
 				releaseNext()
-				for over := false; !over; {
-					do(t, l, func() { over = len(l.live) == 0 })
+				for done := false; !done; {
+					runInLoop(t, l, func() { done = len(l.exchanges) == 0 })
 				}
 				want := 2
 				if attempt == "first" {
 					want = 1
 				}
-				if n := len(x.attempts); n != want {
+				if n := len(ex.attempts); n != want {
 					t.Errorf("%d attempts, want %d", n, want)
 				}
 			})
@@ -165,22 +165,22 @@
 // A client closes behind a body that is still unread, as its request waits for units: nothing
 // reads from the connection then. The request isn't sent on once its units are granted, and
 // its connection ends.
-func TestClientLeavesBehindAnUnreadBody(t *testing.T) {
+func TestDisconnectBehindUnreadBody(t *testing.T) {
 	t.Parallel()
 	body := strings.Repeat("x", 100_000)
 	for name, framing := range map[string]string{
 		"whole":             fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
 		"half":              fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(body), body),
-		"half, none unread": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(body), body[:inlineBody+1]),
+		"half, none unread": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(body), body[:maxBufferedBody+1]),
 		"whole in chunks":   fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend, counter := newPeer(t), newPeer(t)
-			r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.Address()+`"`,
+			gw := startGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.Address()+`"`,
 				`"pays": 1}`, `"pays": 1, "unitsPerS": 5, "depth": 20}`,
 				`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`).Replace, backend)
-			client, _ := r.client(t, strings.TrimSuffix(ask("POST", "payment", ""), "\r\n")+framing)
+			client, _ := gw.send(t, strings.TrimSuffix(requestText("POST", "payment", ""), "\r\n")+framing)
 			calls, cr := counter.Accept(t)
 			readRequest(t, cr)
 			client.(*net.TCPConn).CloseWrite()
@@ -189,7 +189,7 @@
 			if _, err := io.Copy(io.Discard, client); isTimeout(err) {
 				t.Error("the connection stays")
 			}
-			_, answers := r.client(t, ask("GET", "lookup", "", "X-Last", "1"))
+			_, responses := gw.send(t, requestText("GET", "lookup", "", "X-Last", "1"))
 			for {
 				conn, br := backend.Accept(t)
 				req, err := http.ReadRequest(br)
@@ -205,7 +205,7 @@
 				total(conn, 200, "ok")
 				break
 			}
-			if resp := wait(t, answers, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := wait(t, responses, "answer"); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d", resp.StatusCode)
 			}
 		})
@@ -223,7 +223,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		var info [4]byte
 		var fault error
 		if err := raw.Control(func(fd uintptr) {
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -15,25 +15,25 @@
 )
 
 // forLong has no attempt end by itself while a test waits.
-var forLong = strings.NewReplacer(`"objectiveS": 10, "deadlineS": 20`, `"objectiveS": 100, "deadlineS": 200`).Replace
+var longDeadlines = strings.NewReplacer(`"objectiveS": 10, "deadlineS": 20`, `"objectiveS": 100, "deadlineS": 200`).Replace
 
 // A client that leaves while its request is out has it called off, however it leaves
 // and whatever it sent behind the request.
-func TestClientLeavesBehindWhatItSentAhead(t *testing.T) {
+func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	t.Parallel()
-	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "a request": ask("GET", "lookup", ""),
-		"many requests": strings.Repeat(ask("GET", "lookup", ""), 400)} {
+	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "a request": requestText("GET", "lookup", ""),
+		"many requests": strings.Repeat(requestText("GET", "lookup", ""), 400)} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, reset := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, %s, reset %t", name, method, reset), func(t *testing.T) {
 					t.Parallel()
 					backend := newPeer(t)
-					r := newRigWith(t, forLong, backend)
-					text := ask("GET", "lookup", "", leftHeader, "150000")
+					gw := startGatewayWith(t, longDeadlines, backend)
+					text := requestText("GET", "lookup", "", timeLeftHeader, "150000")
 					if method == "POST" {
-						text = ask("POST", "booking", "pickup", leftHeader, "150000")
+						text = requestText("POST", "booking", "pickup", timeLeftHeader, "150000")
 					}
-					conn, _ := r.client(t, text)
+					conn, _ := gw.send(t, text)
 					_, br := backend.Accept(t)
 					readRequest(t, br)
 					io.WriteString(conn, behind) // what can't be taken is cut off here already
@@ -56,18 +56,18 @@
 // Of what a client sent before it ended its sending nothing goes on once that was seen,
 // and no answer comes that no backend made. Its first request waits for units here: the
 // counter has not answered.
-func TestNothingGoesOnForAClientThatHasLeft(t *testing.T) {
+func TestNothingForwardedAfterDisconnect(t *testing.T) {
 	t.Parallel()
-	for name, text := range map[string]string{"GET": ask("GET", "lookup", ""), "POST": ask("POST", "booking", "pickup"),
-		"GET and more":  ask("GET", "lookup", "") + ask("GET", "lookup", "") + ask("GET", "lookup", ""),
-		"POST and more": ask("POST", "booking", "pickup") + ask("POST", "booking", "pickup") + "GET "} {
+	for name, text := range map[string]string{"GET": requestText("GET", "lookup", ""), "POST": requestText("POST", "booking", "pickup"),
+		"GET and more":  requestText("GET", "lookup", "") + requestText("GET", "lookup", "") + requestText("GET", "lookup", ""),
+		"POST and more": requestText("POST", "booking", "pickup") + requestText("POST", "booking", "pickup") + "GET "} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend, counter := newPeer(t), newPeer(t)
-			r := newRigWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.Address()+`"`,
+			gw := startGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.Address()+`"`,
 				`"pays": 1}`, `"pays": 1, "unitsPerS": 5, "depth": 20}`,
 				`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`).Replace, backend)
-			conn, err := net.Dial("tcp", r.address)
+			conn, err := net.Dial("tcp", gw.address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -88,13 +88,13 @@
 				io.Copy(io.Discard, resp.Body)
 			}
 			total(calls, 200, "12")
-			_, answers := r.client(t, ask("GET", "lookup", "", "X-Last", "1")) // after all that could still go on
+			_, responses := gw.send(t, requestText("GET", "lookup", "", "X-Last", "1")) // after all that could still go on
 			bc, bbr := backend.Accept(t)
 			if req, _ := readRequest(t, bbr); req.Header.Get("X-Last") == "" {
 				t.Error("a request was sent on after its client had left")
 			}
 			total(bc, 200, "ok")
-			wait(t, answers, "answer")
+			wait(t, responses, "answer")
 			if n := len(backend.Conns); n > 0 {
 				t.Errorf("%d more connections to the backend", n)
 			}
@@ -103,10 +103,10 @@
 }
 
 // A client may have been seen to leave before its request is handed over.
-func TestLeftBeforeItsRequestWasTaken(t *testing.T) {
+func TestDisconnectBeforeRequestIsAccepted(t *testing.T) {
 	t.Parallel()
-	l, _ := newGatedLoop(t, testpeer.Settings, newPeer(t))
-	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(ask("GET", "lookup", ""))))
+	l, _ := newLoopWithDialGate(t, testpeer.Settings, newPeer(t))
+	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("GET", "lookup", ""))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,47 +114,47 @@
 	left()
 	w := httptest.NewRecorder()
 	(&frontend{loop: l, deploy: l.deploy}).ServeHTTP(w, r.WithContext(ctx))
-	do(t, l, func() {
-		if w.Code != http.StatusBadRequest || len(l.ids.now) > 0 {
-			t.Errorf("status %d, %d requests taken", w.Code, len(l.ids.now))
+	runInLoop(t, l, func() {
+		if w.Code != http.StatusBadRequest || len(l.recentIDs.current) > 0 {
+			t.Errorf("status %d, %d requests taken", w.Code, len(l.recentIDs.current))
 		}
 	})
 }
 
 // guarded is a client's connection, and its guard with no server behind it.
-func guarded(t *testing.T) (client net.Conn, g *guard) {
+func newTestClientConn(t *testing.T) (client net.Conn, cc *clientConn) {
 	t.Helper()
-	far := newPeer(t)
-	client, err := net.Dial("tcp", far.Address())
+	listener := newPeer(t)
+	client, err := net.Dial("tcp", listener.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	near, _ := far.Accept(t)
-	return client, &guard{TCPConn: near.(*net.TCPConn)}
+	server, _ := listener.Accept(t)
+	return client, &clientConn{TCPConn: server.(*net.TCPConn)}
 }
 
 // What a client sends right behind an answer that it is just getting is its next request.
-func TestNextRequestBesideTheAnswer(t *testing.T) {
+func TestPipelinedRequestDuringResponse(t *testing.T) {
 	t.Parallel()
-	client, g := guarded(t)
-	g.follow(http.StateActive)
-	g.answering()
-	next := ask("POST", "booking", strings.Repeat("x", 3*mostAhead))
+	client, cc := newTestClientConn(t)
+	cc.onStateChange(http.StateActive)
+	cc.markResponding()
+	next := requestText("POST", "booking", strings.Repeat("x", 3*maxPipelined))
 	go io.WriteString(client, next)
 	one := make([]byte, 1)
-	if n, err := g.Read(one); n != 1 || err != nil { // the server's watch ends with the first byte
+	if n, err := cc.Read(one); n != 1 || err != nil { // the server's watch ends with the first byte
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	g.follow(http.StateIdle)
-	if g.closeIdle() {
+	cc.onStateChange(http.StateIdle)
+	if cc.closeIfIdle() {
 		t.Error("closed as idle with the next request on it")
 	}
-	rest, err := io.ReadAll(io.LimitReader(g, int64(len(next)-1)))
+	rest, err := io.ReadAll(io.LimitReader(cc, int64(len(next)-1)))
 	if got := string(one) + string(rest); got != next || err != nil {
 		t.Errorf("%d of %d bytes, %v", len(got), len(next), err)
 	}
-	if g.tainted.Load() {
+	if cc.ambiguous.Load() {
 		t.Error("the framing was lost")
 	}
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -13,7 +13,7 @@
 
 // News that can't be read must not keep a backend in use that readable news would end,
 // nor cost what else stands beside it.
-func TestDrainThatIsHardToRead(t *testing.T) {
+func TestMalformedDrainUpdate(t *testing.T) {
 	t.Parallel()
 	for name, entry := range map[string]string{
 		"a zone that nobody knows":   `"zone": "z", "lifecycle": "Terminating", "weight": 1`,
@@ -25,16 +25,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			one, other := newPeer(t), newPeer(t)
-			r := newRig(t, one, other)
-			wait(t, r.registry.Calls, "first list")
-			wait(t, r.registry.Calls, "watch")
-			r.registry.Answers <- fmt.Sprintf(`{"generation": 2, "instances": [{"instanceId": %q, %s},
+			gw := startGateway(t, one, other)
+			wait(t, gw.registry.Calls, "first list")
+			wait(t, gw.registry.Calls, "watch")
+			gw.registry.Answers <- fmt.Sprintf(`{"generation": 2, "instances": [{"instanceId": %q, %s},
 				{"instanceId": %q, "zone": "a", "machineType": "m", "lifecycle": "Terminating", "weight": 1}]}`, one.Address(), entry, other.Address())
-			if query := wait(t, r.registry.Calls, "next watch"); query != "since=2&timeout_ms=4000" {
+			if query := wait(t, gw.registry.Calls, "next watch"); query != "since=2&timeout_ms=4000" {
 				t.Errorf("asked %q", query)
 			}
-			_, answers := r.client(t, ask("GET", "glance", ""))
-			if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(one.Conns)+len(other.Conns) != 0 {
+			_, responses := gw.send(t, requestText("GET", "glance", ""))
+			if resp := wait(t, responses, "answer"); resp.StatusCode != 429 || len(one.Conns)+len(other.Conns) != 0 {
 				t.Errorf("status %d, %d and %d connections to backends that drain", resp.StatusCode, len(one.Conns), len(other.Conns))
 			}
 		})
@@ -43,17 +43,17 @@
 
 // A watch that falls silent, before its headers, within its body or right after it was
 // opened anew, is given up, and what it would have told comes with the next.
-func TestWatchFallsSilent(t *testing.T) {
+func TestStalledWatch(t *testing.T) {
 	t.Parallel()
-	for name, said := range map[string]string{"from its first byte": "", "after its headers": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n",
+	for name, partial := range map[string]string{"from its first byte": "", "after its headers": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n",
 		"within its body": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"generation\": 2, "} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			backend, agent := newPeer(t), newPeer(t)
-			r := newRig(t, backend)
-			next := strings.Replace(*r.config.Load(), r.registry.Address(), agent.Address(), 1)
-			r.config.Store(&next)
-			r.hup <- nil
+			gw := startGateway(t, backend)
+			next := strings.Replace(*gw.config.Load(), gw.registry.Address(), agent.Address(), 1)
+			gw.config.Store(&next)
+			gw.reload <- nil
 			list := `{"generation": 1, "instances": [{"instanceId": "s1", "hostPort": "` + backend.Address() + `", "zone": "a", "lifecycle": "Ready", "weight": 1}]}`
 			conn, br := agent.Accept(t)
 			readRequest(t, br)
@@ -63,7 +63,7 @@
 				if got := req.URL.RawQuery; got != "since=1&timeout_ms=4000" {
 					t.Fatalf("asked %q", got)
 				}
-				io.WriteString(conn, said)
+				io.WriteString(conn, partial)
 				var again net.Conn
 				again, br = agent.Accept(t) // a new connection: the gateway gave the silent one up
 				if _, err := conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
@@ -76,8 +76,8 @@
 			if req, _ := readRequest(t, br); req.URL.RawQuery != "since=2&timeout_ms=4000" {
 				t.Errorf("asked %q", req.URL.RawQuery)
 			}
-			_, answers := r.client(t, ask("GET", "glance", ""))
-			if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
+			_, responses := gw.send(t, requestText("GET", "glance", ""))
+			if resp := wait(t, responses, "answer"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
 				t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.Conns))
 			}
 		})
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	mostHeader   = 16 << 10 // bytes
-	mostName     = 256      // bytes of an id or a key
-	mostPatience = time.Hour
-	readTimeout  = 2500 * time.Millisecond // for a whole request; 3 s after connecting a client is owed an error or a close
-	writeTimeout = 10 * time.Second
-	idleTimeout  = 2 * time.Minute
-	readyPath    = "/health/ready"
+	maxHeaderBytes = 16 << 10 // bytes
+	maxNameBytes   = 256      // bytes of an id or a key
+	maxTimeLeft    = time.Hour
+	readTimeout    = 2500 * time.Millisecond // for a whole request; 3 s after connecting a client is owed an error or a close
+	writeTimeout   = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	readyPath      = "/health/ready"
 
 	idHeader     = "X-Correlation-Id"
 	classHeader  = "X-Service-Class"
@@ -40,81 +40,81 @@
 
 // once are the headers that may stand but once. Danger: of two, the backend
 // might go by another than the decisions did.
-var once = []string{idHeader, classHeader, planHeader, clientHeader, leftHeader, keyHeader, termsHeader, repeatHeader}
+var singleHeaders = []string{idHeader, classHeader, planHeader, clientHeader, timeLeftHeader, keyHeader, termsHeader, repeatHeader}
 
 // exchange is one request of a client, from its last byte to its final answer.
 type exchange struct {
-	id     string        // the client's own
-	ask    rules.Request // the loop gives it its id
-	method string
-	uri    string
-	host   string
-	header http.Header // what goes on to a backend
-	body   []byte      // where it is short
-	upload *upload     // where it is not; the client's time runs from its end
-	left   float64     // seconds that the client waits from then
+	correlationID string        // the client's own
+	request       rules.Request // the loop gives it its id
+	method        string
+	uri           string
+	host          string
+	header        http.Header // what goes on to a backend
+	body          []byte      // where it is short
+	upload        *upload     // where it is not; the client's time runs from its end
+	timeLeft      float64     // seconds that the client waits from then
 
-	conn  *guard        // the client's; nil: not known
+	conn  *clientConn   // the client's; nil: not known
 	trace *traces.Begin // nil where nothing is exported
 
 	// reply takes the one final answer; the loop sends it and never waits.
-	reply chan answer
+	reply chan response
 
 	// The loop's own:
-	open     bool // the final answer has not been given
-	out      int  // attempts out
-	attempts []*attempt
+	open           bool // the final answer has not been given
+	activeAttempts int  // attempts out
+	attempts       []*attempt
 }
 
 // answer is what a client is told.
-type answer struct {
+type response struct {
 	status     int
 	retryAfter float64 // seconds; 0: no advice
-	why        rules.Reason
-	paid       float64 // when its quota let it in, of one that was turned away
+	reason     rules.Reason
+	admittedAt float64 // when its quota let it in, of one that was turned away
 	header     http.Header
 	body       []byte
-	rest       *download // in place of body: the answer passes through
+	stream     *download // in place of body: the answer passes through
 }
 
 // frontend serves clients.
 type frontend struct {
-	loop    *Loop
-	deploy  *wire.Deployment
-	ready   atomic.Bool
-	leaving atomic.Bool // for good: connections are closed after their answer
-	lame    atomic.Bool // drained by hand, until the operators say otherwise
+	loop         *Loop
+	deploy       *wire.Deployment
+	ready        atomic.Bool
+	shuttingDown atomic.Bool // for good: connections are closed after their answer
+	draining     atomic.Bool // drained by hand, until the operators say otherwise
 }
 
 // serves tells whether clients may come.
-func (f *frontend) serves() bool { return f.ready.Load() && !f.closing() }
+func (f *frontend) isReady() bool { return f.ready.Load() && !f.closesConnections() }
 
 // closing tells whether connections are to be closed after their answer.
-func (f *frontend) closing() bool { return f.leaving.Load() || f.lame.Load() }
+func (f *frontend) closesConnections() bool { return f.shuttingDown.Load() || f.draining.Load() }
 
 // server serves the clients of c, whose requests are held for the given time at
 // most.
-func (f *frontend) server(c *clients, longest time.Duration) *http.Server {
-	return &http.Server{Handler: f, MaxHeaderBytes: mostHeader, ReadTimeout: readTimeout,
-		IdleTimeout: idleTimeout, WriteTimeout: readTimeout + longest + writeTimeout, ConnState: c.state,
+func (f *frontend) server(clients *clientListener, longest time.Duration) *http.Server {
+	return &http.Server{Handler: f, MaxHeaderBytes: maxHeaderBytes, ReadTimeout: readTimeout,
+		IdleTimeout: idleTimeout, WriteTimeout: readTimeout + longest + writeTimeout, ConnState: clients.onStateChange,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
-			return context.WithValue(ctx, guardKey{}, conn)
+			return context.WithValue(ctx, clientConnKey{}, conn)
 		}}
 }
 
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == readyPath {
-		if f.closing() {
+		if f.closesConnections() {
 			w.Header().Set("Connection", "close")
 		}
-		if !f.serves() {
+		if !f.isReady() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
 		io.WriteString(w, "ready\n")
 		return
 	}
-	x, status, err := f.read(w, r)
+	ex, status, err := f.readExchange(w, r)
 	if err != nil {
 		// Danger: what follows a request that was not understood may be a part of it.
 		w.Header().Set("Connection", "close")
@@ -122,40 +122,40 @@
 		return
 	}
 	if r.Context().Err() != nil {
-		gone(w) // with a request before this one
+		respondDisconnected(w) // with a request before this one
 		return
 	}
-	if !f.loop.Post(arrival{f.loop, x}) {
+	if !f.loop.Post(requestArrived{f.loop, ex}) {
 		http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 		return
 	}
 	select {
-	case a := <-x.reply:
+	case response := <-ex.reply:
 		// As it is now: a request may have been held since before. The guard looks no further after chunks.
-		if f.closing() || len(r.TransferEncoding) > 0 {
+		if f.closesConnections() || len(r.TransferEncoding) > 0 {
 			w.Header().Set("Connection", "close")
 		}
-		if x.upload != nil && !x.upload.stop() {
+		if ex.upload != nil && !ex.upload.stop() {
 			w.Header().Set("Connection", "close") // answered before its end
 		}
-		if g := guardOf(r); g != nil {
-			g.answering()
+		if conn := clientConnOf(r); conn != nil {
+			conn.markResponding()
 		}
-		if err := a.write(w); err != nil {
+		if err := response.write(w); err != nil {
 			panic(http.ErrAbortHandler) // the client must see that it is not whole
 		}
 	case <-r.Context().Done():
-		f.loop.Post(clientGone{f.loop, x})
-		if x.upload != nil && !x.upload.stop() {
+		f.loop.Post(clientDisconnected{f.loop, ex})
+		if ex.upload != nil && !ex.upload.stop() {
 			// Its body came to no end; the connection may still stand.
 			w.Header().Set("Connection", "close")
 			http.Error(w, "the body did not come in time", http.StatusRequestTimeout)
 			return
 		}
-		gone(w)
+		respondDisconnected(w)
 	case <-f.loop.Stopped():
-		if x.upload != nil {
-			x.upload.stop()
+		if ex.upload != nil {
+			ex.upload.stop()
 		}
 		http.Error(w, "the gateway has stopped", http.StatusInternalServerError)
 	}
@@ -164,29 +164,29 @@
 // gone ends the connection of a client that has left, or sends on without an answer.
 // Danger: with no word from here the server would say 200, and a client that has only
 // ended its sending would take that for a backend's answer.
-func gone(w http.ResponseWriter) {
+func respondDisconnected(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, "the client ended its sending, or sent on, before its answer", http.StatusBadRequest)
 }
 
 // read takes a request in, whole, or says with which status it is turned down.
-func (f *frontend) read(w http.ResponseWriter, r *http.Request) (*exchange, int, error) {
+func (f *frontend) readExchange(w http.ResponseWriter, r *http.Request) (*exchange, int, error) {
 	now := f.loop.Clock.Now()
 	switch {
 	case !r.ProtoAtLeast(1, 1):
 		// Its framing is that of another time; net/http drops a Transfer-Encoding there unseen.
 		return nil, http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is wanted")
-	case hides(r):
+	case mayHideRequest(r):
 		return nil, http.StatusBadRequest, errors.New("the length of the body is told in more than one way")
 	}
-	x := &exchange{conn: guardOf(r), method: r.Method, uri: originForm(r), host: r.Host, reply: make(chan answer, 1)}
-	ask, err := f.parse(r)
+	ex := &exchange{conn: clientConnOf(r), method: r.Method, uri: originForm(r), host: r.Host, reply: make(chan response, 1)}
+	request, err := f.parseHeaders(r)
 	if err != nil {
 		return nil, http.StatusBadRequest, err
 	}
-	x.ask = ask
-	x.id = r.Header.Get(idHeader)
-	class := &f.deploy.Classes[ask.Class]
+	ex.request = request
+	ex.correlationID = r.Header.Get(idHeader)
+	class := &f.deploy.Classes[request.Class]
 	switch key := r.Header.Get(keyHeader); {
 	case class.Idempotency == rules.Idempotent && r.Method != http.MethodGet,
 		class.Idempotency != rules.Idempotent && r.Method != http.MethodPost:
@@ -195,26 +195,26 @@
 		return nil, http.StatusBadRequest, errors.New("a GET has no body")
 	case class.Idempotency == rules.IdempotentByKey && key == "":
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is missing")
-	case len(key) > mostName:
+	case len(key) > maxNameBytes:
 		return nil, http.StatusBadRequest, errors.New(keyHeader + " is too long")
-	case r.ContentLength > mostBulk:
+	case r.ContentLength > maxStreamedBody:
 		return nil, http.StatusRequestEntityTooLarge, errTooLong
 	}
 	if r.ContentLength != 0 {
-		var up *upload
-		all := true
-		if r.ContentLength > 0 && r.ContentLength <= trustedBody {
-			x.body, err = shortBody(w, r)
+		var upload *upload
+		complete := true
+		if r.ContentLength > 0 && r.ContentLength <= maxPreallocatedBody {
+			ex.body, err = readShortBody(w, r)
 		} else {
-			up = newUpload(w, r)
-			x.body, all, err = up.first()
+			upload = newUpload(w, r)
+			ex.body, complete, err = upload.readBuffered()
 		}
 		if err != nil {
 			return nil, http.StatusBadRequest, fmt.Errorf("body: %w", err)
 		}
-		if !all {
-			up.prefix, x.body = x.body, nil
-			x.upload, x.ask.Streamed = up, true
+		if !complete {
+			upload.prefix, ex.body = ex.body, nil
+			ex.upload, ex.request.Streamed = upload, true
 		}
 		now = f.loop.Clock.Now() // a request's time counts from its last byte
 	} else {
@@ -222,42 +222,42 @@
 		http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
 	// Danger: what a client claims beyond its class's own time would hold a request past the end of this process.
-	x.left = min(x.ask.Deadline, class.Timeout) - answerMargin
-	x.ask.SentAt = now
-	x.ask.Deadline = now + x.left
-	if x.upload != nil {
-		x.ask.Deadline += max(time.Until(x.upload.until).Seconds(), 0)
+	ex.timeLeft = min(ex.request.Deadline, class.Timeout) - responseMargin
+	ex.request.SentAt = now
+	ex.request.Deadline = now + ex.timeLeft
+	if ex.upload != nil {
+		ex.request.Deadline += max(time.Until(ex.upload.deadline).Seconds(), 0)
 	}
-	x.header = passedOn(r.Header)
+	ex.header = endToEndHeaders(r.Header)
 	if f.loop.telemetry != nil {
-		x.trace = f.beginTrace(x)
+		ex.trace = f.beginTrace(ex)
 	}
-	return x, 0, nil
+	return ex, 0, nil
 }
 
 // guardKey is the key of a request's connection among its context's values.
-type guardKey struct{}
+type clientConnKey struct{}
 
 // hides tells whether a request may hide another, or its connection has carried
 // one that may.
-func hides(r *http.Request) bool {
-	g := guardOf(r)
-	return g != nil && g.tainted.Load()
+func mayHideRequest(r *http.Request) bool {
+	conn := clientConnOf(r)
+	return conn != nil && conn.ambiguous.Load()
 }
 
 // guardOf is the guard of a request's connection; nil where it has none.
-func guardOf(r *http.Request) *guard {
-	g, _ := r.Context().Value(guardKey{}).(*guard)
-	return g
+func clientConnOf(r *http.Request) *clientConn {
+	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
+	return conn
 }
 
 // originForm is the target as it goes on: a whole address, as for a proxy, loses
 // its scheme and host.
 func originForm(r *http.Request) string {
 	uri := r.RequestURI
-	if _, rest, whole := strings.Cut(uri, "://"); whole && !strings.HasPrefix(uri, "/") {
-		if at := strings.IndexAny(rest, "/?"); at >= 0 {
-			uri = rest[at:]
+	if _, hostAndPath, absolute := strings.Cut(uri, "://"); absolute && !strings.HasPrefix(uri, "/") {
+		if at := strings.IndexAny(hostAndPath, "/?"); at >= 0 {
+			uri = hostAndPath[at:]
 		} else {
 			uri = "/"
 		}
@@ -271,44 +271,44 @@
 // parse reads the headers that the decisions need. Nothing has a default: a
 // request that is not understood might be charged to the wrong customer or
 // repeated against its class.
-func (f *frontend) parse(r *http.Request) (rules.Request, error) {
-	var q rules.Request
-	h := r.Header
-	for _, name := range once {
-		if len(h[name]) > 1 {
-			return q, errors.New(name + " stands more than once")
+func (f *frontend) parseHeaders(r *http.Request) (rules.Request, error) {
+	var request rules.Request
+	header := r.Header
+	for _, name := range singleHeaders {
+		if len(header[name]) > 1 {
+			return request, errors.New(name + " stands more than once")
 		}
 	}
-	if id := h.Get(idHeader); id == "" || len(id) > mostName {
-		return q, errors.New(idHeader + " is missing or too long")
+	if id := header.Get(idHeader); id == "" || len(id) > maxNameBytes {
+		return request, errors.New(idHeader + " is missing or too long")
 	}
-	class := h.Get(classHeader)
-	if q.Class = slices.Index(f.deploy.ClassNames, class); q.Class < 0 {
-		return q, errors.New(classHeader + " names no class")
+	class := header.Get(classHeader)
+	if request.Class = slices.Index(f.deploy.ClassNames, class); request.Class < 0 {
+		return request, errors.New(classHeader + " names no class")
 	}
 	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != class || strings.HasPrefix(originForm(r), "//") {
-		return q, errors.New("the path is not one of the class")
+		return request, errors.New("the path is not one of the class")
 	}
-	if q.Plan = slices.Index(f.deploy.PlanNames, h.Get(planHeader)); q.Plan < 0 {
-		return q, errors.New(planHeader + " names no plan")
+	if request.Plan = slices.Index(f.deploy.PlanNames, header.Get(planHeader)); request.Plan < 0 {
+		return request, errors.New(planHeader + " names no plan")
 	}
-	customer := h.Get(clientHeader)
-	n, err := site.AccountID(customer)
+	customer := header.Get(clientHeader)
+	account, err := site.AccountID(customer)
 	if err != nil {
-		return q, errors.New(clientHeader + " is not the number of a customer")
+		return request, errors.New(clientHeader + " is not the number of a customer")
 	}
-	q.Customer = rules.CustomerID(n)
-	left, err := strconv.ParseInt(h.Get(leftHeader), 10, 64)
-	if err != nil || left <= 0 || left > mostPatience.Milliseconds() {
-		return q, errors.New(leftHeader + " is not a time in milliseconds")
+	request.Customer = rules.CustomerID(account)
+	timeLeft, err := strconv.ParseInt(header.Get(timeLeftHeader), 10, 64)
+	if err != nil || timeLeft <= 0 || timeLeft > maxTimeLeft.Milliseconds() {
+		return request, errors.New(timeLeftHeader + " is not a time in milliseconds")
 	}
-	q.Deadline = float64(left) / 1000 // from when it is whole
-	q.IsRetry = h.Get(repeatHeader) == "1"
-	return q, f.terms(&q, h.Get(termsHeader))
+	request.Deadline = float64(timeLeft) / 1000 // from when it is whole
+	request.IsRetry = header.Get(repeatHeader) == "1"
+	return request, f.parseTerms(&request, header.Get(termsHeader))
 }
 
 // terms reads the units of a request and the gateways of its customer.
-func (f *frontend) terms(q *rules.Request, text string) error {
+func (f *frontend) parseTerms(request *rules.Request, text string) error {
 	seen := ""
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -319,34 +319,34 @@
 		var err error
 		switch key {
 		case "units":
-			q.Units, err = strconv.ParseFloat(value, 64)
+			request.Units, err = strconv.ParseFloat(value, 64)
 		case "spread":
-			q.Gateways, err = strconv.Atoi(value)
+			request.Gateways, err = strconv.Atoi(value)
 		case "first":
-			q.FirstGateway, err = strconv.Atoi(value)
+			request.FirstGateway, err = strconv.Atoi(value)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %s is not a number", termsHeader, key)
 		}
 	}
-	most := f.deploy.MaxUnits
-	if most <= 0 {
-		most = math.MaxInt32
+	maxUnits := f.deploy.MaxUnits
+	if maxUnits <= 0 {
+		maxUnits = math.MaxInt32
 	}
-	if !(q.Units > 0 && q.Units <= most) || q.Gateways < 1 || q.Gateways > f.deploy.FleetSize ||
-		q.FirstGateway < 0 || q.FirstGateway >= f.deploy.FleetSize {
+	if !(request.Units > 0 && request.Units <= maxUnits) || request.Gateways < 1 || request.Gateways > f.deploy.FleetSize ||
+		request.FirstGateway < 0 || request.FirstGateway >= f.deploy.FleetSize {
 		return errors.New(termsHeader + ": units, spread or first is missing or out of range")
 	}
 	return nil
 }
 
 // hopByHop are the headers that end at this gateway.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
 // passedOn returns the headers for the other side: all but those that belong to
 // the connection. It uses up h.
-func passedOn(h http.Header) http.Header {
+func endToEndHeaders(h http.Header) http.Header {
 	for _, named := range h["Connection"] {
 		for name := range strings.SplitSeq(named, ",") {
 			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name != idHeader && name != keyHeader {
@@ -354,7 +354,7 @@
 			}
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 	return h
@@ -362,31 +362,31 @@
 
 // write gives the answer to the client. An error means that it could not be given
 // whole.
-func (a answer) write(w http.ResponseWriter) error {
-	h := w.Header()
-	for k, v := range a.header {
-		h[k] = v
+func (response response) write(w http.ResponseWriter) error {
+	header := w.Header()
+	for k, v := range response.header {
+		header[k] = v
 	}
-	if a.status != http.StatusOK {
-		if a.retryAfter > 0 {
-			h["Retry-After"] = []string{strconv.FormatFloat(math.Ceil(a.retryAfter*1000)/1000, 'f', -1, 64)}
+	if response.status != http.StatusOK {
+		if response.retryAfter > 0 {
+			header["Retry-After"] = []string{strconv.FormatFloat(math.Ceil(response.retryAfter*1000)/1000, 'f', -1, 64)}
 		}
-		h["Content-Length"] = []string{"0"}
-		w.WriteHeader(a.status)
+		header["Content-Length"] = []string{"0"}
+		w.WriteHeader(response.status)
 		return nil
 	}
-	if _, typed := h["Content-Type"]; !typed {
-		h["Content-Type"] = nil // the backend named none, and guessing costs time
+	if _, typed := header["Content-Type"]; !typed {
+		header["Content-Type"] = nil // the backend named none, and guessing costs time
 	}
-	if a.rest != nil {
-		if a.rest.length >= 0 {
-			h["Content-Length"] = []string{strconv.FormatInt(a.rest.length, 10)}
+	if response.stream != nil {
+		if response.stream.length >= 0 {
+			header["Content-Length"] = []string{strconv.FormatInt(response.stream.length, 10)}
 		}
-		w.WriteHeader(a.status)
-		return a.rest.write(w)
+		w.WriteHeader(response.status)
+		return response.stream.write(w)
 	}
-	h["Content-Length"] = []string{strconv.Itoa(len(a.body))}
-	w.WriteHeader(a.status)
-	w.Write(a.body) // an error means that the client has left
+	header["Content-Length"] = []string{strconv.Itoa(len(response.body))}
+	w.WriteHeader(response.status)
+	w.Write(response.body) // an error means that the client has left
 	return nil
 }
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -12,7 +12,7 @@
 )
 
 // Whatever stands in the terms, what is taken is in range.
-func FuzzTerms(f *testing.F) {
+func FuzzParseTerms(f *testing.F) {
 	for _, seed := range []string{"units=2,spread=2,first=1", "units=NaN,spread=1,first=0", "units=1,units=2,spread=1",
 		"units=-1,spread=-1,first=-1", "units=1e999,spread=9999999999999999999,first=0", ",=,="} {
 		f.Add(seed)
@@ -20,7 +20,7 @@
 	front := &frontend{deploy: &wire.Deployment{Settings: rules.Settings{FleetSize: 3, MaxUnits: 4}}}
 	f.Fuzz(func(t *testing.T, text string) {
 		var q rules.Request
-		err := front.terms(&q, text)
+		err := front.parseTerms(&q, text)
 		if err == nil && !(q.Units > 0 && q.Units <= 4 && q.Gateways >= 1 && q.Gateways <= 3 && q.FirstGateway >= 0 && q.FirstGateway < 3) {
 			t.Errorf("%q was taken: %+v", text, q)
 		}
@@ -36,7 +36,7 @@
 func (c readerConn) Read(b []byte) (int, error) { return c.r.Read(b) }
 
 // Whatever a backend answers, one that is served is whole and in bounds.
-func FuzzAnswer(f *testing.F) {
+func FuzzReadResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 		"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
@@ -46,8 +46,8 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		c := newBackendConn(readerConn{r: strings.NewReader(text)}, nil)
-		res, reuse := c.answer(http.MethodGet)
-		if res.outcome == rules.Served && len(res.body) > inlineBody || res.outcome == rules.ConnectionLost && reuse {
+		res, reuse := c.readResponse(http.MethodGet)
+		if res.outcome == rules.Served && len(res.body) > maxBufferedBody || res.outcome == rules.ConnectionLost && reuse {
 			t.Errorf("outcome %d, %d bytes, used again %t", res.outcome, len(res.body), reuse)
 		}
 	})
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -14,19 +14,19 @@
 )
 
 // fellowsOf stands for the gateways that this one knows of.
-type fellowsOf struct{}
+type fakePeers struct{}
 
-func (fellowsOf) Run(context.Context, func(share, cold int)) {}
-func (fellowsOf) Summary() string                            { return "peers: whole for 3s" }
-func (fellowsOf) AdminHandler() http.Handler {
+func (fakePeers) Run(context.Context, func(share, cold int)) {}
+func (fakePeers) Summary() string                            { return "peers: whole for 3s" }
+func (fakePeers) AdminHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprintf(w, "what others know, %s\n", r.URL) })
 }
 
 // Every path on the operators' address with each of its answers. A number in an error of the JSON decoder stays.
-func TestGoldenOperatorsCalls(t *testing.T) {
+func TestGoldenOperatorAPI(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRigWith(t, withDesk, backend)
+	gw := startGatewayWith(t, withOperator, backend)
 	var b strings.Builder
 	note := func(method, path, body string, status int, header http.Header, answer string) {
 		fmt.Fprintf(&b, "%s %s %s\n%d %s\n%s", method, path, body, status, header.Get("Content-Type"), answer)
@@ -40,7 +40,7 @@
 		{"POST", "/_backends/detach", id}, {"POST", "/_backends/attach", id},
 		{"POST", "/_lameduck/on", ""}, {"GET", "/_ready", ""}, {"POST", "/_lameduck/off", ""}, {"GET", "/_ready", ""}, {"GET", "/", ""},
 	} {
-		req, err := http.NewRequest(c[0], "http://"+r.desk+c[1], strings.NewReader(c[2]))
+		req, err := http.NewRequest(c[0], "http://"+gw.operatorAddress+c[1], strings.NewReader(c[2]))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 	// With others known, two paths more and a line more.
 	front := &frontend{}
 	front.ready.Store(true)
-	known := (&operator{front: front, book: newHandBook("", "g0"), fellows: fellowsOf{}}).handler()
+	known := (&operatorServer{frontend: front, detached: newDetachedFile("", "g0"), peers: fakePeers{}}).handler()
 	for _, path := range []string{"/_ready", "/_peers", "/_peers/why?name=g1"} {
 		w := httptest.NewRecorder()
 		known.ServeHTTP(w, httptest.NewRequest("GET", path, nil))
@@ -69,10 +69,10 @@
 }
 
 // The file that keeps which backends are out by hand, by name and form.
-func TestGoldenFileOfBackendsOutByHand(t *testing.T) {
-	book := newHandBook(t.TempDir(), "north/g 0")
+func TestGoldenDetachedFile(t *testing.T) {
+	book := newDetachedFile(t.TempDir(), "north/g 0")
 	for _, id := range []string{"n2", "n1"} {
-		if err := book.note(id, true); err != nil {
+		if err := book.record(id, true); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	softShare  = 0.8                    // of the connections; above it newcomers replace those that stand idle
-	quietGrace = 2 * time.Second        // a connection is left alone so long after connecting or its last request
-	leastGrace = 100 * time.Millisecond // and so long where there is no room at all
-	roomLook   = 10 * time.Millisecond  // between looks for room
-	crossMost  = 500 * time.Millisecond // a request may be on its way for so long on one that was just made, when the last are taken
-	lastLook   = 50 * time.Millisecond  // for the backlog before the listener closes
-	lastMost   = 300 * time.Millisecond // and in all, where more and more come
+	softLimitRatio      = 0.8                    // of the connections; above it newcomers replace those that stand idle
+	idleGrace           = 2 * time.Second        // a connection is left alone so long after connecting or its last request
+	minIdleGrace        = 100 * time.Millisecond // and so long where there is no room at all
+	evictPollInterval   = 10 * time.Millisecond  // between looks for room
+	maxFirstRequestWait = 500 * time.Millisecond // a request may be on its way for so long on one that was just made, when the last are taken
+	backlogPollTime     = 50 * time.Millisecond  // for the backlog before the listener closes
+	maxBacklogTime      = 300 * time.Millisecond // and in all, where more and more come
 )
 
 // clients keeps the connections of clients within a bound. Danger: a listener
@@ -28,50 +28,50 @@
 // connects and says nothing; usual clients then wait in the backlog behind
 // them. Here a newcomer takes the place of the connection that has been without an
 // open request for the longest.
-type clients struct {
+type clientListener struct {
 	net.Listener
-	most   int
-	cross  time.Duration // a first request is waited for so long once the last connections are taken
-	freed  chan struct{} // a connection has ended
-	ending atomic.Int64  // Unix nanoseconds by when the last must have been taken; 0: no end was asked for
+	limit            int
+	firstRequestWait time.Duration // a first request is waited for so long once the last connections are taken
+	freed            chan struct{} // a connection has ended
+	acceptDeadline   atomic.Int64  // Unix nanoseconds by when the last must have been taken; 0: no end was asked for
 
 	mu    sync.Mutex
 	conns map[net.Conn]*list.Element // its place in quiet; nil while a request is open
-	quiet list.List                  // of quietConn, the longest first
+	idle  list.List                  // of quietConn, the longest first
 }
 
 // quietConn is a connection without an open request.
-type quietConn struct {
+type idleConn struct {
 	net.Conn
-	since time.Time
-	fresh bool // none has come on it yet
+	since  time.Time
+	unused bool // none has come on it yet
 }
 
-func newClients(l net.Listener, most int) *clients {
-	return &clients{Listener: l, most: most, cross: crossMost, freed: make(chan struct{}, 1), conns: map[net.Conn]*list.Element{}}
+func newClientListener(l net.Listener, limit int) *clientListener {
+	return &clientListener{Listener: l, limit: limit, firstRequestWait: maxFirstRequestWait, freed: make(chan struct{}, 1), conns: map[net.Conn]*list.Element{}}
 }
 
 // Accept returns the next connection that there is room for. One for which none
 // could be made soon is closed.
-func (c *clients) Accept() (net.Conn, error) {
+func (c *clientListener) Accept() (net.Conn, error) {
 	for {
-		conn, err := c.next()
+		conn, err := c.acceptNext()
 		if err != nil {
 			return nil, err
 		}
-		for left := leastGrace; ; left -= roomLook {
-			if c.makeRoom() {
+		for remaining := minIdleGrace; ; remaining -= evictPollInterval {
+			if c.evictIdle() {
 				if tcp, ok := conn.(*net.TCPConn); ok {
-					return &guard{TCPConn: tcp}, nil
+					return &clientConn{TCPConn: tcp}, nil
 				}
 				return conn, nil
 			}
-			if left <= 0 {
+			if remaining <= 0 {
 				break
 			}
 			select {
 			case <-c.freed:
-			case <-time.After(roomLook):
+			case <-time.After(evictPollInterval):
 			}
 		}
 		conn.Close()
@@ -80,52 +80,52 @@
 
 // makeRoom closes connections that have been quiet for long enough, once the
 // soft bound is passed. It tells whether one more fits.
-func (c *clients) makeRoom() bool {
+func (c *clientListener) evictIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now, gone := time.Now(), 0
-	for e := c.quiet.Front(); e != nil && gone < 2 && len(c.conns) > int(softShare*float64(c.most)); {
-		q, next := e.Value.(quietConn), e.Next()
-		age := now.Sub(q.since)
-		if age < leastGrace || age < quietGrace && len(c.conns) < c.most {
+	now, closed := time.Now(), 0
+	for element := c.idle.Front(); element != nil && closed < 2 && len(c.conns) > int(softLimitRatio*float64(c.limit)); {
+		candidate, nextElement := element.Value.(idleConn), element.Next()
+		age := now.Sub(candidate.since)
+		if age < minIdleGrace || age < idleGrace && len(c.conns) < c.limit {
 			break // all others have been quiet for less
 		}
-		if closeIdle(q.Conn) {
-			c.forget(q.Conn)
-			gone++
+		if closeIfIdle(candidate.Conn) {
+			c.untrack(candidate.Conn)
+			closed++
 		}
-		e = next
+		element = nextElement
 	}
-	return len(c.conns) < c.most
+	return len(c.conns) < c.limit
 }
 
 // state follows what the server does with a connection.
-func (c *clients) state(conn net.Conn, s http.ConnState) {
+func (c *clientListener) onStateChange(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e, here := c.conns[conn]
-	if !here && s != http.StateNew {
+	element, tracked := c.conns[conn]
+	if !tracked && state != http.StateNew {
 		return // it was closed to make room
 	}
-	if e != nil {
-		c.quiet.Remove(e)
+	if element != nil {
+		c.idle.Remove(element)
 		c.conns[conn] = nil
 	}
-	if g, ok := conn.(*guard); ok {
-		g.follow(s)
+	if cc, ok := conn.(*clientConn); ok {
+		cc.onStateChange(state)
 	}
-	switch s {
+	switch state {
 	case http.StateNew, http.StateIdle:
-		c.conns[conn] = c.quiet.PushBack(quietConn{conn, time.Now(), s == http.StateNew})
+		c.conns[conn] = c.idle.PushBack(idleConn{conn, time.Now(), state == http.StateNew})
 	case http.StateClosed, http.StateHijacked:
-		c.forget(conn)
+		c.untrack(conn)
 	}
 }
 
 // forget takes a connection off the books.
-func (c *clients) forget(conn net.Conn) {
+func (c *clientListener) untrack(conn net.Conn) {
 	if e := c.conns[conn]; e != nil {
-		c.quiet.Remove(e)
+		c.idle.Remove(e)
 	}
 	delete(c.conns, conn)
 	select {
@@ -135,9 +135,9 @@
 }
 
 // closeIdle closes a connection that no request has begun on.
-func closeIdle(conn net.Conn) bool {
-	if g, ok := conn.(*guard); ok {
-		return g.closeIdle()
+func closeIfIdle(conn net.Conn) bool {
+	if cc, ok := conn.(*clientConn); ok {
+		return cc.closeIfIdle()
 	}
 	if !sockets.Alive(conn) {
 		return false
@@ -149,28 +149,28 @@
 // closeQuiet closes the connections that have had no open request for the given
 // time, one for those that have had a request and one for those that never had. One on
 // which a request has begun stays, and is closed after its answer.
-func (c *clients) closeQuiet(used, fresh time.Duration) {
+func (c *clientListener) closeIdleConns(usedFor, unusedFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	for e := c.quiet.Front(); e != nil; {
-		q, next := e.Value.(quietConn), e.Next()
-		age := used
-		if q.fresh {
-			age = fresh
+	for element := c.idle.Front(); element != nil; {
+		candidate, nextElement := element.Value.(idleConn), element.Next()
+		minIdle := usedFor
+		if candidate.unused {
+			minIdle = unusedFor
 		}
-		if now.Sub(q.since) >= age && closeIdle(q.Conn) {
-			c.forget(q.Conn)
+		if now.Sub(candidate.since) >= minIdle && closeIfIdle(candidate.Conn) {
+			c.untrack(candidate.Conn)
 		}
-		e = next
+		element = nextElement
 	}
 }
 
 // finish ends the taking of new connections. Danger: what waits in the backlog when
 // the listener closes is reset, with its request. So the last of them are taken
 // first; Accept closes the listener when none is left.
-func (c *clients) finish() {
-	c.ending.Store(time.Now().Add(lastMost).UnixNano())
+func (c *clientListener) drainBacklog() {
+	c.acceptDeadline.Store(time.Now().Add(maxBacklogTime).UnixNano())
 	if l, ok := c.Listener.(interface{ SetDeadline(time.Time) error }); !ok || l.SetDeadline(time.Now()) != nil {
 		c.Close()
 	}
@@ -178,9 +178,9 @@
 
 // next is the listener's next connection. Once the end was asked for, each look at the
 // backlog has time of its own: one that is over before it begins finds nothing.
-func (c *clients) next() (net.Conn, error) {
+func (c *clientListener) acceptNext() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
-	end := c.ending.Load()
+	end := c.acceptDeadline.Load()
 	if end == 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return conn, err
 	}
@@ -188,7 +188,7 @@
 		c.Close()
 		return nil, net.ErrClosed
 	}
-	if err := c.Listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(time.Now().Add(lastLook)); err != nil {
+	if err := c.Listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(time.Now().Add(backlogPollTime)); err != nil {
 		return nil, err
 	}
 	if conn, err = c.Listener.Accept(); err != nil {
@@ -199,7 +199,7 @@
 }
 
 // open is how many connections there are.
-func (c *clients) open() int {
+func (c *clientListener) openConns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -7,50 +7,50 @@
 	"elderyard/rules"
 )
 
-const mostLoad = 512 // bytes of a load report
+const maxLoadReport = 512 // bytes of a load report
 
 // loadReport is what a backend may tell of its load beside an answer.
 type loadReport struct {
-	Held          *float64 `json:"inflight"`
-	Waiting       *float64 `json:"queue"`
-	CPU           *float64 `json:"util"`
-	ServiceMillis *float64 `json:"latency_ms"`
-	Served        *float64 `json:"qps"`
-	Errors        *float64 `json:"eps"`
+	InFlight          *float64 `json:"inflight"`
+	Queued            *float64 `json:"queue"`
+	Utilization       *float64 `json:"util"`
+	LatencyMillis     *float64 `json:"latency_ms"`
+	RequestsPerSecond *float64 `json:"qps"`
+	ErrorsPerSecond   *float64 `json:"eps"`
 }
 
 // readLoad reads a report into the fields that the settings name, in their order; what
 // it does not tell is no number. Danger: a report comes from a socket. One that can't be
 // read says nothing, and must not be taken for an idle backend's.
-func readLoad(text string, fields []rules.LoadField) []float64 {
-	var r loadReport
-	if text == "" || len(text) > mostLoad || json.Unmarshal([]byte(text), &r) != nil {
+func parseLoadReport(text string, fields []rules.LoadField) []float64 {
+	var report loadReport
+	if text == "" || len(text) > maxLoadReport || json.Unmarshal([]byte(text), &report) != nil {
 		return nil
 	}
 	load := make([]float64, len(fields))
-	for i, f := range fields {
+	for i, field := range fields {
 		load[i] = math.NaN()
-		if v := r.field(f); v != nil {
-			load[i] = *v
+		if value := report.value(field); value != nil {
+			load[i] = *value
 		}
 	}
 	return load
 }
 
-func (r *loadReport) field(f rules.LoadField) *float64 {
-	switch f {
+func (r *loadReport) value(field rules.LoadField) *float64 {
+	switch field {
 	case rules.LoadInFlight:
-		return r.Held
+		return r.InFlight
 	case rules.LoadQueued:
-		return r.Waiting
+		return r.Queued
 	case rules.LoadCPU:
-		return r.CPU
+		return r.Utilization
 	case rules.LoadServiceMillis:
-		return r.ServiceMillis
+		return r.LatencyMillis
 	case rules.LoadServedPerSecond:
-		return r.Served
+		return r.RequestsPerSecond
 	case rules.LoadErrorsPerSecond:
-		return r.Errors
+		return r.ErrorsPerSecond
 	}
 	return nil
 }
--- a/internal/gateway/load_test.go
+++ b/internal/gateway/load_test.go
@@ -21,9 +21,9 @@
 		`{"inflight":7`:                        nil,
 		`7`:                                    nil,
 		`{"inflight":1e999}`:                   nil,
-		`{"inflight":1,"x":"` + strings.Repeat("x", mostLoad) + `"}`: nil,
+		`{"inflight":1,"x":"` + strings.Repeat("x", maxLoadReport) + `"}`: nil,
 	} {
-		got := readLoad(text, fields)
+		got := parseLoadReport(text, fields)
 		same := len(got) == len(want)
 		for i := range want {
 			same = same && (got[i] == want[i] || math.IsNaN(got[i]) && math.IsNaN(want[i]))
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,91 +17,91 @@
 )
 
 const (
-	answerMargin = 0.005 // seconds kept of a deadline for the way to the client, the loop and the write
-	sameMoment   = 0.001 // a cancel so close before an attempt's time-out is one
+	responseMargin   = 0.005 // seconds kept of a deadline for the way to the client, the loop and the write
+	timeoutTolerance = 0.001 // a cancel so close before an attempt's time-out is one
 )
 
 // What sockets and operators tell the loop.
 type (
-	arrival struct {
-		l *Loop
-		x *exchange
+	requestArrived struct {
+		loop     *Loop
+		exchange *exchange
 	}
-	clientGone struct {
-		l *Loop
-		x *exchange
+	clientDisconnected struct {
+		loop     *Loop
+		exchange *exchange
 	}
-	attemptDone struct {
-		l      *Loop
-		a      *attempt
-		result result
+	attemptEnded struct {
+		loop    *Loop
+		attempt *attempt
+		result  result
 	}
-	bodyWhole struct { // a body that passes through has gone whole
-		l *Loop
-		a *attempt
+	requestSent struct { // a body that passes through has gone whole
+		loop    *Loop
+		attempt *attempt
 	}
-	news struct {
-		l       *Loop
+	listUpdate struct {
+		loop    *Loop
 		listing discovery.Listing
 		kind    rules.ListKind
 	}
-	handCall struct { // an operator's
-		l    *Loop
-		id   string
-		ask  bool // only whether the id was ever listed
-		out  bool
-		done chan error // has room for one
+	detachCommand struct { // an operator's
+		loop      *Loop
+		id        string
+		checkOnly bool // only whether the id was ever listed
+		detach    bool
+		done      chan error // has room for one
 	}
-	divided struct { // by how many gateways
-		l *Loop
+	fleetUpdate struct { // by how many gateways
+		loop *Loop
 		rules.FleetUpdate
 	}
-	outByHand struct { // all that are, as noted
-		l   *Loop
-		ids map[string]struct{}
+	detachedUpdate struct { // all that are, as noted
+		loop *Loop
+		ids  map[string]struct{}
 	}
-	ending struct{ l *Loop } // the process will be killed soon
+	processEnding struct{ loop *Loop } // the process will be killed soon
 )
 
-// Process accepts a request that a client has sent.
-func (m arrival) Process() { m.l.arrive(m.x) }
+// Take accepts a request that a client has sent.
+func (m requestArrived) Process() { m.loop.accept(m.exchange) }
 
-// Process cancels the requests of a client that has disconnected.
-func (m clientGone) Process() { m.l.leave(m.x) }
+// Take cancels the requests of a client that has disconnected.
+func (m clientDisconnected) Process() { m.loop.disconnect(m.exchange) }
 
-// Process records that the body of an attempt's request has been sent completely.
-func (m bodyWhole) Process() { m.l.bodyWhole(m.a) }
+// Take records that the body of an attempt's request has been sent completely.
+func (m requestSent) Process() { m.loop.onRequestSent(m.attempt) }
 
-// Process applies an endpoint list.
-func (m news) Process() { m.l.list(m.listing, m.kind) }
+// Take applies an endpoint list.
+func (m listUpdate) Process() { m.loop.applyListing(m.listing, m.kind) }
 
-// Process passes the number of gateways on to the module.
-func (m divided) Process() { m.l.Handle(m.FleetUpdate) }
+// Take passes the number of gateways on to the module.
+func (m fleetUpdate) Process() { m.loop.Handle(m.FleetUpdate) }
 
-// Process answers every open request, since the process ends soon.
-func (m ending) Process() { m.l.endAll() }
+// Take answers every open request, since the process ends soon.
+func (m processEnding) Process() { m.loop.respondToAll() }
 
-// Process carries out an operator's call and sends its result to the caller.
-func (m handCall) Process() { m.done <- m.l.takeByHand(m) }
+// Take carries out an operator's call and sends its result to the caller.
+func (m detachCommand) Process() { m.done <- m.loop.runDetachCommand(m) }
 
-// Process records the end of an attempt, or the beginning of a streamed response.
-func (m attemptDone) Process() {
-	if m.result.rest != nil {
-		m.l.begin(m.a, m.result)
+// Take records the end of an attempt, or the beginning of a streamed response.
+func (m attemptEnded) Process() {
+	if m.result.stream != nil {
+		m.loop.beginStream(m.attempt, m.result)
 	} else {
-		m.l.endAttempt(m.a, m.result)
+		m.loop.endAttempt(m.attempt, m.result)
 	}
 }
 
-// Process replaces the set of backends that operators have taken out of service.
-func (m outByHand) Process() {
-	for id := range m.l.out {
+// Take replaces the set of backends that operators have taken out of service.
+func (m detachedUpdate) Process() {
+	for id := range m.loop.detached {
 		if _, still := m.ids[id]; !still {
-			m.l.setOut(id, false)
+			m.loop.setDetached(id, false)
 		}
 	}
 	for id := range m.ids {
-		m.l.setOut(id, true)
+		m.loop.setDetached(id, true)
 	}
 }
 
@@ -114,67 +114,67 @@
 	pools    *pools
 	onListed func()
 
-	telemetry *telemetry.Telemetry // nil: nothing is exported
-	share     float64              // of requests that are traced
+	telemetry   *telemetry.Telemetry // nil: nothing is exported
+	sampleRatio float64              // of requests that are traced
 
 	attempts sync.WaitGroup // those that use sockets
 
-	live  map[rules.RequestID]*exchange // until the last attempt has ended
-	held  map[string]struct{}           // the clients' own ids of those
-	ids   recent                        // and of requests taken lately
-	over  bool                          // what comes is turned away: the process ends
-	names map[rules.BackendID]listed    // the ready ones
-	ever  everListed
-	out   map[string]struct{} // backends out by hand; the module leaves them out
+	exchanges      map[rules.RequestID]*exchange    // until the last attempt has ended
+	openIDs        map[string]struct{}              // the clients' own ids of those
+	recentIDs      recentIDs                        // and of requests taken lately
+	terminating    bool                             // what comes is turned away: the process ends
+	readyBackends  map[rules.BackendID]readyBackend // the ready ones
+	backendHistory backendHistory
+	detached       map[string]struct{} // backends out by hand; the module leaves them out
 }
 
-func newLoop(c *config.Config, p *pools, k owner.Counter, onListed func()) *Loop {
-	l := &Loop{EventLoop: owner.New(c.Settings, c.Seed, k), deploy: &c.Deployment, pools: p, onListed: onListed,
-		live: map[rules.RequestID]*exchange{}, held: map[string]struct{}{}, names: map[rules.BackendID]listed{}, out: map[string]struct{}{}}
-	l.ids.span = longest(c).Seconds() + c.AnswerSlack
+func newLoop(conf *config.Config, pools *pools, counter owner.Counter, onListed func()) *Loop {
+	l := &Loop{EventLoop: owner.New(conf.Settings, conf.Seed, counter), deploy: &conf.Deployment, pools: pools, onListed: onListed,
+		exchanges: map[rules.RequestID]*exchange{}, openIDs: map[string]struct{}{}, readyBackends: map[rules.BackendID]readyBackend{}, detached: map[string]struct{}{}}
+	l.recentIDs.span = longestDeadline(conf).Seconds() + conf.AnswerSlack
 	l.Start(l)
 	return l
 }
 
 // hear passes on what discovery told.
-func (l *Loop) hear(told discovery.Listing) {
+func (l *Loop) onListing(listing discovery.Listing) {
 	kind := rules.DeltaList
-	if told.Reset {
+	if listing.Reset {
 		kind = rules.FullList
 	}
-	l.Post(news{l, told, kind})
+	l.Post(listUpdate{l, listing, kind})
 }
 
 // divide passes on how many gateways there are.
-func (l *Loop) divide(share, cold int) {
-	l.Post(divided{l, rules.FleetUpdate{LocalShares: share, ColdSenders: cold}})
+func (l *Loop) setFleet(divisor, coldSenders int) {
+	l.Post(fleetUpdate{l, rules.FleetUpdate{LocalShares: divisor, ColdSenders: coldSenders}})
 }
 
 // leave takes a client's leaving. Danger: an answer may just have been given that
 // passes through, and nobody would end it.
-func (l *Loop) leave(x *exchange) {
-	if x.open {
-		x.open = false
-		l.recordEvent(x, traces.Event{Kind: traces.ClientLeft})
-		l.Handle(rules.ClientDisconnected{Request: x.ask.ID})
-		x.withhold()
-		l.drop(x)
-		if x.upload != nil {
+func (l *Loop) disconnect(ex *exchange) {
+	if ex.open {
+		ex.open = false
+		l.recordEvent(ex, traces.Event{Kind: traces.ClientLeft})
+		l.Handle(rules.ClientDisconnected{Request: ex.request.ID})
+		ex.abortUnsent()
+		l.removeIfDone(ex)
+		if ex.upload != nil {
 			// Danger: the server watches for a client's end only behind a whole body, so the handler of
 			// one that is not read to its end would wait for good, and keep the connection.
-			x.reply <- answer{status: http.StatusBadRequest}
+			ex.reply <- response{status: http.StatusBadRequest}
 		}
 		return
 	}
 	select {
-	case a := <-x.reply:
-		if a.rest == nil {
+	case response := <-ex.reply:
+		if response.stream == nil {
 			return
 		}
-		a.rest.drop()
-		for _, out := range x.attempts {
-			if out.streams {
-				l.endAttempt(out, result{outcome: rules.Cancelled})
+		response.stream.onDrop()
+		for _, attempt := range ex.attempts {
+			if attempt.streaming {
+				l.endAttempt(attempt, result{outcome: rules.Cancelled})
 			}
 		}
 	default:
@@ -182,93 +182,93 @@
 }
 
 // arrive gives a request an id of its own and hands it to the module.
-func (l *Loop) arrive(x *exchange) {
-	if l.over || l.deploy.MaxOpenRequests > 0 && len(l.live) >= l.deploy.MaxOpenRequests {
-		x.reply <- answer{status: http.StatusServiceUnavailable} // nothing was sent for it
+func (l *Loop) accept(ex *exchange) {
+	if l.terminating || l.deploy.MaxOpenRequests > 0 && len(l.exchanges) >= l.deploy.MaxOpenRequests {
+		ex.reply <- response{status: http.StatusServiceUnavailable} // nothing was sent for it
 		return
 	}
 	// Danger: an id names one request. A second one under it, from whatever client, could be answered by
 	// what a backend made for the first.
-	_, twice := l.held[x.id]
-	if !l.ids.add(x.id, x.ask.SentAt) || twice {
-		x.reply <- answer{status: http.StatusConflict}
+	_, open := l.openIDs[ex.correlationID]
+	if !l.recentIDs.add(ex.correlationID, ex.request.SentAt) || open {
+		ex.reply <- response{status: http.StatusConflict}
 		return
 	}
-	x.ask.ID, x.open = l.NewRequestID(), true
-	l.live[x.ask.ID], l.held[x.id] = x, struct{}{}
-	if m := l.RollupCounts(); m != nil {
-		m.Requests++
+	ex.request.ID, ex.open = l.NewRequestID(), true
+	l.exchanges[ex.request.ID], l.openIDs[ex.correlationID] = ex, struct{}{}
+	if counts := l.RollupCounts(); counts != nil {
+		counts.Requests++
 	}
-	l.recordEvent(x, traces.Event{Kind: traces.Began})
-	l.Handle(x.ask)
+	l.recordEvent(ex, traces.Event{Kind: traces.Began})
+	l.Handle(ex.request)
 }
 
 // list takes in what discovery told. Connections follow it before the module
 // hears of it.
-func (l *Loop) list(told discovery.Listing, kind rules.ListKind) {
-	ev := rules.Backends{Kind: kind}
-	kept := map[rules.BackendID]bool{}
-	for _, i := range told.Instances {
-		b, err := i.Backend(l.deploy)
+func (l *Loop) applyListing(listing discovery.Listing, kind rules.ListKind) {
+	event := rules.Backends{Kind: kind}
+	present := map[rules.BackendID]bool{}
+	for _, instance := range listing.Instances {
+		backend, err := instance.Backend(l.deploy)
 		if err != nil {
 			log.Printf("discovery: %v", err)
 		}
-		if i.ID == "" {
+		if instance.ID == "" {
 			continue
 		}
-		if other, known := l.names[b.ID]; known && other.name != i.ID {
-			log.Printf("discovery: instances %q and %q have one id; the second is left out", other.name, i.ID)
+		if other, known := l.readyBackends[backend.ID]; known && other.name != instance.ID {
+			log.Printf("discovery: instances %q and %q have one id; the second is left out", other.name, instance.ID)
 			continue
 		}
-		kept[b.ID] = true
-		ev.Entries = append(ev.Entries, b)
-		l.ever.add(i.ID)
-		if b.State == rules.Ready {
-			l.names[b.ID] = listed{i.ID, i.HostPort, i.Zone, b.StartedAt}
-			if _, out := l.out[i.ID]; !out {
-				l.pools.update(b.ID, i.HostPort, b.StartedAt)
+		present[backend.ID] = true
+		event.Entries = append(event.Entries, backend)
+		l.backendHistory.add(instance.ID)
+		if backend.State == rules.Ready {
+			l.readyBackends[backend.ID] = readyBackend{instance.ID, instance.HostPort, instance.Zone, backend.StartedAt}
+			if _, detached := l.detached[instance.ID]; !detached {
+				l.pools.update(backend.ID, instance.HostPort, backend.StartedAt)
 			}
 		} else {
-			delete(l.names, b.ID)
-			l.pools.remove(b.ID)
+			delete(l.readyBackends, backend.ID)
+			l.pools.remove(backend.ID)
 		}
 	}
 	if kind != rules.DeltaList {
-		for id := range l.names {
-			if !kept[id] {
-				delete(l.names, id)
+		for id := range l.readyBackends {
+			if !present[id] {
+				delete(l.readyBackends, id)
 				l.pools.remove(id)
 			}
 		}
 	}
-	l.Handle(ev)
+	l.Handle(event)
 	if kind != rules.CachedList {
-		if m := l.RollupCounts(); m != nil {
-			m.Changes += len(ev.Entries)
+		if counts := l.RollupCounts(); counts != nil {
+			counts.Changes += len(event.Entries)
 		}
 		l.onListed()
 	}
 }
 
-// InFlight tells whether a request, or an attempt of it, is still out.
-func (l *Loop) InFlight(id rules.RequestID) bool { return l.live[id] != nil }
+// Live tells whether a request, or an attempt of it, is still out.
+func (l *Loop) InFlight(id rules.RequestID) bool { return l.exchanges[id] != nil }
 
 // Refuse answers a request: trying again is harmless.
 func (l *Loop) Refuse(a rules.Refuse) {
-	l.answer(a.Request, answer{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter, why: a.Reason, paid: a.AdmittedAt})
+	l.respond(a.Request, response{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter, reason: a.Reason, admittedAt: a.AdmittedAt})
 }
 
 // Fail answers a request that may have run.
-func (l *Loop) Fail(a rules.Fail) { l.answer(a.Request, answer{status: http.StatusBadGateway}) }
+func (l *Loop) Fail(a rules.Fail) { l.respond(a.Request, response{status: http.StatusBadGateway}) }
 
 // byHand passes on a call of an operator and waits for its end.
-func (l *Loop) byHand(ctx context.Context, c handCall) error {
-	c.l, c.done = l, make(chan error, 1)
-	if !l.Post(c) {
+func (l *Loop) sendDetachCommand(ctx context.Context, command detachCommand) error {
+	command.loop, command.done = l, make(chan error, 1)
+	if !l.Post(command) {
 		return errStopped
 	}
 	select {
-	case err := <-c.done:
+	case err := <-command.done:
 		return err
 	case <-l.Stopped():
 		return errStopped
@@ -277,175 +277,175 @@
 	}
 }
 
-func (l *Loop) takeByHand(c handCall) error {
-	if _, out := l.out[c.id]; !out && !l.ever.has(c.id) {
+func (l *Loop) runDetachCommand(command detachCommand) error {
+	if _, detached := l.detached[command.id]; !detached && !l.backendHistory.has(command.id) {
 		return errNeverListed
 	}
-	if !c.ask {
-		l.setOut(c.id, c.out)
+	if !command.checkOnly {
+		l.setDetached(command.id, command.detach)
 	}
 	return nil
 }
 
 // setOut takes a backend out or puts it back. Its connections follow as at a
 // change of the list: no dial that waits goes on, and what is out may be answered.
-func (l *Loop) setOut(name string, out bool) {
-	if _, was := l.out[name]; was == out {
+func (l *Loop) setDetached(name string, detached bool) {
+	if _, already := l.detached[name]; already == detached {
 		return
 	}
 	id := discovery.BackendID(name)
-	at, ready := l.names[id]
-	ready = ready && at.name == name
-	if out {
-		l.out[name] = struct{}{}
+	backend, ready := l.readyBackends[id]
+	ready = ready && backend.name == name
+	if detached {
+		l.detached[name] = struct{}{}
 		if ready {
 			l.pools.remove(id)
 		}
 		l.Handle(rules.Detach{Backend: id})
 		return
 	}
-	delete(l.out, name)
+	delete(l.detached, name)
 	if ready {
-		l.pools.update(id, at.address, at.born)
+		l.pools.update(id, backend.address, backend.startedAt)
 	}
 	l.Handle(rules.Attach{Backend: id})
 }
 
 // Send starts an attempt. What is over or was tried too often gets none.
-func (l *Loop) Send(s rules.Send) {
-	x := l.live[s.Request]
-	if x == nil {
-		log.Printf("request %d is not known", s.Request)
+func (l *Loop) Send(send rules.Send) {
+	ex := l.exchanges[send.Request]
+	if ex == nil {
+		log.Printf("request %d is not known", send.Request)
 		return
 	}
 	now := l.Clock.Now()
-	a := &attempt{x: x, loop: l, number: len(x.attempts), backend: s.Backend, sent: now, deadline: x.ask.Deadline}
-	if s.Timeout > 0 {
-		a.deadline = min(a.deadline, now+s.Timeout)
-	}
-	a.until, a.latest = l.Clock.At(a.deadline), l.latest(x)
-	x.attempts = append(x.attempts, a)
-	x.out++
-	l.recordAttempt(a, s.AdmittedAt)
-	if !x.open || a.number >= max(l.deploy.MaxAttempts, 1) || a.deadline <= now {
-		l.endAttempt(a, result{outcome: rules.NotSent})
+	attempt := &attempt{exchange: ex, loop: l, number: len(ex.attempts), backend: send.Backend, sentAt: now, deadline: ex.request.Deadline}
+	if send.Timeout > 0 {
+		attempt.deadline = min(attempt.deadline, now+send.Timeout)
+	}
+	attempt.socketDeadline, attempt.writeDeadline = l.Clock.At(attempt.deadline), l.retryWriteDeadline(ex)
+	ex.attempts = append(ex.attempts, attempt)
+	ex.activeAttempts++
+	l.recordAttempt(attempt, send.AdmittedAt)
+	if !ex.open || attempt.number >= max(l.deploy.MaxAttempts, 1) || attempt.deadline <= now {
+		l.endAttempt(attempt, result{outcome: rules.NotSent})
 		return
 	}
-	a.ctx, a.cancel = context.WithCancel(context.Background())
-	a.passed = func(o rules.Outcome) { l.Post(attemptDone{l, a, result{outcome: o}}) }
-	if x.upload != nil {
-		a.whole = func() { l.Post(bodyWhole{l, a}) }
+	attempt.ctx, attempt.cancel = context.WithCancel(context.Background())
+	attempt.onStreamEnd = func(o rules.Outcome) { l.Post(attemptEnded{l, attempt, result{outcome: o}}) }
+	if ex.upload != nil {
+		attempt.onSent = func() { l.Post(requestSent{l, attempt}) }
 	}
-	l.ScheduleTimeout(a.deadline, a)
+	l.ScheduleTimeout(attempt.deadline, attempt)
 	l.attempts.Go(func() { // ends by a.until, or when the attempt is called off
-		res := l.pools.attempt(a)
-		a.cancel()
-		res.told = readLoad(res.load, l.deploy.LoadFields) // here, where it holds up no other request
-		l.Post(attemptDone{l, a, res})
+		result := l.pools.send(attempt)
+		attempt.cancel()
+		result.load = parseLoadReport(result.loadText, l.deploy.LoadFields) // here, where it holds up no other request
+		l.Post(attemptEnded{l, attempt, result})
 	})
 }
 
 // latest is when a repeat must have gone out, if an attempt before may have run; the
 // zero time: whenever. Danger: the module looks at the window when it decides, and a
 // connection that comes up late would bring the repeat to a backend that has forgotten.
-func (l *Loop) latest(x *exchange) time.Time {
-	class := &l.deploy.Classes[x.ask.Class]
-	for _, a := range x.attempts { // in the order they were sent
+func (l *Loop) retryWriteDeadline(ex *exchange) time.Time {
+	class := &l.deploy.Classes[ex.request.Class]
+	for _, a := range ex.attempts { // in the order they were sent
 		if class.Idempotency == rules.IdempotentByKey && !a.neverRan {
-			return l.Clock.At(a.sent + class.DedupeWindow - 2*l.deploy.Tick)
+			return l.Clock.At(a.sentAt + class.DedupeWindow - 2*l.deploy.Tick)
 		}
 	}
 	return time.Time{}
 }
 
 // bodyWhole starts the client's time where its body has gone on whole.
-func (l *Loop) bodyWhole(a *attempt) {
-	x := a.x
-	if a.ended || !x.open {
+func (l *Loop) onRequestSent(attempt *attempt) {
+	ex := attempt.exchange
+	if attempt.ended || !ex.open {
 		return
 	}
-	x.ask.Deadline = l.Clock.Now() + x.left
-	a.deadline = x.ask.Deadline
-	l.ScheduleTimeout(a.deadline, a)
-	l.Handle(rules.BodyComplete{Request: x.ask.ID, Deadline: x.ask.Deadline})
+	ex.request.Deadline = l.Clock.Now() + ex.timeLeft
+	attempt.deadline = ex.request.Deadline
+	l.ScheduleTimeout(attempt.deadline, attempt)
+	l.Handle(rules.BodyComplete{Request: ex.request.ID, Deadline: ex.request.Deadline})
 }
 
 // begin gives a client an answer that passes through: it is final from its first
 // byte, and the attempt is out until its last.
-func (l *Loop) begin(a *attempt, res result) {
-	x := a.x
-	if a.ended || !x.open {
-		res.rest.drop()
-		l.endAttempt(a, result{outcome: rules.Cancelled})
+func (l *Loop) beginStream(attempt *attempt, res result) {
+	ex := attempt.exchange
+	if attempt.ended || !ex.open {
+		res.stream.onDrop()
+		l.endAttempt(attempt, result{outcome: rules.Cancelled})
 		return
 	}
-	a.streams = true
-	header := passedOn(res.header)
+	attempt.streaming = true
+	header := endToEndHeaders(res.header)
 	header.Del(loadHeader)
-	l.answer(x.ask.ID, answer{status: http.StatusOK, header: header, rest: res.rest})
-	l.Handle(rules.ResponseStarted{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Duration: l.Clock.Now() - a.sent})
+	l.respond(ex.request.ID, response{status: http.StatusOK, header: header, stream: res.stream})
+	l.Handle(rules.ResponseStarted{Request: ex.request.ID, Attempt: attempt.number, Backend: attempt.backend, Duration: l.Clock.Now() - attempt.sentAt})
 }
 
 // endAttempt takes an attempt's one end; what comes after it is dropped.
-func (l *Loop) endAttempt(a *attempt, res result) {
-	if res.left && !a.ended {
-		l.leave(a.x) // the server will see it too, and say it again
+func (l *Loop) endAttempt(attempt *attempt, result result) {
+	if result.clientDisconnected && !attempt.ended {
+		l.disconnect(attempt.exchange) // the server will see it too, and say it again
 	}
-	if a.ended {
+	if attempt.ended {
 		return
 	}
-	a.ended, a.neverRan = true, rules.NeverRan(res.outcome)
-	x := a.x
-	x.out--
-	l.recordEvent(x, traces.Event{Kind: traces.Ended, Attempt: a.number, Outcome: res.outcome})
-	if res.outcome == rules.Served && x.open {
-		header := passedOn(res.header)
+	attempt.ended, attempt.neverRan = true, rules.NeverRan(result.outcome)
+	ex := attempt.exchange
+	ex.activeAttempts--
+	l.recordEvent(ex, traces.Event{Kind: traces.Ended, Attempt: attempt.number, Outcome: result.outcome})
+	if result.outcome == rules.Served && ex.open {
+		header := endToEndHeaders(result.header)
 		header.Del(loadHeader) // for gateways, not for clients
-		l.answer(x.ask.ID, answer{status: http.StatusOK, header: header, body: res.body})
+		l.respond(ex.request.ID, response{status: http.StatusOK, header: header, body: result.body})
 	}
-	l.Handle(rules.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
-		Duration: l.Clock.Now() - a.sent, RequestDone: !x.open, LoadData: res.told})
-	l.drop(x)
+	l.Handle(rules.AttemptEnd{Request: ex.request.ID, Attempt: attempt.number, Backend: attempt.backend, Outcome: result.outcome,
+		Duration: l.Clock.Now() - attempt.sentAt, RequestDone: !ex.open, LoadData: result.load})
+	l.removeIfDone(ex)
 }
 
 // Cancel ends an attempt.
-func (l *Loop) Cancel(c rules.Cancel) {
-	x := l.live[c.Request]
-	if x == nil || c.Attempt >= len(x.attempts) || x.attempts[c.Attempt].ended || x.attempts[c.Attempt].streams {
+func (l *Loop) Cancel(cancel rules.Cancel) {
+	ex := l.exchanges[cancel.Request]
+	if ex == nil || cancel.Attempt >= len(ex.attempts) || ex.attempts[cancel.Attempt].ended || ex.attempts[cancel.Attempt].streaming {
 		return
 	}
-	a := x.attempts[c.Attempt]
-	a.callOff()
+	attempt := ex.attempts[cancel.Attempt]
+	attempt.abort()
 	outcome := rules.Cancelled
-	if l.Clock.Now() >= a.deadline-sameMoment {
+	if l.Clock.Now() >= attempt.deadline-timeoutTolerance {
 		outcome = rules.TimedOut // the module learns from it
 	}
-	l.endAttempt(a, result{outcome: outcome})
+	l.endAttempt(attempt, result{outcome: outcome})
 }
 
 // answer gives a request its final answer, if it has none.
-func (l *Loop) answer(id rules.RequestID, a answer) {
-	x := l.live[id]
-	if x == nil || !x.open {
+func (l *Loop) respond(id rules.RequestID, response response) {
+	ex := l.exchanges[id]
+	if ex == nil || !ex.open {
 		return
 	}
-	x.open = false
-	l.recordEvent(x, answered(a))
-	x.reply <- a // it has room for one, and one is all it gets
-	x.withhold()
-	l.drop(x)
+	ex.open = false
+	l.recordEvent(ex, responseEvent(response))
+	ex.reply <- response // it has room for one, and one is all it gets
+	ex.abortUnsent()
+	l.removeIfDone(ex)
 }
 
 // endAll answers all that is held: refused where the module finds that harmless, else
 // failed. What passes through goes on until the process ends.
-func (l *Loop) endAll() {
-	l.over = true
-	for id, x := range l.live {
-		if !x.open {
+func (l *Loop) respondToAll() {
+	l.terminating = true
+	for id, ex := range l.exchanges {
+		if !ex.open {
 			continue
 		}
 		l.Handle(rules.ExpireRequest(id))
-		if x.open { // its body is still coming
+		if ex.open { // its body is still coming
 			l.Handle(rules.ClientDisconnected{Request: id})
 			l.Fail(rules.Fail{Request: id})
 		}
@@ -453,73 +453,73 @@
 }
 
 // drop forgets a request that has its answer and nothing out.
-func (l *Loop) drop(x *exchange) {
-	if !x.open && x.out == 0 {
-		delete(l.live, x.ask.ID)
-		delete(l.held, x.id)
+func (l *Loop) removeIfDone(ex *exchange) {
+	if !ex.open && ex.activeAttempts == 0 {
+		delete(l.exchanges, ex.request.ID)
+		delete(l.openIDs, ex.correlationID)
 	}
 }
 
-// Done tells whether nobody waits for the attempt's time-out.
-func (a *attempt) Done() bool { return a.ended || a.streams }
+// Over tells whether nobody waits for the attempt's time-out.
+func (a *attempt) Done() bool { return a.ended || a.streaming }
 
-// Expire ends an attempt whose time is over.
+// Due ends an attempt whose time is over.
 func (a *attempt) Expire() {
-	if a.loop.Clock.Now() < a.deadline-sameMoment {
+	if a.loop.Clock.Now() < a.deadline-timeoutTolerance {
 		return // its body has come whole since, and its time runs from there
 	}
-	a.callOff()
+	a.abort()
 	a.loop.endAttempt(a, result{outcome: rules.TimedOut})
 }
 
 // listed is what discovery says of a ready backend.
-type listed struct {
+type readyBackend struct {
 	name, address, zone string
-	born                float64
+	startedAt           float64
 }
 
 // everListed remembers the ids of backends that discovery told of, the newest
 // some thousands at least: where backends are replaced all day, ids are ever new.
-type everListed struct{ now, last map[string]struct{} }
+type backendHistory struct{ current, previous map[string]struct{} }
 
-const everMost = 1 << 12 // ids of a generation; then the next begins
+const backendsPerGeneration = 1 << 12 // ids of a generation; then the next begins
 
-func (e *everListed) add(id string) {
-	if _, there := e.now[id]; there {
+func (h *backendHistory) add(id string) {
+	if _, listed := h.current[id]; listed {
 		return
 	}
-	if e.now == nil || len(e.now) >= everMost {
-		e.now, e.last = map[string]struct{}{}, e.now
+	if h.current == nil || len(h.current) >= backendsPerGeneration {
+		h.current, h.previous = map[string]struct{}{}, h.current
 	}
-	e.now[id] = struct{}{}
+	h.current[id] = struct{}{}
 }
 
-func (e *everListed) has(id string) bool {
-	_, now := e.now[id]
-	_, last := e.last[id]
+func (h *backendHistory) has(id string) bool {
+	_, now := h.current[id]
+	_, last := h.previous[id]
 	return now || last
 }
 
 // recent remembers ids for a while: those of the present span and of the last.
-type recent struct {
-	span      float64 // seconds
-	now, last map[string]struct{}
-	since     float64
+type recentIDs struct {
+	span              float64 // seconds
+	current, previous map[string]struct{}
+	startedAt         float64
 }
 
-const recentMost = 1 << 13 // ids of a span; then the next begins
+const idsPerSpan = 1 << 13 // ids of a span; then the next begins
 
 // add tells whether an id is new, and remembers it.
-func (r *recent) add(id string, now float64) bool {
-	if r.now == nil || now-r.since > r.span || len(r.now) >= recentMost {
-		r.now, r.last, r.since = map[string]struct{}{}, r.now, now
+func (r *recentIDs) add(id string, now float64) bool {
+	if r.current == nil || now-r.startedAt > r.span || len(r.current) >= idsPerSpan {
+		r.current, r.previous, r.startedAt = map[string]struct{}{}, r.current, now
 	}
-	if _, seen := r.now[id]; seen {
+	if _, seen := r.current[id]; seen {
 		return false
 	}
-	if _, seen := r.last[id]; seen {
+	if _, seen := r.previous[id]; seen {
 		return false
 	}
-	r.now[id] = struct{}{}
+	r.current[id] = struct{}{}
 	return true
 }
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -6,9 +6,9 @@
 )
 
 // Ids are remembered for as long as a request may be open, and not for good.
-func TestRecent(t *testing.T) {
+func TestRecentIDs(t *testing.T) {
 	const span = 4.0
-	r := recent{span: span}
+	r := recentIDs{span: span}
 	for _, c := range []struct {
 		id   string
 		at   float64
@@ -21,10 +21,10 @@
 			t.Errorf("%s at %v: new %t", c.id, c.at, got)
 		}
 	}
-	for i := range 3 * recentMost {
+	for i := range 3 * idsPerSpan {
 		r.add(strconv.Itoa(i), 3*span)
 	}
-	if n := len(r.now) + len(r.last); n > 2*recentMost {
+	if n := len(r.current) + len(r.previous); n > 2*idsPerSpan {
 		t.Errorf("%d ids are remembered", n)
 	}
 }
--- a/internal/gateway/rollup_test.go
+++ b/internal/gateway/rollup_test.go
@@ -15,21 +15,21 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "n3.moments")
 	p := newPools(time.Second, time.Second, 10)
-	write := func(spans int) int64 {
-		m, err := openRollupFile(site.Rollup{Dir: dir, MB: 1}, "n3", p)
+	write := func(intervals int) int64 {
+		file, err := openRollupFile(site.Rollup{Dir: dir, MB: 1}, "n3", p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		tally := m.aggregator(100 * time.Millisecond)
+		aggregator := file.aggregator(100 * time.Millisecond)
 		done := make(chan struct{})
-		go func() { defer close(done); m.run() }()
-		for i := range spans {
+		go func() { defer close(done); file.run() }()
+		for i := range intervals {
 			p.dials.Add(2)
-			m.lines <- rollup.Line{At: 1000 + float64(i), Gateway: "n3", Counts: rollup.Counts{Sends: 1}}
+			file.lines <- rollup.Line{At: 1000 + float64(i), Gateway: "n3", Counts: rollup.Counts{Sends: 1}}
 		}
-		tally.Current(9000).Calls++
-		tally.Flush()
-		close(m.lines)
+		aggregator.Current(9000).Calls++
+		aggregator.Flush()
+		close(file.lines)
 		<-done
 		stat, err := os.Stat(path)
 		if err != nil {
@@ -53,8 +53,8 @@
 	if n := write(10); n > 1<<20 {
 		t.Fatalf("%d bytes after a third", n)
 	}
-	if m, err := openRollupFile(site.Rollup{}, "n3", p); m != nil || err != nil {
-		t.Fatalf("nobody asked for it: %v %v", m, err)
+	if file, err := openRollupFile(site.Rollup{}, "n3", p); file != nil || err != nil {
+		t.Fatalf("nobody asked for it: %v %v", file, err)
 	}
 	if _, err := openRollupFile(site.Rollup{Dir: filepath.Join(dir, "none"), MB: 1}, "n3", p); err == nil || !strings.Contains(err.Error(), "moments") {
 		t.Fatalf("%v", err)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -18,10 +18,10 @@
 )
 
 // closed waits until the gateway takes no more connections.
-func (r *rig) closed(t *testing.T) {
+func (gw *testGateway) waitUntilClosed(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		c, err := net.Dial("tcp", r.address)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		c, err := net.Dial("tcp", gw.address)
 		if err != nil {
 			return
 		}
@@ -33,20 +33,20 @@
 }
 
 // begins connects and sends the first bytes of a request.
-func (r *rig) begins(t *testing.T, part string) net.Conn {
+func (gw *testGateway) sendPart(t *testing.T, part string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.address)
+	conn, err := net.Dial("tcp", gw.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, part)
 	return conn
 }
 
 // endsWith reads the last answer on a connection.
-func endsWith(t *testing.T, conn net.Conn, what string, status int) {
+func expectLastResponse(t *testing.T, conn net.Conn, what string, status int) {
 	t.Helper()
 	br := bufio.NewReader(conn)
 	resp, err := http.ReadResponse(br, nil)
@@ -61,92 +61,92 @@
 
 // short has all classes end after 2 s, so that the kill comes 2.7 s after the gateway was
 // asked to end.
-var short = strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`).Replace
+var shortDeadlines = strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`).Replace
 
 // A request of which a part had come before the gateway was asked to end, and the rest
 // after it has closed what said nothing, is answered: on a new connection and on a
 // kept one. The server here has no time-outs of its own.
-func TestRequestHalfThereAtTheEnd(t *testing.T) {
+func TestPartialRequestAtShutdown(t *testing.T) {
 	t.Parallel()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, _ := newGatedLoop(t, testpeer.Settings, newPeer(t))
+	l, _ := newLoopWithDialGate(t, testpeer.Settings, newPeer(t))
 	front := &frontend{loop: l, deploy: l.deploy}
-	c := newClients(listener, 10)
-	c.cross = 50 * time.Millisecond
-	server := &http.Server{ConnState: c.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	c := newClientListener(listener, 10)
+	c.firstRequestWait = 50 * time.Millisecond
+	server := &http.Server{ConnState: c.onStateChange, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
-		if front.closing() {
+		if front.closesConnections() {
 			w.Header().Set("Connection", "close")
 		}
 		w.Write(body)
 	})}
-	set := &config.Config{}
-	set.Classes = []rules.Class{{Timeout: patience.Seconds()}}
-	took := make(chan struct{})
-	go func() { defer close(took); server.Serve(c) }()
-	r := &rig{address: listener.Addr().String()}
+	conf := &config.Config{}
+	conf.Classes = []rules.Class{{Timeout: testTimeout.Seconds()}}
+	acceptDone := make(chan struct{})
+	go func() { defer close(acceptDone); server.Serve(c) }()
+	gw := &testGateway{address: listener.Addr().String()}
 
 	const text = "POST / HTTP/1.1\r\nHost: origin.svc\r\nContent-Length: 6\r\n\r\npickup"
-	kept := r.begins(t, text)
-	if resp, err := http.ReadResponse(bufio.NewReader(kept), nil); err != nil {
+	reused := gw.sendPart(t, text)
+	if resp, err := http.ReadResponse(bufio.NewReader(reused), nil); err != nil {
 		t.Fatal(err)
 	} else {
 		io.Copy(io.Discard, resp.Body)
 	}
-	io.WriteString(kept, text[:20])
-	fresh, body := r.begins(t, text[:20]), r.begins(t, text[:len(text)-3])
-	silent, idle := r.begins(t, ""), r.begins(t, text)
-	for end := time.Now().Add(patience); c.open() < 5; time.Sleep(time.Millisecond) { // until all are taken
+	io.WriteString(reused, text[:20])
+	fresh, body := gw.sendPart(t, text[:20]), gw.sendPart(t, text[:len(text)-3])
+	silent, idle := gw.sendPart(t, ""), gw.sendPart(t, text)
+	for end := time.Now().Add(testTimeout); c.openConns() < 5; time.Sleep(time.Millisecond) { // until all are taken
 		if time.Now().After(end) {
 			t.Fatal("the connections were not taken")
 		}
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- shutdown(set, front, c, server, took) }()
+	shutdownErr := make(chan error, 1)
+	go func() { shutdownErr <- shutdown(conf, front, c, server, acceptDone) }()
 	for _, conn := range []net.Conn{silent, idle} {
 		if _, err := io.ReadAll(conn); isTimeout(err) {
 			t.Errorf("a connection with no request: %v", err)
 		}
 	}
-	io.WriteString(kept, text[20:])
+	io.WriteString(reused, text[20:])
 	io.WriteString(fresh, text[20:])
 	io.WriteString(body, text[len(text)-3:])
-	endsWith(t, kept, "half a head on a kept connection", 200)
-	endsWith(t, fresh, "half a head on a new connection", 200)
-	endsWith(t, body, "half a body", 200)
-	if err := wait(t, ended, "end"); err != nil {
+	expectLastResponse(t, reused, "half a head on a kept connection", 200)
+	expectLastResponse(t, fresh, "half a head on a new connection", 200)
+	expectLastResponse(t, body, "half a body", 200)
+	if err := wait(t, shutdownErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
 // What is taken late must not be held past the kill, whatever time its client has: it
 // is refused where that is harmless, and failed where it may have run.
-func TestHeldUntilTheKill(t *testing.T) {
+func TestOpenRequestsEndBeforeKill(t *testing.T) {
 	t.Parallel()
 	for class, status := range map[string]int{"lookup": 429, "payment": 502} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
 			backend := newPeer(t)
-			r := newRigWith(t, short, backend)
-			text := ask("GET", class, "")
+			gw := startGatewayWith(t, shortDeadlines, backend)
+			text := requestText("GET", class, "")
 			if class == "payment" {
-				text = ask("POST", class, "")
+				text = requestText("POST", class, "")
 				text = strings.Replace(text, "\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n", 1)
 			}
-			conn := r.begins(t, text[:len(text)-1])
-			r.stop()
-			r.closed(t) // 0.6 s later: the kill comes before the request's own end
+			conn := gw.sendPart(t, text[:len(text)-1])
+			gw.stop()
+			gw.waitUntilClosed(t) // 0.6 s later: the kill comes before the request's own end
 			io.WriteString(conn, text[len(text)-1:])
 			_, br := backend.Accept(t)
 			readRequest(t, br)
-			endsWith(t, conn, "taken late", status)
+			expectLastResponse(t, conn, "taken late", status)
 			if _, err := br.ReadByte(); err != io.EOF {
 				t.Errorf("the attempt's connection: %v", err)
 			}
-			if err := wait(t, r.ended, "end"); err != nil {
+			if err := wait(t, gw.runErr, "end"); err != nil {
 				t.Errorf("ended with %v", err)
 			}
 		})
@@ -166,15 +166,15 @@
 
 // What waits in the backlog when the last connections are taken is served before the
 // listener closes.
-func TestBacklogAtTheEnd(t *testing.T) {
+func TestBacklogAtShutdown(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	gated := &gatedListener{l.(*net.TCPListener), make(chan struct{})}
-	c := newClients(gated, 10)
-	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ConnState: c.state}
+	c := newClientListener(gated, 10)
+	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ConnState: c.onStateChange}
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(c) }()
 	defer server.Close()
@@ -185,11 +185,11 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(conn, "GET / HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n\r\n")
 		waiting = append(waiting, conn)
 	}
-	c.finish()
+	c.drainBacklog()
 	close(gated.gate)
 	for i, conn := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -209,29 +209,29 @@
 
 // A connection is closed as idle or its request is carried out, never both: here its
 // bytes have been read, and the server has not seen them yet.
-func TestClosedAsIdleWhileARequestIsRead(t *testing.T) {
+func TestCloseIfIdleWhileRequestIsRead(t *testing.T) {
 	t.Parallel()
 	for _, readFirst := range []bool{true, false} {
-		client, g := guarded(t)
+		client, cc := newTestClientConn(t)
 		io.WriteString(client, "GET ")
-		p := make([]byte, 4)
+		buffer := make([]byte, 4)
 		if readFirst {
-			if n, err := io.ReadFull(g, p); n != 4 || err != nil {
+			if n, err := io.ReadFull(cc, buffer); n != 4 || err != nil {
 				t.Fatalf("%d bytes, %v", n, err)
 			}
-			if g.closeIdle() {
+			if cc.closeIfIdle() {
 				t.Error("closed with a request begun")
 			}
 			continue
 		}
 		// The crossing: the bytes have left the socket, and the guard does not know yet.
-		if n, err := io.ReadFull(g.TCPConn, p); n != 4 || err != nil {
+		if n, err := io.ReadFull(cc.TCPConn, buffer); n != 4 || err != nil {
 			t.Fatalf("%d bytes, %v", n, err)
 		}
-		if !g.closeIdle() {
+		if !cc.closeIfIdle() {
 			t.Error("an idle connection was not closed")
 		}
-		if g.begin() {
+		if cc.markStarted() {
 			t.Error("the request goes on though its connection was closed")
 		}
 	}
@@ -239,11 +239,11 @@
 
 // A reload and the end at once: the end waits for nothing of the reload, and a second
 // call to end changes nothing.
-func TestReloadAtTheEnd(t *testing.T) {
+func TestReloadDuringShutdown(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, held := r.client(t, ask("GET", "lookup", ""))
+	gw := startGateway(t, backend)
+	_, openResponse := gw.send(t, requestText("GET", "lookup", ""))
 	conn, br := backend.Accept(t)
 	readRequest(t, br)
 	dead, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
@@ -251,35 +251,35 @@
 		t.Fatal(err)
 	}
 	defer dead.Close()
-	next := strings.Replace(*r.config.Load(), r.registry.Address(), dead.Addr().String(), 1)
-	r.config.Store(&next)
-	r.hup <- syscall.SIGHUP
-	r.stop()
-	r.stop()
+	next := strings.Replace(*gw.config.Load(), gw.registry.Address(), dead.Addr().String(), 1)
+	gw.config.Store(&next)
+	gw.reload <- syscall.SIGHUP
+	gw.stop()
+	gw.stop()
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	if resp := wait(t, held, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, openResponse, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if err := wait(t, r.ended, "end"); err != nil {
+	if err := wait(t, gw.runErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
 // What a client claims beyond its class's own time does not hold its request.
-func TestPatienceBeyondItsClass(t *testing.T) {
+func TestTimeLimitCappedByClass(t *testing.T) {
 	t.Parallel()
-	l, _ := newGatedLoop(t, testpeer.Settings, newPeer(t))
+	l, _ := newLoopWithDialGate(t, testpeer.Settings, newPeer(t))
 	front := &frontend{loop: l, deploy: l.deploy}
 	for claimed, want := range map[string]float64{"3600000": 20, "20001": 20, "15000": 15} {
-		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(ask("GET", "lookup", "", leftHeader, claimed))))
+		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("GET", "lookup", "", timeLeftHeader, claimed))))
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, _, err := front.read(httptest.NewRecorder(), r)
+		ex, _, err := front.readExchange(httptest.NewRecorder(), r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := x.left + answerMargin; math.Abs(got-want) > 1e-9 {
+		if got := ex.timeLeft + responseMargin; math.Abs(got-want) > 1e-9 {
 			t.Errorf("%s ms: held for %g s, want %g", claimed, got, want)
 		}
 	}
@@ -287,7 +287,7 @@
 
 // The end counts from the earliest kill that the deadlines allow. A grace for late answers
 // comes on top of a deadline and of no kill.
-func TestKilledByTheDeadlines(t *testing.T) {
+func TestMinKillDelay(t *testing.T) {
 	for _, k := range []struct {
 		deadline, slack string
 		want            time.Duration
@@ -298,7 +298,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := killed(&c); got != k.want {
+		if got := minKillDelay(&c); got != k.want {
 			t.Errorf("deadline %s s, slack %s s: killed after %v, want %v", k.deadline, k.slack, got, k.want)
 		}
 	}
--- a/internal/gateway/streaming.go
+++ b/internal/gateway/streaming.go
@@ -12,50 +12,50 @@
 // and a spoilt answer does not reach a client. Longer ones pass through as they
 // come, in both directions, in bounded memory.
 const (
-	inlineBody  = 64 << 10               // bytes
-	mostBulk    = 34 << 20               // bytes of a body that passes through
-	bulkPiece   = 16 << 10               // bytes read at a time
-	chunkedHold = 32 << 10               // bytes of an answer of unknown length that are waited for before it passes through
-	chunkedWait = 200 * time.Millisecond // and for how long
-
-	uploadStall  = 1500 * time.Millisecond // a body that brings nothing for so long has ended
-	leastUpload  = 24 << 10                // bytes a second that a body must bring over its whole
-	downloadRest = 30 * time.Second        // a client that takes nothing for so long has gone
-	answerStall  = 10 * time.Second        // and so has a backend that gives nothing
+	maxBufferedBody    = 64 << 10               // bytes
+	maxStreamedBody    = 34 << 20               // bytes of a body that passes through
+	streamBufferSize   = 16 << 10               // bytes read at a time
+	chunkedBufferLimit = 32 << 10               // bytes of an answer of unknown length that are waited for before it passes through
+	chunkedBufferTime  = 200 * time.Millisecond // and for how long
+
+	uploadStallTimeout   = 1500 * time.Millisecond // a body that brings nothing for so long has ended
+	minUploadRate        = 24 << 10                // bytes a second that a body must bring over its whole
+	downloadStallTimeout = 30 * time.Second        // a client that takes nothing for so long has gone
+	responseStallTimeout = 10 * time.Second        // and so has a backend that gives nothing
 )
 
 var errTooLong = errors.New("the body is too long")
 
 // bulkTime is the longest that a body of so many bytes may take.
-func bulkTime(length int64) time.Duration {
+func maxUploadTime(length int64) time.Duration {
 	if length < 0 {
-		length = mostBulk
+		length = maxStreamedBody
 	}
-	return 2*uploadStall + time.Duration(float64(length)/leastUpload*float64(time.Second))
+	return 2*uploadStallTimeout + time.Duration(float64(length)/minUploadRate*float64(time.Second))
 }
 
-var errUploadOver = errors.New("the request is over")
+var errRequestOver = errors.New("the request is over")
 
 // upload is a body on its way from a client. It is read by the handler to see
 // whether it is short, and then by one attempt.
 type upload struct {
-	body    io.Reader
-	control *http.ResponseController
-	until   time.Time
-	length  int64  // -1: in chunks
-	prefix  []byte // read already
+	body     io.Reader
+	control  *http.ResponseController
+	deadline time.Time
+	length   int64  // -1: in chunks
+	prefix   []byte // read already
 
 	mu       sync.Mutex
-	taken    bool
+	claimed  bool
 	stopped  bool
-	ended    bool          // all has been read
-	broken   bool          // its client failed
+	complete bool          // all has been read
+	failed   bool          // its client failed
 	finished chan struct{} // the attempt reads no more
 }
 
 func newUpload(w http.ResponseWriter, r *http.Request) *upload {
-	return &upload{body: http.MaxBytesReader(w, r.Body, mostBulk), control: http.NewResponseController(w), length: r.ContentLength,
-		until: time.Now().Add(bulkTime(r.ContentLength)), finished: make(chan struct{})}
+	return &upload{body: http.MaxBytesReader(w, r.Body, maxStreamedBody), control: http.NewResponseController(w), length: r.ContentLength,
+		deadline: time.Now().Add(maxUploadTime(r.ContentLength)), finished: make(chan struct{})}
 }
 
 // Read reads from the client. Danger: the server cancels a request whose connection
@@ -71,21 +71,21 @@
 	u.mu.Lock()
 	if u.stopped {
 		u.mu.Unlock()
-		return 0, errUploadOver
+		return 0, errRequestOver
 	}
-	limit := time.Now().Add(uploadStall)
-	if u.until.Before(limit) {
-		limit = u.until
+	limit := time.Now().Add(uploadStallTimeout)
+	if u.deadline.Before(limit) {
+		limit = u.deadline
 	}
 	u.control.SetReadDeadline(limit)
 	u.mu.Unlock()
 	n, err := u.body.Read(p)
 	if err != nil {
 		u.mu.Lock()
-		if u.ended = err == io.EOF; u.ended {
+		if u.complete = err == io.EOF; u.complete {
 			u.control.SetReadDeadline(time.Time{})
 		} else {
-			u.broken = true
+			u.failed = true
 		}
 		u.mu.Unlock()
 	}
@@ -93,15 +93,15 @@
 }
 
 // first reads up to inlineBody bytes and tells whether that was all.
-func (u *upload) first() (body []byte, all bool, err error) {
-	body, err = io.ReadAll(io.LimitReader(u, inlineBody+1))
-	return body, len(body) <= inlineBody, err
+func (u *upload) readBuffered() (body []byte, complete bool, err error) {
+	body, err = io.ReadAll(io.LimitReader(u, maxBufferedBody+1))
+	return body, len(body) <= maxBufferedBody, err
 }
 
 // shortBody reads a body of a few bytes.
-func shortBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+func readShortBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(uploadStall))
+	control.SetReadDeadline(time.Now().Add(uploadStallTimeout))
 	body := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, body); err != nil {
 		return nil, err // the time-out stays: the server reads on for what is missing
@@ -112,13 +112,13 @@
 }
 
 // take hands the body to an attempt, once.
-func (u *upload) take() bool {
+func (u *upload) claim() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.taken || u.stopped {
+	if u.claimed || u.stopped {
 		return false
 	}
-	u.taken = true
+	u.claimed = true
 	return true
 }
 
@@ -128,15 +128,15 @@
 func (u *upload) stop() bool {
 	u.mu.Lock()
 	u.stopped = true
-	if !u.ended {
+	if !u.complete {
 		u.control.SetReadDeadline(time.Unix(1, 0))
 	}
-	taken := u.taken
+	claimed := u.claimed
 	u.mu.Unlock()
-	if taken {
+	if claimed {
 		<-u.finished
 	}
-	return u.ended
+	return u.complete
 }
 
 // download is an answer that passes through: what has come already, and the rest.
@@ -145,23 +145,23 @@
 	prefix []byte
 	body   io.Reader
 	conn   *backendConn
-	end    func(sound bool) // called once by who passes it on
-	drop   func()           // called instead where nobody does
+	onEnd  func(sound bool) // called once by who passes it on
+	onDrop func()           // called instead where nobody does
 }
 
-var pieces = sync.Pool{New: func() any { return new([bulkPiece]byte) }}
+var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
 // errCut says that an answer ended before its end.
-var errCut = errors.New("the answer was cut")
+var errTruncated = errors.New("the answer was cut")
 
 // write passes the answer on as it comes. The client can tell a cut one: its length or
 // its last chunk is missing.
 func (d *download) write(w http.ResponseWriter) error {
 	control := http.NewResponseController(w)
-	sound := false
-	defer func() { d.end(sound) }()
+	complete := false
+	defer func() { d.onEnd(complete) }()
 	send := func(p []byte) error {
-		control.SetWriteDeadline(time.Now().Add(downloadRest))
+		control.SetWriteDeadline(time.Now().Add(downloadStallTimeout))
 		if _, err := w.Write(p); err != nil {
 			return err
 		}
@@ -171,22 +171,22 @@
 		return err
 	}
 	d.prefix = nil
-	piece := pieces.Get().(*[bulkPiece]byte)
-	defer pieces.Put(piece)
+	buffer := streamBuffers.Get().(*[streamBufferSize]byte)
+	defer streamBuffers.Put(buffer)
 	for {
-		d.conn.SetReadDeadline(time.Now().Add(answerStall))
-		n, err := d.body.Read(piece[:])
+		d.conn.SetReadDeadline(time.Now().Add(responseStallTimeout))
+		n, err := d.body.Read(buffer[:])
 		if n > 0 {
-			if err := send(piece[:n]); err != nil {
+			if err := send(buffer[:n]); err != nil {
 				return err
 			}
 		}
 		if err == io.EOF {
-			sound = true
+			complete = true
 			return nil
 		}
 		if err != nil {
-			return errCut
+			return errTruncated
 		}
 	}
 }
--- a/internal/gateway/streaming_test.go
+++ b/internal/gateway/streaming_test.go
@@ -19,16 +19,16 @@
 )
 
 // noise is a long body that is the same for the same seed.
-func noise(seed uint64, n int) []byte {
+func randomBytes(seed uint64, length int) []byte {
 	var key [32]byte
 	key[0] = byte(seed)
-	p := make([]byte, n)
+	p := make([]byte, length)
 	rand.NewChaCha8(key).Read(p)
 	return p
 }
 
 // inPieces writes p in pieces of random sizes.
-func inPieces(w io.Writer, p []byte) error {
+func writeInPieces(w io.Writer, p []byte) error {
 	for len(p) > 0 {
 		n := min(1+rand.IntN(40<<10), len(p))
 		if _, err := w.Write(p[:n]); err != nil {
@@ -40,7 +40,7 @@
 }
 
 // chunked writes p as chunks.
-func chunked(w io.Writer, p []byte) {
+func writeChunked(w io.Writer, p []byte) {
 	for len(p) > 0 {
 		n := min(1+rand.IntN(40<<10), len(p))
 		fmt.Fprintf(w, "%x\r\n%s\r\n", n, p[:n])
@@ -51,30 +51,30 @@
 
 // Long bodies pass through unchanged both ways, in any framing, and the connection
 // to the backend is used again.
-func TestLongBodiesPassThrough(t *testing.T) {
+func TestLongBodiesAreStreamed(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	up, down := noise(1, 3<<20), noise(2, 5<<20)
+	gw := startGateway(t, backend)
+	up, down := randomBytes(1, 3<<20), randomBytes(2, 5<<20)
 	var conn net.Conn
 	var br *bufio.Reader
 	for _, c := range []struct{ up, down bool }{{false, false}, {true, false}, {false, true}, {true, true}} {
-		client, err := net.Dial("tcp", r.address)
+		client, err := net.Dial("tcp", gw.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer client.Close()
-		client.SetDeadline(time.Now().Add(patience))
+		client.SetDeadline(time.Now().Add(testTimeout))
 		framing := fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue", len(up))
 		if c.up {
 			framing = "Transfer-Encoding: chunked"
 		}
 		go func() {
-			io.WriteString(client, strings.Replace(ask("POST", "booking", ""), "\r\n\r\n", "\r\n"+framing+"\r\n\r\n", 1))
+			io.WriteString(client, strings.Replace(requestText("POST", "booking", ""), "\r\n\r\n", "\r\n"+framing+"\r\n\r\n", 1))
 			if c.up {
-				chunked(client, up)
+				writeChunked(client, up)
 			} else {
-				inPieces(client, up)
+				writeInPieces(client, up)
 			}
 		}()
 		if conn == nil {
@@ -87,10 +87,10 @@
 		go func() {
 			if c.down {
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-				chunked(conn, down)
+				writeChunked(conn, down)
 			} else {
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(down))
-				inPieces(conn, down)
+				writeInPieces(conn, down)
 			}
 		}()
 		reader := bufio.NewReader(client)
@@ -108,7 +108,7 @@
 		if c.up != resp.Close {
 			t.Errorf("%+v: the client's connection closed: %t", c, resp.Close)
 		}
-		time.Sleep(2 * settleTime)
+		time.Sleep(2 * reuseDelay)
 	}
 	if n := len(backend.Conns); n > 0 {
 		t.Errorf("%d more connections to the backend", n)
@@ -120,19 +120,19 @@
 // in order once its client reads.
 func TestSlowReadersCostLittleMemory(t *testing.T) {
 	backend := newPeer(t)
-	r := newRigWith(t, strings.NewReplacer(`"sockets": 1024`, `"sockets": 4096`).Replace, backend)
+	gw := startGatewayWith(t, strings.NewReplacer(`"sockets": 1024`, `"sockets": 4096`).Replace, backend)
 	const transfers, size = 100, 8 << 20
-	answer := noise(3, size)
+	answer := randomBytes(3, size)
 	var before, during runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	var readers []*http.Response
 	for range transfers {
-		client := testpeer.DialNarrow(t, r.address, 64<<10)
-		client.SetDeadline(time.Now().Add(3 * patience))
-		io.WriteString(client, ask("GET", "lookup", ""))
+		client := testpeer.DialNarrow(t, gw.address, 64<<10)
+		client.SetDeadline(time.Now().Add(3 * testTimeout))
+		io.WriteString(client, requestText("GET", "lookup", ""))
 		conn, br := backend.Accept(t)
-		conn.SetDeadline(time.Now().Add(3 * patience))
+		conn.SetDeadline(time.Now().Add(3 * testTimeout))
 		readRequest(t, br)
 		go func() {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", size)
@@ -167,8 +167,8 @@
 func TestUploadStops(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, answers := r.client(t, ask("POST", "payment", "", "Content-Length", "200000")+strings.Repeat("x", 150000))
+	gw := startGateway(t, backend)
+	_, responses := gw.send(t, requestText("POST", "payment", "", "Content-Length", "200000")+strings.Repeat("x", 150000))
 	conn, br := backend.Accept(t)
 	req, err := http.ReadRequest(br)
 	if err != nil {
@@ -178,7 +178,7 @@
 		t.Errorf("the backend got %d bytes, %v", n, err)
 	}
 	conn.Close()
-	if resp := wait(t, answers, "answer"); resp.StatusCode < 400 || !resp.Close {
+	if resp := wait(t, responses, "answer"); resp.StatusCode < 400 || !resp.Close {
 		t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	if n := len(backend.Conns); n > 0 {
@@ -188,18 +188,18 @@
 
 // A backend that goes before the last byte has not run the request: the client is
 // told at once that it may try again, and nothing goes out twice, since the body is gone.
-func TestBackendGoesDuringUpload(t *testing.T) {
+func TestBackendClosesDuringUpload(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	client, answers := r.client(t, ask("POST", "payment", "", "Content-Length", "4000000")+strings.Repeat("x", 100000))
+	gw := startGateway(t, backend)
+	client, responses := gw.send(t, requestText("POST", "payment", "", "Content-Length", "4000000")+strings.Repeat("x", 100000))
 	conn, br := backend.Accept(t)
 	if _, err := http.ReadRequest(br); err != nil {
 		t.Fatal(err)
 	}
 	conn.Close()
-	go inPieces(client, make([]byte, 3000000))
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 429 || !resp.Close {
+	go writeInPieces(client, make([]byte, 3000000))
+	if resp := wait(t, responses, "answer"); resp.StatusCode != 429 || !resp.Close {
 		t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	if n := len(backend.Conns); n > 0 {
@@ -209,13 +209,13 @@
 
 // The time of a request runs from its last byte: a body that takes longer than
 // the class's aim costs it nothing, and from then on the aim holds.
-func TestAimRunsFromTheLastByte(t *testing.T) {
+func TestTimeLimitStartsAtLastByte(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	slow := strings.NewReplacer(`"name": "payment", "objectiveS": 10`, `"name": "payment", "objectiveS": 1`).Replace
-	r := newRigWith(t, slow, backend)
+	gw := startGatewayWith(t, slow, backend)
 	for _, answered := range []bool{true, false} {
-		client, answers := r.client(t, ask("POST", "payment", "", "Content-Length", "100000")+strings.Repeat("x", 90000))
+		client, responses := gw.send(t, requestText("POST", "payment", "", "Content-Length", "100000")+strings.Repeat("x", 90000))
 		for range 10 {
 			time.Sleep(150 * time.Millisecond)
 			io.WriteString(client, strings.Repeat("x", 1000))
@@ -227,7 +227,7 @@
 			status = 200
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		}
-		if resp := wait(t, answers, "answer"); resp.StatusCode != status {
+		if resp := wait(t, responses, "answer"); resp.StatusCode != status {
 			t.Errorf("answered %t: status %d, want %d", answered, resp.StatusCode, status)
 		}
 	}
@@ -235,44 +235,44 @@
 
 // A long answer that is cut is no whole answer to the client either; an answer that
 // is cut while it is short has not begun, and the request goes out again.
-func TestCutAnswers(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	t.Parallel()
 	for _, framing := range []string{"Content-Length: 200000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n186a0\r\n"} {
 		backend := newPeer(t)
-		r := newRig(t, backend)
-		client, answers := r.client(t, ask("GET", "lookup", ""))
+		gw := startGateway(t, backend)
+		client, responses := gw.send(t, requestText("GET", "lookup", ""))
 		conn, br := backend.Accept(t)
 		readRequest(t, br)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+framing+strings.Repeat("x", 100000))
 		conn.Close()
-		resp := wait(t, answers, "answer")
+		resp := wait(t, responses, "answer")
 		if n, err := io.Copy(io.Discard, resp.Body); resp.StatusCode != 200 || err == nil || n > 100000 {
 			t.Errorf("%q: status %d, %d bytes, %v", framing, resp.StatusCode, n, err)
 		}
 		client.Close()
 
-		_, answers = r.client(t, ask("GET", "lookup", ""))
+		_, responses = gw.send(t, requestText("GET", "lookup", ""))
 		conn, br = backend.Accept(t)
 		readRequest(t, br)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel")
 		conn.Close()
-		serveOne(t, backend, "ok")
-		if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+		serveOnce(t, backend, "ok")
+		if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
 			t.Errorf("%q: after a short one was cut: %d", framing, resp.StatusCode)
 		}
 	}
 }
 
 // A client that leaves in the middle of a long answer ends it at the backend.
-func TestClientLeavesDuringDownload(t *testing.T) {
+func TestDisconnectDuringDownload(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	client, answers := r.client(t, ask("GET", "lookup", ""))
+	gw := startGateway(t, backend)
+	client, responses := gw.send(t, requestText("GET", "lookup", ""))
 	conn, br := backend.Accept(t)
 	readRequest(t, br)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n"+strings.Repeat("x", 1000))
-	wait(t, answers, "answer")
+	wait(t, responses, "answer")
 	client.Close()
 	for {
 		if _, err := conn.Write(make([]byte, 64<<10)); err != nil {
@@ -285,18 +285,18 @@
 }
 
 // Targets of all forms reach the backend as paths.
-func TestWholeAddressAsTarget(t *testing.T) {
+func TestAbsoluteRequestTarget(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, answers := r.client(t, ask("GET", "lookup", "", "path", "http://origin.svc/lookup/a%2Fb?c=%20d"))
+	gw := startGateway(t, backend)
+	_, responses := gw.send(t, requestText("GET", "lookup", "", "path", "http://origin.svc/lookup/a%2Fb?c=%20d"))
 	conn, br := backend.Accept(t)
 	req, _ := readRequest(t, br)
 	if req.RequestURI != "/lookup/a%2Fb?c=%20d" {
 		t.Errorf("the backend was asked for %q", req.RequestURI)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, answers, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -18,66 +18,66 @@
 // beginTrace begins the trace of a request: it joins the client's where that sent a valid
 // context, else the one that the request's key stands for, else it starts a new one. The headers
 // for the backend follow it.
-func (f *frontend) beginTrace(x *exchange) *traces.Begin {
-	h := x.header
-	client, valid := traces.ParseContext(h[parentHeader], h[stateHeader])
-	key := h.Get(keyHeader)
+func (f *frontend) beginTrace(ex *exchange) *traces.Begin {
+	header := ex.header
+	client, valid := traces.ParseContext(header[parentHeader], header[stateHeader])
+	key := header.Get(keyHeader)
 	self := client
 	binary.BigEndian.PutUint64(self.Span[:], max(rand.Uint64(), 1))
 	if !valid {
 		self.State = ""
 		if key != "" {
-			self.Trace = traces.TraceIDFromKey(uint64(x.ask.Customer), key)
+			self.Trace = traces.TraceIDFromKey(uint64(ex.request.Customer), key)
 		} else {
 			binary.BigEndian.PutUint64(self.Trace[:8], max(rand.Uint64(), 1))
 			binary.BigEndian.PutUint64(self.Trace[8:], rand.Uint64())
 		}
-		self.Sampled = traces.InSample(self.Trace, f.loop.share)
+		self.Sampled = traces.InSample(self.Trace, f.loop.sampleRatio)
 	}
-	delete(h, stateHeader)
+	delete(header, stateHeader)
 	if self.State != "" {
-		h[stateHeader] = []string{self.State}
+		header[stateHeader] = []string{self.State}
 	}
-	return &traces.Begin{Context: client, Self: self, Client: x.id, Class: x.ask.Class, Plan: x.ask.Plan,
-		Units: x.ask.Units, Method: x.method, Key: key != "", Repeated: x.ask.IsRetry, Sent: x.ask.SentAt}
+	return &traces.Begin{Context: client, Self: self, Client: ex.correlationID, Class: ex.request.Class, Plan: ex.request.Plan,
+		Units: ex.request.Units, Method: ex.method, Key: key != "", Repeated: ex.request.IsRetry, Sent: ex.request.SentAt}
 }
 
 // recordEvent records an event of a request that is traced.
-func (l *Loop) recordEvent(x *exchange, e traces.Event) {
-	if x.trace == nil {
+func (l *Loop) recordEvent(ex *exchange, e traces.Event) {
+	if ex.trace == nil {
 		return
 	}
-	e.Begin, e.At = x.trace, l.Clock.Now()
+	e.Begin, e.At = ex.trace, l.Clock.Now()
 	l.telemetry.Record(e)
 }
 
 // recordAttempt records an attempt, and gives it the trace context that is sent with it.
-func (l *Loop) recordAttempt(a *attempt, paid float64) {
-	if a.x.trace == nil {
+func (l *Loop) recordAttempt(attempt *attempt, admittedAt float64) {
+	if attempt.exchange.trace == nil {
 		return
 	}
-	at := a.x.trace.Self
-	binary.BigEndian.PutUint64(at.Span[:], max(rand.Uint64(), 1))
-	a.context = at.Parent()
-	b := l.names[a.backend]
-	l.recordEvent(a.x, traces.Event{Kind: traces.Sent, Attempt: a.number, Span: at.Span, Backend: b.name, Zone: b.zone, Paid: paid})
+	traceContext := attempt.exchange.trace.Self
+	binary.BigEndian.PutUint64(traceContext.Span[:], max(rand.Uint64(), 1))
+	attempt.traceParent = traceContext.Parent()
+	backend := l.readyBackends[attempt.backend]
+	l.recordEvent(attempt.exchange, traces.Event{Kind: traces.Sent, Attempt: attempt.number, Span: traceContext.Span, Backend: backend.name, Zone: backend.zone, Paid: admittedAt})
 }
 
 // figures returns the module's figures for the exporter.
-func (l *Loop) figures(ctx context.Context) (f telemetry.Figures, err error) {
-	f.Stats, f.Calls, err = l.Stats(ctx)
-	return f, err
+func (l *Loop) figures(ctx context.Context) (figures telemetry.Figures, err error) {
+	figures.Stats, figures.Calls, err = l.Stats(ctx)
+	return figures, err
 }
 
 // answered is the event of a final answer.
-func answered(a answer) traces.Event {
-	return traces.Event{Kind: traces.Answered, Status: a.status, Reason: a.why, Paid: a.paid, RetryAfter: a.retryAfter}
+func responseEvent(response response) traces.Event {
+	return traces.Event{Kind: traces.Answered, Status: response.status, Reason: response.reason, Paid: response.admittedAt, RetryAfter: response.retryAfter}
 }
 
 // deployed sets what traces need to know of a deployment.
-func deployed(set *traces.Settings, classes []rules.Class, names, plans []string) {
-	set.Classes, set.Plans = names, plans
-	for _, c := range classes {
-		set.LatencyTargets = append(set.LatencyTargets, c.LatencyObjective)
+func setDeployment(settings *traces.Settings, classes []rules.Class, names, plans []string) {
+	settings.Classes, settings.Plans = names, plans
+	for _, class := range classes {
+		settings.LatencyTargets = append(settings.LatencyTargets, class.LatencyObjective)
 	}
 }
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -34,23 +34,23 @@
 
 // exporting are the settings of a gateway that exports all traces.
 func exporting(c *collector.Collector, name string) *telemetry.Settings {
-	return &telemetry.Settings{Endpoint: "http://" + c.Address(""), Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: patience,
-		Flush: patience, QueueBytes: 1 << 20, Tracing: traces.Settings{SampleRatio: 1},
+	return &telemetry.Settings{Endpoint: "http://" + c.Address(""), Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testTimeout,
+		Flush: testTimeout, QueueBytes: 1 << 20, Tracing: traces.Settings{SampleRatio: 1},
 		Resource: []traces.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: name}}}
 }
 
-func same(text string) string { return text }
+func unchanged(text string) string { return text }
 
 // end stops a gateway, and so has it send what it has.
-func (r *rig) end(t *testing.T) {
+func (gw *testGateway) stopAndWait(t *testing.T) {
 	t.Helper()
-	r.stop()
-	if err := testpeer.Wait(t, r.ended, "end"); err != nil {
+	gw.stop()
+	if err := testpeer.Wait(t, gw.runErr, "end"); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func noFlaws(t *testing.T, c *collector.Collector) {
+func expectNoFlaws(t *testing.T, c *collector.Collector) {
 	t.Helper()
 	for _, f := range c.Flaws() {
 		t.Errorf("the specification is broken: %s", f)
@@ -59,40 +59,40 @@
 
 // A client's context goes on to the backend, under the span of the attempt, and all of
 // the request is a part of its trace.
-func TestAClientsTraceGoesOn(t *testing.T) {
+func TestClientTraceIsContinued(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
-	r := newRigFor(t, exporting(c, "g0"), same, backend)
-	_, answers := r.client(t, ask("POST", "booking", "x", "Traceparent", clientParent, "Tracestate", "rojo=1"))
+	gw := startExportingGateway(t, exporting(c, "g0"), unchanged, backend)
+	_, responses := gw.send(t, requestText("POST", "booking", "x", "Traceparent", clientParent, "Tracestate", "rojo=1"))
 	conn, br := backend.Accept(t)
 	req, _ := readRequest(t, br)
 	total(conn, 200, "ok")
-	if got := wait(t, answers, "answer"); got.StatusCode != 200 {
+	if got := wait(t, responses, "answer"); got.StatusCode != 200 {
 		t.Fatal(got.Status)
 	}
-	went, ok := traces.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"])
-	if !ok || hex.EncodeToString(went.Trace[:]) != clientTrace || went.State != "rojo=1" || !went.Sampled {
+	forwarded, ok := traces.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"])
+	if !ok || hex.EncodeToString(forwarded.Trace[:]) != clientTrace || forwarded.State != "rojo=1" || !forwarded.Sampled {
 		t.Errorf("went on: %v", req.Header)
 	}
-	r.end(t)
+	gw.stopAndWait(t)
 	kinds := map[trace.Span_SpanKind]collector.Span{}
 	for _, s := range c.Trace(clientTrace) {
 		kinds[s.Kind] = s
 	}
 	server, attempt := kinds[trace.Span_SPAN_KIND_SERVER], kinds[trace.Span_SPAN_KIND_CLIENT]
 	if server.Span == nil || attempt.Span == nil || hex.EncodeToString(server.ParentSpanId) != "00f067aa0ba902b7" ||
-		string(attempt.ParentSpanId) != string(server.SpanId) || string(attempt.SpanId) != string(went.Span[:]) || server.Instance != "g0" {
+		string(attempt.ParentSpanId) != string(server.SpanId) || string(attempt.SpanId) != string(forwarded.Span[:]) || server.Instance != "g0" {
 		t.Errorf("%+v", kinds)
 	}
-	noFlaws(t, c)
+	expectNoFlaws(t, c)
 }
 
 // A keyed request whose first gateway could not serve it and that goes through a
 // second one, marked by its key alone, is one trace with both halves.
-func TestAKeyThroughTwoGatewaysIsOneTrace(t *testing.T) {
+func TestSameKeyAtTwoGatewaysIsOneTrace(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
-	one, two := newRigFor(t, exporting(c, "g0"), same, backend), newRigFor(t, exporting(c, "g1"), same, backend)
-	for i, r := range []*rig{one, two} {
-		_, answers := r.client(t, ask("POST", "payment", "x", "Traceparent", "00-hostile", "Tracestate", "a=1"))
+	one, two := startExportingGateway(t, exporting(c, "g0"), unchanged, backend), startExportingGateway(t, exporting(c, "g1"), unchanged, backend)
+	for i, gw := range []*testGateway{one, two} {
+		_, responses := gw.send(t, requestText("POST", "payment", "x", "Traceparent", "00-hostile", "Tracestate", "a=1"))
 		conn, br := backend.Accept(t)
 		req, _ := readRequest(t, br)
 		if req.Header.Get("Tracestate") != "" {
@@ -100,18 +100,18 @@
 		}
 		if i == 0 {
 			conn.Close() // after its last byte: it may have run
-			if got := wait(t, answers, "answer"); got.StatusCode == 200 {
+			if got := wait(t, responses, "answer"); got.StatusCode == 200 {
 				t.Fatal(got.Status)
 			}
 			continue
 		}
 		total(conn, 200, "ok")
-		if got := wait(t, answers, "answer"); got.StatusCode != 200 {
+		if got := wait(t, responses, "answer"); got.StatusCode != 200 {
 			t.Fatal(got.Status)
 		}
 	}
-	one.end(t)
-	two.end(t)
+	one.stopAndWait(t)
+	two.stopAndWait(t)
 	roots := map[string]string{}
 	for _, s := range c.Spans() {
 		if s.Kind == trace.Span_SPAN_KIND_SERVER {
@@ -124,18 +124,18 @@
 	if n := c.Sum("elderyard.request.ends", "elderyard.outcome=served"); n != 1 {
 		t.Errorf("%g were served", n)
 	}
-	noFlaws(t, c)
+	expectNoFlaws(t, c)
 }
 
 // Without an exporter a request goes on as it came, context and all.
-func TestOffChangesNothing(t *testing.T) {
+func TestNoExporterForwardsContextUnchanged(t *testing.T) {
 	backend := newPeer(t)
-	r := newRig(t, backend)
-	_, answers := r.client(t, ask("GET", "lookup", "", "Traceparent", "00-hostile", "Tracestate", "a=1", "Baggage", "x=y"))
+	gw := startGateway(t, backend)
+	_, responses := gw.send(t, requestText("GET", "lookup", "", "Traceparent", "00-hostile", "Tracestate", "a=1", "Baggage", "x=y"))
 	conn, br := backend.Accept(t)
 	req, _ := readRequest(t, br)
 	total(conn, 200, "ok")
-	wait(t, answers, "answer")
+	wait(t, responses, "answer")
 	for name, want := range map[string]string{"Traceparent": "00-hostile", "Tracestate": "a=1", "Baggage": "x=y"} {
 		if req.Header.Get(name) != want {
 			t.Errorf("%s: %q", name, req.Header.Get(name))
@@ -144,40 +144,40 @@
 }
 
 // Hostile contexts are no reason to turn a request down, and begin a trace of their own.
-func TestHostileContexts(t *testing.T) {
+func TestInvalidTraceContexts(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
-	r := newRigFor(t, exporting(c, "g0"), same, backend)
+	gw := startExportingGateway(t, exporting(c, "g0"), unchanged, backend)
 	for _, parent := range []string{"", "00-" + strings.Repeat("0", 32) + "-" + strings.Repeat("0", 16) + "-01", strings.Repeat("f", 4000), "ff" + clientParent[2:]} {
-		_, answers := r.client(t, ask("GET", "lookup", "", "Traceparent", parent, "Tracestate", strings.Repeat("a=1,", 900), "Connection", "close"))
+		_, responses := gw.send(t, requestText("GET", "lookup", "", "Traceparent", parent, "Tracestate", strings.Repeat("a=1,", 900), "Connection", "close"))
 		conn, br := backend.Accept(t)
 		req, _ := readRequest(t, br)
 		total(conn, 200, "ok")
 		conn.Close()
-		if got := wait(t, answers, "answer"); got.StatusCode != http.StatusOK {
+		if got := wait(t, responses, "answer"); got.StatusCode != http.StatusOK {
 			t.Fatal(got.Status)
 		}
 		if _, ok := traces.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"]); !ok || req.Header.Get("Tracestate") != "" {
 			t.Errorf("%.20q went on as %v", parent, req.Header)
 		}
 	}
-	r.end(t)
-	noFlaws(t, c)
+	gw.stopAndWait(t)
+	expectNoFlaws(t, c)
 }
 
 // With a collector that takes and never answers, requests are answered as ever and the
 // gateway ends within its time.
-func TestASilentCollectorHoldsNothingUp(t *testing.T) {
+func TestSilentCollectorDelaysNothing(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
 	c.SetTrouble(collector.Trouble{Silent: true})
 	set := exporting(c, "g0")
 	set.Flush = 100 * time.Millisecond
-	r := newRigFor(t, set, same, backend)
-	_, answers := r.client(t, ask("GET", "lookup", ""))
+	gw := startExportingGateway(t, set, unchanged, backend)
+	_, responses := gw.send(t, requestText("GET", "lookup", ""))
 	conn, br := backend.Accept(t)
 	readRequest(t, br)
 	total(conn, 200, "ok")
-	if got := wait(t, answers, "answer"); got.StatusCode != http.StatusOK {
+	if got := wait(t, responses, "answer"); got.StatusCode != http.StatusOK {
 		t.Fatal(got.Status)
 	}
-	r.end(t)
+	gw.stopAndWait(t)
 }
