--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -26,7 +26,7 @@
 
 // OpenPeers joins the gateways of the site as the configuration specifies. It returns nil if the gateway
 // should not join them.
-type OpenPeers func(*config.Config) (gateway.Fellows, error)
+type OpenPeers func(*config.Config) (gateway.Peers, error)
 
 // Main runs a gateway until it is asked to stop. If the gateway can't run, it exits with status 1.
 func Main(open OpenPeers) {
