--- a/cmd/elderyard-peers/main.go
+++ b/cmd/elderyard-peers/main.go
@@ -14,12 +14,12 @@
 )
 
 func main() {
-	launch.Main(func(c *config.Config) (gateway.Fellows, error) {
+	launch.Main(func(c *config.Config) (gateway.Peers, error) {
 		set, err := peers.FromSite(c.Site.Peers, c.Name, c.Operator, os.Getenv, slog.Default())
 		if set == nil || err != nil {
 			return nil, err
 		}
-		set.WaitForAddress = c.Inherited
+		set.WaitForAddress = c.InheritedListener
 		p, err := peers.Open(*set)
 		if err != nil {
 			return nil, err // not a nil of another type
--- a/internal/counter/resp.go
+++ b/internal/counter/resp.go
@@ -37,7 +37,7 @@
 }
 
 // replyBounds limits the replies on one connection.
-var replyBounds = resp.Bounds{Args: 8, Bulk: 1 << 10, Total: 4 << 10, Depth: 2}
+var replyBounds = resp.Limits{Args: 8, Bulk: 1 << 10, Total: 4 << 10, Depth: 2}
 
 const (
 	maxReplies      = 5               // of MULTI, INCRBYFLOAT, PEXPIRE and EXEC, and one of AUTH, which dial reads
@@ -287,15 +287,15 @@
 			return c.rejected(errorReply)
 		case v.Kind == resp.Null:
 			return rules.Overloaded, 0, nil // the store discarded the transaction
-		case v.Kind != resp.Array || len(v.List) != 2:
+		case v.Kind != resp.Array || len(v.Elements) != 2:
 			return rules.Errored, 0, errUnusable
-		case v.List[0].Kind == resp.Error:
-			return c.rejected(v.List[0].Str) // the stored value is not a number, or too large: nothing was added
+		case v.Elements[0].Kind == resp.Error:
+			return c.rejected(v.Elements[0].Str) // the stored value is not a number, or too large: nothing was added
 		default:
-			text := v.List[0].Str
-			if v.List[0].Kind == resp.Double {
-				total = v.List[0].Num
-			} else if total, err = strconv.ParseFloat(text, 64); err != nil || v.List[0].Kind != resp.Bulk {
+			text := v.Elements[0].Str
+			if v.Elements[0].Kind == resp.Double {
+				total = v.Elements[0].Float
+			} else if total, err = strconv.ParseFloat(text, 64); err != nil || v.Elements[0].Kind != resp.Bulk {
 				return rules.Errored, 0, errUnusable
 			}
 			if total != total || total-total != 0 {
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -26,7 +26,7 @@
 
 // OpenPeers joins the gateways of the site as the configuration specifies. It returns nil if the gateway
 // should not join them.
-type OpenPeers func(*config.Config) (gateway.Fellows, error)
+type OpenPeers func(*config.Config) (gateway.Peers, error)
 
 // Main runs a gateway until it is asked to stop. If the gateway can't run, it exits with status 1.
 func Main(open OpenPeers) {
@@ -68,7 +68,7 @@
 		if fd, err = strconv.Atoi(text); err != nil || fd < 3 {
 			return fmt.Errorf("EDGE_LISTEN_FD: %q is not an inherited file descriptor", text)
 		}
-		c.Share()
+		c.HalveLimits()
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(c.Cores)))
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB<<20) * c.Site.Memory.HeapShare))
@@ -81,7 +81,7 @@
 	return gateway.Run(ctx, &c, fd, export, peers, gateway.Reload{Signal: reload, Read: func() (config.Config, error) {
 		next, err := config.Read(path)
 		if fd >= 0 {
-			next.Share()
+			next.HalveLimits()
 		}
 		return next, err
 	}})
