--- a/internal/respfront/limit_commands.go
+++ b/internal/respfront/limit_commands.go
@@ -60,10 +60,10 @@
 
 // parseOptions parses the arguments after the positional ones. The names of the allowed
 // options are separated by spaces.
-func (s *session) parseOptions(q *limitRequest, args []string, allowed string) bool {
-	q.gateways, q.wait = s.server.limiter.fleet, -1
+func (s *session) parseOptions(request *limitRequest, args []string, allowed string) bool {
+	request.gateways, request.wait = s.server.limiter.fleet, -1
 	if len(args) == 0 {
-		return s.setPlan(q, "")
+		return s.setPlan(request, "")
 	}
 	plan, present := "", map[string]bool{}
 	for i := 0; i < len(args); i++ {
@@ -95,23 +95,23 @@
 		ok := true
 		switch option {
 		case "PARTIAL":
-			q.partial = true
+			request.partial = true
 		case "PLAN":
 			plan = value
 		case "ID":
 			// A substring would keep the text of the whole pipeline in memory.
-			if q.token = strings.Clone(value); value == "" || len(value) > maxTokenBytes {
+			if request.token = strings.Clone(value); value == "" || len(value) > maxTokenBytes {
 				s.fail(fmt.Sprintf("ERR a token has 1 to %d bytes", maxTokenBytes))
 				return false
 			}
 		case "SPREAD":
-			q.gateways, ok = parseInt(1, s.server.limiter.fleet)
+			request.gateways, ok = parseInt(1, s.server.limiter.fleet)
 		case "FIRST":
-			q.firstGateway, ok = parseInt(0, s.server.limiter.fleet-1)
+			request.firstGateway, ok = parseInt(0, s.server.limiter.fleet-1)
 		case "WAIT":
 			var n int
 			n, ok = parseInt(0, maxWaitMillis)
-			q.wait = float64(n) / 1000
+			request.wait = float64(n) / 1000
 		}
 		if !ok {
 			return false
@@ -121,40 +121,40 @@
 		s.fail("ERR syntax error: SPREAD and FIRST stand together")
 		return false
 	}
-	return s.setPlan(q, plan)
+	return s.setPlan(request, plan)
 }
 
 // setPlan sets the plan to that of the account, or to the one that the command names.
-func (s *session) setPlan(q *limitRequest, named string) bool {
-	plan, err := s.server.limiter.planOf(q.account, named)
+func (s *session) setPlan(request *limitRequest, named string) bool {
+	plan, err := s.server.limiter.planOf(request.account, named)
 	if err != nil {
 		s.fail("ERR " + err.Error())
 		return false
 	}
-	q.plan = plan
+	request.plan = plan
 	return true
 }
 
 // checkBurst rejects a take of more units than the plan's burst, which would never be
 // granted.
-func (s *session) checkBurst(q *limitRequest) bool {
-	if p := &s.server.limiter.plans[q.plan]; p.Rate > 0 && q.units > p.Burst {
-		s.fail(fmt.Sprintf("ERR %g units are more than plan %s ever has at once, which is %g", q.units, s.server.limiter.planNames[q.plan], p.Burst))
+func (s *session) checkBurst(request *limitRequest) bool {
+	if p := &s.server.limiter.plans[request.plan]; p.Rate > 0 && request.units > p.Burst {
+		s.fail(fmt.Sprintf("ERR %g units are more than plan %s ever has at once, which is %g", request.units, s.server.limiter.planNames[request.plan], p.Burst))
 		return false
 	}
 	return true
 }
 
 func limitTake(s *session, args []string) {
-	q := s.newRequest()
+	request := s.newRequest()
 	var ok bool
-	if q.account, ok = s.parseAccount(args[1]); !ok {
+	if request.account, ok = s.parseAccount(args[1]); !ok {
 		return
 	}
-	if q.units, ok = s.parseUnits(args[2]); !ok {
+	if request.units, ok = s.parseUnits(args[2]); !ok {
 		return
 	}
-	if !s.parseOptions(q, args[3:], "PLAN SPREAD FIRST ID WAIT PARTIAL") || !s.checkBurst(q) {
+	if !s.parseOptions(request, args[3:], "PLAN SPREAD FIRST ID WAIT PARTIAL") || !s.checkBurst(request) {
 		return
 	}
 	s.submit(writeTake)
@@ -202,12 +202,12 @@
 }
 
 func limitPeek(s *session, args []string) {
-	q := s.newRequest()
+	request := s.newRequest()
 	var ok bool
-	if q.account, ok = s.parseAccount(args[1]); !ok || !s.parseOptions(q, args[2:], "PLAN SPREAD FIRST") {
+	if request.account, ok = s.parseAccount(args[1]); !ok || !s.parseOptions(request, args[2:], "PLAN SPREAD FIRST") {
 		return
 	}
-	q.peek = true
+	request.peek = true
 	s.submit(func(w *replyWriter, r *queuedReply) {
 		w.Map(3)
 		writeRemaining(w, &r.result)
@@ -217,19 +217,19 @@
 }
 
 func limitGive(s *session, args []string) {
-	q := s.newRequest()
-	q.refund = true
+	request := s.newRequest()
+	request.refund = true
 	var ok bool
-	if q.account, ok = s.parseAccount(args[1]); !ok {
+	if request.account, ok = s.parseAccount(args[1]); !ok {
 		return
 	}
-	if q.units, ok = s.parseUnits(args[2]); !ok {
+	if request.units, ok = s.parseUnits(args[2]); !ok {
 		return
 	}
-	if !s.parseOptions(q, args[3:], "ID PLAN SPREAD FIRST") {
+	if !s.parseOptions(request, args[3:], "ID PLAN SPREAD FIRST") {
 		return
 	}
-	if q.token == "" {
+	if request.token == "" {
 		s.fail("ERR syntax error: ID names the take")
 		return
 	}
@@ -243,16 +243,16 @@
 }
 
 func limitPlan(s *session, args []string) {
-	var q limitRequest
+	var request limitRequest
 	var ok bool
-	if q.account, ok = s.parseAccount(args[1]); !ok || !s.parseOptions(&q, args[2:], "PLAN") {
+	if request.account, ok = s.parseAccount(args[1]); !ok || !s.parseOptions(&request, args[2:], "PLAN") {
 		return
 	}
-	p := &s.server.limiter.plans[q.plan]
+	p := &s.server.limiter.plans[request.plan]
 	w := s.writer()
 	w.Map(5)
 	w.Bulk("plan")
-	w.Bulk(s.server.limiter.planNames[q.plan])
+	w.Bulk(s.server.limiter.planNames[request.plan])
 	for _, field := range []struct {
 		name  string
 		value float64
@@ -288,13 +288,13 @@
 // throttle is the command of published rate-limiting modules, which has the limit as
 // arguments. Here the limit must be that of a plan.
 func throttle(s *session, args []string) {
-	q := s.newRequest()
+	request := s.newRequest()
 	var ok bool
 	if len(args) > 6 {
 		s.fail("ERR wrong number of arguments for 'cl.throttle' command")
 		return
 	}
-	if q.account, ok = s.parseAccount(args[1]); !ok {
+	if request.account, ok = s.parseAccount(args[1]); !ok {
 		return
 	}
 	values := []int64{0, 0, 0, 1} // burst less 1, count, period in seconds, units
@@ -307,13 +307,13 @@
 		values[i] = n
 	}
 	limit := values[0] + 1
-	plan, err := s.server.limiter.planWithLimit(q.account, limit, values[1], values[2])
+	plan, err := s.server.limiter.planWithLimit(request.account, limit, values[1], values[2])
 	if err != nil {
 		s.fail("ERR " + err.Error())
 		return
 	}
-	q.plan, q.gateways, q.wait, q.units = plan, s.server.limiter.fleet, -1, float64(values[3])
-	if q.peek = q.units == 0; !q.peek && !s.checkBurst(q) {
+	request.plan, request.gateways, request.wait, request.units = plan, s.server.limiter.fleet, -1, float64(values[3])
+	if request.peek = request.units == 0; !request.peek && !s.checkBurst(request) {
 		return
 	}
 	s.submit(func(w *replyWriter, r *queuedReply) {
--- a/internal/respfront/limiter.go
+++ b/internal/respfront/limiter.go
@@ -176,30 +176,30 @@
 
 // NewEvent returns the event for the command, or nil if the state of tokens decides it.
 func (r *queuedReply) NewEvent(id rules.RequestID) rules.Event {
-	l, q := r.limiter, &r.request
+	l, request := r.limiter, &r.request
 	now := l.loop.Now()
 	switch {
-	case q.peek:
+	case request.peek:
 		l.stats.peeks.Add(1)
-		return rules.Peek{ID: id, Customer: rules.CustomerID(q.account), Plan: q.plan, FirstGateway: q.firstGateway, Gateways: q.gateways}
-	case q.refund:
-		window, err := l.tokens.Refund(q.account, q.token, q.units, now)
+		return rules.Peek{ID: id, Customer: rules.CustomerID(request.account), Plan: request.plan, FirstGateway: request.firstGateway, Gateways: request.gateways}
+	case request.refund:
+		window, err := l.tokens.Refund(request.account, request.token, request.units, now)
 		if err != nil {
 			r.finish(rules.CheckResult{}, false, err)
 			return nil
 		}
 		l.stats.gives.Add(1)
-		return rules.Refund{ID: id, Customer: rules.CustomerID(q.account), Plan: q.plan, FirstGateway: q.firstGateway, Gateways: q.gateways,
-			Units: q.units, Window: window}
+		return rules.Refund{ID: id, Customer: rules.CustomerID(request.account), Plan: request.plan, FirstGateway: request.firstGateway, Gateways: request.gateways,
+			Units: request.units, Window: window}
 	}
-	if q.token != "" {
-		status, grant, err := l.tokens.Begin(q.account, q.token, q.units, now)
+	if request.token != "" {
+		status, grant, err := l.tokens.Begin(request.account, request.token, request.units, now)
 		switch {
 		case err != nil:
 			r.finish(rules.CheckResult{}, false, err)
 			return nil
 		case status == limits.Pending:
-			l.repeats[q.key()] = append(l.repeats[q.key()], r)
+			l.repeats[request.key()] = append(l.repeats[request.key()], r)
 			return nil
 		case status == limits.Duplicate:
 			l.stats.repeats.Add(1)
@@ -207,12 +207,12 @@
 			return nil
 		}
 	}
-	wait := q.wait
+	wait := request.wait
 	if wait < 0 {
 		wait = l.defaultWait
 	}
-	r.event = rules.Check{ID: id, Customer: rules.CustomerID(q.account), Plan: q.plan, Units: q.units, FirstGateway: q.firstGateway,
-		Gateways: q.gateways, Deadline: now + wait, Partial: q.partial}
+	r.event = rules.Check{ID: id, Customer: rules.CustomerID(request.account), Plan: request.plan, Units: request.units, FirstGateway: request.firstGateway,
+		Gateways: request.gateways, Deadline: now + wait, Partial: request.partial}
 	return &r.event
 }
 
@@ -230,11 +230,11 @@
 	return r.request.token == "" || r.request.refund || r.limiter.tokens.Cancel(r.request.account, r.request.token)
 }
 
-func (q *limitRequest) key() tokenKey { return tokenKey{q.account, q.token} }
+func (request *limitRequest) key() tokenKey { return tokenKey{request.account, request.token} }
 
 // recordTake counts a take that has been decided, and finishes the takes that repeated it
 // in the meantime.
-func (l *Limiter) recordTake(q *limitRequest, result rules.CheckResult) {
+func (l *Limiter) recordTake(request *limitRequest, result rules.CheckResult) {
 	l.stats.takes.Add(1)
 	l.stats.units.Add(int64(result.Granted))
 	switch {
@@ -243,11 +243,11 @@
 	case !result.Shared:
 		l.stats.local.Add(1)
 	}
-	if q.token == "" {
+	if request.token == "" {
 		return
 	}
-	l.tokens.Complete(q.account, q.token, limits.Grant{Units: result.Granted, Window: result.Window, Shared: result.Shared}, l.loop.Now())
-	key := q.key()
+	l.tokens.Complete(request.account, request.token, limits.Grant{Units: result.Granted, Window: result.Window, Shared: result.Shared}, l.loop.Now())
+	key := request.key()
 	for _, r := range l.repeats[key] {
 		l.stats.repeats.Add(1)
 		r.finish(result, true, nil)
--- a/internal/respfront/server_test.go
+++ b/internal/respfront/server_test.go
@@ -308,9 +308,9 @@
 	}
 }
 
-func (r *rig) waitFor(t *testing.T, condition string, holds func() bool) {
+func (r *rig) waitFor(t *testing.T, condition string, satisfied func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(testpeer.Patience); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testpeer.Patience); !satisfied(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting until %s", condition)
 		}
