--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -68,7 +68,7 @@
 	duration := func(d strict.Duration) time.Duration { return time.Duration(d) }
 	return rollout.Policy{Canaries: r.Canaries, Waves: r.Waves, MaxUnavailable: r.MostAway, ReadyTimeout: duration(r.ReadyWithin), SoakDuration: duration(r.SoakFor),
 		SilenceTimeout: duration(r.SilentAfter), MaxSilent: r.MostSilent, MaxServiceDrop: r.ServiceFall, LowServiceWindow: duration(r.ServiceFor),
-		Deadline: duration(r.Deadline), RollbackTimeout: duration(r.RollbackWithin)}
+		Timeout: duration(r.Deadline), RollbackTimeout: duration(r.RollbackWithin)}
 }
 
 // Keys returns the keys of the file with their descriptions, except those within the
@@ -101,7 +101,7 @@
 // Parse parses a content. Errors have the given name for its file, and the name of the
 // instance for an overlay. It doesn't validate the settings of the gateways: Render does.
 func Parse(name string, content revisions.Content) (*Document, error) {
-	d := &Document{overlays: map[string]overlay{}, restartGeneration: content.RestartGeneration, checksum: content.Sum()}
+	d := &Document{overlays: map[string]overlay{}, restartGeneration: content.RestartGeneration, checksum: content.Checksum()}
 	d.source = func(instance string) (string, []byte) {
 		if text, found := content.Overlays[instance]; found {
 			return "overlay " + instance, []byte(text)
@@ -223,7 +223,7 @@
 		return nil, d.keyError(instance.Name, "gateway", err.Error())
 	}
 	generation := fmt.Appendf(nil, "%d", d.restartGeneration)
-	r.Spec = supervise.Spec{Revision: revision, Content: d.checksum, Files: checksum(r.Config, r.Site, generation), Fixed: checksum(fixed, r.Site, generation), MaxRequestDuration: longest}
+	r.Spec = supervise.Spec{Revision: revision, ContentChecksum: d.checksum, FilesChecksum: checksum(r.Config, r.Site, generation), StartupChecksum: checksum(fixed, r.Site, generation), MaxRequestDuration: longest}
 	return r, nil
 }
 
--- a/internal/respfront/limiter.go
+++ b/internal/respfront/limiter.go
@@ -224,9 +224,9 @@
 	r.finish(result, false, nil)
 }
 
-// Abandoned reports whether the command of a disconnected client is to be cancelled: a take
+// ShouldCancel reports whether the command of a disconnected client is to be cancelled: a take
 // is not if a repeat waits for its result.
-func (r *queuedReply) Abandoned() bool {
+func (r *queuedReply) ShouldCancel() bool {
 	return r.request.token == "" || r.request.refund || r.limiter.tokens.Cancel(r.request.account, r.request.token)
 }
 
--- a/internal/respfront/server_test.go
+++ b/internal/respfront/server_test.go
@@ -51,9 +51,9 @@
 			c.mu.Lock()
 			silent := c.silent
 			if !silent {
-				c.totals[call.Name] += call.Amount
+				c.totals[call.Key] += call.Amount
 			}
-			total := c.totals[call.Name]
+			total := c.totals[call.Key]
 			c.mu.Unlock()
 			if !silent {
 				call.Report(call, rules.Served, total)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -229,7 +229,7 @@
 
 // outcomes maps the codes of the protocol. Any other code is an error.
 var outcomes = map[uint8]rules.Outcome{0: rules.Served, 255: rules.Errored, 254: rules.Overloaded,
-	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.ConnectionLost, 250: rules.Cancelled, 249: rules.NotSent}
+	253: rules.TimedOut, 252: rules.ConnectFailed, 251: rules.ConnectionBroken, 250: rules.Cancelled, 249: rules.NotSent}
 
 // event decodes the events that don't depend on the state of the decoder.
 func (c *cursor) event(code uint8) (rules.Event, error) {
