--- a/internal/respfront/limit_commands.go
+++ b/internal/respfront/limit_commands.go
@@ -32,8 +32,9 @@
 	textExact        = resp.EncodeBulk("exact")
 )
 
-// parseAccount parses the number of an account and checks the user's permission for it.
-// If it returns false, it has replied with an error, as all functions here that return a bool.
+// parseAccount parses the number of an account and checks the user's permission for it. Like
+// the other functions of a session that return a bool, it has replied with an error if that
+// is false.
 func (s *session) parseAccount(text string) (uint64, bool) {
 	id, err := site.ParseAccountID(text)
 	if err != nil {
@@ -145,6 +146,7 @@
 	return true
 }
 
+// limitTake takes units of an account.
 func limitTake(s *session, args []string) {
 	request := s.newRequest()
 	var ok bool
@@ -201,6 +203,7 @@
 	w.Bool(result.Exact)
 }
 
+// limitPeek replies with the remaining units of an account.
 func limitPeek(s *session, args []string) {
 	request := s.newRequest()
 	var ok bool
@@ -216,6 +219,7 @@
 	})
 }
 
+// limitGive refunds units of a take with a token.
 func limitGive(s *session, args []string) {
 	request := s.newRequest()
 	request.refund = true
@@ -242,6 +246,7 @@
 	})
 }
 
+// limitPlan replies with the limits of an account's plan.
 func limitPlan(s *session, args []string) {
 	var request limitRequest
 	var ok bool
@@ -274,6 +279,7 @@
 		{"local", l.stats.local.Load()}, {"repeats", l.stats.repeats.Load()}, {"gives", l.stats.gives.Load()}, {"peeks", l.stats.peeks.Load()}}
 }
 
+// limitStats replies with the statistics.
 func limitStats(s *session, _ []string) {
 	list := s.server.limiter.counts()
 	w := s.writer()
