--- a/cmd/elderctl/answers_test.go
+++ b/cmd/elderctl/answers_test.go
@@ -24,7 +24,7 @@
 		{&revisions.Revision{}, []string{"revision-12.json", "revision-11.json"}},
 		{&agentapi.Members{}, []string{"members.json"}},
 		{&agentapi.Audit{}, []string{"audit.json", "refused.json"}},
-		{&[]agentapi.Probe{}, []string{"probe.json", "probe-bad.json", "probe-silent.json"}},
+		{&[]agentapi.DryRunResult{}, []string{"probe.json", "probe-bad.json", "probe-silent.json"}},
 		{&agentapi.ApplyResult{}, []string{"applied-busy.json", "applied-accepted.json", "applied-no-change.json", "applied-conflict.json", "applied-unknown.json"}},
 		{&agentapi.MemberChange{}, []string{"change.json"}},
 		{&agentapi.RecordsList{}, []string{"records.json", "record.json", "record-none.json"}},
--- a/cmd/elderctl/apply.go
+++ b/cmd/elderctl/apply.go
@@ -74,7 +74,7 @@
 // content in a diff.
 func (o *applyOptions) send(cmd *cobra.Command, client *agentapi.Client, request agentapi.ApplyRequest, file string) error {
 	var err error
-	if request.Request, err = newRequestID(); err != nil {
+	if request.IdempotencyKey, err = newRequestID(); err != nil {
 		return err
 	}
 	result, err := requestApply(cmd.Context(), client, request)
@@ -82,7 +82,7 @@
 		return err
 	}
 	report := newApplyReport(cmd, result)
-	switch result.Answer {
+	switch result.Status {
 	case revisions.Accepted:
 		fmt.Fprintf(report.out, "revision %d was accepted\n", result.Revision.Number)
 		if o.noWait {
@@ -94,7 +94,7 @@
 	case revisions.Conflict, fleet.Busy:
 		return report.conflict(request, result, file)
 	}
-	return report.finish(exitRefused, fmt.Errorf("%s; nothing was changed", result.Answer))
+	return report.finish(exitRefused, fmt.Errorf("%s; nothing was changed", result.Status))
 }
 
 func requestApply(ctx context.Context, client *agentapi.Client, request agentapi.ApplyRequest) (agentapi.ApplyResult, error) {
@@ -117,7 +117,7 @@
 
 func newApplyReport(cmd *cobra.Command, result agentapi.ApplyResult) *applyReport {
 	r := &applyReport{cmd: cmd, out: cmd.OutOrStdout(), values: map[string]any{
-		"answer": result.Answer, "revision": result.Revision.Number, "author": result.Revision.Author, "at": result.Revision.At}}
+		"answer": result.Status, "revision": result.Revision.Number, "author": result.Revision.Author, "at": result.Revision.At}}
 	if wantsJSON(cmd) {
 		r.out = io.Discard
 	}
@@ -155,8 +155,8 @@
 func (r *applyReport) unchanged(client *agentapi.Client, newest uint64) error {
 	fmt.Fprintf(r.out, "revision %d says this already; nothing was changed\n", newest)
 	status, err := client.Status(r.cmd.Context())
-	if err == nil && status.Stale == "" && status.Wanted != newest {
-		return r.finish(exitRefused, fmt.Errorf("revision %d went back, and %d is wanted: --again tries it once more", newest, status.Wanted))
+	if err == nil && status.Stale == "" && status.Desired != newest {
+		return r.finish(exitRefused, fmt.Errorf("revision %d went back, and %d is wanted: --again tries it once more", newest, status.Desired))
 	}
 	return r.finish(exitOK, nil)
 }
@@ -170,9 +170,9 @@
 		r.values["diff"] = diff
 		printDiff(r.out, diff)
 	}
-	if result.Answer == fleet.Busy {
-		r.values["why"] = result.Why
-		return r.finish(exitConflict, fmt.Errorf("%s; nothing was changed: wait for its end, or elderctl abort", result.Why))
+	if result.Status == fleet.Busy {
+		r.values["why"] = result.Reason
+		return r.finish(exitConflict, fmt.Errorf("%s; nothing was changed: wait for its end, or elderctl abort", result.Reason))
 	}
 	return r.finish(exitConflict, fmt.Errorf("the change was made from revision %d, and %d is the newest; nothing was changed", request.Parent, first.Number))
 }
--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -63,12 +63,12 @@
 	if err != nil {
 		return err
 	}
-	probes, err := client.Probe(ctx, content)
+	probes, err := client.DryRun(ctx, content)
 	if err != nil {
 		return err
 	}
 	diff := diffContents(fmt.Sprintf("revision %d", newest.Number), path, newest.Content, content)
-	err = printResult(cmd, map[string]any{"parent": newest.Number, "wanted": status.Wanted, "diff": diff, "instances": probes}, func(out io.Writer) {
+	err = printResult(cmd, map[string]any{"parent": newest.Number, "wanted": status.Desired, "diff": diff, "instances": probes}, func(out io.Writer) {
 		if withDiff {
 			printDiff(out, diff)
 			fmt.Fprintln(out)
@@ -81,7 +81,7 @@
 	return probeError(probes)
 }
 
-func printProbes(out io.Writer, probes []agentapi.Probe) {
+func printProbes(out io.Writer, probes []agentapi.DryRunResult) {
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "instance\tagent\twould")
 		for _, probe := range probes {
@@ -97,7 +97,7 @@
 }
 
 // probeError returns the exit status of the probes: a rejection counts for more than a silent agent.
-func probeError(probes []agentapi.Probe) error {
+func probeError(probes []agentapi.DryRunResult) error {
 	rejected, silent := 0, 0
 	for _, probe := range probes {
 		switch {
--- a/cmd/elderctl/fleet_site_test.go
+++ b/cmd/elderctl/fleet_site_test.go
@@ -127,8 +127,8 @@
 			}
 			return st.Stale == "" && st.Rollout.State == want && len(st.Instances) == s.gateways
 		})
-		if st.Wanted != running {
-			s.t.Fatalf("agent %d: %d is wanted, not %d", i, st.Wanted, running)
+		if st.Desired != running {
+			s.t.Fatalf("agent %d: %d is wanted, not %d", i, st.Desired, running)
 		}
 	}
 }
--- a/cmd/elderctl/fleet_verbs_test.go
+++ b/cmd/elderctl/fleet_verbs_test.go
@@ -44,7 +44,7 @@
 	mustContain(t, run(exitRefused, "abort"), "can't be aborted")
 	mustContain(t, run(exitOK, "status"), "wanted revision 2", "applied", "g1")
 	var st agentapi.Status
-	if err := json.Unmarshal([]byte(run(exitOK, "status", "--json")), &st); err != nil || st.Wanted != 2 || len(st.Instances) != 2 {
+	if err := json.Unmarshal([]byte(run(exitOK, "status", "--json")), &st); err != nil || st.Desired != 2 || len(st.Instances) != 2 {
 		t.Fatalf("%v %+v", err, st)
 	}
 	saved := filepath.Join(t.TempDir(), "saved")
--- a/cmd/elderctl/follow.go
+++ b/cmd/elderctl/follow.go
@@ -94,9 +94,9 @@
 	updated := 0
 	for _, instance := range status.Instances {
 		if instance.Phase != "" && instance.Phase != rollout.PhasePending {
-			p.print(instance.Name, "%s: %s%s", instance.Name, instance.Phase, parenthesized(instance.Why))
+			p.print(instance.Name, "%s: %s%s", instance.Name, instance.Phase, parenthesized(instance.Reason))
 		}
-		if instance.Running == status.Wanted && instance.Ready {
+		if instance.Running == status.Desired && instance.Ready {
 			updated++
 		}
 	}
@@ -104,7 +104,7 @@
 		p.print(rolloutKey, "%s; the leader hears what the agents have", status.Rollout.State)
 		return false
 	}
-	p.print(rolloutKey, "%s, wave %d of %d, %d of %d instances run revision %d: %s", status.Rollout.State, status.Wave, status.Waves, updated, len(status.Instances), status.Wanted, status.Rollout.Reason)
+	p.print(rolloutKey, "%s, wave %d of %d, %d of %d instances run revision %d: %s", status.Rollout.State, status.Wave, status.Waves, updated, len(status.Instances), status.Desired, status.Rollout.Reason)
 	return status.Rollout.State.Ended()
 }
 
--- a/cmd/elderctl/records.go
+++ b/cmd/elderctl/records.go
@@ -54,7 +54,7 @@
 			if len(args) == 2 {
 				prefix = args[1]
 			}
-			list, err := client.RecordsOf(cmd.Context(), kind, prefix, limit)
+			list, err := client.ListRecords(cmd.Context(), kind, prefix, limit)
 			if err != nil {
 				return err
 			}
--- a/cmd/elderctl/records_change.go
+++ b/cmd/elderctl/records_change.go
@@ -54,7 +54,7 @@
 	}
 	ctx, cancel := context.WithTimeout(cmd.Context(), recordsChangeTimeout)
 	defer cancel()
-	result, err := client.ChangeRecords(ctx, agentapi.RecordsChange{Request: c.request, Message: c.message, Operations: operations})
+	result, err := client.ChangeRecords(ctx, agentapi.RecordsChange{IdempotencyKey: c.request, Message: c.message, Operations: operations})
 	if err != nil {
 		return err
 	}
--- a/cmd/elderctl/records_lag.go
+++ b/cmd/elderctl/records_lag.go
@@ -32,7 +32,7 @@
 			if lag.Stale != "" {
 				return noLeaderError(lag.Stale)
 			}
-			if !lag.Everywhere() {
+			if !lag.AllUpToDate() {
 				return &exitError{exitPartly, fmt.Errorf("version %d is not in force everywhere", lag.Version)}
 			}
 			return nil
@@ -45,18 +45,18 @@
 		fmt.Fprintln(w, "agent\tstate\tversion\tbehind for\tconfirmed\twhy")
 		for _, row := range lag.Agents {
 			behind := ""
-			if row.Since != nil {
-				behind = now.Sub(*row.Since).Round(time.Second).String()
+			if row.BehindSince != nil {
+				behind = now.Sub(*row.BehindSince).Round(time.Second).String()
 			}
 			confirmed := ""
 			if row.ReportedAt != nil && row.Status.AgeSeconds != nil {
 				age := now.Sub(*row.ReportedAt) + time.Duration(*row.Status.AgeSeconds*float64(time.Second))
 				confirmed = max(0, age).Round(time.Second).String() + " ago"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", row.Agent, row.State, row.Status.Version, orDash(behind), orDash(confirmed), orDash(row.Status.Why))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", row.Agent, row.State, row.Status.Version, orDash(behind), orDash(confirmed), orDash(row.Status.Reason))
 		}
 	})
-	fmt.Fprintf(out, "version %d, digest %s: in force at %d of %d agents\n", lag.Version, lag.Digest, lag.InForce, len(lag.Agents))
+	fmt.Fprintf(out, "version %d, digest %s: in force at %d of %d agents\n", lag.Version, lag.Digest, lag.UpToDate, len(lag.Agents))
 }
 
 // awaitVersion polls until every agent that reports on its records has the version in force. After the timeout it
@@ -87,7 +87,7 @@
 func agentsBehind(lag agentapi.RecordsLag, version uint64) (names []string) {
 	unnamed := 0
 	for _, row := range lag.Agents {
-		current := row.Status.Version >= version && (row.State == agentapi.RecordsInForce || row.State == agentapi.RecordsBehind)
+		current := row.Status.Version >= version && (row.State == agentapi.RecordsUpToDate || row.State == agentapi.RecordsBehind)
 		switch {
 		case current || row.State == agentapi.RecordsNoReports:
 		case len(names) < maxNamedAgents:
--- a/cmd/elderctl/records_test.go
+++ b/cmd/elderctl/records_test.go
@@ -112,7 +112,7 @@
 	run(exitOK, "the first", "versions")
 	run(exitOK, "accepted", "delete", "tenant/acme", "--if", strconv.FormatUint(two.Version, 10), "--wait", "1m")
 	run(exitOK, "- ", "diff", strconv.FormatUint(two.Version, 10))
-	if lag := recordsLag(t, socket); lag.InForce != 1 || !lag.Everywhere() {
+	if lag := recordsLag(t, socket); lag.UpToDate != 1 || !lag.AllUpToDate() {
 		t.Fatalf("%+v", lag)
 	}
 	checkRecordsUsage(t, socket, first, value)
--- a/cmd/elderctl/revisions.go
+++ b/cmd/elderctl/revisions.go
@@ -23,7 +23,7 @@
 		fmt.Fprintln(w, "revision\tparent\tat\tauthor\tchecksum\tmessage")
 		for _, r := range history.Revisions {
 			mark := ""
-			if r.Number == history.Wanted {
+			if r.Number == history.Desired {
 				mark = " *"
 			}
 			fmt.Fprintf(w, "%d%s\t%d\t%s\t%s\t%.12s\t%s\n", r.Number, mark, r.Parent, r.At.Local().Format(time.DateTime), r.Author, r.Checksum, r.Message)
--- a/cmd/elderctl/rollback.go
+++ b/cmd/elderctl/rollback.go
@@ -38,8 +38,8 @@
 // revisionBefore returns the revision that was wanted before the wanted one, or 0 for none. After a rollout that was
 // rolled back, the previous revision is the wanted one itself, and the one before that counts.
 func revisionBefore(status agentapi.Status) uint64 {
-	if status.Wanted == status.Rollout.Previous && status.Wanted > 1 {
-		return status.Wanted - 1
+	if status.Desired == status.Rollout.Previous && status.Desired > 1 {
+		return status.Desired - 1
 	}
 	return status.Rollout.Previous
 }
@@ -56,10 +56,10 @@
 			if err != nil {
 				return err
 			}
-			if status.Wanted == 0 {
+			if status.Desired == 0 {
 				return &exitError{exitRefused, errors.New("nothing runs yet")}
 			}
-			wanted, err := client.Revision(cmd.Context(), status.Wanted)
+			wanted, err := client.Revision(cmd.Context(), status.Desired)
 			if err != nil {
 				return err
 			}
--- a/cmd/elderctl/status.go
+++ b/cmd/elderctl/status.go
@@ -54,12 +54,12 @@
 	}
 	missing := 0
 	for _, instance := range status.Instances {
-		if !instance.Drained && (instance.Silent || instance.Running != status.Wanted || !instance.Ready) {
+		if !instance.Drained && (instance.Silent || instance.Running != status.Desired || !instance.Ready) {
 			missing++
 		}
 	}
-	if missing > 0 && status.Rollout.Ended() && status.Wanted != 0 {
-		return &exitError{exitPartly, fmt.Errorf("%d of %d instances are silent, or do not run revision %d", missing, len(status.Instances), status.Wanted)}
+	if missing > 0 && status.Rollout.Ended() && status.Desired != 0 {
+		return &exitError{exitPartly, fmt.Errorf("%d of %d instances are silent, or do not run revision %d", missing, len(status.Instances), status.Desired)}
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 	if status.Store != "" {
 		fmt.Fprintln(out, paint(out, red, "the asked voter can't write its store: "+status.Store))
 	}
-	fmt.Fprintf(out, "wanted revision %d, newest %d, leader %s\n", status.Wanted, status.Head, orDash(status.Leader))
+	fmt.Fprintf(out, "wanted revision %d, newest %d, leader %s\n", status.Desired, status.Head, orDash(status.Leader))
 	if rollout := status.Rollout; rollout.New != 0 {
 		fmt.Fprintf(out, "rollout of revision %d by %s: %s", rollout.New, rollout.By, rollout.State)
 		if status.Waves > 0 && !rollout.Ended() {
@@ -107,7 +107,7 @@
 // instanceReasons returns why the instance is in its state, what it reports of the others and who can't reach it.
 func instanceReasons(instance agentapi.InstanceStatus) string {
 	var reasons []string
-	for _, reason := range []string{instance.Why, instance.MembershipView} {
+	for _, reason := range []string{instance.Reason, instance.MembershipView} {
 		if reason != "" {
 			reasons = append(reasons, reason)
 		}
--- a/internal/agent/failover_linux_test.go
+++ b/internal/agent/failover_linux_test.go
@@ -70,7 +70,7 @@
 		t.Fatalf("%+v", s.Rollout)
 	}
 	for _, m := range rest {
-		if other := m.status(); other.Rollout != s.Rollout && other.Rollout.New != 2 || other.Wanted != 2 {
+		if other := m.status(); other.Rollout != s.Rollout && other.Rollout.New != 2 || other.Desired != 2 {
 			t.Fatalf("%s says %+v, another %+v", m.config.Name, other.Rollout, s.Rollout)
 		}
 	}
@@ -122,13 +122,13 @@
 	// One voter of three is a minority: it takes nothing, and shows what it knows.
 	list[1].end()
 	list[2].end()
-	if s := stale(); len(s.Instances) != 4 || s.Wanted != 1 || s.Rollout.State != rollout.Applied {
+	if s := stale(); len(s.Instances) != 4 || s.Desired != 1 || s.Rollout.State != rollout.Applied {
 		t.Fatalf("%+v", s)
 	}
 	var f *agentapi.Failure
 	short, cancelShort := context.WithTimeout(context.Background(), time.Second)
 	defer cancelShort()
-	if _, err := m.client.Apply(short, agentapi.ApplyRequest{Request: "1b", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
+	if _, err := m.client.Apply(short, agentapi.ApplyRequest{IdempotencyKey: "1b", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
 		t.Fatal("a minority took a change")
 	}
 	if err := m.client.Do(context.Background(), "drain", agentapi.ChangeRequest{Name: "g0"}); !errors.As(err, &f) || f.Refused() {
@@ -141,7 +141,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := m.client.Apply(ctx, agentapi.ApplyRequest{Request: "2", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
+	if _, err := m.client.Apply(ctx, agentapi.ApplyRequest{IdempotencyKey: "2", Parent: 1, Content: &revisions.Content{File: file(fine, "gold")}}); err == nil {
 		t.Fatal("a site without voters took a change")
 	}
 	// Its machine goes down and up: without a leader, what ran last runs again.
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -138,16 +138,16 @@
 }
 
 func TestGoldenAnswers(t *testing.T) {
-	checkAnswer(t, "status.json", agentapi.Status{Agent: "a1", Leader: "a2", Stale: "no leader is known", At: goldenTime, Head: 5, Wanted: 4,
+	checkAnswer(t, "status.json", agentapi.Status{Agent: "a1", Leader: "a2", Stale: "no leader is known", At: goldenTime, Head: 5, Desired: 4,
 		Rollout: fleet.Rollout{New: 5, Previous: 4, State: rollout.Advancing, Reason: "wave 2", By: "ann", At: goldenTime}, Wave: 2, Waves: 3,
 		Instances: []agentapi.InstanceStatus{{Name: "g0", Agent: "a1", Running: 4, Assigned: 5, State: supervise.Ready, Ready: true, Phase: rollout.PhaseSoaking,
-			Why: "it ended", Crashes: 2, PID: 4711, Drained: true, Silent: true, ReportedAt: goldenTime, MembershipView: "3 of 4 there", UnreachableFrom: []string{"g7"}}},
+			Reason: "it ended", Crashes: 2, PID: 4711, Drained: true, Silent: true, ReportedAt: goldenTime, MembershipView: "3 of 4 there", UnreachableFrom: []string{"g7"}}},
 		Store: "the disk is full"})
 	checkAnswerOf(t, "status-minimal.json", agentapi.Status{Agent: "a1", Instances: []agentapi.InstanceStatus{{Name: "g0"}}})
-	checkAnswer(t, "applied.json", agentapi.ApplyResult{Answer: revisions.Conflict, Revision: goldenRevision(), Why: "the rollout of revision 4 is advancing"})
-	checkAnswer(t, "probes.json", []agentapi.Probe{{Agent: "a1", Instance: "g0", Step: supervise.StepRestart, Error: "no such key", Silent: true}})
-	checkAnswerOf(t, "probes-minimal.json", []agentapi.Probe{{Agent: "a1"}})
-	checkAnswer(t, "revisions.json", agentapi.Revisions{Stale: "no leader is known", Wanted: 4, Revisions: []revisions.Revision{goldenRevision()}})
+	checkAnswer(t, "applied.json", agentapi.ApplyResult{Status: revisions.Conflict, Revision: goldenRevision(), Reason: "the rollout of revision 4 is advancing"})
+	checkAnswer(t, "probes.json", []agentapi.DryRunResult{{Agent: "a1", Instance: "g0", Step: supervise.StepRestart, Error: "no such key", Silent: true}})
+	checkAnswerOf(t, "probes-minimal.json", []agentapi.DryRunResult{{Agent: "a1"}})
+	checkAnswer(t, "revisions.json", agentapi.Revisions{Stale: "no leader is known", Desired: 4, Revisions: []revisions.Revision{goldenRevision()}})
 	checkAnswer(t, "revision.json", goldenRevision())
 	checkAnswer(t, "members.json", agentapi.Members{Stale: "no leader is known", Voters: []agentapi.Member{{Name: "a1", Address: "10.0.0.1:7946", Leader: true, NonVoter: true}},
 		Agents: []fleet.Agent{{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}}}})
@@ -163,13 +163,13 @@
 
 func TestGoldenRequests(t *testing.T) {
 	content := goldenRevision().Content
-	checkRequest(t, "apply.json", agentapi.ApplyRequest{Request: "r1", Parent: 4, Restore: 3, Content: &content, Message: "why"})
+	checkRequest(t, "apply.json", agentapi.ApplyRequest{IdempotencyKey: "r1", Parent: 4, Restore: 3, Content: &content, Message: "why"})
 	checkRequest(t, "verb.json", agentapi.ChangeRequest{Name: "g0", Address: "10.0.0.1:7946"})
 	checkRequest(t, "probe-content.json", content)
 
 	// Calls of older tools lack the optional keys; an unknown key refuses the call.
 	for text, want := range map[string]any{
-		`{"request":"r1","parent":0}`: agentapi.ApplyRequest{Request: "r1"},
+		`{"request":"r1","parent":0}`: agentapi.ApplyRequest{IdempotencyKey: "r1"},
 		`{}`:                          agentapi.ChangeRequest{},
 	} {
 		got := reflect.New(reflect.TypeOf(want))
--- a/internal/agent/handlers.go
+++ b/internal/agent/handlers.go
@@ -84,7 +84,7 @@
 		return list
 	}
 	a.store.View(func(s *fleet.State) {
-		list.Wanted = s.Rollout().DesiredRevision()
+		list.Desired = s.Rollout().DesiredRevision()
 		for _, r := range s.Revisions() {
 			r.Content = revisions.Content{}
 			list.Revisions = append(list.Revisions, r)
@@ -204,7 +204,7 @@
 	if err := request.read(&got); err != nil {
 		return nil, err
 	}
-	command := revisions.Command{IdempotencyKey: got.Request, Parent: got.Parent, Restore: got.Restore, Content: got.Content, Author: request.name,
+	command := revisions.Command{IdempotencyKey: got.IdempotencyKey, Parent: got.Parent, Restore: got.Restore, Content: got.Content, Author: request.name,
 		Message: got.Message, At: time.Now().UTC()}
 	if err := command.Check(); err != nil {
 		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
@@ -221,14 +221,14 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := agentapi.ApplyResult{Answer: out.Result.Status, Revision: out.Result.Revision}
-	if answer.Answer == fleet.Busy {
+	answer := agentapi.ApplyResult{Status: out.Result.Status, Revision: out.Result.Revision}
+	if answer.Status == fleet.Busy {
 		var now fleet.Rollout
 		a.store.View(func(s *fleet.State) { now = s.Rollout() })
-		answer.Why = fmt.Sprintf("the rollout of revision %d, which %s began, is %s", now.New, now.By, now.State)
+		answer.Reason = fmt.Sprintf("the rollout of revision %d, which %s began, is %s", now.New, now.By, now.State)
 	}
-	if answer.Answer != revisions.Accepted {
-		a.refusals.add(request.name, fmt.Sprintf("apply on revision %d: %s", got.Parent, answer.Answer))
+	if answer.Status != revisions.Accepted {
+		a.refusals.add(request.name, fmt.Sprintf("apply on revision %d: %s", got.Parent, answer.Status))
 	}
 	return answer, nil
 }
--- a/internal/agent/helpers_linux_test.go
+++ b/internal/agent/helpers_linux_test.go
@@ -275,7 +275,7 @@
 	m.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	a, err := m.client.Apply(ctx, agentapi.ApplyRequest{Request: request, Parent: parent, Content: &revisions.Content{File: text}, Message: "test"})
+	a, err := m.client.Apply(ctx, agentapi.ApplyRequest{IdempotencyKey: request, Parent: parent, Content: &revisions.Content{File: text}, Message: "test"})
 	if err != nil {
 		m.t.Fatal(err)
 	}
--- a/internal/agent/membership_linux_test.go
+++ b/internal/agent/membership_linux_test.go
@@ -88,7 +88,7 @@
 		return c
 	}
 	ctx := context.Background()
-	call := agentapi.ApplyRequest{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}}
+	call := agentapi.ApplyRequest{IdempotencyKey: "1", Content: &revisions.Content{File: file(fine, "basic")}}
 	_, err := as("vic", other).Apply(ctx, call)
 	var f *agentapi.Failure
 	if !errors.As(err, &f) || !f.Forbidden() {
@@ -100,7 +100,7 @@
 	// The leader knows who asked, whichever agent was asked.
 	for _, at := range []*machine{other, m} {
 		a, err := as("ann", at).Apply(ctx, call)
-		if err != nil || a.Answer != revisions.Accepted || a.Revision.Author != "ann" {
+		if err != nil || a.Status != revisions.Accepted || a.Revision.Author != "ann" {
 			t.Fatalf("%v %+v", err, a)
 		}
 	}
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -26,7 +26,7 @@
 	a.store.View(func(s *fleet.State) { agents = s.Agents() })
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	answers := make([][]agentapi.Probe, len(agents))
+	answers := make([][]agentapi.DryRunResult, len(agents))
 	slots := make(chan struct{}, maxConcurrentProbes)
 	var wg sync.WaitGroup
 	for n, g := range agents {
@@ -40,12 +40,12 @@
 				err = a.callAgent(ctx, g.Address, peerCall{method: http.MethodPost, path: "/v1/probe-here", body: request.body, timeout: probeTimeout}, &answers[n])
 			}
 			if err != nil {
-				answers[n] = []agentapi.Probe{{Agent: g.Name, Error: err.Error(), Silent: true}}
+				answers[n] = []agentapi.DryRunResult{{Agent: g.Name, Error: err.Error(), Silent: true}}
 			}
 		})
 	}
 	wg.Wait()
-	list := []agentapi.Probe{}
+	list := []agentapi.DryRunResult{}
 	for _, probes := range answers {
 		list = append(list, probes...)
 	}
@@ -62,18 +62,18 @@
 }
 
 // probeAll returns what the instances of this agent would do to run a content.
-func (a *Agent) probeAll(ctx context.Context, content revisions.Content) ([]agentapi.Probe, error) {
+func (a *Agent) probeAll(ctx context.Context, content revisions.Content) ([]agentapi.DryRunResult, error) {
 	if err := a.parse(ctx, "file", content); err != nil {
-		return []agentapi.Probe{{Agent: a.self.Name, Error: err.Error()}}, nil
+		return []agentapi.DryRunResult{{Agent: a.self.Name, Error: err.Error()}}, nil
 	}
 	d, err := document.Parse("file", content)
 	if err != nil {
 		return nil, err
 	}
-	list := []agentapi.Probe{}
+	list := []agentapi.DryRunResult{}
 	for _, name := range a.self.Instances {
 		p := a.processes[name]
-		one := agentapi.Probe{Agent: a.self.Name, Instance: name}
+		one := agentapi.DryRunResult{Agent: a.self.Name, Instance: name}
 		if r, err := d.Render(0, document.Instance{Name: name, Listen: p.Listen()}); err != nil {
 			one.Error = err.Error()
 		} else {
--- a/internal/agent/records_copy.go
+++ b/internal/agent/records_copy.go
@@ -81,15 +81,15 @@
 		return nil
 	}
 	now := a.records.Status()
-	status := &agentapi.RecordsStatus{State: now.State, Version: now.Version, Digest: now.Digest, Why: now.Reason}
+	status := &agentapi.RecordsStatus{State: now.State, Version: now.Version, Digest: now.Digest, Reason: now.Reason}
 	if age, known := now.Age(time.Now()); known {
 		seconds := age.Round(ageResolution).Seconds()
 		status.AgeSeconds = &seconds
 	}
-	if status.Why == "" {
-		status.Why = a.records.DiskError()
+	if status.Reason == "" {
+		status.Reason = a.records.DiskError()
 	}
-	status.Why = fleet.Truncate(status.Why, maxReasonBytes)
+	status.Reason = fleet.Truncate(status.Reason, maxReasonBytes)
 	return status
 }
 
--- a/internal/agent/records_faults_linux_test.go
+++ b/internal/agent/records_faults_linux_test.go
@@ -33,7 +33,7 @@
 				return false
 			}
 			one = lag.Agents[0]
-			return one.Status.Why != "" && one.Status.AgeSeconds != nil
+			return one.Status.Reason != "" && one.Status.AgeSeconds != nil
 		})
 		return one
 	}
@@ -271,11 +271,11 @@
 	}
 	until(t, "the change is in force at all that run", func() bool {
 		lag, err := other.client.RecordsLag(context.Background())
-		if err != nil || lag.Stale != "" || lag.InForce != 5 {
+		if err != nil || lag.Stale != "" || lag.UpToDate != 5 {
 			return false
 		}
 		for _, a := range lag.Agents {
-			if a.State == agentapi.RecordsInForce && (a.Status.Version != second.Version || a.Agent == leader.name) {
+			if a.State == agentapi.RecordsUpToDate && (a.Status.Version != second.Version || a.Agent == leader.name) {
 				t.Errorf("%+v of %+v", a, lag)
 			}
 		}
--- a/internal/agent/records_handlers.go
+++ b/internal/agent/records_handlers.go
@@ -76,10 +76,10 @@
 	if err := request.read(&got); err != nil {
 		return nil, err
 	}
-	if got.Request == "" {
+	if got.IdempotencyKey == "" {
 		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: "request: a change needs a key, so that a repeat is known for one"}
 	}
-	change := &records.Change{IdempotencyKey: got.Request, Author: fleet.Truncate(request.name, records.MaxNameBytes), Message: got.Message,
+	change := &records.Change{IdempotencyKey: got.IdempotencyKey, Author: fleet.Truncate(request.name, records.MaxNameBytes), Message: got.Message,
 		At: time.Now().UTC(), Operations: got.Operations}
 	entry := fleet.Entry{Records: change}
 	if _, err := entry.Encode(); err != nil {
--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -44,7 +44,7 @@
 func sendChange(c *agentapi.Client, request string, operations ...records.Operation) (records.Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return c.ChangeRecords(ctx, agentapi.RecordsChange{Request: request, Message: "test", Operations: operations})
+	return c.ChangeRecords(ctx, agentapi.RecordsChange{IdempotencyKey: request, Message: "test", Operations: operations})
 }
 
 // recordsSite starts voters and followers without gateways, all with records on.
@@ -77,7 +77,7 @@
 	until(t, fmt.Sprintf("version %d is in force at %d agents", version, agents), func() bool {
 		var err error
 		lag, err = c.RecordsLag(context.Background())
-		return err == nil && lag.Stale == "" && lag.Version >= version && lag.InForce == agents && len(lag.Agents) == agents && lag.Everywhere()
+		return err == nil && lag.Stale == "" && lag.Version >= version && lag.UpToDate == agents && len(lag.Agents) == agents && lag.AllUpToDate()
 	})
 	return lag
 }
@@ -91,7 +91,7 @@
 	}
 	lag := inForce(t, list[3].client, first.Version, 5)
 	for _, a := range lag.Agents {
-		if a.Status.Version != first.Version || a.Status.Digest != lag.Digest || a.Status.AgeSeconds == nil || a.Since != nil {
+		if a.Status.Version != first.Version || a.Status.Digest != lag.Digest || a.Status.AgeSeconds == nil || a.BehindSince != nil {
 			t.Fatalf("%+v of %+v", a, lag)
 		}
 	}
@@ -145,7 +145,7 @@
 	if err != nil || len(versions.Changes) != 2 || versions.Changes[0].Version != second || versions.Changes[1].Author == "" {
 		t.Fatalf("%+v, %v", versions, err)
 	}
-	tenants, err := list[4].client.RecordsOf(t.Context(), records.Tenant, "a", 10)
+	tenants, err := list[4].client.ListRecords(t.Context(), records.Tenant, "a", 10)
 	if err != nil || len(tenants.Records) != 1 || string(tenants.Records[0].Value) != fmt.Sprintf(`{"plan":"gold","burst":%d}`, winner+1) {
 		t.Fatalf("%+v, %v", tenants, err)
 	}
@@ -214,11 +214,11 @@
 	}
 	until(t, "one is silent and behind since the second change, two are not", func() bool {
 		lag, err := list[0].client.RecordsLag(context.Background())
-		if err != nil || lag.InForce != 2 || len(lag.Agents) != 3 || lag.Everywhere() {
+		if err != nil || lag.UpToDate != 2 || len(lag.Agents) != 3 || lag.AllUpToDate() {
 			return false
 		}
 		silentAgent := lag.Agents[2]
-		return silentAgent.State == agentapi.RecordsSilent && silentAgent.Status.Version == first.Version && silentAgent.Since != nil && silentAgent.Since.Equal(versions.Changes[1].At)
+		return silentAgent.State == agentapi.RecordsSilent && silentAgent.Status.Version == first.Version && silentAgent.BehindSince != nil && silentAgent.BehindSince.Equal(versions.Changes[1].At)
 	})
 	list[2].start()
 	inForce(t, list[0].client, third.Version, 3)
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -25,9 +25,9 @@
 	}
 	for _, name := range a.self.Instances {
 		s := a.processes[name].State()
-		o := agentapi.Observed{Name: name, State: s.Status.State, Why: s.Status.Reason, Crashes: s.Status.Crashes, PID: s.PID}
+		o := agentapi.Observed{Name: name, State: s.Status.State, Reason: s.Status.Reason, Crashes: s.Status.Crashes, PID: s.PID}
 		if s.Status.Running != nil && s.PID != 0 {
-			o.Running, o.Content = s.Status.Running.Revision, s.Status.Running.ContentChecksum
+			o.Running, o.ContentChecksum = s.Status.Running.Revision, s.Status.Running.ContentChecksum
 		}
 		o.MembershipView, o.Unreachable = s.Membership.Line, s.Membership.Unreachable
 		if s.Status.Desired != nil {
@@ -35,7 +35,7 @@
 		}
 		a.mu.Lock()
 		if f, found := a.rejected[name]; found {
-			o.Refused, o.Refusal = f.revision, f.reason
+			o.Rejected, o.RejectionReason = f.revision, f.reason
 		}
 		a.mu.Unlock()
 		r.Instances = append(r.Instances, o)
--- a/internal/agent/rollout_linux_test.go
+++ b/internal/agent/rollout_linux_test.go
@@ -25,7 +25,7 @@
 func TestOneMachine(t *testing.T) {
 	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0", "g1")...).start()
-	if a := m.apply("1", 0, file(fine, "basic")); a.Answer != revisions.Accepted || a.Revision.Number != 1 || a.Revision.Author == "" {
+	if a := m.apply("1", 0, file(fine, "basic")); a.Status != revisions.Accepted || a.Revision.Number != 1 || a.Revision.Author == "" {
 		t.Fatalf("%+v", a)
 	}
 	s := m.ended(1)
@@ -47,13 +47,13 @@
 		t.Fatalf("%v became %v by a restart", first, now)
 	}
 
-	if a := m.apply("4", 2, file(fine, "x")); a.Answer != revisions.Conflict || a.Revision.Number != 3 {
+	if a := m.apply("4", 2, file(fine, "x")); a.Status != revisions.Conflict || a.Revision.Number != 3 {
 		t.Fatalf("%+v", a)
 	}
-	if a := m.apply("3", 2, file(fine, "gold")); a.Answer != revisions.Accepted || a.Revision.Number != 3 {
+	if a := m.apply("3", 2, file(fine, "gold")); a.Status != revisions.Accepted || a.Revision.Number != 3 {
 		t.Fatalf("a repeat: %+v", a)
 	}
-	_, err := m.client.Apply(context.Background(), agentapi.ApplyRequest{Request: "5", Parent: 3, Content: &revisions.Content{File: "[gatewya]"}})
+	_, err := m.client.Apply(context.Background(), agentapi.ApplyRequest{IdempotencyKey: "5", Parent: 3, Content: &revisions.Content{File: "[gatewya]"}})
 	var f *agentapi.Failure
 	if !errors.As(err, &f) || !f.BadRequest() || !strings.Contains(err.Error(), "file:1: gatewya") {
 		t.Fatalf("a file that makes no sense: %v", err)
@@ -69,7 +69,7 @@
 	}
 	until(t, "g1 is back", func() bool { s = m.status(); return s.Instances[1].Ready && s.Instances[1].Running == 3 })
 
-	probes, err := m.client.Probe(ctx, revisions.Content{File: file(fine, "silver")})
+	probes, err := m.client.DryRun(ctx, revisions.Content{File: file(fine, "silver")})
 	if err != nil || len(probes) != 2 || probes[0].Step != supervise.StepRestart {
 		t.Fatalf("%v %+v", err, probes)
 	}
@@ -87,12 +87,12 @@
 	for n, bad := range []string{crashes, ends, silent} {
 		number := uint64(n + 2)
 		text := strings.Replace(file(bad, fmt.Sprint("plan", n)), `ready_within = "10s"`, `ready_within = "2s"`, 1)
-		if a := m.apply(fmt.Sprint("bad", n), number-1, text); a.Answer != revisions.Accepted {
+		if a := m.apply(fmt.Sprint("bad", n), number-1, text); a.Status != revisions.Accepted {
 			t.Fatalf("%+v", a)
 		}
 		s := m.ended(number)
 		m.is(s, rollout.RolledBack, 1)
-		if s.Wanted != 1 || s.Head != number || !strings.Contains(s.Rollout.Reason, "revision 1") {
+		if s.Desired != 1 || s.Head != number || !strings.Contains(s.Rollout.Reason, "revision 1") {
 			t.Fatalf("%+v", s)
 		}
 		if s.Instances[2].Crashes != 0 {
@@ -170,7 +170,7 @@
 	t.Parallel()
 	m := newMachine(t, "a1", true, nil, instances(t, "g0")...).start()
 	// The call is sent and nobody waits for its answer.
-	text, err := json.Marshal(agentapi.ApplyRequest{Request: "1", Content: &revisions.Content{File: file(fine, "basic")}})
+	text, err := json.Marshal(agentapi.ApplyRequest{IdempotencyKey: "1", Content: &revisions.Content{File: file(fine, "basic")}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 	fmt.Fprintf(c, "POST /v1/apply HTTP/1.1\r\nHost: agent\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	c.Close()
 	// Taken or not, there is one end. The repeat of another machine is no second revision.
-	if a := m.apply("1", 0, file(fine, "basic")); a.Answer != revisions.Accepted || a.Revision.Number != 1 {
+	if a := m.apply("1", 0, file(fine, "basic")); a.Status != revisions.Accepted || a.Revision.Number != 1 {
 		t.Fatalf("%+v", a)
 	}
 	m.is(m.ended(1), rollout.Applied, 1)
@@ -195,15 +195,15 @@
 	answers := make(chan agentapi.ApplyResult, 2)
 	for i, m := range []*machine{list[1], list[3]} {
 		go func() {
-			a, _ := m.client.Apply(context.Background(), agentapi.ApplyRequest{Request: fmt.Sprint("both", i), Parent: 1, Content: &revisions.Content{File: file(fine, fmt.Sprint("plan", i))}})
+			a, _ := m.client.Apply(context.Background(), agentapi.ApplyRequest{IdempotencyKey: fmt.Sprint("both", i), Parent: 1, Content: &revisions.Content{File: file(fine, fmt.Sprint("plan", i))}})
 			answers <- a
 		}()
 	}
 	a, b := <-answers, <-answers
-	if b.Answer == revisions.Accepted {
+	if b.Status == revisions.Accepted {
 		a, b = b, a
 	}
-	if a.Answer != revisions.Accepted || b.Answer != fleet.Busy && b.Answer != revisions.Conflict || b.Revision.Number != 2 || b.Revision.Checksum != a.Revision.Checksum {
+	if a.Status != revisions.Accepted || b.Status != fleet.Busy && b.Status != revisions.Conflict || b.Revision.Number != 2 || b.Revision.Checksum != a.Revision.Checksum {
 		t.Fatalf("%+v\n%+v", a, b)
 	}
 	list[2].is(list[2].ended(2), rollout.Applied, 2)
--- a/internal/agent/scale_linux_test.go
+++ b/internal/agent/scale_linux_test.go
@@ -124,7 +124,7 @@
 			text = strings.Replace(text, change[0], change[1], 1)
 		}
 		began := time.Now()
-		if a, err := client.Apply(ctx, agentapi.ApplyRequest{Request: plan, Parent: n - 1, Content: &revisions.Content{File: text}}); err != nil || a.Answer != revisions.Accepted {
+		if a, err := client.Apply(ctx, agentapi.ApplyRequest{IdempotencyKey: plan, Parent: n - 1, Content: &revisions.Content{File: text}}); err != nil || a.Status != revisions.Accepted {
 			t.Fatalf("%v %+v", err, a)
 		}
 		until(t, "the end", func() bool {
@@ -171,7 +171,7 @@
 				calls.Add(1)
 				if o := got.Orders[name]; o.Revision != 0 {
 					r.Instances[0].Running, r.Instances[0].Target, r.Instances[0].State = o.Revision, o.Revision, supervise.Ready
-					r.Instances[0].Content = o.Checksum
+					r.Instances[0].ContentChecksum = o.Checksum
 				}
 			}
 			resp.Body.Close()
--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -38,16 +38,16 @@
 
 // Observed is the state of one instance in a Report.
 type Observed struct {
-	Name    string          `json:"name"`
-	Running uint64          `json:"running"`           // the revision; 0: none
-	Content string          `json:"content,omitempty"` // checksum of the revision that runs
-	Target  uint64          `json:"taking"`            // the revision that it is changing to
-	State   supervise.State `json:"state"`
-	Why     string          `json:"why,omitempty"`
-	Crashes int             `json:"crashes"`
-	PID     int             `json:"pid,omitempty"`
-	Refused uint64          `json:"refused,omitempty"` // a revision that the agent rejects; 0: none
-	Refusal string          `json:"refusal,omitempty"` // why
+	Name            string          `json:"name"`
+	Running         uint64          `json:"running"`           // the revision; 0: none
+	ContentChecksum string          `json:"content,omitempty"` // checksum of the revision that runs
+	Target          uint64          `json:"taking"`            // the revision that it is changing to
+	State           supervise.State `json:"state"`
+	Reason          string          `json:"why,omitempty"`
+	Crashes         int             `json:"crashes"`
+	PID             int             `json:"pid,omitempty"`
+	Rejected        uint64          `json:"refused,omitempty"` // a revision that the agent rejects; 0: none
+	RejectionReason string          `json:"refusal,omitempty"` // why
 
 	MembershipView string   `json:"believes,omitempty"` // the instance's view of the other members
 	Unreachable    []string `json:"missing,omitempty"`  // instances that it does not reach
--- a/internal/agentapi/calls.go
+++ b/internal/agentapi/calls.go
@@ -9,22 +9,22 @@
 // ApplyRequest applies a content or an old revision. A repeat with the same Request
 // is answered as the first one was.
 type ApplyRequest struct {
-	Request string             `json:"request"`           // idempotency key
-	Parent  uint64             `json:"parent"`            // head that the caller has seen
-	Restore uint64             `json:"restore,omitempty"` // revision whose content is applied anew; 0: Content is
-	Content *revisions.Content `json:"content,omitempty"`
-	Message string             `json:"message,omitempty"`
+	IdempotencyKey string             `json:"request"`           // idempotency key
+	Parent         uint64             `json:"parent"`            // head that the caller has seen
+	Restore        uint64             `json:"restore,omitempty"` // revision whose content is applied anew; 0: Content is
+	Content        *revisions.Content `json:"content,omitempty"`
+	Message        string             `json:"message,omitempty"`
 }
 
 // ApplyResult answers an ApplyRequest.
 type ApplyResult struct {
-	Answer   revisions.Status   `json:"answer"`
+	Status   revisions.Status   `json:"answer"`
 	Revision revisions.Revision `json:"revision"`
-	Why      string             `json:"why,omitempty"`
+	Reason   string             `json:"why,omitempty"`
 }
 
-// Probe is what one instance would do to run a content.
-type Probe struct {
+// DryRunResult is what one instance would do to run a content.
+type DryRunResult struct {
 	Agent    string         `json:"agent"`
 	Instance string         `json:"instance,omitempty"`
 	Step     supervise.Step `json:"step,omitempty"`
@@ -35,7 +35,7 @@
 // Revisions is the history, newest first, without the contents.
 type Revisions struct {
 	Stale     string               `json:"stale,omitempty"`
-	Wanted    uint64               `json:"wanted"`
+	Desired   uint64               `json:"wanted"`
 	Revisions []revisions.Revision `json:"revisions"`
 }
 
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// Probe has all agents check a content, and returns what each instance would do.
-func (c *Client) Probe(ctx context.Context, content revisions.Content) (l []Probe, err error) {
+// DryRun has all agents check a content, and returns what each instance would do.
+func (c *Client) DryRun(ctx context.Context, content revisions.Content) (l []DryRunResult, err error) {
 	err = c.call(ctx, http.MethodPost, "/v1/probe", content, &l)
 	return l, err
 }
--- a/internal/agentapi/client_test.go
+++ b/internal/agentapi/client_test.go
@@ -57,8 +57,8 @@
 	call(c.Revision(ctx, 4))
 	call(c.Members(ctx))
 	call(c.Audit(ctx))
-	call(c.Apply(ctx, ApplyRequest{Request: "r1", Parent: 4, Content: &content, Message: "why"}))
-	call(c.Probe(ctx, content))
+	call(c.Apply(ctx, ApplyRequest{IdempotencyKey: "r1", Parent: 4, Content: &content, Message: "why"}))
+	call(c.DryRun(ctx, content))
 	for _, name := range []string{"pause", "resume", "abort", "drain", "undrain", "agents/remove"} {
 		check(c.Do(ctx, name, ChangeRequest{Name: "g0"}))
 	}
@@ -67,9 +67,9 @@
 	call(c.RemoveMember(ctx, ChangeRequest{Name: "a3"}))
 	call(c.Snapshot(ctx))
 	check(c.Restore(ctx, []byte(`{"form":1}`)))
-	call(c.ChangeRecords(ctx, RecordsChange{Request: "r1", Message: "why"}))
+	call(c.ChangeRecords(ctx, RecordsChange{IdempotencyKey: "r1", Message: "why"}))
 	call(c.Record(ctx, records.Key{Kind: records.Plan, Name: "gold"}))
-	call(c.RecordsOf(ctx, records.Tenant, "ac", 10))
+	call(c.ListRecords(ctx, records.Tenant, "ac", 10))
 	call(c.RecordsVersions(ctx, 3))
 	call(c.RecordsDiff(ctx, 5, 7))
 	call(c.RecordsLag(ctx))
@@ -80,7 +80,7 @@
 // unknown one is passed over.
 func TestAnswersOfOtherReleases(t *testing.T) {
 	for text, want := range map[string]any{
-		`{"agent":"a1","leader":"a1","at":"2026-03-04T05:06:07.0000008Z","head":1,"wanted":1,"rollout":{"new":1,"before":0,"state":"applied","why":"","by":"ann","at":"2026-03-04T05:06:07.0000008Z"},"wave":1,"waves":1,"instances":[{"name":"g0","agent":"a1","running":1,"told":1,"state":"ready","ready":true,"crashes":0,"heard":"2026-03-04T05:06:07.0000008Z"}]}`: Status{Agent: "a1", Leader: "a1", At: goldenTime, Head: 1, Wanted: 1, Wave: 1, Waves: 1, Rollout: fleet.Rollout{New: 1, State: rollout.Applied, By: "ann", At: goldenTime},
+		`{"agent":"a1","leader":"a1","at":"2026-03-04T05:06:07.0000008Z","head":1,"wanted":1,"rollout":{"new":1,"before":0,"state":"applied","why":"","by":"ann","at":"2026-03-04T05:06:07.0000008Z"},"wave":1,"waves":1,"instances":[{"name":"g0","agent":"a1","running":1,"told":1,"state":"ready","ready":true,"crashes":0,"heard":"2026-03-04T05:06:07.0000008Z"}]}`: Status{Agent: "a1", Leader: "a1", At: goldenTime, Head: 1, Desired: 1, Wave: 1, Waves: 1, Rollout: fleet.Rollout{New: 1, State: rollout.Applied, By: "ann", At: goldenTime},
 			Instances: []InstanceStatus{{Name: "g0", Agent: "a1", Running: 1, Assigned: 1, State: supervise.Ready, Ready: true, ReportedAt: goldenTime}}},
 		`{"voters":[{"name":"a1","address":"","leader":true}],"agents":[],"mood":{"x":1}}`: Members{Voters: []Member{{Name: "a1", Leader: true}}, Agents: []fleet.Agent{}},
 		`{}`: MemberChange{},
--- a/internal/agentapi/golden_test.go
+++ b/internal/agentapi/golden_test.go
@@ -99,15 +99,15 @@
 func ptr[T any](v T) *T { return &v }
 
 func goldenStatus() RecordsStatus {
-	return RecordsStatus{State: records.Following, Version: 7, Digest: goldenDigest, AgeSeconds: ptr(1.5), Why: "the disk is full"}
+	return RecordsStatus{State: records.Following, Version: 7, Digest: goldenDigest, AgeSeconds: ptr(1.5), Reason: "the disk is full"}
 }
 
 func goldenReport() Report {
 	status := goldenStatus()
 	return Report{
 		Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
-		Instances: []Observed{{Name: "g0", Running: 3, Content: "c3", Target: 4, State: supervise.Ready, Why: "it ended", Crashes: 2, PID: 4711,
-			Refused: 5, Refusal: "revision 5: no such key", MembershipView: "3 of 4 there", Unreachable: []string{"g7"}}},
+		Instances: []Observed{{Name: "g0", Running: 3, ContentChecksum: "c3", Target: 4, State: supervise.Ready, Reason: "it ended", Crashes: 2, PID: 4711,
+			Rejected: 5, RejectionReason: "revision 5: no such key", MembershipView: "3 of 4 there", Unreachable: []string{"g7"}}},
 		WantsRoster: true, RosterEpoch: 9, Records: &status,
 	}
 }
@@ -122,7 +122,7 @@
 func TestGoldenMessages(t *testing.T) {
 	checkFullMessage(t, "report.json", goldenReport())
 	checkFullMessage(t, "orders.json", goldenOrders())
-	checkFullMessage(t, "records-change.json", RecordsChange{Request: "r1", Message: "why",
+	checkFullMessage(t, "records-change.json", RecordsChange{IdempotencyKey: "r1", Message: "why",
 		Operations: []records.Operation{{Key: goldenKey, Delete: true, Value: goldenValue, IfVersion: ptr(uint64(6))}}})
 	checkFullMessage(t, "records-list.json", RecordsList{Version: 7, Digest: goldenDigest, Total: 12,
 		Records: []records.Record{{Key: goldenKey, Version: 5, Value: goldenValue}}})
@@ -130,8 +130,8 @@
 		Changes: []records.ChangeInfo{{Version: 7, Author: "ann", Message: "why", At: goldenTime, Operations: 2}}})
 	checkFullMessage(t, "records-diff.json", RecordsDiff{From: 5, To: 7,
 		Changes: []records.KeyChange{{Key: goldenKey, Version: 6, Record: &records.Record{Key: goldenKey, Version: 6, Value: goldenValue}, SupersededBy: 7}}})
-	checkFullMessage(t, "records-lag.json", RecordsLag{Stale: "no leader is known", Version: 8, Digest: goldenDigest, InForce: 3,
-		Agents: []AgentRecords{{Agent: "a1", State: RecordsBehind, Status: goldenStatus(), Since: ptr(goldenTime), ReportedAt: ptr(goldenTime.Add(time.Second))}}})
+	checkFullMessage(t, "records-lag.json", RecordsLag{Stale: "no leader is known", Version: 8, Digest: goldenDigest, UpToDate: 3,
+		Agents: []AgentRecords{{Agent: "a1", State: RecordsBehind, Status: goldenStatus(), BehindSince: ptr(goldenTime), ReportedAt: ptr(goldenTime.Add(time.Second))}}})
 }
 
 // The messages of a site without gateways, records and rosters: what has no value is
@@ -141,7 +141,7 @@
 	checkMessage(t, "report-instance-minimal.json", Report{Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
 		Instances: []Observed{{Name: "g0", State: supervise.Down}}})
 	checkMessage(t, "orders-minimal.json", Orders{Leader: "a2", Address: "10.0.0.2:7946", Orders: map[string]Order{"g0": {}}})
-	checkMessage(t, "records-change-minimal.json", RecordsChange{Request: "r1"})
+	checkMessage(t, "records-change-minimal.json", RecordsChange{IdempotencyKey: "r1"})
 	checkMessage(t, "records-list-minimal.json", RecordsList{Records: []records.Record{}})
 	checkMessage(t, "records-lag-minimal.json", RecordsLag{Agents: []AgentRecords{{Agent: "a1", State: RecordsSilent}}})
 }
@@ -186,7 +186,7 @@
 	if ReportPath != "/v1/report" || HopHeader != "X-Elderyard-Hop" || HopMayForward != "0" {
 		t.Errorf("%q %q %q", ReportPath, HopHeader, HopMayForward)
 	}
-	states := []RecordsState{RecordsInForce, RecordsBehind, RecordsDiffer, RecordsSilent, RecordsNoReports, RecordsUnknown}
+	states := []RecordsState{RecordsUpToDate, RecordsBehind, RecordsDiverged, RecordsSilent, RecordsNoReports, RecordsUnknown}
 	if want := []RecordsState{"in force", "behind", "differs", "silent", "off", "unknown"}; !slices.Equal(states, want) {
 		t.Errorf("%q, want %q", states, want)
 	}
--- a/internal/agentapi/records.go
+++ b/internal/agentapi/records.go
@@ -20,9 +20,9 @@
 // RecordsChange is a change of records as an operator's tool sends it. A repeat
 // under the same request key is answered as the first one was.
 type RecordsChange struct {
-	Request    string              `json:"request"`
-	Message    string              `json:"message,omitempty"`
-	Operations []records.Operation `json:"operations"`
+	IdempotencyKey string              `json:"request"`
+	Message        string              `json:"message,omitempty"`
+	Operations     []records.Operation `json:"operations"`
 }
 
 // RecordsList is some records, as of a version.
@@ -55,7 +55,7 @@
 	// AgeSeconds is for how long the copy has not been confirmed to be the newest;
 	// nil: it never was.
 	AgeSeconds *float64 `json:"age_s,omitempty"`
-	Why        string   `json:"why,omitempty"` // why it is not being confirmed, or not saved on disk
+	Reason     string   `json:"why,omitempty"` // why it is not being confirmed, or not saved on disk
 }
 
 // RecordsHead is the version of the site's records, as the leader knows it.
@@ -68,9 +68,9 @@
 
 // The states of a copy.
 const (
-	RecordsInForce   RecordsState = "in force" // it has the newest version
+	RecordsUpToDate  RecordsState = "in force" // it has the newest version
 	RecordsBehind    RecordsState = "behind"
-	RecordsDiffer    RecordsState = "differs" // at a version whose content was another
+	RecordsDiverged  RecordsState = "differs" // at a version whose content was another
 	RecordsSilent    RecordsState = "silent"  // the leader has no recent report of the agent
 	RecordsNoReports RecordsState = "off"     // the agent reports no records
 	RecordsUnknown   RecordsState = "unknown" // there is no leader to compare it with
@@ -78,17 +78,17 @@
 
 // RecordsLag is which agents have the newest records, and which have not, and why.
 type RecordsLag struct {
-	Stale   string         `json:"stale,omitempty"` // why this is the called agent's copy alone; "": it is the leader's answer
-	Version uint64         `json:"version"`
-	Digest  records.Digest `json:"digest"`
-	InForce int            `json:"in_force"` // agents
-	Agents  []AgentRecords `json:"agents"`   // by name
+	Stale    string         `json:"stale,omitempty"` // why this is the called agent's copy alone; "": it is the leader's answer
+	Version  uint64         `json:"version"`
+	Digest   records.Digest `json:"digest"`
+	UpToDate int            `json:"in_force"` // agents
+	Agents   []AgentRecords `json:"agents"`   // by name
 }
 
-// Everywhere reports whether all agents with a copy of the records have the newest.
-func (l RecordsLag) Everywhere() bool {
+// AllUpToDate reports whether all agents with a copy of the records have the newest.
+func (l RecordsLag) AllUpToDate() bool {
 	for _, a := range l.Agents {
-		if a.State != RecordsInForce && a.State != RecordsNoReports {
+		if a.State != RecordsUpToDate && a.State != RecordsNoReports {
 			return false
 		}
 	}
@@ -97,9 +97,9 @@
 
 // AgentRecords is one agent of a RecordsLag.
 type AgentRecords struct {
-	Agent      string        `json:"agent"`
-	State      RecordsState  `json:"state"`
-	Status     RecordsStatus `json:"status"`          // as last reported
-	Since      *time.Time    `json:"since,omitempty"` // when the first change was accepted that it lacks; nil: none, or it is not known any more
-	ReportedAt *time.Time    `json:"heard,omitempty"` // nil: never by this leader
+	Agent       string        `json:"agent"`
+	State       RecordsState  `json:"state"`
+	Status      RecordsStatus `json:"status"`          // as last reported
+	BehindSince *time.Time    `json:"since,omitempty"` // when the first change was accepted that it lacks; nil: none, or it is not known any more
+	ReportedAt  *time.Time    `json:"heard,omitempty"` // nil: never by this leader
 }
--- a/internal/agentapi/records_client.go
+++ b/internal/agentapi/records_client.go
@@ -23,9 +23,9 @@
 	return list, err
 }
 
-// RecordsOf returns records of a kind whose names begin with a prefix, at most limit
+// ListRecords returns records of a kind whose names begin with a prefix, at most limit
 // of them; a limit of 0 means as many as an agent returns at once.
-func (c *Client) RecordsOf(ctx context.Context, kind records.Kind, prefix string, limit int) (list RecordsList, err error) {
+func (c *Client) ListRecords(ctx context.Context, kind records.Kind, prefix string, limit int) (list RecordsList, err error) {
 	query := url.Values{"kind": {string(kind)}, "prefix": {prefix}, "limit": {strconv.Itoa(limit)}}
 	err = c.call(ctx, http.MethodGet, RecordsListPath+"?"+query.Encode(), nil, &list)
 	return list, err
--- a/internal/agentapi/status.go
+++ b/internal/agentapi/status.go
@@ -18,7 +18,7 @@
 	Stale     string           `json:"stale,omitempty"` // why this may be out of date; "": it is the leader's
 	At        time.Time        `json:"at"`              // when this was read
 	Head      uint64           `json:"head"`
-	Wanted    uint64           `json:"wanted"` // 0: nothing has been applied, or the first revision was rolled back
+	Desired   uint64           `json:"wanted"` // 0: nothing has been applied, or the first revision was rolled back
 	Rollout   fleet.Rollout    `json:"rollout"`
 	Wave      int              `json:"wave"` // from 1; 0: the leader still awaits reports
 	Waves     int              `json:"waves"`
@@ -35,7 +35,7 @@
 	State      supervise.State `json:"state"`
 	Ready      bool            `json:"ready"`
 	Phase      rollout.Phase   `json:"phase,omitempty"`
-	Why        string          `json:"why,omitempty"`
+	Reason     string          `json:"why,omitempty"`
 	Crashes    int             `json:"crashes"`
 	PID        int             `json:"pid,omitempty"`
 	Drained    bool            `json:"drained,omitempty"`
@@ -48,10 +48,10 @@
 
 // SetReport sets the fields that the report of an instance at a time determines.
 func (i *InstanceStatus) SetReport(o *Observed, at time.Time) {
-	i.Running, i.State, i.Ready, i.Why, i.Crashes, i.PID, i.ReportedAt = o.Running, o.State, o.State == supervise.Ready, o.Why, o.Crashes, o.PID, at.UTC()
+	i.Running, i.State, i.Ready, i.Reason, i.Crashes, i.PID, i.ReportedAt = o.Running, o.State, o.State == supervise.Ready, o.Reason, o.Crashes, o.PID, at.UTC()
 	i.MembershipView = o.MembershipView
-	if o.Refused != 0 {
-		i.Why = o.Refusal
+	if o.Rejected != 0 {
+		i.Reason = o.RejectionReason
 	}
 }
 
@@ -60,7 +60,7 @@
 func (s *Status) SetDesired(state *fleet.State) {
 	head, _ := state.Head()
 	s.Rollout = state.Rollout()
-	s.Head, s.Wanted = head.Number, s.Rollout.DesiredRevision()
+	s.Head, s.Desired = head.Number, s.Rollout.DesiredRevision()
 	for _, a := range state.Agents() {
 		for _, name := range a.Instances {
 			s.Instances = append(s.Instances, InstanceStatus{Name: name, Agent: a.Name, Drained: state.Drained(name)})
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -41,8 +41,8 @@
 			} else {
 				one.State = agentapi.RecordsSilent
 			}
-			if one.State == agentapi.RecordsInForce {
-				lag.InForce++
+			if one.State == agentapi.RecordsUpToDate {
+				lag.UpToDate++
 			}
 			lag.Agents = append(lag.Agents, one)
 		}
@@ -65,13 +65,13 @@
 	case time.Since(report.receivedAt) > silentAfter:
 		one.State = agentapi.RecordsSilent
 	case one.Status.Version > store.Version(), known && digest != one.Status.Digest:
-		one.State = agentapi.RecordsDiffer
+		one.State = agentapi.RecordsDiverged
 	case one.Status.Version < store.Version():
 		one.State = agentapi.RecordsBehind
 	default:
-		one.State = agentapi.RecordsInForce
+		one.State = agentapi.RecordsUpToDate
 	}
-	one.Since = firstMissingAt(one.Status.Version, history)
+	one.BehindSince = firstMissingAt(one.Status.Version, history)
 	return one
 }
 
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -70,10 +70,10 @@
 	if err := t.step(ctx, rollout.InstanceReported{Instance: o.Name, Observed: t.observed(o)}, ""); err != nil {
 		return err
 	}
-	if o.Refused == 0 {
+	if o.Rejected == 0 {
 		return nil
 	}
-	return t.step(ctx, rollout.Rejected{Instance: o.Name, Revision: rollout.Revision(o.Refused), Reason: o.Refusal}, "")
+	return t.step(ctx, rollout.Rejected{Instance: o.Name, Revision: rollout.Revision(o.Rejected), Reason: o.RejectionReason}, "")
 }
 
 // observed converts the report on an instance for the machine. An instance whose
@@ -81,7 +81,7 @@
 // and none of this one's.
 func (t *term) observed(o *agentapi.Observed) rollout.Observed {
 	observed := rollout.Observed{Revision: rollout.Revision(o.Running), Ready: o.State == supervise.Ready, Crashes: o.Crashes}
-	if o.Content != t.checksum(o.Running) {
+	if o.ContentChecksum != t.checksum(o.Running) {
 		observed.Revision = 0
 	}
 	return observed
--- a/internal/scale/copy.go
+++ b/internal/scale/copy.go
@@ -171,7 +171,7 @@
 		return nil
 	}
 	status := follower.Status()
-	reported := &agentapi.RecordsStatus{State: status.State, Version: status.Version, Digest: status.Digest, Why: status.Reason}
+	reported := &agentapi.RecordsStatus{State: status.State, Version: status.Version, Digest: status.Digest, Reason: status.Reason}
 	if age, known := status.Age(time.Now()); known {
 		seconds := age.Seconds()
 		reported.AgeSeconds = &seconds
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -116,7 +116,7 @@
 	}
 	order, ordered := orders.Orders[g.Name]
 	observed := &g.report.Instances[0]
-	if !ordered || order.Revision == 0 || order.Revision == observed.Running && order.Checksum == observed.Content {
+	if !ordered || order.Revision == 0 || order.Revision == observed.Running && order.Checksum == observed.ContentChecksum {
 		return nil
 	}
 	return g.take(ctx, order)
@@ -129,7 +129,7 @@
 		return err
 	}
 	observed := &g.report.Instances[0]
-	observed.Running, observed.Target, observed.Content = order.Revision, order.Revision, order.Checksum
+	observed.Running, observed.Target, observed.ContentChecksum = order.Revision, order.Revision, order.Checksum
 	observed.State = supervise.Ready
 	g.mu.Lock()
 	g.revision = order.Revision
--- a/internal/scale/records_linux_test.go
+++ b/internal/scale/records_linux_test.go
@@ -53,14 +53,14 @@
 	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
 	defer cancel()
 	s.edits++
-	change := agentapi.RecordsChange{Request: fmt.Sprintf("change-%d", s.edits), Operations: operations}
+	change := agentapi.RecordsChange{IdempotencyKey: fmt.Sprintf("change-%d", s.edits), Operations: operations}
 	asked := time.Now()
 	result, err := s.askAny(ctx, change)
 	if err != nil || result.Status != records.Accepted {
 		s.t.Fatalf("change %d: %v, %+v", s.edits, err, result)
 	}
 	accepted := Accepted{Asked: asked, At: time.Now(), Version: result.Version}
-	if err := s.ledger.Accept(accepted, records.Change{IdempotencyKey: change.Request, Author: ledgerAuthor, Operations: operations}); err != nil {
+	if err := s.ledger.Accept(accepted, records.Change{IdempotencyKey: change.IdempotencyKey, Author: ledgerAuthor, Operations: operations}); err != nil {
 		s.t.Fatal(err)
 	}
 	return accepted
@@ -171,8 +171,8 @@
 		t.Errorf("%d changes came into force everywhere and %d did not, of %d", spread.Changes, spread.Missing, changes)
 	}
 	lag, err := s.lag()
-	if err != nil || lag.InForce < gateways {
-		t.Errorf("%v, %d agents have the newest by the leader's account", err, lag.InForce)
+	if err != nil || lag.UpToDate < gateways {
+		t.Errorf("%v, %d agents have the newest by the leader's account", err, lag.UpToDate)
 	}
 }
 
@@ -188,7 +188,7 @@
 		if lag, err = leader.Client.RecordsLag(ctx); err != nil {
 			return err
 		}
-		if lag.InForce < len(s.fleet.Gateways) {
+		if lag.UpToDate < len(s.fleet.Gateways) {
 			return errNotYet
 		}
 		return nil
--- a/internal/scale/scale_linux_test.go
+++ b/internal/scale/scale_linux_test.go
@@ -135,14 +135,14 @@
 	defer cancel()
 	s.edits++
 	file := WholeFile(len(s.fleet.Gateways), entries, s.edits)
-	call := agentapi.ApplyRequest{Request: fmt.Sprintf("edit-%d", s.edits), Parent: s.head, Content: &revisions.Content{File: file}}
+	call := agentapi.ApplyRequest{IdempotencyKey: fmt.Sprintf("edit-%d", s.edits), Parent: s.head, Content: &revisions.Content{File: file}}
 	leader, _, err := s.cluster.Leader(ctx)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	applied, err := leader.Client.Apply(ctx, call)
-	if err != nil || applied.Answer != revisions.Accepted {
-		s.t.Fatalf("apply of %d bytes: %v, %v %s", len(file), err, applied.Answer, applied.Why)
+	if err != nil || applied.Status != revisions.Accepted {
+		s.t.Fatalf("apply of %d bytes: %v, %v %s", len(file), err, applied.Status, applied.Reason)
 	}
 	accepted := time.Now()
 	s.head = applied.Revision.Number
