--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,16 +1,16 @@
 // Package leader drives the site's rollouts and its roster while this voter leads.
 //
 // A Leader runs for as long as the agent does. Whenever the voters elect this one, its
-// goroutine opens a term: the reports of agents, operators' rollout events and the
-// service level go in, and orders, committed rollout states and rosters come out. The
-// decisions are those of rollout.Machine; whatever it decides about a rollout is
-// committed by the voters before an agent gets an order that rests on it. A term's
-// state lives in memory only and ends with the term: the next leader rebuilds it from
-// the store and from the agents' reports.
+// goroutine starts a term. The inputs of a term are the agents' reports, operators'
+// rollout events and the service level; its outputs are orders, committed rollout states
+// and rosters. rollout.Machine makes the decisions. The voters commit each rollout state
+// before an agent gets an order that depends on it. The state of a term is kept in memory
+// only and ends with the term: the next leader rebuilds it from the store and from the
+// agents' reports.
 //
 // The goroutine of Run owns the term. The methods of a Leader pass it a function and
 // wait; they may be called from any goroutine while Run runs, and return ErrNotLeading
-// where this voter does not lead. The package does not forward calls to the leader and
+// if this voter does not lead. The package does not forward calls to the leader and
 // does not serve HTTP.
 package leader
 
@@ -29,15 +29,15 @@
 const (
 	tickInterval            = 250 * time.Millisecond
 	leadershipRetryInterval = 100 * time.Millisecond
-	acceptTimeout           = 10 * time.Second // of a call, until the term accepts it
+	acceptTimeout           = 10 * time.Second // until the term accepts a call
 )
 
-// ErrNotLeading is returned where this voter does not lead: another agent is to be
-// called.
+// ErrNotLeading is returned if this voter does not lead. The caller has to call another
+// agent.
 var ErrNotLeading = errors.New("this agent does not lead")
 
-// RejectedError is returned for a call that the site's state does not allow. Nothing
-// was changed, and a retry does not help.
+// RejectedError is returned for a call that the site's state does not allow. The call has
+// changed nothing, and a retry would fail too.
 type RejectedError struct{ Reason string }
 
 // Error returns the reason.
@@ -46,10 +46,10 @@
 // Options describe a Leader. They must not change after New.
 type Options struct {
 	Name       string // of this agent
-	Address    string // at which other agents reach it; "": they can't
+	Address    string // at which other agents reach it; "": none
 	Store      *replica.Store
-	SettleTime time.Duration // a new leader awaits reports for so long before it acts
-	Roster     bool          // have the voters agree on the roster
+	SettleTime time.Duration // how long a new leader waits for reports before it acts
+	Roster     bool          // the voters commit a roster of the site's instances
 	Log        *slog.Logger
 }
 
@@ -64,18 +64,18 @@
 	calls         chan termCall
 }
 
-// termCall is a function for the goroutine of Run to call with the current term.
+// termCall is a function that the goroutine of Run calls with the current term.
 type termCall struct {
-	do   func(*term) error
-	done chan error // has room for the result
+	run    func(*term) error
+	result chan error // buffered, for one error
 }
 
-// New returns a Leader. It does nothing until Run.
+// New returns a Leader, which does nothing until Run is called.
 func New(o Options) *Leader {
 	return &Leader{name: o.Name, address: o.Address, store: o.Store, settleTime: o.SettleTime, rosterEnabled: o.Roster, log: o.Log, calls: make(chan termCall)}
 }
 
-// Run opens a term whenever this voter is elected, until ctx ends.
+// Run serves a term whenever this voter is elected, until ctx ends.
 func (l *Leader) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l.store.IsLeader() && l.store.VerifyLeader() == nil {
@@ -89,7 +89,7 @@
 		select {
 		case <-ctx.Done():
 		case c := <-l.calls:
-			c.done <- ErrNotLeading
+			c.result <- ErrNotLeading
 		case <-l.store.LeadershipChanged():
 		case <-retry.C:
 		}
@@ -97,7 +97,7 @@
 	}
 }
 
-// serveTerm serves one term, and returns why it ended.
+// serveTerm serves one term and returns the error that ended it.
 func (l *Leader) serveTerm(ctx context.Context) error {
 	t := &term{Leader: l, startedAt: time.Now(), lastReports: map[string]*instanceReport{}, recordsReports: map[string]recordsReport{}, checksums: map[uint64]string{}}
 	if err := l.publishAddress(); err != nil {
@@ -110,7 +110,7 @@
 			return ErrNotLeading
 		}
 		changed := l.store.Changed()
-		if err := t.followState(ctx); err != nil {
+		if err := t.applyCommittedState(ctx); err != nil {
 			return err
 		}
 		select {
@@ -118,13 +118,13 @@
 			return ctx.Err()
 		case <-changed:
 		case c := <-l.calls:
-			err := c.do(t)
-			c.done <- err
+			err := c.run(t)
+			c.result <- err
 			if errors.Is(err, replica.ErrNoLeader) || errors.Is(err, replica.ErrUnknown) {
 				return err
 			}
 		case <-tick.C:
-			if err := t.step(ctx, rollout.Tick{}, ""); err != nil {
+			if err := t.handleEvent(ctx, rollout.Tick{}, ""); err != nil {
 				return err
 			}
 			if err := t.updateRoster(ctx); err != nil {
@@ -134,8 +134,8 @@
 	}
 }
 
-// publishAddress has the voters know this one by the address that its file has now: a
-// site that was founded on one machine had none.
+// publishAddress updates this voter's address in the list of voters, if its configuration
+// has another one now: the first voter of a site may have started without a port.
 func (l *Leader) publishAddress() error {
 	members, err := l.store.Members()
 	if err != nil {
@@ -150,10 +150,10 @@
 	return nil
 }
 
-// do has the goroutine of Run call a function with the current term. It returns the
-// function's error, ErrNotLeading where there is no term, and the context's error
-// where the term does not accept the call within acceptTimeout.
-func (l *Leader) do(ctx context.Context, do func(*term) error) error {
+// withTerm runs a function on the goroutine of Run with the current term. It returns the
+// function's error, ErrNotLeading if there is no term, or the context's error if the term
+// does not accept the call within acceptTimeout.
+func (l *Leader) withTerm(ctx context.Context, do func(*term) error) error {
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	c := termCall{do, make(chan error, 1)}
@@ -162,15 +162,15 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	// An accepted function writes to the caller's variables, so its end must be awaited
-	// even if ctx has ended. Its own calls are bounded by the caller's context.
-	return <-c.done
+	// Must wait for an accepted function even if ctx has ended, because it writes to the
+	// caller's variables. The caller's context bounds the calls that it makes.
+	return <-c.result
 }
 
-// Report records an agent's report and returns its orders. A report that enrolls an
-// agent or an instance is committed first.
+// Report records an agent's report and returns its orders. If the agent or one of its
+// instances is new, the enrollment is committed first.
 func (l *Leader) Report(ctx context.Context, report *agentapi.Report) (orders *agentapi.Orders, err error) {
-	err = l.do(ctx, func(t *term) (err error) {
+	err = l.withTerm(ctx, func(t *term) (err error) {
 		orders, err = t.report(ctx, report)
 		return err
 	})
@@ -179,31 +179,31 @@
 
 // Status returns the state of the site as this leader sees it.
 func (l *Leader) Status(ctx context.Context) (status agentapi.Status, err error) {
-	err = l.do(ctx, func(t *term) error { status = t.status(); return nil })
+	err = l.withTerm(ctx, func(t *term) error { status = t.status(); return nil })
 	return status, err
 }
 
-// RecordsLag compares the agents' copies of the records with the site's.
+// RecordsLag compares the agents' copies of the records with the site's records.
 func (l *Leader) RecordsLag(ctx context.Context) (lag agentapi.RecordsLag, err error) {
-	err = l.do(ctx, func(t *term) error { lag = t.recordsLag(); return nil })
+	err = l.withTerm(ctx, func(t *term) error { lag = t.recordsLag(); return nil })
 	return lag, err
 }
 
 // HandleRolloutEvent passes an operator's event to the current rollout. It returns a
-// *RejectedError where there is none or the rollout's state does not allow the event.
+// *RejectedError if there is no rollout or its state does not allow the event.
 func (l *Leader) HandleRolloutEvent(ctx context.Context, event rollout.Event, operator string) error {
-	return l.do(ctx, func(t *term) error {
+	return l.withTerm(ctx, func(t *term) error {
 		if t.machine == nil {
 			return &RejectedError{"no rollout is on its way, or the leader has yet to hear from the agents"}
 		}
-		return t.step(ctx, event, operator)
+		return t.handleEvent(ctx, event, operator)
 	})
 }
 
 // setServiceLevel records the service level and passes it to the current rollout.
 func (l *Leader) setServiceLevel(ctx context.Context, level float64) error {
-	return l.do(ctx, func(t *term) error {
+	return l.withTerm(ctx, func(t *term) error {
 		t.serviceLevel = level
-		return t.step(ctx, rollout.ServiceReported{Level: level}, "")
+		return t.handleEvent(ctx, rollout.ServiceReported{Level: level}, "")
 	})
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -11,12 +11,12 @@
 
 // recordsReport is the last report on an agent's copy of the records.
 type recordsReport struct {
-	status     *agentapi.RecordsStatus // nil: the agent has none
+	status     *agentapi.RecordsStatus // nil: the agent has no copy
 	receivedAt time.Time
 }
 
-// receiveRecords records the report on an agent's copy and returns the head of the
-// site's records; nil: the agent has no copy.
+// receiveRecords stores the report on an agent's copy and returns the head of the site's
+// records, or nil if the agent has no copy.
 func (t *term) receiveRecords(agent string, status *agentapi.RecordsStatus) *agentapi.RecordsHead {
 	t.recordsReports[agent] = recordsReport{status: status, receivedAt: time.Now()}
 	if status == nil {
@@ -27,7 +27,7 @@
 	return &head
 }
 
-// recordsLag compares what the agents have reported with the site's records.
+// recordsLag compares the agents' reported copies with the site's records.
 func (t *term) recordsLag() (lag agentapi.RecordsLag) {
 	t.refresh()
 	lag.Agents = []agentapi.AgentRecords{}
@@ -35,48 +35,48 @@
 		lag.Version, lag.Digest = store.Version(), store.Digest()
 		history := store.History(0)
 		for _, name := range slices.Sorted(maps.Keys(t.agents)) {
-			one := agentapi.AgentRecords{Agent: name}
+			agent := agentapi.AgentRecords{Agent: name}
 			if report, found := t.recordsReports[name]; found {
-				one = compareRecords(name, report, store, history)
+				agent = compareRecords(name, report, store, history)
 			} else {
-				one.State = agentapi.RecordsSilent
+				agent.State = agentapi.RecordsSilent
 			}
-			if one.State == agentapi.RecordsUpToDate {
+			if agent.State == agentapi.RecordsUpToDate {
 				lag.UpToDate++
 			}
-			lag.Agents = append(lag.Agents, one)
+			lag.Agents = append(lag.Agents, agent)
 		}
 	})
 	return lag
 }
 
-// compareRecords compares an agent's copy with the store, whose history is the newest
+// compareRecords compares an agent's copy with the store. The history has the newest
 // change first.
 func compareRecords(name string, report recordsReport, store *records.Store, history []records.ChangeInfo) agentapi.AgentRecords {
 	at := report.receivedAt.UTC()
-	one := agentapi.AgentRecords{Agent: name, ReportedAt: &at}
+	agent := agentapi.AgentRecords{Agent: name, ReportedAt: &at}
 	if report.status == nil {
-		one.State = agentapi.RecordsNoReports
-		return one
+		agent.State = agentapi.RecordsNoReports
+		return agent
 	}
-	one.Status = *report.status
-	digest, known := store.DigestAt(one.Status.Version)
+	agent.Status = *report.status
+	digest, found := store.DigestAt(agent.Status.Version)
 	switch {
 	case time.Since(report.receivedAt) > silentAfter:
-		one.State = agentapi.RecordsSilent
-	case one.Status.Version > store.Version(), known && digest != one.Status.Digest:
-		one.State = agentapi.RecordsDiverged
-	case one.Status.Version < store.Version():
-		one.State = agentapi.RecordsBehind
+		agent.State = agentapi.RecordsSilent
+	case agent.Status.Version > store.Version(), found && digest != agent.Status.Digest:
+		agent.State = agentapi.RecordsDiverged
+	case agent.Status.Version < store.Version():
+		agent.State = agentapi.RecordsBehind
 	default:
-		one.State = agentapi.RecordsUpToDate
+		agent.State = agentapi.RecordsUpToDate
 	}
-	one.BehindSince = firstMissingAt(one.Status.Version, history)
-	return one
+	agent.BehindSince = firstMissingAt(agent.Status.Version, history)
+	return agent
 }
 
-// firstMissingAt returns when the first change above a version was accepted, as far as
-// the history, newest first, reaches; nil: there is none.
+// firstMissingAt returns when the oldest change above a version in the history, which has
+// the newest change first, was accepted; nil if there is none.
 func firstMissingAt(version uint64, history []records.ChangeInfo) *time.Time {
 	n, _ := slices.BinarySearchFunc(history, version, func(info records.ChangeInfo, version uint64) int {
 		if info.Version > version {
@@ -91,8 +91,8 @@
 	return &at
 }
 
-// dropRecords drops the reports of agents that are no longer in the site.
-func (t *term) dropRecords() {
+// pruneRecordsReports drops the reports of agents that are no longer in the site.
+func (t *term) pruneRecordsReports() {
 	for name := range t.recordsReports {
 		if _, inSite := t.agents[name]; !inSite {
 			delete(t.recordsReports, name)
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -12,7 +12,7 @@
 	"elderyard/supervise"
 )
 
-// report records an agent's report and returns its orders.
+// report stores an agent's report and returns its orders.
 func (t *term) report(ctx context.Context, report *agentapi.Report) (*agentapi.Orders, error) {
 	t.refresh()
 	if err := t.enroll(ctx, report.Agent); err != nil {
@@ -25,11 +25,11 @@
 		}
 		t.lastReports[o.Name] = &instanceReport{o, time.Now()}
 	}
-	if err := t.followState(ctx); err != nil {
+	if err := t.applyCommittedState(ctx); err != nil {
 		return nil, err
 	}
 	for _, o := range report.Instances {
-		if err := t.stepReported(ctx, &o); err != nil {
+		if err := t.handleInstanceReport(ctx, &o); err != nil {
 			return nil, err
 		}
 	}
@@ -38,7 +38,7 @@
 		return orders, nil
 	}
 	for _, o := range report.Instances {
-		if order, is := t.order(&o); is {
+		if order, ok := t.order(&o); ok {
 			orders.Orders[o.Name] = order
 		}
 	}
@@ -61,24 +61,24 @@
 	return nil
 }
 
-// stepReported passes the report on an instance to the machine. Drained instances
-// take no part in a rollout.
-func (t *term) stepReported(ctx context.Context, o *agentapi.Observed) error {
+// handleInstanceReport passes the report on an instance to the rollout machine. Drained
+// instances are not part of a rollout.
+func (t *term) handleInstanceReport(ctx context.Context, o *agentapi.Observed) error {
 	if t.machine == nil || t.drained[o.Name] {
 		return nil
 	}
-	if err := t.step(ctx, rollout.InstanceReported{Instance: o.Name, Observed: t.observed(o)}, ""); err != nil {
+	if err := t.handleEvent(ctx, rollout.InstanceReported{Instance: o.Name, Observed: t.observed(o)}, ""); err != nil {
 		return err
 	}
 	if o.Rejected == 0 {
 		return nil
 	}
-	return t.step(ctx, rollout.Rejected{Instance: o.Name, Revision: rollout.Revision(o.Rejected), Reason: o.RejectionReason}, "")
+	return t.handleEvent(ctx, rollout.Rejected{Instance: o.Name, Revision: rollout.Revision(o.Rejected), Reason: o.RejectionReason}, "")
 }
 
-// observed converts the report on an instance for the machine. An instance whose
-// content has another checksum runs a revision of another site with the same number,
-// and none of this one's.
+// observed converts the report on an instance for the rollout machine. If the checksum of
+// the content differs, the instance runs a revision of another site with the same number,
+// which counts as no revision.
 func (t *term) observed(o *agentapi.Observed) rollout.Observed {
 	observed := rollout.Observed{Revision: rollout.Revision(o.Running), Ready: o.State == supervise.Ready, Crashes: o.Crashes}
 	if o.ContentChecksum != t.checksum(o.Running) {
@@ -87,10 +87,9 @@
 	return observed
 }
 
-// order returns what an instance is to run, and whether there is an order at all. An
-// instance that the first rollout of a site has not reached gets none and goes on as
-// it is: an order to run nothing would stop all gateways that ran before the site was
-// founded anew.
+// order returns the order for an instance, and whether there is one. An instance that the
+// first rollout of a site has not reached gets no order and keeps running: an order with
+// revision 0 would stop all gateways that were running when the site was recreated.
 func (t *term) order(o *agentapi.Observed) (agentapi.Order, bool) {
 	order := agentapi.Order{Revision: uint64(t.machine.InstanceRevision(o.Name)), Drained: t.drained[o.Name]}
 	if order.Revision == 0 {
@@ -101,7 +100,7 @@
 	return order, true
 }
 
-// checksum returns the checksum of a revision; "": there is no such revision.
+// checksum returns the checksum of a revision, or "" if there is no such revision.
 func (t *term) checksum(revision uint64) string {
 	sum, found := t.checksums[revision]
 	if !found {
--- a/internal/leader/roster.go
+++ b/internal/leader/roster.go
@@ -11,14 +11,13 @@
 	"elderyard/members"
 )
 
-// rosterDelay is for how long the site's instances must not have changed before the
-// voters agree on them: agents enroll one by one.
+// rosterDelay is how long the site's instances must be unchanged before they are committed
+// as the roster. Agents enroll one by one, and each would otherwise cause a new roster.
 const rosterDelay = time.Second
 
-// updateRoster has the voters agree on the roster where the site's instances differ
-// from it and have not changed for rosterDelay. Names that form no roster are logged
-// once and are no error: an error would end the term, and so would that of every next
-// leader.
+// updateRoster commits a new roster if the site's instances differ from the committed one
+// and have not changed for rosterDelay. Names that form no valid roster are logged once
+// and return no error: an error would end this term, and that of every later leader too.
 func (t *term) updateRoster(ctx context.Context) error {
 	if !t.rosterEnabled {
 		return nil
@@ -34,32 +33,32 @@
 	if err := change.Check(); err != nil {
 		if t.rosterError != err.Error() {
 			t.rosterError = err.Error()
-			t.log.Error("instances form no valid roster, keeping the agreed one", "error", err)
+			t.log.Error("instances form no valid roster; keeping the committed one", "error", err)
 		}
 		return nil
 	}
-	agreed := t.agreedRoster()
-	if slices.EqualFunc(names, agreed.Members, func(name string, m members.Member) bool { return name == m.Name }) {
+	committed := t.committedRoster()
+	if slices.EqualFunc(names, committed.Members, func(name string, m members.Member) bool { return name == m.Name }) {
 		return nil
 	}
 	_, err := t.store.Propose(ctx, fleet.Entry{RosterChange: &change})
 	return err
 }
 
-// agreedRoster returns the roster that the voters have agreed on.
-func (t *term) agreedRoster() (r members.Roster) {
+// committedRoster returns the roster that the voters have committed.
+func (t *term) committedRoster() (r members.Roster) {
 	t.store.View(func(s *fleet.State) { r = s.Roster() })
 	return r
 }
 
-// newerRoster returns the roster that an agent lacks; nil: it has the newest, or does
-// not want it.
+// newerRoster returns the roster if the agent's copy is older, or nil if the copy is up to
+// date or the agent caches none.
 func (t *term) newerRoster(report *agentapi.Report) *members.Roster {
 	if !report.WantsRoster {
 		return nil
 	}
-	if agreed := t.agreedRoster(); agreed.Epoch > report.RosterEpoch {
-		return &agreed
+	if committed := t.committedRoster(); committed.Epoch > report.RosterEpoch {
+		return &committed
 	}
 	return nil
 }
--- a/internal/leader/service.go
+++ b/internal/leader/service.go
@@ -16,34 +16,34 @@
 	// ServicePollInterval is the time between two reads of the service level.
 	ServicePollInterval = time.Second
 	serviceTimeout      = 2 * time.Second
-	maxServiceBytes     = 64 // bytes of an answer
+	maxServiceBytes     = 64 // of a response
 )
 
 // WatchService polls the site's service level from a URL while this voter leads, until
-// ctx ends. A level that can't be read is not reported: an unavailable monitor neither
+// ctx ends. A failed read is logged and otherwise ignored: an unavailable monitor neither
 // delays a rollout nor rolls it back.
 func (l *Leader) WatchService(ctx context.Context, url string) {
 	client := &http.Client{Timeout: serviceTimeout}
 	defer client.CloseIdleConnections()
-	known := true
+	available := true
 	for wait.For(ctx, ServicePollInterval) {
 		if !l.store.IsLeader() {
 			continue
 		}
-		level, err := readService(ctx, client, url)
-		if (err == nil) != known {
-			known = err == nil
-			l.log.Warn("service level monitor changed state", "known", known, "error", err)
+		level, err := readServiceLevel(ctx, client, url)
+		if (err == nil) != available {
+			available = err == nil
+			l.log.Warn("availability of the service level monitor changed", "available", available, "error", err)
 		}
 		if err == nil {
-			// An error means that this voter leads no more; the next leader polls as well.
+			// On an error this voter no longer leads. The next leader polls as well.
 			_ = l.setServiceLevel(ctx, level)
 		}
 	}
 }
 
-// readService reads the service level from a URL: a number from 0 to 1 as plain text.
-func readService(ctx context.Context, client *http.Client, url string) (float64, error) {
+// readServiceLevel reads the service level from a URL: a number from 0 to 1 as plain text.
+func readServiceLevel(ctx context.Context, client *http.Client, url string) (float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, err
@@ -59,7 +59,7 @@
 	}
 	level, err := strconv.ParseFloat(strings.TrimSpace(string(text)), 64)
 	if err != nil || resp.StatusCode != http.StatusOK || !(level >= 0 && level <= 1) {
-		return 0, fmt.Errorf("%s answers %s with %.40q, which is no number from 0 to 1", url, resp.Status, text)
+		return 0, fmt.Errorf("%s responded %s with %.40q, want 200 and a number from 0 to 1", url, resp.Status, text)
 	}
 	return level, nil
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -36,8 +36,8 @@
 	return s
 }
 
-// unreachable returns for each instance that others do not reach the names of those.
-// It is evidence of a fault and no proof, and must not be used for decisions.
+// unreachable returns, by instance, the names of the instances that can't reach it. This is
+// evidence of a fault but no proof, and must not be used for decisions.
 func (t *term) unreachable() map[string][]string {
 	from := map[string][]string{}
 	for name, last := range t.lastReports {
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// silentAfter is the age of a report above which its instance counts as silent
-	// where no rollout's policy says otherwise.
+	// silentAfter is the age of a report above which its instance counts as silent, unless
+	// the policy of a rollout sets another limit.
 	silentAfter        = 10 * time.Second
 	maxCachedChecksums = 32
 )
@@ -24,24 +24,24 @@
 type term struct {
 	*Leader
 	startedAt       time.Time
-	machine         *rollout.Machine // nil: nothing has been applied, or reports are still awaited
+	machine         *rollout.Machine // nil: no revision was ever applied, or the term still waits for reports
 	machineRevision uint64           // the revision that machine rolls out
 	lastReports     map[string]*instanceReport
 	recordsReports  map[string]recordsReport // by agent
 	serviceLevel    float64                  // as last read; 0: unknown
 
-	// The desired state as of stateChanged, which closes at its next change.
+	// The desired state. stateChanged is closed when it changes.
 	stateChanged   <-chan struct{}
-	machineChanged <-chan struct{} // stateChanged of the state that machine has been passed
+	machineChanged <-chan struct{} // stateChanged as of the last update of machine
 	currentRollout fleet.Rollout
 	agents         map[string]fleet.Agent
-	drained        map[string]bool   // every instance of the site, and whether it is drained
+	drained        map[string]bool   // by instance, for all of the site
 	checksums      map[uint64]string // by revision, of those ordered in this rollout
 
-	// The names that the next roster would have, and since when they have not changed.
+	// The names of the next roster, and since when they are unchanged.
 	rosterCandidates []string
 	candidatesSince  time.Time
-	rosterError      string // why they form no roster, as last logged
+	rosterError      string // why rosterCandidates is no valid roster, as last logged
 }
 
 // instanceReport is the last report on an instance.
@@ -50,9 +50,9 @@
 	receivedAt time.Time
 }
 
-// followState brings the term up to the committed state: it drops what was reported of
-// removed agents and instances, and starts the rollout that the voters have agreed on.
-func (t *term) followState(ctx context.Context) error {
+// applyCommittedState updates the term to the committed state: it drops the reports of
+// removed agents and instances, and starts the committed rollout.
+func (t *term) applyCommittedState(ctx context.Context) error {
 	t.refresh()
 	if t.machineChanged == t.stateChanged && (t.machine != nil || t.currentRollout.New == 0) {
 		return nil
@@ -63,7 +63,7 @@
 			delete(t.lastReports, name)
 		}
 	}
-	t.dropRecords()
+	t.pruneRecordsReports()
 	if t.machine != nil && t.machineRevision == t.currentRollout.New {
 		return t.removeInstances(ctx)
 	}
@@ -73,7 +73,7 @@
 	return t.startRollout(ctx)
 }
 
-// refresh reads the desired state if it has changed since the last call.
+// refresh rereads the desired state if it has changed since the last call.
 func (t *term) refresh() {
 	next := t.store.Changed()
 	if next == t.stateChanged {
@@ -92,13 +92,13 @@
 	})
 }
 
-// removeInstances takes removed and drained instances out of the rollout. A drained
-// instance is down on purpose, which is no evidence against a revision.
+// removeInstances removes drained instances, and those that left the site, from the
+// rollout. A drained instance is down on purpose, which is no evidence against a revision.
 func (t *term) removeInstances(ctx context.Context) error {
 	drained := t.drained
 	for _, i := range t.machine.Status().Instances {
-		if out, inSite := drained[i.Name]; !inSite || out {
-			if err := t.step(ctx, rollout.InstanceRemoved{Instance: i.Name}, ""); err != nil {
+		if isDrained, inSite := drained[i.Name]; !inSite || isDrained {
+			if err := t.handleEvent(ctx, rollout.InstanceRemoved{Instance: i.Name}, ""); err != nil {
 				return err
 			}
 		}
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// settled reports whether all instances have been reported, or the settle time is
-// over. A rollout must not start before: a new leader would take every instance that
-// has not reported yet for unreachable.
+// settled reports whether all instances have been reported or the settle time is over. A
+// rollout must not start earlier: a new leader would treat each instance that has not been
+// reported yet as unreachable.
 func (t *term) settled() bool {
 	if time.Since(t.startedAt) >= t.settleTime {
 		return true
@@ -126,8 +126,8 @@
 func (t *term) startRollout(ctx context.Context) error {
 	current := t.currentRollout
 	instances := map[string]rollout.InitialInstance{}
-	for name, out := range t.drained {
-		if out {
+	for name, drained := range t.drained {
+		if drained {
 			continue
 		}
 		initial := rollout.InitialInstance{Unreachable: true}
@@ -147,18 +147,17 @@
 	t.machine, t.machineRevision = machine, current.New
 	clear(t.checksums)
 	t.log.Info("starting rollout", "revision", current.New, "previous", current.Previous, "state", current.State, "instances", len(instances))
-	return t.step(ctx, start, current.By)
+	return t.handleEvent(ctx, start, current.By)
 }
 
-// policy returns the rollout policy of a revision. A revision that this release can't
-// read, because a later one accepted it, goes out by the default policy; agents reject
-// it.
+// policy returns the rollout policy of a revision. The default policy applies to a revision
+// that this release can't parse because a later release accepted it; agents reject it.
 func (t *term) policy(revision uint64) (p rollout.Policy) {
 	t.store.View(func(s *fleet.State) {
 		r, _ := s.Revision(revision)
 		d, err := document.Parse("revision", r.Content)
 		if err != nil {
-			t.log.Error("failed to read the rollout's revision, using the default policy", "revision", revision, "error", err)
+			t.log.Error("failed to parse the rollout's revision; using the default policy", "revision", revision, "error", err)
 			p = document.DefaultPolicy()
 			return
 		}
@@ -167,10 +166,10 @@
 	return p
 }
 
-// step passes an event to the machine and commits the changes of the rollout's state
-// that it decides. It must return before any order that rests on them is sent. It does
-// nothing where there is no machine.
-func (t *term) step(ctx context.Context, event rollout.Event, operator string) error {
+// handleEvent passes an event to the rollout machine and commits the resulting changes of
+// the rollout's state. Must return before any order that depends on them is sent. It does
+// nothing if there is no machine.
+func (t *term) handleEvent(ctx context.Context, event rollout.Event, operator string) error {
 	if t.machine == nil {
 		return nil
 	}
@@ -179,8 +178,8 @@
 		return &RejectedError{err.Error()}
 	}
 	for _, action := range slices.Clone(actions) {
-		change, is := action.(rollout.Transition)
-		if !is {
+		change, ok := action.(rollout.Transition)
+		if !ok {
 			continue
 		}
 		if change.Instance != "" {
@@ -189,15 +188,15 @@
 		}
 		t.log.Info("rollout state changed", "revision", t.machineRevision, "state", change.To, "reason", change.Reason)
 		if err := t.commit(ctx, change, operator); err != nil {
-			t.machine = nil // its state is not the committed one: it is started anew
+			t.machine = nil // its state was not committed; applyCommittedState creates a new one
 			return err
 		}
 	}
 	return nil
 }
 
-// commit has the voters agree on a change of the rollout's state. A change that the
-// site's state rejects means that another leader has gone on.
+// commit proposes a change of the rollout's state. If the site's state rejects it, another
+// leader has changed the rollout since.
 func (t *term) commit(ctx context.Context, change rollout.Transition, operator string) error {
 	out, err := t.store.Propose(ctx, fleet.Entry{RolloutChange: &fleet.RolloutChange{New: t.machineRevision, State: rollout.State(change.To),
 		Reason: fleet.Truncate(change.Reason, fleet.MaxTextBytes), By: operator, At: time.Now().UTC()}})
--- a/internal/process/exit_linux_test.go
+++ b/internal/process/exit_linux_test.go
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// asExitingProgram makes the test's program one whose first thread has ended while others run.
-const asExitingProgram = "PROCESS_TEST_AS_EXITING"
+// exitingProgramEnv is set for a run of the test binary whose first thread ends while others run.
+const exitingProgramEnv = "PROCESS_TEST_AS_EXITING"
 
 func init() {
-	if os.Getenv(asExitingProgram) != "" {
+	if os.Getenv(exitingProgramEnv) != "" {
 		runtime.LockOSThread() // TestMain then runs on the first thread
 	}
 }
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asExitingProgram) == "" {
+	if os.Getenv(exitingProgramEnv) == "" {
 		os.Exit(m.Run())
 	}
 	go func() {
@@ -31,10 +31,10 @@
 		io.Copy(io.Discard, os.Stdin) // until the test closes it
 		os.Exit(0)
 	}()
-	syscall.Syscall(syscall.SYS_EXIT, 0, 0, 0) // of the thread alone
+	syscall.Syscall(syscall.SYS_EXIT, 0, 0, 0) // ends this thread only
 }
 
-// processState returns the state of a process's first thread as /proc shows it; "": there is no such process.
+// processState returns the state of a process's first thread from /proc, or "" if there is no such process.
 func processState(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -44,11 +44,11 @@
 	return rest[:1]
 }
 
-// TestStartTimeOfProcessThatIsExiting: the threads of a process that ends do so one by one, and until the last has, the
-// process holds its sockets. A gateway that is started in its place before finds its address in use.
-func TestStartTimeOfProcessThatIsExiting(t *testing.T) {
+// The threads of an exiting process end one by one, and the process holds its sockets until the last one has ended. If
+// it counted as ended earlier, a gateway started in its place would find its address in use.
+func TestStartTimeOfExitingProcess(t *testing.T) {
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), asExitingProgram+"=1")
+	command.Env = append(os.Environ(), exitingProgramEnv+"=1")
 	input, err := command.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -66,20 +66,20 @@
 		t.Fatalf("%q, %v", line, err)
 	}
 	pid := command.Process.Pid
-	until := func(what string, is func() bool) {
+	waitFor := func(what string, condition func() bool) {
 		t.Helper()
-		for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
+		for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
 				t.Fatalf("not within 10 s: %s", what)
 			}
 		}
 	}
-	until("the first thread has ended", func() bool { return processState(pid) == "Z" })
+	waitFor("the first thread has ended", func() bool { return processState(pid) == "Z" })
 	if StartTime(pid) == "" {
-		t.Error("a process whose threads run counts as ended")
+		t.Error("a process with running threads counts as ended")
 	}
 	input.Close()
-	until("the process counts as ended before it is waited for", func() bool { return StartTime(pid) == "" })
+	waitFor("the process counts as ended before its parent has waited for it", func() bool { return StartTime(pid) == "" })
 	if state := processState(pid); state != "Z" {
 		t.Errorf("the state of the ended process is %q, want Z", state)
 	}
--- a/internal/process/golden_test.go
+++ b/internal/process/golden_test.go
@@ -13,7 +13,7 @@
 	"elderyard/supervise"
 )
 
-// loadStateFrom returns what a process reads of a state file with this content.
+// loadStateFrom returns the state that a process loads from a state file with this content.
 func loadStateFrom(t *testing.T, text []byte) (savedState, error) {
 	t.Helper()
 	p := Process{options: Options{Dir: t.TempDir()}}
@@ -23,8 +23,8 @@
 	return p.loadState()
 }
 
-// TestGoldenProcessState pins the file by which a new agent finds the gateways of the
-// one before it.
+// The state file, by which a restarted agent finds the gateways of its predecessor, must
+// keep its format.
 func TestGoldenProcessState(t *testing.T) {
 	spec := supervise.Spec{Revision: 4, ContentChecksum: "c4", FilesChecksum: "f4", StartupChecksum: "x4", MaxRequestDuration: 3 * time.Second}
 	golden.Complete(t, savedState{PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2})
@@ -41,7 +41,7 @@
 			t.Errorf("%s decodes to %+v, %v, want %+v", name, got, err, state)
 		}
 	}
-	// A state of before revisions had checksums.
+	// A state file written before revisions had checksums.
 	oldState := `{"pid":4711,"started":"12345 0d9c","spec":{"revision":4,"files":"f4","fixed":"x4","longest_ns":3000000000},"crashes":2}`
 	spec.ContentChecksum = ""
 	if got, err := loadStateFrom(t, []byte(oldState)); err != nil || !reflect.DeepEqual(got, savedState{PID: 4711, Started: "12345 0d9c", Spec: &spec, Crashes: 2}) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// A gateway is asked for its readiness by one path, and only 200 says that it is ready.
+// The readiness check must keep its path, and only status 200 means ready.
 func TestGoldenHealthCheck(t *testing.T) {
 	status := http.StatusOK
 	var requests []string
@@ -60,14 +60,14 @@
 	defer server.Close()
 	p := Process{options: Options{Listen: server.Listener.Addr().String()}, client: http.DefaultClient}
 	if !p.checkReady(t.Context()) {
-		t.Error("200 is not ready")
+		t.Error("status 200 counts as not ready")
 	}
 	for _, status = range []int{http.StatusNoContent, http.StatusServiceUnavailable} {
 		if p.checkReady(t.Context()) {
-			t.Errorf("%d is ready", status)
+			t.Errorf("status %d counts as ready", status)
 		}
 	}
 	if want := "GET /health/ready"; len(requests) != 3 || requests[0] != want || requests[1] != want || requests[2] != want {
-		t.Errorf("%q", requests)
+		t.Errorf("requests %q, want three of %q", requests, want)
 	}
 }
--- a/internal/process/health.go
+++ b/internal/process/health.go
@@ -15,8 +15,8 @@
 	healthCheckTimeout    = time.Second
 )
 
-// checkInterval returns the interval of health checks in the machine's state, and
-// whether the process is to be checked at all.
+// checkInterval returns the interval of health checks for the machine's state, and
+// whether the process has to be checked at all.
 func (p *Process) checkInterval() (interval time.Duration, due bool) {
 	switch p.machine.Status().State {
 	case supervise.Starting:
@@ -27,7 +27,7 @@
 	return readyCheckInterval, false
 }
 
-// check makes one health check, reports it to the goroutine of Run, and refreshes
+// check makes one health check, sends its result to the goroutine of Run, and refreshes
 // the membership view.
 func (p *Process) check(ctx context.Context) {
 	p.send(ctx, supervise.Health{Ready: p.checkReady(ctx)})
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkReady reports whether the gateway answers its readiness check with 200.
+// checkReady reports whether the gateway responds to its readiness check with 200.
 func (p *Process) checkReady(ctx context.Context) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.options.Listen+readyPath, nil)
 	if err != nil {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,14 +1,14 @@
-// Package process runs one gateway of this machine as a process: it spawns it,
-// adopts the one that an earlier run of the agent left, checks its health, signals
-// it and writes its files.
+// Package process runs one gateway of this machine as a process: it spawns the gateway,
+// adopts one that an earlier run of the agent left running, checks its health, sends it
+// signals and writes its files.
 //
-// The decisions are those of supervise.Machine; this package turns children,
-// timers and health checks into its events and carries out its actions. The
-// goroutine of Run owns the machine, the process id and the files in the instance's
-// folder. Others hand over a desired state with SetDesired and read State.
+// supervise.Machine makes the decisions. This package feeds it the exits of processes,
+// timers and results of health checks as events, and executes its actions. The goroutine
+// of Run owns the machine, the process id and the files in the instance's folder. Other
+// goroutines set the desired state with SetDesired and read the current one with State.
 //
-// It does not choose what an instance runs, and it does not render files: the agent
-// does. A gateway outlives the agent: the end of Run leaves it running, and the
+// The package does not choose what an instance runs and does not render files: the agent
+// does. A gateway outlives the agent: it keeps running after Run has ended, and the
 // next Open finds it by the state file. Two Processes must not share a folder.
 package process
 
@@ -29,26 +29,26 @@
 // Options describe an instance. They must not change after Open.
 type Options struct {
 	Name    string   // of the instance
-	Listen  string   // address at which the gateway serves clients, and is health checked
+	Listen  string   // address at which the gateway serves clients and health checks
 	Dir     string   // the instance's folder; Open creates it
 	Program string   // path of the gateway's program
 	Env     []string // KEY=VALUE added to the agent's own environment
 	Policy  supervise.Policy
 	Log     *slog.Logger
 
-	// QueryMembership returns what the gateway knows of the other members; the zero
-	// value where it knows nothing. It is called after each health check, outside
-	// of the goroutine of Run, with a context that ends after a second.
+	// QueryMembership returns the gateway's view of the other members, or the zero value
+	// if it has none. It is called after each health check, outside the goroutine of Run,
+	// with a timeout of healthCheckTimeout.
 	QueryMembership func(ctx context.Context) MembershipView
 }
 
-// MembershipView is what a gateway knows of the other gateways of its site.
+// MembershipView is a gateway's view of the other gateways of its site.
 type MembershipView struct {
 	Line        string   // one line for operators; "": unknown
-	Unreachable []string // names of members that it does not reach
+	Unreachable []string // names of members that the gateway can't reach
 }
 
-// State is what a Process last published.
+// State is the last published state of a Process.
 type State struct {
 	Status     supervise.Status
 	PID        int            // 0: no process runs
@@ -69,20 +69,20 @@
 
 	// Owned by the goroutine of Run.
 	machine  *supervise.Machine
-	rendered *document.Rendered // of the desired state; nil: the files on disk stay
+	rendered *document.Rendered // files of the desired state; nil: those on disk are kept
 	pid      int                // 0: no process runs
 	checking bool               // a health check is in flight
 }
 
-// desiredState is what an instance is to run.
+// desiredState is a new desired state for the goroutine of Run.
 type desiredState struct {
-	rendered *document.Rendered // nil: nothing
-	accepted chan struct{}      // closed when the machine has handled it
+	rendered *document.Rendered // nil: the instance runs nothing
+	handled  chan struct{}      // closed when the machine has handled it
 }
 
-// Open creates the instance's folder and reads its state file. A gateway that an
-// earlier run left is adopted if it still runs. It returns an error that names the
-// instance if the folder can't be created or the state file can't be read.
+// Open creates the instance's folder and reads its state file. A gateway that an earlier
+// run left is adopted if it is still running. An error names the instance: the folder
+// can't be created or the state file can't be read.
 func Open(options Options) (*Process, error) {
 	p := &Process{options: options, log: options.Log.With("instance", options.Name),
 		client:  &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
@@ -118,30 +118,30 @@
 	return p.published
 }
 
-// SetDesired has the instance run something else; nil: nothing. It returns when the
-// machine has handled the order, which Run must be running for, or when ctx ends.
+// SetDesired sets what the instance runs; nil: nothing. It returns when the machine has
+// handled the change, which requires that Run is running, or when ctx ends.
 func (p *Process) SetDesired(ctx context.Context, rendered *document.Rendered) {
 	desired := desiredState{rendered, make(chan struct{})}
 	select {
 	case p.desired <- desired:
 		select {
-		case <-desired.accepted:
+		case <-desired.handled:
 		case <-ctx.Done():
 		}
 	case <-ctx.Done():
 	}
 }
 
-// Run owns the machine until ctx ends. It returns when the goroutines that it has
-// started for health checks have ended. The gateway goes on.
+// Run supervises the gateway until ctx ends. It returns when its goroutines for health
+// checks have ended. The gateway keeps running.
 func (p *Process) Run(ctx context.Context) {
-	var watch sync.WaitGroup
-	defer watch.Wait()
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if p.pid != 0 {
 		pid, started := p.pid, StartTime(p.pid)
-		watch.Go(func() { p.watchAdopted(ctx, pid, started) }) // ends with ctx or with the process
+		goroutines.Go(func() { p.watchAdopted(ctx, pid, started) }) // ends with ctx or with the process
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -152,10 +152,10 @@
 		case <-ctx.Done():
 			return
 		case desired := <-p.desired:
-			p.accept(ctx, desired)
+			p.applyDesired(ctx, desired)
 			continue
 		case event = <-p.events:
-			if _, is := event.(supervise.Health); is {
+			if _, ok := event.(supervise.Health); ok {
 				p.checking = false
 			}
 		case <-timer.C:
@@ -166,7 +166,7 @@
 		interval, due := p.checkInterval()
 		if due && !p.checking && now.Sub(checkedAt) >= interval {
 			checkedAt, p.checking = now, true
-			watch.Go(func() { p.check(ctx) }) // ends within the time limits of its requests
+			goroutines.Go(func() { p.check(ctx) }) // ends within the timeouts of its requests
 		}
 		next := interval
 		if at := p.machine.Due(); !at.IsZero() {
@@ -176,8 +176,8 @@
 	}
 }
 
-// accept passes a desired state to the machine.
-func (p *Process) accept(ctx context.Context, desired desiredState) {
+// applyDesired passes a desired state to the machine.
+func (p *Process) applyDesired(ctx context.Context, desired desiredState) {
 	p.rendered = desired.rendered
 	event := supervise.DesiredState{}
 	if desired.rendered != nil {
@@ -185,7 +185,7 @@
 		event.Spec = &spec
 	}
 	p.handle(ctx, event)
-	close(desired.accepted)
+	close(desired.handled)
 }
 
 // send passes an event to the goroutine of Run.
@@ -196,9 +196,9 @@
 	}
 }
 
-// handle passes an event to the machine and carries out its actions. The outcome of
-// a spawn or a reload is the next event, before any other. A change of state is
-// saved and published.
+// handle passes an event to the machine and executes its actions. The outcome of a spawn
+// or a reload is handled as the next event, before any other. A change of state is saved
+// and published.
 func (p *Process) handle(ctx context.Context, event supervise.Event) {
 	before := p.machine.Status()
 	for event != nil {
@@ -207,7 +207,7 @@
 		}
 		var outcome supervise.Event
 		for _, action := range p.machine.Handle(time.Now(), event) {
-			if result := p.execute(ctx, action); result != nil {
+			if result := p.executeAction(ctx, action); result != nil {
 				outcome = result
 			}
 		}
@@ -221,9 +221,9 @@
 	p.publish()
 }
 
-// execute carries out one action of the machine and returns the event that reports
-// its outcome; nil: there is none to report.
-func (p *Process) execute(ctx context.Context, action supervise.Action) supervise.Event {
+// executeAction executes one action of the machine and returns the event with its
+// outcome, or nil if the action has none.
+func (p *Process) executeAction(ctx context.Context, action supervise.Action) supervise.Event {
 	switch action := action.(type) {
 	case supervise.Spawn:
 		if err := p.spawn(ctx); err != nil {
@@ -233,24 +233,24 @@
 		return supervise.Started{}
 	case supervise.Reload:
 		if err := p.writeFiles(); err != nil {
-			p.log.Error("failed to write the gateway's files, it keeps the previous ones", "error", err)
+			p.log.Error("failed to write the gateway's files; it keeps the previous ones", "error", err)
 			return supervise.ReloadFailed{Previous: action.Previous, Reason: err.Error()}
 		}
 		p.log.Info("reloading gateway", "revision", action.Spec.Revision)
 		p.signal(syscall.SIGHUP)
 	case supervise.SetRevision:
-		p.log.Info("revision needs no change of the gateway", "revision", action.Spec.Revision)
+		p.log.Info("revision requires no reload of the gateway", "revision", action.Spec.Revision)
 	case supervise.Terminate:
 		p.signal(syscall.SIGTERM)
 	case supervise.Kill:
-		p.log.Warn("gateway exceeded its shutdown deadline, killing it")
+		p.log.Warn("gateway exceeded its shutdown deadline; killing it")
 		p.signal(syscall.SIGKILL)
 	}
 	return nil
 }
 
-// publish makes the machine's state visible to State. The membership view is of the
-// running process only.
+// publish makes the machine's state visible to State. The membership view is dropped when
+// no process runs.
 func (p *Process) publish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/process/spawn.go
+++ b/internal/process/spawn.go
@@ -19,14 +19,14 @@
 	SiteFile   = "site.toml"   // the operators' settings
 
 	logFile      = "log"   // standard output and error
-	maxLogBytes  = 1 << 20 // the log is rotated at the next start above this size
-	maxTailBytes = 4 << 10 // of the log, searched for the reason of an exit
+	maxLogBytes  = 1 << 20 // a larger log is rotated at the next start
+	maxTailBytes = 4 << 10 // end of the log that is searched for the reason of an exit
 )
 
 // writeFiles writes the files of the desired state.
 func (p *Process) writeFiles() error {
 	if p.rendered == nil {
-		return nil // the files of the last run stand as they were
+		return nil // the files of the last run are kept
 	}
 	if err := files.Replace(filepath.Join(p.options.Dir, ConfigFile), p.rendered.Config, 0o600); err != nil {
 		return err
@@ -44,8 +44,8 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-// spawn starts the gateway. A goroutine waits for its end and reports it as an
-// event; it ends with the gateway, which may be after the agent.
+// spawn starts the gateway. A goroutine waits for its exit and sends that as an event. The
+// goroutine ends with the gateway, which may be after the end of Run.
 func (p *Process) spawn(ctx context.Context) error {
 	if err := p.writeFiles(); err != nil {
 		return err
@@ -60,8 +60,8 @@
 	cmd.Dir = p.options.Dir
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+filepath.Join(p.options.Dir, ConfigFile), "ELDERYARD_SITE="+filepath.Join(p.options.Dir, SiteFile))
 	cmd.Env = append(cmd.Env, p.options.Env...)
-	// The gateway must outlive the agent: its output goes to a file, as a pipe would
-	// break, and it has a process group of its own.
+	// The gateway must outlive the agent: it has its own process group, and its output goes
+	// to a file, because a pipe would break when the agent ends.
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
@@ -74,14 +74,14 @@
 		if err := cmd.Wait(); err != nil {
 			reason = err.Error()
 		}
-		p.send(ctx, supervise.Exited{Reason: reason + lastLine(path)})
+		p.send(ctx, supervise.Exited{Reason: reason + exitReasonFromLog(path)})
 	}()
 	return nil
 }
 
-// lastLine returns the line of a gateway's log that explains its exit, after ": ";
-// "" where there is none.
-func lastLine(path string) string {
+// exitReasonFromLog returns the line of a gateway's log that explains its exit, after ": ",
+// or "" if there is none.
+func exitReasonFromLog(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
 		return ""
@@ -98,7 +98,7 @@
 	return ""
 }
 
-// signal sends a signal to the gateway. One that has just ended is no error.
+// signal sends a signal to the gateway. It is no error if the gateway has just ended.
 func (p *Process) signal(s syscall.Signal) {
 	if p.pid == 0 {
 		return
--- a/internal/process/state.go
+++ b/internal/process/state.go
@@ -17,19 +17,20 @@
 
 const (
 	stateFile           = "state.json"
-	adoptedPollInterval = 100 * time.Millisecond // between two checks whether a process that is no child still runs
+	adoptedPollInterval = 100 * time.Millisecond // between two checks whether an adopted process still runs
 )
 
-// savedState is the state file: what the next agent needs to adopt the gateway.
+// savedState is the content of the state file, by which the next run of the agent adopts
+// the gateway.
 type savedState struct {
 	PID     int             `json:"pid"`     // 0: no process runs
 	Started string          `json:"started"` // StartTime of the process
-	Spec    *supervise.Spec `json:"spec"`    // what it runs, or ran last; nil: nothing ever
+	Spec    *supervise.Spec `json:"spec"`    // of the current or last run; nil: it never ran
 	Crashes int             `json:"crashes"`
 }
 
-// LastSpec returns what the instance ran last, as of the state file; nil: nothing
-// ever, or the file can't be read.
+// LastSpec returns the spec of the instance's last run from the state file; nil if it
+// never ran or the file can't be read.
 func (p *Process) LastSpec() *supervise.Spec {
 	saved, err := p.loadState()
 	if err != nil {
@@ -49,13 +50,13 @@
 		err = json.Unmarshal(text, &saved)
 	}
 	if err != nil {
-		return savedState{}, fmt.Errorf("%s: %w; end the gateway that it speaks of, if there is one, and remove it", path, err)
+		return savedState{}, fmt.Errorf("%s: %w; stop the gateway whose pid it contains, if one is running, and remove the file", path, err)
 	}
 	return saved, nil
 }
 
-// saveState writes the state file. A failure is logged only: the gateway runs, and
-// just its adoption by the next agent is at risk.
+// saveState writes the state file. A failure is only logged: the gateway keeps running,
+// but the next run of the agent may not adopt it.
 func (p *Process) saveState() {
 	status := p.machine.Status()
 	saved := savedState{Spec: status.Running, Crashes: status.Crashes, PID: p.pid}
@@ -67,11 +68,12 @@
 		err = files.Replace(filepath.Join(p.options.Dir, stateFile), text, 0o600)
 	}
 	if err != nil {
-		p.log.Error("failed to save process state, a restarted agent may not adopt the gateway", "error", err)
+		p.log.Error("failed to save process state; a restarted agent may not adopt the gateway", "error", err)
 	}
 }
 
-// watchAdopted polls a process that is not this agent's child and reports its end.
+// watchAdopted polls an adopted process, which is not a child of this one, and sends an
+// event when it has ended.
 func (p *Process) watchAdopted(ctx context.Context, pid int, started string) {
 	tick := time.NewTicker(adoptedPollInterval)
 	defer tick.Stop()
@@ -82,22 +84,22 @@
 		case <-tick.C:
 		}
 	}
-	p.send(ctx, supervise.Exited{Reason: "it ended" + lastLine(filepath.Join(p.options.Dir, logFile))})
+	p.send(ctx, supervise.Exited{Reason: "it ended" + exitReasonFromLog(filepath.Join(p.options.Dir, logFile))})
 }
 
-// StartTime returns when a process was started, in clock ticks of the current boot
-// and with the boot's id: a later process that got the same id has another value.
-// It is "" for a process that has ended, also if its parent has not waited for it yet.
+// StartTime returns the start time of a process in clock ticks since boot, followed by the
+// boot id. It differs for a later process that reuses the process id. It is "" for a
+// process that has ended, even if its parent has not waited for it yet.
 func StartTime(pid int) string {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return ""
 	}
-	// The program's name stands in brackets and may contain any character, so the
-	// fields are counted from the last bracket.
+	// The program's name is in parentheses and may contain any character, so the fields
+	// are counted from the last parenthesis.
 	end := strings.LastIndexByte(string(text), ')')
 	fields := strings.Fields(string(text[end+1:]))
-	if end < 0 || len(fields) < 20 || hasEnded(fields) {
+	if end < 0 || len(fields) < 20 || hasExited(fields) {
 		return ""
 	}
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
@@ -107,9 +109,9 @@
 	return fields[19] + " " + strings.TrimSpace(string(boot))
 }
 
-// hasEnded reports whether the process with these fields of /proc/PID/stat, from the state on, has ended. A zombie with
-// more than one thread has not: only its first thread has, and the others still hold its sockets.
-func hasEnded(fields []string) bool {
+// hasExited reports whether the process with these fields of /proc/PID/stat, starting with the state, has ended. A
+// zombie with more than one thread has not: only its first thread has ended, and the others still hold its sockets.
+func hasExited(fields []string) bool {
 	const stateField, threadsField = 0, 17
 	switch fields[stateField] {
 	case "X":
