--- a/internal/agentapi/calls.go
+++ b/internal/agentapi/calls.go
@@ -6,40 +6,40 @@
 	"elderyard/supervise"
 )
 
-// ApplyRequest applies a content or an old revision. A repeat with the same Request
-// is answered as the first one was.
+// ApplyRequest applies a new content or that of an old revision. A repeat with the same
+// idempotency key gets the result of the first call.
 type ApplyRequest struct {
-	IdempotencyKey string             `json:"request"`           // idempotency key
-	Parent         uint64             `json:"parent"`            // head that the caller has seen
-	Restore        uint64             `json:"restore,omitempty"` // revision whose content is applied anew; 0: Content is
+	IdempotencyKey string             `json:"request"`
+	Parent         uint64             `json:"parent"`            // the newest revision that the caller knows
+	Restore        uint64             `json:"restore,omitempty"` // revision whose content is applied again; 0: Content is applied
 	Content        *revisions.Content `json:"content,omitempty"`
 	Message        string             `json:"message,omitempty"`
 }
 
-// ApplyResult answers an ApplyRequest.
+// ApplyResult is the response to an ApplyRequest.
 type ApplyResult struct {
 	Status   revisions.Status   `json:"answer"`
 	Revision revisions.Revision `json:"revision"`
 	Reason   string             `json:"why,omitempty"`
 }
 
-// DryRunResult is what one instance would do to run a content.
+// DryRunResult is what one instance would have to do to run a content.
 type DryRunResult struct {
 	Agent    string         `json:"agent"`
 	Instance string         `json:"instance,omitempty"`
 	Step     supervise.Step `json:"step,omitempty"`
 	Error    string         `json:"error,omitempty"`
-	Silent   bool           `json:"silent,omitempty"` // the agent did not answer
+	Silent   bool           `json:"silent,omitempty"` // the agent did not respond
 }
 
-// Revisions is the history, newest first, without the contents.
+// Revisions is the list of revisions, newest first, without their contents.
 type Revisions struct {
 	Stale     string               `json:"stale,omitempty"`
-	Desired   uint64               `json:"wanted"`
+	Desired   uint64               `json:"wanted"` // number of the desired revision
 	Revisions []revisions.Revision `json:"revisions"`
 }
 
-// Member is one store of the site's desired state.
+// Member is an agent that stores a replica of the site's desired state.
 type Member struct {
 	Name     string `json:"name"`
 	Address  string `json:"address"`
@@ -47,19 +47,19 @@
 	NonVoter bool   `json:"non_voter,omitempty"`
 }
 
-// Members are the voters and the agents.
+// Members lists the voters and the agents of the site.
 type Members struct {
 	Stale  string        `json:"stale,omitempty"`
 	Voters []Member      `json:"voters"`
 	Agents []fleet.Agent `json:"agents"`
 }
 
-// MemberChange answers a change of the voters that a majority has accepted.
+// MemberChange is the response to a change of the voters that a majority has accepted.
 type MemberChange struct {
 	Behind []string `json:"lacking,omitempty"` // names of voters that have not applied it yet
 }
 
-// Audit is the log of accepted changes, and of calls that one agent refused.
+// Audit is the log of accepted changes and of the calls that one agent refused.
 type Audit struct {
 	Stale   string        `json:"stale,omitempty"`
 	Changes []fleet.Event `json:"changes"`
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -18,30 +18,29 @@
 const (
 	dialTimeout      = 3 * time.Second
 	idleTimeout      = 2 * time.Minute // of a connection
-	callTimeout      = time.Minute     // of one call, beside the dial
+	callTimeout      = time.Minute     // of one call, without the dial
 	retryInterval    = 200 * time.Millisecond
 	maxResponseBytes = 1 << 30
 )
 
-// Target is the agent that a Client calls: a local socket, or an address.
+// Target is the agent that a Client calls, by a local socket or by an address.
 type Target struct {
-	Socket  string    // path; used where Address is ""
+	Socket  string    // path; used if Address is ""
 	Address string    // host:port
-	Plain   bool      // without TLS; a loopback address only
-	Files   pki.Files // of the caller's certificate, where TLS is used
+	Plain   bool      // without TLS; for loopback addresses only
+	Files   pki.Files // the caller's certificate for TLS
 }
 
-// Client calls one agent. Its methods return a *Failure where the agent did not carry
-// out the call, and may be called from several goroutines.
+// Client calls one agent. Its methods return a *Failure if the agent did not execute the
+// call. They are safe for concurrent use.
 type Client struct {
 	http *http.Client
-	base string // URL before the path
-	name string // of the agent, in errors
+	base string // URL without the path
+	name string // the agent's, for errors
 }
 
-// NewClient returns a client of one agent. It does not connect yet. It returns an
-// error if the certificate can't be read, or if Plain is set for an address that is
-// not of the loopback.
+// NewClient returns a client of one agent. It does not connect yet. It returns an error if
+// the certificate can't be read, or if Plain is set for an address other than loopback.
 func NewClient(target Target) (*Client, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout}
@@ -71,7 +70,8 @@
 // Close closes the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// call makes one call. A body of []byte is sent as it is, any other as JSON.
+// call makes one call. A body of type []byte is sent unchanged, any other is encoded as
+// JSON.
 func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
 	var text []byte
 	switch b := body.(type) {
@@ -103,8 +103,8 @@
 	return ReadResponse(resp, answer)
 }
 
-// ReadResponse decodes the answer of an agent, and returns a *Failure if the agent
-// answered with one or the response is not an agent's. The caller closes the body.
+// ReadResponse decodes the response of an agent. It returns a *Failure if the response is
+// one, or does not come from an agent. The caller closes the body.
 func ReadResponse(resp *http.Response, answer any) error {
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
@@ -129,7 +129,7 @@
 	return s, err
 }
 
-// Revisions returns the history, without the contents.
+// Revisions returns the list of revisions without their contents.
 func (c *Client) Revisions(ctx context.Context) (l Revisions, err error) {
 	err = c.call(ctx, http.MethodGet, "/v1/revisions", nil, &l)
 	return l, err
@@ -147,26 +147,26 @@
 	return m, err
 }
 
-// Audit returns the audit log, with the calls that the called agent refused.
+// Audit returns the audit log and the calls that the called agent refused.
 func (c *Client) Audit(ctx context.Context) (l Audit, err error) {
 	if err := c.call(ctx, http.MethodGet, "/v1/audit", nil, &l); err != nil {
 		return l, err
 	}
-	var here Audit
-	err = c.call(ctx, http.MethodGet, "/v1/refused", nil, &here)
-	l.Refused = here.Refused
+	var local Audit
+	err = c.call(ctx, http.MethodGet, "/v1/refused", nil, &local)
+	l.Refused = local.Refused
 	return l, err
 }
 
-// Apply applies a content or an old revision. A call whose answer is lost is retried
-// with the same idempotency key until ctx ends.
+// Apply applies a new content or that of an old revision. A call whose response is lost is
+// retried with the same idempotency key until ctx ends.
 func (c *Client) Apply(ctx context.Context, a ApplyRequest) (out ApplyResult, err error) {
 	err = c.callUntilAnswered(ctx, "/v1/apply", a, &out)
 	return out, err
 }
 
 // callUntilAnswered posts a call that has an idempotency key, and retries it while its
-// outcome is unknown or no agent can be reached. When ctx ends it returns the last error.
+// outcome is unknown or no agent can be reached. It returns the last error when ctx ends.
 func (c *Client) callUntilAnswered(ctx context.Context, path string, body, answer any) error {
 	for {
 		err := c.call(ctx, http.MethodPost, path, body, answer)
@@ -182,31 +182,33 @@
 	}
 }
 
-// DryRun has all agents check a content, and returns what each instance would do.
+// DryRun lets all agents check a content, and returns what each instance would have to do
+// to run it.
 func (c *Client) DryRun(ctx context.Context, content revisions.Content) (l []DryRunResult, err error) {
 	err = c.call(ctx, http.MethodPost, "/v1/probe", content, &l)
 	return l, err
 }
 
 // Do makes one change: pause, resume, abort, drain, undrain or agents/remove.
-func (c *Client) Do(ctx context.Context, verb string, v ChangeRequest) error {
-	return c.call(ctx, http.MethodPost, "/v1/"+verb, v, &struct{}{})
+func (c *Client) Do(ctx context.Context, action string, change ChangeRequest) error {
+	return c.call(ctx, http.MethodPost, "/v1/"+action, change, &struct{}{})
 }
 
-// AddMember makes an agent a voter, and returns which voters have not applied that yet.
+// AddMember makes an agent a voter, and returns the voters that have not applied the change
+// yet.
 func (c *Client) AddMember(ctx context.Context, v ChangeRequest) (m MemberChange, err error) {
 	err = c.call(ctx, http.MethodPost, "/v1/members/add", v, &m)
 	return m, err
 }
 
-// AddNonVoter makes an agent a replica that answers reads and has no vote, and returns
-// which stores have not applied that yet.
+// AddNonVoter makes an agent a replica that serves reads and has no vote, and returns the
+// replicas that have not applied the change yet.
 func (c *Client) AddNonVoter(ctx context.Context, v ChangeRequest) (m MemberChange, err error) {
 	err = c.call(ctx, http.MethodPost, "/v1/replicas/add", v, &m)
 	return m, err
 }
 
-// RemoveMember removes a voter, and returns the same.
+// RemoveMember removes a voter, and returns the voters that have not applied the change yet.
 func (c *Client) RemoveMember(ctx context.Context, v ChangeRequest) (m MemberChange, err error) {
 	err = c.call(ctx, http.MethodPost, "/v1/members/remove", v, &m)
 	return m, err
@@ -219,7 +221,7 @@
 	return text, err
 }
 
-// Restore replaces the site's state with a saved one.
+// Restore replaces the site's state with that of a snapshot.
 func (c *Client) Restore(ctx context.Context, text []byte) error {
 	return c.call(ctx, http.MethodPost, "/v1/snapshot", text, &struct{}{})
 }
--- a/internal/agentapi/client_test.go
+++ b/internal/agentapi/client_test.go
@@ -18,7 +18,7 @@
 	"elderyard/supervise"
 )
 
-// recordedCall is an HTTP request as a server saw it.
+// recordedCall formats an HTTP request as the server received it.
 func recordedCall(r *http.Request) string {
 	body, _ := io.ReadAll(r.Body)
 	text := fmt.Sprintf("%s %s %s", r.Method, r.RequestURI, body)
@@ -30,7 +30,7 @@
 	return text
 }
 
-// Each method of the client makes one call: its method, path, query and body.
+// The method, path, query and body of each of the client's calls must not change.
 func TestGoldenClientCalls(t *testing.T) {
 	var lines bytes.Buffer
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -44,7 +44,7 @@
 	}
 	defer c.Close()
 	ctx, content := t.Context(), revisions.Content{File: "[gateway]\n", Overlays: map[string]string{"g0": "[site]\n"}, RestartGeneration: 2}
-	verb := ChangeRequest{Name: "a3", Address: "10.0.0.3:7946"}
+	change := ChangeRequest{Name: "a3", Address: "10.0.0.3:7946"}
 	check := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -62,8 +62,8 @@
 	for _, name := range []string{"pause", "resume", "abort", "drain", "undrain", "agents/remove"} {
 		check(c.Do(ctx, name, ChangeRequest{Name: "g0"}))
 	}
-	call(c.AddMember(ctx, verb))
-	call(c.AddNonVoter(ctx, verb))
+	call(c.AddMember(ctx, change))
+	call(c.AddNonVoter(ctx, change))
 	call(c.RemoveMember(ctx, ChangeRequest{Name: "a3"}))
 	call(c.Snapshot(ctx))
 	check(c.Restore(ctx, []byte(`{"form":1}`)))
@@ -76,8 +76,8 @@
 	golden.File(t, "client-calls.txt", lines.Bytes())
 }
 
-// A tool reads what agents of other releases answer: a missing key is a zero value, an
-// unknown one is passed over.
+// The tool must read responses from agents of other releases: a missing key has the zero
+// value, and an unknown one is ignored.
 func TestAnswersOfOtherReleases(t *testing.T) {
 	for text, want := range map[string]any{
 		`{"agent":"a1","leader":"a1","at":"2026-03-04T05:06:07.0000008Z","head":1,"wanted":1,"rollout":{"new":1,"before":0,"state":"applied","why":"","by":"ann","at":"2026-03-04T05:06:07.0000008Z"},"wave":1,"waves":1,"instances":[{"name":"g0","agent":"a1","running":1,"told":1,"state":"ready","ready":true,"crashes":0,"heard":"2026-03-04T05:06:07.0000008Z"}]}`: Status{Agent: "a1", Leader: "a1", At: goldenTime, Head: 1, Desired: 1, Wave: 1, Waves: 1, Rollout: fleet.Rollout{New: 1, State: rollout.Applied, By: "ann", At: goldenTime},
--- a/internal/agentapi/golden_test.go
+++ b/internal/agentapi/golden_test.go
@@ -19,7 +19,7 @@
 	"elderyard/supervise"
 )
 
-// unsetFields lists the fields below v that have their zero value.
+// unsetFields returns the paths of all fields of v, also nested ones, that are zero.
 func unsetFields(v reflect.Value, path string) (unset []string) {
 	if _, isText := v.Interface().(encoding.TextMarshaler); isText && v.Kind() != reflect.Pointer {
 		if v.IsZero() {
@@ -59,8 +59,8 @@
 	return unset
 }
 
-// checkMessage compares the encoded message with its golden file, and that file decoded
-// with the message.
+// checkMessage compares the encoded message with its golden file, and the decoded file with
+// the message.
 func checkMessage[T any](t *testing.T, name string, message T) {
 	t.Helper()
 	encoded, err := json.Marshal(message)
@@ -84,7 +84,7 @@
 func checkFullMessage[T any](t *testing.T, name string, message T) {
 	t.Helper()
 	if unset := unsetFields(reflect.ValueOf(message), reflect.TypeFor[T]().Name()); len(unset) > 0 {
-		t.Errorf("fields without a value in the golden message: %v", unset)
+		t.Errorf("fields of the golden message that are not set: %v", unset)
 	}
 	checkMessage(t, name, message)
 }
@@ -134,8 +134,8 @@
 		Agents: []AgentRecords{{Agent: "a1", State: RecordsBehind, Status: goldenStatus(), BehindSince: ptr(goldenTime), ReportedAt: ptr(goldenTime.Add(time.Second))}}})
 }
 
-// The messages of a site without gateways, records and rosters: what has no value is
-// left out where the key is optional and written where it is not.
+// In the messages of a site without gateways, records and rosters, an optional key without
+// a value is omitted, and any other is written.
 func TestGoldenMessagesWithoutOptionalFields(t *testing.T) {
 	checkMessage(t, "report-minimal.json", Report{Agent: fleet.Agent{Name: "a1", Instances: []string{}}})
 	checkMessage(t, "report-instance-minimal.json", Report{Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
@@ -146,8 +146,8 @@
 	checkMessage(t, "records-lag-minimal.json", RecordsLag{Agents: []AgentRecords{{Agent: "a1", State: RecordsSilent}}})
 }
 
-// A report of an agent from before rosters and records is accepted, and a key that the
-// leader does not know refuses the report as it always did.
+// A report of an agent of a release without rosters and records must be accepted. A report
+// with an unknown key must be rejected, as in those releases.
 func TestReportOfOlderAgent(t *testing.T) {
 	oldReport := []byte(`{"agent":{"name":"a1","address":"10.0.0.1:7946","instances":["g0"]},` +
 		`"instances":[{"name":"g0","running":3,"taking":4,"state":"starting","crashes":2}]}`)
@@ -167,8 +167,8 @@
 	}
 }
 
-// Orders of a leader from before rosters and records are accepted, and so are those of
-// a later one with keys that this agent does not know.
+// Orders from a leader of a release without rosters and records must be accepted, and so
+// must those of a later release with unknown keys.
 func TestOrdersOfOlderAndNewerLeader(t *testing.T) {
 	want := Orders{Leader: "a2", Address: "10.0.0.2:7946", Orders: map[string]Order{"g0": {Revision: 4}}}
 	for name, text := range map[string]string{
--- a/internal/agentapi/records.go
+++ b/internal/agentapi/records.go
@@ -6,7 +6,7 @@
 	"elderyard/records"
 )
 
-// The paths of the calls on records, beside those that followers make.
+// The paths of the operators' calls on records. Those of followers are in recordsync.
 const (
 	RecordsPrefix       = "/v1/records/"
 	RecordsChangePath   = RecordsPrefix + "change"
@@ -17,15 +17,15 @@
 	RecordsLagPath      = RecordsPrefix + "lag"
 )
 
-// RecordsChange is a change of records as an operator's tool sends it. A repeat
-// under the same request key is answered as the first one was.
+// RecordsChange is a change of records from the operators' tool. A repeat with the same
+// idempotency key gets the result of the first call.
 type RecordsChange struct {
 	IdempotencyKey string              `json:"request"`
 	Message        string              `json:"message,omitempty"`
 	Operations     []records.Operation `json:"operations"`
 }
 
-// RecordsList is some records, as of a version.
+// RecordsList is a list of records as of a version.
 type RecordsList struct {
 	Version uint64           `json:"version"`
 	Digest  records.Digest   `json:"digest"`
@@ -33,50 +33,49 @@
 	Records []records.Record `json:"records"`
 }
 
-// RecordsVersions is the newest accepted changes, newest first.
+// RecordsVersions lists the most recent accepted changes, newest first.
 type RecordsVersions struct {
 	Version uint64               `json:"version"`
 	Digest  records.Digest       `json:"digest"`
 	Changes []records.ChangeInfo `json:"changes"`
 }
 
-// RecordsDiff is which records changed between two versions.
+// RecordsDiff lists the records that changed between two versions.
 type RecordsDiff struct {
 	From    uint64              `json:"from"`
 	To      uint64              `json:"to"`
 	Changes []records.KeyChange `json:"changes"`
 }
 
-// RecordsStatus is what an agent reports of its copy of the records.
+// RecordsStatus is the state of an agent's copy of the records, as the agent reports it.
 type RecordsStatus struct {
 	State   records.FollowerState `json:"state"`
 	Version uint64                `json:"version"`
 	Digest  records.Digest        `json:"digest"`
-	// AgeSeconds is for how long the copy has not been confirmed to be the newest;
-	// nil: it never was.
+	// AgeSeconds is the time since the copy was last confirmed to be up to date; nil: never.
 	AgeSeconds *float64 `json:"age_s,omitempty"`
-	Reason     string   `json:"why,omitempty"` // why it is not being confirmed, or not saved on disk
+	Reason     string   `json:"why,omitempty"` // why it can't be confirmed, or saved to disk
 }
 
-// RecordsHead is the version of the site's records, as the leader knows it.
+// RecordsHead is the version of the site's records in the leader's store.
 type RecordsHead struct {
 	Version uint64 `json:"version"`
 }
 
-// RecordsState is how an agent's copy stands to the site's records.
+// RecordsState compares an agent's copy with the site's records.
 type RecordsState string
 
-// The states of a copy.
+// The states of a copy, with their values on the wire.
 const (
 	RecordsUpToDate  RecordsState = "in force" // it has the newest version
 	RecordsBehind    RecordsState = "behind"
-	RecordsDiverged  RecordsState = "differs" // at a version whose content was another
-	RecordsSilent    RecordsState = "silent"  // the leader has no recent report of the agent
+	RecordsDiverged  RecordsState = "differs" // newer than the site's records, or other content at the same version
+	RecordsSilent    RecordsState = "silent"  // the leader has no recent report from the agent
 	RecordsNoReports RecordsState = "off"     // the agent reports no records
-	RecordsUnknown   RecordsState = "unknown" // there is no leader to compare it with
+	RecordsUnknown   RecordsState = "unknown" // no leader can be reached that would compare it
 )
 
-// RecordsLag is which agents have the newest records, and which have not, and why.
+// RecordsLag lists the agents with the state of their copies of the records.
 type RecordsLag struct {
 	Stale    string         `json:"stale,omitempty"` // why this is the called agent's copy alone; "": it is the leader's answer
 	Version  uint64         `json:"version"`
@@ -85,7 +84,7 @@
 	Agents   []AgentRecords `json:"agents"`   // by name
 }
 
-// AllUpToDate reports whether all agents with a copy of the records have the newest.
+// AllUpToDate reports whether all agents with a copy of the records have the newest version.
 func (l RecordsLag) AllUpToDate() bool {
 	for _, a := range l.Agents {
 		if a.State != RecordsUpToDate && a.State != RecordsNoReports {
@@ -100,6 +99,6 @@
 	Agent       string        `json:"agent"`
 	State       RecordsState  `json:"state"`
 	Status      RecordsStatus `json:"status"`          // as last reported
-	BehindSince *time.Time    `json:"since,omitempty"` // when the first change was accepted that it lacks; nil: none, or it is not known any more
-	ReportedAt  *time.Time    `json:"heard,omitempty"` // nil: never by this leader
+	BehindSince *time.Time    `json:"since,omitempty"` // when the oldest missing change was accepted; nil: none is missing, or its time is no longer known
+	ReportedAt  *time.Time    `json:"heard,omitempty"` // nil: not yet to this leader
 }
