--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -22,41 +22,41 @@
 	"elderyard/revisions"
 )
 
-// Options are what an agent is started with beside its file.
+// Options configure a run of an agent, in addition to its configuration file.
 type Options struct {
 	Recover      bool // make this voter the only one, after a majority was lost
 	StopGateways bool // stop the gateways when ctx ends
 	Log          *slog.Logger
-	// Started, where it is set, is called with the address of the agent's port.
+	// Started, if set, is called with the address of the agent's port once it listens.
 	Started func(address string)
 }
 
-// Agent is one agent. Run owns it; the fields below mu are shared by the reports and
-// the calls.
+// Agent is one agent. Run owns it. The fields below mu are shared between the goroutine of
+// runReports and those of calls.
 type Agent struct {
 	config         Config
 	log            *slog.Logger
 	processes      map[string]*process.Process // by instance
-	self           fleet.Agent                 // as others know this agent
-	store          *replica.Store              // nil: no voter
-	leader         *leader.Leader              // nil: no voter
-	port           *port                       // nil: the local socket alone
+	self           fleet.Agent                 // this agent as enrolled in the site
+	store          *replica.Store              // nil: not a voter
+	leader         *leader.Leader              // nil: not a voter
+	port           *port                       // nil: only the local socket is served
 	peerClient     *http.Client
 	loopback       *connListener        // connections of this agent to itself
-	recordsHandler http.Handler         // answers followers of the records; nil: records are off
-	records        *recordsync.Follower // this agent's copy; nil: records are off
+	recordsHandler http.Handler         // serves followers of the records; nil: records are disabled
+	records        *recordsync.Follower // this agent's copy; nil: records are disabled
 	refusals       *refusals
-	checkSlots     chan struct{} // bounds concurrent checks of contents
+	checkSlots     chan struct{} // limits concurrent checks of contents
 
 	goroutines sync.WaitGroup // all end with the context of Run's steps
-	failed     chan error     // of the servers
-	closers    []func()       // of what the steps have opened
+	failed     chan error     // errors of the servers
+	closers    []func()       // one for each part that the steps have opened
 
 	rosterEpoch uint64 // of the roster file, 0: there is none; owned by the goroutine of runReports
 
 	mu              sync.Mutex
-	leaderAddress   string                        // as last reported; "": unknown
-	leaderError     string                        // why no leader can be reached; "": one is
+	leaderAddress   string                        // from the last orders; "": unknown
+	leaderError     string                        // why no leader can be reached; "": one can
 	rejected        map[string]rejectedRevision   // by instance
 	cachedRevisions map[uint64]revisions.Revision // by number
 }
@@ -68,27 +68,28 @@
 }
 
 const (
-	reportTimeout       = 10 * time.Second // of a report, over all voters
-	voterTimeout        = 2 * time.Second  // of a report to one voter
+	reportTimeout       = 10 * time.Second // for a report to all voters in turn
+	voterTimeout        = 2 * time.Second  // for a report to one voter
 	maxCachedRevisions  = 8
 	maxConcurrentChecks = 2
-	stopTimeout         = time.Minute // of all gateways
+	stopTimeout         = time.Minute // for all gateways together
 	revisionsFile       = "revision.json"
 	refusalsFile        = "refused.log"
 )
 
-// Run runs an agent until ctx ends or a part of it fails, and returns why it failed;
-// nil: ctx has ended. The gateways go on unless Options.StopGateways is set.
+// Run runs an agent until ctx ends or a part of it fails. It returns the error of that
+// part, or nil if ctx has ended. The gateways keep running unless Options.StopGateways is
+// set.
 //
-// It opens the agent's parts step by step; an error of a step names what could not be
-// opened. At the end all goroutines are stopped and awaited first, and then the parts
-// are closed, the last opened first: the store outlives the leader that uses it, and
-// the lock of the folder is released when nothing writes there any more.
+// It opens the agent's parts step by step; the error of a step names the part that could
+// not be opened. At the end, Run first stops all goroutines and waits for them, and then
+// closes the parts in reverse order: the store must outlive the leader that uses it, and
+// the folder must stay locked until nothing writes to it any more.
 func Run(ctx context.Context, config Config, options Options) error {
 	a := &Agent{config: config, log: options.Log, processes: map[string]*process.Process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
 		checkSlots: make(chan struct{}, maxConcurrentChecks), failed: make(chan error, 2),
 		self: fleet.Agent{Name: config.Name, Address: config.Advertise, Instances: []string{}}}
-	// The parts do not end with ctx: they are needed to stop the gateways.
+	// The parts must not end with ctx, because they are needed to stop the gateways.
 	running, stop := context.WithCancel(context.Background())
 	defer a.close()
 	defer a.goroutines.Wait()
@@ -115,10 +116,10 @@
 	return err
 }
 
-// onClose adds a function to those that close calls.
+// onClose registers a function that close calls.
 func (a *Agent) onClose(closer func()) { a.closers = append(a.closers, closer) }
 
-// close closes what the steps of Run have opened, the last first.
+// close closes the parts that the steps of Run have opened, in reverse order.
 func (a *Agent) close() {
 	for _, closer := range slices.Backward(a.closers) {
 		closer()
@@ -136,7 +137,7 @@
 	}
 	a.onClose(unlock)
 	if info, err := os.Stat(a.config.Gateway); len(a.config.Instances) > 0 && (err != nil || info.IsDir()) {
-		return fmt.Errorf("gateway's program: %s is not there", a.config.Gateway)
+		return fmt.Errorf("gateway's program: %s does not exist or is a folder", a.config.Gateway)
 	}
 	if a.refusals, err = openRefusals(filepath.Join(a.config.Dir, refusalsFile)); err != nil {
 		return err
@@ -146,8 +147,8 @@
 	return nil
 }
 
-// listen opens the agent's port, if its file has one. With port 0 others know the
-// agent by the address that the system has assigned.
+// listen opens the agent's port, if one is configured. With port 0, the advertised address
+// is the one that the system has assigned.
 func (a *Agent) listen(started func(address string)) (err error) {
 	if a.config.Listen == "" {
 		return nil
@@ -162,12 +163,12 @@
 	}
 	if _, port, _ := net.SplitHostPort(a.config.Advertise); port == "0" {
 		a.self.Address = address
-		a.port.raft.addr = advertisedAddr(address)
+		a.port.raft.addr = peerAddr(address)
 	}
 	return nil
 }
 
-// openProcesses opens the instances' processes, and adopts the gateways that run.
+// openProcesses opens the instances' processes and adopts the gateways that are running.
 func (a *Agent) openProcesses() (err error) {
 	for _, entry := range a.config.Instances {
 		a.self.Instances = append(a.self.Instances, entry.Name)
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// openPeerClient opens the client by which other agents are called.
+// openPeerClient creates the HTTP client for calls to other agents.
 func (a *Agent) openPeerClient() error {
 	a.peerClient = &http.Client{Transport: a.transport()}
 	a.onClose(a.peerClient.CloseIdleConnections)
@@ -210,14 +211,15 @@
 	if a.port != nil {
 		c.Streams = raftStreams{a.port.raft, a.port}
 	} else {
-		c.Streams = noStreams{newConnListener(advertisedAddr(a.config.Name))}
+		c.Streams = noStreams{newConnListener(peerAddr(a.config.Name))}
 	}
 	return replica.Open(c)
 }
 
-// startRecords opens and follows the copy of the records, if the file has them on.
+// startRecords opens the copy of the records and starts following them, if they are
+// enabled.
 func (a *Agent) startRecords(ctx context.Context) (err error) {
-	a.loopback = newConnListener(advertisedAddr(localServer))
+	a.loopback = newConnListener(peerAddr(localServer))
 	if !a.config.Records {
 		return nil
 	}
@@ -229,8 +231,8 @@
 	return nil
 }
 
-// startServers serves calls on the local socket, on connections of this agent to
-// itself and on the port.
+// startServers serves calls on the local socket, on this agent's connections to itself and
+// on the port.
 func (a *Agent) startServers(ctx context.Context) error {
 	local, err := listenLocal(a.config.Socket)
 	if err != nil {
@@ -244,7 +246,7 @@
 	return nil
 }
 
-// serve serves calls on a listener until ctx ends. An earlier end is sent to failed.
+// serve serves calls on a listener until ctx ends. An earlier failure is sent to failed.
 func (a *Agent) serve(ctx context.Context, l net.Listener) {
 	s := a.server()
 	a.goroutines.Go(func() {
@@ -255,20 +257,20 @@
 	a.goroutines.Go(func() { <-ctx.Done(); s.Close() })
 }
 
-// startInstances runs the processes, the reports by which they get their orders, and
-// the limit commands.
+// startInstances runs the processes, the reports that fetch their orders, and the limit
+// commands.
 func (a *Agent) startInstances(ctx context.Context) {
 	for _, p := range a.processes {
 		a.goroutines.Go(func() { p.Run(ctx) })
 	}
 	a.goroutines.Go(func() { a.runReports(ctx) })
 	if a.config.RESP.Listen != "" {
-		limits := &limitFront{a: a, instance: a.config.Instances[0].Name}
+		limits := &limitServer{agent: a, instance: a.config.Instances[0].Name}
 		a.goroutines.Go(func() { limits.run(ctx) })
 	}
 }
 
-// awaitEnd waits for the end of ctx or the failure of a part, and returns the latter.
+// awaitEnd waits until ctx ends or a part fails, and returns the error of that part.
 func (a *Agent) awaitEnd(ctx context.Context) error {
 	var storeFailed <-chan struct{}
 	if a.store != nil {
@@ -278,13 +280,13 @@
 	case err := <-a.failed:
 		return err
 	case <-storeFailed:
-		return fmt.Errorf("voter's store in %s: %w: the voter has stopped, and the agent must be started anew; gateways go on", a.config.Dir, a.store.DiskError())
+		return fmt.Errorf("voter's store in %s: %w: the voter has stopped and the agent must be restarted; gateways keep running", a.config.Dir, a.store.DiskError())
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-// stopGateways terminates the gateways and waits for their end, at most stopTimeout.
+// stopGateways terminates the gateways and waits for their exit, at most stopTimeout.
 func (a *Agent) stopGateways(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
--- a/internal/agent/cached_revisions.go
+++ b/internal/agent/cached_revisions.go
@@ -16,9 +16,9 @@
 	"elderyard/supervise"
 )
 
-// fetchRevision returns an ordered revision: from the cache, the store or the leader.
-// It caches the revision on disk, so that a start without a leader can use it. An error
-// means that the revision was not received; a failure to write the file is only logged.
+// fetchRevision returns an ordered revision from the cache, the store or the leader. It
+// caches the revision on disk, so that the agent can start without a leader. It returns an
+// error if the revision could not be fetched; a failure to write the file is only logged.
 func (a *Agent) fetchRevision(ctx context.Context, order agentapi.Order) (revision revisions.Revision, err error) {
 	number := order.Revision
 	a.mu.Lock()
@@ -39,7 +39,7 @@
 		}
 	}
 	if revision.Number != number || revision.Checksum != revision.Content.Checksum() || revision.Checksum != order.Checksum {
-		return revision, fmt.Errorf("revision %d came damaged", number)
+		return revision, fmt.Errorf("received revision %d does not match its order or its checksum", number)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,12 +61,13 @@
 		err = files.Replace(filepath.Join(a.config.Dir, revisionsFile), text, 0o600)
 	}
 	if err != nil {
-		a.log.Error("failed to cache revisions, a start without a leader may lack them", "error", err)
+		a.log.Error("failed to cache revisions; a restart without a leader may lack them", "error", err)
 	}
 	return revision, nil
 }
 
-// revisionInUse reports whether an instance of this agent runs a revision or is to.
+// revisionInUse reports whether an instance of this agent runs a revision or has it as its
+// desired state.
 func (a *Agent) revisionInUse(number uint64) bool {
 	for _, p := range a.processes {
 		s := p.State().Status
@@ -79,8 +80,8 @@
 	return false
 }
 
-// loadCachedRevisions reads the cache file. A revision that does not fit its checksum is
-// dropped.
+// loadCachedRevisions reads the cache file and drops each revision that does not match its
+// checksum.
 func (a *Agent) loadCachedRevisions() {
 	path := filepath.Join(a.config.Dir, revisionsFile)
 	text, err := os.ReadFile(path)
@@ -93,11 +94,11 @@
 	for n, r := range a.cachedRevisions {
 		if r.Number != n || r.Checksum != r.Content.Checksum() {
 			delete(a.cachedRevisions, n)
-			err = fmt.Errorf("revision %d does not fit its checksum", n)
+			err = fmt.Errorf("revision %d does not match its number or checksum", n)
 		}
 	}
 	if err != nil {
-		a.log.Warn("failed to read all cached revisions, they are fetched again", "file", path, "error", err)
+		a.log.Warn("failed to read some cached revisions; they will be fetched again", "file", path, "error", err)
 	}
 	if a.cachedRevisions == nil {
 		a.cachedRevisions = map[uint64]revisions.Revision{}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -1,13 +1,13 @@
-// Package agent composes the parts that run in one agent: the processes of the
-// machine's gateways (internal/process), the reports to the leader and the orders that
-// answer them, the agents' HTTP interface, the copy of the records
-// (internal/recordsync), limit commands and, in a voter, the replicated desired state
-// (internal/replica) with the leader that drives rollouts (internal/leader).
+// Package agent combines the parts of one agent: the processes of the machine's gateways
+// (internal/process), the reports to the leader and its orders, the agents' HTTP
+// interface, the copy of the records (internal/recordsync), limit commands and, in a
+// voter, the replicated desired state (internal/replica) with the leader that drives
+// rollouts (internal/leader).
 //
-// It holds each gateway to the revision that the leader orders and goes on with the
-// last committed one while no leader can be reached. It does not decide what a gateway
-// runs. Run owns all goroutines; the reports' goroutine owns the roster file, and a
-// mutex guards what calls and reports share. Two agents must not share a folder: Run
+// An agent keeps each gateway at the revision that the leader orders, and at the last
+// committed one while no leader can be reached. It does not decide what a gateway runs.
+// Run owns all goroutines, the goroutine of runReports owns the roster file, and a mutex
+// guards the state that calls and reports share. Two agents must not share a folder: Run
 // locks it.
 package agent
 
@@ -31,7 +31,8 @@
 	"elderyard/supervise"
 )
 
-// Config is an agent's file, agent.toml. ReadConfig returns it complete and checked.
+// Config is an agent's configuration file, agent.toml. ReadConfig returns it with defaults
+// set and validated.
 type Config struct {
 	Name        string          `toml:"name" doc:"the agent's name, one in the site"`
 	Dir         string          `toml:"dir" doc:"folder of all that the agent keeps"`
@@ -52,15 +53,15 @@
 	Instances   []InstanceEntry `toml:"instance" doc:"the gateways of this machine"`
 }
 
-// TLS names the files of an agent's certificate. It is needed where Listen is set and
-// Plain is not.
+// TLS has the paths of an agent's certificate. It is required if Listen is set and Plain is
+// not.
 type TLS struct {
 	CA   string `toml:"ca" doc:"certificate of the site's authority"`
 	Cert string `toml:"cert" doc:"this agent's certificate"`
 	Key  string `toml:"key" doc:"its key"`
 }
 
-// Timing are the agent's intervals and time limits.
+// Timing has the agent's intervals and timeouts.
 type Timing struct {
 	Report            strict.Duration `toml:"report" doc:"between two reports to the leader; default 2s"`
 	FetchTimeout      strict.Duration `toml:"fetch_within" doc:"a start waits so long for the committed revision before it takes the last one known; default 15s"`
@@ -72,28 +73,30 @@
 	KillMargin        strict.Duration `toml:"kill_margin" doc:"a gateway that was asked to end has its longest deadline and so long; default 2s"`
 }
 
-// InstanceEntry is one gateway of the agent's machine.
+// InstanceEntry configures one gateway of the agent's machine.
 type InstanceEntry struct {
 	Name   string   `toml:"name" doc:"the instance's name, one in the site"`
 	Listen string   `toml:"listen" doc:"address for clients"`
 	Env    []string `toml:"env" doc:"further KEY=VALUE of its environment"`
 }
 
-// minRecordBytes is the smallest budget of the copy of the records, in bytes a second:
-// one poll a second and its answer.
+// minRecordBytes is the minimum rate for the copy of the records, in bytes a second: enough
+// for one poll a second and its response.
 const minRecordBytes = 1000
 
-// Keys returns the keys of the file with their descriptions.
+// Keys returns the keys of the configuration file with their descriptions.
 func Keys() [][2]string { return strict.Keys(Config{}) }
 
+// defaults returns the default configuration.
 func defaults() Config {
 	d := func(d time.Duration) strict.Duration { return strict.Duration(d) }
 	return Config{RecordBytes: records.DefaultBytesPerSecond, RESP: site.Defaults().RESP, Timing: Timing{Report: d(2 * time.Second), FetchTimeout: d(15 * time.Second), Heartbeat: d(time.Second), Settle: d(10 * time.Second),
 		InitialBackoff: d(500 * time.Millisecond), MaxBackoff: d(30 * time.Second), BackoffResetAfter: d(time.Minute), KillMargin: d(2 * time.Second)}}
 }
 
-// ReadConfig reads an agent's file, sets defaults and checks it. Relative paths in it
-// are from its folder. An error names the file and, where it can, line and key.
+// ReadConfig reads an agent's configuration file, sets defaults and validates it. Relative
+// paths are resolved against the file's folder. An error names the file and, if possible,
+// the line and the key.
 func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,6 +105,7 @@
 	return parseConfig(path, text)
 }
 
+// parseConfig does the same for the content of a file.
 func parseConfig(path string, text []byte) (Config, error) {
 	c := defaults()
 	if err := strict.Decode(path, text, &c); err != nil {
@@ -110,13 +114,13 @@
 	if key, err := c.check(); err != nil {
 		return Config{}, strict.ErrorAt(path, text, key, "%v", err)
 	}
-	home, err := filepath.Abs(filepath.Dir(path))
+	configDir, err := filepath.Abs(filepath.Dir(path))
 	if err != nil {
 		return Config{}, err
 	}
 	for _, p := range []*string{&c.Dir, &c.Socket, &c.Gateway, &c.TLS.CA, &c.TLS.Cert, &c.TLS.Key, &c.RESP.CA, &c.RESP.Cert, &c.RESP.Key} {
 		if *p != "" && !filepath.IsAbs(*p) {
-			*p = filepath.Join(home, *p)
+			*p = filepath.Join(configDir, *p)
 		}
 	}
 	if c.Socket == "" {
@@ -136,7 +140,7 @@
 	return c, nil
 }
 
-// splitHost returns the host of an address with a port.
+// splitHost returns the host of an address, which must have a port.
 func splitHost(address string) (string, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || port == "" {
@@ -145,7 +149,7 @@
 	return host, nil
 }
 
-// check returns the first key at fault and what is wrong with it.
+// check returns the first invalid key and what is wrong with it.
 func (c *Config) check() (key string, err error) {
 	for _, check := range []func() (string, error){c.checkFolder, c.checkListen, c.checkSettings, c.checkVoters, c.checkInstances, c.checkRESP, c.checkTiming} {
 		if key, err := check(); err != nil {
@@ -263,12 +267,12 @@
 	return "", nil
 }
 
-// supervision returns the policy by which the instances' processes are restarted.
+// supervision returns the restart policy of the instances' processes.
 func (c *Config) supervision() supervise.Policy {
 	t := &c.Timing
 	return supervise.Policy{InitialBackoff: time.Duration(t.InitialBackoff), MaxBackoff: time.Duration(t.MaxBackoff),
 		BackoffResetUptime: time.Duration(t.BackoffResetAfter), KillDelay: time.Duration(t.KillMargin)}
 }
 
-// files returns the files of the agent's certificate.
+// files returns the paths of the agent's certificate.
 func (c *Config) files() pki.Files { return pki.Files{CA: c.TLS.CA, Cert: c.TLS.Cert, Key: c.TLS.Key} }
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -6,12 +6,12 @@
 )
 
 func TestConfigStrict(t *testing.T) {
-	good := "name = 'a1'\ndir = 'd'\nvoter = true\nlisten = '127.0.0.1:7946'\nplain = true\n[[instance]]\nname = 'g1'\nlisten = ':8081'\n[[instance]]\nname = 'g0'\nlisten = ':8080'\n"
-	c, err := parseConfig("/etc/agent.toml", []byte(good))
+	valid := "name = 'a1'\ndir = 'd'\nvoter = true\nlisten = '127.0.0.1:7946'\nplain = true\n[[instance]]\nname = 'g1'\nlisten = ':8081'\n[[instance]]\nname = 'g0'\nlisten = ':8080'\n"
+	c, err := parseConfig("/etc/agent.toml", []byte(valid))
 	if err != nil || c.Dir != "/etc/d" || c.Socket != "/etc/d/agent.sock" || c.Advertise != c.Listen || c.Instances[0].Name != "g0" {
 		t.Fatalf("%v %+v", err, c)
 	}
-	for _, bad := range [][3]string{
+	for _, change := range [][3]string{
 		{"name = 'a1'", "name = '../x'", "f:1: name: agent"},
 		{"dir = 'd'", "dri = 'd'", `f:2: dri: there is no such key; did you mean "dir"?`},
 		{"dir = 'd'", "", "f: dir: is missing"},
@@ -30,8 +30,8 @@
 		{"plain = true", "plain = true\n[timing]\nreport = 'soon'", "is not a time"},
 		{"plain = true", "plain = true\n[timing]\nmost_pause = '1ms'", "f:6: timing: supervise"},
 	} {
-		if _, err := parseConfig("f", []byte(strings.Replace(good, bad[0], bad[1], 1))); err == nil || !strings.Contains(err.Error(), bad[2]) {
-			t.Errorf("%s: %v, want %s", bad[1], err, bad[2])
+		if _, err := parseConfig("f", []byte(strings.Replace(valid, change[0], change[1], 1))); err == nil || !strings.Contains(err.Error(), change[2]) {
+			t.Errorf("%s: %v, want %s", change[1], err, change[2])
 		}
 	}
 }
--- a/internal/agent/golden_calls_test.go
+++ b/internal/agent/golden_calls_test.go
@@ -45,7 +45,7 @@
 	return a
 }
 
-func answerTo(a *Agent, c caller, method, path string, header http.Header) *httptest.ResponseRecorder {
+func serveTestCall(a *Agent, c caller, method, path string, header http.Header) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, nil)
 	r = r.WithContext(context.WithValue(r.Context(), callerKey{}, c))
 	for key, values := range header {
@@ -79,7 +79,7 @@
 			method, path, _ := strings.Cut(one, " ")
 			fmt.Fprintf(&lines, "%s:", one)
 			for _, role := range append([]pki.Role{""}, pki.Roles()...) {
-				fmt.Fprintf(&lines, " %s %d", cmp.Or(string(role), "nobody"), answerTo(a, caller{"x", role}, method, path, nil).Code)
+				fmt.Fprintf(&lines, " %s %d", cmp.Or(string(role), "nobody"), serveTestCall(a, caller{"x", role}, method, path, nil).Code)
 			}
 			fmt.Fprintln(&lines)
 		}
@@ -116,7 +116,7 @@
 		{"viewer asks as a follower", on, pki.Viewer, "GET /v1/records/changes", nil},
 	} {
 		method, path, _ := strings.Cut(one.call, " ")
-		got := answerTo(one.a, caller{"x", one.role}, method, path, one.header)
+		got := serveTestCall(one.a, caller{"x", one.role}, method, path, one.header)
 		fmt.Fprintf(&lines, "%s: %d %s", one.name, got.Code, got.Body)
 	}
 	golden.File(t, "refusals.txt", lines.Bytes())
@@ -124,7 +124,7 @@
 
 // TestGoldenStaleStatus pins what an agent without a leader tells of itself.
 func TestGoldenStaleStatus(t *testing.T) {
-	got := answerTo(goldenAgent(t, true), caller{"x", pki.Viewer}, http.MethodGet, "/v1/status", nil)
+	got := serveTestCall(goldenAgent(t, true), caller{"x", pki.Viewer}, http.MethodGet, "/v1/status", nil)
 	var s agentapi.Status
 	if err := json.Unmarshal(got.Body.Bytes(), &s); err != nil || time.Since(s.At) > time.Hour {
 		t.Fatalf("%v %+v", err, s)
@@ -162,18 +162,18 @@
 		if hop != "" {
 			header.Set("X-Elderyard-Hop", hop)
 		}
-		if got := answerTo(a, c, method, path, header); got.Code != http.StatusOK || got.Body.String() != "{}" {
+		if got := serveTestCall(a, c, method, path, header); got.Code != http.StatusOK || got.Body.String() != "{}" {
 			t.Errorf("%s %s: %d %s", method, path, got.Code, got.Body)
 		}
 	}
 	send(caller{"ann", pki.Operator}, http.MethodPost, "/v1/pause", "")
 	send(caller{"vic", pki.Viewer}, http.MethodGet, "/v1/status?x=1", "")
-	if _, err := a.reportOnce(t.Context()); err != nil {
+	if _, err := a.sendReport(t.Context()); err != nil {
 		t.Error(err)
 	}
 	a.leaderAddress = address // one that is known to lead may not forward the call
 	send(caller{"ann", pki.Operator}, http.MethodPost, "/v1/pause", "")
-	if _, err := a.reportOnce(t.Context()); err != nil {
+	if _, err := a.sendReport(t.Context()); err != nil {
 		t.Error(err)
 	}
 	golden.File(t, "peer-calls.txt", lines.Bytes())
--- a/internal/agent/golden_linux_test.go
+++ b/internal/agent/golden_linux_test.go
@@ -18,28 +18,28 @@
 // environment that a gateway is started with.
 func TestGoldenFolder(t *testing.T) {
 	t.Parallel()
-	m := newMachine(t, "a1", true, nil, instances(t, "g0")...)
+	m := newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)
 	m.config.Roster, m.config.Records = true, true
 	m.start()
-	m.change("1", putOf(t, "plan/gold", goldPlan))
-	m.apply("1", 0, file(fine, "basic"))
-	s := m.ended(1)
-	m.is(s, rollout.Applied, 1)
+	m.changeRecords("1", putOperation(t, "plan/gold", goldPlan))
+	m.apply("1", 0, revisionFile(healthyGateway, "basic"))
+	s := m.waitRolloutEnd(1)
+	m.requireAll(s, rollout.Applied, 1)
 	// The gateway's next start and the next refusal find files that are to be set aside.
 	for _, path := range []string{filepath.Join(m.config.Dir, "instances", "g0", "log"), filepath.Join(m.config.Dir, "refused.log")} {
 		if err := os.WriteFile(path, bytes.Repeat([]byte("x\n"), 1<<20), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	until(t, "the copy of the records is on disk", func() bool {
+	waitFor(t, "the copy of the records is on disk", func() bool {
 		_, err := os.Stat(filepath.Join(m.config.Dir, recordsFolder, "records"))
 		return err == nil
 	})
-	m.end()
+	m.stop()
 	m.start() // it knows the size of refused.log only from its start
-	m.apply("2", 1, file(fine, "gold"))
-	m.is(m.ended(2), rollout.Applied, 2)
-	m.apply("3", 1, file(fine, "silver")) // conflicts
+	m.apply("2", 1, revisionFile(healthyGateway, "gold"))
+	m.requireAll(m.waitRolloutEnd(2), rollout.Applied, 2)
+	m.apply("3", 1, revisionFile(healthyGateway, "silver")) // conflicts
 	environment, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", m.status().Instances[0].PID))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/handlers.go
+++ b/internal/agent/handlers.go
@@ -17,7 +17,7 @@
 	"elderyard/rollout"
 )
 
-// handleReport answers a report. An agent may report its own instances only.
+// handleReport records a report and returns orders. An agent may only report as itself.
 func (a *Agent) handleReport(ctx context.Context, request *call) (any, error) {
 	var r agentapi.Report
 	if err := request.read(&r); err != nil {
@@ -29,7 +29,7 @@
 	return a.leader.Report(ctx, &r)
 }
 
-// handleStatus answers with the site as this leader sees it.
+// handleStatus returns the state of the site as this leader sees it.
 func (a *Agent) handleStatus(ctx context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -41,8 +41,8 @@
 	return s, err
 }
 
-// staleStatus returns what this agent knows without the leader: the store's state if it
-// is a voter, and its own instances.
+// staleStatus returns the state that this agent knows without the leader: that of its store
+// if it is a voter, and of its own instances.
 func (a *Agent) staleStatus(why string) any {
 	s := agentapi.Status{Agent: a.self.Name, Stale: why, At: time.Now().UTC(), Instances: []agentapi.InstanceStatus{}}
 	if a.store != nil {
@@ -63,7 +63,7 @@
 	return s
 }
 
-// handleRevisions answers with the history, without the contents.
+// handleRevisions returns the list of revisions without their contents.
 func (a *Agent) handleRevisions(_ context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 	return a.staleRevisions(""), nil
 }
 
-// staleRevisions returns the history of this voter's store, or the cached revisions.
+// staleRevisions returns the revisions of this voter's store, or else the cached ones.
 func (a *Agent) staleRevisions(why string) any {
 	list := agentapi.Revisions{Stale: why, Revisions: []revisions.Revision{}}
 	if a.store == nil {
@@ -93,13 +93,13 @@
 	return list
 }
 
-// handleRevision answers with one revision.
+// handleRevision returns one revision with its content.
 func (a *Agent) handleRevision(_ context.Context, request *call) (any, error) {
 	n, err := strconv.ParseUint(request.r.PathValue("n"), 10, 64)
 	if err != nil || n == 0 {
 		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: fmt.Sprintf("%q is no revision's number", request.r.PathValue("n"))}
 	}
-	// A revision never changes, so this voter's copy needs no confirmation by the leader.
+	// A revision never changes, so the leader does not have to confirm this voter's copy.
 	var r revisions.Revision
 	found := false
 	a.store.View(func(s *fleet.State) { r, found = s.Revision(n) })
@@ -112,7 +112,7 @@
 	return nil, &agentapi.Failure{Code: agentapi.CodeNotFound, Text: fmt.Sprintf("revision %d is not in the history", n)}
 }
 
-// handleMembers answers with the voters and the agents.
+// handleMembers returns the voters and the agents.
 func (a *Agent) handleMembers(_ context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 	return m, nil
 }
 
-// staleMembers returns the voters and agents of this voter's store, or this agent alone.
+// staleMembers returns the voters and agents of this voter's store, or else only this agent.
 func (a *Agent) staleMembers(why string) any {
 	m := agentapi.Members{Stale: why, Voters: []agentapi.Member{}, Agents: []fleet.Agent{}}
 	if a.store == nil {
@@ -129,7 +129,7 @@
 		return m
 	}
 	if list, err := a.store.Members(); err == nil {
-		m.Voters = nil // a voter that has not joined yet knows none, and sends null
+		m.Voters = nil // encoded as null by a voter that has not joined yet and knows none
 		for _, member := range list {
 			m.Voters = append(m.Voters, agentapi.Member(member))
 		}
@@ -138,7 +138,7 @@
 	return m
 }
 
-// handleAudit answers with the log of accepted changes.
+// handleAudit returns the log of accepted changes.
 func (a *Agent) handleAudit(_ context.Context, c *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -146,7 +146,7 @@
 	return a.staleAudit(""), nil
 }
 
-// staleAudit returns the log of this voter's store.
+// staleAudit returns the log of accepted changes of this voter's store.
 func (a *Agent) staleAudit(why string) any {
 	l := agentapi.Audit{Stale: why, Changes: []fleet.Event{}, Refused: []fleet.Event{}}
 	if a.store != nil {
@@ -155,13 +155,13 @@
 	return l
 }
 
-// handleRefused answers with the calls that this agent refused.
+// handleRefused returns the calls that this agent refused.
 func (a *Agent) handleRefused(context.Context, *call) (any, error) {
 	list, err := a.refusals.list()
 	return agentapi.Audit{Changes: []fleet.Event{}, Refused: list}, err
 }
 
-// handleSaveSnapshot answers with the encoded state of the site.
+// handleSaveSnapshot returns the encoded state of the site.
 func (a *Agent) handleSaveSnapshot(context.Context, *call) (any, error) {
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
@@ -172,10 +172,10 @@
 	return json.RawMessage(text), err
 }
 
-// handleRestoreSnapshot replaces the state of the site by a saved one.
+// handleRestoreSnapshot replaces the state of the site with that of a snapshot.
 func (a *Agent) handleRestoreSnapshot(ctx context.Context, c *call) (any, error) {
-	var probe fleet.State
-	if err := probe.Restore(c.body); err != nil {
+	var decoded fleet.State // decoded only to validate the snapshot
+	if err := decoded.Restore(c.body); err != nil {
 		return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 	}
 	if err := a.store.VerifyLeader(); err != nil {
@@ -188,8 +188,8 @@
 	return struct{}{}, err
 }
 
-// propose has the voters agree on an entry. It returns a *leader.RejectedError where the
-// site's state does not allow it.
+// propose proposes an entry to the voters. It returns a *leader.RejectedError if the site's
+// state does not allow it.
 func (a *Agent) propose(ctx context.Context, e fleet.Entry) (fleet.Outcome, error) {
 	out, err := a.store.Propose(ctx, e)
 	if err == nil && out.Rejected != "" {
@@ -198,7 +198,7 @@
 	return out, err
 }
 
-// handleApply has the voters agree on a new revision, and answers with what they decided.
+// handleApply proposes a new revision to the voters and returns the outcome.
 func (a *Agent) handleApply(ctx context.Context, request *call) (any, error) {
 	var got agentapi.ApplyRequest
 	if err := request.read(&got); err != nil {
@@ -213,7 +213,7 @@
 		return nil, leader.ErrNotLeading
 	}
 	if got.Content != nil {
-		if err := a.parse(ctx, "file", *got.Content); err != nil {
+		if err := a.checkContent(ctx, "file", *got.Content); err != nil {
 			return nil, &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
 		}
 	}
@@ -223,9 +223,9 @@
 	}
 	answer := agentapi.ApplyResult{Status: out.Result.Status, Revision: out.Result.Revision}
 	if answer.Status == fleet.Busy {
-		var now fleet.Rollout
-		a.store.View(func(s *fleet.State) { now = s.Rollout() })
-		answer.Reason = fmt.Sprintf("the rollout of revision %d, which %s began, is %s", now.New, now.By, now.State)
+		var current fleet.Rollout
+		a.store.View(func(s *fleet.State) { current = s.Rollout() })
+		answer.Reason = fmt.Sprintf("the rollout of revision %d, which %s began, is %s", current.New, current.By, current.State)
 	}
 	if answer.Status != revisions.Accepted {
 		a.refusals.add(request.name, fmt.Sprintf("apply on revision %d: %s", got.Parent, answer.Status))
@@ -233,9 +233,9 @@
 	return answer, nil
 }
 
-// parse checks a content by the gateway's parsers. At most maxConcurrentChecks run at
-// once: a check costs more than the call that asks for it.
-func (a *Agent) parse(ctx context.Context, name string, c revisions.Content) error {
+// checkContent checks a content with the gateway's parsers. At most maxConcurrentChecks run
+// at once, because a check costs much more than the call that requests it.
+func (a *Agent) checkContent(ctx context.Context, name string, c revisions.Content) error {
 	select {
 	case a.checkSlots <- struct{}{}:
 		defer func() { <-a.checkSlots }()
@@ -245,26 +245,26 @@
 	return document.Check(name, c)
 }
 
-// handleRolloutEvent returns the handler of an operator's event of the rollout.
+// handleRolloutEvent returns the handler that passes an operator's event to the rollout.
 func (a *Agent) handleRolloutEvent(ev func(by string) rollout.Event) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
 		return struct{}{}, a.leader.HandleRolloutEvent(ctx, ev(c.name), c.name)
 	}
 }
 
-// handleDrain returns the handler that drains an instance, or ends that.
-func (a *Agent) handleDrain(on bool) func(context.Context, *call) (any, error) {
+// handleDrain returns the handler that drains an instance, or ends its drain.
+func (a *Agent) handleDrain(drained bool) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
 		var v agentapi.ChangeRequest
 		if err := c.read(&v); err != nil {
 			return nil, err
 		}
-		_, err := a.propose(ctx, fleet.Entry{Drain: &fleet.Drain{Instance: v.Name, Drained: on, By: c.name, At: time.Now().UTC()}})
+		_, err := a.propose(ctx, fleet.Entry{Drain: &fleet.Drain{Instance: v.Name, Drained: drained, By: c.name, At: time.Now().UTC()}})
 		return struct{}{}, err
 	}
 }
 
-// suffrage is whether a store of the site has a vote, as the audit log writes it.
+// suffrage says in the audit log whether a replica of the site's state has a vote.
 type suffrage string
 
 const (
@@ -272,7 +272,7 @@
 	nonVoter suffrage = "replica without a vote"
 )
 
-// handleAddMember returns the handler that adds a store to the site.
+// handleAddMember returns the handler that adds a voter or a replica without a vote.
 func (a *Agent) handleAddMember(as suffrage) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
 		var v agentapi.ChangeRequest
@@ -304,9 +304,9 @@
 	}
 }
 
-// memberChange returns which voters have not applied an accepted change of the voters
-// yet. It must return within leaderTimeout, after which the agent that has forwarded the
-// call would report the outcome of an accepted change as unknown.
+// memberChange returns the voters that have not applied an accepted change of the voters
+// yet. Must return within leaderTimeout: otherwise an agent that has forwarded the call
+// would report the outcome of an accepted change as unknown.
 func (a *Agent) memberChange(ctx context.Context, change replica.Change) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout/2)
 	defer cancel()
@@ -314,7 +314,7 @@
 	return agentapi.MemberChange{Behind: behind}, err
 }
 
-// handleRemoveMember removes a store from the site.
+// handleRemoveMember removes a voter, or a replica without a vote, from the site.
 func (a *Agent) handleRemoveMember(ctx context.Context, request *call) (any, error) {
 	var v agentapi.ChangeRequest
 	if err := request.read(&v); err != nil {
@@ -323,7 +323,7 @@
 	if err := a.store.VerifyLeader(); err != nil {
 		return nil, err
 	}
-	// The audit entry comes first: a leader that removes itself can propose nothing after.
+	// The audit entry must come first: a leader that has removed itself can't propose any.
 	if _, err := a.propose(ctx, fleet.Entry{Audit: &fleet.Event{At: time.Now().UTC(), Who: request.name, What: fmt.Sprintf("voter %s is to be removed", v.Name)}}); err != nil {
 		return nil, err
 	}
--- a/internal/agent/helpers_linux_test.go
+++ b/internal/agent/helpers_linux_test.go
@@ -26,24 +26,24 @@
 )
 
 const (
-	asGateway   = "AGENT_TEST_AS_GATEWAY"
-	testTimeout = time.Minute
+	fakeGatewayEnv = "AGENT_TEST_AS_GATEWAY"
+	testTimeout    = time.Minute
 	// What the gateway that stands in does is told by its discovery's address.
-	fine    = "127.0.0.1:1"
-	crashes = "127.0.0.1:2" // soon after it was ready
-	silent  = "127.0.0.1:3" // it is never ready
-	ends    = "127.0.0.1:4" // at once
+	healthyGateway    = "127.0.0.1:1"
+	crashingGateway   = "127.0.0.1:2" // soon after it was ready
+	neverReadyGateway = "127.0.0.1:3" // it is never ready
+	exitingGateway    = "127.0.0.1:4" // at once
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asGateway) != "" {
-		if err := standIn(); err != nil {
+	if os.Getenv(fakeGatewayEnv) != "" {
+		if err := runFakeGateway(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		return
 	}
-	if os.Getenv(asVoter) != "" {
+	if os.Getenv(voterProcessEnv) != "" {
 		if err := runVoter(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -53,9 +53,9 @@
 	os.Exit(m.Run())
 }
 
-// standIn is a gateway as far as an agent can tell. It does not outlive the
+// runFakeGateway is a gateway as far as an agent can tell. It does not outlive the
 // test: its parent is the test's process, and that one's end is its own.
-func standIn() error {
+func runFakeGateway() error {
 	var c struct{ Listen, Discovery string }
 	read := func() error {
 		text, err := os.ReadFile(os.Getenv("EDGE_CONFIG"))
@@ -67,7 +67,7 @@
 	if err := read(); err != nil {
 		return err
 	}
-	if c.Discovery == ends {
+	if c.Discovery == exitingGateway {
 		return errors.New("it ends at once")
 	}
 	l, err := net.Listen("tcp", c.Listen)
@@ -76,10 +76,10 @@
 	}
 	crash := make(chan bool, 1)
 	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.Discovery == silent {
+		if c.Discovery == neverReadyGateway {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-		if c.Discovery == crashes {
+		if c.Discovery == crashingGateway {
 			crash <- true
 		}
 	}))
@@ -107,8 +107,8 @@
 	}
 }
 
-// file is a revision's file.
-func file(discovery, plan string) string {
+// revisionFile is a revision's revisionFile.
+func revisionFile(discovery, plan string) string {
 	return fmt.Sprintf(`
 [gateway]
 discovery = %q
@@ -131,8 +131,8 @@
 `, discovery, plan)
 }
 
-// machine is one agent of a test.
-type machine struct {
+// testAgent is one agent of a test.
+type testAgent struct {
 	t      testing.TB
 	config Config
 	cancel context.CancelFunc
@@ -140,19 +140,19 @@
 	client *agentapi.Client
 }
 
-func instances(t testing.TB, names ...string) (list []InstanceEntry) {
+func newInstances(t testing.TB, names ...string) (list []InstanceEntry) {
 	for _, n := range names {
 		at, err := loopback.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
-		list = append(list, InstanceEntry{Name: n, Listen: at, Env: []string{asGateway + "=1"}})
+		list = append(list, InstanceEntry{Name: n, Listen: at, Env: []string{fakeGatewayEnv + "=1"}})
 	}
 	return list
 }
 
-// newMachine describes an agent; others are the addresses of voters.
-func newMachine(t testing.TB, name string, voter bool, others []string, list ...InstanceEntry) *machine {
+// newTestAgent describes an agent; others are the addresses of voters.
+func newTestAgent(t testing.TB, name string, voter bool, others []string, list ...InstanceEntry) *testAgent {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "agent") // short: a socket's path is bounded
 	if err != nil {
@@ -165,9 +165,9 @@
 	c.Socket = filepath.Join(dir, "agent.sock")
 	c.Timing.Report, c.Timing.Heartbeat, c.Timing.Settle, c.Timing.FetchTimeout = d(50*time.Millisecond), d(500*time.Millisecond), d(2*time.Second), d(3*time.Second)
 	c.Timing.InitialBackoff = d(100 * time.Millisecond)
-	m := &machine{t: t, config: c}
+	m := &testAgent{t: t, config: c}
 	t.Cleanup(func() {
-		m.end()
+		m.stop()
 		for _, e := range list { // what the agent left, this test ends
 			var saved struct {
 				PID     int
@@ -186,10 +186,10 @@
 // start starts the agent, and waits until it answers. An address that is in use is waited for: the agents of a test
 // are in one process, and a child that another test has just forked holds a copy of a closed listener until it executes
 // its program.
-func (m *machine) start() *machine {
+func (m *testAgent) start() *testAgent {
 	m.t.Helper()
 	for limit := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
-		err := m.run()
+		err := m.startOnce()
 		if err == nil {
 			break
 		}
@@ -201,13 +201,13 @@
 	if m.client, err = agentapi.NewClient(agentapi.Target{Socket: m.config.Socket}); err != nil {
 		m.t.Fatal(err)
 	}
-	until(m.t, m.config.Name+" answers", func() bool { _, err := m.client.Status(context.Background()); return err == nil })
+	waitFor(m.t, m.config.Name+" answers", func() bool { _, err := m.client.Status(context.Background()); return err == nil })
 	return m
 }
 
-// run has the agent run until end is called. It returns the agent's error where it ends before it listens; end then has
+// startOnce has the agent startOnce until end is called. It returns the agent's error where it ends before it listens; end then has
 // nothing to wait for.
-func (m *machine) run() error {
+func (m *testAgent) startOnce() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	started := make(chan string, 1)
 	if m.config.Listen == "" {
@@ -230,17 +230,17 @@
 
 // addVoter makes another agent's store a voter, and waits until all voters have that. An election meanwhile, as on a
 // machine with too few cores, leaves the call unanswered or its outcome unknown; the same call again changes nothing.
-func (m *machine) addVoter(other *machine) {
+func (m *testAgent) addVoter(other *testAgent) {
 	m.t.Helper()
 	request := agentapi.ChangeRequest{Name: other.config.Name, Address: other.config.Listen}
-	until(m.t, request.Name+" is a voter", func() bool {
+	waitFor(m.t, request.Name+" is a voter", func() bool {
 		change, err := m.client.AddMember(context.Background(), request)
 		return err == nil && change.Behind == nil
 	})
 }
 
-// end ends the agent, and leaves its gateways.
-func (m *machine) end() {
+// stop ends the agent, and leaves its gateways.
+func (m *testAgent) stop() {
 	if m.cancel != nil {
 		m.cancel()
 		if err := <-m.done; err != nil {
@@ -251,7 +251,7 @@
 	}
 }
 
-func until(t testing.TB, what string, is func() bool) {
+func waitFor(t testing.TB, what string, is func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(testTimeout); !is(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(limit) {
@@ -260,10 +260,10 @@
 	}
 }
 
-func (m *machine) status() agentapi.Status {
+func (m *testAgent) status() agentapi.Status {
 	m.t.Helper()
 	var s agentapi.Status
-	until(m.t, "a status", func() (is bool) {
+	waitFor(m.t, "a status", func() (is bool) {
 		var err error
 		s, err = m.client.Status(context.Background())
 		return err == nil && s.Stale == ""
@@ -271,7 +271,7 @@
 	return s
 }
 
-func (m *machine) apply(request string, parent uint64, text string) agentapi.ApplyResult {
+func (m *testAgent) apply(request string, parent uint64, text string) agentapi.ApplyResult {
 	m.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -282,18 +282,18 @@
 	return a
 }
 
-// ended waits for the end of the rollout of a revision.
-func (m *machine) ended(n uint64) agentapi.Status {
+// waitRolloutEnd waits for the end of the rollout of a revision.
+func (m *testAgent) waitRolloutEnd(n uint64) agentapi.Status {
 	m.t.Helper()
 	var s agentapi.Status
-	until(m.t, fmt.Sprintf("the end of the rollout of revision %d", n), func() bool {
+	waitFor(m.t, fmt.Sprintf("the end of the rollout of revision %d", n), func() bool {
 		s = m.status()
 		return s.Rollout.New == n && s.Rollout.State.Ended()
 	})
 	return s
 }
 
-func (m *machine) is(s agentapi.Status, want rollout.State, running uint64) {
+func (m *testAgent) requireAll(s agentapi.Status, want rollout.State, running uint64) {
 	m.t.Helper()
 	if s.Rollout.State != want {
 		m.t.Fatalf("%s (%s), want %s: %+v", s.Rollout.State, s.Rollout.Reason, want, s.Instances)
@@ -305,7 +305,7 @@
 	}
 }
 
-func pids(s agentapi.Status) map[string]int {
+func gatewayPIDs(s agentapi.Status) map[string]int {
 	list := map[string]int{}
 	for _, i := range s.Instances {
 		list[i.Name] = i.PID
@@ -314,26 +314,26 @@
 }
 
 // site starts three voters and an agent that only follows, each with one gateway.
-func newSite(t *testing.T) (list []*machine) {
+func startSite(t *testing.T) (list []*testAgent) {
 	t.Helper()
-	first := newMachine(t, "a0", true, nil, instances(t, "g0")...).start()
+	first := newTestAgent(t, "a0", true, nil, newInstances(t, "g0")...).start()
 	list = append(list, first)
 	for i := 1; i < 4; i++ {
-		m := newMachine(t, fmt.Sprint("a", i), i < 3, []string{first.config.Listen}, instances(t, fmt.Sprint("g", i))...).start()
+		m := newTestAgent(t, fmt.Sprint("a", i), i < 3, []string{first.config.Listen}, newInstances(t, fmt.Sprint("g", i))...).start()
 		list = append(list, m)
 		if i < 3 {
 			first.addVoter(m)
 		}
 	}
 	// The follower must know more than one voter to outlive the first.
-	list[3].end()
+	list[3].stop()
 	list[3].config.Voters = []string{list[0].config.Listen, list[1].config.Listen, list[2].config.Listen}
 	list[3].start()
-	until(t, "all are known", func() bool { return len(list[3].status().Instances) == 4 })
+	waitFor(t, "all are known", func() bool { return len(list[3].status().Instances) == 4 })
 	return list
 }
 
-func leaderOf(list []*machine) (leader *machine, others []*machine) {
+func splitLeader(list []*testAgent) (leader *testAgent, others []*testAgent) {
 	name := list[3].status().Leader
 	for _, m := range list {
 		if m.config.Name == name {
--- a/internal/agent/instances.go
+++ b/internal/agent/instances.go
@@ -20,12 +20,12 @@
 // instanceDir returns the folder of an instance's files.
 func (c *Config) instanceDir(name string) string { return filepath.Join(c.Dir, "instances", name) }
 
-// processOptions returns the options of an instance's process.
+// processOptions returns the options of the process of an instance.
 func (a *Agent) processOptions(entry InstanceEntry) process.Options {
 	options := process.Options{Name: entry.Name, Listen: entry.Listen, Dir: a.config.instanceDir(entry.Name), Program: a.config.Gateway,
 		Env: entry.Env, Policy: a.config.supervision(), Log: a.log}
 	if a.config.Roster {
-		// Before the entry's own variables: those override it.
+		// Must precede the entry's own variables, which override it.
 		options.Env = append([]string{peers.RosterVariable + "=" + a.config.rosterPath()}, entry.Env...)
 		if address := entry.adminAddress(); address != "" {
 			options.QueryMembership = func(ctx context.Context) process.MembershipView { return queryMembership(ctx, address) }
@@ -34,19 +34,19 @@
 	return options
 }
 
-// adminAddress returns the address of the instance's admin interface, as its
-// environment sets it; "": it has none. The last setting wins, as in the process.
+// adminAddress returns the address of the instance's admin interface from its environment,
+// or "" if it has none. The last setting wins, as in the process.
 func (e *InstanceEntry) adminAddress() string {
 	for _, v := range slices.Backward(e.Env) {
-		if address, is := strings.CutPrefix(v, "EDGE_OPERATOR="); is {
+		if address, found := strings.CutPrefix(v, "EDGE_OPERATOR="); found {
 			return address
 		}
 	}
 	return ""
 }
 
-// queryMembership returns what the gateway with this admin interface knows of the
-// other members; the zero value if it does not answer.
+// queryMembership returns the view of the other members from the gateway with this admin
+// interface, or the zero value if it does not respond.
 func queryMembership(ctx context.Context, address string) (view process.MembershipView) {
 	answer, err := peers.QueryStatus(ctx, address)
 	if err != nil {
--- a/internal/agent/local_socket.go
+++ b/internal/agent/local_socket.go
@@ -13,7 +13,7 @@
 	"elderyard/internal/pki"
 )
 
-// lockFolder locks the folder against a second agent.
+// lockFolder locks the folder so that no second agent can run in it.
 func lockFolder(dir string) (unlock func(), err error) {
 	path := filepath.Join(dir, "lock")
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -24,16 +24,16 @@
 		f.Close()
 		return nil, fmt.Errorf("%s: another agent runs on this folder", dir)
 	}
-	// The explicit unlock is needed: a child that has been forked and has not executed its
-	// program yet shares the open file, and a close alone would leave the folder locked.
+	// Must unlock explicitly: a forked child that has not executed its program yet shares
+	// the open file, so closing it here would leave the folder locked.
 	return func() {
 		syscall.Flock(int(f.Fd()), syscall.LOCK_UN)
 		f.Close()
 	}, nil
 }
 
-// listenLocal listens on the local socket, which file permissions protect. The folder
-// must be locked: an existing socket is then a stale one, and is replaced.
+// listenLocal listens on the local socket, which is protected by file permissions. The
+// folder must be locked: then an existing socket is stale, and is replaced.
 func listenLocal(path string) (net.Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("local socket: %w", err)
@@ -45,7 +45,7 @@
 	return l, nil
 }
 
-// withCaller adds the caller of a connection to the context of its calls.
+// withCaller returns the context of a connection's calls, with the caller's identity.
 func withCaller(ctx context.Context, c net.Conn) context.Context {
 	switch c := c.(type) {
 	case *identifiedConn:
@@ -56,6 +56,7 @@
 	return ctx
 }
 
+// server returns an HTTP server of the agents' interface.
 func (a *Agent) server() *http.Server {
 	return &http.Server{Handler: a.routes(), ReadHeaderTimeout: handshakeTimeout, ReadTimeout: callTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: 16 << 10, ConnContext: withCaller}
--- a/internal/agent/local_socket_linux_test.go
+++ b/internal/agent/local_socket_linux_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestLocalSocketLeavesOtherModesAlone: the socket is the owner's alone from its first moment, and what other
-// goroutines create meanwhile has the permissions that they ask for.
-func TestLocalSocketLeavesOtherModesAlone(t *testing.T) {
+// The socket must have mode 0600 as soon as it exists. Setting the umask for that would change the permissions of files
+// that other goroutines create at the same time, so the test creates folders meanwhile.
+func TestLocalSocketModeIsPrivate(t *testing.T) {
 	t.Parallel()
 	dir, err := os.MkdirTemp("", "socket") // short: a socket's path is bounded
 	if err != nil {
--- a/internal/agent/local_user_linux.go
+++ b/internal/agent/local_user_linux.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// localUser returns the name of the user at the other end of a local socket.
+// localUser returns the name of the user who has opened the other end of a local socket.
 func localUser(conn *net.UnixConn) string {
 	name := "local"
 	raw, err := conn.SyscallConn()
--- a/internal/agent/membership_linux_test.go
+++ b/internal/agent/membership_linux_test.go
@@ -19,19 +19,19 @@
 	"elderyard/rollout"
 )
 
-// TestSiteGrowsFromOneMachine: a voter that had no port gets one, and others
+// TestSiteGrowsFromOneAgent: a voter that had no port gets one, and others
 // join.
-func TestSiteGrowsFromOneMachine(t *testing.T) {
+func TestSiteGrowsFromOneAgent(t *testing.T) {
 	t.Parallel()
-	m := newMachine(t, "a1", true, nil, instances(t, "g0")...)
+	m := newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)
 	m.config.Listen, m.config.Advertise, m.config.Plain = "", "", false
 	m.start()
-	m.apply("1", 0, file(fine, "basic"))
-	m.ended(1)
-	m.end()
+	m.apply("1", 0, revisionFile(healthyGateway, "basic"))
+	m.waitRolloutEnd(1)
+	m.stop()
 	m.config.Listen, m.config.Advertise, m.config.Plain = "127.0.0.1:0", "127.0.0.1:0", true
 	m.start()
-	other := newMachine(t, "a2", true, []string{m.config.Listen}, instances(t, "g1")...).start()
+	other := newTestAgent(t, "a2", true, []string{m.config.Listen}, newInstances(t, "g1")...).start()
 	if m, err := m.client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a2", Address: other.config.Listen}); err != nil || m.Behind != nil {
 		t.Fatal(m, err)
 	}
@@ -39,14 +39,14 @@
 	if err != nil || len(list.Voters) != 2 || list.Voters[0].Address != m.config.Listen {
 		t.Fatalf("%v %+v", err, list)
 	}
-	until(t, "the other's gateway has the revision", func() bool {
+	waitFor(t, "the other's gateway has the revision", func() bool {
 		s := other.status()
 		return len(s.Instances) == 2 && s.Instances[1].Ready && s.Instances[1].Running == 1
 	})
 }
 
 // postReport posts a report with a certificate, and returns the agent's failure.
-func postReport(t *testing.T, files pki.Files, to *machine, report agentapi.Report) error {
+func postReport(t *testing.T, files pki.Files, to *testAgent, report agentapi.Report) error {
 	t.Helper()
 	config, err := files.Client()
 	if err != nil {
@@ -69,17 +69,17 @@
 func TestRolesAllowOnlyTheirCalls(t *testing.T) {
 	t.Parallel()
 	files := issueCertificates(t, map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer})
-	secure := func(m *machine) *machine {
+	secure := func(m *testAgent) *testAgent {
 		f := files(m.config.Name)
 		m.config.Plain, m.config.TLS = false, TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}
 		return m
 	}
-	m := secure(newMachine(t, "a1", true, nil, instances(t, "g0")...)).start()
-	other := secure(newMachine(t, "a2", true, []string{m.config.Listen}, instances(t, "g1")...)).start()
+	m := secure(newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)).start()
+	other := secure(newTestAgent(t, "a2", true, []string{m.config.Listen}, newInstances(t, "g1")...)).start()
 	if m, err := m.client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a2", Address: other.config.Listen}); err != nil || m.Behind != nil {
 		t.Fatal(m, err)
 	}
-	as := func(name string, at *machine) *agentapi.Client {
+	as := func(name string, at *testAgent) *agentapi.Client {
 		c, err := agentapi.NewClient(agentapi.Target{Address: at.config.Listen, Files: files(name)})
 		if err != nil {
 			t.Fatal(err)
@@ -88,7 +88,7 @@
 		return c
 	}
 	ctx := context.Background()
-	call := agentapi.ApplyRequest{IdempotencyKey: "1", Content: &revisions.Content{File: file(fine, "basic")}}
+	call := agentapi.ApplyRequest{IdempotencyKey: "1", Content: &revisions.Content{File: revisionFile(healthyGateway, "basic")}}
 	_, err := as("vic", other).Apply(ctx, call)
 	var f *agentapi.Failure
 	if !errors.As(err, &f) || !f.Forbidden() {
@@ -98,13 +98,13 @@
 		t.Fatal(err)
 	}
 	// The leader knows who asked, whichever agent was asked.
-	for _, at := range []*machine{other, m} {
+	for _, at := range []*testAgent{other, m} {
 		a, err := as("ann", at).Apply(ctx, call)
 		if err != nil || a.Status != revisions.Accepted || a.Revision.Author != "ann" {
 			t.Fatalf("%v %+v", err, a)
 		}
 	}
-	m.is(m.ended(1), rollout.Applied, 1)
+	m.requireAll(m.waitRolloutEnd(1), rollout.Applied, 1)
 	if err := postReport(t, files("ann"), m, agentapi.Report{}); !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("an operator reported as an agent: %v", err)
 	}
@@ -121,7 +121,7 @@
 	if err != nil || len(log.Refused) != 1 || log.Refused[0].Who != "vic" {
 		t.Fatalf("%v %+v", err, log.Refused)
 	}
-	until(t, "the stranger is in the log", func() bool {
+	waitFor(t, "the stranger is in the log", func() bool {
 		log, err := as("vic", m).Audit(ctx)
 		return err == nil && len(log.Refused) >= 3 && strings.Contains(fmt.Sprint(log.Refused), "no certificate of this site")
 	})
@@ -131,20 +131,20 @@
 // of the dead one, before that agent gives the call up as in doubt.
 func TestAddMemberWithDeadVoterHasKnownOutcome(t *testing.T) {
 	t.Parallel()
-	var list []*machine
+	var list []*testAgent
 	for i := range 4 {
 		var others []string
 		if i > 0 {
 			others = []string{list[0].config.Listen}
 		}
-		m := newMachine(t, fmt.Sprint("a", i), true, others, instances(t, fmt.Sprint("g", i))...)
+		m := newTestAgent(t, fmt.Sprint("a", i), true, others, newInstances(t, fmt.Sprint("g", i))...)
 		m.config.Timing.Heartbeat = strict.Duration(leaderTimeout/10 + 200*time.Millisecond) // a call between voters may outlast leaderTimeout
 		list = append(list, m.start())
 		if i == 1 || i == 2 {
 			list[0].addVoter(m)
 		}
 	}
-	list[2].end()
+	list[2].stop()
 	c, err := list[1].client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a3", Address: list[3].config.Listen})
 	if err != nil || len(c.Behind) != 1 || c.Behind[0] != "a2" {
 		t.Fatalf("%+v, %v", c, err)
--- a/internal/agent/peer_calls.go
+++ b/internal/agent/peer_calls.go
@@ -17,13 +17,13 @@
 type peerCall struct {
 	method, path string
 	body         []byte
-	hop          string  // value of agentapi.HopHeader; "": none
-	onBehalfOf   *caller // whose call is forwarded; nil: it is this agent's
+	hop          string  // value of agentapi.HopHeader; "": no header
+	onBehalfOf   *caller // the caller whose call is forwarded; nil: this agent itself
 	timeout      time.Duration
 }
 
-// callLeader calls the leader, directly or through a voter that forwards the call. It
-// returns the first voter's error where none answered.
+// callLeader calls the leader, directly or through a voter that forwards the call. If no
+// voter responds, it returns the error of the first one.
 func (a *Agent) callLeader(ctx context.Context, method, path string, body []byte, answer any) error {
 	var first error
 	for _, address := range a.voterAddresses() {
@@ -45,8 +45,8 @@
 	return first
 }
 
-// callAgent calls one agent within the call's own time limit: an agent that accepts
-// connections and does not answer must not use up the time for the others.
+// callAgent calls one agent within the call's own timeout: an agent that accepts
+// connections and does not respond must not use up the time for the others.
 func (a *Agent) callAgent(ctx context.Context, address string, outgoing peerCall, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, outgoing.timeout)
 	defer cancel()
@@ -60,13 +60,13 @@
 	if outgoing.onBehalfOf != nil {
 		req.Header.Set(onBehalfHeader, outgoing.onBehalfOf.name+";"+string(outgoing.onBehalfOf.role))
 	}
-	if err = a.doPeer(req, answer); err != nil && !agentapi.IsAnswer(err) {
+	if err = a.sendRequest(req, answer); err != nil && !agentapi.IsAnswer(err) {
 		a.forgetLeader(address)
 	}
 	return err
 }
 
-// forgetLeader forgets the leader's address if it is this one, which did not answer.
+// forgetLeader clears the leader's address if it is this one, which did not respond.
 func (a *Agent) forgetLeader(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// knownLeader returns the address of the leader as this agent knows it; "": unknown.
+// knownLeader returns the last known address of the leader, or "" if it is unknown.
 func (a *Agent) knownLeader() string {
 	if a.store != nil {
 		_, address := a.store.Leader()
@@ -86,7 +86,7 @@
 	return a.leaderAddress
 }
 
-// voterAddresses returns the addresses to call for the leader, the likeliest first.
+// voterAddresses returns the addresses at which to call the leader, the most likely first.
 func (a *Agent) voterAddresses() (list []string) {
 	add := func(address string) {
 		if address != "" && address != a.self.Address && !slices.Contains(list, address) {
@@ -115,7 +115,7 @@
 	return "https://" + address + path
 }
 
-// transport returns the transport of calls to other agents.
+// transport returns the HTTP transport for calls to other agents.
 func (a *Agent) transport() *http.Transport {
 	t := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute, ResponseHeaderTimeout: time.Minute}
 	if a.port != nil {
@@ -125,8 +125,8 @@
 	return t
 }
 
-// doPeer sends a request to another agent and decodes its answer.
-func (a *Agent) doPeer(req *http.Request, answer any) error {
+// sendRequest sends a request to another agent and decodes the response.
+func (a *Agent) sendRequest(req *http.Request, answer any) error {
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := a.peerClient.Do(req)
 	if err != nil {
--- a/internal/agent/port.go
+++ b/internal/agent/port.go
@@ -15,12 +15,12 @@
 	"elderyard/internal/pki"
 )
 
-// One port serves both the voters' streams and HTTP: a stream of voters begins
-// with a byte that no HTTP request begins with.
+// One port serves both the voters' raft streams and HTTP: a raft stream begins with a byte
+// that no HTTP request begins with.
 const (
 	raftStreamByte   = 0
 	handshakeTimeout = 10 * time.Second // for the handshake and the first byte
-	maxOpenConns     = 4096             // connections at once
+	maxOpenConns     = 4096
 	acceptRetryDelay = 50 * time.Millisecond
 	dialTimeout      = 3 * time.Second
 	maxPendingConns  = 16
@@ -34,43 +34,45 @@
 
 type callerKey struct{}
 
-// callerOf returns the caller of a call; the zero value, without a role, if it is unknown.
+// callerOf returns the caller from a call's context, or the zero value, which has no role,
+// if it is unknown.
 func callerOf(ctx context.Context) caller {
 	c, _ := ctx.Value(callerKey{}).(caller)
 	return c
 }
 
-// identifiedConn is a connection of a known caller, with its first byte read ahead.
+// identifiedConn is a connection of an identified caller. Its first byte is already
+// buffered.
 type identifiedConn struct {
 	net.Conn
-	read    *bufio.Reader
+	reader  *bufio.Reader
 	caller  caller
 	release func()
 }
 
-// Read reads what follows the bytes that identified the connection.
-func (c *identifiedConn) Read(p []byte) (int, error) { return c.read.Read(p) }
+// Read reads from the buffer, and then from the connection.
+func (c *identifiedConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// Close closes the connection and frees its place.
+// Close closes the connection and releases its slot.
 func (c *identifiedConn) Close() error {
 	c.release()
 	return c.Conn.Close()
 }
 
-// port is the agent's TCP port. Its goroutines end with close.
+// port is the agent's TCP port. Its goroutines end when it is closed.
 type port struct {
-	listener net.Listener
-	server   *tls.Config // nil: plain
-	client   *tls.Config
-	refused  func(who, what string)
-	http     *connListener
-	raft     *connListener
-	slots    chan struct{}
-	wg       sync.WaitGroup
-	stop     context.CancelFunc
+	listener   net.Listener
+	server     *tls.Config // nil: plain
+	client     *tls.Config
+	logRefusal func(who, what string)
+	http       *connListener
+	raft       *connListener
+	slots      chan struct{}
+	wg         sync.WaitGroup
+	stop       context.CancelFunc
 }
 
-// connListener is a listener of connections that were accepted elsewhere.
+// connListener is a net.Listener for connections that were accepted elsewhere.
 type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -78,42 +80,42 @@
 	addr  net.Addr
 }
 
-func newConnListener(a net.Addr) *connListener {
-	return &connListener{conns: make(chan net.Conn, maxPendingConns), done: make(chan struct{}), addr: a}
+func newConnListener(addr net.Addr) *connListener {
+	return &connListener{conns: make(chan net.Conn, maxPendingConns), done: make(chan struct{}), addr: addr}
 }
 
 // Accept waits for the next connection.
-func (h *connListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-h.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-h.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close ends the listener. It may be called more than once.
-func (h *connListener) Close() error {
-	h.once.Do(func() { close(h.done) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
-// Addr returns the address that the listener was made with.
-func (h *connListener) Addr() net.Addr { return h.addr }
+// Addr returns the address that the listener was created with.
+func (l *connListener) Addr() net.Addr { return l.addr }
 
-// handOver passes a connection to Accept, or closes it if the listener is closed.
-func (h *connListener) handOver(c net.Conn) {
+// deliver passes a connection to Accept, or closes it if the listener is closed.
+func (l *connListener) deliver(c net.Conn) {
 	select {
-	case h.conns <- c:
-	case <-h.done:
+	case l.conns <- c:
+	case <-l.done:
 		c.Close()
 	}
 }
 
-// openPort listens and accepts connections until close. The advertised address is that
-// by which voters call each other.
+// openPort listens and accepts connections until close is called. Voters call each other
+// at the advertised address.
 func openPort(config *Config, refused func(who, what string)) (*port, error) {
-	p := &port{refused: refused, slots: make(chan struct{}, maxOpenConns)}
+	p := &port{logRefusal: refused, slots: make(chan struct{}, maxOpenConns)}
 	if !config.Plain {
 		var err error
 		if p.server, err = config.files().Server(); err != nil {
@@ -128,21 +130,21 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	p.listener = l
-	p.http, p.raft = newConnListener(l.Addr()), newConnListener(advertisedAddr(config.Advertise))
+	p.http, p.raft = newConnListener(l.Addr()), newConnListener(peerAddr(config.Advertise))
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
 	p.wg.Go(func() { p.accept(ctx) })
 	return p, nil
 }
 
-// advertisedAddr is the address by which other agents reach this one.
-type advertisedAddr string
+// peerAddr is the address by which other agents reach this one.
+type peerAddr string
 
 // Network returns "tcp".
-func (advertisedAddr) Network() string { return "tcp" }
+func (peerAddr) Network() string { return "tcp" }
 
 // String returns the address as host:port.
-func (a advertisedAddr) String() string { return string(a) }
+func (a peerAddr) String() string { return string(a) }
 
 // close closes the port and waits for its goroutines.
 func (p *port) close() {
@@ -160,7 +162,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors: retry when others have closed
+		if err != nil { // out of file descriptors: retry when other connections have closed
 			select {
 			case <-ctx.Done():
 				return
@@ -178,47 +180,47 @@
 	}
 }
 
-// identify authenticates the caller, reads the first byte and passes the connection to
-// the voters' streams or to HTTP.
+// identify authenticates the caller, reads the first byte and passes the connection to the
+// raft listener or to the HTTP listener.
 func (p *port) identify(ctx context.Context, raw net.Conn) {
 	var once sync.Once
-	free := func() { once.Do(func() { <-p.slots }) }
+	release := func() { once.Do(func() { <-p.slots }) }
 	defer context.AfterFunc(ctx, func() { raw.Close() })()
 	raw.SetDeadline(time.Now().Add(handshakeTimeout))
-	who := caller{"loopback", pki.Agent}
+	peer := caller{"loopback", pki.Agent}
 	conn := raw
 	if p.server != nil {
 		t := tls.Server(raw, p.server)
 		err := t.HandshakeContext(ctx)
 		if err == nil {
-			who.name, who.role, err = pki.Identity(t.ConnectionState().PeerCertificates[0])
+			peer.name, peer.role, err = pki.Identity(t.ConnectionState().PeerCertificates[0])
 		}
 		if err != nil {
-			p.refused(raw.RemoteAddr().String(), "no certificate of this site: "+err.Error())
-			free()
+			p.logRefusal(raw.RemoteAddr().String(), "no certificate of this site: "+err.Error())
+			release()
 			raw.Close()
 			return
 		}
 		conn = t
 	}
-	c := &identifiedConn{conn, bufio.NewReader(conn), who, free}
-	first, err := c.read.Peek(1)
+	c := &identifiedConn{conn, bufio.NewReader(conn), peer, release}
+	first, err := c.reader.Peek(1)
 	if err != nil {
 		c.Close()
 		return
 	}
 	raw.SetDeadline(time.Time{})
 	if first[0] != raftStreamByte {
-		p.http.handOver(c)
+		p.http.deliver(c)
 		return
 	}
-	c.read.Discard(1)
-	if !who.role.Covers(pki.Agent) {
-		p.refused(who.name, "a voter's stream, which an agent alone may open")
+	c.reader.Discard(1)
+	if !peer.role.Covers(pki.Agent) {
+		p.logRefusal(peer.name, "a voter's stream, which an agent alone may open")
 		c.Close()
 		return
 	}
-	p.raft.handOver(c)
+	p.raft.deliver(c)
 }
 
 // dial opens a connection to another agent.
@@ -231,7 +233,7 @@
 	return t.DialContext(ctx, "tcp", address)
 }
 
-// raftStreams are the voters' part of the port.
+// raftStreams is the stream layer of raft on the agent's port.
 type raftStreams struct {
 	*connListener
 	port *port
@@ -252,10 +254,10 @@
 	return c, nil
 }
 
-// noStreams are the streams of a voter that has no port.
+// noStreams is the stream layer of raft for a voter without a port.
 type noStreams struct{ *connListener }
 
-// Dial always fails: without a port no other voter can be reached.
+// Dial always fails, because a voter without a port can't reach any other.
 func (noStreams) Dial(address raft.ServerAddress, _ time.Duration) (net.Conn, error) {
 	return nil, fmt.Errorf("%s: this agent has no port", address)
 }
--- a/internal/agent/private_socket_linux.go
+++ b/internal/agent/private_socket_linux.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// listenPrivate listens on a Unix socket whose file is the owner's alone from its first moment. The socket has that mode
-// before it is bound. The umask is no way to give it: it is the whole process's, and what other goroutines create
-// meanwhile would have other permissions too.
+// listenPrivate listens on a Unix socket whose file has mode 0600 as soon as it exists: the mode is set before the
+// socket is bound. The umask can't be used instead, because it applies to the whole process and would also change the
+// permissions of files that other goroutines create at the same time.
 func listenPrivate(path string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, socket syscall.RawConn) error {
 		var chmodErr error
--- a/internal/agent/raft_log_filter.go
+++ b/internal/agent/raft_log_filter.go
@@ -12,31 +12,31 @@
 	raftLogWindow   = 10 * time.Second
 )
 
-// raftLogFilter logs a bounded number of raft's lines: a voter that can't be reached for
-// days must not fill the log.
+// raftLogFilter limits the rate of raft's log lines: a voter that is unreachable for days
+// must not fill the log.
 type raftLogFilter struct {
 	log *slog.Logger
 
-	mu    sync.Mutex
-	since time.Time
-	lines int
+	mu          sync.Mutex
+	windowStart time.Time
+	lines       int
 }
 
 func newRaftLogFilter(log *slog.Logger) *raftLogFilter { return &raftLogFilter{log: log} }
 
-// Write logs one line of raft. It never fails.
-func (q *raftLogFilter) Write(p []byte) (int, error) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if now := time.Now(); now.Sub(q.since) >= raftLogWindow {
-		if left := q.lines - maxRaftLogLines; left > 0 {
-			q.log.Warn("raft log lines dropped", "lines", left)
+// Write logs one line of raft, or drops it above the limit. It never fails.
+func (f *raftLogFilter) Write(p []byte) (int, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if now := time.Now(); now.Sub(f.windowStart) >= raftLogWindow {
+		if dropped := f.lines - maxRaftLogLines; dropped > 0 {
+			f.log.Warn("raft log lines dropped", "lines", dropped)
 		}
-		q.since, q.lines = now, 0
+		f.windowStart, f.lines = now, 0
 	}
-	if q.lines++; q.lines > maxRaftLogLines {
+	if f.lines++; f.lines > maxRaftLogLines {
 		return len(p), nil
 	}
-	q.log.Warn("raft", "line", strings.TrimSpace(string(p)))
+	f.log.Warn("raft", "line", strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/internal/agent/records_faults_linux_test.go
+++ b/internal/agent/records_faults_linux_test.go
@@ -22,12 +22,12 @@
 // it has, also across a restart, and says how old that is.
 func TestRecordsOfPartitionedFollower(t *testing.T) {
 	t.Parallel()
-	list := recordsSite(t, 1, 1)
-	result := list[0].change("1", putOf(t, "plan/gold", goldPlan))
-	inForce(t, list[0].client, result.Version, 2)
-	list[0].end()
+	list := startRecordsSite(t, 1, 1)
+	result := list[0].changeRecords("1", putOperation(t, "plan/gold", goldPlan))
+	waitUpToDate(t, list[0].client, result.Version, 2)
+	list[0].stop()
 	alone := func() (one agentapi.AgentRecords) {
-		until(t, "the follower says why it is not confirmed", func() bool {
+		waitFor(t, "the follower says why it is not confirmed", func() bool {
 			lag, err := list[1].client.RecordsLag(context.Background())
 			if err != nil || lag.Stale == "" || len(lag.Agents) != 1 {
 				return false
@@ -41,37 +41,37 @@
 	if before.Status.Version != result.Version || before.State != agentapi.RecordsUnknown {
 		t.Fatalf("%+v", before)
 	}
-	list[1].end()
+	list[1].stop()
 	list[1].start()
 	after := alone()
 	if after.Status.Version != result.Version || after.Status.Digest != before.Status.Digest || *after.Status.AgeSeconds <= *before.Status.AgeSeconds {
 		t.Fatalf("%+v, %+v before the restart", after.Status, before.Status)
 	}
 	list[0].start()
-	next := list[0].change("2", putOf(t, "plan/silver", goldPlan))
-	inForce(t, list[0].client, next.Version, 2)
+	next := list[0].changeRecords("2", putOperation(t, "plan/silver", goldPlan))
+	waitUpToDate(t, list[0].client, next.Version, 2)
 }
 
-// TestRecordsRepairAfterADay has a follower away while the voters' log of changes
+// TestRecordsRepairAfterLogCompaction has a follower away while the voters' log of changes
 // is compacted behind it.
-func TestRecordsRepairAfterADay(t *testing.T) {
+func TestRecordsRepairAfterLogCompaction(t *testing.T) {
 	t.Parallel()
-	list := recordsSite(t, 1, 1)
-	first := list[0].change("1", putOf(t, "plan/gold", goldPlan))
-	inForce(t, list[0].client, first.Version, 2)
-	list[1].end()
+	list := startRecordsSite(t, 1, 1)
+	first := list[0].changeRecords("1", putOperation(t, "plan/gold", goldPlan))
+	waitUpToDate(t, list[0].client, first.Version, 2)
+	list[1].stop()
 	var last records.Result
 	compacted := false
 	for round := 0; !compacted && round < 20; round++ {
 		var operations []records.Operation
 		for i := range records.MaxOperations {
 			name := fmt.Sprintf("plan/%s-%05d", strings.Repeat("n", 100), i)
-			operations = append(operations, putOf(t, name, fmt.Sprintf(`{"price_weight":%d,"requests_per_second":100}`, round+1)))
+			operations = append(operations, putOperation(t, name, fmt.Sprintf(`{"price_weight":%d,"requests_per_second":100}`, round+1)))
 		}
-		if last = list[0].change(fmt.Sprint("round", round), operations...); last.Status != records.Accepted {
+		if last = list[0].changeRecords(fmt.Sprint("round", round), operations...); last.Status != records.Accepted {
 			t.Fatalf("%+v, %v", last, last.Problem)
 		}
-		until(t, "the changes that are kept are listed", func() bool {
+		waitFor(t, "the changes that are kept are listed", func() bool {
 			versions, err := list[0].client.RecordsVersions(context.Background(), 0)
 			compacted = err == nil && versions.Changes[len(versions.Changes)-1].Version != first.Version
 			return err == nil
@@ -81,7 +81,7 @@
 		t.Fatal("the log of changes was not compacted")
 	}
 	list[1].start()
-	inForce(t, list[0].client, last.Version, 2)
+	waitUpToDate(t, list[0].client, last.Version, 2)
 }
 
 // voterProcess is a voter in a process of its own, which can be killed.
@@ -127,12 +127,12 @@
 func (v *voterProcess) start() *voterProcess {
 	v.t.Helper()
 	v.cmd = exec.Command(os.Args[0])
-	v.cmd.Env = append(os.Environ(), asVoter+"="+v.file)
+	v.cmd.Env = append(os.Environ(), voterProcessEnv+"="+v.file)
 	v.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := v.cmd.Start(); err != nil {
 		v.t.Fatal(err)
 	}
-	until(v.t, v.name+" answers", func() bool { _, err := v.client.Members(context.Background()); return err == nil })
+	waitFor(v.t, v.name+" answers", func() bool { _, err := v.client.Members(context.Background()); return err == nil })
 	return v
 }
 
@@ -144,14 +144,14 @@
 	}
 }
 
-// processSite starts three voters in processes of their own, and followers in this one.
-func processSite(t *testing.T, followers int) (voters []*voterProcess, list []*machine) {
+// startVoterProcesses starts three voters in processes of their own, and followers in this one.
+func startVoterProcesses(t *testing.T, followers int) (voters []*voterProcess, list []*testAgent) {
 	t.Helper()
 	var addresses []string
 	for i := range 3 {
 		v := newVoterProcess(t, fmt.Sprint("v", i), addresses)
 		if i > 0 {
-			until(t, v.name+" is a voter", func() bool {
+			waitFor(t, v.name+" is a voter", func() bool {
 				c, err := voters[0].client.AddMember(context.Background(), agentapi.ChangeRequest{Name: v.name, Address: v.at})
 				return err == nil && c.Behind == nil
 			})
@@ -159,17 +159,17 @@
 		voters, addresses = append(voters, v), append(addresses, v.at)
 	}
 	for i := range followers {
-		m := newMachine(t, fmt.Sprint("a", i), false, addresses)
+		m := newTestAgent(t, fmt.Sprint("a", i), false, addresses)
 		m.config.Records, m.config.RecordBytes = true, testBudget
 		list = append(list, m.start())
 	}
 	return voters, list
 }
 
-// roles tells who leads, and names another voter.
-func roles(t testing.TB, list []*voterProcess) (leader, other *voterProcess) {
+// findLeader tells who leads, and names another voter.
+func findLeader(t testing.TB, list []*voterProcess) (leader, other *voterProcess) {
 	t.Helper()
-	until(t, "a leader", func() bool {
+	waitFor(t, "a leader", func() bool {
 		for _, queried := range list {
 			s, err := queried.client.Status(context.Background())
 			for _, v := range list {
@@ -195,14 +195,14 @@
 func TestRecordsLeaderKilled(t *testing.T) {
 	t.Parallel()
 	const changes = 12
-	list, followers := processSite(t, 1)
+	list, followers := startVoterProcesses(t, 1)
 	follower := followers[0]
 	answers := map[string]records.Result{}
 	send := func(from *agentapi.Client, request string) (records.Result, error) {
-		return sendChange(from, request, putOf(t, "plan/"+request, goldPlan))
+		return sendChange(from, request, putOperation(t, "plan/"+request, goldPlan))
 	}
 	for round := range 2 {
-		leader, other := roles(t, list)
+		leader, other := findLeader(t, list)
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		accepted := make(chan bool, changes)
@@ -237,7 +237,7 @@
 		}
 		// Leaders have just been killed: during an election a read finds no leader.
 		var got agentapi.RecordsList
-		until(t, "a read of "+request+" is answered", func() (answered bool) {
+		waitFor(t, "a read of "+request+" is answered", func() (answered bool) {
 			var err error
 			got, err = list[1].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: request})
 			return err == nil
@@ -250,26 +250,26 @@
 	for version := range versions {
 		last = max(last, version)
 	}
-	inForce(t, follower.client, last, 4)
+	waitUpToDate(t, follower.client, last, 4)
 }
 
-// TestRecordsLeaderStopped stops the leader's process and wakes it: others come
+// TestRecordsLeaderSuspended stops the leader's process and wakes it: others come
 // to a change without it, copies that asked it go to another voter, and it comes to
 // what was agreed on without it.
-func TestRecordsLeaderStopped(t *testing.T) {
+func TestRecordsLeaderSuspended(t *testing.T) {
 	t.Parallel()
-	list, followers := processSite(t, 3)
-	first := followers[0].change("1", putOf(t, "plan/gold", goldPlan))
-	inForce(t, followers[0].client, first.Version, 6)
-	leader, other := roles(t, list)
+	list, followers := startVoterProcesses(t, 3)
+	first := followers[0].changeRecords("1", putOperation(t, "plan/gold", goldPlan))
+	waitUpToDate(t, followers[0].client, first.Version, 6)
+	leader, other := findLeader(t, list)
 	if err := leader.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	second, err := sendChange(other.client, "2", putOf(t, "plan/silver", goldPlan))
+	second, err := sendChange(other.client, "2", putOperation(t, "plan/silver", goldPlan))
 	if err != nil || second.Status != records.Accepted {
 		t.Fatalf("%+v, %v", second, err)
 	}
-	until(t, "the change is in force at all that run", func() bool {
+	waitFor(t, "the change is in force at all that run", func() bool {
 		lag, err := other.client.RecordsLag(context.Background())
 		if err != nil || lag.Stale != "" || lag.UpToDate != 5 {
 			return false
@@ -284,25 +284,25 @@
 	if err := leader.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	inForce(t, other.client, second.Version, 6)
+	waitUpToDate(t, other.client, second.Version, 6)
 }
 
-// TestRecordsRestored restores a saved state behind which the copies have gone on:
+// TestRecordsFollowRestoredSnapshot restores a saved state behind which the copies have gone on:
 // they take it all the same, as a new version.
-func TestRecordsRestored(t *testing.T) {
+func TestRecordsFollowRestoredSnapshot(t *testing.T) {
 	t.Parallel()
-	list := recordsSite(t, 1, 1)
-	first := list[0].change("1", putOf(t, "plan/gold", goldPlan))
+	list := startRecordsSite(t, 1, 1)
+	first := list[0].changeRecords("1", putOperation(t, "plan/gold", goldPlan))
 	saved, err := list[0].client.Snapshot(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := list[0].change("2", putOf(t, "plan/silver", goldPlan))
-	inForce(t, list[0].client, second.Version, 2)
+	second := list[0].changeRecords("2", putOperation(t, "plan/silver", goldPlan))
+	waitUpToDate(t, list[0].client, second.Version, 2)
 	if err := list[0].client.Restore(t.Context(), saved); err != nil {
 		t.Fatal(err)
 	}
-	restored := inForce(t, list[0].client, second.Version+1, 2)
+	restored := waitUpToDate(t, list[0].client, second.Version+1, 2)
 	got, err := list[1].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: "silver"})
 	if err != nil || len(got.Records) != 0 || got.Total != 1 || got.Version != restored.Version {
 		t.Fatalf("%+v, %v", got, err)
@@ -310,6 +310,6 @@
 	if got, err = list[1].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: "gold"}); err != nil || len(got.Records) != 1 || got.Records[0].Version != first.Version {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	third := list[1].change("3", putOf(t, "plan/copper", goldPlan))
-	inForce(t, list[0].client, third.Version, 2)
+	third := list[1].changeRecords("3", putOperation(t, "plan/copper", goldPlan))
+	waitUpToDate(t, list[0].client, third.Version, 2)
 }
--- a/internal/agent/records_copy.go
+++ b/internal/agent/records_follower.go
@@ -16,11 +16,11 @@
 
 const (
 	recordsFolder = "records"
-	burstSeconds  = 4 // of the budget that may be sent at once
-	// localServer is the server name by which a voter's copy calls the voter itself.
+	burstSeconds  = 4 // seconds of the byte rate that may be used at once
+	// localServer is the server name under which a voter's copy calls the voter itself.
 	localServer    = "local"
 	localAddress   = localServer + ":80" // as an HTTP client dials it
-	maxReasonBytes = 512                 // of the reason in a report
+	maxReasonBytes = 512                 // in a report
 	ageResolution  = 100 * time.Millisecond
 )
 
@@ -31,8 +31,8 @@
 		Dial: a.dialRecords, BaseURL: a.recordsURL, Log: a.log})
 }
 
-// recordsServers returns the voters that this agent's file names; for a voter also those
-// in its store at the start, and itself.
+// recordsServers returns the voters in this agent's configuration. For a voter, it adds
+// those that are in its store at the start, and the voter itself.
 func (a *Agent) recordsServers() (servers []string) {
 	add := func(address string) {
 		if address != a.self.Address && !slices.Contains(servers, address) {
@@ -47,7 +47,7 @@
 	}
 	members, err := a.store.Members()
 	if err != nil {
-		a.log.Warn("failed to list voters, the copy of the records uses those of the file", "error", err)
+		a.log.Warn("failed to list voters; the copy of the records uses the configured ones", "error", err)
 	}
 	for _, m := range members {
 		if m.Name != a.config.Name {
@@ -57,7 +57,7 @@
 	return append(servers, localServer)
 }
 
-// recordsURL returns the URL of a server, without a path.
+// recordsURL returns the URL of a server without a path.
 func (a *Agent) recordsURL(server string) string {
 	if server == localServer {
 		return "http://" + localServer
@@ -65,24 +65,24 @@
 	return a.url(server, "")
 }
 
-// dialRecords opens a connection to another agent, or to this one without the network.
+// dialRecords opens a connection to another agent, or an in-memory one to this agent.
 func (a *Agent) dialRecords(ctx context.Context, _, address string) (net.Conn, error) {
 	if address != localAddress {
 		return a.port.dial(ctx, address)
 	}
-	near, far := net.Pipe()
-	a.loopback.handOver(&identifiedConn{far, bufio.NewReader(far), caller{a.config.Name, pki.Agent}, func() {}})
-	return near, nil
+	client, server := net.Pipe()
+	a.loopback.deliver(&identifiedConn{server, bufio.NewReader(server), caller{a.config.Name, pki.Agent}, func() {}})
+	return client, nil
 }
 
-// recordsStatus returns the status of this agent's copy for a report; nil: it has none.
+// recordsStatus returns the status of this agent's copy for a report, or nil if it has none.
 func (a *Agent) recordsStatus() *agentapi.RecordsStatus {
 	if a.records == nil {
 		return nil
 	}
-	now := a.records.Status()
-	status := &agentapi.RecordsStatus{State: now.State, Version: now.Version, Digest: now.Digest, Reason: now.Reason}
-	if age, known := now.Age(time.Now()); known {
+	current := a.records.Status()
+	status := &agentapi.RecordsStatus{State: current.State, Version: current.Version, Digest: current.Digest, Reason: current.Reason}
+	if age, known := current.Age(time.Now()); known {
 		seconds := age.Round(ageResolution).Seconds()
 		status.AgeSeconds = &seconds
 	}
@@ -93,14 +93,15 @@
 	return status
 }
 
-// receiveRecordsHead notifies the copy of the version of the site's records.
-func (a *Agent) receiveRecordsHead(head *agentapi.RecordsHead) {
+// notifyRecordsHead passes the version of the site's records to the copy.
+func (a *Agent) notifyRecordsHead(head *agentapi.RecordsHead) {
 	if a.records != nil && head != nil {
 		a.records.NotifyHead(head.Version)
 	}
 }
 
-// staleRecordsLag returns what this agent knows without the leader: its own copy.
+// staleRecordsLag returns the state of this agent's own copy, which is all that it knows
+// without the leader.
 func (a *Agent) staleRecordsLag(why string) any {
 	lag := agentapi.RecordsLag{Stale: why, Agents: []agentapi.AgentRecords{}}
 	if status := a.recordsStatus(); status != nil {
--- a/internal/agent/records_handlers.go
+++ b/internal/agent/records_handlers.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	maxRecordsChangeBytes = 2 * fleet.MaxRecordsChangeBytes // bytes of a call's body
-	maxRecordsListed      = 5000
+	maxRecordsChangeBytes = 2 * fleet.MaxRecordsChangeBytes // of a call's body
+	maxRecordsListed      = 5000                            // in one response
 )
 
 // recordsEndpoints returns the operators' calls on the records, by method and path.
@@ -33,8 +33,8 @@
 	}
 }
 
-// followerHandlers returns the handlers of the calls that other agents' copies of the
-// records make, by method and path. There are none where records are off.
+// followerHandlers returns the handlers of the calls by which other agents' copies follow
+// the records, by method and path. There are none if records are disabled.
 func (a *Agent) followerHandlers() map[string]http.Handler {
 	list := map[string]http.Handler{}
 	if a.config.Records {
@@ -45,8 +45,8 @@
 	return list
 }
 
-// newRecordsHandler returns the handler of followers' calls: from this voter's store, or
-// the failure of an agent that has none.
+// newRecordsHandler returns the handler of followers' calls. It serves them from this
+// voter's store, or responds with a failure if this agent is not a voter.
 func (a *Agent) newRecordsHandler() http.Handler {
 	if a.store != nil {
 		return recordsync.NewHandler(a.store)
@@ -56,7 +56,7 @@
 	})
 }
 
-// onlyAgents rejects callers that do not have the role of an agent.
+// onlyAgents returns a handler that rejects callers without the role of an agent.
 func (a *Agent) onlyAgents(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := callerOf(r.Context())
@@ -69,8 +69,8 @@
 	})
 }
 
-// handleChangeRecords has the voters agree on a change of the records, and answers with
-// what they decided, a rejection included.
+// handleChangeRecords proposes a change of the records to the voters and returns the
+// outcome, which may be a rejection.
 func (a *Agent) handleChangeRecords(ctx context.Context, request *call) (any, error) {
 	var got agentapi.RecordsChange
 	if err := request.read(&got); err != nil {
@@ -98,8 +98,8 @@
 	return *out.Records, nil
 }
 
-// confirmed returns the handler of a reading call. It answers from this voter's records
-// after it has verified that they contain all that was committed before the call.
+// confirmed returns the handler of a read-only call. It reads this voter's records after
+// verifying that they contain all changes that were committed before the call.
 func (a *Agent) confirmed(read func(url.Values, *records.Store) (any, error)) func(context.Context, *call) (any, error) {
 	return func(_ context.Context, c *call) (answer any, err error) {
 		if err := a.store.VerifyLeader(); err != nil {
@@ -115,7 +115,7 @@
 	return agentapi.RecordsList{Version: store.Version(), Digest: store.Digest(), Total: store.Len(), Records: []records.Record{}}
 }
 
-// getRecord returns the record with the key of the query, in a list.
+// getRecord returns a list with the record for the key in the query, if it exists.
 func (a *Agent) getRecord(query url.Values, store *records.Store) (any, error) {
 	key, err := records.ParseKey(query.Get("key"))
 	if err != nil {
@@ -128,7 +128,7 @@
 	return list, nil
 }
 
-// listRecords returns records by kind and prefix, at most maxRecordsListed.
+// listRecords returns at most maxRecordsListed records by kind and prefix.
 func (a *Agent) listRecords(query url.Values, store *records.Store) (any, error) {
 	kind, err := records.ParseKind(query.Get("kind"))
 	if err != nil {
@@ -146,7 +146,7 @@
 	return list, nil
 }
 
-// listRecordsVersions returns the newest accepted changes.
+// listRecordsVersions returns the most recent accepted changes.
 func (a *Agent) listRecordsVersions(query url.Values, store *records.Store) (any, error) {
 	limit, err := queryNumber(query, "limit")
 	if err != nil {
@@ -176,7 +176,7 @@
 	return agentapi.RecordsDiff{From: from, To: to, Changes: changes}, nil
 }
 
-// queryNumber returns a number of a query; a missing one is 0.
+// queryNumber returns a number from a query, or 0 if it is missing.
 func queryNumber(query url.Values, name string) (uint64, error) {
 	text := query.Get(name)
 	if text == "" {
--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -23,7 +23,7 @@
 	testBudget = 1 << 20 // bytes a second
 )
 
-func putOf(t testing.TB, key, value string) records.Operation {
+func putOperation(t testing.TB, key, value string) records.Operation {
 	t.Helper()
 	parsed, err := records.ParseKey(key)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return records.Operation{Key: parsed, Value: json.RawMessage(value)}
 }
 
-func (m *machine) change(request string, operations ...records.Operation) records.Result {
+func (m *testAgent) changeRecords(request string, operations ...records.Operation) records.Result {
 	m.t.Helper()
 	result, err := sendChange(m.client, request, operations...)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return c.ChangeRecords(ctx, agentapi.RecordsChange{IdempotencyKey: request, Message: "test", Operations: operations})
 }
 
-// recordsSite starts voters and followers without gateways, all with records on.
-func recordsSite(t *testing.T, voters, followers int) (list []*machine) {
+// startRecordsSite starts voters and followers without gateways, all with records on.
+func startRecordsSite(t *testing.T, voters, followers int) (list []*testAgent) {
 	t.Helper()
 	var addresses []string
 	for i := range voters + followers {
@@ -56,7 +56,7 @@
 		if i > 0 {
 			others = addresses
 		}
-		m := newMachine(t, fmt.Sprint("a", i), i < voters, others)
+		m := newTestAgent(t, fmt.Sprint("a", i), i < voters, others)
 		m.config.Records, m.config.RecordBytes = true, testBudget
 		m.start()
 		if i > 0 && i < voters {
@@ -70,11 +70,11 @@
 	return list
 }
 
-// inForce waits until a version is in force at so many agents, and nobody else is known.
-func inForce(t testing.TB, c *agentapi.Client, version uint64, agents int) agentapi.RecordsLag {
+// waitUpToDate waits until a version is in force at so many agents, and nobody else is known.
+func waitUpToDate(t testing.TB, c *agentapi.Client, version uint64, agents int) agentapi.RecordsLag {
 	t.Helper()
 	var lag agentapi.RecordsLag
-	until(t, fmt.Sprintf("version %d is in force at %d agents", version, agents), func() bool {
+	waitFor(t, fmt.Sprintf("version %d is in force at %d agents", version, agents), func() bool {
 		var err error
 		lag, err = c.RecordsLag(context.Background())
 		return err == nil && lag.Stale == "" && lag.Version >= version && lag.UpToDate == agents && len(lag.Agents) == agents && lag.AllUpToDate()
@@ -82,14 +82,14 @@
 	return lag
 }
 
-func TestRecordsInForceEverywhere(t *testing.T) {
+func TestRecordsReachAllAgents(t *testing.T) {
 	t.Parallel()
-	list := recordsSite(t, 3, 2)
-	first := list[4].change("1", putOf(t, "plan/gold", goldPlan), putOf(t, "tenant/acme", `{"plan":"gold"}`))
+	list := startRecordsSite(t, 3, 2)
+	first := list[4].changeRecords("1", putOperation(t, "plan/gold", goldPlan), putOperation(t, "tenant/acme", `{"plan":"gold"}`))
 	if first.Status != records.Accepted {
 		t.Fatalf("%+v", first)
 	}
-	lag := inForce(t, list[3].client, first.Version, 5)
+	lag := waitUpToDate(t, list[3].client, first.Version, 5)
 	for _, a := range lag.Agents {
 		if a.Status.Version != first.Version || a.Status.Digest != lag.Digest || a.Status.AgeSeconds == nil || a.BehindSince != nil {
 			t.Fatalf("%+v of %+v", a, lag)
@@ -102,14 +102,14 @@
 	}
 
 	// A repeat is answered as the first was; another change under its key is refused.
-	if again := list[2].change("1", putOf(t, "plan/gold", goldPlan), putOf(t, "tenant/acme", `{"plan":"gold"}`)); again != first {
+	if again := list[2].changeRecords("1", putOperation(t, "plan/gold", goldPlan), putOperation(t, "tenant/acme", `{"plan":"gold"}`)); again != first {
 		t.Fatalf("%+v, %+v before", again, first)
 	}
-	if other := list[2].change("1", putOf(t, "plan/silver", goldPlan)); other.Status != records.Invalid || other.Problem.Field != "request" {
+	if other := list[2].changeRecords("1", putOperation(t, "plan/silver", goldPlan)); other.Status != records.Invalid || other.Problem.Field != "request" {
 		t.Fatalf("%+v", other)
 	}
 	// A bad change is refused whole, with the record and the field.
-	bad := list[1].change("2", putOf(t, "plan/silver", goldPlan), putOf(t, "tenant/zed", `{"plan":"copper"}`))
+	bad := list[1].changeRecords("2", putOperation(t, "plan/silver", goldPlan), putOperation(t, "tenant/zed", `{"plan":"copper"}`))
 	if bad.Status != records.Invalid || bad.Problem.Key != "tenant/zed" || bad.Problem.Field != "plan" {
 		t.Fatalf("%+v, %+v", bad, bad.Problem)
 	}
@@ -121,9 +121,9 @@
 	var wg sync.WaitGroup
 	var results [2]records.Result
 	for i := range results {
-		operation := putOf(t, "tenant/acme", fmt.Sprintf(`{"plan":"gold","burst":%d}`, i+1))
+		operation := putOperation(t, "tenant/acme", fmt.Sprintf(`{"plan":"gold","burst":%d}`, i+1))
 		operation.IfVersion = &first.Version
-		wg.Go(func() { results[i] = list[i+2].change(fmt.Sprint("cas", i), operation) })
+		wg.Go(func() { results[i] = list[i+2].changeRecords(fmt.Sprint("cas", i), operation) })
 	}
 	wg.Wait()
 	winner := 0
@@ -135,7 +135,7 @@
 		t.Fatalf("%+v", results)
 	}
 	second := results[winner].Version
-	inForce(t, list[3].client, second, 5)
+	waitUpToDate(t, list[3].client, second, 5)
 
 	diff, err := list[4].client.RecordsDiff(t.Context(), first.Version, 0)
 	if err != nil || diff.To != second || len(diff.Changes) != 1 || diff.Changes[0].Record == nil || diff.Changes[0].Version != second {
@@ -150,14 +150,14 @@
 		t.Fatalf("%+v, %v", tenants, err)
 	}
 	// Undo is a new change, and a record that is needed can't be deleted.
-	if deletion := list[0].change("3", records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}); deletion.Status != records.Invalid || deletion.Problem.Key != "plan/gold" {
+	if deletion := list[0].changeRecords("3", records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}); deletion.Status != records.Invalid || deletion.Problem.Key != "plan/gold" {
 		t.Fatalf("%+v", deletion)
 	}
-	undo := list[0].change("4", putOf(t, "tenant/acme", `{"plan":"gold"}`))
+	undo := list[0].changeRecords("4", putOperation(t, "tenant/acme", `{"plan":"gold"}`))
 	if undo.Status != records.Accepted || undo.Version <= second {
 		t.Fatalf("%+v", undo)
 	}
-	inForce(t, list[3].client, undo.Version, 5)
+	waitUpToDate(t, list[3].client, undo.Version, 5)
 	audit, err := list[3].client.Audit(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -173,11 +173,11 @@
 	}
 }
 
-func TestRecordsAreOff(t *testing.T) {
+func TestRecordsDisabled(t *testing.T) {
 	t.Parallel()
-	m := newMachine(t, "a0", true, nil).start()
+	m := newTestAgent(t, "a0", true, nil).start()
 	var f *agentapi.Failure
-	_, err := sendChange(m.client, "1", putOf(t, "plan/gold", goldPlan))
+	_, err := sendChange(m.client, "1", putOperation(t, "plan/gold", goldPlan))
 	if !errors.As(err, &f) || !f.Refused() || !strings.Contains(err.Error(), "set records = true") {
 		t.Fatalf("%v", err)
 	}
@@ -186,33 +186,33 @@
 	}
 }
 
-// TestRecordsOnOneMachine has a site without a port keep its records.
-func TestRecordsOnOneMachine(t *testing.T) {
+// TestRecordsWithoutPort has a site without a port keep its records.
+func TestRecordsWithoutPort(t *testing.T) {
 	t.Parallel()
-	m := newMachine(t, "a0", true, nil)
+	m := newTestAgent(t, "a0", true, nil)
 	m.config.Listen, m.config.Advertise, m.config.Records = "", "", true
 	m.start()
-	result := m.change("1", putOf(t, "plan/gold", goldPlan))
-	inForce(t, m.client, result.Version, 1)
-	m.end()
+	result := m.changeRecords("1", putOperation(t, "plan/gold", goldPlan))
+	waitUpToDate(t, m.client, result.Version, 1)
+	m.stop()
 	m.start()
-	inForce(t, m.client, result.Version, 1)
+	waitUpToDate(t, m.client, result.Version, 1)
 }
 
-// TestRecordsWhoIsBehind tells who is behind, and since when.
-func TestRecordsWhoIsBehind(t *testing.T) {
+// TestRecordsLagNamesLaggingAgent tells who is behind, and since when.
+func TestRecordsLagNamesLaggingAgent(t *testing.T) {
 	t.Parallel()
-	list := recordsSite(t, 1, 2)
-	first := list[0].change("1", putOf(t, "plan/gold", goldPlan))
-	inForce(t, list[0].client, first.Version, 3)
-	list[2].end()
-	second := list[0].change("2", putOf(t, "plan/silver", goldPlan))
-	third := list[0].change("3", putOf(t, "plan/copper", goldPlan))
+	list := startRecordsSite(t, 1, 2)
+	first := list[0].changeRecords("1", putOperation(t, "plan/gold", goldPlan))
+	waitUpToDate(t, list[0].client, first.Version, 3)
+	list[2].stop()
+	second := list[0].changeRecords("2", putOperation(t, "plan/silver", goldPlan))
+	third := list[0].changeRecords("3", putOperation(t, "plan/copper", goldPlan))
 	versions, err := list[0].client.RecordsVersions(t.Context(), 0)
 	if err != nil || len(versions.Changes) != 3 || versions.Changes[1].Version != second.Version {
 		t.Fatalf("%+v, %v", versions, err)
 	}
-	until(t, "one is silent and behind since the second change, two are not", func() bool {
+	waitFor(t, "one is silent and behind since the second change, two are not", func() bool {
 		lag, err := list[0].client.RecordsLag(context.Background())
 		if err != nil || lag.UpToDate != 2 || len(lag.Agents) != 3 || lag.AllUpToDate() {
 			return false
@@ -221,25 +221,25 @@
 		return silentAgent.State == agentapi.RecordsSilent && silentAgent.Status.Version == first.Version && silentAgent.BehindSince != nil && silentAgent.BehindSince.Equal(versions.Changes[1].At)
 	})
 	list[2].start()
-	inForce(t, list[0].client, third.Version, 3)
+	waitUpToDate(t, list[0].client, third.Version, 3)
 }
 
-// TestRecordsFromAReplica has a follower that knows no server but a replica without
+// TestRecordsFromNonVoter has a follower that knows no server but a replica without
 // a vote.
-func TestRecordsFromAReplica(t *testing.T) {
+func TestRecordsFromNonVoter(t *testing.T) {
 	t.Parallel()
-	list := recordsSite(t, 1, 0)
-	replica := newMachine(t, "r0", true, []string{list[0].config.Listen})
+	list := startRecordsSite(t, 1, 0)
+	replica := newTestAgent(t, "r0", true, []string{list[0].config.Listen})
 	replica.config.Records, replica.config.RecordBytes = true, testBudget
 	replica.start()
 	if c, err := list[0].client.AddNonVoter(t.Context(), agentapi.ChangeRequest{Name: replica.config.Name, Address: replica.config.Listen}); err != nil || c.Behind != nil {
 		t.Fatal(c, err)
 	}
-	follower := newMachine(t, "a1", false, []string{replica.config.Listen})
+	follower := newTestAgent(t, "a1", false, []string{replica.config.Listen})
 	follower.config.Records, follower.config.RecordBytes = true, testBudget
 	follower.start()
-	result := follower.change("1", putOf(t, "plan/gold", goldPlan))
-	inForce(t, follower.client, result.Version, 3)
+	result := follower.changeRecords("1", putOperation(t, "plan/gold", goldPlan))
+	waitUpToDate(t, follower.client, result.Version, 3)
 	members, err := follower.client.Members(t.Context())
 	if err != nil || len(members.Voters) != 2 || members.Voters[0].NonVoter || !members.Voters[1].NonVoter {
 		t.Fatalf("%+v, %v", members.Voters, err)
@@ -254,8 +254,8 @@
 func TestRecordsRolesAllowOnlyTheirCalls(t *testing.T) {
 	t.Parallel()
 	files := issueCertificates(t, map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer})
-	secure := func(name string, voter bool, others ...string) *machine {
-		m := newMachine(t, name, voter, others)
+	secure := func(name string, voter bool, others ...string) *testAgent {
+		m := newTestAgent(t, name, voter, others)
 		f := files(name)
 		m.config.Plain, m.config.TLS, m.config.Records = false, TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}, true
 		return m.start()
@@ -270,13 +270,13 @@
 		t.Cleanup(c.Close)
 		return c
 	}
-	result, err := sendChange(as("ann"), "1", putOf(t, "plan/gold", goldPlan))
+	result, err := sendChange(as("ann"), "1", putOperation(t, "plan/gold", goldPlan))
 	if err != nil || result.Status != records.Accepted {
 		t.Fatalf("%+v, %v", result, err)
 	}
-	inForce(t, as("vic"), result.Version, 2)
+	waitUpToDate(t, as("vic"), result.Version, 2)
 	var f *agentapi.Failure
-	if _, err := sendChange(as("vic"), "2", putOf(t, "plan/gold", goldPlan)); !errors.As(err, &f) || !f.Forbidden() {
+	if _, err := sendChange(as("vic"), "2", putOperation(t, "plan/gold", goldPlan)); !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("a viewer changes records: %v", err)
 	}
 	versions, err := as("vic").RecordsVersions(t.Context(), 1)
--- a/internal/agent/refusals.go
+++ b/internal/agent/refusals.go
@@ -12,22 +12,22 @@
 	"elderyard/fleet"
 )
 
-// refusals is the audit log of calls that this agent refused, one line each. It is a file
-// of the agent and not part of the site's state: unauthenticated callers can make it
-// grow. It is bounded in lines a second and in size, and is safe for concurrent use.
+// refusals is the audit log of calls that this agent refused, one line each. It is a local
+// file and not part of the site's state, because unauthenticated callers can make it grow.
+// Its size and its lines a second are limited. It is safe for concurrent use.
 type refusals struct {
 	path string
 
-	mu      sync.Mutex
-	file    *os.File
-	size    int64
-	dropped int // lines dropped in this second
-	lines   int
-	since   time.Time
+	mu          sync.Mutex
+	file        *os.File
+	size        int64
+	dropped     int // since windowStart
+	lines       int // since windowStart
+	windowStart time.Time
 }
 
 const (
-	maxRefusalsBytes     = 1 << 20 // then the file is rotated, over the previous one
+	maxRefusalsBytes     = 1 << 20 // a larger file is rotated, and replaces the previous one
 	maxRefusalsPerSecond = 50
 	maxRefusalTextBytes  = 200
 )
@@ -53,16 +53,16 @@
 	return err
 }
 
-// add logs one refusal, within the limit of lines a second.
+// add logs one refusal, or drops it above maxRefusalsPerSecond.
 func (r *refusals) add(who, what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if now.Sub(r.since) >= time.Second {
+	if now.Sub(r.windowStart) >= time.Second {
 		if r.dropped > 0 {
 			r.write(fleet.Event{At: now.UTC(), Who: "agent", What: fmt.Sprintf("%d more refusals were not written down", r.dropped)})
 		}
-		r.since, r.lines, r.dropped = now, 0, 0
+		r.windowStart, r.lines, r.dropped = now, 0, 0
 	}
 	if r.lines++; r.lines > maxRefusalsPerSecond {
 		r.dropped++
@@ -71,7 +71,7 @@
 	r.write(fleet.Event{At: now.UTC(), Who: fleet.Truncate(who, maxRefusalTextBytes), What: fleet.Truncate(what, maxRefusalTextBytes)})
 }
 
-// write appends one line, and rotates the file first if it is too large.
+// write appends one line. It first rotates the file if that is too large.
 func (r *refusals) write(event fleet.Event) {
 	if r.size > maxRefusalsBytes {
 		r.file.Close()
@@ -89,8 +89,8 @@
 	r.size += int64(n)
 }
 
-// list returns the events of the log and its previous file, the oldest first, at most
-// fleet.MaxEvents.
+// list returns the last fleet.MaxEvents events of the previous and the current file, oldest
+// first.
 func (r *refusals) list() ([]fleet.Event, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 		lines := bufio.NewScanner(f)
 		for lines.Scan() {
 			var e fleet.Event
-			if json.Unmarshal(lines.Bytes(), &e) == nil { // the last line may be cut short
+			if json.Unmarshal(lines.Bytes(), &e) == nil { // the last line may be truncated
 				list = append(list, e)
 			}
 		}
@@ -115,7 +115,7 @@
 	return list[max(0, len(list)-fleet.MaxEvents):], nil
 }
 
-// close closes the file. Nothing may be added after.
+// close closes the file. add must not be called afterwards.
 func (r *refusals) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -17,7 +17,7 @@
 	"elderyard/revisions"
 )
 
-// buildReport returns the state of this agent and its instances.
+// buildReport returns a report on this agent and its instances.
 func (a *Agent) buildReport() agentapi.Report {
 	r := agentapi.Report{Agent: a.self, Records: a.recordsStatus()}
 	if a.config.Roster {
@@ -34,8 +34,8 @@
 			o.Target = s.Status.Desired.Revision
 		}
 		a.mu.Lock()
-		if f, found := a.rejected[name]; found {
-			o.Rejected, o.RejectionReason = f.revision, f.reason
+		if rejected, found := a.rejected[name]; found {
+			o.Rejected, o.RejectionReason = rejected.revision, rejected.reason
 		}
 		a.mu.Unlock()
 		r.Instances = append(r.Instances, o)
@@ -43,28 +43,28 @@
 	return r
 }
 
-// runReports sends reports to the leader and applies its orders until ctx ends. If no
-// orders have come within the fetch timeout of a start, it starts the last revisions.
+// runReports sends reports to the leader and applies its orders until ctx ends. If it has
+// received no orders within the fetch timeout after the start, it starts the last revisions.
 func (a *Agent) runReports(ctx context.Context) {
 	if a.config.Roster {
 		a.rosterEpoch = a.cachedRosterEpoch()
 	}
-	began := time.Now()
-	started := false // orders were applied, or the last revisions started
+	startedAt := time.Now()
+	started := false // orders have been applied, or the last revisions started
 	for ctx.Err() == nil {
-		got, err := a.reportOnce(ctx)
+		got, err := a.sendReport(ctx)
 		switch {
 		case err == nil && !got.Wait:
 			a.applyOrders(ctx, got)
 			started = true
-		case !started && time.Since(began) >= time.Duration(a.config.Timing.FetchTimeout):
-			// No leader, or one without a decision: serve with the last revisions.
+		case !started && time.Since(startedAt) >= time.Duration(a.config.Timing.FetchTimeout):
+			// There is no leader, or it has no decision yet: start the last revisions.
 			a.startLastRevisions(ctx)
 			started = true
 		}
 		a.recordLeader(got, err)
 		if err == nil {
-			a.receiveRecordsHead(got.Records)
+			a.notifyRecordsHead(got.Records)
 		}
 		wait.For(ctx, time.Duration(a.config.Timing.Report))
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		a.leaderError = err.Error()
 		if before == "" {
-			a.log.Warn("no leader reachable, gateways go on with the last committed revision", "error", err)
+			a.log.Warn("no leader reachable; gateways keep the last committed revision", "error", err)
 		}
 		return
 	}
@@ -88,8 +88,8 @@
 	}
 }
 
-// reportOnce sends one report and returns the orders that answer it.
-func (a *Agent) reportOnce(ctx context.Context) (*agentapi.Orders, error) {
+// sendReport sends one report and returns the leader's orders.
+func (a *Agent) sendReport(ctx context.Context) (*agentapi.Orders, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r := a.buildReport()
@@ -110,46 +110,48 @@
 	return &got, nil
 }
 
-// applyOrders applies the leader's orders. Gateways with membership wait for a roster.
+// applyOrders applies the leader's orders. If rosters are enabled, gateways do not start
+// before the first roster has been received.
 func (a *Agent) applyOrders(ctx context.Context, got *agentapi.Orders) {
 	if got.Roster != nil {
 		a.cacheRoster(got.Roster)
 	}
-	if a.awaitsRoster() {
-		return // the next report brings it, and the orders again
+	if a.waitingForRoster() {
+		return // the response to the next report has the roster, and the orders again
 	}
 	for name, o := range got.Orders {
 		p := a.processes[name]
 		if p == nil {
 			continue
 		}
-		now := p.State().Status.Desired
+		desired := p.State().Status.Desired
 		switch {
 		case o.Drained || o.Revision == 0:
-			if now != nil {
+			if desired != nil {
 				p.SetDesired(ctx, nil)
 			}
-		case now == nil || now.Revision != o.Revision || now.ContentChecksum != o.Checksum:
+		case desired == nil || desired.Revision != o.Revision || desired.ContentChecksum != o.Checksum:
 			a.applyOrder(ctx, p, o)
 		default:
-			a.clearRejection(name) // the rejected revision is not ordered any more
+			a.clearRejection(name) // the rejected revision is no longer ordered
 		}
 	}
 }
 
-// applyOrder has an instance run an ordered revision, if the gateway's parsers accept it.
+// applyOrder sets an ordered revision as the desired state of an instance, if the gateway's
+// parsers accept it.
 func (a *Agent) applyOrder(ctx context.Context, proc *process.Process, order agentapi.Order) {
 	name, number := proc.Name(), order.Revision
 	a.mu.Lock()
-	again := a.rejected[name].revision == number
+	alreadyRejected := a.rejected[name].revision == number
 	a.mu.Unlock()
-	if again {
-		return // a revision never changes: it would be rejected again
+	if alreadyRejected {
+		return // a revision never changes, so it would be rejected again
 	}
 	r, err := a.fetchRevision(ctx, order)
 	if err != nil {
 		a.log.Warn("failed to fetch revision", "revision", number, "error", err)
-		return // the next report brings the order again
+		return // the response to the next report has the order again
 	}
 	rendered, err := a.render(r, proc)
 	if err != nil {
@@ -163,14 +165,14 @@
 	proc.SetDesired(ctx, rendered)
 }
 
-// clearRejection forgets the revision that an instance rejected.
+// clearRejection removes the record of a revision that an instance rejected.
 func (a *Agent) clearRejection(instance string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.rejected, instance)
 }
 
-// render returns the files of a revision for an instance.
+// render renders the files of a revision for an instance.
 func (a *Agent) render(r revisions.Revision, p *process.Process) (*document.Rendered, error) {
 	d, err := document.Parse(fmt.Sprintf("revision %d", r.Number), r.Content)
 	if err != nil {
@@ -179,8 +181,8 @@
 	return d.Render(r.Number, document.Instance{Name: p.Name(), Listen: p.Listen()})
 }
 
-// startLastRevisions starts each instance that has no orders with the revision that it
-// ran last, if that is cached.
+// startLastRevisions starts each instance without orders with the revision of its last run,
+// if that is cached.
 func (a *Agent) startLastRevisions(ctx context.Context) {
 	for _, p := range a.processes {
 		last := p.LastSpec()
@@ -191,7 +193,7 @@
 		r, found := a.cachedRevisions[last.Revision]
 		a.mu.Unlock()
 		if !found {
-			a.log.Warn("last revision is not cached, the gateway waits for a leader", "instance", p.Name(), "revision", last.Revision)
+			a.log.Warn("last revision is not cached; the gateway waits for a leader", "instance", p.Name(), "revision", last.Revision)
 			continue
 		}
 		rendered, err := a.render(r, p)
@@ -199,7 +201,7 @@
 			a.log.Error("failed to render the last revision", "instance", p.Name(), "error", err)
 			continue
 		}
-		a.log.Warn("no orders from a leader, starting the last revision", "instance", p.Name(), "revision", last.Revision)
+		a.log.Warn("no orders from a leader; starting the last revision", "instance", p.Name(), "revision", last.Revision)
 		p.SetDesired(ctx, rendered)
 	}
 }
--- a/internal/agent/roster.go
+++ b/internal/agent/roster.go
@@ -12,13 +12,13 @@
 	"elderyard/members"
 )
 
-// rosterFile is the file by which the gateways of this machine read the roster.
+// rosterFile is the file from which the gateways of this machine read the roster.
 const rosterFile = "roster.toml"
 
 // rosterPath returns the path of the roster file.
 func (c *Config) rosterPath() string { return filepath.Join(c.Dir, rosterFile) }
 
-// cachedRosterEpoch returns the epoch of the roster file; 0: there is none, or it can't
+// cachedRosterEpoch returns the epoch of the roster file, or 0 if there is none or it can't
 // be read.
 func (a *Agent) cachedRosterEpoch() uint64 {
 	text, err := os.ReadFile(a.config.rosterPath())
@@ -27,14 +27,14 @@
 	}
 	r, err := peers.ParseRoster(a.config.rosterPath(), text)
 	if err != nil {
-		a.log.Error("failed to read the cached roster, requesting it anew", "error", err)
+		a.log.Error("failed to read the cached roster; requesting it again", "error", err)
 		return 0
 	}
 	return r.Epoch
 }
 
-// cacheRoster writes the roster file. A failure is logged: the leader sends the roster
-// again with the next orders.
+// cacheRoster writes the roster file. A failure is only logged, because the leader sends the
+// roster again with the next orders.
 func (a *Agent) cacheRoster(roster *members.Roster) {
 	key, err := roster.Check()
 	if err != nil {
@@ -55,5 +55,5 @@
 	a.log.Info("cached roster", "epoch", roster.Epoch, "members", len(roster.Members))
 }
 
-// awaitsRoster reports whether gateways can't start because there is no roster yet.
-func (a *Agent) awaitsRoster() bool { return a.config.Roster && a.rosterEpoch == 0 }
+// waitingForRoster reports whether gateways can't start yet because there is no roster.
+func (a *Agent) waitingForRoster() bool { return a.config.Roster && a.rosterEpoch == 0 }
--- a/internal/agent/scale_linux_test.go
+++ b/internal/agent/scale_linux_test.go
@@ -32,17 +32,17 @@
 	"elderyard/supervise"
 )
 
-const asVoter = "AGENT_TEST_AS_VOTER"
+const voterProcessEnv = "AGENT_TEST_AS_VOTER"
 
 var (
-	simulated = flag.Int("agents", 60, "simulated agents of the test of scale, each with one instance")
-	idleFor   = flag.Duration("idle", 2*time.Second, "the time over which idle agents are measured")
-	interval  = flag.Duration("report", 200*time.Millisecond, "between two of their reports")
+	agentCount     = flag.Int("agents", 60, "simulated agents of the test of scale, each with one instance")
+	idleDuration   = flag.Duration("idle", 2*time.Second, "the time over which idle agents are measured")
+	reportInterval = flag.Duration("report", 200*time.Millisecond, "between two of their reports")
 )
 
 // runVoter is a voter in a process of its own, so that its memory is its own.
 func runVoter() error {
-	c, err := ReadConfig(os.Getenv(asVoter))
+	c, err := ReadConfig(os.Getenv(voterProcessEnv))
 	if err != nil {
 		return err
 	}
@@ -51,19 +51,19 @@
 	return Run(ctx, c, Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 }
 
-// counted counts what crosses a connection.
-type counted struct {
+// countingConn counts what crosses a connection.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asVoter+"="+path)
+	cmd.Env = append(os.Environ(), voterProcessEnv+"="+path)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -106,28 +106,28 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	until(t, "it leads", func() bool { s, err := client.Status(t.Context()); return err == nil && s.Stale == "" })
+	waitFor(t, "it leads", func() bool { s, err := client.Status(t.Context()); return err == nil && s.Stale == "" })
 
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
 	var calls, sent atomic.Int64
-	for i := range *simulated {
-		wg.Go(func() { simulate(ctx, i, address, &calls, &sent) })
+	for i := range *agentCount {
+		wg.Go(func() { simulateAgent(ctx, i, address, &calls, &sent) })
 	}
-	until(t, "all are known", func() bool { s, err := client.Status(ctx); return err == nil && len(s.Instances) == *simulated })
+	waitFor(t, "all are known", func() bool { s, err := client.Status(ctx); return err == nil && len(s.Instances) == *agentCount })
 
 	push := func(n uint64, plan string) time.Duration {
-		text := file(fine, plan)
-		for _, change := range [][2]string{{`soak_for = "500ms"`, fmt.Sprintf("soak_for = \"0s\"\nmost_away = %d", *simulated)}, {`silent_after = "4s"`, `silent_after = "20s"`}} {
+		text := revisionFile(healthyGateway, plan)
+		for _, change := range [][2]string{{`soak_for = "500ms"`, fmt.Sprintf("soak_for = \"0s\"\nmost_away = %d", *agentCount)}, {`silent_after = "4s"`, `silent_after = "20s"`}} {
 			text = strings.Replace(text, change[0], change[1], 1)
 		}
 		began := time.Now()
 		if a, err := client.Apply(ctx, agentapi.ApplyRequest{IdempotencyKey: plan, Parent: n - 1, Content: &revisions.Content{File: text}}); err != nil || a.Status != revisions.Accepted {
 			t.Fatalf("%v %+v", err, a)
 		}
-		until(t, "the end", func() bool {
+		waitFor(t, "the end", func() bool {
 			s, err := client.Status(ctx)
 			return err == nil && s.Rollout.New == n && s.Rollout.State == rollout.Applied
 		})
@@ -136,26 +136,26 @@
 	first, second := push(1, "basic"), push(2, "gold")
 
 	began, c, b, cpu := time.Now(), calls.Load(), sent.Load(), cpuOf(cmd.Process.Pid)
-	wait.For(ctx, *idleFor)
-	minutes := time.Since(began).Minutes() * float64(*simulated)
+	wait.For(ctx, *idleDuration)
+	minutes := time.Since(began).Minutes() * float64(*agentCount)
 	rss, peak := memoryOf(t, cmd.Process.Pid)
 	t.Logf("%d agents, a report each %v: rollouts without waits %v and %v; idle, an agent and minute: %.1f calls, %.0f bytes; the voter: %.2f cores, %d kB, at most %d kB",
-		*simulated, *interval, first.Round(time.Millisecond), second.Round(time.Millisecond), float64(calls.Load()-c)/minutes, float64(sent.Load()-b)/minutes,
+		*agentCount, *reportInterval, first.Round(time.Millisecond), second.Round(time.Millisecond), float64(calls.Load()-c)/minutes, float64(sent.Load()-b)/minutes,
 		(cpuOf(cmd.Process.Pid)-cpu).Seconds()/time.Since(began).Seconds(), rss, peak)
 }
 
-// simulate is an agent of one instance that takes at once what it is told.
-func simulate(ctx context.Context, i int, address string, calls, sent *atomic.Int64) {
+// simulateAgent is an agent of one instance that takes at once what it is told.
+func simulateAgent(ctx context.Context, i int, address string, calls, sent *atomic.Int64) {
 	d := net.Dialer{Timeout: testTimeout}
 	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: func(ctx context.Context, network, to string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, to)
-		return counted{c, sent}, err
+		return countingConn{c, sent}, err
 	}}}
 	defer client.CloseIdleConnections()
 	name := fmt.Sprintf("g%04d", i)
 	r := agentapi.Report{Agent: fleet.Agent{Name: fmt.Sprintf("a%04d", i), Address: "127.0.0.1:1", Instances: []string{name}},
 		Instances: []agentapi.Observed{{Name: name, State: supervise.Down}}}
-	wait.For(ctx, *interval*time.Duration(i)/time.Duration(*simulated))
+	wait.For(ctx, *reportInterval*time.Duration(i)/time.Duration(*agentCount))
 	for ctx.Err() == nil {
 		text, err := json.Marshal(r)
 		if err != nil {
@@ -176,7 +176,7 @@
 			}
 			resp.Body.Close()
 		}
-		wait.For(ctx, *interval)
+		wait.For(ctx, *reportInterval)
 	}
 }
 
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -21,39 +21,39 @@
 )
 
 const (
-	callTimeout         = time.Minute
-	idleTimeout         = 2 * time.Minute
-	maxBodyBytes        = 32 << 20
-	maxReportBytes      = 4 << 20
-	maxSnapshotBytes    = 256 << 20
-	leaderTimeout       = 10 * time.Second
-	readTimeout         = 3 * time.Second // of one agent to which a reading call is forwarded
-	probeTimeout        = 10 * time.Second
-	maxConcurrentProbes = 32
+	callTimeout          = time.Minute
+	idleTimeout          = 2 * time.Minute
+	maxBodyBytes         = 32 << 20
+	maxReportBytes       = 4 << 20
+	maxSnapshotBytes     = 256 << 20
+	leaderTimeout        = 10 * time.Second
+	readTimeout          = 3 * time.Second // of one agent to which a read-only call is forwarded
+	dryRunTimeout        = 10 * time.Second
+	maxConcurrentDryRuns = 32
 
-	electionTimeout      = 5 * time.Second // after it there is no majority
+	electionTimeout      = 5 * time.Second // if there is no leader for this long, there is no majority
 	electionPollInterval = 50 * time.Millisecond
 
-	onBehalfHeader = "X-Elderyard-For" // whose call an agent forwards: name;role
+	onBehalfHeader = "X-Elderyard-For" // caller of a forwarded call: name;role
 )
 
-// endpoint is one kind of call of the agents' interface.
+// endpoint is one call of the agents' interface.
 type endpoint struct {
 	minRole pki.Role
-	local   bool // this agent answers, whoever leads
-	maxBody int64
+	local   bool  // handled by the called agent, never forwarded to the leader
+	maxBody int64 // bytes; 0: maxBodyBytes
 	handle  func(context.Context, *call) (any, error)
-	stale   func(why string) any // the answer without the leader; nil: there is none
+	stale   func(why string) any // returns the response if no leader can be reached; nil: there is none
 }
 
-// call is one call in progress.
+// call is one call that is being handled.
 type call struct {
 	caller
 	body []byte
 	r    *http.Request
 }
 
-// read decodes the body. An unknown key is a bad request.
+// read decodes the body. An unknown key makes the call a bad request.
 func (c *call) read(v any) error {
 	if err := revisions.DecodeStrict(c.body, v); err != nil {
 		return &agentapi.Failure{Code: agentapi.CodeBadRequest, Text: err.Error()}
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// endpoints returns the calls that this agent serves, by method and path, beside
-// those of followerHandlers.
+// endpoints returns the calls that this agent serves, by method and path, except those of
+// followerHandlers.
 func (a *Agent) endpoints() map[string]endpoint {
 	list := map[string]endpoint{
 		"POST " + agentapi.ReportPath: {minRole: pki.Agent, maxBody: maxReportBytes, handle: a.handleReport},
@@ -75,8 +75,8 @@
 		"GET /v1/snapshot":            {minRole: pki.Operator, handle: a.handleSaveSnapshot},
 		"POST /v1/snapshot":           {minRole: pki.Operator, maxBody: maxSnapshotBytes, handle: a.handleRestoreSnapshot},
 		"POST /v1/apply":              {minRole: pki.Operator, handle: a.handleApply},
-		"POST /v1/probe":              {minRole: pki.Viewer, handle: a.handleProbe},
-		"POST /v1/probe-here":         {minRole: pki.Agent, local: true, handle: a.handleProbeHere},
+		"POST /v1/probe":              {minRole: pki.Viewer, handle: a.handleDryRun},
+		"POST /v1/probe-here":         {minRole: pki.Agent, local: true, handle: a.handleLocalDryRun},
 		"POST /v1/pause":              {minRole: pki.Operator, handle: a.handleRolloutEvent(func(by string) rollout.Event { return rollout.Pause{By: by} })},
 		"POST /v1/resume":             {minRole: pki.Operator, handle: a.handleRolloutEvent(func(by string) rollout.Event { return rollout.Resume{By: by} })},
 		"POST /v1/abort":              {minRole: pki.Operator, handle: a.handleRolloutEvent(func(by string) rollout.Event { return rollout.Abort{By: by} })},
@@ -116,11 +116,11 @@
 	return mux
 }
 
-// serveCall checks the caller's role, and answers the call here, at the leader or, where
-// none can be reached, with a stale answer.
+// serveCall checks the caller's role, and handles the call here or forwards it to the
+// leader. If no leader can be reached, it responds with stale state.
 func (a *Agent) serveCall(response http.ResponseWriter, request *http.Request, target *endpoint) {
 	c := &call{caller: callerOf(request.Context()), r: request}
-	// An agent forwards calls under the caller's identity, and so under the caller's role.
+	// A forwarded call has the identity, and so the role, of the original caller. Only agents may set them.
 	if name, role, found := strings.Cut(request.Header.Get(onBehalfHeader), ";"); found && c.role.Covers(pki.Agent) {
 		c.caller = caller{name, pki.Role(role)}
 	}
@@ -141,20 +141,20 @@
 	case target.local:
 		answer, err = target.handle(ctx, c)
 	case a.store != nil:
-		answer, err = a.whenLeading(ctx, target, c)
+		answer, err = a.handleAsLeader(ctx, target, c)
 	default:
 		err = leader.ErrNotLeading
 	}
 	if errors.Is(err, leader.ErrNotLeading) || errors.Is(err, replica.ErrNoLeader) {
-		text, sent := a.forward(ctx, c)
-		if sent == nil {
+		text, forwardErr := a.forward(ctx, c)
+		if forwardErr == nil {
 			response.Header().Set("Content-Type", "application/json")
 			response.Write(text)
 			return
 		}
-		err = sent
-		if target.stale != nil && !agentapi.IsAnswer(sent) {
-			answer, err = target.stale(sent.Error()), nil
+		err = forwardErr
+		if target.stale != nil && !agentapi.IsAnswer(forwardErr) {
+			answer, err = target.stale(forwardErr.Error()), nil
 		}
 	}
 	if err == nil {
@@ -168,12 +168,12 @@
 	writeJSON(response, status, f)
 }
 
-// whenLeading answers a call if this voter leads. Where no leader is known, as after a
+// handleAsLeader handles a call if this voter leads. While no leader is known, as after a
 // start or during an election, it retries for electionTimeout.
-func (a *Agent) whenLeading(ctx context.Context, e *endpoint, c *call) (answer any, err error) {
-	for limit := time.Now().Add(electionTimeout); ; wait.For(ctx, electionPollInterval) {
+func (a *Agent) handleAsLeader(ctx context.Context, e *endpoint, c *call) (answer any, err error) {
+	for deadline := time.Now().Add(electionTimeout); ; wait.For(ctx, electionPollInterval) {
 		answer, err = e.handle(ctx, c)
-		if !errors.Is(err, leader.ErrNotLeading) && !errors.Is(err, replica.ErrNoLeader) || ctx.Err() != nil || time.Now().After(limit) {
+		if !errors.Is(err, leader.ErrNotLeading) && !errors.Is(err, replica.ErrNoLeader) || ctx.Err() != nil || time.Now().After(deadline) {
 			return answer, err
 		}
 		if _, address := a.store.Leader(); address != "" && address != a.self.Address {
@@ -182,7 +182,7 @@
 	}
 }
 
-// asFailure returns the failure and the HTTP status by which an error is answered.
+// asFailure returns the failure and the HTTP status with which to respond to an error.
 func asFailure(err error) (*agentapi.Failure, int) {
 	var f *agentapi.Failure
 	var r *leader.RejectedError
@@ -204,22 +204,22 @@
 	return &agentapi.Failure{Code: agentapi.CodeRefused, Text: err.Error()}, http.StatusConflict
 }
 
-// writeJSON answers with a value.
+// writeJSON responds with a status and a value as JSON.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-// forward has the leader answer a call. Each call is forwarded at most twice: to a voter,
-// and by that to the leader.
+// forward forwards a call to the leader. A call is forwarded at most twice: to a voter, and
+// by that voter to the leader.
 func (a *Agent) forward(ctx context.Context, request *call) ([]byte, error) {
 	hop := request.r.Header.Get(agentapi.HopHeader)
 	if hop != "" && hop != agentapi.HopMayForward || hop == agentapi.HopMayForward && a.store == nil {
 		return nil, &agentapi.Failure{Code: agentapi.CodeUnreachable, Text: "this agent does not lead either"}
 	}
 	addresses := a.voterAddresses()
-	if a.store != nil { // a voter knows the leader, or nobody does
+	if a.store != nil { // if a voter does not know the leader, no other agent can
 		_, address := a.store.Leader()
 		addresses = nil
 		if address != "" && address != a.self.Address {
