--- a/internal/agent/golden_calls_test.go
+++ b/internal/agent/golden_calls_test.go
@@ -27,8 +27,8 @@
 	"elderyard/revisions"
 )
 
-// goldenAgent is an agent without a store, processes or a port: as much as the HTTP
-// interface needs to say who may call what.
+// goldenAgent returns an agent without a store, processes and a port, which is enough to
+// test the HTTP interface.
 func goldenAgent(t *testing.T, withRecords bool) *Agent {
 	t.Helper()
 	dir := t.TempDir()
@@ -45,6 +45,7 @@
 	return a
 }
 
+// serveTestCall lets an agent handle a call and returns the response.
 func serveTestCall(a *Agent, c caller, method, path string, header http.Header) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, nil)
 	r = r.WithContext(context.WithValue(r.Context(), callerKey{}, c))
@@ -56,28 +57,28 @@
 	return recorder
 }
 
-// Each call has its method, its path, the least role that may make it and, where no
-// leader is known, a stale answer or none.
+// The method, path and minimum role of each call must not change, and neither must the
+// calls that have a stale response if no leader is known.
 func TestGoldenEndpoints(t *testing.T) {
 	calls := []string{"POST /v1/report", "GET /v1/status", "GET /v1/revisions", "GET /v1/revisions/1", "GET /v1/members", "GET /v1/audit", "GET /v1/refused",
 		"GET /v1/snapshot", "POST /v1/snapshot", "POST /v1/apply", "POST /v1/probe", "POST /v1/probe-here", "POST /v1/pause", "POST /v1/resume", "POST /v1/abort",
 		"POST /v1/drain", "POST /v1/undrain", "POST /v1/members/add", "POST /v1/replicas/add", "POST /v1/members/remove", "POST /v1/agents/remove",
 		"POST /v1/records/change", "GET /v1/records/get", "GET /v1/records/list", "GET /v1/records/versions", "GET /v1/records/diff", "GET /v1/records/lag",
 		"GET /v1/records/changes", "GET /v1/records/ranges", "GET /v1/records/ranges/content",
-		// Not calls: another method, another path.
+		// Unknown methods and paths.
 		"GET /v1/apply", "POST /v1/status", "DELETE /v1/agents/remove", "GET /v1", "GET /", "GET /v1/records/mood", "POST /v1/records/list"}
 	for name, a := range map[string]*Agent{"endpoints.txt": goldenAgent(t, true), "endpoints-without-records.txt": goldenAgent(t, false)} {
-		// The reverse: no call is served that the list lacks.
+		// No call is served that is missing in the list.
 		served := slices.AppendSeq(slices.Collect(maps.Keys(a.endpoints())), maps.Keys(a.followerHandlers()))
 		for _, pattern := range served {
-			if one := strings.Replace(pattern, "{n}", "1", 1); !slices.Contains(calls, one) {
-				t.Errorf("%s is served and not in the list of calls", pattern)
+			if served := strings.Replace(pattern, "{n}", "1", 1); !slices.Contains(calls, served) {
+				t.Errorf("%s is served but missing in the list of calls", pattern)
 			}
 		}
 		var lines bytes.Buffer
-		for _, one := range calls {
-			method, path, _ := strings.Cut(one, " ")
-			fmt.Fprintf(&lines, "%s:", one)
+		for _, line := range calls {
+			method, path, _ := strings.Cut(line, " ")
+			fmt.Fprintf(&lines, "%s:", line)
 			for _, role := range append([]pki.Role{""}, pki.Roles()...) {
 				fmt.Fprintf(&lines, " %s %d", cmp.Or(string(role), "nobody"), serveTestCall(a, caller{"x", role}, method, path, nil).Code)
 			}
@@ -87,11 +88,12 @@
 	}
 }
 
-// The answers of the interface's own, with the headers between agents that change them.
+// The responses that the interface itself generates must not change, and neither must the
+// effect of the headers between agents.
 func TestGoldenRefusals(t *testing.T) {
 	on, off := goldenAgent(t, true), goldenAgent(t, false)
 	var lines bytes.Buffer
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name   string
 		a      *Agent
 		role   pki.Role
@@ -115,14 +117,14 @@
 		{"follower asks one that is no voter", on, pki.Agent, "GET /v1/records/changes", nil},
 		{"viewer asks as a follower", on, pki.Viewer, "GET /v1/records/changes", nil},
 	} {
-		method, path, _ := strings.Cut(one.call, " ")
-		got := serveTestCall(one.a, caller{"x", one.role}, method, path, one.header)
-		fmt.Fprintf(&lines, "%s: %d %s", one.name, got.Code, got.Body)
+		method, path, _ := strings.Cut(test.call, " ")
+		got := serveTestCall(test.a, caller{"x", test.role}, method, path, test.header)
+		fmt.Fprintf(&lines, "%s: %d %s", test.name, got.Code, got.Body)
 	}
 	golden.File(t, "refusals.txt", lines.Bytes())
 }
 
-// TestGoldenStaleStatus pins what an agent without a leader tells of itself.
+// The status that an agent reports of itself without a leader must keep its format.
 func TestGoldenStaleStatus(t *testing.T) {
 	got := serveTestCall(goldenAgent(t, true), caller{"x", pki.Viewer}, http.MethodGet, "/v1/status", nil)
 	var s agentapi.Status
@@ -133,7 +135,7 @@
 	checkAnswerOf(t, "status-stale.json", s)
 }
 
-// recordedCall is an HTTP request as a server saw it.
+// recordedCall formats an HTTP request as the server received it.
 func recordedCall(r *http.Request) string {
 	body, _ := io.ReadAll(r.Body)
 	text := fmt.Sprintf("%s %s %s", r.Method, r.RequestURI, body)
@@ -145,7 +147,8 @@
 	return text
 }
 
-// The calls between agents, with the headers that say how far and for whom.
+// The calls between agents must not change, and neither must their headers for the hop count
+// and the original caller.
 func TestGoldenPeerCalls(t *testing.T) {
 	var lines bytes.Buffer
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -171,7 +174,7 @@
 	if _, err := a.sendReport(t.Context()); err != nil {
 		t.Error(err)
 	}
-	a.leaderAddress = address // one that is known to lead may not forward the call
+	a.leaderAddress = address // a call to the known leader must not be forwarded again
 	send(caller{"ann", pki.Operator}, http.MethodPost, "/v1/pause", "")
 	if _, err := a.sendReport(t.Context()); err != nil {
 		t.Error(err)
@@ -179,7 +182,7 @@
 	golden.File(t, "peer-calls.txt", lines.Bytes())
 }
 
-// A stream between voters begins with a byte that no HTTP request begins with.
+// A raft stream must begin with a byte that no HTTP request begins with.
 func TestGoldenStreamByte(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/agent/golden_files_test.go
+++ b/internal/agent/golden_files_test.go
@@ -23,13 +23,13 @@
 	"elderyard/revisions"
 )
 
-// TestGoldenCachedRevisions pins the file of the revisions that a start without a leader
-// goes by: fetched from a voter, written, and read by the next start.
+// The cache file of revisions, which a start without a leader reads, must keep its format.
+// The revision is fetched from a voter, written, and read by the next start.
 func TestGoldenCachedRevisions(t *testing.T) {
 	revision := goldenRevision()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.RequestURI != "/v1/revisions/4" {
-			t.Errorf("%s is asked for", r.RequestURI)
+			t.Errorf("unexpected request for %s", r.RequestURI)
 		}
 		writeJSON(w, http.StatusOK, revision)
 	}))
@@ -54,11 +54,11 @@
 	}
 	next.loadCachedRevisions()
 	if want := map[uint64]revisions.Revision{4: revision}; !reflect.DeepEqual(next.cachedRevisions, want) {
-		t.Errorf("%+v is read, want %+v", next.cachedRevisions, want)
+		t.Errorf("read %+v, want %+v", next.cachedRevisions, want)
 	}
 }
 
-// TestGoldenRefusedLog pins the lines of the log of refused calls.
+// The lines of the log of refused calls must keep their format.
 func TestGoldenRefusedLog(t *testing.T) {
 	events := []fleet.Event{{At: goldenTime, Who: "vic", What: `POST /v1/apply, which the role "viewer" may not`},
 		{At: goldenTime.Add(time.Second), Who: "agent", What: "3 more refusals were not written down"}}
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestGoldenRosterFile pins the file by which an agent hands the roster to its gateways.
+// The file from which the gateways read the roster must keep its format.
 func TestGoldenRosterFile(t *testing.T) {
 	a := goldenAgent(t, false)
 	r := &members.Roster{Epoch: 10, Members: []members.Member{{Name: "g0", Since: 2}}}
@@ -97,12 +97,12 @@
 	}
 	golden.File(t, "roster.toml", text)
 	if epoch := a.cachedRosterEpoch(); epoch != 10 {
-		t.Errorf("epoch %d is read", epoch)
+		t.Errorf("read epoch %d, want 10", epoch)
 	}
 }
 
-// TestGoldenConfigKeys pins the keys of an agent's file with their documentation, and
-// their defaults.
+// The keys of an agent's configuration file, their documentation and their defaults must
+// not change.
 func TestGoldenConfigKeys(t *testing.T) {
 	var lines bytes.Buffer
 	for _, key := range Keys() {
@@ -116,14 +116,14 @@
 	golden.File(t, "agent-defaults.toml", text)
 }
 
-// TestGoldenConfig pins an agent's file with every key set.
+// An agent's configuration file with every key set must keep its format.
 func TestGoldenConfig(t *testing.T) {
-	d := func(n int) strict.Duration { return strict.Duration(time.Duration(n) * time.Millisecond) }
+	ms := func(n int) strict.Duration { return strict.Duration(time.Duration(n) * time.Millisecond) }
 	config := Config{Name: "a1", Dir: "/d", Listen: "127.0.0.1:7946", Advertise: "127.0.0.1:7947", Socket: "/d/s", Plain: true, Voter: true,
 		Voters: []string{"10.0.0.2:7946"}, Roster: true, Records: true, RecordBytes: 7000, Gateway: "/bin/elderyard", ServiceFrom: "http://10.0.0.9/level",
 		TLS:    TLS{CA: "/ca.pem", Cert: "/a1.pem", Key: "/a1-key.pem"},
-		Timing: Timing{Report: d(1001), FetchTimeout: d(1002), Heartbeat: d(1003), Settle: d(1004), InitialBackoff: d(1005), MaxBackoff: d(1006), BackoffResetAfter: d(1007), KillMargin: d(1008)},
-		RESP: site.RESP{Listen: "127.0.0.1:6379", Most: 8, Idle: d(60000), Cert: "/r.pem", Key: "/r-key.pem", CA: "/r-ca.pem", Plan: "gold",
+		Timing: Timing{Report: ms(1001), FetchTimeout: ms(1002), Heartbeat: ms(1003), Settle: ms(1004), InitialBackoff: ms(1005), MaxBackoff: ms(1006), BackoffResetAfter: ms(1007), KillMargin: ms(1008)},
+		RESP: site.RESP{Listen: "127.0.0.1:6379", Most: 8, Idle: ms(60000), Cert: "/r.pem", Key: "/r-key.pem", CA: "/r-ca.pem", Plan: "gold",
 			Account: []site.RESPAccount{{ID: "0000000000000001", Plan: "gold"}},
 			User:    []site.RESPUser{{Name: "ann", Password: strings.Repeat("0", 64), Accounts: []string{"*"}, Commands: []string{"*"}}}},
 		Instances: []InstanceEntry{{Name: "g0", Listen: "127.0.0.1:8080", Env: []string{"EDGE_OPERATOR=127.0.0.1:9080"}}}}
@@ -137,7 +137,7 @@
 	if err != nil || !reflect.DeepEqual(got, config) {
 		t.Errorf("%+v, %v, want %+v", got, err, config)
 	}
-	if at := got.Instances[0].adminAddress(); at != "127.0.0.1:9080" {
-		t.Errorf("the instance's operators call %q", at)
+	if address := got.Instances[0].adminAddress(); address != "127.0.0.1:9080" {
+		t.Errorf("the admin address of the instance is %q", address)
 	}
 }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -37,7 +37,7 @@
 	return text
 }
 
-// unsetFields lists the fields below v that have their zero value.
+// unsetFields returns the paths of all fields of v, also nested ones, that are zero.
 func unsetFields(v reflect.Value, path string) (unset []string) {
 	if _, isText := v.Interface().(encoding.TextMarshaler); isText && v.Kind() != reflect.Pointer {
 		if v.IsZero() {
@@ -77,21 +77,23 @@
 	return unset
 }
 
+// checkAllSet fails the test if a field of v is zero.
 func checkAllSet(t *testing.T, v any) {
 	t.Helper()
 	if unset := unsetFields(reflect.ValueOf(v), reflect.TypeOf(v).String()); len(unset) > 0 {
-		t.Errorf("fields without a value in the golden form: %v", unset)
+		t.Errorf("fields of the golden value that are not set: %v", unset)
 	}
 }
 
-// checkAnswer compares an answer with every field set with its golden file, as the HTTP
-// interface writes it, and what a client reads of that file with the answer.
+// checkAnswer does the same as checkAnswerOf for an answer that must have every field set.
 func checkAnswer[T any](t *testing.T, name string, answer T) {
 	t.Helper()
 	checkAllSet(t, answer)
 	checkAnswerOf(t, name, answer)
 }
 
+// checkAnswerOf compares an answer, encoded by the HTTP interface, with its golden file, and
+// the file, decoded by a client, with the answer.
 func checkAnswerOf[T any](t *testing.T, name string, answer T) {
 	t.Helper()
 	recorder := httptest.NewRecorder()
@@ -110,7 +112,8 @@
 	}
 }
 
-// checkRequest does the same for a request as the client sends it and an agent reads it.
+// checkRequest does the same for a request, encoded as by a client and decoded as by an
+// agent. The request must have every field set.
 func checkRequest[T any](t *testing.T, name string, request T) {
 	t.Helper()
 	checkAllSet(t, request)
@@ -167,7 +170,7 @@
 	checkRequest(t, "verb.json", agentapi.ChangeRequest{Name: "g0", Address: "10.0.0.1:7946"})
 	checkRequest(t, "probe-content.json", content)
 
-	// Calls of older tools lack the optional keys; an unknown key refuses the call.
+	// Calls of older tools lack the optional keys. A call with an unknown key is rejected.
 	for text, want := range map[string]any{
 		`{"request":"r1","parent":0}`: agentapi.ApplyRequest{IdempotencyKey: "r1"},
 		`{}`:                          agentapi.ChangeRequest{},
@@ -184,11 +187,11 @@
 	}
 }
 
-// Each failure has its code, its HTTP status and its body; a client reads the same
-// failure of the body.
+// The code, HTTP status and body of each failure must not change, and a client must decode
+// the same failure from the body.
 func TestGoldenFailures(t *testing.T) {
 	var lines bytes.Buffer
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name string
 		err  error
 	}{
@@ -208,29 +211,29 @@
 		{"store has no leader", fmt.Errorf("first: %w", replica.ErrNoLeader)},
 		{"anything else", errors.New("the store is closed")},
 	} {
-		f, status := asFailure(one.err)
+		f, status := asFailure(test.err)
 		recorder := httptest.NewRecorder()
 		writeJSON(recorder, status, f)
-		fmt.Fprintf(&lines, "%s: %d %s", one.name, status, recorder.Body)
+		fmt.Fprintf(&lines, "%s: %d %s", test.name, status, recorder.Body)
 		var read *agentapi.Failure
 		if err := agentapi.ReadResponse(recorder.Result(), &struct{}{}); !errors.As(err, &read) || *read != *f {
-			t.Errorf("%s is read as %v", one.name, err)
+			t.Errorf("%s: the client reads %v", test.name, err)
 		}
 		fmt.Fprintf(&lines, "    refused %v, bad %v, forbidden %v, in doubt %v\n", read.Refused(), read.BadRequest(), read.Forbidden(), read.OutcomeUnknown())
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		status int
 		body   string
 	}{{http.StatusBadGateway, "<html>"}, {http.StatusConflict, `{"error":"no code"}`}, {http.StatusOK, "<html>"}} {
 		recorder := httptest.NewRecorder()
-		recorder.WriteHeader(one.status)
-		recorder.WriteString(one.body)
+		recorder.WriteHeader(test.status)
+		recorder.WriteString(test.body)
 		var read *agentapi.Failure
 		if err := agentapi.ReadResponse(recorder.Result(), &struct{}{}); !errors.As(err, &read) {
 			t.Fatal(err)
 		}
-		text, _, _ := strings.Cut(read.Text, ":") // what follows is the decoder's
-		fmt.Fprintf(&lines, "%d %s: %s: %s\n", one.status, one.body, read.Code, text)
+		text, _, _ := strings.Cut(read.Text, ":") // the rest comes from the JSON decoder
+		fmt.Fprintf(&lines, "%d %s: %s: %s\n", test.status, test.body, read.Code, text)
 	}
 	golden.File(t, "failures.txt", lines.Bytes())
 }
--- a/internal/agent/helpers_linux_test.go
+++ b/internal/agent/helpers_linux_test.go
@@ -28,11 +28,11 @@
 const (
 	fakeGatewayEnv = "AGENT_TEST_AS_GATEWAY"
 	testTimeout    = time.Minute
-	// What the gateway that stands in does is told by its discovery's address.
+	// The discovery address in the configuration selects the behavior of a fake gateway.
 	healthyGateway    = "127.0.0.1:1"
-	crashingGateway   = "127.0.0.1:2" // soon after it was ready
-	neverReadyGateway = "127.0.0.1:3" // it is never ready
-	exitingGateway    = "127.0.0.1:4" // at once
+	crashingGateway   = "127.0.0.1:2" // panics soon after it became ready
+	neverReadyGateway = "127.0.0.1:3"
+	exitingGateway    = "127.0.0.1:4" // exits at once
 )
 
 func TestMain(m *testing.M) {
@@ -53,22 +53,22 @@
 	os.Exit(m.Run())
 }
 
-// runFakeGateway is a gateway as far as an agent can tell. It does not outlive the
-// test: its parent is the test's process, and that one's end is its own.
+// runFakeGateway serves the readiness check and handles signals like a gateway. It exits
+// when its parent, the test's process, has ended.
 func runFakeGateway() error {
 	var c struct{ Listen, Discovery string }
-	read := func() error {
+	loadConfig := func() error {
 		text, err := os.ReadFile(os.Getenv("EDGE_CONFIG"))
 		if err != nil {
 			return err
 		}
 		return json.Unmarshal(text, &c)
 	}
-	if err := read(); err != nil {
+	if err := loadConfig(); err != nil {
 		return err
 	}
 	if c.Discovery == exitingGateway {
-		return errors.New("it ends at once")
+		return errors.New("configured to exit at once")
 	}
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -93,7 +93,7 @@
 			if s == syscall.SIGTERM {
 				return nil
 			}
-			if err := read(); err != nil {
+			if err := loadConfig(); err != nil {
 				return err
 			}
 		case <-crash:
@@ -107,7 +107,7 @@
 	}
 }
 
-// revisionFile is a revision's revisionFile.
+// revisionFile returns the content of a revision.
 func revisionFile(discovery, plan string) string {
 	return fmt.Sprintf(`
 [gateway]
@@ -140,35 +140,36 @@
 	client *agentapi.Client
 }
 
+// newInstances returns instances with these names, free addresses and fake gateways.
 func newInstances(t testing.TB, names ...string) (list []InstanceEntry) {
 	for _, n := range names {
-		at, err := loopback.FreeAddress()
+		address, err := loopback.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
-		list = append(list, InstanceEntry{Name: n, Listen: at, Env: []string{fakeGatewayEnv + "=1"}})
+		list = append(list, InstanceEntry{Name: n, Listen: address, Env: []string{fakeGatewayEnv + "=1"}})
 	}
 	return list
 }
 
-// newTestAgent describes an agent; others are the addresses of voters.
-func newTestAgent(t testing.TB, name string, voter bool, others []string, list ...InstanceEntry) *testAgent {
+// newTestAgent returns an agent that is not started yet. voters are the addresses of voters.
+func newTestAgent(t testing.TB, name string, voter bool, voters []string, list ...InstanceEntry) *testAgent {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "agent") // short: a socket's path is bounded
+	dir, err := os.MkdirTemp("", "agent") // the path must be short: the length of a socket's path is limited
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := defaults()
 	d := func(d time.Duration) strict.Duration { return strict.Duration(d) }
-	at := loopback.Host() + ":0"
-	c.Name, c.Dir, c.Listen, c.Advertise, c.Plain, c.Voter, c.Voters, c.Gateway, c.Instances = name, dir, at, at, true, voter, others, os.Args[0], list
+	address := loopback.Host() + ":0"
+	c.Name, c.Dir, c.Listen, c.Advertise, c.Plain, c.Voter, c.Voters, c.Gateway, c.Instances = name, dir, address, address, true, voter, voters, os.Args[0], list
 	c.Socket = filepath.Join(dir, "agent.sock")
 	c.Timing.Report, c.Timing.Heartbeat, c.Timing.Settle, c.Timing.FetchTimeout = d(50*time.Millisecond), d(500*time.Millisecond), d(2*time.Second), d(3*time.Second)
 	c.Timing.InitialBackoff = d(100 * time.Millisecond)
-	m := &testAgent{t: t, config: c}
+	agent := &testAgent{t: t, config: c}
 	t.Cleanup(func() {
-		m.stop()
-		for _, e := range list { // what the agent left, this test ends
+		agent.stop()
+		for _, e := range list { // kill the gateways that the agent has left running
 			var saved struct {
 				PID     int
 				Started string
@@ -180,47 +181,47 @@
 		}
 		os.RemoveAll(dir)
 	})
-	return m
+	return agent
 }
 
-// start starts the agent, and waits until it answers. An address that is in use is waited for: the agents of a test
-// are in one process, and a child that another test has just forked holds a copy of a closed listener until it executes
-// its program.
-func (m *testAgent) start() *testAgent {
-	m.t.Helper()
-	for limit := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
-		err := m.startOnce()
+// start starts the agent and waits until it responds. It retries while the address is in use: all tests run in one
+// process, and a child that another test has just forked holds a copy of a closed listener until it executes its
+// program.
+func (agent *testAgent) start() *testAgent {
+	agent.t.Helper()
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		err := agent.startOnce()
 		if err == nil {
 			break
 		}
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(limit) {
-			m.t.Fatal(err)
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
+			agent.t.Fatal(err)
 		}
 	}
 	var err error
-	if m.client, err = agentapi.NewClient(agentapi.Target{Socket: m.config.Socket}); err != nil {
-		m.t.Fatal(err)
+	if agent.client, err = agentapi.NewClient(agentapi.Target{Socket: agent.config.Socket}); err != nil {
+		agent.t.Fatal(err)
 	}
-	waitFor(m.t, m.config.Name+" answers", func() bool { _, err := m.client.Status(context.Background()); return err == nil })
-	return m
+	waitFor(agent.t, agent.config.Name+" responds", func() bool { _, err := agent.client.Status(context.Background()); return err == nil })
+	return agent
 }
 
-// startOnce has the agent startOnce until end is called. It returns the agent's error where it ends before it listens; end then has
-// nothing to wait for.
-func (m *testAgent) startOnce() error {
+// startOnce runs the agent until stop is called. If the agent ends before it listens, startOnce returns its error, and
+// there is nothing to stop.
+func (agent *testAgent) startOnce() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	started := make(chan string, 1)
-	if m.config.Listen == "" {
+	if agent.config.Listen == "" {
 		started <- ""
 	}
-	config, done := m.config, make(chan error, 1)
+	config, done := agent.config, make(chan error, 1)
 	go func() {
-		done <- Run(ctx, config, Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Started: func(a string) { started <- a }})
+		done <- Run(ctx, config, Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Started: func(address string) { started <- address }})
 	}()
 	select {
-	case a := <-started:
-		m.config.Listen, m.config.Advertise = a, a
-		m.cancel, m.done = cancel, done
+	case address := <-started:
+		agent.config.Listen, agent.config.Advertise = address, address
+		agent.cancel, agent.done = cancel, done
 		return nil
 	case err := <-done:
 		cancel()
@@ -228,83 +229,89 @@
 	}
 }
 
-// addVoter makes another agent's store a voter, and waits until all voters have that. An election meanwhile, as on a
-// machine with too few cores, leaves the call unanswered or its outcome unknown; the same call again changes nothing.
-func (m *testAgent) addVoter(other *testAgent) {
-	m.t.Helper()
+// addVoter makes another agent a voter and waits until all voters have applied that. An election meanwhile, as on a
+// machine with too few cores, makes the call fail or its outcome unknown; repeating the call is safe.
+func (agent *testAgent) addVoter(other *testAgent) {
+	agent.t.Helper()
 	request := agentapi.ChangeRequest{Name: other.config.Name, Address: other.config.Listen}
-	waitFor(m.t, request.Name+" is a voter", func() bool {
-		change, err := m.client.AddMember(context.Background(), request)
+	waitFor(agent.t, request.Name+" is a voter", func() bool {
+		change, err := agent.client.AddMember(context.Background(), request)
 		return err == nil && change.Behind == nil
 	})
 }
 
-// stop ends the agent, and leaves its gateways.
-func (m *testAgent) stop() {
-	if m.cancel != nil {
-		m.cancel()
-		if err := <-m.done; err != nil {
-			m.t.Error(err)
+// stop stops the agent and leaves its gateways running.
+func (agent *testAgent) stop() {
+	if agent.cancel != nil {
+		agent.cancel()
+		if err := <-agent.done; err != nil {
+			agent.t.Error(err)
 		}
-		m.client.Close()
-		m.cancel = nil
+		agent.client.Close()
+		agent.cancel = nil
 	}
 }
 
-func waitFor(t testing.TB, what string, is func() bool) {
+// waitFor polls a condition and fails the test if it does not hold within testTimeout.
+func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(testTimeout); !is(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-func (m *testAgent) status() agentapi.Status {
-	m.t.Helper()
+// status returns the state of the site from the leader.
+func (agent *testAgent) status() agentapi.Status {
+	agent.t.Helper()
 	var s agentapi.Status
-	waitFor(m.t, "a status", func() (is bool) {
+	waitFor(agent.t, "the leader responds with a status", func() bool {
 		var err error
-		s, err = m.client.Status(context.Background())
+		s, err = agent.client.Status(context.Background())
 		return err == nil && s.Stale == ""
 	})
 	return s
 }
 
-func (m *testAgent) apply(request string, parent uint64, text string) agentapi.ApplyResult {
-	m.t.Helper()
+// apply applies a content with an idempotency key and returns the result.
+func (agent *testAgent) apply(request string, parent uint64, text string) agentapi.ApplyResult {
+	agent.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	a, err := m.client.Apply(ctx, agentapi.ApplyRequest{IdempotencyKey: request, Parent: parent, Content: &revisions.Content{File: text}, Message: "test"})
+	result, err := agent.client.Apply(ctx, agentapi.ApplyRequest{IdempotencyKey: request, Parent: parent, Content: &revisions.Content{File: text}, Message: "test"})
 	if err != nil {
-		m.t.Fatal(err)
+		agent.t.Fatal(err)
 	}
-	return a
+	return result
 }
 
 // waitRolloutEnd waits for the end of the rollout of a revision.
-func (m *testAgent) waitRolloutEnd(n uint64) agentapi.Status {
-	m.t.Helper()
+func (agent *testAgent) waitRolloutEnd(n uint64) agentapi.Status {
+	agent.t.Helper()
 	var s agentapi.Status
-	waitFor(m.t, fmt.Sprintf("the end of the rollout of revision %d", n), func() bool {
-		s = m.status()
+	waitFor(agent.t, fmt.Sprintf("the rollout of revision %d has ended", n), func() bool {
+		s = agent.status()
 		return s.Rollout.New == n && s.Rollout.State.Ended()
 	})
 	return s
 }
 
-func (m *testAgent) requireAll(s agentapi.Status, want rollout.State, running uint64) {
-	m.t.Helper()
+// requireAll fails the test unless the rollout has a state and all instances are ready with
+// a revision.
+func (agent *testAgent) requireAll(s agentapi.Status, want rollout.State, running uint64) {
+	agent.t.Helper()
 	if s.Rollout.State != want {
-		m.t.Fatalf("%s (%s), want %s: %+v", s.Rollout.State, s.Rollout.Reason, want, s.Instances)
+		agent.t.Fatalf("%s (%s), want %s: %+v", s.Rollout.State, s.Rollout.Reason, want, s.Instances)
 	}
 	for _, i := range s.Instances {
 		if i.Running != running || !i.Ready {
-			m.t.Fatalf("%s runs %d and is %s, want %d: %+v", i.Name, i.Running, i.State, running, i)
+			agent.t.Fatalf("%s runs %d and is %s, want %d: %+v", i.Name, i.Running, i.State, running, i)
 		}
 	}
 }
 
+// gatewayPIDs returns the process ids of the gateways by instance.
 func gatewayPIDs(s agentapi.Status) map[string]int {
 	list := map[string]int{}
 	for _, i := range s.Instances {
@@ -313,40 +320,41 @@
 	return list
 }
 
-// site starts three voters and an agent that only follows, each with one gateway.
+// startSite starts three voters and an agent that is no voter, each with one gateway.
 func startSite(t *testing.T) (list []*testAgent) {
 	t.Helper()
 	first := newTestAgent(t, "a0", true, nil, newInstances(t, "g0")...).start()
 	list = append(list, first)
 	for i := 1; i < 4; i++ {
-		m := newTestAgent(t, fmt.Sprint("a", i), i < 3, []string{first.config.Listen}, newInstances(t, fmt.Sprint("g", i))...).start()
-		list = append(list, m)
+		agent := newTestAgent(t, fmt.Sprint("a", i), i < 3, []string{first.config.Listen}, newInstances(t, fmt.Sprint("g", i))...).start()
+		list = append(list, agent)
 		if i < 3 {
-			first.addVoter(m)
+			first.addVoter(agent)
 		}
 	}
-	// The follower must know more than one voter to outlive the first.
+	// The last agent must know all voters, so that it can work without the first.
 	list[3].stop()
 	list[3].config.Voters = []string{list[0].config.Listen, list[1].config.Listen, list[2].config.Listen}
 	list[3].start()
-	waitFor(t, "all are known", func() bool { return len(list[3].status().Instances) == 4 })
+	waitFor(t, "all instances are enrolled", func() bool { return len(list[3].status().Instances) == 4 })
 	return list
 }
 
+// splitLeader returns the leader and the other agents of a site.
 func splitLeader(list []*testAgent) (leader *testAgent, others []*testAgent) {
 	name := list[3].status().Leader
-	for _, m := range list {
-		if m.config.Name == name {
-			leader = m
+	for _, agent := range list {
+		if agent.config.Name == name {
+			leader = agent
 		} else {
-			others = append(others, m)
+			others = append(others, agent)
 		}
 	}
 	return leader, others
 }
 
-// issueCertificates makes an authority and certificates by name, and returns the files
-// of one.
+// issueCertificates creates a certificate authority and a certificate for each name. The
+// returned function returns the files of one of them.
 func issueCertificates(t *testing.T, roles map[string]pki.Role) func(name string) pki.Files {
 	t.Helper()
 	ca := filepath.Join(t.TempDir(), "ca")
--- a/internal/agent/limit_server_linux_test.go
+++ b/internal/agent/limit_server_linux_test.go
@@ -11,7 +11,8 @@
 	"elderyard/internal/loopback"
 )
 
-// sendLimitCommand says a line to an agent's limit commands and returns the whole reply, "" for none.
+// sendLimitCommand sends a command to an agent's server of limit commands. It returns the whole reply, or "" if the
+// server can't be reached.
 func sendLimitCommand(address, line string) string {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -24,64 +25,64 @@
 	return string(text)
 }
 
-// An agent's limit commands go by what its instance runs with: they come with the
-// first revision that counts them, change with the next, and outlive the agent's restart.
+// An agent must serve limit commands with the settings of its instance: from the first
+// revision that counts the server, with the plans of each later one, and after a restart.
 func TestLimitCommandsFollowRevision(t *testing.T) {
 	t.Parallel()
-	m := newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)
+	agent := newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)
 	l, err := net.Listen("tcp", loopback.Host()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.config.RESP.Listen = l.Addr().String()
+	agent.config.RESP.Listen = l.Addr().String()
 	l.Close()
-	m.start()
-	at := m.config.RESP.Listen
-	m.apply("1", 0, revisionFile(healthyGateway, "basic"))
-	m.waitRolloutEnd(1)
-	if got := sendLimitCommand(at, "PING"); got != "" {
-		t.Fatalf("served although the gateways don't count this front: %q", got)
+	agent.start()
+	address := agent.config.RESP.Listen
+	agent.apply("1", 0, revisionFile(healthyGateway, "basic"))
+	agent.waitRolloutEnd(1)
+	if got := sendLimitCommand(address, "PING"); got != "" {
+		t.Fatalf("served although the revision does not count this server: %q", got)
 	}
-	counted := "\n[site.quotas]\nfronts = 1\n"
-	m.apply("2", 1, revisionFile(healthyGateway, "basic")+counted)
-	m.waitRolloutEnd(2)
+	quotas := "\n[site.quotas]\nfronts = 1\n"
+	agent.apply("2", 1, revisionFile(healthyGateway, "basic")+quotas)
+	agent.waitRolloutEnd(2)
 	waitFor(t, "the plan of the second revision", func() bool {
-		return strings.Contains(sendLimitCommand(at, "LIMIT.PLAN 0000000000000001 PLAN basic"), "units_per_s")
+		return strings.Contains(sendLimitCommand(address, "LIMIT.PLAN 0000000000000001 PLAN basic"), "units_per_s")
 	})
-	if got := sendLimitCommand(at, "LIMIT.TAKE 0000000000000001 1 PLAN basic"); !strings.Contains(got, "granted\r\n$1\r\n1\r\n") || !strings.Contains(got, "local") {
-		t.Errorf("with no counter there: %q", got)
+	if got := sendLimitCommand(address, "LIMIT.TAKE 0000000000000001 1 PLAN basic"); !strings.Contains(got, "granted\r\n$1\r\n1\r\n") || !strings.Contains(got, "local") {
+		t.Errorf("reply without a reachable counter: %q", got)
 	}
-	m.apply("3", 2, revisionFile(healthyGateway, "gold")+counted)
-	m.waitRolloutEnd(3)
-	waitFor(t, "the plan of the third", func() bool {
-		return strings.Contains(sendLimitCommand(at, "LIMIT.PLAN 0000000000000001 PLAN basic"), `there is no plan "basic"; there are gold`)
+	agent.apply("3", 2, revisionFile(healthyGateway, "gold")+quotas)
+	agent.waitRolloutEnd(3)
+	waitFor(t, "the plan of the third revision", func() bool {
+		return strings.Contains(sendLimitCommand(address, "LIMIT.PLAN 0000000000000001 PLAN basic"), `there is no plan "basic"; there are gold`)
 	})
-	m.stop()
-	if got := sendLimitCommand(at, "PING"); got != "" {
-		t.Errorf("served by an agent that has ended: %q", got)
+	agent.stop()
+	if got := sendLimitCommand(address, "PING"); got != "" {
+		t.Errorf("served after the agent has stopped: %q", got)
 	}
-	m.start()
+	agent.start()
 	waitFor(t, "the plan after a restart", func() bool {
-		return strings.Contains(sendLimitCommand(at, "LIMIT.PLAN 0000000000000001 PLAN gold"), "units_per_s")
+		return strings.Contains(sendLimitCommand(address, "LIMIT.PLAN 0000000000000001 PLAN gold"), "units_per_s")
 	})
 }
 
-// The front's address may be in use for a moment, by a program that is just being started or by somebody else.
+// The server must retry while its address is in use, for example by a forked child that holds a copy of the listener.
 func TestLimitCommandsRetryAddressInUse(t *testing.T) {
 	t.Parallel()
-	m := newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)
+	agent := newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)
 	l, err := net.Listen("tcp", loopback.Host()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	m.config.RESP.Listen = l.Addr().String()
-	m.start()
-	m.apply("1", 0, revisionFile(healthyGateway, "basic")+"\n[site.quotas]\nfronts = 1\n")
-	m.waitRolloutEnd(1)
-	time.Sleep(4 * limitsPollInterval) // the front has been started and has failed
+	agent.config.RESP.Listen = l.Addr().String()
+	agent.start()
+	agent.apply("1", 0, revisionFile(healthyGateway, "basic")+"\n[site.quotas]\nfronts = 1\n")
+	agent.waitRolloutEnd(1)
+	time.Sleep(4 * limitsPollInterval) // until a start has failed
 	l.Close()
-	waitFor(t, "the front serves", func() bool {
-		return strings.Contains(sendLimitCommand(m.config.RESP.Listen, "LIMIT.PLAN 0000000000000001 PLAN basic"), "units_per_s")
+	waitFor(t, "the server responds", func() bool {
+		return strings.Contains(sendLimitCommand(agent.config.RESP.Listen, "LIMIT.PLAN 0000000000000001 PLAN basic"), "units_per_s")
 	})
 }
--- a/internal/agent/membership_linux_test.go
+++ b/internal/agent/membership_linux_test.go
@@ -19,33 +19,33 @@
 	"elderyard/rollout"
 )
 
-// TestSiteGrowsFromOneAgent: a voter that had no port gets one, and others
-// join.
+// A voter that was started without a port must be able to get one later, so that other
+// agents can join.
 func TestSiteGrowsFromOneAgent(t *testing.T) {
 	t.Parallel()
-	m := newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)
-	m.config.Listen, m.config.Advertise, m.config.Plain = "", "", false
-	m.start()
-	m.apply("1", 0, revisionFile(healthyGateway, "basic"))
-	m.waitRolloutEnd(1)
-	m.stop()
-	m.config.Listen, m.config.Advertise, m.config.Plain = "127.0.0.1:0", "127.0.0.1:0", true
-	m.start()
-	other := newTestAgent(t, "a2", true, []string{m.config.Listen}, newInstances(t, "g1")...).start()
-	if m, err := m.client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a2", Address: other.config.Listen}); err != nil || m.Behind != nil {
-		t.Fatal(m, err)
+	agent := newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)
+	agent.config.Listen, agent.config.Advertise, agent.config.Plain = "", "", false
+	agent.start()
+	agent.apply("1", 0, revisionFile(healthyGateway, "basic"))
+	agent.waitRolloutEnd(1)
+	agent.stop()
+	agent.config.Listen, agent.config.Advertise, agent.config.Plain = "127.0.0.1:0", "127.0.0.1:0", true
+	agent.start()
+	other := newTestAgent(t, "a2", true, []string{agent.config.Listen}, newInstances(t, "g1")...).start()
+	if change, err := agent.client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a2", Address: other.config.Listen}); err != nil || change.Behind != nil {
+		t.Fatal(change, err)
 	}
 	list, err := other.client.Members(context.Background())
-	if err != nil || len(list.Voters) != 2 || list.Voters[0].Address != m.config.Listen {
+	if err != nil || len(list.Voters) != 2 || list.Voters[0].Address != agent.config.Listen {
 		t.Fatalf("%v %+v", err, list)
 	}
-	waitFor(t, "the other's gateway has the revision", func() bool {
+	waitFor(t, "the second agent's gateway runs the revision", func() bool {
 		s := other.status()
 		return len(s.Instances) == 2 && s.Instances[1].Ready && s.Instances[1].Running == 1
 	})
 }
 
-// postReport posts a report with a certificate, and returns the agent's failure.
+// postReport posts a report with a certificate and returns the agent's failure.
 func postReport(t *testing.T, files pki.Files, to *testAgent, report agentapi.Report) error {
 	t.Helper()
 	config, err := files.Client()
@@ -66,21 +66,23 @@
 	return agentapi.ReadResponse(response, &agentapi.Orders{})
 }
 
+// Each role must only be able to make its own calls, on every agent, and the leader must
+// attribute a forwarded call to its original caller.
 func TestRolesAllowOnlyTheirCalls(t *testing.T) {
 	t.Parallel()
 	files := issueCertificates(t, map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer})
-	secure := func(m *testAgent) *testAgent {
-		f := files(m.config.Name)
-		m.config.Plain, m.config.TLS = false, TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}
-		return m
-	}
-	m := secure(newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)).start()
-	other := secure(newTestAgent(t, "a2", true, []string{m.config.Listen}, newInstances(t, "g1")...)).start()
-	if m, err := m.client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a2", Address: other.config.Listen}); err != nil || m.Behind != nil {
-		t.Fatal(m, err)
-	}
-	as := func(name string, at *testAgent) *agentapi.Client {
-		c, err := agentapi.NewClient(agentapi.Target{Address: at.config.Listen, Files: files(name)})
+	secure := func(agent *testAgent) *testAgent {
+		f := files(agent.config.Name)
+		agent.config.Plain, agent.config.TLS = false, TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}
+		return agent
+	}
+	agent := secure(newTestAgent(t, "a1", true, nil, newInstances(t, "g0")...)).start()
+	other := secure(newTestAgent(t, "a2", true, []string{agent.config.Listen}, newInstances(t, "g1")...)).start()
+	if change, err := agent.client.AddMember(context.Background(), agentapi.ChangeRequest{Name: "a2", Address: other.config.Listen}); err != nil || change.Behind != nil {
+		t.Fatal(change, err)
+	}
+	clientOf := func(name string, target *testAgent) *agentapi.Client {
+		c, err := agentapi.NewClient(agentapi.Target{Address: target.config.Listen, Files: files(name)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -89,46 +91,46 @@
 	}
 	ctx := context.Background()
 	call := agentapi.ApplyRequest{IdempotencyKey: "1", Content: &revisions.Content{File: revisionFile(healthyGateway, "basic")}}
-	_, err := as("vic", other).Apply(ctx, call)
+	_, err := clientOf("vic", other).Apply(ctx, call)
 	var f *agentapi.Failure
 	if !errors.As(err, &f) || !f.Forbidden() {
-		t.Fatalf("a viewer applied: %v", err)
+		t.Fatalf("a viewer applied a revision: %v", err)
 	}
-	if _, err := as("vic", other).Status(ctx); err != nil {
+	if _, err := clientOf("vic", other).Status(ctx); err != nil {
 		t.Fatal(err)
 	}
-	// The leader knows who asked, whichever agent was asked.
-	for _, at := range []*testAgent{other, m} {
-		a, err := as("ann", at).Apply(ctx, call)
+	// The author of the revision is the caller, whichever agent was called.
+	for _, target := range []*testAgent{other, agent} {
+		a, err := clientOf("ann", target).Apply(ctx, call)
 		if err != nil || a.Status != revisions.Accepted || a.Revision.Author != "ann" {
 			t.Fatalf("%v %+v", err, a)
 		}
 	}
-	m.requireAll(m.waitRolloutEnd(1), rollout.Applied, 1)
-	if err := postReport(t, files("ann"), m, agentapi.Report{}); !errors.As(err, &f) || !f.Forbidden() {
+	agent.requireAll(agent.waitRolloutEnd(1), rollout.Applied, 1)
+	if err := postReport(t, files("ann"), agent, agentapi.Report{}); !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("an operator reported as an agent: %v", err)
 	}
-	if err := postReport(t, files("a2"), m, agentapi.Report{Agent: fleet.Agent{Name: "a1"}}); !errors.As(err, &f) || !f.Forbidden() {
+	if err := postReport(t, files("a2"), agent, agentapi.Report{Agent: fleet.Agent{Name: "a1"}}); !errors.As(err, &f) || !f.Forbidden() {
 		t.Fatalf("one agent reported as another: %v", err)
 	}
-	// A stranger speaks for nobody.
-	resp, err := (&http.Client{Timeout: testTimeout}).Get("http://" + m.config.Listen + "/v1/status")
+	// A caller without a certificate gets no response.
+	resp, err := (&http.Client{Timeout: testTimeout}).Get("http://" + agent.config.Listen + "/v1/status")
 	if err == nil {
 		resp.Body.Close()
-		t.Fatalf("one without a certificate was answered: %s", resp.Status)
+		t.Fatalf("a caller without a certificate got a response: %s", resp.Status)
 	}
-	log, err := as("vic", other).Audit(ctx)
+	log, err := clientOf("vic", other).Audit(ctx)
 	if err != nil || len(log.Refused) != 1 || log.Refused[0].Who != "vic" {
 		t.Fatalf("%v %+v", err, log.Refused)
 	}
-	waitFor(t, "the stranger is in the log", func() bool {
-		log, err := as("vic", m).Audit(ctx)
+	waitFor(t, "the caller without a certificate is in the audit log", func() bool {
+		log, err := clientOf("vic", agent).Audit(ctx)
 		return err == nil && len(log.Refused) >= 3 && strings.Contains(fmt.Sprint(log.Refused), "no certificate of this site")
 	})
 }
 
-// An add stands although a voter has died, and whoever asks another agent than the leader must hear that, with the name
-// of the dead one, before that agent gives the call up as in doubt.
+// Adding a voter succeeds although another voter is down. If the call is forwarded to the leader, the response, with the
+// name of the voter that is down, must arrive before the forwarding agent reports the outcome as unknown.
 func TestAddMemberWithDeadVoterHasKnownOutcome(t *testing.T) {
 	t.Parallel()
 	var list []*testAgent
@@ -137,11 +139,11 @@
 		if i > 0 {
 			others = []string{list[0].config.Listen}
 		}
-		m := newTestAgent(t, fmt.Sprint("a", i), true, others, newInstances(t, fmt.Sprint("g", i))...)
-		m.config.Timing.Heartbeat = strict.Duration(leaderTimeout/10 + 200*time.Millisecond) // a call between voters may outlast leaderTimeout
-		list = append(list, m.start())
+		agent := newTestAgent(t, fmt.Sprint("a", i), true, others, newInstances(t, fmt.Sprint("g", i))...)
+		agent.config.Timing.Heartbeat = strict.Duration(leaderTimeout/10 + 200*time.Millisecond) // a call between voters may outlast leaderTimeout
+		list = append(list, agent.start())
 		if i == 1 || i == 2 {
-			list[0].addVoter(m)
+			list[0].addVoter(agent)
 		}
 	}
 	list[2].stop()
--- a/internal/agent/records_faults_linux_test.go
+++ b/internal/agent/records_faults_linux_test.go
@@ -18,32 +18,32 @@
 	"elderyard/records"
 )
 
-// TestRecordsOfPartitionedFollower has all voters gone: the follower goes on with what
-// it has, also across a restart, and says how old that is.
+// A follower that can't reach any voter must keep its copy, also across a restart, and
+// report the age of the copy.
 func TestRecordsOfPartitionedFollower(t *testing.T) {
 	t.Parallel()
 	list := startRecordsSite(t, 1, 1)
 	result := list[0].changeRecords("1", putOperation(t, "plan/gold", goldPlan))
 	waitUpToDate(t, list[0].client, result.Version, 2)
 	list[0].stop()
-	alone := func() (one agentapi.AgentRecords) {
-		waitFor(t, "the follower says why it is not confirmed", func() bool {
+	staleCopy := func() (follower agentapi.AgentRecords) {
+		waitFor(t, "the follower reports why its copy is not confirmed", func() bool {
 			lag, err := list[1].client.RecordsLag(context.Background())
 			if err != nil || lag.Stale == "" || len(lag.Agents) != 1 {
 				return false
 			}
-			one = lag.Agents[0]
-			return one.Status.Reason != "" && one.Status.AgeSeconds != nil
+			follower = lag.Agents[0]
+			return follower.Status.Reason != "" && follower.Status.AgeSeconds != nil
 		})
-		return one
+		return follower
 	}
-	before := alone()
+	before := staleCopy()
 	if before.Status.Version != result.Version || before.State != agentapi.RecordsUnknown {
 		t.Fatalf("%+v", before)
 	}
 	list[1].stop()
 	list[1].start()
-	after := alone()
+	after := staleCopy()
 	if after.Status.Version != result.Version || after.Status.Digest != before.Status.Digest || *after.Status.AgeSeconds <= *before.Status.AgeSeconds {
 		t.Fatalf("%+v, %+v before the restart", after.Status, before.Status)
 	}
@@ -52,8 +52,8 @@
 	waitUpToDate(t, list[0].client, next.Version, 2)
 }
 
-// TestRecordsRepairAfterLogCompaction has a follower away while the voters' log of changes
-// is compacted behind it.
+// A follower must catch up although the voters' log of changes was compacted past its
+// version while it was stopped.
 func TestRecordsRepairAfterLogCompaction(t *testing.T) {
 	t.Parallel()
 	list := startRecordsSite(t, 1, 1)
@@ -71,7 +71,7 @@
 		if last = list[0].changeRecords(fmt.Sprint("round", round), operations...); last.Status != records.Accepted {
 			t.Fatalf("%+v, %v", last, last.Problem)
 		}
-		waitFor(t, "the changes that are kept are listed", func() bool {
+		waitFor(t, "the changes in the log are listed", func() bool {
 			versions, err := list[0].client.RecordsVersions(context.Background(), 0)
 			compacted = err == nil && versions.Changes[len(versions.Changes)-1].Version != first.Version
 			return err == nil
@@ -84,14 +84,14 @@
 	waitUpToDate(t, list[0].client, last.Version, 2)
 }
 
-// voterProcess is a voter in a process of its own, which can be killed.
+// voterProcess is a voter in its own process, which can be killed.
 type voterProcess struct {
-	t      testing.TB
-	name   string
-	at     string
-	file   string
-	client *agentapi.Client
-	cmd    *exec.Cmd // nil: it does not run
+	t       testing.TB
+	name    string
+	address string
+	file    string // of the configuration
+	client  *agentapi.Client
+	cmd     *exec.Cmd // nil: it is not running
 }
 
 func newVoterProcess(t testing.TB, name string, voters []string) *voterProcess {
@@ -100,16 +100,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := loopback.FreeAddress()
+	address, err := loopback.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := toml.Marshal(map[string]any{"name": name, "dir": dir, "listen": at, "plain": true, "voter": true, "voters": voters, "records": true,
-		"records_bytes": testBudget, "timing": map[string]string{"report": "50ms", "heartbeat": "500ms"}})
+	text, err := toml.Marshal(map[string]any{"name": name, "dir": dir, "listen": address, "plain": true, "voter": true, "voters": voters, "records": true,
+		"records_bytes": testByteRate, "timing": map[string]string{"report": "50ms", "heartbeat": "500ms"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &voterProcess{t: t, name: name, at: at, file: filepath.Join(dir, "agent.toml")}
+	v := &voterProcess{t: t, name: name, address: address, file: filepath.Join(dir, "agent.toml")}
 	if err := os.WriteFile(v.file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 	if err := v.cmd.Start(); err != nil {
 		v.t.Fatal(err)
 	}
-	waitFor(v.t, v.name+" answers", func() bool { _, err := v.client.Members(context.Background()); return err == nil })
+	waitFor(v.t, v.name+" responds", func() bool { _, err := v.client.Members(context.Background()); return err == nil })
 	return v
 }
 
@@ -144,7 +144,7 @@
 	}
 }
 
-// startVoterProcesses starts three voters in processes of their own, and followers in this one.
+// startVoterProcesses starts three voters, each in its own process, and followers in this one.
 func startVoterProcesses(t *testing.T, followers int) (voters []*voterProcess, list []*testAgent) {
 	t.Helper()
 	var addresses []string
@@ -152,21 +152,21 @@
 		v := newVoterProcess(t, fmt.Sprint("v", i), addresses)
 		if i > 0 {
 			waitFor(t, v.name+" is a voter", func() bool {
-				c, err := voters[0].client.AddMember(context.Background(), agentapi.ChangeRequest{Name: v.name, Address: v.at})
+				c, err := voters[0].client.AddMember(context.Background(), agentapi.ChangeRequest{Name: v.name, Address: v.address})
 				return err == nil && c.Behind == nil
 			})
 		}
-		voters, addresses = append(voters, v), append(addresses, v.at)
+		voters, addresses = append(voters, v), append(addresses, v.address)
 	}
 	for i := range followers {
-		m := newTestAgent(t, fmt.Sprint("a", i), false, addresses)
-		m.config.Records, m.config.RecordBytes = true, testBudget
-		list = append(list, m.start())
+		agent := newTestAgent(t, fmt.Sprint("a", i), false, addresses)
+		agent.config.Records, agent.config.RecordBytes = true, testByteRate
+		list = append(list, agent.start())
 	}
 	return voters, list
 }
 
-// findLeader tells who leads, and names another voter.
+// findLeader returns the leader and another voter.
 func findLeader(t testing.TB, list []*voterProcess) (leader, other *voterProcess) {
 	t.Helper()
 	waitFor(t, "a leader", func() bool {
@@ -190,8 +190,8 @@
 	return leader, other
 }
 
-// TestRecordsLeaderKilled kills the leader twice, each time while changes are on
-// their way: each is taken once, and a repeat gets the same answer.
+// If the leader is killed while it handles changes, each change must be applied exactly once,
+// and a repeat must get the result of the first call. The test kills the leader twice.
 func TestRecordsLeaderKilled(t *testing.T) {
 	t.Parallel()
 	const changes = 12
@@ -219,15 +219,15 @@
 				accepted <- true
 			})
 		}
-		<-accepted // the others are on their way, or were just answered
+		<-accepted // the other calls are in flight, or have just been answered
 		leader.kill()
 		wg.Wait()
 		leader.start()
 	}
 	versions := map[uint64]string{}
 	for request, first := range answers {
-		if twice := versions[first.Version]; twice != "" {
-			t.Fatalf("%s and %s have version %d", request, twice, first.Version)
+		if other := versions[first.Version]; other != "" {
+			t.Fatalf("%s and %s both have version %d", request, other, first.Version)
 		}
 		versions[first.Version] = request
 		for _, v := range list {
@@ -235,7 +235,7 @@
 				t.Fatalf("%s by %s: %+v, %v, %+v before", request, v.name, again, err, first)
 			}
 		}
-		// Leaders have just been killed: during an election a read finds no leader.
+		// The leader has just been killed, and a read fails until the next one is elected.
 		var got agentapi.RecordsList
 		waitFor(t, "a read of "+request+" is answered", func() (answered bool) {
 			var err error
@@ -243,7 +243,7 @@
 			return err == nil
 		})
 		if len(got.Records) != 1 || got.Records[0].Version != first.Version {
-			t.Fatalf("%s: %+v, %+v answered", request, got.Records, first)
+			t.Fatalf("%s: read %+v, but the result of the change was %+v", request, got.Records, first)
 		}
 	}
 	last := uint64(0)
@@ -253,9 +253,9 @@
 	waitUpToDate(t, follower.client, last, 4)
 }
 
-// TestRecordsLeaderSuspended stops the leader's process and wakes it: others come
-// to a change without it, copies that asked it go to another voter, and it comes to
-// what was agreed on without it.
+// While the leader's process is suspended, the other voters must accept changes and the
+// copies that follow it must switch to another voter. The old leader must catch up when its
+// process continues.
 func TestRecordsLeaderSuspended(t *testing.T) {
 	t.Parallel()
 	list, followers := startVoterProcesses(t, 3)
@@ -269,7 +269,7 @@
 	if err != nil || second.Status != records.Accepted {
 		t.Fatalf("%+v, %v", second, err)
 	}
-	waitFor(t, "the change is in force at all that run", func() bool {
+	waitFor(t, "all running agents have the change", func() bool {
 		lag, err := other.client.RecordsLag(context.Background())
 		if err != nil || lag.Stale != "" || lag.UpToDate != 5 {
 			return false
@@ -287,19 +287,19 @@
 	waitUpToDate(t, other.client, second.Version, 6)
 }
 
-// TestRecordsFollowRestoredSnapshot restores a saved state behind which the copies have gone on:
-// they take it all the same, as a new version.
+// A restored snapshot must become a new version of the records, so that copies that already
+// have newer changes than the snapshot still follow it.
 func TestRecordsFollowRestoredSnapshot(t *testing.T) {
 	t.Parallel()
 	list := startRecordsSite(t, 1, 1)
 	first := list[0].changeRecords("1", putOperation(t, "plan/gold", goldPlan))
-	saved, err := list[0].client.Snapshot(t.Context())
+	snapshot, err := list[0].client.Snapshot(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	second := list[0].changeRecords("2", putOperation(t, "plan/silver", goldPlan))
 	waitUpToDate(t, list[0].client, second.Version, 2)
-	if err := list[0].client.Restore(t.Context(), saved); err != nil {
+	if err := list[0].client.Restore(t.Context(), snapshot); err != nil {
 		t.Fatal(err)
 	}
 	restored := waitUpToDate(t, list[0].client, second.Version+1, 2)
--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -19,10 +19,11 @@
 )
 
 const (
-	goldPlan   = `{"price_weight":1.5,"requests_per_second":100}`
-	testBudget = 1 << 20 // bytes a second
+	goldPlan     = `{"price_weight":1.5,"requests_per_second":100}`
+	testByteRate = 1 << 20 // bytes a second
 )
 
+// putOperation returns the operation that sets the value of a record.
 func putOperation(t testing.TB, key, value string) records.Operation {
 	t.Helper()
 	parsed, err := records.ParseKey(key)
@@ -32,49 +33,52 @@
 	return records.Operation{Key: parsed, Value: json.RawMessage(value)}
 }
 
-func (m *testAgent) changeRecords(request string, operations ...records.Operation) records.Result {
-	m.t.Helper()
-	result, err := sendChange(m.client, request, operations...)
+// changeRecords makes one change of the records and returns its result.
+func (agent *testAgent) changeRecords(request string, operations ...records.Operation) records.Result {
+	agent.t.Helper()
+	result, err := sendChange(agent.client, request, operations...)
 	if err != nil {
-		m.t.Fatal(err)
+		agent.t.Fatal(err)
 	}
 	return result
 }
 
+// sendChange makes one change of the records with a client.
 func sendChange(c *agentapi.Client, request string, operations ...records.Operation) (records.Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return c.ChangeRecords(ctx, agentapi.RecordsChange{IdempotencyKey: request, Message: "test", Operations: operations})
 }
 
-// startRecordsSite starts voters and followers without gateways, all with records on.
+// startRecordsSite starts voters and followers without gateways, all with records enabled.
 func startRecordsSite(t *testing.T, voters, followers int) (list []*testAgent) {
 	t.Helper()
 	var addresses []string
 	for i := range voters + followers {
-		var others []string
+		var voterAddresses []string
 		if i > 0 {
-			others = addresses
+			voterAddresses = addresses
 		}
-		m := newTestAgent(t, fmt.Sprint("a", i), i < voters, others)
-		m.config.Records, m.config.RecordBytes = true, testBudget
-		m.start()
+		agent := newTestAgent(t, fmt.Sprint("a", i), i < voters, voterAddresses)
+		agent.config.Records, agent.config.RecordBytes = true, testByteRate
+		agent.start()
 		if i > 0 && i < voters {
-			list[0].addVoter(m)
+			list[0].addVoter(agent)
 		}
 		if i < voters {
-			addresses = append(addresses, m.config.Listen)
+			addresses = append(addresses, agent.config.Listen)
 		}
-		list = append(list, m)
+		list = append(list, agent)
 	}
 	return list
 }
 
-// waitUpToDate waits until a version is in force at so many agents, and nobody else is known.
+// waitUpToDate waits until all agents of the site, which must have this number of them, have
+// a version of the records or a newer one.
 func waitUpToDate(t testing.TB, c *agentapi.Client, version uint64, agents int) agentapi.RecordsLag {
 	t.Helper()
 	var lag agentapi.RecordsLag
-	waitFor(t, fmt.Sprintf("version %d is in force at %d agents", version, agents), func() bool {
+	waitFor(t, fmt.Sprintf("%d agents have version %d of the records", agents, version), func() bool {
 		var err error
 		lag, err = c.RecordsLag(context.Background())
 		return err == nil && lag.Stale == "" && lag.Version >= version && lag.UpToDate == agents && len(lag.Agents) == agents && lag.AllUpToDate()
@@ -82,6 +86,8 @@
 	return lag
 }
 
+// Accepted changes must reach the copies of all agents; invalid, conflicting and repeated
+// ones must get the right result at every agent.
 func TestRecordsReachAllAgents(t *testing.T) {
 	t.Parallel()
 	list := startRecordsSite(t, 3, 2)
@@ -95,29 +101,29 @@
 			t.Fatalf("%+v of %+v", a, lag)
 		}
 	}
-	for _, m := range list {
-		if _, err := os.Stat(filepath.Join(m.config.Dir, recordsFolder, "records")); err != nil {
+	for _, agent := range list {
+		if _, err := os.Stat(filepath.Join(agent.config.Dir, recordsFolder, "records")); err != nil {
 			t.Fatal(err)
 		}
 	}
 
-	// A repeat is answered as the first was; another change under its key is refused.
+	// A repeat gets the first result. Another change with the same idempotency key is rejected.
 	if again := list[2].changeRecords("1", putOperation(t, "plan/gold", goldPlan), putOperation(t, "tenant/acme", `{"plan":"gold"}`)); again != first {
 		t.Fatalf("%+v, %+v before", again, first)
 	}
 	if other := list[2].changeRecords("1", putOperation(t, "plan/silver", goldPlan)); other.Status != records.Invalid || other.Problem.Field != "request" {
 		t.Fatalf("%+v", other)
 	}
-	// A bad change is refused whole, with the record and the field.
-	bad := list[1].changeRecords("2", putOperation(t, "plan/silver", goldPlan), putOperation(t, "tenant/zed", `{"plan":"copper"}`))
-	if bad.Status != records.Invalid || bad.Problem.Key != "tenant/zed" || bad.Problem.Field != "plan" {
-		t.Fatalf("%+v, %+v", bad, bad.Problem)
+	// An invalid change is rejected as a whole, and the problem names the record and the field.
+	invalid := list[1].changeRecords("2", putOperation(t, "plan/silver", goldPlan), putOperation(t, "tenant/zed", `{"plan":"copper"}`))
+	if invalid.Status != records.Invalid || invalid.Problem.Key != "tenant/zed" || invalid.Problem.Field != "plan" {
+		t.Fatalf("%+v, %+v", invalid, invalid.Problem)
 	}
 	got, err := list[0].client.Record(t.Context(), records.Key{Kind: records.Plan, Name: "silver"})
 	if err != nil || len(got.Records) != 0 || got.Version != first.Version || got.Total != 2 {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	// Two operators at one record: one of them comes first, and the other is told.
+	// Of two concurrent changes of one record, one is accepted and the other gets a conflict.
 	var wg sync.WaitGroup
 	var results [2]records.Result
 	for i := range results {
@@ -149,7 +155,7 @@
 	if err != nil || len(tenants.Records) != 1 || string(tenants.Records[0].Value) != fmt.Sprintf(`{"plan":"gold","burst":%d}`, winner+1) {
 		t.Fatalf("%+v, %v", tenants, err)
 	}
-	// Undo is a new change, and a record that is needed can't be deleted.
+	// A record that another one refers to can't be deleted. Setting an old value is a new change.
 	if deletion := list[0].changeRecords("3", records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}); deletion.Status != records.Invalid || deletion.Problem.Key != "plan/gold" {
 		t.Fatalf("%+v", deletion)
 	}
@@ -173,33 +179,34 @@
 	}
 }
 
+// An agent without records must refuse calls on them and create no folder for them.
 func TestRecordsDisabled(t *testing.T) {
 	t.Parallel()
-	m := newTestAgent(t, "a0", true, nil).start()
+	agent := newTestAgent(t, "a0", true, nil).start()
 	var f *agentapi.Failure
-	_, err := sendChange(m.client, "1", putOperation(t, "plan/gold", goldPlan))
+	_, err := sendChange(agent.client, "1", putOperation(t, "plan/gold", goldPlan))
 	if !errors.As(err, &f) || !f.Refused() || !strings.Contains(err.Error(), "set records = true") {
 		t.Fatalf("%v", err)
 	}
-	if _, err := os.Stat(filepath.Join(m.config.Dir, recordsFolder)); !os.IsNotExist(err) {
-		t.Fatalf("a folder of records: %v", err)
+	if _, err := os.Stat(filepath.Join(agent.config.Dir, recordsFolder)); !os.IsNotExist(err) {
+		t.Fatalf("the folder of records exists: %v", err)
 	}
 }
 
-// TestRecordsWithoutPort has a site without a port keep its records.
+// A voter without a port must keep records, also across a restart.
 func TestRecordsWithoutPort(t *testing.T) {
 	t.Parallel()
-	m := newTestAgent(t, "a0", true, nil)
-	m.config.Listen, m.config.Advertise, m.config.Records = "", "", true
-	m.start()
-	result := m.changeRecords("1", putOperation(t, "plan/gold", goldPlan))
-	waitUpToDate(t, m.client, result.Version, 1)
-	m.stop()
-	m.start()
-	waitUpToDate(t, m.client, result.Version, 1)
+	agent := newTestAgent(t, "a0", true, nil)
+	agent.config.Listen, agent.config.Advertise, agent.config.Records = "", "", true
+	agent.start()
+	result := agent.changeRecords("1", putOperation(t, "plan/gold", goldPlan))
+	waitUpToDate(t, agent.client, result.Version, 1)
+	agent.stop()
+	agent.start()
+	waitUpToDate(t, agent.client, result.Version, 1)
 }
 
-// TestRecordsLagNamesLaggingAgent tells who is behind, and since when.
+// The leader must report which agent's copy is behind, and since when.
 func TestRecordsLagNamesLaggingAgent(t *testing.T) {
 	t.Parallel()
 	list := startRecordsSite(t, 1, 2)
@@ -212,7 +219,7 @@
 	if err != nil || len(versions.Changes) != 3 || versions.Changes[1].Version != second.Version {
 		t.Fatalf("%+v, %v", versions, err)
 	}
-	waitFor(t, "one is silent and behind since the second change, two are not", func() bool {
+	waitFor(t, "one agent is silent and behind since the second change, and the others are up to date", func() bool {
 		lag, err := list[0].client.RecordsLag(context.Background())
 		if err != nil || lag.UpToDate != 2 || len(lag.Agents) != 3 || lag.AllUpToDate() {
 			return false
@@ -224,19 +231,18 @@
 	waitUpToDate(t, list[0].client, third.Version, 3)
 }
 
-// TestRecordsFromNonVoter has a follower that knows no server but a replica without
-// a vote.
+// A follower must be able to get the records from a replica without a vote.
 func TestRecordsFromNonVoter(t *testing.T) {
 	t.Parallel()
 	list := startRecordsSite(t, 1, 0)
 	replica := newTestAgent(t, "r0", true, []string{list[0].config.Listen})
-	replica.config.Records, replica.config.RecordBytes = true, testBudget
+	replica.config.Records, replica.config.RecordBytes = true, testByteRate
 	replica.start()
 	if c, err := list[0].client.AddNonVoter(t.Context(), agentapi.ChangeRequest{Name: replica.config.Name, Address: replica.config.Listen}); err != nil || c.Behind != nil {
 		t.Fatal(c, err)
 	}
 	follower := newTestAgent(t, "a1", false, []string{replica.config.Listen})
-	follower.config.Records, follower.config.RecordBytes = true, testBudget
+	follower.config.Records, follower.config.RecordBytes = true, testByteRate
 	follower.start()
 	result := follower.changeRecords("1", putOperation(t, "plan/gold", goldPlan))
 	waitUpToDate(t, follower.client, result.Version, 3)
@@ -250,19 +256,19 @@
 	}
 }
 
-// TestRecordsRolesAllowOnlyTheirCalls has a copy follow over TLS, and roles keep to what they may.
+// A copy must be able to follow over TLS, and each role must only be able to make its own calls on records.
 func TestRecordsRolesAllowOnlyTheirCalls(t *testing.T) {
 	t.Parallel()
 	files := issueCertificates(t, map[string]pki.Role{"a1": pki.Agent, "a2": pki.Agent, "ann": pki.Operator, "vic": pki.Viewer})
-	secure := func(name string, voter bool, others ...string) *testAgent {
-		m := newTestAgent(t, name, voter, others)
+	startSecure := func(name string, voter bool, voters ...string) *testAgent {
+		agent := newTestAgent(t, name, voter, voters)
 		f := files(name)
-		m.config.Plain, m.config.TLS, m.config.Records = false, TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}, true
-		return m.start()
+		agent.config.Plain, agent.config.TLS, agent.config.Records = false, TLS{CA: f.CA, Cert: f.Cert, Key: f.Key}, true
+		return agent.start()
 	}
-	voter := secure("a1", true)
-	follower := secure("a2", false, voter.config.Listen)
-	as := func(name string) *agentapi.Client {
+	voter := startSecure("a1", true)
+	follower := startSecure("a2", false, voter.config.Listen)
+	clientOf := func(name string) *agentapi.Client {
 		c, err := agentapi.NewClient(agentapi.Target{Address: follower.config.Listen, Files: files(name)})
 		if err != nil {
 			t.Fatal(err)
@@ -270,16 +276,16 @@
 		t.Cleanup(c.Close)
 		return c
 	}
-	result, err := sendChange(as("ann"), "1", putOperation(t, "plan/gold", goldPlan))
+	result, err := sendChange(clientOf("ann"), "1", putOperation(t, "plan/gold", goldPlan))
 	if err != nil || result.Status != records.Accepted {
 		t.Fatalf("%+v, %v", result, err)
 	}
-	waitUpToDate(t, as("vic"), result.Version, 2)
+	waitUpToDate(t, clientOf("vic"), result.Version, 2)
 	var f *agentapi.Failure
-	if _, err := sendChange(as("vic"), "2", putOperation(t, "plan/gold", goldPlan)); !errors.As(err, &f) || !f.Forbidden() {
-		t.Fatalf("a viewer changes records: %v", err)
+	if _, err := sendChange(clientOf("vic"), "2", putOperation(t, "plan/gold", goldPlan)); !errors.As(err, &f) || !f.Forbidden() {
+		t.Fatalf("a viewer changed records: %v", err)
 	}
-	versions, err := as("vic").RecordsVersions(t.Context(), 1)
+	versions, err := clientOf("vic").RecordsVersions(t.Context(), 1)
 	if err != nil || len(versions.Changes) != 1 || versions.Changes[0].Author != "ann" {
 		t.Fatalf("%+v, %v", versions, err)
 	}
@@ -301,7 +307,7 @@
 		}
 		client.CloseIdleConnections()
 	}
-	// An agent that is no voter says so.
+	// An agent that is not a voter refuses followers.
 	config, err := files("a1").Client()
 	if err != nil {
 		t.Fatal(err)
@@ -314,6 +320,6 @@
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a follower answers %s", response.Status)
+		t.Errorf("an agent that is not a voter responds with %s", response.Status)
 	}
 }
--- a/internal/agent/scale_linux_test.go
+++ b/internal/agent/scale_linux_test.go
@@ -35,12 +35,13 @@
 const voterProcessEnv = "AGENT_TEST_AS_VOTER"
 
 var (
-	agentCount     = flag.Int("agents", 60, "simulated agents of the test of scale, each with one instance")
-	idleDuration   = flag.Duration("idle", 2*time.Second, "the time over which idle agents are measured")
-	reportInterval = flag.Duration("report", 200*time.Millisecond, "between two of their reports")
+	agentCount     = flag.Int("agents", 60, "number of simulated agents, each with one instance")
+	idleDuration   = flag.Duration("idle", 2*time.Second, "how long idle agents are measured")
+	reportInterval = flag.Duration("report", 200*time.Millisecond, "time between two reports of a simulated agent")
 )
 
-// runVoter is a voter in a process of its own, so that its memory is its own.
+// runVoter runs a voter in its own process, so that its memory can be measured and it can be
+// killed.
 func runVoter() error {
 	c, err := ReadConfig(os.Getenv(voterProcessEnv))
 	if err != nil {
@@ -51,7 +52,7 @@
 	return Run(ctx, c, Options{Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 }
 
-// countingConn counts what crosses a connection.
+// countingConn counts the bytes that are read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -69,8 +70,9 @@
 	return n, err
 }
 
-// TestManyAgents has simulated agents report to one voter and take what it
-// orders at once. At 1,000 agents it gives the design note's figures.
+// Simulated agents report to one voter and apply its orders at once. The test logs the
+// duration of rollouts and the load; the figures of the design note are those of 1,000
+// agents.
 func TestManyAgents(t *testing.T) {
 	dir, err := os.MkdirTemp("", "agent")
 	if err != nil {
@@ -106,7 +108,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	waitFor(t, "it leads", func() bool { s, err := client.Status(t.Context()); return err == nil && s.Stale == "" })
+	waitFor(t, "the voter leads", func() bool { s, err := client.Status(t.Context()); return err == nil && s.Stale == "" })
 
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -116,9 +118,9 @@
 	for i := range *agentCount {
 		wg.Go(func() { simulateAgent(ctx, i, address, &calls, &sent) })
 	}
-	waitFor(t, "all are known", func() bool { s, err := client.Status(ctx); return err == nil && len(s.Instances) == *agentCount })
+	waitFor(t, "all agents are enrolled", func() bool { s, err := client.Status(ctx); return err == nil && len(s.Instances) == *agentCount })
 
-	push := func(n uint64, plan string) time.Duration {
+	rollOut := func(n uint64, plan string) time.Duration {
 		text := revisionFile(healthyGateway, plan)
 		for _, change := range [][2]string{{`soak_for = "500ms"`, fmt.Sprintf("soak_for = \"0s\"\nmost_away = %d", *agentCount)}, {`silent_after = "4s"`, `silent_after = "20s"`}} {
 			text = strings.Replace(text, change[0], change[1], 1)
@@ -127,24 +129,24 @@
 		if a, err := client.Apply(ctx, agentapi.ApplyRequest{IdempotencyKey: plan, Parent: n - 1, Content: &revisions.Content{File: text}}); err != nil || a.Status != revisions.Accepted {
 			t.Fatalf("%v %+v", err, a)
 		}
-		waitFor(t, "the end", func() bool {
+		waitFor(t, "the revision is applied", func() bool {
 			s, err := client.Status(ctx)
 			return err == nil && s.Rollout.New == n && s.Rollout.State == rollout.Applied
 		})
 		return time.Since(began)
 	}
-	first, second := push(1, "basic"), push(2, "gold")
+	first, second := rollOut(1, "basic"), rollOut(2, "gold")
 
-	began, c, b, cpu := time.Now(), calls.Load(), sent.Load(), cpuOf(cmd.Process.Pid)
+	idleSince, callsBefore, bytesBefore, cpuBefore := time.Now(), calls.Load(), sent.Load(), cpuOf(cmd.Process.Pid)
 	wait.For(ctx, *idleDuration)
-	minutes := time.Since(began).Minutes() * float64(*agentCount)
+	minutes := time.Since(idleSince).Minutes() * float64(*agentCount)
 	rss, peak := memoryOf(t, cmd.Process.Pid)
 	t.Logf("%d agents, a report each %v: rollouts without waits %v and %v; idle, an agent and minute: %.1f calls, %.0f bytes; the voter: %.2f cores, %d kB, at most %d kB",
-		*agentCount, *reportInterval, first.Round(time.Millisecond), second.Round(time.Millisecond), float64(calls.Load()-c)/minutes, float64(sent.Load()-b)/minutes,
-		(cpuOf(cmd.Process.Pid)-cpu).Seconds()/time.Since(began).Seconds(), rss, peak)
+		*agentCount, *reportInterval, first.Round(time.Millisecond), second.Round(time.Millisecond), float64(calls.Load()-callsBefore)/minutes, float64(sent.Load()-bytesBefore)/minutes,
+		(cpuOf(cmd.Process.Pid)-cpuBefore).Seconds()/time.Since(idleSince).Seconds(), rss, peak)
 }
 
-// simulateAgent is an agent of one instance that takes at once what it is told.
+// simulateAgent reports as an agent with one instance that applies orders at once.
 func simulateAgent(ctx context.Context, i int, address string, calls, sent *atomic.Int64) {
 	d := net.Dialer{Timeout: testTimeout}
 	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: func(ctx context.Context, network, to string) (net.Conn, error) {
@@ -180,6 +182,7 @@
 	}
 }
 
+// memoryOf returns the resident memory of a process and its peak, in kB.
 func memoryOf(t *testing.T, pid int) (rss, peak int) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -197,6 +200,7 @@
 	return rss, peak
 }
 
+// cpuOf returns the CPU time of a process.
 func cpuOf(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/agentapi/records.go
+++ b/internal/agentapi/records.go
@@ -77,7 +77,7 @@
 
 // RecordsLag lists the agents with the state of their copies of the records.
 type RecordsLag struct {
-	Stale    string         `json:"stale,omitempty"` // why this is the called agent's copy alone; "": it is the leader's answer
+	Stale    string         `json:"stale,omitempty"` // why only the called agent's copy is listed; "": this is the leader's response
 	Version  uint64         `json:"version"`
 	Digest   records.Digest `json:"digest"`
 	UpToDate int            `json:"in_force"` // agents
