--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -223,23 +223,23 @@
 func (c *Config) checkInstances() (key string, err error) {
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for i, e := range c.Instances {
-		at := fmt.Sprintf("instance[%d]", i)
+		entryKey := fmt.Sprintf("instance[%d]", i)
 		if err := fleet.CheckName("instance", e.Name); err != nil {
-			return at + ".name", err
+			return entryKey + ".name", err
 		}
 		if _, err := splitHost(e.Listen); err != nil {
-			return at + ".listen", err
+			return entryKey + ".listen", err
 		}
 		if err := members.CheckName(e.Name); c.Roster && err != nil {
-			return at + ".name", fmt.Errorf("with roster: %w", err)
+			return entryKey + ".name", fmt.Errorf("with roster: %w", err)
 		}
 		if names[e.Name] || addresses[e.Listen] {
-			return at, fmt.Errorf("%s or %s stands twice", e.Name, e.Listen)
+			return entryKey, fmt.Errorf("%s or %s stands twice", e.Name, e.Listen)
 		}
 		names[e.Name], addresses[e.Listen] = true, true
 		for _, v := range e.Env {
 			if !strings.Contains(v, "=") {
-				return at + ".env", fmt.Errorf("%q is not KEY=VALUE", v)
+				return entryKey + ".env", fmt.Errorf("%q is not KEY=VALUE", v)
 			}
 		}
 	}
--- a/internal/agent/handlers.go
+++ b/internal/agent/handlers.go
@@ -273,7 +273,7 @@
 )
 
 // handleAddMember returns the handler that adds a voter or a replica without a vote.
-func (a *Agent) handleAddMember(as suffrage) func(context.Context, *call) (any, error) {
+func (a *Agent) handleAddMember(vote suffrage) func(context.Context, *call) (any, error) {
 	return func(ctx context.Context, c *call) (any, error) {
 		var v agentapi.ChangeRequest
 		if err := c.read(&v); err != nil {
@@ -289,14 +289,14 @@
 			return nil, &agentapi.Failure{Code: agentapi.CodeRefused, Text: "this voter has no port: set listen in its file before others join"}
 		}
 		add := a.store.AddVoter
-		if as == nonVoter {
+		if vote == nonVoter {
 			add = a.store.AddNonVoter
 		}
 		change, err := add(v.Name, v.Address)
 		if err != nil {
 			return nil, err
 		}
-		_, err = a.propose(ctx, fleet.Entry{Audit: &fleet.Event{At: time.Now().UTC(), Who: c.name, What: fmt.Sprintf("%s %s at %s was added", as, v.Name, v.Address)}})
+		_, err = a.propose(ctx, fleet.Entry{Audit: &fleet.Event{At: time.Now().UTC(), Who: c.name, What: fmt.Sprintf("%s %s at %s was added", vote, v.Name, v.Address)}})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/agent/peer_calls.go
+++ b/internal/agent/peer_calls.go
@@ -27,11 +27,11 @@
 func (a *Agent) callLeader(ctx context.Context, method, path string, body []byte, answer any) error {
 	var first error
 	for _, address := range a.voterAddresses() {
-		e := peerCall{method: method, path: path, body: body, timeout: voterTimeout}
+		outgoing := peerCall{method: method, path: path, body: body, timeout: voterTimeout}
 		if address != a.knownLeader() {
-			e.hop = agentapi.HopMayForward // this voter may forward it
+			outgoing.hop = agentapi.HopMayForward // this voter may forward it
 		}
-		err := a.callAgent(ctx, address, e, answer)
+		err := a.callAgent(ctx, address, outgoing, answer)
 		if err == nil || agentapi.IsAnswer(err) {
 			return err
 		}
--- a/internal/agent/port.go
+++ b/internal/agent/port.go
@@ -137,7 +137,8 @@
 	return p, nil
 }
 
-// peerAddr is the address by which other agents reach this one.
+// peerAddr is a net.Addr with the address at which voters call this agent. A voter without a
+// port uses its name instead, which none can call.
 type peerAddr string
 
 // Network returns "tcp".
