--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -163,7 +163,7 @@
 	}
 	if _, port, _ := net.SplitHostPort(a.config.Advertise); port == "0" {
 		a.self.Address = address
-		a.port.raft.addr = peerAddr(address)
+		a.port.raft.addr = advertisedAddr(address)
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 	if a.port != nil {
 		c.Streams = raftStreams{a.port.raft, a.port}
 	} else {
-		c.Streams = noStreams{newConnListener(peerAddr(a.config.Name))}
+		c.Streams = noStreams{newConnListener(advertisedAddr(a.config.Name))}
 	}
 	return replica.Open(c)
 }
@@ -219,7 +219,7 @@
 // startRecords opens the copy of the records and starts following them, if they are
 // enabled.
 func (a *Agent) startRecords(ctx context.Context) (err error) {
-	a.loopback = newConnListener(peerAddr(localServer))
+	a.loopback = newConnListener(advertisedAddr(localServer))
 	if !a.config.Records {
 		return nil
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -223,23 +223,23 @@
 func (c *Config) checkInstances() (key string, err error) {
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for i, e := range c.Instances {
-		entryKey := fmt.Sprintf("instance[%d]", i)
+		baseKey := fmt.Sprintf("instance[%d]", i)
 		if err := fleet.CheckName("instance", e.Name); err != nil {
-			return entryKey + ".name", err
+			return baseKey + ".name", err
 		}
 		if _, err := splitHost(e.Listen); err != nil {
-			return entryKey + ".listen", err
+			return baseKey + ".listen", err
 		}
 		if err := members.CheckName(e.Name); c.Roster && err != nil {
-			return entryKey + ".name", fmt.Errorf("with roster: %w", err)
+			return baseKey + ".name", fmt.Errorf("with roster: %w", err)
 		}
 		if names[e.Name] || addresses[e.Listen] {
-			return entryKey, fmt.Errorf("%s or %s stands twice", e.Name, e.Listen)
+			return baseKey, fmt.Errorf("%s or %s stands twice", e.Name, e.Listen)
 		}
 		names[e.Name], addresses[e.Listen] = true, true
 		for _, v := range e.Env {
 			if !strings.Contains(v, "=") {
-				return entryKey + ".env", fmt.Errorf("%q is not KEY=VALUE", v)
+				return baseKey + ".env", fmt.Errorf("%q is not KEY=VALUE", v)
 			}
 		}
 	}
--- a/internal/agent/dry_run.go
+++ b/internal/agent/dry_run.go
@@ -29,30 +29,30 @@
 	answers := make([][]agentapi.DryRunResult, len(agents))
 	slots := make(chan struct{}, maxConcurrentDryRuns)
 	var wg sync.WaitGroup
-	for n, target := range agents {
+	for n, fleetAgent := range agents {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
 			var err error
-			if target.Name == a.self.Name {
+			if fleetAgent.Name == a.self.Name {
 				answers[n], err = a.dryRunInstances(ctx, content)
 			} else {
-				err = a.callAgent(ctx, target.Address, peerCall{method: http.MethodPost, path: "/v1/probe-here", body: request.body, timeout: dryRunTimeout}, &answers[n])
+				err = a.callAgent(ctx, fleetAgent.Address, peerCall{method: http.MethodPost, path: "/v1/probe-here", body: request.body, timeout: dryRunTimeout}, &answers[n])
 			}
 			if err != nil {
-				answers[n] = []agentapi.DryRunResult{{Agent: target.Name, Error: err.Error(), Silent: true}}
+				answers[n] = []agentapi.DryRunResult{{Agent: fleetAgent.Name, Error: err.Error(), Silent: true}}
 			}
 		})
 	}
 	wg.Wait()
 	list := []agentapi.DryRunResult{}
-	for _, results := range answers {
-		list = append(list, results...)
+	for _, outcomes := range answers {
+		list = append(list, outcomes...)
 	}
 	return list, nil
 }
 
-// handleLocalDryRun returns the results for the instances of this agent.
+// handleLocalDryRun returns the outcomes for the instances of this agent.
 func (a *Agent) handleLocalDryRun(ctx context.Context, c *call) (any, error) {
 	var content revisions.Content
 	if err := c.read(&content); err != nil {
@@ -73,18 +73,18 @@
 	list := []agentapi.DryRunResult{}
 	for _, name := range a.self.Instances {
 		p := a.processes[name]
-		result := agentapi.DryRunResult{Agent: a.self.Name, Instance: name}
+		outcome := agentapi.DryRunResult{Agent: a.self.Name, Instance: name}
 		if r, err := d.Render(0, document.Instance{Name: name, Listen: p.Listen()}); err != nil {
-			result.Error = err.Error()
+			outcome.Error = err.Error()
 		} else {
 			s := p.State()
 			from := s.Status.Running
 			if s.PID == 0 {
 				from = nil
 			}
-			result.Step = supervise.StepBetween(from, &r.Spec)
+			outcome.Step = supervise.StepBetween(from, &r.Spec)
 		}
-		list = append(list, result)
+		list = append(list, outcome)
 	}
 	return list, nil
 }
--- a/internal/agent/limit_server.go
+++ b/internal/agent/limit_server.go
@@ -132,19 +132,19 @@
 	}
 	set := c.Settings
 	set.CheckFrontends = s.Quotas.Fronts
-	client, err := counter.Open(s.Counter, set, c.Counter)
+	callClient, err := counter.Open(s.Counter, set, c.Counter)
 	if err != nil {
 		return nil, err
 	}
 	var shared owner.Counter
-	if client != nil {
-		shared = client
+	if callClient != nil {
+		shared = callClient
 	}
 	var seed [8]byte
 	rand.Read(seed[:])
 	loop := owner.New(set, binary.LittleEndian.Uint64(seed[:]), shared)
 	loop.Start(nil)
-	server, err := respfront.FromSite(srv.agent.config.RESP, loop, set, c.PlanNames)
+	handler, err := respfront.FromSite(srv.agent.config.RESP, loop, set, c.PlanNames)
 	if err != nil {
 		return nil, err
 	}
@@ -154,15 +154,15 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	serving, stopServing := context.WithCancel(ctx)
-	var loops, connections sync.WaitGroup
+	var loops, handling sync.WaitGroup
 	loops.Go(func() { loop.Run(ctx) })
-	if client != nil {
-		loops.Go(func() { client.Run(ctx) })
+	if callClient != nil {
+		loops.Go(func() { callClient.Run(ctx) })
 	}
-	connections.Go(func() { server.Serve(serving, l) })
+	handling.Go(func() { handler.Serve(serving, l) })
 	return func() {
 		stopServing() // the server must end before the event loop that handles its requests
-		connections.Wait()
+		handling.Wait()
 		cancel()
 		loops.Wait()
 	}, nil
--- a/internal/agent/peer_calls.go
+++ b/internal/agent/peer_calls.go
@@ -27,11 +27,11 @@
 func (a *Agent) callLeader(ctx context.Context, method, path string, body []byte, answer any) error {
 	var first error
 	for _, address := range a.voterAddresses() {
-		outgoing := peerCall{method: method, path: path, body: body, timeout: voterTimeout}
+		callOut := peerCall{method: method, path: path, body: body, timeout: voterTimeout}
 		if address != a.knownLeader() {
-			outgoing.hop = agentapi.HopMayForward // this voter may forward it
+			callOut.hop = agentapi.HopMayForward // this voter may forward it
 		}
-		err := a.callAgent(ctx, address, outgoing, answer)
+		err := a.callAgent(ctx, address, callOut, answer)
 		if err == nil || agentapi.IsAnswer(err) {
 			return err
 		}
--- a/internal/agent/port.go
+++ b/internal/agent/port.go
@@ -130,22 +130,22 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	p.listener = l
-	p.http, p.raft = newConnListener(l.Addr()), newConnListener(peerAddr(config.Advertise))
+	p.http, p.raft = newConnListener(l.Addr()), newConnListener(advertisedAddr(config.Advertise))
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop = cancel
 	p.wg.Go(func() { p.accept(ctx) })
 	return p, nil
 }
 
-// peerAddr is a net.Addr with the address at which voters call this agent. A voter without a
+// advertisedAddr is a net.Addr with the address at which voters call this agent. A voter without a
 // port uses its name instead, which none can call.
-type peerAddr string
+type advertisedAddr string
 
 // Network returns "tcp".
-func (peerAddr) Network() string { return "tcp" }
+func (advertisedAddr) Network() string { return "tcp" }
 
 // String returns the address as host:port.
-func (a peerAddr) String() string { return string(a) }
+func (a advertisedAddr) String() string { return string(a) }
 
 // close closes the port and waits for its goroutines.
 func (p *port) close() {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -228,15 +228,15 @@
 	}
 	err := error(&agentapi.Failure{Code: agentapi.CodeUnreachable, Text: "no leader is known"})
 	for _, address := range addresses {
-		outgoing := peerCall{method: request.r.Method, path: request.r.URL.RequestURI(), body: request.body, hop: agentapi.HopMayForward, onBehalfOf: &request.caller, timeout: leaderTimeout}
+		callOut := peerCall{method: request.r.Method, path: request.r.URL.RequestURI(), body: request.body, hop: agentapi.HopMayForward, onBehalfOf: &request.caller, timeout: leaderTimeout}
 		if request.r.Method == http.MethodGet {
-			outgoing.timeout = readTimeout
+			callOut.timeout = readTimeout
 		}
 		if a.store != nil || address == a.knownLeader() {
-			outgoing.hop = "1"
+			callOut.hop = "1"
 		}
 		var text json.RawMessage
-		if err = a.callAgent(ctx, address, outgoing, &text); err == nil || agentapi.IsAnswer(err) {
+		if err = a.callAgent(ctx, address, callOut, &text); err == nil || agentapi.IsAnswer(err) {
 			return text, err
 		}
 		var netError interface{ Timeout() bool }
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -152,9 +152,9 @@
 	if err := c.call(ctx, http.MethodGet, "/v1/audit", nil, &l); err != nil {
 		return l, err
 	}
-	var local Audit
-	err = c.call(ctx, http.MethodGet, "/v1/refused", nil, &local)
-	l.Refused = local.Refused
+	var fromAgent Audit
+	err = c.call(ctx, http.MethodGet, "/v1/refused", nil, &fromAgent)
+	l.Refused = fromAgent.Refused
 	return l, err
 }
 
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -35,16 +35,16 @@
 		lag.Version, lag.Digest = store.Version(), store.Digest()
 		history := store.History(0)
 		for _, name := range slices.Sorted(maps.Keys(t.agents)) {
-			agent := agentapi.AgentRecords{Agent: name}
+			perAgent := agentapi.AgentRecords{Agent: name}
 			if report, found := t.recordsReports[name]; found {
-				agent = compareRecords(name, report, store, history)
+				perAgent = compareRecords(name, report, store, history)
 			} else {
-				agent.State = agentapi.RecordsSilent
+				perAgent.State = agentapi.RecordsSilent
 			}
-			if agent.State == agentapi.RecordsUpToDate {
+			if perAgent.State == agentapi.RecordsUpToDate {
 				lag.UpToDate++
 			}
-			lag.Agents = append(lag.Agents, agent)
+			lag.Agents = append(lag.Agents, perAgent)
 		}
 	})
 	return lag
