--- a/cmd/elderyard-peers/main.go
+++ b/cmd/elderyard-peers/main.go
@@ -1,6 +1,6 @@
-// Elderyard-peers is elderyard, the gateway, that also knows the other gateways of
-// its site, as [peers] in the operator's file says. Without that table it behaves as
-// elderyard does, and takes the same configuration, variables and signals.
+// Elderyard-peers is elderyard with membership among the gateways of its site, as configured by [peers] in the
+// site file. Without that table it behaves like elderyard. It has the same configuration, environment
+// variables and signals.
 package main
 
 import (
@@ -22,7 +22,7 @@
 		set.WaitForAddress = c.Inherited
 		p, err := peers.Open(*set)
 		if err != nil {
-			return nil, err // not a nil of another type
+			return nil, err // p would make a non-nil interface
 		}
 		return p, nil
 	})
--- a/cmd/elderyard/deploy_test.go
+++ b/cmd/elderyard/deploy_test.go
@@ -15,10 +15,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The platform may lead a gateway's sockets and clocks by a library that it loads into
-// the process. That takes one process, which the loader of the C library starts. So what
-// the deploy file builds must name that loader, and what it runs must end in that program
-// with no other beside it.
+// The platform may control a gateway's sockets and clocks through a library that it preloads into the
+// process. That needs a single process that is started by the loader of the C library. So the program that
+// the deploy file builds must name that loader, and its run command must end in that program with no other
+// process beside it.
 func TestDeployFile(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -49,11 +49,11 @@
 	}
 	defer file.Close()
 	if !slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("it names no interpreter: it is not linked dynamically")
+		t.Error("it has no interpreter: it is not dynamically linked")
 	}
 	libraries, err := file.ImportedLibraries()
 	if err != nil || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		t.Errorf("it needs %v (%v), not the C library", libraries, err)
+		t.Errorf("it imports %v (%v), not the C library", libraries, err)
 	}
 	info, err := buildinfo.ReadFile(program)
 	if err != nil {
@@ -77,9 +77,9 @@
 	}
 	defer func() { cmd.Process.Kill(); cmd.Wait() }()
 	select {
-	case <-discoveryCalls: // it runs
+	case <-discoveryCalls: // the program is running
 	case <-time.After(20 * time.Second):
-		t.Fatal("discovery was not asked")
+		t.Fatal("discovery was not called")
 	}
 	exe, err := os.Readlink("/proc/" + strconv.Itoa(cmd.Process.Pid) + "/exe")
 	if err != nil || exe != program {
@@ -87,14 +87,14 @@
 	}
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil || len(stats) == 0 {
-		t.Fatalf("no processes to be seen: %v", err)
+		t.Fatalf("no processes found: %v", err)
 	}
 	for _, path := range stats {
 		stat, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended since
+			continue // the process has ended
 		}
-		// pid (name) state parent ...; a name may hold anything, brackets too.
+		// pid (name) state parent ...; a name may contain anything, including parentheses.
 		_, rest, _ := strings.Cut(string(stat[strings.LastIndexByte(string(stat), ')'):]), " ")
 		if fields := strings.Fields(rest); len(fields) > 1 && fields[1] == strconv.Itoa(cmd.Process.Pid) {
 			t.Errorf("it started another process: %s", stat)
--- a/cmd/elderyard/descriptors_linux_test.go
+++ b/cmd/elderyard/descriptors_linux_test.go
@@ -22,26 +22,26 @@
 	descriptorLimit = 256 // the lowest limit that the platform sets
 	oldBackends     = 10
 	blockedRequests = 8
-	counterConns    = 32               // of one gateway, as many as the counter takes
-	idleClients     = 400              // of requests, and as many of limit commands
-	eventTimeout    = 40 * time.Second // bounds each wait; none is expected to last so long
+	counterConns    = 32               // of one gateway, as many as the counter accepts
+	idleClients     = 400              // of client connections, and as many of limit commands
+	eventTimeout    = 40 * time.Second // for each wait; none is expected to last that long
 )
 
-// outageRig is all that stands round a gateway whose discovery has an outage.
+// outageTest is a gateway with the services around it, of which discovery has an outage.
 type outageTest struct {
 	t            *testing.T
 	address      string // of the gateway, for clients
-	limitAddress string // and for limit commands
+	limitAddress string // of the gateway, for limit commands
 	registry     registryStandIn
 	counter      counterStandIn
 	old, new     backendStandIn
 	pid          int           // of the gateway
-	stopGateway  func() string // kills it, and returns what it said
+	stopGateway  func() string // kills it, and returns its log
 	listAfter    string        // the list after the outage
 	nextID       atomic.Int64
 }
 
-// registryStandIn answers with its list, and says nothing while it is down.
+// registryStandIn responds with its list, and does not respond while it is down.
 type registryStandIn struct {
 	mu            sync.Mutex
 	down          bool
@@ -53,7 +53,7 @@
 func (r *registryStandIn) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
 	upToDate := q.URL.Query().Get("since") == "2"
-	list, down := r.list, r.down || upToDate // nothing changes any more
+	list, down := r.list, r.down || upToDate // no further changes follow
 	if r.down {
 		r.calls++
 	}
@@ -80,17 +80,17 @@
 	return r.calls
 }
 
-// counterStandIn answers each call on a connection of its own.
+// counterStandIn serves each call on a connection of its own.
 type counterStandIn struct{ calls atomic.Int64 }
 
 func (c *counterStandIn) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	c.calls.Add(1)
 	w.Header().Set("Connection", "close")
-	io.WriteString(w, q.URL.Query().Get("add")) // each name is asked for once or twice, far below its quota
+	io.WriteString(w, q.URL.Query().Get("add")) // each name is requested once or twice, far below its quota
 }
 
-// backendStandIn counts the requests that it begins, and answers them; while it holds them,
-// once it is released.
+// backendStandIn counts the requests that it receives, and responds to them: while it is blocking, only once
+// it is released.
 type backendStandIn struct {
 	received atomic.Int64
 	blocking atomic.Bool
@@ -118,7 +118,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// startLimited starts the gateway in a process that may hold descriptorLimit descriptors.
+// startLimited starts the gateway in a process with a limit of descriptorLimit descriptors.
 func (r *outageTest) startLimited() {
 	t := r.t
 	list := func(generation int, addresses ...string) string {
@@ -161,7 +161,7 @@
 	})
 	t.Cleanup(func() {
 		if output := r.stopGateway(); t.Failed() {
-			t.Logf("the gateway said %.2000q", output)
+			t.Logf("log of the gateway: %.2000q", output)
 		}
 	})
 	r.waitUntil("the gateway is ready", func() bool {
@@ -175,7 +175,7 @@
 	r.listAfter = after
 }
 
-// unusedAddress is one that no other test is likely to take before the program does.
+// unusedAddress returns an address that no other test is likely to use before the program does.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -186,7 +186,7 @@
 	return l.Addr().String()
 }
 
-// descriptors is how many the gateway holds.
+// descriptors returns how many descriptors the gateway has open.
 func (r *outageTest) descriptors() int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.pid))
 	if err != nil {
@@ -204,16 +204,16 @@
 	}
 }
 
-// request is one of a client, on a connection of its own.
+// request is a client's request, on a connection of its own.
 type request struct{ responses chan response }
 
-// answer is what a client reads: a status, or why there is none.
+// response is what a client receives: a status, or the reason why there is none.
 type response struct {
 	status int
 	err    error
 }
 
-// ask sends a request of a customer of its own on a new connection.
+// sendRequest sends a request of another customer on a new connection.
 func (r *outageTest) sendRequest() *request {
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -239,7 +239,7 @@
 	return request
 }
 
-// served waits for the answer to a request, which must be 200.
+// expectServed waits for the response to a request, which must be 200.
 func (r *outageTest) expectServed(what string, request *request) {
 	r.t.Helper()
 	select {
@@ -248,19 +248,19 @@
 			r.t.Errorf("%s: status %d, %v", what, response.status, response.err)
 		}
 	case <-time.After(eventTimeout):
-		r.t.Errorf("%s: no answer", what)
+		r.t.Errorf("%s: no response", what)
 	}
 }
 
-// serveByNew sends new requests, each once the one before it is out, until one is served,
-// which only the new backend does. It returns the others, which old backends hold. A new
-// connection may be shut before its request is read.
+// serveByNewBackend sends requests until one is served, which only the new backend does. It sends each once
+// an old backend has received the one before, and returns those. A new connection may be closed before its
+// request is read.
 func (r *outageTest) serveByNewBackend() (blocked []*request) {
 	for range oldBackends {
 		before := r.old.received.Load()
 		request := r.sendRequest()
 		var result *response
-		r.waitUntil("the request is out or answered, or its connection shut", func() bool {
+		r.waitUntil("the request is in flight or answered, or its connection closed", func() bool {
 			select {
 			case a := <-request.responses:
 				result = &a
@@ -272,7 +272,7 @@
 		switch {
 		case result == nil:
 			blocked = append(blocked, request)
-		case result.err != nil && r.old.received.Load() == before: // shut unread
+		case result.err != nil && r.old.received.Load() == before: // closed before the request was read
 		case result.err != nil || result.status != http.StatusOK:
 			r.t.Fatalf("a new request: status %d, %v", result.status, result.err)
 		default:
@@ -283,8 +283,8 @@
 	return nil
 }
 
-// flood keeps idle clients connected to address until ctx ends, a new one for each that is
-// shut. It returns how many have been shut.
+// connectIdleClients keeps idle clients connected to address until ctx ends, and replaces each that is
+// closed. It returns how many have been closed.
 func connectIdleClients(ctx context.Context, wg *sync.WaitGroup, address string) *atomic.Int64 {
 	closed := &atomic.Int64{}
 	for range idleClients {
@@ -293,7 +293,7 @@
 				conn, err := net.DialTimeout("tcp", address, eventTimeout)
 				if err == nil {
 					stop := context.AfterFunc(ctx, func() { conn.Close() })
-					io.Copy(io.Discard, conn) // until it is shut
+					io.Copy(io.Discard, conn) // until it is closed
 					stop()
 					conn.Close()
 					if ctx.Err() == nil {
@@ -310,13 +310,13 @@
 	return closed
 }
 
-// Idle clients take all the descriptors that they can get while discovery is down. The
-// gateway keeps calling discovery on new connections, learns of a new backend once that
-// answers, calls the counter and serves a new request; no request that had begun is shut.
+// Idle clients use up all the descriptors that they can get while discovery is down. The gateway must keep
+// calling discovery on new connections, learn of a new backend once discovery responds, call the counter and
+// serve new requests, and must not close a connection with an open request.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	r := &outageTest{t: t, old: backendStandIn{released: make(chan struct{})}}
 	r.startLimited()
-	for range 4 * oldBackends { // the gateway learns how long an answer takes
+	for range 4 * oldBackends { // the gateway learns its backends' latency
 		r.expectServed("before the outage", r.sendRequest())
 	}
 	r.registry.set(true, r.registry.list)
@@ -327,14 +327,14 @@
 	for range blockedRequests {
 		blocked = append(blocked, r.sendRequest())
 	}
-	r.waitUntil("all requests are out", func() bool { return r.old.received.Load() == blockedRequests })
+	r.waitUntil("all requests are in flight", func() bool { return r.old.received.Load() == blockedRequests })
 
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
 	closed, limitsClosed := connectIdleClients(ctx, &wg, r.address), connectIdleClients(ctx, &wg, r.limitAddress)
-	r.waitUntil("idle clients are shut", func() bool { return min(closed.Load(), limitsClosed.Load()) >= 2*idleClients })
+	r.waitUntil("idle clients are closed", func() bool { return min(closed.Load(), limitsClosed.Load()) >= 2*idleClients })
 	calls := r.registry.callsWhileDown()
 	maxDescriptors := 0
 	r.waitUntil("discovery is called again", func() bool {
@@ -349,14 +349,14 @@
 	if r.counter.calls.Load() == counterCalls {
 		t.Error("the counter was not called")
 	}
-	t.Logf("%d descriptors at most, %d and %d idle clients shut", maxDescriptors, closed.Load(), limitsClosed.Load())
+	t.Logf("%d descriptors at most, %d and %d idle clients closed", maxDescriptors, closed.Load(), limitsClosed.Load())
 	if maxDescriptors+counterConns > descriptorLimit {
 		t.Errorf("clients and backends left %d descriptors of %d; the counter's connections alone may be %d",
 			descriptorLimit-maxDescriptors, descriptorLimit, counterConns)
 	}
 	close(r.old.released)
 	for _, request := range blocked {
-		r.expectServed("a request that was held", request)
+		r.expectServed("a blocked request", request)
 	}
 	if output := r.stopGateway(); strings.Contains(output, "too many open files") {
 		t.Error("the gateway ran out of descriptors")
--- a/cmd/elderyard/main_test.go
+++ b/cmd/elderyard/main_test.go
@@ -52,8 +52,8 @@
 	return cmd, stderr
 }
 
-// waiting returns the command before a discovery that never answers, and tells of each
-// time that it is asked.
+// commandWithSilentDiscovery returns the command with a discovery that never responds, and a channel that
+// receives each call to it.
 func commandWithSilentDiscovery(t *testing.T) (cmd *exec.Cmd, stderr *bytes.Buffer, discoveryCalls <-chan struct{}) {
 	calls := make(chan struct{}, 16)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -75,12 +75,11 @@
 		t.Errorf("ended with %v", err)
 	}
 	if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, "elderyard: configuration ") {
-		t.Errorf("said %q", text)
+		t.Errorf("stderr: %q", text)
 	}
 }
 
-// SIGHUP before the gateway is ready, and beside SIGTERM, must not end it in
-// another way than SIGTERM does.
+// SIGHUP before the gateway is ready, or along with SIGTERM, must not change how SIGTERM ends it.
 func TestSignals(t *testing.T) {
 	cmd, stderr, discoveryCalls := commandWithSilentDiscovery(t)
 	if err := cmd.Start(); err != nil {
@@ -88,9 +87,9 @@
 	}
 	defer cmd.Process.Kill()
 	select {
-	case <-discoveryCalls: // it runs
+	case <-discoveryCalls: // the program is running
 	case <-time.After(20 * time.Second):
-		t.Fatal("discovery was not asked")
+		t.Fatal("discovery was not called")
 	}
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		if err := cmd.Process.Signal(s); err != nil {
@@ -98,12 +97,11 @@
 		}
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v, saying %q", err, stderr)
+		t.Errorf("ended with %v, stderr: %q", err, stderr)
 	}
 }
 
-// A gateway must not start with an operator's file that it does not understand,
-// and must say where it is wrong.
+// A gateway must not start with an invalid site file, and must report the position of the error.
 func TestInvalidSiteFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "site.toml")
 	if err := os.WriteFile(path, []byte("[clients]\nsocket_shaer = 0.5\n"), 0o600); err != nil {
@@ -128,7 +126,7 @@
 			t.Errorf("ended with %v", err)
 		}
 		if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.HasPrefix(text, want) {
-			t.Errorf("said %q", text)
+			t.Errorf("stderr: %q", text)
 		}
 	}
 }
--- a/cmd/elderyard/restart_test.go
+++ b/cmd/elderyard/restart_test.go
@@ -23,19 +23,19 @@
 
 const restartedGateways = 30 // processes
 
-// restartSite is a fleet of processes before one registry and one backend that lives.
+// restartSite is a fleet of gateways with one registry and one live backend.
 type restartSite struct {
 	registry *registry.Registry
 	links    []*link.Link
 	gateways []*restartGateway
 }
 
-// restartGateway is one process after another at one address.
+// restartGateway is a sequence of processes at one address.
 type restartGateway struct {
 	address, config string
 	cmd             *exec.Cmd
 	stderr          *bytes.Buffer
-	served          atomic.Int64 // requests of clients that got their 200
+	served          atomic.Int64 // client requests with status 200
 }
 
 func newRestartSite(t *testing.T) *restartSite {
@@ -75,8 +75,8 @@
 	return s
 }
 
-// restartConfig is the configuration of a gateway that knows an old list: of its backends
-// but one is still there.
+// restartConfig returns the configuration of a gateway with an old cached list, of whose backends only one
+// still exists.
 func restartConfig(rank int, address, discovery, alive, dead string) string {
 	known := fmt.Sprintf(`{"instanceId": "alive", "hostPort": %q, "zone": "a", "machineType": "m", "lifecycle": "Ready", "weight": 1}`, alive)
 	for i := range 3 {
@@ -98,7 +98,7 @@
 	}
 }
 
-// kill ends the process that this test started last.
+// kill ends the current process.
 func (g *restartGateway) kill() {
 	if g.cmd != nil {
 		g.cmd.Process.Signal(syscall.SIGKILL)
@@ -124,14 +124,14 @@
 	for i, g := range s.gateways {
 		for !g.ready() {
 			if time.Now().After(end) {
-				t.Fatalf("n%d is not ready; it said %q", i, g.stderr)
+				t.Fatalf("n%d is not ready; stderr: %q", i, g.stderr)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-// load sends requests to all gateways in turn, until the test ends.
+// startLoad sends requests to all gateways in turn until the test ends.
 func (s *restartSite) startLoad(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
@@ -149,7 +149,7 @@
 	}
 }
 
-// send makes one request of a client.
+// send makes one client request.
 func (g *restartGateway) send(ctx context.Context, client *http.Client, id int64) {
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+g.address+"/c/1", nil)
 	if err != nil {
@@ -169,7 +169,7 @@
 	}
 }
 
-// allServe waits until every gateway has served a request from now on.
+// allServe waits until every gateway has served a request since the call.
 func (s *restartSite) allServe(t *testing.T) {
 	t.Helper()
 	var before [restartedGateways]int64
@@ -180,14 +180,14 @@
 	for i, g := range s.gateways {
 		for g.served.Load() == before[i] {
 			if time.Now().After(end) {
-				t.Fatalf("n%d serves nothing; it said %q", i, g.stderr)
+				t.Fatalf("n%d serves nothing; stderr: %q", i, g.stderr)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-// toldPeers returns how many gateways were told of a backend.
+// informedGateways returns how many gateways have received a backend from the registry.
 func (s *restartSite) informedGateways(instance string) int {
 	sent, _ := s.registry.Record()
 	peers := map[string]bool{}
@@ -199,16 +199,16 @@
 	return len(peers)
 }
 
-// silence makes the registry answer no gateway, or all again.
+// setSilent sets whether the registry ignores the calls of all gateways.
 func (s *restartSite) setSilent(on bool) {
 	for _, l := range s.links {
 		s.registry.SetSilent(l.Peer(), on)
 	}
 }
 
-// Processes that are all killed and started again beside load are ready and serve by the
-// list that they know from before, however old, while discovery answers none of them; and
-// when it does, all learn from it what is new.
+// All gateways are killed and restarted under load while discovery responds to none of them. They must
+// become ready and serve with their cached list, however old, and must all learn what is new once discovery
+// responds again.
 func TestRestartWithoutDiscovery(t *testing.T) {
 	s := newRestartSite(t)
 	for _, g := range s.gateways {
@@ -219,7 +219,7 @@
 	overload := registry.Crowd{Serving: 2, Waiting: 8, Service: 50 * time.Millisecond, Patience: 2 * time.Second, NoWatch: true}
 	for _, step := range []struct {
 		name   string
-		stop   func() // discovery answers none from now on
+		stop   func() // no gateway gets a response from now on
 		resume func(t *testing.T)
 	}{
 		{"silent", func() { s.setSilent(true) }, func(*testing.T) { s.setSilent(false) }},
@@ -238,12 +238,12 @@
 			s.allReady(t)
 			s.allServe(t)
 			if n := s.informedGateways(step.name); n > 0 {
-				t.Fatalf("discovery has answered %d of them meanwhile", n)
+				t.Fatalf("discovery responded to %d of them during the outage", n)
 			}
 			step.resume(t)
 			for end := time.Now().Add(3 * testpeer.Patience); s.informedGateways(step.name) < restartedGateways; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("only %d have learnt what is new; calls: %+v", s.informedGateways(step.name), s.registry.Crowded())
+					t.Fatalf("only %d have received the new backend; calls: %+v", s.informedGateways(step.name), s.registry.Crowded())
 				}
 			}
 			s.allServe(t)
@@ -251,14 +251,14 @@
 	}
 }
 
-// down takes discovery's sockets away.
+// down closes discovery's sockets.
 func (s *restartSite) down() {
 	for _, l := range s.links {
 		l.Down()
 	}
 }
 
-// up brings them back at the same addresses.
+// up reopens them at the same addresses.
 func (s *restartSite) up(t *testing.T) {
 	t.Helper()
 	for _, l := range s.links {
--- a/cmd/elderyard/upgrade_test.go
+++ b/cmd/elderyard/upgrade_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// place is what a gateway needs round it: two backends and their discovery.
+// testSite is what a gateway needs: two backends and their discovery.
 type testSite struct {
 	discovery *httptest.Server
 	served    [2]atomic.Int64
@@ -58,10 +58,10 @@
 	stderr          *bytes.Buffer
 }
 
-// start runs the program with the clients' socket as a descriptor of its own.
+// start runs the program with the clients' socket as an inherited descriptor.
 func (s *testSite) start(t *testing.T, socket *os.File, dir string) *process {
 	t.Helper()
-	// An address of its own, so that no other test is likely to take the port before the program does.
+	// A separate loopback address, so that no other test is likely to use the port before the program does.
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(256), 1+rand.IntN(250))
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -84,13 +84,13 @@
 	p := &process{cmd, operatorAddress, stderr}
 	for end := time.Now().Add(20 * time.Second); p.call("GET", "/_ready", "") != 200; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never ready; it said %q", stderr)
+			t.Fatalf("never ready; stderr: %q", stderr)
 		}
 	}
 	return p
 }
 
-// call returns the status of a call to the operators' address, 0 for none.
+// call returns the status of a call to the operator API, or 0 if there is no response.
 func (p *process) call(method, path, body string) int {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequest(method, "http://"+p.operatorAddress+path, strings.NewReader(body))
@@ -105,9 +105,8 @@
 	return resp.StatusCode
 }
 
-// An upgrade: the new process serves on the same socket before the old one ends.
-// No request is lost or meets a closed door, on kept connections and new ones, and
-// what is out by hand stays out.
+// In an upgrade, the new process serves on the same socket before the old one ends. No request may be lost
+// or refused, on reused connections or new ones, and a detached backend must stay detached.
 func TestUpgradeLosesNothing(t *testing.T) {
 	s := newTestSite(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -161,15 +160,15 @@
 		from := served.Load()
 		for end := time.Now().Add(20 * time.Second); served.Load() < from+200; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: only %d more answers", what, served.Load()-from)
+				t.Fatalf("%s: only %d more responses", what, served.Load()-from)
 			}
 		}
 	}
 	expectProgress("the old process alone")
 	if got := old.call("POST", "/_backends/detach", `{"id":"s1"}`); got != 200 {
-		t.Fatalf("out by hand: %d", got)
+		t.Fatalf("detach: %d", got)
 	}
-	time.Sleep(50 * time.Millisecond) // what was on its way there has arrived
+	time.Sleep(50 * time.Millisecond) // requests in transit have arrived
 	sentBefore := s.served[1].Load()
 	next := s.start(t, socket, dir)
 	expectProgress("both")
@@ -177,18 +176,18 @@
 		t.Fatal(err)
 	}
 	if err := old.Wait(); err != nil {
-		t.Errorf("the old process: %v, saying %q", err, old.stderr)
+		t.Errorf("the old process: %v, stderr: %q", err, old.stderr)
 	}
 	expectProgress("the new process alone")
 	if n := s.served[1].Load() - sentBefore; n > 0 {
-		t.Errorf("the backend that is out by hand got %d requests", n)
+		t.Errorf("the detached backend got %d requests", n)
 	}
 	if got := next.call("POST", "/_backends/attach", `{"id":"s1"}`); got != 200 {
-		t.Errorf("in again: %d", got)
+		t.Errorf("attach: %d", got)
 	}
 	for end := time.Now().Add(20 * time.Second); s.served[1].Load() == sentBefore; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the backend that is back gets nothing")
+			t.Fatal("the attached backend gets no requests")
 		}
 	}
 	stop()
@@ -199,7 +198,7 @@
 	}
 }
 
-// A descriptor that is none ends the start with one line that says so.
+// An invalid listening descriptor must end the start with a single line that names it.
 func TestInvalidDescriptor(t *testing.T) {
 	for _, fd := range []string{"x", "0", "77"} {
 		s := newTestSite(t)
@@ -209,10 +208,10 @@
 			"classes": [{"name": "c", "objectiveS": 2, "deadlineS": 2}], "packages": [{"name": "p"}]}}`)
 		cmd.Env = append(cmd.Env, "EDGE_LISTEN_FD="+fd)
 		if err := cmd.Run(); err == nil {
-			t.Errorf("descriptor %q was taken", fd)
+			t.Errorf("descriptor %q was accepted", fd)
 		}
 		if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, fd) {
-			t.Errorf("descriptor %q: said %q", fd, text)
+			t.Errorf("descriptor %q: stderr: %q", fd, text)
 		}
 	}
 }
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -21,30 +21,30 @@
 )
 
 const (
-	maxPreallocatedBody = 4 << 10                // bytes that a body may claim and get memory for at once
-	maxBufferedResponse = 128 << 10              // bytes of an answer with its headers and framing, up to where it passes through
-	maxInterimResponses = 8                      // 1xx answers before the real one
-	idleMargin          = time.Second            // a connection is not used again so close to the backend's limit
-	reuseDelay          = 10 * time.Millisecond  // after an answer, before the connection is used again
-	sweepInterval       = 500 * time.Millisecond // between searches for connections idle too long
+	maxPreallocatedBody = 4 << 10                // bytes that are allocated at once on the word of a Content-Length
+	maxBufferedResponse = 128 << 10              // bytes of a response, including headers and framing, before it is streamed
+	maxInterimResponses = 8                      // 1xx responses before the final one
+	idleMargin          = time.Second            // connections are not reused this close to the backend's idle timeout
+	reuseDelay          = 10 * time.Millisecond  // after a response, before the connection is reused
+	sweepInterval       = 500 * time.Millisecond // between searches for expired idle connections
 	unprocessedHeader   = "X-Unprocessed"
 	timeLeftHeader      = "X-Time-Left-Ms"
 	loadHeader          = "X-Backend-Load"
 )
 
-// result is what became of an attempt.
+// result is the outcome of an attempt.
 type result struct {
 	outcome            rules.Outcome
-	header             http.Header // of a served answer
+	header             http.Header // of a successful response
 	body               []byte
-	stream             *download // in place of body, where it passes through
-	clientDisconnected bool      // nothing was written: the client has gone
-	loadText           string    // the answer's load report; "": none
-	load               []float64 // what it tells, in the order of the settings
+	stream             *download // replaces body if the response is streamed
+	clientDisconnected bool      // the client has disconnected, and nothing was written
+	loadText           string    // the load report of the response; empty if there is none
+	load               []float64 // the values of the load report, in the order of the settings
 }
 
-// attempt is one sending of a request to a backend. The loop owns all but what
-// mu guards.
+// attempt is one transmission of a request to a backend. The loop owns all fields but those that mu
+// protects.
 type attempt struct {
 	exchange       *exchange
 	loop           *Loop
@@ -52,28 +52,27 @@
 	backend        rules.BackendID
 	sentAt         float64
 	deadline       float64
-	socketDeadline time.Time // the deadline for sockets
-	writeDeadline  time.Time // when the last byte must have been written; zero: any time before until
-	traceParent    string    // the header traceparent; "": what the client sent goes on
+	socketDeadline time.Time // deadline as a wall-clock time
+	writeDeadline  time.Time // when the last byte must have been written; zero: any time before socketDeadline
+	traceParent    string    // the traceparent header; if empty, the client's header is forwarded
 	ended          bool
-	neverRan       bool // that is proved
-	streaming      bool // its answer passes through
+	neverRan       bool // proven not to have run
+	streaming      bool // its response is being streamed
 
 	ctx    context.Context // of the dial
 	cancel context.CancelFunc
 
-	onSent      func()              // the body that passes through has gone whole; nil where none does
-	onStreamEnd func(rules.Outcome) // the answer that passed through has ended
+	onSent      func()              // called when a streamed body has been written; nil if there is none
+	onStreamEnd func(rules.Outcome) // called when a streamed response has ended
 
 	mu      sync.Mutex
 	conn    *backendConn
-	aborted bool // off
-	sent    bool // whole
+	aborted bool // by abort
+	sent    bool // completely
 }
 
-// callOff ends the attempt's sending and waiting. Once it has returned, no byte
-// of the request leaves any more: a dial that is up later finds it called off,
-// and a connection in use is closed.
+// abort stops the attempt. Once it has returned, no more bytes of the request are sent: a dial that
+// completes later finds the attempt aborted, and a connection in use is closed.
 func (a *attempt) abort() {
 	a.cancel()
 	a.mu.Lock()
@@ -84,8 +83,8 @@
 	}
 }
 
-// withhold calls off what has not gone out whole of a request that is over. What has
-// is the module's to cancel, where the settings allow that.
+// abortUnsent aborts the attempts of a finished request that have not been written completely. The
+// decision module cancels the others, where the settings allow that.
 func (ex *exchange) abortUnsent() {
 	for _, a := range ex.attempts {
 		if !a.ended && !a.isSent() {
@@ -94,36 +93,36 @@
 	}
 }
 
-// deserted tells whether the client has gone. Danger: on a machine that has just stood
-// still, or is short of CPU, what the client sent and its end lie there together, and work
-// would go out for one that left long ago. So the last look comes before the write.
+// clientDisconnected reports whether the client has disconnected. On a machine that was suspended or is short of
+// CPU, a request and the disconnect that followed it may arrive together, and a backend would work for a
+// client that left long ago. So this must be checked right before the write.
 func (ex *exchange) clientDisconnected() bool { return ex.conn != nil && ex.conn.clientDisconnected() }
 
-// isWritten tells whether the request has been written to its end.
+// isSent reports whether the request has been written completely.
 func (a *attempt) isSent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.sent
 }
 
-// went notes that the request has been written whole.
+// markSent records that the request has been written completely.
 func (a *attempt) markSent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sent = true
 }
 
-// unsent is what an attempt comes to whose request did not go out whole.
+// unsentResult returns the result of an attempt whose request was not written completely.
 func (a *attempt) unsentResult() result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.aborted || !a.writeDeadline.IsZero() && !time.Now().Before(a.writeDeadline) {
-		return result{outcome: rules.NotSent} // none of the backend's doing
+		return result{outcome: rules.NotSent} // not the backend's fault
 	}
 	return result{outcome: rules.ConnectFailed}
 }
 
-// hold takes a connection for the attempt, unless it was called off.
+// setConn assigns a connection to the attempt and reports false if the attempt was aborted.
 func (a *attempt) setConn(c *backendConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,7 +132,7 @@
 	return !a.aborted
 }
 
-// release gives the connection up. It tells whether it may be used again.
+// releaseConn detaches the connection from the attempt and reports whether it may be reused.
 func (a *attempt) releaseConn() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -141,26 +140,25 @@
 	return !a.aborted
 }
 
-// backendConn is one connection to a backend, for one request at a time.
+// backendConn is a connection to a backend. It carries one request at a time.
 type backendConn struct {
 	net.Conn
-	limit     *io.LimitedReader // what an answer may still take, headers among it
-	reader    *bufio.Reader     // on left
+	limit     *io.LimitedReader // bytes that a response may still have, including its headers
+	reader    *bufio.Reader     // reads from limit
 	writer    *bufio.Writer
 	endpoint  *endpoint
-	idleSince time.Time     // since when
-	idleFor   time.Duration // before the present use; 0: it is new
+	idleSince time.Time     // zero while in use
+	idleFor   time.Duration // idle time before the current use; 0 for a new connection
 }
 
-// target is one life of a backend at one address. All of its connections end
-// with it.
+// endpoint is one run of a backend at one address. All of its connections end with it.
 type endpoint struct {
 	address   string
 	startedAt float64
-	ctx       context.Context // ends with the target; dials hang on it
+	ctx       context.Context // ends with the endpoint; cancels its dials
 	cancel    context.CancelFunc
 	conns     map[*backendConn]struct{}
-	idle      []*backendConn // the most recently used last
+	idle      []*backendConn // most recently used last
 	retired   bool
 }
 
@@ -168,24 +166,23 @@
 type pools struct {
 	connectTimeout time.Duration
 	idleLimit      time.Duration
-	maxOpen        int // connections in all
+	maxOpen        int // connections to all backends
 	dialContext    func(ctx context.Context, network, address string) (net.Conn, error)
-	trust          sockets.IdleEstimator
-	dials          atomic.Int64 // since they were last counted
+	idleEstimator  sockets.IdleEstimator
+	dials          atomic.Int64 // since the last rollup
 
 	mu        sync.Mutex
 	endpoints map[rules.BackendID]*endpoint
-	openConns int // connections and dials
+	openConns int // connections and dials in progress
 }
 
 func newPools(connectTimeout, idleTimeout time.Duration, maxOpen int) *pools {
-	dialer := net.Dialer{KeepAlive: -1} // it would not notice a silent machine in time
+	dialer := net.Dialer{KeepAlive: -1} // probes would notice a silent machine too late
 	return &pools{dialContext: dialer.DialContext, connectTimeout: connectTimeout, idleLimit: max(idleTimeout-idleMargin, idleTimeout/2),
 		maxOpen: maxOpen, endpoints: map[rules.BackendID]*endpoint{}}
 }
 
-// update tells where a ready backend is. A new start or address retires the
-// connections of the old.
+// update sets the address of a ready backend. A restart or a new address retires the old connections.
 func (p *pools) update(id rules.BackendID, address string, startedAt float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,7 +191,7 @@
 		return
 	}
 	if old != nil {
-		// What is out at an earlier life will never be answered.
+		// Requests in flight at an earlier run will never get a response.
 		p.retire(old, old.startedAt < startedAt)
 	}
 	next := &endpoint{address: address, startedAt: startedAt, conns: map[*backendConn]struct{}{}}
@@ -202,8 +199,8 @@
 	p.endpoints[id] = next
 }
 
-// remove ends all new sending to a backend that drains or is gone, dials that
-// wait among it. What is out there may still be answered.
+// remove stops sending to a backend that drains or is gone, and cancels its pending dials. Requests in
+// flight may still get a response.
 func (p *pools) remove(id rules.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,6 +210,7 @@
 	}
 }
 
+// retire ends an endpoint: it cancels the dials and closes the idle connections, and those in use if inUse.
 func (p *pools) retire(e *endpoint, inUse bool) {
 	e.retired = true
 	e.cancel()
@@ -227,7 +225,7 @@
 	e.idle = nil
 }
 
-// forget takes a closed connection off the books.
+// untrack removes a closed connection from the pool's accounting.
 func (p *pools) untrack(c *backendConn) {
 	if _, here := c.endpoint.conns[c]; here {
 		delete(c.endpoint.conns, c)
@@ -235,7 +233,7 @@
 	}
 }
 
-// discard closes a connection that may not be used again.
+// discard closes a connection that can't be reused.
 func (p *pools) discard(c *backendConn) {
 	c.Close()
 	p.mu.Lock()
@@ -243,7 +241,7 @@
 	p.untrack(c)
 }
 
-// put keeps a connection for the next attempt.
+// put returns a connection to the pool.
 func (p *pools) put(c *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -256,7 +254,7 @@
 	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// sweep closes what has been idle too long, until ctx ends.
+// sweep closes expired idle connections until ctx ends.
 func (p *pools) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -280,6 +278,7 @@
 	}
 }
 
+// closeIdleBefore closes the connections that have been idle since before the given time.
 func (p *pools) closeIdleBefore(e *endpoint, before time.Time) {
 	closed := 0
 	for ; closed < len(e.idle) && e.idle[closed].idleSince.Before(before); closed++ {
@@ -289,8 +288,8 @@
 	e.idle = append(e.idle[:0], e.idle[closed:]...)
 }
 
-// closeSpare closes the connection that has been idle for the longest, to
-// whatever backend, so that those to others don't keep one out.
+// closeOldestIdle closes the connection to any backend that has been idle longest, so that idle
+// connections to other backends don't prevent a new one.
 func (p *pools) closeOldestIdle() bool {
 	var oldest *backendConn
 	for _, e := range p.endpoints {
@@ -307,16 +306,16 @@
 	return true
 }
 
-var errNoConnection = errors.New("no connection to be had")
+var errNoConnection = errors.New("no connection available")
 
-// settled is how many idle connections have rested for long enough. They come
-// first, since the most recently used stand last. Under full load dozens of a
-// backend's rest at once, and a look at the clock for each of them was 3% of the CPU.
+// reusable returns how many idle connections have been idle for reuseDelay. They come first, since the
+// most recently used are last. Under full load a backend has dozens of them, and reading the clock for
+// each was 3% of the CPU.
 func (e *endpoint) reusable(now time.Time) int {
 	return sort.Search(len(e.idle), func(i int) bool { return now.Sub(e.idle[i].idleSince) < reuseDelay })
 }
 
-// conn returns an idle connection to the backend, or a new one.
+// conn returns an idle connection to the backend, or dials a new one.
 func (p *pools) conn(ctx context.Context, id rules.BackendID) (*backendConn, error) {
 	p.mu.Lock()
 	e := p.endpoints[id]
@@ -325,9 +324,10 @@
 		return nil, errNoConnection
 	}
 	now := time.Now()
-	idleLimit := min(p.idleLimit, p.trust.Limit(now))
-	// Danger: more than belonged to the last answer may be on its way, and would be read as the next. At the
-	// bound as well: there one that has not settled makes room for a new one.
+	idleLimit := min(p.idleLimit, p.idleEstimator.Limit(now))
+	// Surplus bytes after the last response may still be in transit and would be read as the next response,
+	// so a connection must not be reused before reuseDelay. This also holds at the connection limit, where
+	// such a connection is closed to make room for a new one.
 	for n := e.reusable(now) - 1; n >= 0; n-- {
 		c := e.idle[n]
 		age := now.Sub(c.idleSince)
@@ -378,8 +378,8 @@
 	return &backendConn{Conn: conn, limit: limit, reader: bufio.NewReader(limit), writer: bufio.NewWriter(conn), endpoint: endpoint}
 }
 
-// attempt sends the request and waits for what comes back. An error before the
-// last byte is written proves that nothing ran; any later one proves nothing.
+// send writes the request and waits for the response. An error before the last byte is written proves
+// that nothing ran; a later one proves nothing.
 func (p *pools) send(attempt *attempt) result {
 	conn, err := p.conn(attempt.ctx, attempt.backend)
 	if err != nil {
@@ -402,7 +402,7 @@
 		attempt.releaseConn()
 		p.discard(conn)
 		if upload := attempt.exchange.upload; upload != nil && upload.failed {
-			return result{outcome: rules.Cancelled} // the client's doing, not the backend's
+			return result{outcome: rules.Cancelled} // the client's fault, not the backend's
 		}
 		return attempt.unsentResult()
 	}
@@ -425,7 +425,7 @@
 	}
 	notAborted := attempt.releaseConn()
 	if droppedIdle := result.outcome == rules.ConnectionLost && conn.limit.N == maxBufferedResponse; notAborted && conn.idleFor > 0 {
-		p.trust.Record(time.Now(), conn.idleFor, droppedIdle)
+		p.idleEstimator.Record(time.Now(), conn.idleFor, droppedIdle)
 	}
 	if notAborted && reuse {
 		p.put(conn)
@@ -435,8 +435,8 @@
 	return result
 }
 
-// pass writes the request. Where its body comes as it passes through, whole is
-// called when that is over, and the client's time runs from there.
+// writeRequest writes the request. After a streamed body it calls onSent, and the client's time limit
+// starts then.
 func (a *attempt) writeRequest(c *backendConn) error {
 	ex, timeLeft := a.exchange, time.Until(a.socketDeadline)
 	if ex.upload != nil {
@@ -460,8 +460,8 @@
 	return nil
 }
 
-// request is what goes to the backend: the client's own, with the time that
-// this attempt has.
+// buildRequest returns the request for the backend: the client's own, with the time that this attempt has
+// left.
 func (a *attempt) buildRequest(timeLeft time.Duration) *http.Request {
 	ex := a.exchange
 	header := make(http.Header, len(ex.header))
@@ -484,13 +484,14 @@
 	return request
 }
 
-// untilEnd is a body that has no end but its connection's. Danger: a reset is no end, since
-// a process that dies leaves one, and neither is the bound on what an answer may take.
+// closeDelimitedBody is a body that ends with its connection. A reset must not count as its end, since a
+// process that crashes causes one, and neither must the size limit of a response.
 type closeDelimitedBody struct {
 	io.ReadCloser
 	limit *io.LimitedReader
 }
 
+// Read reads the body, and reports errTooLong where the size limit has been reached.
 func (b closeDelimitedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF && b.limit.N <= 0 {
@@ -499,8 +500,8 @@
 	return n, err
 }
 
-// answer reads what comes back, a short body whole, and tells whether the
-// connection may be used again. Of a long one the rest is left to be passed on.
+// readResponse reads a response, with its whole body if that is short, and reports whether the connection
+// may be reused. The rest of a long body is left to be streamed.
 func (c *backendConn) readResponse(method string) (result, bool) {
 	request := &http.Request{Method: method}
 	c.limit.N = maxBufferedResponse
@@ -529,7 +530,7 @@
 			if resp.StatusCode != http.StatusOK {
 				return result{outcome: rules.Errored}, false
 			}
-			c.limit.N += maxStreamedBody + maxStreamedBody/8 // chunks have sizes and ends
+			c.limit.N += maxStreamedBody + maxStreamedBody/8 // room for the framing of chunks
 			return result{outcome: rules.Served, header: resp.Header,
 				stream: &download{length: resp.ContentLength, prefix: body, body: resp.Body, conn: c}}, !resp.Close
 		}
@@ -546,10 +547,9 @@
 	return result{outcome: rules.Errored}, false
 }
 
-// short reads a body whole if it is short, and tells whether it is. Danger: a
-// length is a claim; memory for a long one is taken only as the bytes come. One of
-// unknown length that comes slowly passes through early: its first bytes may be
-// what the client waits for.
+// readBody reads a short body and reports whether that was all of it. A Content-Length is only a claim, so
+// memory for a long body is allocated only as its bytes arrive. A slow body of unknown length is streamed
+// early, as the client may be waiting for its first bytes.
 func (c *backendConn) readBody(resp *http.Response) (body []byte, complete bool, err error) {
 	length := resp.ContentLength
 	switch {
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -51,40 +51,40 @@
 	return done
 }
 
-// What comes back decides whether a request may be sent again: each row is one
-// line of the protocol's table.
+// The outcome of a response decides whether the request may be retried. Each row is one line of the
+// protocol's table.
 func TestOutcomes(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBody+1)
 	for _, c := range []struct {
 		name, reply string
 		want        rules.Outcome
 		body        string
-		reused      bool // the connection
+		reused      bool // of the connection
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", rules.Served, "ok", true},
-		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", rules.Served, "ok", true},
+		{"served, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", rules.Served, "ok", true},
 		{"served, then closed", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", rules.Served, "ok", false},
-		{"an interim answer first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", rules.Served, "ok", true},
+		{"interim response first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", rules.Served, "ok", true},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
-		{"turned away", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Overloaded, "", true},
-		{"over already", "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Overloaded, "", true},
+		{"rejected before it ran", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Overloaded, "", true},
+		{"expired before it ran", "HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Overloaded, "", true},
 		{"503 without proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
 		{"504 without proof", "HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
-		{"500 never proves it", "HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
-		{"closed without a word", "", rules.ConnectionLost, "", false},
-		{"body cut short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", rules.ConnectionLost, "", false},
+		{"500 is no proof", "HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
+		{"closed without a response", "", rules.ConnectionLost, "", false},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", rules.ConnectionLost, "", false},
 		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\n" + long, rules.ConnectionLost, "", false},
-		{"headers without end", "HTTP/1.1 200 OK\r\nX: " + long + long, rules.ConnectionLost, "", false},
-		{"an end told by the connection alone", "HTTP/1.1 200 OK\r\n\r\nok", rules.Served, "ok", false},
-		{"an error that ends so", "HTTP/1.1 500 No\r\n\r\nno", rules.Errored, "", false},
-		{"turned away in an answer that ends so", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\n", rules.Overloaded, "", false},
-		{"an end told by the bound alone", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedResponse-100) + "\r\n\r\n" + long, rules.ConnectionLost, "", false},
+		{"endless headers", "HTTP/1.1 200 OK\r\nX: " + long + long, rules.ConnectionLost, "", false},
+		{"close-delimited body", "HTTP/1.1 200 OK\r\n\r\nok", rules.Served, "ok", false},
+		{"close-delimited error", "HTTP/1.1 500 No\r\n\r\nno", rules.Errored, "", false},
+		{"close-delimited rejection", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\n", rules.Overloaded, "", false},
+		{"close-delimited body over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedResponse-100) + "\r\n\r\n" + long, rules.ConnectionLost, "", false},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"a bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", rules.ConnectionLost, "", false},
+		{"invalid length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", rules.ConnectionLost, "", false},
+		{"invalid chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", rules.ConnectionLost, "", false},
 		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"more than belongs to it", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", rules.Served, "ok", false},
-		{"no HTTP", "SSH-2.0\r\n\r\n", rules.ConnectionLost, "", false},
+		{"surplus bytes", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", rules.Served, "ok", false},
+		{"not HTTP", "SSH-2.0\r\n\r\n", rules.ConnectionLost, "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newPeer(t)
@@ -105,7 +105,7 @@
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			if reused := len(p.endpoints[1].idle) == 1 && p.openConns == 1; reused != c.reused {
-				t.Errorf("connection kept: %t, %d open", reused, p.openConns)
+				t.Errorf("connection reused: %t, %d open", reused, p.openConns)
 			}
 		})
 	}
@@ -141,8 +141,8 @@
 	}
 }
 
-// A machine that went silent keeps its connections open: only our clock ends
-// the wait, and the connection with it.
+// A machine that fails silently leaves its connections open: only the attempt's timeout ends the wait, and
+// it must close the connection.
 func TestSilentBackend(t *testing.T) {
 	backend := newPeer(t)
 	p := newTestPools(t, backend.Address())
@@ -153,22 +153,22 @@
 	conn, r := backend.Accept(t)
 	readRequest(t, r)
 	if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the connection of a given-up attempt: %v", err)
+		t.Errorf("connection of a timed-out attempt: %v", err)
 	}
 }
 
-// After callOff has returned the request has its final answer, and not a byte
-// may leave for it: neither by a dial that comes up later, nor on a connection.
+// Once abort has returned, no byte of the request may be sent, neither by a dial that completes later nor
+// on a connection in use.
 func TestAbortedAttempt(t *testing.T) {
 	backend := newPeer(t)
 	p := newTestPools(t, backend.Address())
 	a := newAttempt(testTimeout)
 	a.abort()
-	a.ctx = context.Background() // as if the dial had come up all the same
+	a.ctx = context.Background() // as if the dial had completed despite the abort
 	p.send(a)
 	conn, r := backend.Accept(t)
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("sent after the call-off: %v", err)
+		t.Errorf("sent after the abort: %v", err)
 	}
 	conn.Close()
 
@@ -178,7 +178,7 @@
 	readRequest(t, r)
 	a.abort()
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("the connection after the call-off: %v", err)
+		t.Errorf("connection after the abort: %v", err)
 	}
 	wait(t, done, "result")
 	if p.openConns != 0 {
@@ -186,8 +186,8 @@
 	}
 }
 
-// A backend may close an idle connection. A request written to it would end as
-// a reset and could not be sent again; so the socket is looked at first.
+// A backend may close an idle connection. A request written to it would end in a reset and could not be
+// retried, so the socket is checked before the write.
 func TestClosedIdleConnection(t *testing.T) {
 	backend := newPeer(t)
 	p := newTestPools(t, backend.Address())
@@ -199,7 +199,7 @@
 	conn.Close()
 	until := time.Now().Add(testTimeout)
 	for idle := p.endpoints[1].idle[0]; sockets.Alive(idle.Conn) && time.Now().Before(until); {
-		time.Sleep(time.Millisecond) // the end of the connection is on its way through the kernel
+		time.Sleep(time.Millisecond) // the FIN is in transit through the kernel
 	}
 	done = startAttempt(p, newAttempt(testTimeout))
 	conn, r = backend.Accept(t)
@@ -210,8 +210,8 @@
 	}
 }
 
-// The process behind an old connection is gone once its backend has started
-// anew; a request written there is lost or in doubt.
+// When a backend has restarted, the process behind its old connections is gone: what is written to them is
+// lost, or may have run.
 func TestBackendRestart(t *testing.T) {
 	backend, elsewhere := newPeer(t), newPeer(t)
 	p := newTestPools(t, backend.Address())
@@ -220,7 +220,7 @@
 	readRequest(t, r)
 	p.update(1, backend.Address(), 5)
 	if got := wait(t, inFlight, "result"); got.outcome != rules.ConnectionLost {
-		t.Errorf("out at the old life: outcome %d", got.outcome)
+		t.Errorf("in flight at the earlier run: outcome %d", got.outcome)
 	}
 	for n, address := range []string{backend.Address(), elsewhere.Address()} {
 		p.update(1, address, 5)
@@ -229,13 +229,13 @@
 		readRequest(t, r)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		if got := wait(t, done, "result"); got.outcome != rules.Served || p.openConns != 1 {
-			t.Errorf("new life %d: outcome %d, %d open", n, got.outcome, p.openConns)
+			t.Errorf("run %d: outcome %d, %d open", n, got.outcome, p.openConns)
 		}
 	}
 }
 
-// A second copy of an answer may follow the first a little later: no other
-// request may be sent there meanwhile, lest the copy be taken for its answer.
+// A backend may send a second copy of a response a little later. No other request may be sent on the
+// connection until then: otherwise it would receive the copy.
 func TestSurplusResponse(t *testing.T) {
 	backend := newPeer(t)
 	p := newTestPools(t, backend.Address())
@@ -245,7 +245,7 @@
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 	wait(t, done, "result")
 	p.mu.Lock()
-	p.endpoints[1].idle[0].idleSince = time.Now().Add(reuseDelay) // so that the next surely comes within it
+	p.endpoints[1].idle[0].idleSince = time.Now().Add(reuseDelay) // so that the next request is certain to come within the delay
 	p.mu.Unlock()
 	done = startAttempt(p, newAttempt(testTimeout))
 	other, r := backend.Accept(t)
@@ -257,7 +257,7 @@
 	}
 }
 
-// A draining backend gets nothing new, but what it has it may finish.
+// A draining backend gets no new requests, but may finish those in flight.
 func TestDrain(t *testing.T) {
 	backend := newPeer(t)
 	p := newTestPools(t, backend.Address())
@@ -266,16 +266,15 @@
 	readRequest(t, r)
 	p.remove(1)
 	if got := p.send(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed {
-		t.Errorf("new work: outcome %d", got.outcome)
+		t.Errorf("new request: outcome %d", got.outcome)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	if got := wait(t, inFlight, "result"); got.outcome != rules.Served || p.openConns != 0 {
-		t.Errorf("work in hand: outcome %d, %d open", got.outcome, p.openConns)
+		t.Errorf("in flight: outcome %d, %d open", got.outcome, p.openConns)
 	}
 }
 
-// An idle connection outlives the time-outs of the attempts it carried: a new one
-// costs its backend work.
+// An idle connection outlives the deadlines of its attempts: reconnecting costs the backend work.
 func TestReuseAfterOldDeadline(t *testing.T) {
 	backend := newPeer(t)
 	p := newTestPools(t, backend.Address())
@@ -287,7 +286,7 @@
 		if got := wait(t, done, "result"); got.outcome != rules.Served {
 			t.Errorf("attempt %d: outcome %d", i, got.outcome)
 		}
-		p.endpoints[1].idle[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first had been long ago
+		p.endpoints[1].idle[0].SetDeadline(time.Now().Add(-time.Second)) // as if the first attempt had been long ago
 		if i == 0 {
 			time.Sleep(2 * reuseDelay)
 			done = startAttempt(p, newAttempt(testTimeout))
@@ -306,11 +305,11 @@
 	conn, r := backend.Accept(t)
 	readRequest(t, r)
 	if got := p.send(newAttempt(testTimeout)); got.outcome != rules.ConnectFailed {
-		t.Errorf("past the most connections: outcome %d", got.outcome)
+		t.Errorf("over the connection limit: outcome %d", got.outcome)
 	}
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	wait(t, first, "result")
-	// An idle connection elsewhere gives way to one that is needed.
+	// An idle connection to another backend is closed in favor of a new one.
 	other := newPeer(t)
 	p.update(2, other.Address(), 0)
 	a := newAttempt(testTimeout)
@@ -326,15 +325,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closeIdleBefore(p.endpoints[2], time.Now().Add(-time.Hour)); p.openConns != 1 {
-		t.Errorf("a fresh connection was closed")
+		t.Errorf("a recently used connection was closed")
 	}
 	if p.closeIdleBefore(p.endpoints[2], time.Now().Add(time.Hour)); p.openConns != 0 || len(p.endpoints[2].idle) != 0 {
 		t.Errorf("%d open after the idle limit", p.openConns)
 	}
 }
 
-// Of the idle connections, those that have rested are counted, however many
-// have not.
+// reusable counts the idle connections that have waited for reuseDelay, however many others there are.
 func TestReusableConnections(t *testing.T) {
 	now := time.Now()
 	for _, counts := range []struct{ reusable, recent int }{{0, 0}, {0, 3}, {3, 0}, {2, 5}} {
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -14,39 +14,37 @@
 	"elderyard/internal/sockets"
 )
 
-// guard is a client's connection that looks at the framing of what comes. Danger:
-// a length beside chunks may hide a request in the body, and net/http drops that
-// length unseen; passed on, the hidden request would run at a backend. Such a
-// connection is tainted, and so is one whose lengths can't be followed. It stands
-// for no check of the rest of a head; net/http does that.
+// clientConn is a client's connection that checks the framing of its requests. A Content-Length beside a
+// chunked encoding may hide a request in the body, and net/http silently drops that length; forwarded, the
+// hidden request would run at a backend. Such a connection is marked as ambiguous, as is one whose lengths
+// can't be parsed. All other validation is left to net/http.
 //
-// It also sees a client leave behind what that sent ahead, and is closed for being
-// idle only where no request has begun on it.
+// It also detects a disconnect behind pipelined bytes, and closes as idle only if no request has started.
 type clientConn struct {
 	*net.TCPConn
 	ambiguous  atomic.Bool
-	phase      atomic.Int32 // whose turn it is to speak
-	peerClosed atomic.Bool  // the client's end was seen while it was the gateway's turn
+	phase      atomic.Int32 // awaitingRequest, requestOpen or responding
+	peerClosed atomic.Bool  // the client's disconnect was detected while a request was open
 
 	mu             sync.Mutex
-	requestStarted bool // something has come since the last answer
-	closedAsIdle   bool // closed as idle: what is read now is nobody's
+	requestStarted bool // bytes have arrived since the last response
+	closedAsIdle   bool // later reads must not return a request
 
-	pipelined []byte // came behind the request that is being answered; the reader's own
+	pipelined []byte // bytes behind the open request; owned by the reader
 
-	// The reader's own. After a chunked request it looks no further: the connection ends with its answer.
+	// Owned by the reader. The scan ends at a chunked request, as the connection closes after its response.
 	scanDone     bool
-	bodyLeft     int64 // bytes of it still to come
-	lengthLines  int   // Content-Length lines of the head
-	chunked      bool  // it has a Transfer-Encoding
-	foldable     bool  // a line of either kind may go on in the next
+	bodyLeft     int64 // bytes of the body still to come
+	lengthLines  int   // Content-Length lines in the header
+	chunked      bool  // has a Transfer-Encoding line
+	foldable     bool  // the last line was of either kind and may be folded
 	state        scanState
-	name         [maxNameLength]byte // what came of the line's name, in lower case
+	name         [maxNameLength]byte // the start of the header name, in lower case
 	nameLength   int
 	line         headerLine
 	length       int64
 	lengthDigits int
-	lengthEnded  bool // the digits have
+	lengthEnded  bool // after the last digit
 }
 
 type scanState int
@@ -67,24 +65,24 @@
 
 const (
 	maxNameLength   = len("transfer-encoding") + 1
-	maxLengthDigits = 15 // of a length
+	maxLengthDigits = 15 // of a Content-Length
 	lengthName      = "content-length"
 	encodingName    = "transfer-encoding"
 )
 
-// Whose turn it is on a client's connection.
+// Phases of a client's connection.
 const (
 	awaitingRequest int32 = iota
-	requestOpen           // a request has come and has no answer yet
-	responding            // its answer is on its way
+	requestOpen           // a request has arrived and has no response yet
+	responding            // its response is being written
 )
 
 const maxPipelined = 4 << 10 // bytes that a client may send behind an open request
 
-var errPipelined = errors.New("the client sends on and waits for no answer")
+var errPipelined = errors.New("client sent too much data without waiting for the response")
 
-// Read is called by the server alone. While a request is answered the server asks for
-// one byte, to see the client leave.
+// Read is called only by the HTTP server. While a request is open, the server reads one byte to detect a
+// disconnect.
 func (cc *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 1 && cc.phase.Load() != awaitingRequest {
 		return cc.watchForClose(p)
@@ -107,10 +105,10 @@
 	return n, err
 }
 
-// watch waits for the client's end and keeps what comes before it. Danger: with a byte
-// behind its request the end of a client would go unseen, by end or reset alike, and work
-// would be sent on for nobody. A client that sends on without an answer is taken for
-// gone: its end might stand behind any number of bytes. One that has its answer may.
+// watchForClose waits for a disconnect and keeps the bytes that arrive before it. A single byte behind the
+// request would otherwise hide the disconnect, be it a close or a reset, and work would go on for nobody.
+// A client that exceeds maxPipelined before its response counts as disconnected, as its disconnect could
+// be behind any number of bytes. Once the response has started, it may send more.
 func (cc *clientConn) watchForClose(p []byte) (int, error) {
 	n, err := cc.TCPConn.Read(p)
 	cc.pipelined = append(cc.pipelined, p[:n]...)
@@ -130,18 +128,18 @@
 			return 0, errPipelined
 		}
 	}
-	if !errors.Is(err, os.ErrDeadlineExceeded) { // with that the server ends the watch
+	if !errors.Is(err, os.ErrDeadlineExceeded) { // the server ends its read with this error
 		cc.peerClosed.Store(true)
 	}
 	return 0, err
 }
 
-// deserted looks, without waiting, whether the client has gone.
+// clientDisconnected reports, without blocking, whether the client has disconnected.
 func (cc *clientConn) clientDisconnected() bool {
 	return cc.peerClosed.Load() || sockets.PeerClosed(cc.TCPConn)
 }
 
-// begin notes that something has come. It tells whether the connection still stands.
+// markStarted records that bytes have arrived, and reports whether the connection is still open.
 func (cc *clientConn) markStarted() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -149,8 +147,7 @@
 	return !cc.closedAsIdle
 }
 
-// follow takes in what the server does with the connection. What came ahead of an
-// answer is the next request.
+// onStateChange follows the connection's state in the HTTP server. Pipelined bytes start the next request.
 func (cc *clientConn) onStateChange(state http.ConnState) {
 	switch state {
 	case http.StateActive:
@@ -163,12 +160,12 @@
 	}
 }
 
-// answering notes that the request's answer is on its way.
+// markResponding records that the response is being written.
 func (cc *clientConn) markResponding() { cc.phase.Store(responding) }
 
-// closeIdle closes the connection, unless a request has begun on it, read or not. Danger:
-// the server takes a request for begun only when it has read its head. Closed in
-// between, the request would still be carried out and its answer reach nobody.
+// closeIfIdle closes the connection unless bytes of a request have arrived, read or not. The server
+// considers a request started only once it has read its header. If the connection were closed before
+// that, the request would still run and nobody would get its response.
 func (cc *clientConn) closeIfIdle() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -180,7 +177,7 @@
 	return true
 }
 
-// look follows what was read, in order.
+// scan checks the bytes that were read, in order.
 func (cc *clientConn) scan(p []byte) {
 	for len(p) > 0 && !cc.scanDone {
 		if cc.bodyLeft > 0 {
@@ -193,14 +190,13 @@
 	}
 }
 
-// line takes in bytes of a head, to the end of the present line at most, and
-// returns how many.
+// scanLine scans bytes of a header up to the end of the current line, and returns how many it scanned.
 func (cc *clientConn) scanLine(p []byte) int {
 	for i := 0; i < len(p); i++ {
 		b := p[i]
 		switch {
 		case cc.state == lineValue && cc.line == otherLine && b != '\n':
-			// Nothing of such a line matters but its end: most of all bytes are passed over here.
+			// Only the end of other lines matters. This is the fast path for most bytes.
 			end := bytes.IndexByte(p[i:], '\n')
 			if end < 0 {
 				return len(p)
@@ -214,14 +210,14 @@
 			}
 			return i + 1
 		case cc.state == lineStart && (b == ' ' || b == '\t'):
-			// The line before goes on here.
+			// A folded line continues the one before.
 			cc.state, cc.line = lineValue, otherLine
 			if cc.foldable {
 				cc.markAmbiguous()
 			}
 		case cc.state == lineStart && b == '\r':
 		case cc.state == lineStart && b|0x20 != 'c' && b|0x20 != 't':
-			cc.state, cc.line = lineValue, otherLine // neither of the two kinds begins so
+			cc.state, cc.line = lineValue, otherLine // neither kind of line starts with another letter
 		case cc.state == lineStart, cc.state == lineName && b != ':':
 			cc.state = lineName
 			if cc.nameLength < maxNameLength {
@@ -241,8 +237,8 @@
 	return len(p)
 }
 
-// kindOf tells a line by its name. One with blanks about it is refused by
-// net/http, but must not be missed here.
+// headerLineOf classifies a line by its name. net/http rejects a name with blanks around it, but such a
+// line must not be missed here.
 func headerLineOf(name string) headerLine {
 	switch strings.TrimRight(name, " \t") {
 	case lengthName:
@@ -253,6 +249,7 @@
 	return otherLine
 }
 
+// scanDigit scans a byte of a Content-Length.
 func (cc *clientConn) scanDigit(b byte) {
 	switch {
 	case '0' <= b && b <= '9' && !cc.lengthEnded && cc.lengthDigits < maxLengthDigits:
@@ -278,6 +275,7 @@
 	cc.state, cc.nameLength, cc.line, cc.lengthEnded = lineStart, 0, otherLine, false
 }
 
+// endHead checks a complete header, and resets the scan for the body and the next request.
 func (cc *clientConn) endHead() {
 	if cc.chunked && cc.lengthLines > 0 {
 		cc.markAmbiguous()
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// look feeds the guard in pieces of n bytes.
+// scanInPieces has a clientConn scan the text in pieces of n bytes.
 func scanInPieces(text string, n int) *clientConn {
 	cc := &clientConn{}
 	for p := []byte(text); len(p) > 0; p = p[min(n, len(p)):] {
@@ -18,7 +18,7 @@
 	return cc
 }
 
-// Whatever hides a request is seen however the bytes are cut, and nothing else is.
+// Ambiguous framing is detected however the bytes are split, and nothing else is reported.
 func TestAmbiguousFraming(t *testing.T) {
 	const start = "POST /a HTTP/1.1\r\nHost: h\r\n"
 	for _, c := range []struct {
@@ -28,13 +28,13 @@
 		{"a length", start + "Content-Length: 3\r\n\r\nabc" + start + "Content-Length: 2\r\n\r\nab", false},
 		{"chunks", start + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", false},
 		{"both", start + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", true},
-		{"both, the other way round", start + "transfer-encoding: chunked\r\ncontent-length: 3\r\n\r\n", true},
-		{"both in another case, bare line ends", "POST / HTTP/1.1\nTRANSFER-Encoding:chunked\nCONTENT-length:0\n\n", true},
+		{"both in reverse order", start + "transfer-encoding: chunked\r\ncontent-length: 3\r\n\r\n", true},
+		{"both in other case with bare line feeds", "POST / HTTP/1.1\nTRANSFER-Encoding:chunked\nCONTENT-length:0\n\n", true},
 		{"a blank before the colon", start + "Content-Length : 3\r\nTransfer-Encoding: chunked\r\n\r\n", true},
 		{"the second request", start + "\r\n" + start + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", true},
-		{"behind a body that looks like a head", start + "Content-Length: 29\r\n\r\nTransfer-Encoding: chunked\r\n\r\n" + start + "Content-Length: 1\r\n\r\nx", true},
-		{"a head's like in the body", start + "Content-Length: 47\r\n\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + start, false},
-		{"behind chunks no more is looked at", start + "Transfer-Encoding: chunked\r\n\r\n3\r\nContent-Length: 1\r\n\r\n", false},
+		{"after a body that looks like a header", start + "Content-Length: 29\r\n\r\nTransfer-Encoding: chunked\r\n\r\n" + start + "Content-Length: 1\r\n\r\nx", true},
+		{"body that looks like a header", start + "Content-Length: 47\r\n\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + start, false},
+		{"not scanned after chunks", start + "Transfer-Encoding: chunked\r\n\r\n3\r\nContent-Length: 1\r\n\r\n", false},
 		{"two lengths", start + "Content-Length: 3\r\nContent-Length: 3\r\n\r\n", true},
 		{"a list of lengths", start + "Content-Length: 3, 3\r\n\r\n", true},
 		{"a negative length", start + "Content-Length: -3\r\n\r\n", true},
@@ -42,24 +42,24 @@
 		{"no length", start + "Content-Length: \r\n\r\n", true},
 		{"a huge length", start + "Content-Length: 9999999999999999\r\n\r\n", true},
 		{"two numbers", start + "Content-Length: 3 3\r\n\r\n", true},
-		{"a length that goes on", start + "Content-Length:\r\n 3\r\n\r\n", true},
-		{"an encoding that goes on", start + "Transfer-Encoding:\r\n chunked\r\n\r\n", true},
-		{"another line that goes on", start + "X: a\r\n b: c\r\n\r\n", false},
+		{"folded length", start + "Content-Length:\r\n 3\r\n\r\n", true},
+		{"folded encoding", start + "Transfer-Encoding:\r\n chunked\r\n\r\n", true},
+		{"another folded line", start + "X: a\r\n b: c\r\n\r\n", false},
 		{"longer names", start + "X-Content-Length: x\r\nTransfer-Encodings: x\r\nContent-Lengths: x\r\n\r\n", false},
 	} {
-		if strings.HasPrefix(c.name, "behind a body") {
-			c.ambiguous = false // 29 bytes: the head's like is body, and what follows has a length alone
+		if strings.HasPrefix(c.name, "after a body") {
+			c.ambiguous = false // 29 bytes: the lookalike is body, and the next request has only a length
 		}
 		for _, n := range []int{1, 2, 7, len(c.text)} {
 			if cc := scanInPieces(c.text, n); cc.ambiguous.Load() != c.ambiguous {
-				t.Errorf("%s, cut into %d: tainted %t", c.name, n, !c.ambiguous)
+				t.Errorf("%s, in pieces of %d: ambiguous %t", c.name, n, !c.ambiguous)
 			}
 		}
 	}
 }
 
-// FuzzGuard holds the guard to net/http's reading: whatever net/http takes for a
-// request with chunks, the raw head of which has a length too, is tainted.
+// The scan must agree with net/http: if net/http reads a chunked request whose header also has a
+// Content-Length, the connection must be marked as ambiguous.
 func FuzzAmbiguousFraming(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n"))
@@ -79,10 +79,10 @@
 			if len(req.TransferEncoding) > 0 {
 				for line := range bytes.Lines(head) {
 					if name, _, _ := bytes.Cut(line, []byte(":")); strings.EqualFold(string(name), lengthName) && !cc.ambiguous.Load() {
-						t.Fatalf("not seen in %q", head)
+						t.Fatalf("not detected in %q", head)
 					}
 				}
-				return // it is the last on its connection
+				return // the last request on its connection
 			}
 			if n, err := io.Copy(io.Discard, req.Body); err != nil || n != max(req.ContentLength, 0) {
 				return
--- a/internal/gateway/detached.go
+++ b/internal/gateway/detached.go
@@ -18,21 +18,20 @@
 )
 
 const (
-	detachedPollInterval = 200 * time.Millisecond // between looks for what the other process of an upgrade has noted
-	maxDetachedFile      = 1 << 20                // bytes of the file
-	maxDetached          = 1024                   // backends out by hand
+	detachedPollInterval = 200 * time.Millisecond // between checks for changes by the other process of an upgrade
+	maxDetachedFile      = 1 << 20                // bytes
+	maxDetached          = 1024                   // backends
 )
 
-// handBook keeps on disk which backends are out by hand, so that an upgrade's
-// new process leaves them out too. Both processes may be called while both run:
-// each writes under a lock and follows what the other wrote. Without a folder
-// nothing is kept.
+// detachedFile stores which backends operators have detached, so that the new process of an upgrade does
+// not use them either. While both processes run, operators may call either of them: each writes under a
+// lock and follows the changes of the other. Without a directory nothing is stored.
 type detachedFile struct {
-	path     string // empty: no folder
+	path     string // empty: nothing is stored
 	lastInfo os.FileInfo
 }
 
-// newHandBook keeps its file in folder, under the gateway's name.
+// newDetachedFile names the file after the gateway.
 func newDetachedFile(dir, name string) *detachedFile {
 	if dir == "" {
 		return &detachedFile{}
@@ -42,8 +41,8 @@
 
 var errTooManyDetached = errors.New("too many backends are out by hand")
 
-// note writes down that a backend is out, or in again. Danger: a write that is cut
-// short must not cost what stood there, so the file is replaced whole.
+// record stores that a backend has been detached or attached again. The file is replaced as a whole, so
+// that an interrupted write can't lose its earlier content.
 func (d *detachedFile) record(id string, detached bool) error {
 	if d.path == "" {
 		return nil
@@ -81,7 +80,7 @@
 	return nil
 }
 
-// read returns the ids in the file; none where there is no file.
+// read returns the IDs in the file, or none if it does not exist.
 func (d *detachedFile) read() (map[string]struct{}, error) {
 	ids := map[string]struct{}{}
 	f, err := os.Open(d.path)
@@ -106,7 +105,7 @@
 	return ids, nil
 }
 
-// changed reads the file if it has been replaced since the last look.
+// readIfChanged reads the file if it has been replaced since the last call.
 func (d *detachedFile) readIfChanged() (ids map[string]struct{}, changed bool, err error) {
 	if d.path == "" {
 		return nil, false, nil
--- a/internal/gateway/disconnect_linux_test.go
+++ b/internal/gateway/disconnect_linux_test.go
@@ -15,16 +15,15 @@
 	"elderyard/internal/testpeer"
 )
 
-// clientExits are the ways in which a client closes its connection.
+// disconnects are the ways in which a client closes its connection.
 var disconnects = map[string]func(*net.TCPConn){
 	"half close": func(c *net.TCPConn) { c.CloseWrite() },
 	"close":      func(c *net.TCPConn) { c.Close() },
 	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 }
 
-// startHeldServer serves requests for l as frontend does, except that the turn of the loop
-// in which a request arrives lasts until the returned function is called: no timer is due
-// and nothing else is taken in before. Each request is sent to arrived.
+// startBlockedServer serves requests for l as frontend does, but blocks the loop where a request arrives
+// until release is called: no timer fires and no message is handled before. Each request is sent to arrived.
 func startBlockedServer(t *testing.T, l *Loop, arrived chan<- *exchange) (address string, release func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,27 +69,27 @@
 	case c := <-other.Conns:
 		return c
 	case <-time.After(testTimeout):
-		t.Fatal("no connection came")
+		t.Fatal("no connection arrived")
 		return nil
 	}
 }
 
-// A client closes while an attempt is about to begin: its first one, whose connection is
-// coming up; a retry, as its first one was turned away; a second copy, as its timer is due
-// in the turn before the client's leaving is taken in. The server's read has seen the close
-// before the trigger, and the loop, held, has not: no byte reaches a backend.
+// A client disconnects as an attempt is about to start: the first one, while its connection is being
+// dialed; a retry, after the first one was rejected; or a hedged request, when its timer is due just before
+// the loop handles the disconnect. The server has read the disconnect before the trigger, but the blocked
+// loop has not handled it: no byte may reach a backend.
 func TestDisconnectAsAttemptStarts(t *testing.T) {
 	t.Parallel()
 	const notRun = "HTTP/1.1 503 X\r\n" + unprocessedHeader + ": 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 	const served = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-	for _, attempt := range []string{"first", "retry", "second copy"} {
+	for _, attempt := range []string{"first", "retry", "hedged request"} {
 		for name, disconnect := range disconnects {
 			t.Run(attempt+", "+name, func(t *testing.T) {
 				t.Parallel()
 				one, other := newPeer(t), newPeer(t)
-				mayDuplicate := fmt.Sprintf(`"cancel": true, "mayDuplicate": %t`, attempt == "second copy")
+				mayDuplicate := fmt.Sprintf(`"cancel": true, "mayDuplicate": %t`, attempt == "hedged request")
 				l, g := newLoopWithDialGate(t, strings.Replace(testpeer.Settings, `"cancel": true`, mayDuplicate, 1), one)
-				// The module's measure of latency comes from this request alone.
+				// The decision module's latency estimate comes from this request alone.
 				began := time.Now()
 				earlier := newExchange(l, "earlier", "lookup")
 				l.Post(requestArrived{l, earlier})
@@ -99,8 +98,8 @@
 				conn, br := one.Accept(t)
 				readRequest(t, br)
 				io.WriteString(conn, served)
-				wait(t, earlier.reply, "answer to the earlier request")
-				hedgeAfter := 3 * time.Since(began) // its mean deviation counts as half, four times
+				wait(t, earlier.reply, "response to the earlier request")
+				hedgeAfter := 3 * time.Since(began) // half of it counts as mean deviation, four times
 				runInLoop(t, l, func() { l.applyListing(newListing(true, "Ready", one, other), 0) })
 
 				arrived := make(chan *exchange, 1)
@@ -119,10 +118,10 @@
 					readRequest(t, bufio.NewReader(conn))
 					if attempt == "retry" {
 						io.WriteString(conn, notRun)
-						l.attempts.Wait() // its end is told to the loop
+						l.attempts.Wait() // the loop has a message about its end
 					}
 				}
-				next, nextHeld := make(chan struct{}), make(chan struct{}) // the turn before the leaving
+				next, nextHeld := make(chan struct{}), make(chan struct{}) // the message before the disconnect
 				releaseNext := sync.OnceFunc(func() { close(nextHeld) })
 				t.Cleanup(releaseNext)
 				l.Post(loopFunc(func() { close(next); <-nextHeld }))
@@ -130,16 +129,16 @@
 				disconnect(client.(*net.TCPConn))
 				for end := time.Now().Add(testTimeout); !ex.conn.peerClosed.Load(); time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
-						t.Fatal("the client was not seen to leave")
+						t.Fatal("the disconnect was not detected")
 					}
 				}
-				if attempt == "second copy" {
-					time.Sleep(hedgeAfter) // the timer is what is tested
+				if attempt == "hedged request" {
+					time.Sleep(hedgeAfter) // the timer is under test
 				}
 				if attempt != "first" {
 					release()
-					wait(t, next, "turn before the leaving")
-					wait(t, g.dialing, "dial of the further attempt")
+					wait(t, next, "message before the disconnect")
+					wait(t, g.dialing, "dial of the second attempt")
 				}
 				g.release <- struct{}{}
 				if got, err := io.ReadAll(acceptEither(t, one, other)); len(got) > 0 {
@@ -162,17 +161,16 @@
 	}
 }
 
-// A client closes behind a body that is still unread, as its request waits for units: nothing
-// reads from the connection then. The request isn't sent on once its units are granted, and
-// its connection ends.
+// A client disconnects behind an unread body while its request waits for units, so that nothing reads from
+// the connection. The request must not be sent once its units are granted, and its connection must end.
 func TestDisconnectBehindUnreadBody(t *testing.T) {
 	t.Parallel()
 	body := strings.Repeat("x", 100_000)
 	for name, framing := range map[string]string{
-		"whole":             fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
+		"complete":          fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
 		"half":              fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(body), body),
 		"half, none unread": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(body), body[:maxBufferedBody+1]),
-		"whole in chunks":   fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body),
+		"complete, chunked": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -187,36 +185,36 @@
 			waitForState(t, client, tcpFinWait2)
 			total(calls, 200, "12")
 			if _, err := io.Copy(io.Discard, client); isTimeout(err) {
-				t.Error("the connection stays")
+				t.Error("the connection stays open")
 			}
 			_, responses := gw.send(t, requestText("GET", "lookup", "", "X-Last", "1"))
 			for {
 				conn, br := backend.Accept(t)
 				req, err := http.ReadRequest(br)
 				if err == io.EOF {
-					continue // came up after the close, and carried nothing
+					continue // dialed before the disconnect; carried nothing
 				}
 				if err != nil {
 					t.Fatal(err)
 				}
 				if req.Header.Get("X-Last") == "" {
-					t.Fatal("an attempt began after its client had closed")
+					t.Fatal("an attempt started after the disconnect")
 				}
 				total(conn, 200, "ok")
 				break
 			}
-			if resp := wait(t, responses, "answer"); resp.StatusCode != http.StatusOK {
+			if resp := wait(t, responses, "response"); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d", resp.StatusCode)
 			}
 		})
 	}
 }
 
-// tcpFinWait2 is the state of a connection whose closing the other side has acknowledged,
-// as in the kernel's include/net/tcp_states.h.
+// tcpFinWait2 is the TCP state after the peer has acknowledged the close, as in the kernel's
+// include/net/tcp_states.h.
 const tcpFinWait2 = 5
 
-// waitForState waits until the kernel has a connection in the given state.
+// waitForState waits until the kernel reports the given state for a connection.
 func waitForState(t *testing.T, conn net.Conn, state byte) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -14,11 +14,11 @@
 	"elderyard/internal/testpeer"
 )
 
-// forLong has no attempt end by itself while a test waits.
+// longDeadlines keeps attempts from ending by themselves during a test.
 var longDeadlines = strings.NewReplacer(`"objectiveS": 10, "deadlineS": 20`, `"objectiveS": 100, "deadlineS": 200`).Replace
 
-// A client that leaves while its request is out has it called off, however it leaves
-// and whatever it sent behind the request.
+// A client that disconnects while its request is open has its attempt aborted, in whatever way it closes and
+// whatever bytes precede that.
 func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	t.Parallel()
 	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "a request": requestText("GET", "lookup", ""),
@@ -36,7 +36,7 @@
 					conn, _ := gw.send(t, text)
 					_, br := backend.Accept(t)
 					readRequest(t, br)
-					io.WriteString(conn, behind) // what can't be taken is cut off here already
+					io.WriteString(conn, behind) // the gateway may close the connection already here if it is too much
 					if reset {
 						conn.(*net.TCPConn).SetLinger(0)
 					}
@@ -53,9 +53,8 @@
 	}
 }
 
-// Of what a client sent before it ended its sending nothing goes on once that was seen,
-// and no answer comes that no backend made. Its first request waits for units here: the
-// counter has not answered.
+// Once a disconnect has been detected, nothing that the client sent before is forwarded, and the client gets
+// no response that no backend made. Its first request waits for units, as the counter has not responded.
 func TestNothingForwardedAfterDisconnect(t *testing.T) {
 	t.Parallel()
 	for name, text := range map[string]string{"GET": requestText("GET", "lookup", ""), "POST": requestText("POST", "booking", "pickup"),
@@ -77,24 +76,24 @@
 			readRequest(t, cr)
 			conn.(*net.TCPConn).CloseWrite()
 			br := bufio.NewReader(conn)
-			for { // to the connection's end: by then the gateway has seen the client leave
+			for { // the gateway has detected the disconnect by the end of the connection
 				resp, err := http.ReadResponse(br, nil)
 				if err != nil {
 					break
 				}
 				if resp.StatusCode == http.StatusOK {
-					t.Error("a client that ended its sending was answered 200, and no backend was asked")
+					t.Error("a client that closed its sending side got status 200 without a backend")
 				}
 				io.Copy(io.Discard, resp.Body)
 			}
 			total(calls, 200, "12")
-			_, responses := gw.send(t, requestText("GET", "lookup", "", "X-Last", "1")) // after all that could still go on
+			_, responses := gw.send(t, requestText("GET", "lookup", "", "X-Last", "1")) // sent last: nothing else can be forwarded after it
 			bc, bbr := backend.Accept(t)
 			if req, _ := readRequest(t, bbr); req.Header.Get("X-Last") == "" {
-				t.Error("a request was sent on after its client had left")
+				t.Error("a request was forwarded after the disconnect")
 			}
 			total(bc, 200, "ok")
-			wait(t, responses, "answer")
+			wait(t, responses, "response")
 			if n := len(backend.Conns); n > 0 {
 				t.Errorf("%d more connections to the backend", n)
 			}
@@ -102,7 +101,7 @@
 	}
 }
 
-// A client may have been seen to leave before its request is handed over.
+// A disconnect may be detected before the request is passed to the loop.
 func TestDisconnectBeforeRequestIsAccepted(t *testing.T) {
 	t.Parallel()
 	l, _ := newLoopWithDialGate(t, testpeer.Settings, newPeer(t))
@@ -116,12 +115,12 @@
 	(&frontend{loop: l, deploy: l.deploy}).ServeHTTP(w, r.WithContext(ctx))
 	runInLoop(t, l, func() {
 		if w.Code != http.StatusBadRequest || len(l.recentIDs.current) > 0 {
-			t.Errorf("status %d, %d requests taken", w.Code, len(l.recentIDs.current))
+			t.Errorf("status %d, %d requests accepted", w.Code, len(l.recentIDs.current))
 		}
 	})
 }
 
-// guarded is a client's connection, and its guard with no server behind it.
+// newTestClientConn returns a client's side of a connection, and a clientConn without a server.
 func newTestClientConn(t *testing.T) (client net.Conn, cc *clientConn) {
 	t.Helper()
 	listener := newPeer(t)
@@ -134,7 +133,7 @@
 	return client, &clientConn{TCPConn: server.(*net.TCPConn)}
 }
 
-// What a client sends right behind an answer that it is just getting is its next request.
+// What a client sends while it receives a response is its next request.
 func TestPipelinedRequestDuringResponse(t *testing.T) {
 	t.Parallel()
 	client, cc := newTestClientConn(t)
@@ -143,7 +142,7 @@
 	next := requestText("POST", "booking", strings.Repeat("x", 3*maxPipelined))
 	go io.WriteString(client, next)
 	one := make([]byte, 1)
-	if n, err := cc.Read(one); n != 1 || err != nil { // the server's watch ends with the first byte
+	if n, err := cc.Read(one); n != 1 || err != nil { // the server's read ends with the first byte
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	cc.onStateChange(http.StateIdle)
@@ -155,6 +154,6 @@
 		t.Errorf("%d of %d bytes, %v", len(got), len(next), err)
 	}
 	if cc.ambiguous.Load() {
-		t.Error("the framing was lost")
+		t.Error("the framing counts as ambiguous")
 	}
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -11,16 +11,16 @@
 	"elderyard/internal/testpeer"
 )
 
-// News that can't be read must not keep a backend in use that readable news would end,
-// nor cost what else stands beside it.
+// A malformed update must not keep a backend in use that a valid one would drain, nor affect the other
+// entries beside it.
 func TestMalformedDrainUpdate(t *testing.T) {
 	t.Parallel()
 	for name, entry := range map[string]string{
-		"a zone that nobody knows":   `"zone": "z", "lifecycle": "Terminating", "weight": 1`,
-		"no zone":                    `"lifecycle": "Terminating"`,
-		"a weight that is no number": `"zone": "a", "lifecycle": "Terminating", "weight": "heavy"`,
-		"a start before all time":    `"zone": "a", "lifecycle": "Terminating", "startedAtMs": -5`,
-		"another word for it":        `"zone": "a", "lifecycle": "Draining", "weight": 1`,
+		"unknown zone":        `"zone": "z", "lifecycle": "Terminating", "weight": 1`,
+		"no zone":             `"lifecycle": "Terminating"`,
+		"invalid weight":      `"zone": "a", "lifecycle": "Terminating", "weight": "heavy"`,
+		"negative start time": `"zone": "a", "lifecycle": "Terminating", "startedAtMs": -5`,
+		"unknown lifecycle":   `"zone": "a", "lifecycle": "Draining", "weight": 1`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -34,15 +34,15 @@
 				t.Errorf("asked %q", query)
 			}
 			_, responses := gw.send(t, requestText("GET", "glance", ""))
-			if resp := wait(t, responses, "answer"); resp.StatusCode != 429 || len(one.Conns)+len(other.Conns) != 0 {
-				t.Errorf("status %d, %d and %d connections to backends that drain", resp.StatusCode, len(one.Conns), len(other.Conns))
+			if resp := wait(t, responses, "response"); resp.StatusCode != 429 || len(one.Conns)+len(other.Conns) != 0 {
+				t.Errorf("status %d, %d and %d connections to draining backends", resp.StatusCode, len(one.Conns), len(other.Conns))
 			}
 		})
 	}
 }
 
-// A watch that falls silent, before its headers, within its body or right after it was
-// opened anew, is given up, and what it would have told comes with the next.
+// A watch that stalls before its headers, within its body or right after it was reopened is given up, and
+// the next one returns the update that it missed.
 func TestStalledWatch(t *testing.T) {
 	t.Parallel()
 	for name, partial := range map[string]string{"from its first byte": "", "after its headers": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n",
@@ -59,15 +59,15 @@
 			readRequest(t, br)
 			testpeer.Total(conn, http.StatusOK, list)
 			req, _ := readRequest(t, br)
-			for range 2 { // it falls silent, and so does the next that is opened
+			for range 2 { // the watch stalls, and so does the reopened one
 				if got := req.URL.RawQuery; got != "since=1&timeout_ms=4000" {
 					t.Fatalf("asked %q", got)
 				}
 				io.WriteString(conn, partial)
 				var again net.Conn
-				again, br = agent.Accept(t) // a new connection: the gateway gave the silent one up
+				again, br = agent.Accept(t) // a new connection: the gateway gave up the stalled one
 				if _, err := conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-					t.Errorf("the silent connection stays: %v", err)
+					t.Errorf("the stalled connection stays open: %v", err)
 				}
 				req, _ = readRequest(t, br)
 				conn = again
@@ -77,7 +77,7 @@
 				t.Errorf("asked %q", req.URL.RawQuery)
 			}
 			_, responses := gw.send(t, requestText("GET", "glance", ""))
-			if resp := wait(t, responses, "answer"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
+			if resp := wait(t, responses, "response"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
 				t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.Conns))
 			}
 		})
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -22,9 +22,9 @@
 
 const (
 	maxHeaderBytes = 16 << 10 // bytes
-	maxNameBytes   = 256      // bytes of an id or a key
+	maxNameBytes   = 256      // bytes of an ID or a key
 	maxTimeLeft    = time.Hour
-	readTimeout    = 2500 * time.Millisecond // for a whole request; 3 s after connecting a client is owed an error or a close
+	readTimeout    = 2500 * time.Millisecond // for a complete request: within 3 s of connecting, a client must get an error or a close
 	writeTimeout   = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	readyPath      = "/health/ready"
@@ -38,62 +38,61 @@
 	repeatHeader = "X-Repeat"
 )
 
-// once are the headers that may stand but once. Danger: of two, the backend
-// might go by another than the decisions did.
+// singleHeaders are the headers that may occur only once. With two of them, the backend might use another
+// value than the decision module did.
 var singleHeaders = []string{idHeader, classHeader, planHeader, clientHeader, timeLeftHeader, keyHeader, termsHeader, repeatHeader}
 
-// exchange is one request of a client, from its last byte to its final answer.
+// exchange is one client request, from its last byte to its response.
 type exchange struct {
-	correlationID string        // the client's own
-	request       rules.Request // the loop gives it its id
+	correlationID string        // chosen by the client
+	request       rules.Request // its ID is assigned by the loop
 	method        string
 	uri           string
 	host          string
-	header        http.Header // what goes on to a backend
-	body          []byte      // where it is short
-	upload        *upload     // where it is not; the client's time runs from its end
-	timeLeft      float64     // seconds that the client waits from then
+	header        http.Header // forwarded to the backend
+	body          []byte      // a short body
+	upload        *upload     // a long body, which is streamed; the client's time limit starts at its end
+	timeLeft      float64     // seconds that the client waits once the request is complete
 
-	conn  *clientConn   // the client's; nil: not known
-	trace *traces.Begin // nil where nothing is exported
+	conn  *clientConn   // the client's connection; nil if unknown
+	trace *traces.Begin // nil if traces are not exported
 
-	// reply takes the one final answer; the loop sends it and never waits.
+	// reply is buffered for the one response: the loop sends it and never blocks.
 	reply chan response
 
-	// The loop's own:
-	open           bool // the final answer has not been given
-	activeAttempts int  // attempts out
+	// Owned by the loop:
+	open           bool // no response has been sent
+	activeAttempts int  // attempts in flight
 	attempts       []*attempt
 }
 
-// answer is what a client is told.
+// response is what a client receives.
 type response struct {
 	status     int
-	retryAfter float64 // seconds; 0: no advice
+	retryAfter float64 // seconds; 0: no Retry-After header
 	reason     rules.Reason
-	admittedAt float64 // when its quota let it in, of one that was turned away
+	admittedAt float64 // when a rejected request was admitted by its quota
 	header     http.Header
 	body       []byte
-	stream     *download // in place of body: the answer passes through
+	stream     *download // replaces body: the response is streamed
 }
 
-// frontend serves clients.
+// frontend serves client requests.
 type frontend struct {
 	loop         *Loop
 	deploy       *wire.Deployment
 	ready        atomic.Bool
-	shuttingDown atomic.Bool // for good: connections are closed after their answer
-	draining     atomic.Bool // drained by hand, until the operators say otherwise
+	shuttingDown atomic.Bool // permanently: connections are closed after their response
+	draining     atomic.Bool // by an operator, who may end it
 }
 
-// serves tells whether clients may come.
+// isReady reports whether clients should send requests here.
 func (f *frontend) isReady() bool { return f.ready.Load() && !f.closesConnections() }
 
-// closing tells whether connections are to be closed after their answer.
+// closesConnections reports whether connections are closed after their response.
 func (f *frontend) closesConnections() bool { return f.shuttingDown.Load() || f.draining.Load() }
 
-// server serves the clients of c, whose requests are held for the given time at
-// most.
+// server returns the HTTP server for clients, whose requests are open for at most the given time.
 func (f *frontend) server(clients *clientListener, longest time.Duration) *http.Server {
 	return &http.Server{Handler: f, MaxHeaderBytes: maxHeaderBytes, ReadTimeout: readTimeout,
 		IdleTimeout: idleTimeout, WriteTimeout: readTimeout + longest + writeTimeout, ConnState: clients.onStateChange,
@@ -102,6 +101,7 @@
 		}}
 }
 
+// ServeHTTP serves a client request, or a readiness check.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == readyPath {
 		if f.closesConnections() {
@@ -116,13 +116,13 @@
 	}
 	ex, status, err := f.readExchange(w, r)
 	if err != nil {
-		// Danger: what follows a request that was not understood may be a part of it.
+		// Bytes after a malformed request may be part of it, so the connection must close.
 		w.Header().Set("Connection", "close")
 		http.Error(w, err.Error(), status)
 		return
 	}
 	if r.Context().Err() != nil {
-		respondDisconnected(w) // with a request before this one
+		respondDisconnected(w) // seen to disconnect during an earlier request on this connection
 		return
 	}
 	if !f.loop.Post(requestArrived{f.loop, ex}) {
@@ -131,23 +131,23 @@
 	}
 	select {
 	case response := <-ex.reply:
-		// As it is now: a request may have been held since before. The guard looks no further after chunks.
+		// Evaluated now, since the request may have been open for a while. The framing scan ends at a chunked body.
 		if f.closesConnections() || len(r.TransferEncoding) > 0 {
 			w.Header().Set("Connection", "close")
 		}
 		if ex.upload != nil && !ex.upload.stop() {
-			w.Header().Set("Connection", "close") // answered before its end
+			w.Header().Set("Connection", "close") // answered before its body was complete
 		}
 		if conn := clientConnOf(r); conn != nil {
 			conn.markResponding()
 		}
 		if err := response.write(w); err != nil {
-			panic(http.ErrAbortHandler) // the client must see that it is not whole
+			panic(http.ErrAbortHandler) // tells the client that the response is truncated
 		}
 	case <-r.Context().Done():
 		f.loop.Post(clientDisconnected{f.loop, ex})
 		if ex.upload != nil && !ex.upload.stop() {
-			// Its body came to no end; the connection may still stand.
+			// The body did not end; the connection may still be open.
 			w.Header().Set("Connection", "close")
 			http.Error(w, "the body did not come in time", http.StatusRequestTimeout)
 			return
@@ -161,20 +161,20 @@
 	}
 }
 
-// gone ends the connection of a client that has left, or sends on without an answer.
-// Danger: with no word from here the server would say 200, and a client that has only
-// ended its sending would take that for a backend's answer.
+// respondDisconnected ends the connection of a client that has disconnected, or that sends more without
+// waiting for its response. Without a response from here the server would send 200, and a client that has
+// only closed its sending side would take that for a backend's response.
 func respondDisconnected(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, "the client ended its sending, or sent on, before its answer", http.StatusBadRequest)
 }
 
-// read takes a request in, whole, or says with which status it is turned down.
+// readExchange reads a request, or returns the status with which to reject it.
 func (f *frontend) readExchange(w http.ResponseWriter, r *http.Request) (*exchange, int, error) {
 	now := f.loop.Clock.Now()
 	switch {
 	case !r.ProtoAtLeast(1, 1):
-		// Its framing is that of another time; net/http drops a Transfer-Encoding there unseen.
+		// HTTP/1.0 has other framing rules, and net/http silently drops a Transfer-Encoding there.
 		return nil, http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 is wanted")
 	case mayHideRequest(r):
 		return nil, http.StatusBadRequest, errors.New("the length of the body is told in more than one way")
@@ -216,12 +216,12 @@
 			upload.prefix, ex.body = ex.body, nil
 			ex.upload, ex.request.Streamed = upload, true
 		}
-		now = f.loop.Clock.Now() // a request's time counts from its last byte
+		now = f.loop.Clock.Now() // the time limit starts with the last byte of the request
 	} else {
-		// Danger: the time-out for reading the request would end the watch.
+		// The read timeout must not expire while the server watches for a disconnect.
 		http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
-	// Danger: what a client claims beyond its class's own time would hold a request past the end of this process.
+	// A client's time limit must not exceed that of its class: otherwise its request would outlast a shutdown.
 	ex.timeLeft = min(ex.request.Deadline, class.Timeout) - responseMargin
 	ex.request.SentAt = now
 	ex.request.Deadline = now + ex.timeLeft
@@ -235,24 +235,24 @@
 	return ex, 0, nil
 }
 
-// guardKey is the key of a request's connection among its context's values.
+// clientConnKey is the context key of a request's connection.
 type clientConnKey struct{}
 
-// hides tells whether a request may hide another, or its connection has carried
-// one that may.
+// mayHideRequest reports whether the framing on a request's connection was ambiguous, so that the request
+// may be used to smuggle another.
 func mayHideRequest(r *http.Request) bool {
 	conn := clientConnOf(r)
 	return conn != nil && conn.ambiguous.Load()
 }
 
-// guardOf is the guard of a request's connection; nil where it has none.
+// clientConnOf returns a request's connection, or nil if it is unknown.
 func clientConnOf(r *http.Request) *clientConn {
 	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return conn
 }
 
-// originForm is the target as it goes on: a whole address, as for a proxy, loses
-// its scheme and host.
+// originForm returns the request target in origin form: an absolute one, as sent to a proxy, loses its
+// scheme and host.
 func originForm(r *http.Request) string {
 	uri := r.RequestURI
 	if _, hostAndPath, absolute := strings.Cut(uri, "://"); absolute && !strings.HasPrefix(uri, "/") {
@@ -268,9 +268,8 @@
 	return uri
 }
 
-// parse reads the headers that the decisions need. Nothing has a default: a
-// request that is not understood might be charged to the wrong customer or
-// repeated against its class.
+// parseHeaders reads the headers that the decision module needs. None has a default: a malformed request
+// might be charged to the wrong customer, or be retried against its class.
 func (f *frontend) parseHeaders(r *http.Request) (rules.Request, error) {
 	var request rules.Request
 	header := r.Header
@@ -302,12 +301,12 @@
 	if err != nil || timeLeft <= 0 || timeLeft > maxTimeLeft.Milliseconds() {
 		return request, errors.New(timeLeftHeader + " is not a time in milliseconds")
 	}
-	request.Deadline = float64(timeLeft) / 1000 // from when it is whole
+	request.Deadline = float64(timeLeft) / 1000 // from the end of the request
 	request.IsRetry = header.Get(repeatHeader) == "1"
 	return request, f.parseTerms(&request, header.Get(termsHeader))
 }
 
-// terms reads the units of a request and the gateways of its customer.
+// parseTerms reads the units of a request and the gateways of its customer.
 func (f *frontend) parseTerms(request *rules.Request, text string) error {
 	seen := ""
 	for part := range strings.SplitSeq(text, ",") {
@@ -340,12 +339,11 @@
 	return nil
 }
 
-// hopByHop are the headers that end at this gateway.
+// hopByHopHeaders are not forwarded.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// passedOn returns the headers for the other side: all but those that belong to
-// the connection. It uses up h.
+// endToEndHeaders removes the headers that belong to the connection from h and returns it.
 func endToEndHeaders(h http.Header) http.Header {
 	for _, named := range h["Connection"] {
 		for name := range strings.SplitSeq(named, ",") {
@@ -360,8 +358,7 @@
 	return h
 }
 
-// write gives the answer to the client. An error means that it could not be given
-// whole.
+// write sends the response to the client. It returns an error if a streamed response is incomplete.
 func (response response) write(w http.ResponseWriter) error {
 	header := w.Header()
 	for k, v := range response.header {
@@ -376,7 +373,7 @@
 		return nil
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		header["Content-Type"] = nil // the backend named none, and guessing costs time
+		header["Content-Type"] = nil // the backend sent none, and sniffing costs time
 	}
 	if response.stream != nil {
 		if response.stream.length >= 0 {
@@ -387,6 +384,6 @@
 	}
 	header["Content-Length"] = []string{strconv.Itoa(len(response.body))}
 	w.WriteHeader(response.status)
-	w.Write(response.body) // an error means that the client has left
+	w.Write(response.body) // an error means that the client has disconnected
 	return nil
 }
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -11,7 +11,7 @@
 	"elderyard/rules"
 )
 
-// Whatever stands in the terms, what is taken is in range.
+// Whatever the header contains, accepted terms are in range.
 func FuzzParseTerms(f *testing.F) {
 	for _, seed := range []string{"units=2,spread=2,first=1", "units=NaN,spread=1,first=0", "units=1,units=2,spread=1",
 		"units=-1,spread=-1,first=-1", "units=1e999,spread=9999999999999999999,first=0", ",=,="} {
@@ -22,12 +22,12 @@
 		var q rules.Request
 		err := front.parseTerms(&q, text)
 		if err == nil && !(q.Units > 0 && q.Units <= 4 && q.Gateways >= 1 && q.Gateways <= 3 && q.FirstGateway >= 0 && q.FirstGateway < 3) {
-			t.Errorf("%q was taken: %+v", text, q)
+			t.Errorf("%q was accepted: %+v", text, q)
 		}
 	})
 }
 
-// readerConn is a connection on which a text comes.
+// readerConn is a connection that reads from r.
 type readerConn struct {
 	net.Conn
 	r io.Reader
@@ -35,7 +35,7 @@
 
 func (c readerConn) Read(b []byte) (int, error) { return c.r.Read(b) }
 
-// Whatever a backend answers, one that is served is whole and in bounds.
+// Whatever a backend sends, a response that counts as served is complete and within its limits.
 func FuzzReadResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -48,7 +48,7 @@
 		c := newBackendConn(readerConn{r: strings.NewReader(text)}, nil)
 		res, reuse := c.readResponse(http.MethodGet)
 		if res.outcome == rules.Served && len(res.body) > maxBufferedBody || res.outcome == rules.ConnectionLost && reuse {
-			t.Errorf("outcome %d, %d bytes, used again %t", res.outcome, len(res.body), reuse)
+			t.Errorf("outcome %d, %d bytes, reused %t", res.outcome, len(res.body), reuse)
 		}
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,7 @@
-// Package gateway is the HTTP front end of a gateway: it accepts clients, turns
-// their requests into events of the decision module, and carries out what the
-// module decides on pooled connections to the backends. It decides nothing
-// itself. One goroutine, that of owner.Owner, owns the Loop and the module's state;
-// connections and timers send it messages.
+// Package gateway is the HTTP front end of a gateway: it accepts client connections, turns requests into
+// events of the decision module, and carries out the module's decisions over pooled connections to the
+// backends. It makes no decisions itself. The goroutine of owner.EventLoop owns the Loop and the module's
+// state; connections and timers send it messages.
 package gateway
 
 import (
@@ -31,53 +30,53 @@
 	// Descriptors for the counter (32), discovery (4 while its address changes), telemetry and files
 	// (4), listeners and the runtime (8).
 	reservedDescriptors = 64
-	clientMemory        = 24 << 10               // bytes of an idle connection: two buffers, a stack and the books
-	cachedListDelay     = 3 * time.Second        // without discovery, the list known from before has to do
-	acceptAfterStop     = 600 * time.Millisecond // new connections still come so long after a stop was asked for
+	clientMemory        = 24 << 10               // bytes per idle connection: two buffers, a stack and bookkeeping
+	cachedListDelay     = 3 * time.Second        // if discovery has not answered by then, the gateway becomes ready with the cached list
+	acceptAfterStop     = 600 * time.Millisecond // after a stop request, new connections are still accepted for this long
 )
 
-// The platform kills a process that it asked to end so long after that, whatever the process
-// still has: killAfter after the longest deadline, of which killMost count at most.
+// After a stop request the platform waits for the longest deadline, but at most maxKillDeadline, plus
+// killDelay. Then it kills the process, whatever that is still doing.
 const (
 	maxKillDeadline     = 3 * time.Second
 	killDelay           = 700 * time.Millisecond
-	finalResponseMargin = 300 * time.Millisecond // before that, all that is held gets its answer
-	exitMargin          = 150 * time.Millisecond // and the process ends
+	finalResponseMargin = 300 * time.Millisecond // before the kill: all open requests get a response
+	exitMargin          = 150 * time.Millisecond // before the kill: the process exits
 )
 
-// Reload tells a running gateway that its configuration has been replaced.
+// Reload notifies a running gateway that its configuration has been replaced.
 type Reload struct {
 	Signal <-chan os.Signal
-	Read   func() (config.Config, error) // the new configuration
+	Read   func() (config.Config, error) // reads the new configuration
 }
 
-// Fellows are the other gateways of the site, as far as this one knows of them.
+// Peers are the other gateways of the site that this one knows.
 type Peers interface {
-	// Run takes part until ctx ends. Told is called with each new number that what
-	// all have together is divided by, and that of the senders to a cold backend.
-	Run(ctx context.Context, told func(share, cold int))
-	AdminHandler() http.Handler // answers operators, below fellowsPath
-	Summary() string            // one line for them
+	// Run participates until ctx ends. It calls onChange with each new number of local shares into which
+	// the quotas are divided, and of gateways that send to a cold backend.
+	Run(ctx context.Context, onChange func(localShares, coldSenders int))
+	AdminHandler() http.Handler // serves operators, under peersPath
+	Summary() string            // one line for operators
 }
 
 const (
 	peersPath           = "/_peers"
-	peerDescriptors     = 24 // descriptors
-	operatorDescriptors = 12 // descriptors: mostCallers and four more, of which reserved can spare 16
-	limitDescriptors    = 2  // descriptors of the front for limit commands: its listener, and a client that is turned away
-	limitClientsDivisor = 4  // clients of limit commands may hold one of so many descriptors
+	peerDescriptors     = 24
+	operatorDescriptors = 12 // maxOperatorConns and four more, of which reservedDescriptors can spare 16
+	limitDescriptors    = 2  // the listener for limit commands, and one client that is being rejected
+	limitClientsDivisor = 4  // limit command clients may hold one in this many descriptors
 )
 
-// descriptors is how the limit on descriptors is divided.
+// descriptors is how the process's descriptor limit is divided.
 type descriptors struct {
-	own          int // of the gateway: counter, discovery, operators, the runtime and what knows other gateways
-	limitClients int // of clients of limit commands, their listener among them
+	own          int // the gateway's own: counter, discovery, operators, the runtime and peers
+	limitClients int // limit command clients, including their listener
 	clients      int
 	backends     int
 }
 
-// divideDescriptors divides the limit so that whatever one kind of connection takes, the
-// others keep what is theirs.
+// divideDescriptors divides the descriptor limit so that no kind of connection can use up the descriptors
+// of another.
 func divideDescriptors(c *config.Config, peers, operator bool) descriptors {
 	divided := descriptors{own: reservedDescriptors}
 	if peers {
@@ -95,10 +94,9 @@
 	return divided
 }
 
-// Run serves clients until ctx ends, then answers what it holds and returns. Fd is
-// the clients' listening socket where that came with the process, else below 0. Export
-// says where traces and metrics go; nil: nowhere. Fellows is nil where the gateway
-// knows of none.
+// Run serves clients until ctx ends, then responds to all open requests and returns. fd is an inherited
+// listening socket for clients, or negative if there is none. export configures traces and metrics; nil
+// disables them. peers is nil if the gateway knows no others.
 func Run(ctx context.Context, c *config.Config, fd int, export *telemetry.Settings, peers Peers, reload Reload) error {
 	var listener net.Listener
 	var err error
@@ -121,13 +119,13 @@
 	return serve(ctx, c, listener, operatorListener, export, peers, reload)
 }
 
-// inherited makes a listener of a descriptor that came with the process.
+// inheritedListener makes a listener from a descriptor that the process inherited.
 func inheritedListener(fd int) (net.Listener, error) {
 	file := os.NewFile(uintptr(fd), "clients")
 	if file == nil {
-		return nil, fmt.Errorf("descriptor %d is none", fd)
+		return nil, fmt.Errorf("descriptor %d is not open", fd)
 	}
-	defer file.Close() // the listener has a copy
+	defer file.Close() // the listener has its own duplicate
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
@@ -135,15 +133,15 @@
 	return listener, nil
 }
 
-// mostClients is how many connections of clients the limits bear.
-// Own is how many the gateway keeps for itself.
+// maxClients returns how many client connections the descriptor and memory limits allow. own is the
+// number of descriptors that the gateway reserves for itself.
 func maxClients(c *config.Config, own int) int {
 	bySockets := c.Site.Clients.SocketShare * float64(c.Sockets-own)
 	byMemory := c.Site.Clients.MemoryShare * float64(c.MemoryMB<<20) / clientMemory
 	return int(min(bySockets, byMemory))
 }
 
-// serve is Run on sockets that are open. Desk is the operators', or nil.
+// serve is Run with its sockets open. operatorListener may be nil.
 func serve(ctx context.Context, c *config.Config, listener, operatorListener net.Listener, export *telemetry.Settings, peers Peers, reload Reload) error {
 	descriptors := divideDescriptors(c, peers != nil, operatorListener != nil)
 	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), descriptors.backends)
@@ -152,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	var ownerCounter owner.Counter // nil without one
+	var ownerCounter owner.Counter // nil if there is no counter
 	if counterClient != nil {
 		ownerCounter = counterClient
 	}
@@ -171,7 +169,7 @@
 		front.loop.Rollup = rollups.aggregator(time.Duration(c.Site.Rollup.Every))
 		rollupsWritten := make(chan struct{})
 		go func() { defer close(rollupsWritten); rollups.run() }()
-		defer func() { // after the loop, which counts
+		defer func() { // after the loop has ended, since it is what counts
 			front.loop.Rollup.Flush()
 			close(rollups.lines)
 			<-rollupsWritten
@@ -182,9 +180,9 @@
 		setDeployment(&settings.Tracing, c.Classes, c.ClassNames, c.PlanNames)
 		front.loop.sampleRatio = settings.Tracing.SampleRatio
 		front.loop.telemetry = telemetry.Start(settings, front.loop.Clock.Now, front.loop.figures, slog.Default())
-		defer front.loop.telemetry.Close() // last of all: no answer waits for it
+		defer front.loop.telemetry.Close() // last of all: responses never wait for it
 	}
-	defer front.loop.attempts.Wait() // after the loop, which starts them, and the sweep, which ends them
+	defer front.loop.attempts.Wait() // after the loop, which starts attempts, and the sweep, which ends them
 	defer wg.Wait()
 	defer stop()
 	if c.Site.RESP.Listen != "" {
@@ -241,11 +239,11 @@
 		wg.Go(func() { front.closeWhileDraining(runCtx, clients) })
 	}
 	serveErr := make(chan error, 1)
-	acceptDone := make(chan struct{}) // all that is taken has come
+	acceptDone := make(chan struct{}) // closed when no more connections are accepted
 	wg.Go(func() {
 		defer close(acceptDone)
 		if c.Inherited {
-			// Danger: what this process takes before it can serve, the other one would have served.
+			// Until this process can serve, the old process must accept the connections on the shared socket.
 			select {
 			case <-listReceived:
 			case <-ctx.Done():
@@ -264,34 +262,34 @@
 		case <-reload.Signal:
 			next, err := reload.Read()
 			if err != nil {
-				log.Printf("the old configuration stays: %v", err)
+				log.Printf("reload failed; keeping the current configuration: %v", err)
 				continue
 			}
 			if counterClient != nil && next.Settings.HasCounter {
 				counterClient.SetAddress(next.Counter)
 			}
 			if next.Discovery != discovery {
-				// Danger: a version of the old address may mean nothing to the new one. The new
-				// watch starts from the whole list; until that comes, the old list stands.
+				// A version from the old address may mean nothing at the new one, so the new watch must start with
+				// a full list. Until that arrives, the old list stays in use.
 				stopWatch()
 				discovery, stopWatch = next.Discovery, startWatch(next.Discovery)
 			}
 			if next.Listen != c.Listen || next.Sockets != c.Sockets || next.MemoryMB != c.MemoryMB ||
 				next.Cores != c.Cores || !reflect.DeepEqual(next.Deployment, c.Deployment) {
-				log.Print("discovery and counter are as the new configuration says; the rest of it needs a restart")
+				log.Print("reload applied the discovery and counter addresses; other changes need a restart")
 			}
 		}
 	}
 }
 
-const rebindInterval = 100 * time.Millisecond // between tries for an address that the process before still has
+const rebindInterval = 100 * time.Millisecond // between attempts to bind an address that the old process still holds
 
-// openLimits opens the front for limit commands, which takes so many clients at most, and
-// returns what serves it. In an upgrade the process before has the address until it ends; then it is tried for again.
+// openLimitServer opens the front end for limit commands with at most maxClients clients, and returns the function
+// that serves it. During an upgrade the old process holds the address until it ends; binding is retried until then.
 func openLimitServer(c *config.Config, maxClients int, owner *owner.EventLoop) (serve func(context.Context), err error) {
 	settings := c.Site.RESP
 	if maxClients < settings.Most {
-		log.Printf("resp.most_clients: %d descriptors leave room for %d clients, not %d", c.Sockets, maxClients, settings.Most)
+		log.Printf("resp.most_clients: %d descriptors allow %d clients, not %d", c.Sockets, maxClients, settings.Most)
 		settings.Most = maxClients
 	}
 	front, err := respfront.Open(settings, owner, c.Settings, c.PlanNames)
@@ -315,15 +313,15 @@
 }
 
 const (
-	drainPollInterval = 100 * time.Millisecond // between looks for idle connections of a drained gateway
-	drainIdleTime     = 500 * time.Millisecond // those without a request for so long are closed; the busy ones close with an answer
+	drainPollInterval = 100 * time.Millisecond // between closing rounds while the gateway drains
+	drainIdleTime     = 500 * time.Millisecond // idle connections are closed after this time; busy ones close with their next response
 
-	shutdownPollInterval = 20 * time.Millisecond // between looks for idle connections of a gateway that ends
+	shutdownPollInterval = 20 * time.Millisecond // between closing rounds while the gateway shuts down
 	unlimited            = time.Duration(math.MaxInt64)
 )
 
-// empty closes the idle connections of clients while the gateway is drained by
-// hand, until ctx ends. New ones may come for a moment, and are served.
+// closeWhileDraining closes idle client connections while an operator drains the gateway, until ctx ends.
+// Connections that still arrive are served.
 func (f *frontend) closeWhileDraining(ctx context.Context, clients *clientListener) {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
@@ -339,17 +337,17 @@
 	}
 }
 
-// shutdown takes what still comes for a while, answers what is held, and ends. Took is
-// closed when no more is taken.
+// shutdown accepts connections for a while longer, responds to open requests, and returns.
+// acceptDone is closed when no more connections are accepted.
 //
-// Danger: a request may cross the closing of its idle connection; its client then sends
-// it again on a new one. So idle connections go at once, while new ones are still taken,
-// and the listener goes later. Where others share the socket, what comes from now on is
-// theirs: no more is taken, busy connections close with their next answer, which meets no
-// request half way, and idle ones only after some quiet.
+// A request may cross the closing of its idle connection; its client then retries on a new one. So idle
+// connections are closed at once while new ones are still accepted, and the listener closes later. Where
+// another process shares the socket, that process takes the new connections: this one accepts no more,
+// busy connections close with their next response, which no request can cross, and idle ones close only
+// after some idle time.
 //
-// Danger: clients send on whatever stays open, and a request that is taken late may wait
-// past the kill. So what counts for all that is held is when that comes.
+// Clients keep sending on open connections, and a request that is accepted late may have a deadline past
+// the kill. So all open requests are answered by the time of the kill, whatever their deadlines.
 func shutdown(c *config.Config, front *frontend, clients *clientListener, server *http.Server, acceptDone <-chan struct{}) error {
 	start := time.Now()
 	front.shuttingDown.Store(true)
@@ -366,7 +364,7 @@
 		clients.drainBacklog()
 	}
 	<-acceptDone
-	// A request may be on its way on a connection that was just made.
+	// A request may be in transit on a connection that was just accepted.
 	unusedUntil := time.Now().Add(clients.firstRequestWait)
 	responded := false
 	for clients.openConns() > 0 && time.Now().Before(killTime.Add(-exitMargin)) {
@@ -384,12 +382,12 @@
 	left := clients.openConns()
 	server.Close()
 	if left > 0 {
-		return fmt.Errorf("connections of clients that were still busy at the end: %d", left)
+		return fmt.Errorf("shutdown: %d client connections were still busy", left)
 	}
 	return nil
 }
 
-// longest is the longest time that a client may wait for its answer.
+// longestDeadline returns the longest time that a client may wait for its response.
 func longestDeadline(c *config.Config) time.Duration {
 	longest := 0.0
 	for _, class := range c.Classes {
@@ -398,8 +396,8 @@
 	return seconds(longest)
 }
 
-// killed is how long after it was asked to end a process is killed, at the earliest. The
-// grace that answers have after their deadline puts nothing off.
+// minKillDelay returns the shortest time from a stop request to the kill. The slack that responses have
+// after their deadline does not postpone it.
 func minKillDelay(c *config.Config) time.Duration {
 	return min(longestDeadline(c), maxKillDeadline) + killDelay
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,32 +21,31 @@
 	"time"
 )
 
-// rig is a whole gateway between loopback sockets.
+// testGateway is a complete gateway on loopback sockets.
 type testGateway struct {
 	address         string
-	operatorAddress string // the operators' address, if it has one
-	stateDir        string // the folder of what outlives an upgrade
+	operatorAddress string // if it has one
+	stateDir        string // the directory for what outlives an upgrade
 	registry        *testpeer.Registry
 	stop            context.CancelFunc
 	runErr          chan error
 	reload          chan os.Signal
-	config          atomic.Pointer[string] // what a reload reads
+	config          atomic.Pointer[string] // read by a reload
 }
 
-// newRig starts a gateway that knows the given backends and waits until it is
-// ready.
+// startGateway starts a gateway that knows the given backends and waits until it is ready.
 func startGateway(t *testing.T, backends ...*peer) *testGateway {
 	t.Helper()
 	return startGatewayWith(t, func(text string) string { return text }, backends...)
 }
 
-// newRigWith does so with another configuration.
+// startGatewayWith does so with a changed configuration.
 func startGatewayWith(t *testing.T, change func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
 	return startExportingGateway(t, nil, change, backends...)
 }
 
-// newRigFor does so with an exporter, unless that is nil.
+// startExportingGateway does so with an exporter, unless export is nil.
 func startExportingGateway(t *testing.T, export *telemetry.Settings, change func(config string) string, backends ...*peer) *testGateway {
 	t.Helper()
 	gw := &testGateway{registry: testpeer.NewRegistry(t), runErr: make(chan error, 1), reload: make(chan os.Signal)}
@@ -77,7 +76,7 @@
 	go func() { defer close(done); gw.runErr <- serve(ctx, &c, l, operatorListener, export, nil, reload) }()
 	t.Cleanup(func() { stop(); <-done })
 	if got := gw.readyStatus(t); got != http.StatusServiceUnavailable {
-		t.Errorf("ready before the list is had: %d", got)
+		t.Errorf("ready before the first list: %d", got)
 	}
 	gw.registry.Answers <- newListing(true, "Ready", backends...)
 	gw.waitForReadyStatus(t, http.StatusOK)
@@ -107,12 +106,12 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); gw.readyStatus(t) != status; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("readiness never became %d", status)
+			t.Fatalf("readiness status never became %d", status)
 		}
 	}
 }
 
-var requestCount atomic.Int64 // requests have ids of their own
+var requestCount atomic.Int64 // gives each request its own ID
 
 func requestText(method, class, body string, change ...string) string {
 	headers := map[string]string{idHeader: fmt.Sprintf("%016x", requestCount.Add(1)), classHeader: class, planHeader: "basic",
@@ -135,7 +134,7 @@
 	return text + "\r\n" + body
 }
 
-// client sends one request and returns the channel of its answer.
+// send sends one request and returns a channel for its response.
 func (gw *testGateway) send(t *testing.T, text string) (net.Conn, <-chan *http.Response) {
 	t.Helper()
 	conn, err := net.Dial("tcp", gw.address)
@@ -147,13 +146,13 @@
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
-	answers := make(chan *http.Response, 1)
+	responses := make(chan *http.Response, 1)
 	go func() {
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
-			answers <- resp
+			responses <- resp
 		}
 	}()
-	return conn, answers
+	return conn, responses
 }
 
 func serveOnce(t *testing.T, backend *peer, body string) {
@@ -169,15 +168,15 @@
 	gw := startGateway(t, backend)
 	_, responses := gw.send(t, requestText("POST", "booking", "pickup"))
 	serveOnce(t, backend, "booked\n")
-	resp := wait(t, responses, "answer")
+	resp := wait(t, responses, "response")
 	body, err := io.ReadAll(resp.Body)
 	if resp.StatusCode != 200 || string(body) != "booked\n" || err != nil || resp.Header.Get("Content-Type") != "text/x" || resp.Header.Get(loadHeader) != "" {
 		t.Errorf("%d %q %v %v", resp.StatusCode, body, resp.Header, err)
 	}
 }
 
-// What is not understood is turned down: a default could charge the wrong
-// customer, or repeat what must not run twice.
+// A malformed request is rejected: a default value could charge the wrong customer, or retry what must not
+// run twice.
 func TestMalformed(t *testing.T) {
 	t.Parallel()
 	gw := startGateway(t, newPeer(t))
@@ -187,27 +186,27 @@
 	}{
 		{"no id", requestText("GET", "lookup", "", idHeader, ""), 400},
 		{"unknown class", requestText("GET", "lookups", ""), 400},
-		{"another path", requestText("GET", "lookup", "", "path", "/booking"), 400},
-		{"a path with no first part", requestText("GET", "lookup", "", "path", "//lookup"), 400},
+		{"path of another class", requestText("GET", "lookup", "", "path", "/booking"), 400},
+		{"path without a first segment", requestText("GET", "lookup", "", "path", "//lookup"), 400},
 		{"unknown plan", requestText("GET", "lookup", "", planHeader, "gold"), 400},
-		{"a short customer", requestText("GET", "lookup", "", clientHeader, "b4d65521"), 400},
-		{"a customer too high", requestText("GET", "lookup", "", clientHeader, "0000000200000000"), 400},
-		{"no time", requestText("GET", "lookup", "", timeLeftHeader, ""), 400},
+		{"short customer number", requestText("GET", "lookup", "", clientHeader, "b4d65521"), 400},
+		{"customer number out of range", requestText("GET", "lookup", "", clientHeader, "0000000200000000"), 400},
+		{"no time left header", requestText("GET", "lookup", "", timeLeftHeader, ""), 400},
 		{"no time left", requestText("GET", "lookup", "", timeLeftHeader, "0"), 400},
-		{"time without end", requestText("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400},
+		{"time out of range", requestText("GET", "lookup", "", timeLeftHeader, "99999999999999999999"), 400},
 		{"no terms", requestText("GET", "lookup", "", termsHeader, ""), 400},
-		{"no number", requestText("GET", "lookup", "", termsHeader, "units=NaN,spread=2,first=0"), 400},
+		{"units not a number", requestText("GET", "lookup", "", termsHeader, "units=NaN,spread=2,first=0"), 400},
 		{"too many units", requestText("GET", "lookup", "", termsHeader, "units=5,spread=2,first=0"), 400},
-		{"a set beyond the fleet", requestText("GET", "lookup", "", termsHeader, "units=1,spread=3,first=0"), 400},
-		{"a gateway beyond the fleet", requestText("GET", "lookup", "", termsHeader, "units=1,spread=2,first=2"), 400},
+		{"spread beyond the fleet", requestText("GET", "lookup", "", termsHeader, "units=1,spread=3,first=0"), 400},
+		{"first gateway beyond the fleet", requestText("GET", "lookup", "", termsHeader, "units=1,spread=2,first=2"), 400},
 		{"no key", requestText("POST", "booking", "x", keyHeader, ""), 400},
 		{"the wrong method", requestText("POST", "lookup", "x"), 405},
 		{"a keyed GET", requestText("GET", "booking", ""), 405},
 		{"a huge body", requestText("POST", "booking", "", "Content-Length", strconv.Itoa(maxStreamedBody+1)), 413},
-		{"chunks that are none", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "x\r\n", 400},
-		{"a body that is too short in chunks", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "2\r\no", 400},
-		{"a set told twice", requestText("GET", "lookup", "", termsHeader, "units=1,spread=2,spread=1,first=0"), 400},
-		{"a header told twice", requestText("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400},
+		{"malformed chunk", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "x\r\n", 400},
+		{"truncated chunk", requestText("POST", "booking", "", "Transfer-Encoding", "chunked") + "2\r\no", 400},
+		{"duplicate term", requestText("GET", "lookup", "", termsHeader, "units=1,spread=2,spread=1,first=0"), 400},
+		{"duplicate header", requestText("GET", "lookup", "", planHeader, "basic\r\n"+planHeader+": basic"), 400},
 		{"a GET with a body", requestText("GET", "lookup", "x"), 400},
 		{"two lengths", requestText("POST", "booking", "ok", "content-length", "3"), 400},
 		{"a negative length", requestText("POST", "booking", "", "Content-Length", "-2"), 400},
@@ -215,14 +214,14 @@
 		{"endless headers", requestText("GET", "lookup", "", "X", strings.Repeat("x", 4*maxHeaderBytes)), 431},
 	} {
 		_, responses := gw.send(t, c.text)
-		if resp := wait(t, responses, "answer to "+c.name); resp.StatusCode != c.status || !resp.Close {
+		if resp := wait(t, responses, "response to "+c.name); resp.StatusCode != c.status || !resp.Close {
 			t.Errorf("%s: status %d, want %d; closed %t", c.name, resp.StatusCode, c.status, resp.Close)
 		}
 	}
 }
 
-// A length beside chunks may hide a request in the body, or behind it: neither
-// may reach a backend.
+// A Content-Length beside a chunked encoding may hide a request in the body or behind it. Neither may reach
+// a backend.
 func TestRequestSmuggling(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -230,19 +229,19 @@
 	hidden := requestText("POST", "booking", "hidden")
 	conn, responses := gw.send(t, requestText("POST", "booking", "", "Transfer-Encoding", "chunked",
 		"Content-Length", fmt.Sprint(5+len(hidden)))+"0\r\n\r\n"+hidden)
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 400 || !resp.Close {
+	if resp := wait(t, responses, "response"); resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	if rest, err := io.ReadAll(conn); isTimeout(err) {
-		t.Errorf("the connection stays: %q", rest)
+		t.Errorf("the connection stays open: %q", rest)
 	}
 	if n := len(backend.Conns); n > 0 {
 		t.Errorf("%d connections to the backend", n)
 	}
 }
 
-// One id is one request: another client's under the same is turned down, also
-// just after the first has been answered, and the first keeps its answer.
+// An ID identifies one request: a second request with the same ID is rejected, also just after the first has
+// its response, and does not affect the first.
 func TestDuplicateID(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -252,15 +251,15 @@
 	readRequest(t, br)
 	for range 2 {
 		_, second := gw.send(t, requestText("GET", "lookup", "", idHeader, "one"))
-		if resp := wait(t, second, "answer to the second"); resp.StatusCode != 409 {
+		if resp := wait(t, second, "response to the second"); resp.StatusCode != 409 {
 			t.Errorf("the second: status %d", resp.StatusCode)
 		}
 		if len(backend.Conns) > 0 {
-			t.Error("the second went to the backend")
+			t.Error("the second request reached the backend")
 		}
 		if conn != nil {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine")
-			if resp := wait(t, first, "answer to the first"); resp.StatusCode != 200 {
+			if resp := wait(t, first, "response to the first"); resp.StatusCode != 200 {
 				t.Errorf("the first: status %d", resp.StatusCode)
 			}
 			conn = nil
@@ -268,8 +267,8 @@
 	}
 }
 
-// A refusal promises that nothing ran. An unsafe or keyed request that may have
-// run fails instead, and is not sent again by anything below the module either.
+// A refusal promises that nothing ran. A request that is not repeatable and may have run fails instead, and
+// nothing below the decision module retries it either.
 func TestBreakAfterLastByte(t *testing.T) {
 	t.Parallel()
 	for class, status := range map[string]int{"payment": 502, "booking": 200} {
@@ -280,9 +279,9 @@
 		readRequest(t, br)
 		conn.Close()
 		if status == 200 {
-			serveOnce(t, backend, "ok") // in its group and within its window a keyed request may go out again
+			serveOnce(t, backend, "ok") // a keyed request may be retried in its group and within its window
 		}
-		if resp := wait(t, responses, "answer"); resp.StatusCode != status {
+		if resp := wait(t, responses, "response"); resp.StatusCode != status {
 			t.Errorf("%s: status %d, want %d", class, resp.StatusCode, status)
 		}
 		if n := len(backend.Conns); n > 0 {
@@ -291,8 +290,8 @@
 	}
 }
 
-// A backend that says nothing must not hold a request beyond its aim, and its
-// late answer must reach nobody.
+// A backend that does not respond must not hold a request beyond its class's objective, and its late
+// response must reach nobody.
 func TestBackendTimeout(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -300,14 +299,14 @@
 	conn, responses := gw.send(t, requestText("GET", "glance", ""))
 	_, br := backend.Accept(t)
 	readRequest(t, br)
-	resp := wait(t, responses, "answer")
+	resp := wait(t, responses, "response")
 	if resp.StatusCode != 429 || resp.Header.Get("Retry-After") != "0.5" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if _, err := br.ReadByte(); err != io.EOF {
-		t.Errorf("the given-up attempt's connection: %v", err)
+		t.Errorf("connection of the timed-out attempt: %v", err)
 	}
-	// The client's connection carries the next request, and that one's answer only.
+	// The client's connection carries the next request and its response.
 	io.WriteString(conn, requestText("GET", "lookup", ""))
 	serveOnce(t, backend, "second")
 	next, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -319,8 +318,8 @@
 	}
 }
 
-// A counter that says nothing must not stop customers inside their quotas: the
-// call is given up and the gateway's own share pays.
+// A counter that does not respond must not stop customers within their quotas: the call times out, and the
+// gateway's own share is used.
 func TestSilentCounter(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
@@ -331,18 +330,18 @@
 	_, calls := counter.Accept(t)
 	readRequest(t, calls)
 	serveOnce(t, backend, "ok")
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// An answer of the counter that begins and never ends is no silence: the amount
-// was added, so the customer is asked for again at once and it is taken back.
+// A counter response that starts and never ends differs from none: the amount was added, so the customer's
+// total is requested again at once and the amount is returned.
 func TestUnfinishedCounterResponse(t *testing.T) {
 	t.Parallel()
 	backend, counter := newPeer(t), newPeer(t)
 	gw := startGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.Address()+`"`,
-		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 2}`, // the gateway's own share is too small to pay again
+		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 2}`, // the gateway's own share is too small for a second charge
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 0.5`).Replace, backend)
 	_, responses := gw.send(t, requestText("GET", "lookup", ""))
 	conn, calls := counter.Accept(t)
@@ -360,39 +359,38 @@
 	}
 	total(conn, http.StatusOK, strconv.FormatFloat(added, 'f', -1, 64))
 	serveOnce(t, backend, "ok")
-	if resp := wait(t, responses, "answer"); resp.StatusCode != http.StatusOK {
+	if resp := wait(t, responses, "response"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// An answer that comes after its call was given up says what was added: the
-// request that waits is let in by it.
+// A counter response that arrives after its call timed out still tells what was added: the waiting request
+// is admitted by it.
 func TestLateCounterResponse(t *testing.T) {
 	t.Parallel()
 	const timeout = 200 * time.Millisecond
 	backend, counter := newPeer(t), newPeer(t)
 	gw := startGatewayWith(t, strings.NewReplacer(`"127.0.0.1:1"`, `"`+counter.Address()+`"`,
-		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 2}`, // the gateway's own share is too small to pay
+		`"pays": 1}`, `"pays": 1, "unitsPerS": 0.001, "depth": 2}`, // the gateway's own share is too small for the charge
 		`"mostUnits": 4`, fmt.Sprintf(`"mostUnits": 4, "hasCounter": true, "counterTimeoutS": %g`, timeout.Seconds())).Replace, backend)
 	_, responses := gw.send(t, requestText("GET", "lookup", ""))
 	conn, calls := counter.Accept(t)
 	first, _ := readRequest(t, calls)
-	time.Sleep(timeout * 3 / 2) // the answer counts whenever it comes; here most likely late
+	time.Sleep(timeout * 3 / 2) // the response counts whenever it arrives; here most likely late
 	total(conn, http.StatusOK, first.URL.Query().Get("add"))
-	serveOnce(t, backend, "ok") // and no other call is answered
-	if resp := wait(t, responses, "answer"); resp.StatusCode != http.StatusOK {
+	serveOnce(t, backend, "ok") // no other call gets a response
+	if resp := wait(t, responses, "response"); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// What a call wrote off and was added, though its answer told no total, must not
-// stay in a store that another gateway has begun: its customer would be missing it
-// till the window ends.
+// An amount that was added by a call that was written off, because its response had no total, must not stay
+// in a window that another gateway has started: the customer would lack it until the window ends.
 func TestRefillWithoutTotalIsReturned(t *testing.T) {
 	t.Parallel()
 	for name, breakResponse := range map[string]func(net.Conn){
-		"spoilt": func(c net.Conn) { total(c, http.StatusOK, "no number") },
-		"cut":    func(c net.Conn) { c.Close() },
+		"no total": func(c net.Conn) { total(c, http.StatusOK, "no number") },
+		"closed":   func(c net.Conn) { c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -412,7 +410,7 @@
 			}
 			conn, calls := counter.Accept(t)
 			window, first := added(calls)
-			others := first // another gateway began the window in the same way
+			others := first // another gateway started the window in the same way
 			breakResponse(conn)
 			conn, calls = counter.Accept(t)
 			again, second := added(calls)
@@ -422,15 +420,15 @@
 			total(conn, http.StatusOK, strconv.FormatFloat(others+first+second, 'f', -1, 64))
 			_, third := added(calls)
 			if left := first + second + third; left > 2*depth {
-				t.Errorf("%g + %g + %g: %g stay in a store of %g beside what is there", first, second, third, left, depth)
+				t.Errorf("%g + %g + %g: %g stay in a bucket of %g", first, second, third, left, depth)
 			}
 		})
 	}
 }
 
-// A reload moves discovery and counter under load and loses nothing: what is
-// held is answered, the new discovery is asked for its whole list, the counter's
-// call that is out is still taken from the old one, and a bad file changes nothing.
+// A reload under load moves discovery and the counter and loses nothing: open requests get their responses,
+// the new discovery is asked for its full list, the pending counter call is completed by the old counter,
+// and an invalid file changes nothing.
 func TestReload(t *testing.T) {
 	t.Parallel()
 	backend, second, counter, moved := newPeer(t), newPeer(t), newPeer(t), newPeer(t)
@@ -439,7 +437,7 @@
 		`"mostUnits": 4`, `"mostUnits": 4, "hasCounter": true, "counterTimeoutS": 30`).Replace, backend)
 	_, openResponse := gw.send(t, requestText("GET", "lookup", ""))
 	calls, cr := counter.Accept(t)
-	readRequest(t, cr) // not answered yet
+	readRequest(t, cr) // no response yet
 
 	good := *gw.config.Load()
 	bad := good[:len(good)/2]
@@ -449,16 +447,16 @@
 	next := strings.NewReplacer(gw.registry.Address(), other.Address(), counter.Address(), moved.Address()).Replace(good)
 	gw.config.Store(&next)
 	gw.reload <- syscall.SIGHUP
-	if query := wait(t, other.Calls, "call of the new discovery"); query != "" {
-		t.Errorf("the new discovery was asked for %q, not for the whole list", query)
+	if query := wait(t, other.Calls, "call to the new discovery"); query != "" {
+		t.Errorf("the new discovery was asked for %q instead of the full list", query)
 	}
 	total(calls, 200, "12")
 	serveOnce(t, backend, "held")
-	if resp := wait(t, openResponse, "answer"); resp.StatusCode != 200 {
-		t.Errorf("the request that was held: status %d", resp.StatusCode)
+	if resp := wait(t, openResponse, "response"); resp.StatusCode != 200 {
+		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
 	if _, err := cr.ReadByte(); err != io.EOF {
-		t.Errorf("the old counter's connection: %v", err)
+		t.Errorf("connection to the old counter: %v", err)
 	}
 	other.Answers <- newListing(true, "Ready", second)
 	if query := wait(t, other.Calls, "watch"); query != "since=1&timeout_ms=4000" {
@@ -469,12 +467,12 @@
 	readRequest(t, cr)
 	total(calls, 200, "12")
 	serveOnce(t, second, "ok")
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d", resp.StatusCode)
 	}
 }
 
-// Work for a client that has left is wasted: its attempt is called off.
+// The attempt of a client that has disconnected is aborted: its work would be wasted.
 func TestDisconnectAbortsAttempt(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -493,28 +491,28 @@
 	dead, backend := newPeer(t), newPeer(t)
 	gw := startGateway(t, dead, backend)
 	dead.Listener.Close()
-	for range 4 { // none is lost, whichever is picked first
+	for range 4 { // all are served, whichever backend is picked first
 		_, responses := gw.send(t, requestText("POST", "payment", "x"))
 		conn, br := backend.Accept(t)
 		readRequest(t, br)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-		if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
+		if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
-	// The call after the one that told of the drain shows that it was heard.
+	// The call after the drain update shows that the update was received.
 	wait(t, gw.registry.Calls, "first list")
 	wait(t, gw.registry.Calls, "watch")
 	gw.registry.Answers <- newListing(false, "Terminating", backend)
 	wait(t, gw.registry.Calls, "next watch")
 	_, responses := gw.send(t, requestText("GET", "glance", ""))
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
+	if resp := wait(t, responses, "response"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
 		t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.Conns))
 	}
 }
 
-// After SIGTERM nothing that was taken may be lost: what is held is answered,
-// and what still comes is taken for a while.
+// After SIGTERM no accepted request is lost: open requests get their responses, and for a while further
+// requests are still accepted.
 func TestStop(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -522,36 +520,36 @@
 	_, openResponse := gw.send(t, requestText("POST", "booking", "held"))
 	conn, br := backend.Accept(t)
 	readRequest(t, br)
-	unused, err := net.Dial("tcp", gw.address) // must not hold up the end
+	unused, err := net.Dial("tcp", gw.address) // must not delay the shutdown
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unused.Close()
 	idle, first := gw.send(t, "GET "+readyPath+" HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
-	wait(t, first, "answer") // leaves an idle connection behind
+	wait(t, first, "response") // leaves an idle connection
 	idle.SetReadDeadline(time.Now().Add(testTimeout))
 	gw.stop()
 	if _, err := io.ReadAll(idle); err != nil {
-		t.Errorf("the idle connection after the stop: %v", err)
+		t.Errorf("idle connection after the stop request: %v", err)
 	}
 	gw.waitForReadyStatus(t, http.StatusServiceUnavailable)
 	_, late := gw.send(t, requestText("POST", "booking", "late"))
 	serveOnce(t, backend, "late")
-	if resp := wait(t, late, "answer"); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("a late request: status %d, connection closed %t", resp.StatusCode, resp.Close)
+	if resp := wait(t, late, "response"); resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("late request: status %d, connection closed %t", resp.StatusCode, resp.Close)
 	}
 	gw.waitUntilClosed(t)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, openResponse, "answer"); resp.StatusCode != 200 {
-		t.Errorf("the held request: status %d", resp.StatusCode)
+	if resp := wait(t, openResponse, "response"); resp.StatusCode != 200 {
+		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
 	if err := wait(t, gw.runErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-// Where memory is short it bounds the clients' connections before descriptors
-// do, but leaves room for the third of these that requests may take.
+// Where memory is short, it limits the client connections before descriptors do, but leaves room for the
+// third of them that may carry open requests.
 func TestMaxClients(t *testing.T) {
 	for _, c := range []struct{ memory, sockets, want int }{
 		{192, 1024, 720}, {192, 256, 144}, {32, 256, 144}, {32, 1024, 341},
@@ -562,8 +560,8 @@
 	}
 }
 
-// Whatever clients of any kind and backends hold, the descriptors that are the gateway's own
-// stay free, and each kind has some.
+// However many connections clients and backends hold, the gateway keeps its own descriptors, and each kind
+// of connection gets some.
 func TestDivideDescriptors(t *testing.T) {
 	for _, c := range []struct {
 		sockets, limitClients int
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -13,7 +13,7 @@
 	"elderyard/internal/golden"
 )
 
-// fellowsOf stands for the gateways that this one knows of.
+// fakePeers stands in for the other gateways of the site.
 type fakePeers struct{}
 
 func (fakePeers) Run(context.Context, func(share, cold int)) {}
@@ -22,14 +22,14 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprintf(w, "what others know, %s\n", r.URL) })
 }
 
-// Every path on the operators' address with each of its answers. A number in an error of the JSON decoder stays.
+// Each path of the operator API with each of its responses. A number in an error of the JSON decoder stays.
 func TestGoldenOperatorAPI(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	gw := startGatewayWith(t, withOperator, backend)
 	var b strings.Builder
-	note := func(method, path, body string, status int, header http.Header, answer string) {
-		fmt.Fprintf(&b, "%s %s %s\n%d %s\n%s", method, path, body, status, header.Get("Content-Type"), answer)
+	record := func(method, path, body string, status int, header http.Header, response string) {
+		fmt.Fprintf(&b, "%s %s %s\n%d %s\n%s", method, path, body, status, header.Get("Content-Type"), response)
 	}
 	id := fmt.Sprintf(`{"id":%q}`, backend.Address())
 	for _, c := range [][3]string{
@@ -53,32 +53,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		note(c[0], c[1], strings.ReplaceAll(c[2], backend.Address(), "BACKEND"), resp.StatusCode, resp.Header, string(text))
+		record(c[0], c[1], strings.ReplaceAll(c[2], backend.Address(), "BACKEND"), resp.StatusCode, resp.Header, string(text))
 	}
 
-	// With others known, two paths more and a line more.
+	// Peers add two paths and one line.
 	front := &frontend{}
 	front.ready.Store(true)
 	known := (&operatorServer{frontend: front, detached: newDetachedFile("", "g0"), peers: fakePeers{}}).handler()
 	for _, path := range []string{"/_ready", "/_peers", "/_peers/why?name=g1"} {
 		w := httptest.NewRecorder()
 		known.ServeHTTP(w, httptest.NewRequest("GET", path, nil))
-		note("GET", path, "", w.Code, w.Result().Header, w.Body.String())
+		record("GET", path, "", w.Code, w.Result().Header, w.Body.String())
 	}
 	golden.Text(t, "operator.txt", b.String())
 }
 
-// The file that keeps which backends are out by hand, by name and form.
+// The name and content of the file of detached backends.
 func TestGoldenDetachedFile(t *testing.T) {
-	book := newDetachedFile(t.TempDir(), "north/g 0")
+	file := newDetachedFile(t.TempDir(), "north/g 0")
 	for _, id := range []string{"n2", "n1"} {
-		if err := book.record(id, true); err != nil {
+		if err := file.record(id, true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	text, err := os.ReadFile(book.path)
+	text, err := os.ReadFile(file.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Text(t, "out-by-hand.txt", book.path[strings.LastIndex(book.path, "/")+1:]+"\n"+string(text)+"\n")
+	golden.Text(t, "out-by-hand.txt", file.path[strings.LastIndex(file.path, "/")+1:]+"\n"+string(text)+"\n")
 }
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -11,8 +11,8 @@
 	"elderyard/rules"
 )
 
-// Something on the way to a backend forgets connections that rest. Once that has
-// shown, attempts go out on new ones instead of ending in doubt.
+// A middlebox on the way to a backend silently drops idle connections. Once that has been learned, attempts
+// use new connections instead of ending with an unknown result.
 func TestSilentlyDroppedIdleConnections(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -31,9 +31,9 @@
 		go func() { defer a.cancel(); outcome <- p.send(a).outcome }()
 		return outcome
 	}
-	for round := 0; p.trust.Limit(time.Now()) == math.MaxInt64; round++ {
+	for round := 0; p.idleEstimator.Limit(time.Now()) == math.MaxInt64; round++ {
 		if round == 20 {
-			t.Fatal("nothing was learnt")
+			t.Fatal("no idle limit was learned")
 		}
 		outcome := attemptOnce()
 		conn, r := backend.Accept(t)
@@ -42,12 +42,12 @@
 		if got := wait(t, outcome, "outcome"); got != rules.Served {
 			t.Fatalf("outcome %d on a new connection", got)
 		}
-		time.Sleep(2 * sockets.MinIdle) // the rest itself is what is tested
+		time.Sleep(2 * sockets.MinIdle) // the idle time is under test
 		outcome = attemptOnce()
 		readRequest(t, r) // on the same connection
 		conn.Close()
 		if got := wait(t, outcome, "outcome"); got != rules.ConnectionLost {
-			t.Fatalf("outcome %d on a forgotten connection", got)
+			t.Fatalf("outcome %d on a dropped connection", got)
 		}
 	}
 	outcome := attemptOnce()
@@ -55,9 +55,9 @@
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	wait(t, outcome, "outcome")
-	limit := p.trust.Limit(time.Now())
+	limit := p.idleEstimator.Limit(time.Now())
 	for range int(sockets.MinIdleBreaks) {
-		p.trust.Record(time.Now(), limit, true) // lest it fade while this test waits
+		p.idleEstimator.Record(time.Now(), limit, true) // so that it does not expire during this test
 	}
 	time.Sleep(limit + sockets.MinIdle)
 	outcome = attemptOnce()
@@ -65,6 +65,6 @@
 	readRequest(t, r)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	if got := wait(t, outcome, "outcome"); got != rules.Served {
-		t.Errorf("outcome %d once it is known that connections are forgotten", got)
+		t.Errorf("outcome %d after the idle limit was learned", got)
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -14,45 +14,43 @@
 )
 
 const (
-	softLimitRatio      = 0.8                    // of the connections; above it newcomers replace those that stand idle
-	idleGrace           = 2 * time.Second        // a connection is left alone so long after connecting or its last request
-	minIdleGrace        = 100 * time.Millisecond // and so long where there is no room at all
-	evictPollInterval   = 10 * time.Millisecond  // between looks for room
-	maxFirstRequestWait = 500 * time.Millisecond // a request may be on its way for so long on one that was just made, when the last are taken
-	backlogPollTime     = 50 * time.Millisecond  // for the backlog before the listener closes
-	maxBacklogTime      = 300 * time.Millisecond // and in all, where more and more come
+	softLimitRatio      = 0.8                    // of the limit; above it new connections replace idle ones
+	idleGrace           = 2 * time.Second        // a connection is not closed this soon after connecting or its last request
+	minIdleGrace        = 100 * time.Millisecond // and not this soon where no slot is free at all
+	evictPollInterval   = 10 * time.Millisecond  // between attempts to free a slot
+	maxFirstRequestWait = 500 * time.Millisecond // at shutdown, a client may take this long to send the first request on a new connection
+	backlogPollTime     = 50 * time.Millisecond  // per read of the backlog before the listener closes
+	maxBacklogTime      = 300 * time.Millisecond // for all of it, where more connections keep arriving
 )
 
-// clients keeps the connections of clients within a bound. Danger: a listener
-// that only stops accepting at its bound hands the gateway over to whoever
-// connects and says nothing; usual clients then wait in the backlog behind
-// them. Here a newcomer takes the place of the connection that has been without an
-// open request for the longest.
+// clientListener limits the number of client connections. If it only stopped accepting at its limit,
+// clients that connect and send nothing could take over the gateway while others wait in the backlog.
+// So a new connection replaces the one that has been without an open request for longest.
 type clientListener struct {
 	net.Listener
 	limit            int
-	firstRequestWait time.Duration // a first request is waited for so long once the last connections are taken
-	freed            chan struct{} // a connection has ended
-	acceptDeadline   atomic.Int64  // Unix nanoseconds by when the last must have been taken; 0: no end was asked for
+	firstRequestWait time.Duration // at shutdown, for the first request on a new connection
+	freed            chan struct{} // signals that a connection has ended
+	acceptDeadline   atomic.Int64  // Unix nanoseconds by which the backlog must be drained; 0: not shutting down
 
 	mu    sync.Mutex
-	conns map[net.Conn]*list.Element // its place in quiet; nil while a request is open
-	idle  list.List                  // of quietConn, the longest first
+	conns map[net.Conn]*list.Element // the element in idle; nil while a request is open
+	idle  list.List                  // of idleConn, longest idle first
 }
 
-// quietConn is a connection without an open request.
+// idleConn is a connection without an open request.
 type idleConn struct {
 	net.Conn
 	since  time.Time
-	unused bool // none has come on it yet
+	unused bool // no request has arrived on it yet
 }
 
 func newClientListener(l net.Listener, limit int) *clientListener {
 	return &clientListener{Listener: l, limit: limit, firstRequestWait: maxFirstRequestWait, freed: make(chan struct{}, 1), conns: map[net.Conn]*list.Element{}}
 }
 
-// Accept returns the next connection that there is room for. One for which none
-// could be made soon is closed.
+// Accept returns the next connection for which there is a slot. A connection for which none is freed in
+// time is closed.
 func (c *clientListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := c.acceptNext()
@@ -78,8 +76,8 @@
 	}
 }
 
-// makeRoom closes connections that have been quiet for long enough, once the
-// soft bound is passed. It tells whether one more fits.
+// evictIdle closes connections that have been idle long enough, once the soft limit is exceeded. It
+// reports whether one more connection fits.
 func (c *clientListener) evictIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +86,7 @@
 		candidate, nextElement := element.Value.(idleConn), element.Next()
 		age := now.Sub(candidate.since)
 		if age < minIdleGrace || age < idleGrace && len(c.conns) < c.limit {
-			break // all others have been quiet for less
+			break // all others have been idle for less
 		}
 		if closeIfIdle(candidate.Conn) {
 			c.untrack(candidate.Conn)
@@ -99,13 +97,13 @@
 	return len(c.conns) < c.limit
 }
 
-// state follows what the server does with a connection.
+// onStateChange follows the state of a connection in the HTTP server.
 func (c *clientListener) onStateChange(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	element, tracked := c.conns[conn]
 	if !tracked && state != http.StateNew {
-		return // it was closed to make room
+		return // evicted earlier
 	}
 	if element != nil {
 		c.idle.Remove(element)
@@ -122,7 +120,7 @@
 	}
 }
 
-// forget takes a connection off the books.
+// untrack removes a connection from the accounting.
 func (c *clientListener) untrack(conn net.Conn) {
 	if e := c.conns[conn]; e != nil {
 		c.idle.Remove(e)
@@ -134,7 +132,7 @@
 	}
 }
 
-// closeIdle closes a connection that no request has begun on.
+// closeIfIdle closes a connection unless a request has started on it.
 func closeIfIdle(conn net.Conn) bool {
 	if cc, ok := conn.(*clientConn); ok {
 		return cc.closeIfIdle()
@@ -146,9 +144,9 @@
 	return true
 }
 
-// closeQuiet closes the connections that have had no open request for the given
-// time, one for those that have had a request and one for those that never had. One on
-// which a request has begun stays, and is closed after its answer.
+// closeIdleConns closes the connections without an open request that have been idle for the given times:
+// usedFor where there has been a request, unusedFor where there has been none. A connection on which a
+// request has started stays open until its response.
 func (c *clientListener) closeIdleConns(usedFor, unusedFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,9 +164,9 @@
 	}
 }
 
-// finish ends the taking of new connections. Danger: what waits in the backlog when
-// the listener closes is reset, with its request. So the last of them are taken
-// first; Accept closes the listener when none is left.
+// drainBacklog ends the accepting of connections. Connections still in the backlog when the listener
+// closes are reset along with their requests, so they are accepted first; Accept closes the listener once
+// none is left.
 func (c *clientListener) drainBacklog() {
 	c.acceptDeadline.Store(time.Now().Add(maxBacklogTime).UnixNano())
 	if l, ok := c.Listener.(interface{ SetDeadline(time.Time) error }); !ok || l.SetDeadline(time.Now()) != nil {
@@ -176,8 +174,8 @@
 	}
 }
 
-// next is the listener's next connection. Once the end was asked for, each look at the
-// backlog has time of its own: one that is over before it begins finds nothing.
+// acceptNext returns the listener's next connection. While the backlog is drained, each accept gets a
+// deadline of its own: one that has already expired would find nothing.
 func (c *clientListener) acceptNext() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	end := c.acceptDeadline.Load()
@@ -198,7 +196,7 @@
 	return conn, nil
 }
 
-// open is how many connections there are.
+// openConns returns the number of connections.
 func (c *clientListener) openConns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/listener_test.go
+++ b/internal/gateway/listener_test.go
@@ -14,14 +14,14 @@
 	"elderyard/rules"
 )
 
-// Connections that say nothing, however many, must not keep a usual client
-// from being served, and end by themselves.
+// Any number of connections that send nothing must not keep other clients from being served, and they must
+// be closed in the end.
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
 	gw := startGatewayWith(t, strings.NewReplacer(`"sockets": 256`, `"sockets": 128`).Replace, backend)
 	var silent []net.Conn
-	for range 100 { // the bound is below 40
+	for range 100 { // the limit is below 40
 		c, err := net.Dial("tcp", gw.address)
 		if err != nil {
 			t.Fatal(err)
@@ -31,7 +31,7 @@
 	}
 	_, responses := gw.send(t, requestText("POST", "booking", "x"))
 	serveOnce(t, backend, "ok")
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	for i, c := range silent {
@@ -47,8 +47,8 @@
 	return ok && e.Timeout()
 }
 
-// What never becomes a whole request is owed an error or a close in time, and a
-// request that waits for its answer is not cut off for it.
+// An incomplete request gets an error or a close in time. A request that waits for its response is not
+// affected by that timeout.
 func TestIncompleteRequests(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -56,24 +56,24 @@
 	_, openResponse := gw.send(t, requestText("GET", "lookup", ""))
 	conn, br := backend.Accept(t)
 	readRequest(t, br)
-	whole := requestText("POST", "booking", "pickup")
-	for _, text := range []string{whole[:10], whole[:len(whole)-1]} {
+	request := requestText("POST", "booking", "pickup")
+	for _, text := range []string{request[:10], request[:len(request)-1]} {
 		c, _ := net.Dial("tcp", gw.address)
 		defer c.Close()
 		io.WriteString(c, text)
 		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := io.ReadAll(c); isTimeout(err) {
-			t.Errorf("after %d bytes the connection stays", len(text))
+			t.Errorf("after %d bytes the connection stays open", len(text))
 		}
 	}
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // later than the time-out for reading
-	if resp := wait(t, openResponse, "answer"); resp.StatusCode != 200 {
-		t.Errorf("the request that was held: status %d", resp.StatusCode)
+	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") // after the read timeout
+	if resp := wait(t, openResponse, "response"); resp.StatusCode != 200 {
+		t.Errorf("the open request: status %d", resp.StatusCode)
 	}
 }
 
-// Room is made by closing what has been quiet for the longest, but nothing that
-// an unread request has just arrived on, no open request and no new idle one.
+// The connections that have been idle longest are evicted, but not one with an unread request, with an open
+// request, or that became idle just now.
 func TestEvictIdle(t *testing.T) {
 	peer := newPeer(t)
 	clients := newClientListener(nil, 0)
@@ -95,7 +95,7 @@
 	withUnreadByte, clientConn := pair(http.StateNew, time.Hour)
 	io.WriteString(clientConn, "G")
 	for end := time.Now().Add(testTimeout); sockets.Alive(withUnreadByte) && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // the byte is on its way through the kernel
+		time.Sleep(time.Millisecond) // the byte is in transit through the kernel
 	}
 	idle, _ := pair(http.StateIdle, time.Hour)
 	silent, _ := pair(http.StateNew, time.Minute)
@@ -107,33 +107,32 @@
 		free  bool
 		open  []net.Conn
 	}{
-		{8, true, []net.Conn{withUnreadByte, idle, silent, open, recentlyIdle, justConnected}}, // below the soft bound
+		{8, true, []net.Conn{withUnreadByte, idle, silent, open, recentlyIdle, justConnected}}, // below the soft limit
 		{6, true, []net.Conn{withUnreadByte, open, recentlyIdle, justConnected}},
-		{5, true, []net.Conn{withUnreadByte, open, recentlyIdle, justConnected}}, // room enough for what was quiet for less than 2 s
-		{4, true, []net.Conn{withUnreadByte, open, justConnected}},               // none at all
+		{5, true, []net.Conn{withUnreadByte, open, recentlyIdle, justConnected}}, // connections idle for less than 2 s stay while slots are free
+		{4, true, []net.Conn{withUnreadByte, open, justConnected}},               // no slot is free
 		{3, false, []net.Conn{withUnreadByte, open, justConnected}},
 	} {
 		clients.limit = step.limit
 		if got := clients.evictIdle(); got != step.free {
-			t.Errorf("step %d: room %t", i, got)
+			t.Errorf("step %d: free slot %t", i, got)
 		}
 		for _, conn := range step.open {
-			if _, kept := clients.conns[conn]; !kept || len(clients.conns) != len(step.open) {
-				t.Errorf("step %d: %d connections kept, want %d", i, len(clients.conns), len(step.open))
+			if _, tracked := clients.conns[conn]; !tracked || len(clients.conns) != len(step.open) {
+				t.Errorf("step %d: %d connections open, want %d", i, len(clients.conns), len(step.open))
 			}
 		}
 	}
-	clients.onStateChange(idle, http.StateClosed) // the server says so later; it is off the books already
+	clients.onStateChange(idle, http.StateClosed) // as the server reports later for an evicted connection
 	for conn := range clients.conns {
 		clients.onStateChange(conn, http.StateClosed)
 	}
 	if !clients.evictIdle() || clients.idle.Len() != 0 {
-		t.Errorf("no room when all have gone; %d quiet", clients.idle.Len())
+		t.Errorf("no free slot after all connections closed; %d idle", clients.idle.Len())
 	}
 }
 
-// TestARequestOnTheLastConnectionIsAnswered: its client connected just before the
-// gateway took no more.
+// A request is served on the last connection that was accepted before a shutdown.
 func TestRequestOnLastAcceptedConnection(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -153,7 +152,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // until it is taken
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // until it is accepted
 		c.mu.Lock()
 		n := len(c.conns)
 		c.mu.Unlock()
@@ -161,7 +160,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the connection was not taken")
+			t.Fatal("the connection was not accepted")
 		}
 	}
 	shutdownErr := make(chan error, 1)
@@ -170,7 +169,7 @@
 	io.WriteString(conn, "GET / HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	resp.Body.Close()
 	if err := wait(t, shutdownErr, "end"); err != nil {
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -7,9 +7,9 @@
 	"elderyard/rules"
 )
 
-const maxLoadReport = 512 // bytes of a load report
+const maxLoadReport = 512 // bytes
 
-// loadReport is what a backend may tell of its load beside an answer.
+// loadReport is what a backend may report about its load in a response header.
 type loadReport struct {
 	InFlight          *float64 `json:"inflight"`
 	Queued            *float64 `json:"queue"`
@@ -19,9 +19,8 @@
 	ErrorsPerSecond   *float64 `json:"eps"`
 }
 
-// readLoad reads a report into the fields that the settings name, in their order; what
-// it does not tell is no number. Danger: a report comes from a socket. One that can't be
-// read says nothing, and must not be taken for an idle backend's.
+// parseLoadReport returns the values of the given fields in a load report, NaN where a field is missing.
+// A report that can't be parsed has no values: it comes from a socket, and must not make a backend look idle.
 func parseLoadReport(text string, fields []rules.LoadField) []float64 {
 	var report loadReport
 	if text == "" || len(text) > maxLoadReport || json.Unmarshal([]byte(text), &report) != nil {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	responseMargin   = 0.005 // seconds kept of a deadline for the way to the client, the loop and the write
-	timeoutTolerance = 0.001 // a cancel so close before an attempt's time-out is one
+	responseMargin   = 0.005 // seconds of a deadline reserved for the loop, the write and the way to the client
+	timeoutTolerance = 0.001 // seconds: an attempt cancelled this close to its deadline counts as timed out
 )
 
-// What sockets and operators tell the loop.
+// Messages from connections and from operators to the loop.
 type (
 	requestArrived struct {
 		loop     *Loop
@@ -36,7 +36,7 @@
 		attempt *attempt
 		result  result
 	}
-	requestSent struct { // a body that passes through has gone whole
+	requestSent struct { // the streamed body of a request has been written completely
 		loop    *Loop
 		attempt *attempt
 	}
@@ -45,46 +45,46 @@
 		listing discovery.Listing
 		kind    rules.ListKind
 	}
-	detachCommand struct { // an operator's
+	detachCommand struct { // from an operator
 		loop      *Loop
 		id        string
-		checkOnly bool // only whether the id was ever listed
+		checkOnly bool // reports whether the backend was ever listed and changes nothing
 		detach    bool
-		done      chan error // has room for one
+		done      chan error // buffered: the loop must not block on the caller
 	}
-	fleetUpdate struct { // by how many gateways
+	fleetUpdate struct { // the number of gateways that share quotas and cold backends
 		loop *Loop
 		rules.FleetUpdate
 	}
-	detachedUpdate struct { // all that are, as noted
+	detachedUpdate struct { // all backends that are recorded as detached
 		loop *Loop
 		ids  map[string]struct{}
 	}
-	processEnding struct{ loop *Loop } // the process will be killed soon
+	processEnding struct{ loop *Loop } // the platform will kill the process soon
 )
 
-// Take accepts a request that a client has sent.
+// Process accepts a client's request.
 func (m requestArrived) Process() { m.loop.accept(m.exchange) }
 
-// Take cancels the requests of a client that has disconnected.
+// Process cancels the request of a client that has disconnected.
 func (m clientDisconnected) Process() { m.loop.disconnect(m.exchange) }
 
-// Take records that the body of an attempt's request has been sent completely.
+// Process records that the streamed body of a request has been written completely.
 func (m requestSent) Process() { m.loop.onRequestSent(m.attempt) }
 
-// Take applies an endpoint list.
+// Process applies an endpoint list.
 func (m listUpdate) Process() { m.loop.applyListing(m.listing, m.kind) }
 
-// Take passes the number of gateways on to the module.
+// Process passes the number of gateways to the decision module.
 func (m fleetUpdate) Process() { m.loop.Handle(m.FleetUpdate) }
 
-// Take answers every open request, since the process ends soon.
+// Process responds to every open request, since the process is about to end.
 func (m processEnding) Process() { m.loop.respondToAll() }
 
-// Take carries out an operator's call and sends its result to the caller.
+// Process runs an operator's command and sends its result to the caller.
 func (m detachCommand) Process() { m.done <- m.loop.runDetachCommand(m) }
 
-// Take records the end of an attempt, or the beginning of a streamed response.
+// Process records the end of an attempt, or the start of a streamed response.
 func (m attemptEnded) Process() {
 	if m.result.stream != nil {
 		m.loop.beginStream(m.attempt, m.result)
@@ -93,7 +93,7 @@
 	}
 }
 
-// Take replaces the set of backends that operators have taken out of service.
+// Process replaces the set of backends that operators have detached.
 func (m detachedUpdate) Process() {
 	for id := range m.loop.detached {
 		if _, still := m.ids[id]; !still {
@@ -105,27 +105,27 @@
 	}
 }
 
-// Loop is the part of the module's owner that concerns requests: it gives each its
-// one final answer, starts and ends attempts, and hands the list of backends on. All of it
-// runs in the owner's goroutine.
+// Loop handles requests in the goroutine of the module's owner: it gives each request exactly one
+// response, starts and ends attempts, and passes backend lists to the decision module.
+// All of its methods run in that goroutine.
 type Loop struct {
 	*owner.EventLoop
 	deploy   *wire.Deployment
 	pools    *pools
 	onListed func()
 
-	telemetry   *telemetry.Telemetry // nil: nothing is exported
-	sampleRatio float64              // of requests that are traced
+	telemetry   *telemetry.Telemetry // nil: traces and metrics are not exported
+	sampleRatio float64              // fraction of requests that are traced
 
-	attempts sync.WaitGroup // those that use sockets
+	attempts sync.WaitGroup // attempts that use connections
 
-	exchanges      map[rules.RequestID]*exchange    // until the last attempt has ended
-	openIDs        map[string]struct{}              // the clients' own ids of those
-	recentIDs      recentIDs                        // and of requests taken lately
-	terminating    bool                             // what comes is turned away: the process ends
-	readyBackends  map[rules.BackendID]readyBackend // the ready ones
+	exchanges      map[rules.RequestID]*exchange // requests that are open or have an attempt in flight
+	openIDs        map[string]struct{}           // correlation IDs of those requests
+	recentIDs      recentIDs                     // and of requests accepted recently
+	terminating    bool                          // the process is ending: new requests are rejected
+	readyBackends  map[rules.BackendID]readyBackend
 	backendHistory backendHistory
-	detached       map[string]struct{} // backends out by hand; the module leaves them out
+	detached       map[string]struct{} // backends detached by operators; the decision module leaves them out
 }
 
 func newLoop(conf *config.Config, pools *pools, counter owner.Counter, onListed func()) *Loop {
@@ -136,7 +136,7 @@
 	return l
 }
 
-// hear passes on what discovery told.
+// onListing posts an endpoint list from discovery to the loop.
 func (l *Loop) onListing(listing discovery.Listing) {
 	kind := rules.DeltaList
 	if listing.Reset {
@@ -145,13 +145,13 @@
 	l.Post(listUpdate{l, listing, kind})
 }
 
-// divide passes on how many gateways there are.
-func (l *Loop) setFleet(divisor, coldSenders int) {
-	l.Post(fleetUpdate{l, rules.FleetUpdate{LocalShares: divisor, ColdSenders: coldSenders}})
+// setFleet posts the number of gateways to the loop.
+func (l *Loop) setFleet(localShares, coldSenders int) {
+	l.Post(fleetUpdate{l, rules.FleetUpdate{LocalShares: localShares, ColdSenders: coldSenders}})
 }
 
-// leave takes a client's leaving. Danger: an answer may just have been given that
-// passes through, and nobody would end it.
+// disconnect handles a client's disconnect. A streamed response may just have been handed to the
+// handler, which will not read it any more: its attempt must be ended here, as nothing else would end it.
 func (l *Loop) disconnect(ex *exchange) {
 	if ex.open {
 		ex.open = false
@@ -160,8 +160,8 @@
 		ex.abortUnsent()
 		l.removeIfDone(ex)
 		if ex.upload != nil {
-			// Danger: the server watches for a client's end only behind a whole body, so the handler of
-			// one that is not read to its end would wait for good, and keep the connection.
+			// The server notices a disconnect only once the body has been read to its end. A handler
+			// whose body has not been read that far would wait forever and keep the connection.
 			ex.reply <- response{status: http.StatusBadRequest}
 		}
 		return
@@ -181,14 +181,14 @@
 	}
 }
 
-// arrive gives a request an id of its own and hands it to the module.
+// accept assigns an internal ID to a request and passes it to the decision module.
 func (l *Loop) accept(ex *exchange) {
 	if l.terminating || l.deploy.MaxOpenRequests > 0 && len(l.exchanges) >= l.deploy.MaxOpenRequests {
-		ex.reply <- response{status: http.StatusServiceUnavailable} // nothing was sent for it
+		ex.reply <- response{status: http.StatusServiceUnavailable} // nothing was sent to a backend
 		return
 	}
-	// Danger: an id names one request. A second one under it, from whatever client, could be answered by
-	// what a backend made for the first.
+	// A correlation ID must identify one request. A second request with the same ID, from any client, could
+	// receive the response that a backend made for the first.
 	_, open := l.openIDs[ex.correlationID]
 	if !l.recentIDs.add(ex.correlationID, ex.request.SentAt) || open {
 		ex.reply <- response{status: http.StatusConflict}
@@ -203,8 +203,8 @@
 	l.Handle(ex.request)
 }
 
-// list takes in what discovery told. Connections follow it before the module
-// hears of it.
+// applyListing applies an endpoint list from discovery. Connections are updated before the decision
+// module learns of the list.
 func (l *Loop) applyListing(listing discovery.Listing, kind rules.ListKind) {
 	event := rules.Backends{Kind: kind}
 	present := map[rules.BackendID]bool{}
@@ -217,7 +217,7 @@
 			continue
 		}
 		if other, known := l.readyBackends[backend.ID]; known && other.name != instance.ID {
-			log.Printf("discovery: instances %q and %q have one id; the second is left out", other.name, instance.ID)
+			log.Printf("discovery: instances %q and %q map to the same ID; ignoring the second", other.name, instance.ID)
 			continue
 		}
 		present[backend.ID] = true
@@ -250,18 +250,18 @@
 	}
 }
 
-// Live tells whether a request, or an attempt of it, is still out.
+// InFlight reports whether a request is open or has an attempt in flight.
 func (l *Loop) InFlight(id rules.RequestID) bool { return l.exchanges[id] != nil }
 
-// Refuse answers a request: trying again is harmless.
+// Refuse rejects a request that did not run, so that the client may safely retry it.
 func (l *Loop) Refuse(a rules.Refuse) {
 	l.respond(a.Request, response{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter, reason: a.Reason, admittedAt: a.AdmittedAt})
 }
 
-// Fail answers a request that may have run.
+// Fail ends a request that may have run.
 func (l *Loop) Fail(a rules.Fail) { l.respond(a.Request, response{status: http.StatusBadGateway}) }
 
-// byHand passes on a call of an operator and waits for its end.
+// sendDetachCommand posts an operator's command to the loop and waits for its result.
 func (l *Loop) sendDetachCommand(ctx context.Context, command detachCommand) error {
 	command.loop, command.done = l, make(chan error, 1)
 	if !l.Post(command) {
@@ -287,8 +287,8 @@
 	return nil
 }
 
-// setOut takes a backend out or puts it back. Its connections follow as at a
-// change of the list: no dial that waits goes on, and what is out may be answered.
+// setDetached detaches a backend or attaches it again. Its connections are updated as for a change of
+// the endpoint list: pending dials are cancelled, and attempts in flight may still get a response.
 func (l *Loop) setDetached(name string, detached bool) {
 	if _, already := l.detached[name]; already == detached {
 		return
@@ -311,11 +311,11 @@
 	l.Handle(rules.Attach{Backend: id})
 }
 
-// Send starts an attempt. What is over or was tried too often gets none.
+// Send starts an attempt. A request that is over or has used up its attempts gets none.
 func (l *Loop) Send(send rules.Send) {
 	ex := l.exchanges[send.Request]
 	if ex == nil {
-		log.Printf("request %d is not known", send.Request)
+		log.Printf("decision module sent an attempt for unknown request %d", send.Request)
 		return
 	}
 	now := l.Clock.Now()
@@ -337,20 +337,21 @@
 		attempt.onSent = func() { l.Post(requestSent{l, attempt}) }
 	}
 	l.ScheduleTimeout(attempt.deadline, attempt)
-	l.attempts.Go(func() { // ends by a.until, or when the attempt is called off
+	l.attempts.Go(func() { // ends by socketDeadline, or when the attempt is aborted
 		result := l.pools.send(attempt)
 		attempt.cancel()
-		result.load = parseLoadReport(result.loadText, l.deploy.LoadFields) // here, where it holds up no other request
+		result.load = parseLoadReport(result.loadText, l.deploy.LoadFields) // parsed here so that the loop's goroutine is not held up
 		l.Post(attemptEnded{l, attempt, result})
 	})
 }
 
-// latest is when a repeat must have gone out, if an attempt before may have run; the
-// zero time: whenever. Danger: the module looks at the window when it decides, and a
-// connection that comes up late would bring the repeat to a backend that has forgotten.
+// retryWriteDeadline returns the time by which a retry must have been written if an earlier attempt may
+// have run; zero means that any time will do. The decision module checks the deduplication window when it
+// decides, but a connection that is established late would deliver the retry to a backend that no longer
+// remembers the key.
 func (l *Loop) retryWriteDeadline(ex *exchange) time.Time {
 	class := &l.deploy.Classes[ex.request.Class]
-	for _, a := range ex.attempts { // in the order they were sent
+	for _, a := range ex.attempts { // in sending order
 		if class.Idempotency == rules.IdempotentByKey && !a.neverRan {
 			return l.Clock.At(a.sentAt + class.DedupeWindow - 2*l.deploy.Tick)
 		}
@@ -358,7 +359,7 @@
 	return time.Time{}
 }
 
-// bodyWhole starts the client's time where its body has gone on whole.
+// onRequestSent starts the client's time limit once the streamed body of its request has been written.
 func (l *Loop) onRequestSent(attempt *attempt) {
 	ex := attempt.exchange
 	if attempt.ended || !ex.open {
@@ -370,8 +371,8 @@
 	l.Handle(rules.BodyComplete{Request: ex.request.ID, Deadline: ex.request.Deadline})
 }
 
-// begin gives a client an answer that passes through: it is final from its first
-// byte, and the attempt is out until its last.
+// beginStream hands a streamed response to the client. It is final from its first byte, and the
+// attempt remains in flight until its last.
 func (l *Loop) beginStream(attempt *attempt, res result) {
 	ex := attempt.exchange
 	if attempt.ended || !ex.open {
@@ -386,10 +387,10 @@
 	l.Handle(rules.ResponseStarted{Request: ex.request.ID, Attempt: attempt.number, Backend: attempt.backend, Duration: l.Clock.Now() - attempt.sentAt})
 }
 
-// endAttempt takes an attempt's one end; what comes after it is dropped.
+// endAttempt records the end of an attempt. It has an effect once per attempt; later results are dropped.
 func (l *Loop) endAttempt(attempt *attempt, result result) {
 	if result.clientDisconnected && !attempt.ended {
-		l.disconnect(attempt.exchange) // the server will see it too, and say it again
+		l.disconnect(attempt.exchange) // the server notices the disconnect too, and posts it again
 	}
 	if attempt.ended {
 		return
@@ -400,7 +401,7 @@
 	l.recordEvent(ex, traces.Event{Kind: traces.Ended, Attempt: attempt.number, Outcome: result.outcome})
 	if result.outcome == rules.Served && ex.open {
 		header := endToEndHeaders(result.header)
-		header.Del(loadHeader) // for gateways, not for clients
+		header.Del(loadHeader) // meant for gateways, not for clients
 		l.respond(ex.request.ID, response{status: http.StatusOK, header: header, body: result.body})
 	}
 	l.Handle(rules.AttemptEnd{Request: ex.request.ID, Attempt: attempt.number, Backend: attempt.backend, Outcome: result.outcome,
@@ -408,7 +409,7 @@
 	l.removeIfDone(ex)
 }
 
-// Cancel ends an attempt.
+// Cancel ends an attempt on behalf of the decision module.
 func (l *Loop) Cancel(cancel rules.Cancel) {
 	ex := l.exchanges[cancel.Request]
 	if ex == nil || cancel.Attempt >= len(ex.attempts) || ex.attempts[cancel.Attempt].ended || ex.attempts[cancel.Attempt].streaming {
@@ -418,12 +419,12 @@
 	attempt.abort()
 	outcome := rules.Cancelled
 	if l.Clock.Now() >= attempt.deadline-timeoutTolerance {
-		outcome = rules.TimedOut // the module learns from it
+		outcome = rules.TimedOut // reported as a timeout, from which the decision module learns
 	}
 	l.endAttempt(attempt, result{outcome: outcome})
 }
 
-// answer gives a request its final answer, if it has none.
+// respond sends a request its response, unless it already has one.
 func (l *Loop) respond(id rules.RequestID, response response) {
 	ex := l.exchanges[id]
 	if ex == nil || !ex.open {
@@ -431,13 +432,13 @@
 	}
 	ex.open = false
 	l.recordEvent(ex, responseEvent(response))
-	ex.reply <- response // it has room for one, and one is all it gets
+	ex.reply <- response // never blocks: the channel is buffered, and each request gets one response
 	ex.abortUnsent()
 	l.removeIfDone(ex)
 }
 
-// endAll answers all that is held: refused where the module finds that harmless, else
-// failed. What passes through goes on until the process ends.
+// respondToAll ends all open requests: they are refused where the decision module finds that safe, and
+// failed otherwise. Streamed responses go on until the process ends.
 func (l *Loop) respondToAll() {
 	l.terminating = true
 	for id, ex := range l.exchanges {
@@ -445,14 +446,14 @@
 			continue
 		}
 		l.Handle(rules.ExpireRequest(id))
-		if ex.open { // its body is still coming
+		if ex.open { // its body is still being received
 			l.Handle(rules.ClientDisconnected{Request: id})
 			l.Fail(rules.Fail{Request: id})
 		}
 	}
 }
 
-// drop forgets a request that has its answer and nothing out.
+// removeIfDone forgets a request that has its response and no attempt in flight.
 func (l *Loop) removeIfDone(ex *exchange) {
 	if !ex.open && ex.activeAttempts == 0 {
 		delete(l.exchanges, ex.request.ID)
@@ -460,29 +461,29 @@
 	}
 }
 
-// Over tells whether nobody waits for the attempt's time-out.
+// Done reports whether the attempt's timeout no longer applies.
 func (a *attempt) Done() bool { return a.ended || a.streaming }
 
-// Due ends an attempt whose time is over.
+// Expire times out an attempt at its deadline.
 func (a *attempt) Expire() {
 	if a.loop.Clock.Now() < a.deadline-timeoutTolerance {
-		return // its body has come whole since, and its time runs from there
+		return // the deadline was moved when the streamed body had been written completely
 	}
 	a.abort()
 	a.loop.endAttempt(a, result{outcome: rules.TimedOut})
 }
 
-// listed is what discovery says of a ready backend.
+// readyBackend is what discovery reports about a ready backend.
 type readyBackend struct {
 	name, address, zone string
 	startedAt           float64
 }
 
-// everListed remembers the ids of backends that discovery told of, the newest
-// some thousands at least: where backends are replaced all day, ids are ever new.
+// backendHistory remembers the IDs of backends that discovery has listed. Where backends are replaced all
+// day there are always new IDs, so it holds a bounded number: at least the newest backendsPerGeneration.
 type backendHistory struct{ current, previous map[string]struct{} }
 
-const backendsPerGeneration = 1 << 12 // ids of a generation; then the next begins
+const backendsPerGeneration = 1 << 12 // IDs until a new generation begins
 
 func (h *backendHistory) add(id string) {
 	if _, listed := h.current[id]; listed {
@@ -500,16 +501,16 @@
 	return now || last
 }
 
-// recent remembers ids for a while: those of the present span and of the last.
+// recentIDs remembers IDs for a limited time: those of the current span and of the previous one.
 type recentIDs struct {
 	span              float64 // seconds
 	current, previous map[string]struct{}
 	startedAt         float64
 }
 
-const idsPerSpan = 1 << 13 // ids of a span; then the next begins
+const idsPerSpan = 1 << 13 // IDs until a new span begins
 
-// add tells whether an id is new, and remembers it.
+// add records an ID and reports whether it is new.
 func (r *recentIDs) add(id string, now float64) bool {
 	if r.current == nil || now-r.startedAt > r.span || len(r.current) >= idsPerSpan {
 		r.current, r.previous, r.startedAt = map[string]struct{}{}, r.current, now
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Ids are remembered for as long as a request may be open, and not for good.
+// IDs are remembered for as long as a request may be open, but not forever.
 func TestRecentIDs(t *testing.T) {
 	const span = 4.0
 	r := recentIDs{span: span}
@@ -25,6 +25,6 @@
 		r.add(strconv.Itoa(i), 3*span)
 	}
 	if n := len(r.current) + len(r.previous); n > 2*idsPerSpan {
-		t.Errorf("%d ids are remembered", n)
+		t.Errorf("%d IDs are remembered", n)
 	}
 }
--- a/internal/gateway/operator.go
+++ b/internal/gateway/operator.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxOperatorConns    = 24                     // connections to the operator's address
-	operatorCallTimeout = 900 * time.Millisecond // for a whole call and its answer: one is due within 1 s
+	maxOperatorConns    = 24                     // connections
+	operatorCallTimeout = 900 * time.Millisecond // for a complete call and its response, which is due within 1 s
 	maxOperatorBody     = 4 << 10                // bytes
 	maxBackendID        = 256                    // bytes
 )
@@ -24,14 +24,14 @@
 	errStopped     = errors.New("the gateway has stopped")
 )
 
-// operator answers the calls of the operators' staff on an address of its own.
+// operatorServer is the operator API, on an address of its own.
 type operatorServer struct {
 	frontend *frontend
 	detached *detachedFile
-	peers    Peers // nil: it knows of none
+	peers    Peers // nil: there are none
 }
 
-// handler has one entry for each call. Whatever is no call gets a no.
+// handler routes the calls of the operator API.
 func (o *operatorServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /_ready", func(w http.ResponseWriter, r *http.Request) {
@@ -60,9 +60,9 @@
 	io.WriteString(w, "ok\n")
 }
 
-// byHand takes a backend out or puts it back. The yes comes when it is written
-// down and the loop has done it, not before. Danger: were it done first, a look at what
-// the other process had noted before could undo it.
+// setDetached detaches a backend or attaches it again. It responds once that has been stored and then
+// applied by the loop. Stored first: otherwise the loop could apply an earlier change of the other process
+// on top of it.
 func (o *operatorServer) setDetached(w http.ResponseWriter, r *http.Request, detached bool) {
 	var command struct {
 		ID string `json:"id"`
@@ -98,21 +98,21 @@
 	}
 }
 
-// serve answers calls until ctx ends. Danger: callers that say nothing, or half of
-// a call, must not keep a real one out: they are replaced, and cut off in time.
+// serve handles calls until ctx ends. Idle and incomplete calls must not keep others out: their
+// connections are replaced, and time out.
 func (o *operatorServer) serve(ctx context.Context, l net.Listener) {
 	clients := newClientListener(l, maxOperatorConns)
 	server := &http.Server{Handler: o.handler(), ReadTimeout: operatorCallTimeout, WriteTimeout: 2 * operatorCallTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ConnState: clients.onStateChange, ErrorLog: log.New(io.Discard, "", 0)}
-	server.SetKeepAlivesEnabled(false) // one call to a connection
+	server.SetKeepAlivesEnabled(false) // one call per connection
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(clients); err != nil && ctx.Err() == nil {
-		log.Printf("the operator's address: %v", err)
+		log.Printf("operator API: %v", err)
 	}
 }
 
-// follow has the loop do what another process of an upgrade noted, until ctx ends.
+// followDetached applies the changes that the other process of an upgrade stores, until ctx ends.
 func (o *operatorServer) followDetached(ctx context.Context) {
 	tick := time.NewTicker(detachedPollInterval)
 	defer tick.Stop()
