--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// withDesk gives a rig an operators' address.
+// withOperator adds an operator API to a configuration.
 func withOperator(config string) string {
 	return strings.Replace(config, `"listen":`, `"operator": "127.0.0.1:0", "listen":`, 1)
 }
 
-// call makes one call on the operators' address and returns its status.
+// callOperator makes one call to the operator API and returns its status.
 func (gw *testGateway) callOperator(t *testing.T, method, path, body string) int {
 	t.Helper()
 	conn, err := net.Dial("tcp", gw.operatorAddress)
@@ -37,7 +37,7 @@
 	return resp.StatusCode
 }
 
-// Every call has its yes and its no, and what is no call changes nothing.
+// Each call succeeds and fails as it should, and an invalid call changes nothing.
 func TestOperatorAPI(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -59,7 +59,7 @@
 		{"POST", "/_backends/detach", `{"name":"x"}`, 400},
 		{"POST", "/_backends/detach", id + id, 400},
 		{"POST", "/_backends/detach", `{"id":"` + strings.Repeat("x", maxOperatorBody) + `"}`, 400},
-		{"POST", "/_backends/attach", id, 200}, // it is not out: nothing to do
+		{"POST", "/_backends/attach", id, 200}, // not detached: no change
 		{"POST", "/_backends/detach", id, 200},
 		{"POST", "/_backends/detach", id, 200},
 		{"POST", "/_backends/attach", id, 200},
@@ -71,12 +71,12 @@
 	}
 	_, responses := gw.send(t, requestText("POST", "booking", "x"))
 	serveOnce(t, backend, "ok")
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
-		t.Errorf("a request after all of it: %d", resp.StatusCode)
+	if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
+		t.Errorf("request after all calls: %d", resp.StatusCode)
 	}
 }
 
-// Callers that say nothing, or half a call, keep nobody out.
+// Idle and incomplete calls don't keep others out.
 func TestIdleOperatorConnections(t *testing.T) {
 	t.Parallel()
 	gw := startGatewayWith(t, withOperator, newPeer(t))
@@ -95,8 +95,8 @@
 	}
 }
 
-// What is out by hand gets nothing, on no connection old or new, although the list
-// tells of it again; what was out there is answered.
+// A detached backend gets no requests, on old connections or new ones, even if discovery lists it again.
+// Requests in flight get their responses.
 func TestDetachedBackend(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -106,11 +106,11 @@
 	readRequest(t, br)
 	id := fmt.Sprintf(`{"id":%q}`, backend.Address())
 	if got := gw.callOperator(t, "POST", "/_backends/detach", id); got != 200 {
-		t.Fatalf("out: %d", got)
+		t.Fatalf("detach: %d", got)
 	}
 	io.WriteString(reused, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	if resp := wait(t, first, "answer"); resp.StatusCode != 200 {
-		t.Errorf("the request that was there: %d", resp.StatusCode)
+	if resp := wait(t, first, "response"); resp.StatusCode != 200 {
+		t.Errorf("the request in flight: %d", resp.StatusCode)
 	}
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("its connection: %v", err)
@@ -122,21 +122,21 @@
 	gw.registry.Answers <- again
 	wait(t, gw.registry.Calls, "next watch")
 	_, refused := gw.send(t, requestText("GET", "glance", ""))
-	if resp := wait(t, refused, "answer"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
-		t.Errorf("while out: %d, %d connections", resp.StatusCode, len(backend.Conns))
+	if resp := wait(t, refused, "response"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
+		t.Errorf("while detached: %d, %d connections", resp.StatusCode, len(backend.Conns))
 	}
 	if got := gw.callOperator(t, "POST", "/_backends/attach", id); got != 200 {
-		t.Fatalf("in: %d", got)
+		t.Fatalf("attach: %d", got)
 	}
 	_, responses := gw.send(t, requestText("POST", "booking", "x"))
 	serveOnce(t, backend, "ok")
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
-		t.Errorf("in again: %d", resp.StatusCode)
+	if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
+		t.Errorf("after attach: %d", resp.StatusCode)
 	}
 }
 
-// A drained gateway says no at once, answers what it holds and what still comes,
-// ends all connections of clients, and serves again when the drain ends.
+// A draining gateway reports that it is not ready, serves open and late requests, closes all client
+// connections, and serves normally when the drain ends.
 func TestOperatorDrain(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -145,7 +145,7 @@
 	conn, br := backend.Accept(t)
 	readRequest(t, br)
 	idle, first := gw.send(t, "GET "+readyPath+" HTTP/1.1\r\nHost: origin.svc\r\n\r\n")
-	wait(t, first, "answer")
+	wait(t, first, "response")
 	silent, err := net.Dial("tcp", gw.address)
 	if err != nil {
 		t.Fatal(err)
@@ -154,19 +154,19 @@
 	if got := gw.callOperator(t, "POST", "/_lameduck/on", ""); got != 200 {
 		t.Fatalf("drain: %d", got)
 	}
-	if got, desk := gw.readyStatus(t), gw.callOperator(t, "GET", "/_ready", ""); got != 503 || desk != 503 {
-		t.Errorf("ready while drained: %d and %d", got, desk)
+	if got, operatorStatus := gw.readyStatus(t), gw.callOperator(t, "GET", "/_ready", ""); got != 503 || operatorStatus != 503 {
+		t.Errorf("ready while draining: %d and %d", got, operatorStatus)
 	}
 	_, late := gw.send(t, requestText("POST", "booking", "late"))
 	other, br := backend.Accept(t)
 	readRequest(t, br)
 	io.WriteString(other, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, late, "answer"); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("a late request: status %d, closed %t", resp.StatusCode, resp.Close)
+	if resp := wait(t, late, "response"); resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("late request: status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, openResponse, "answer"); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("the held request: status %d, closed %t", resp.StatusCode, resp.Close)
+	if resp := wait(t, openResponse, "response"); resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("the open request: status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	for name, c := range map[string]net.Conn{"idle": idle, "silent": silent} {
 		c.SetReadDeadline(time.Now().Add(testTimeout))
@@ -182,18 +182,18 @@
 	}
 	_, responses := gw.send(t, requestText("POST", "booking", "x"))
 	serveOnce(t, backend, "ok")
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 200 || resp.Close {
+	if resp := wait(t, responses, "response"); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("after the drain: %d, closed %t", resp.StatusCode, resp.Close)
 	}
 }
 
-// Two processes write one book: neither loses what the other noted, and each hears
-// of it. A book that can't be read is an error and stays as it is.
+// Two processes write one file: neither loses a change of the other, and each reads them. A malformed file
+// is an error and is not overwritten.
 func TestDetachedFile(t *testing.T) {
 	folder := t.TempDir()
 	one, two := newDetachedFile(folder, "n/0"), newDetachedFile(folder, "n/0")
 	if ids, changed, err := one.readIfChanged(); len(ids) != 0 || changed || err != nil {
-		t.Errorf("with no book: %v %t %v", ids, changed, err)
+		t.Errorf("without a file: %v %t %v", ids, changed, err)
 	}
 	var wg sync.WaitGroup
 	for i := range 20 {
@@ -215,10 +215,10 @@
 		t.Fatal(err)
 	}
 	if ids, changed, err := one.readIfChanged(); len(ids) != 39 || !changed || err != nil {
-		t.Errorf("after one came back: %d ids, changed %t, %v", len(ids), changed, err)
+		t.Errorf("after one was attached: %d ids, changed %t, %v", len(ids), changed, err)
 	}
 	if _, changed, _ := one.readIfChanged(); changed {
-		t.Error("the same book has changed")
+		t.Error("an unchanged file was reported as changed")
 	}
 	files, _ := filepath.Glob(filepath.Join(folder, "*"))
 	if len(files) != 2 {
@@ -228,17 +228,17 @@
 		t.Fatal(err)
 	}
 	if err := one.record("x", true); err == nil || !strings.Contains(err.Error(), one.path) {
-		t.Errorf("a book cut short: %v", err)
+		t.Errorf("truncated file: %v", err)
 	}
 	if text, _ := os.ReadFile(one.path); string(text) != `{"out":[` {
-		t.Errorf("the book now says %q", text)
+		t.Errorf("the file now contains %q", text)
 	}
 	if err := newDetachedFile("", "n0").record("x", true); err != nil {
-		t.Errorf("no folder: %v", err)
+		t.Errorf("no directory: %v", err)
 	}
 }
 
-// What another process noted binds here as well, before the first request and later.
+// A backend that another process recorded as detached is not used here either.
 func TestDetachedByOtherProcess(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -249,19 +249,19 @@
 	}
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		_, responses := gw.send(t, requestText("GET", "glance", ""))
-		if resp := wait(t, responses, "answer"); resp.StatusCode == 429 && len(backend.Conns) == 0 {
+		if resp := wait(t, responses, "response"); resp.StatusCode == 429 && len(backend.Conns) == 0 {
 			break
 		}
 		for len(backend.Conns) > 0 {
 			(<-backend.Conns).Close()
 		}
 		if time.Now().After(end) {
-			t.Fatal("the backend is still used")
+			t.Fatal("the backend is still in use")
 		}
 	}
 }
 
-// The ids that were ever listed are remembered within a bound.
+// The history of listed backends is bounded.
 func TestBackendHistoryIsBounded(t *testing.T) {
 	var e backendHistory
 	for i := range 5 * backendsPerGeneration {
@@ -271,6 +271,6 @@
 		t.Errorf("%d ids", n)
 	}
 	if e.has("0") || !e.has(fmt.Sprint(5*backendsPerGeneration-1)) {
-		t.Error("not the newest are remembered")
+		t.Error("the newest IDs are not remembered")
 	}
 }
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -16,21 +16,21 @@
 	"elderyard/internal/testpeer"
 )
 
-// step is what a test does in the loop's own goroutine.
+// loopFunc is a message that runs a test's function in the loop's goroutine.
 type loopFunc func()
 
 func (s loopFunc) Process() { s() }
 
-// do has the loop do s, after all that it was told before.
+// runInLoop runs s in the loop, after all messages that were posted before.
 func runInLoop(t *testing.T, l *Loop, s loopFunc) {
 	t.Helper()
 	done := make(chan struct{}, 1)
 	l.Post(loopFunc(func() { s(); done <- struct{}{} }))
-	wait(t, done, "turn of the loop")
+	wait(t, done, "function run by the loop")
 }
 
-// gate is a way to backends on which each connection is held until the test lets it up.
-// What happens meanwhile does not end it: it crosses.
+// dialGate holds each dial to a backend until the test releases it. The dial ignores its context, so that
+// it completes however its request has ended.
 type dialGate struct {
 	dialing chan struct{}
 	release chan struct{}
@@ -42,7 +42,7 @@
 	return net.Dial(network, address)
 }
 
-// newGatedLoop runs a loop with a backend behind a gate.
+// newLoopWithDialGate runs a loop whose dials to backend wait at a gate.
 func newLoopWithDialGate(t *testing.T, settings string, backend *peer) (*Loop, *dialGate) {
 	t.Helper()
 	c, err := config.Parse([]byte(testpeer.ConfigText("127.0.0.1:1", settings)))
@@ -69,7 +69,7 @@
 	return l, g
 }
 
-// newExchange is a client's request as the frontend hands it over.
+// newExchange returns a request as the frontend passes it to the loop.
 func newExchange(l *Loop, id, class string) *exchange {
 	ex := &exchange{correlationID: id, method: "POST", uri: "/" + class, host: "origin.svc", header: http.Header{idHeader: {id}},
 		reply: make(chan response, 1), timeLeft: testTimeout.Seconds()}
@@ -83,7 +83,7 @@
 	return ex
 }
 
-// nothing fails the test if any byte comes before the connection ends.
+// expectNoBytes fails the test if a byte arrives before the connection ends.
 func expectNoBytes(t *testing.T, backend *peer, when string) {
 	t.Helper()
 	conn, _ := backend.Accept(t)
@@ -92,14 +92,14 @@
 	}
 }
 
-// A client leaves, or has its answer, while the connection for its request is still
-// coming up, where attempts may not be cancelled: what was not written never is.
+// A request ends, by a disconnect or a response, while its connection is being dialed. It must not be
+// written afterwards, even where the settings don't allow attempts to be cancelled.
 func TestRequestEndsWhileDialing(t *testing.T) {
 	t.Parallel()
 	for _, cancel := range []string{"true", "false"} {
 		for name, end := range map[string]func(*Loop, *exchange){
-			"left":     func(l *Loop, ex *exchange) { l.disconnect(ex) },
-			"answered": func(l *Loop, ex *exchange) { l.respond(ex.request.ID, response{status: http.StatusOK}) },
+			"disconnected": func(l *Loop, ex *exchange) { l.disconnect(ex) },
+			"answered":     func(l *Loop, ex *exchange) { l.respond(ex.request.ID, response{status: http.StatusOK}) },
 		} {
 			t.Run(name+", cancel "+cancel, func(t *testing.T) {
 				t.Parallel()
@@ -110,21 +110,21 @@
 				wait(t, g.dialing, "dial")
 				runInLoop(t, l, func() { end(l, ex) })
 				g.release <- struct{}{}
-				expectNoBytes(t, backend, "after the request was over")
+				expectNoBytes(t, backend, "after the request ended")
 			})
 		}
 	}
 }
 
-// A client leaves while the connection for its request is coming up, and the gateway, short
-// of CPU, has not looked at it since: no watch runs here. Nothing is written, also where an
-// unread byte stands before the end.
+// A client disconnects while its request's connection is being dialed, and the gateway has not noticed, as
+// when it is short of CPU: no server reads from the client here. Nothing may be written, not even if an
+// unread byte precedes the disconnect.
 func TestUndetectedDisconnect(t *testing.T) {
 	t.Parallel()
 	for name, disconnect := range map[string]func(*net.TCPConn){
-		"ends its sending": func(c *net.TCPConn) { c.CloseWrite() },
-		"closes":           func(c *net.TCPConn) { c.Close() },
-		"resets":           func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+		"half close": func(c *net.TCPConn) { c.CloseWrite() },
+		"close":      func(c *net.TCPConn) { c.Close() },
+		"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		for _, kind := range []struct{ cancel, unread string }{{"true", ""}, {"false", ""}, {"true", "G"}, {"false", "G"}} {
 			t.Run(name+", cancel "+kind.cancel+", unread "+kind.unread, func(t *testing.T) {
@@ -145,23 +145,23 @@
 				io.WriteString(client, kind.unread)
 				disconnect(client.(*net.TCPConn))
 				for end := time.Now().Add(testTimeout); !sockets.PeerClosed(serverConn) && time.Now().Before(end); {
-					time.Sleep(time.Millisecond) // its end is on its way through the kernel
+					time.Sleep(time.Millisecond) // the disconnect is in transit through the kernel
 				}
 				g.release <- struct{}{}
-				expectNoBytes(t, backend, "after its client had left")
+				expectNoBytes(t, backend, "after the disconnect")
 				for done := false; !done; {
 					runInLoop(t, l, func() { done = len(l.exchanges) == 0 })
 				}
 				if n := len(ex.attempts); n != 1 || len(ex.reply) != 0 {
-					t.Errorf("%d attempts, %d answers", n, len(ex.reply))
+					t.Errorf("%d attempts, %d responses", n, len(ex.reply))
 				}
 			})
 		}
 	}
 }
 
-// A keyed repeat whose connection comes up when the backends no longer remember the key
-// is not written: it might have its effect twice.
+// A keyed retry must not be written after the deduplication window: the backend no longer remembers the
+// key, and the request could take effect twice.
 func TestKeyedRetryOutsideDedupWindow(t *testing.T) {
 	t.Parallel()
 	const window = 500 * time.Millisecond
@@ -172,20 +172,20 @@
 	wait(t, g.dialing, "dial")
 	g.release <- struct{}{}
 	conn, br := backend.Accept(t)
-	began := time.Now() // the backend may begin, so its window runs from here at the latest
+	began := time.Now() // the request may start now, so the window ends no later than counted from here
 	readRequest(t, br)
 	conn.Close()
-	wait(t, g.dialing, "dial of the repeat")
-	time.Sleep(window - time.Since(began)) // the window's end is what is tested
+	wait(t, g.dialing, "dial of the retry")
+	time.Sleep(window - time.Since(began)) // the end of the window is under test
 	g.release <- struct{}{}
-	expectNoBytes(t, backend, "out of the window")
-	if a := wait(t, ex.reply, "answer"); a.status != http.StatusBadGateway {
+	expectNoBytes(t, backend, "after the window")
+	if a := wait(t, ex.reply, "response"); a.status != http.StatusBadGateway {
 		t.Errorf("status %d", a.status)
 	}
 }
 
-// An id names one request for as long as that is open, however long a class may be and
-// however many ids came since.
+// A correlation ID can't be reused while its request is open, however long its class allows that and however
+// many IDs have been added since.
 func TestDuplicateIDOfOpenRequest(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -195,18 +195,18 @@
 	wait(t, g.dialing, "dial")
 	runInLoop(t, l, func() {
 		if want := 20.01; l.recentIDs.span != want {
-			t.Errorf("ids are remembered for %g s, the longest class is open for %g", l.recentIDs.span, want)
+			t.Errorf("IDs are remembered for %g s; want %g for the longest class", l.recentIDs.span, want)
 		}
-		l.recentIDs.current, l.recentIDs.previous = nil, nil // so many others have come
+		l.recentIDs.current, l.recentIDs.previous = nil, nil // as if many other IDs had been added
 	})
 	l.Post(requestArrived{l, second})
-	if a := wait(t, second.reply, "answer to the second"); a.status != http.StatusConflict {
+	if a := wait(t, second.reply, "response to the second"); a.status != http.StatusConflict {
 		t.Errorf("status %d", a.status)
 	}
 }
 
-// At the bound on connections one that has not settled is not used again either: a
-// second answer on its way would be read as the next request's.
+// At the connection limit a connection is not reused before reuseDelay either: a second response in transit
+// would be read as the response to the next request.
 func TestSurplusResponseAtConnectionLimit(t *testing.T) {
 	backend := newPeer(t)
 	p := newTestPools(t, backend.Address())
@@ -217,7 +217,7 @@
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 	wait(t, done, "result")
 	p.mu.Lock()
-	p.endpoints[1].idle[0].idleSince = time.Now().Add(time.Hour) // so that the next surely comes before it has settled
+	p.endpoints[1].idle[0].idleSince = time.Now().Add(time.Hour) // so that the next request is certain to come before reuseDelay
 	p.mu.Unlock()
 	done = startAttempt(p, newAttempt(testTimeout))
 	other, r := backend.Accept(t)
@@ -229,9 +229,9 @@
 	}
 }
 
-// An answer with no length ends with its connection's end, and with nothing else: one that
-// is reset on its way has failed, is not sent on as if it were whole, and may have run. The
-// reset of a long one comes when its client has seen the answer begin.
+// A close-delimited response ends with an orderly close and with nothing else. If its connection is reset,
+// the attempt has failed and may have run, and the response must not look complete. In the long case the
+// reset follows once the client has seen the start of the response.
 func TestCloseDelimitedResponse(t *testing.T) {
 	t.Parallel()
 	short, long := []byte("every second Tuesday"), randomBytes(3, 3*maxBufferedBody)
@@ -252,7 +252,7 @@
 				conn.Write(text)
 				conn.Close()
 			}()
-			resp := wait(t, responses, "answer")
+			resp := wait(t, responses, "response")
 			got, err := io.ReadAll(resp.Body)
 			if resp.StatusCode != http.StatusOK || err != nil || !bytes.Equal(got, body) {
 				t.Errorf("status %d, %d bytes of %d, %v", resp.StatusCode, len(got), len(body), err)
@@ -263,12 +263,12 @@
 			conn.Write(text)
 			var resp *http.Response
 			if len(body) > maxBufferedBody {
-				resp = wait(t, responses, "answer that has begun")
+				resp = wait(t, responses, "start of the response")
 			}
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 			if resp == nil {
-				resp = wait(t, responses, "answer")
+				resp = wait(t, responses, "response")
 			}
 			_, err := io.ReadAll(resp.Body)
 			if begun := len(body) > maxBufferedBody; begun != (resp.StatusCode == http.StatusOK) || begun != (err != nil) ||
--- a/internal/gateway/rollup.go
+++ b/internal/gateway/rollup.go
@@ -12,10 +12,11 @@
 	"elderyard/rollup"
 )
 
-// rollupQueueLength is how many intervals may wait for the disk; more are left out.
+// rollupQueueLength is how many intervals may wait for the disk; further ones are dropped.
 const rollupQueueLength = 256
 
-// rollupFile writes the counts of short intervals to a file, from a goroutine of its own: no request waits for the disk.
+// rollupFile appends the counts of short intervals to a file, from a goroutine of its own so that no request waits
+// for the disk.
 type rollupFile struct {
 	name      string
 	pools     *pools
@@ -24,7 +25,7 @@
 	lines     chan rollup.Line
 }
 
-// openRollupFile opens the file, to go on where an earlier process ended; nil where the operator's file asks for none.
+// openRollupFile opens the file for appending to that of an earlier process; nil if the site file configures none.
 func openRollupFile(settings site.Rollup, name string, pools *pools) (*rollupFile, error) {
 	if settings.Dir == "" {
 		return nil, nil
@@ -42,19 +43,18 @@
 	return &rollupFile{name: name, pools: pools, file: file, remaining: int64(settings.MB)<<20 - stat.Size(), lines: make(chan rollup.Line, rollupQueueLength)}, nil
 }
 
-// aggregator returns what the owner counts with.
+// aggregator returns the aggregator through which the owner counts.
 func (r *rollupFile) aggregator(every time.Duration) *rollup.Aggregator {
 	return rollup.NewAggregator(every, func(at float64, c rollup.Counts) {
 		c.Connects = int(r.pools.dials.Swap(0))
 		select {
 		case r.lines <- rollup.Line{At: at, Gateway: r.name, Counts: c}:
-		default: // the disk is slow: what it misses is seen by the gap
+		default: // the disk is slow; a dropped interval shows as a gap
 		}
 	})
 }
 
-// run writes until the lines end, then closes the file. A disk that fails, or a full share of it, ends the writing and
-// nothing else.
+// run writes until lines is closed, then closes the file. A disk error or a full file ends only the writing.
 func (r *rollupFile) run() {
 	defer r.file.Close()
 	for line := range r.lines {
@@ -63,15 +63,15 @@
 		}
 		text, err := json.Marshal(line)
 		if err != nil {
-			panic(err) // it is made of nothing that could fail
+			panic(err) // its fields can always be encoded
 		}
 		text = append(text, '\n')
 		if r.remaining -= int64(len(text)); r.remaining < 0 {
-			log.Printf("moments: %s is as large as it may be; nothing more is written", r.file.Name())
+			log.Printf("moments: %s has reached its size limit; no more intervals are written", r.file.Name())
 			continue
 		}
 		if _, err := r.file.Write(text); err != nil {
-			log.Printf("moments: nothing more is written: %v", err)
+			log.Printf("moments: write failed; no more intervals are written: %v", err)
 			r.remaining = -1
 		}
 	}
--- a/internal/gateway/rollup_test.go
+++ b/internal/gateway/rollup_test.go
@@ -42,7 +42,7 @@
 	if err != nil || string(text) != `{"at":1000,"gateway":"n3","sends":1}`+"\n"+`{"at":9000,"gateway":"n3","connects":2,"calls":1}`+"\n" {
 		t.Fatalf("%v %s", err, text)
 	}
-	// A second process goes on where the first ended, and neither goes past the bound.
+	// A second process appends to the file of the first, and neither exceeds the limit.
 	if n := write(60_000); n > 1<<20 || n < 1<<20-200 {
 		t.Fatalf("%d bytes", n)
 	}
@@ -54,7 +54,7 @@
 		t.Fatalf("%d bytes after a third", n)
 	}
 	if file, err := openRollupFile(site.Rollup{}, "n3", p); file != nil || err != nil {
-		t.Fatalf("nobody asked for it: %v %v", file, err)
+		t.Fatalf("not configured: %v %v", file, err)
 	}
 	if _, err := openRollupFile(site.Rollup{Dir: filepath.Join(dir, "none"), MB: 1}, "n3", p); err == nil || !strings.Contains(err.Error(), "moments") {
 		t.Fatalf("%v", err)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -17,7 +17,7 @@
 	"elderyard/rules"
 )
 
-// closed waits until the gateway takes no more connections.
+// waitUntilClosed waits until the gateway refuses connections.
 func (gw *testGateway) waitUntilClosed(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// begins connects and sends the first bytes of a request.
+// sendPart connects and sends the start of a request.
 func (gw *testGateway) sendPart(t *testing.T, part string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", gw.address)
@@ -45,13 +45,13 @@
 	return conn
 }
 
-// endsWith reads the last answer on a connection.
+// expectLastResponse reads a response, which must close the connection.
 func expectLastResponse(t *testing.T, conn net.Conn, what string, status int) {
 	t.Helper()
 	br := bufio.NewReader(conn)
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
-		t.Fatalf("%s: no answer: %v", what, err)
+		t.Fatalf("%s: no response: %v", what, err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	if resp.StatusCode != status || !resp.Close {
@@ -59,13 +59,11 @@
 	}
 }
 
-// short has all classes end after 2 s, so that the kill comes 2.7 s after the gateway was
-// asked to end.
+// shortDeadlines gives all classes a deadline of 2 s, so that the kill comes 2.7 s after the stop request.
 var shortDeadlines = strings.NewReplacer(`"deadlineS": 20`, `"deadlineS": 2`).Replace
 
-// A request of which a part had come before the gateway was asked to end, and the rest
-// after it has closed what said nothing, is answered: on a new connection and on a
-// kept one. The server here has no time-outs of its own.
+// Part of a request arrives before the stop request, and the rest after idle connections have been closed.
+// It is served on new and reused connections. The server of this test has no timeouts.
 func TestPartialRequestAtShutdown(t *testing.T) {
 	t.Parallel()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,31 +97,31 @@
 	io.WriteString(reused, text[:20])
 	fresh, body := gw.sendPart(t, text[:20]), gw.sendPart(t, text[:len(text)-3])
 	silent, idle := gw.sendPart(t, ""), gw.sendPart(t, text)
-	for end := time.Now().Add(testTimeout); c.openConns() < 5; time.Sleep(time.Millisecond) { // until all are taken
+	for end := time.Now().Add(testTimeout); c.openConns() < 5; time.Sleep(time.Millisecond) { // until all are accepted
 		if time.Now().After(end) {
-			t.Fatal("the connections were not taken")
+			t.Fatal("the connections were not accepted")
 		}
 	}
 	shutdownErr := make(chan error, 1)
 	go func() { shutdownErr <- shutdown(conf, front, c, server, acceptDone) }()
 	for _, conn := range []net.Conn{silent, idle} {
 		if _, err := io.ReadAll(conn); isTimeout(err) {
-			t.Errorf("a connection with no request: %v", err)
+			t.Errorf("connection without a request: %v", err)
 		}
 	}
 	io.WriteString(reused, text[20:])
 	io.WriteString(fresh, text[20:])
 	io.WriteString(body, text[len(text)-3:])
-	expectLastResponse(t, reused, "half a head on a kept connection", 200)
-	expectLastResponse(t, fresh, "half a head on a new connection", 200)
-	expectLastResponse(t, body, "half a body", 200)
+	expectLastResponse(t, reused, "part of a header on a reused connection", 200)
+	expectLastResponse(t, fresh, "part of a header on a new connection", 200)
+	expectLastResponse(t, body, "part of a body", 200)
 	if err := wait(t, shutdownErr, "end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-// What is taken late must not be held past the kill, whatever time its client has: it
-// is refused where that is harmless, and failed where it may have run.
+// A request that is accepted late must not be open past the kill, whatever its time limit: it is refused if
+// that is safe, and failed if it may have run.
 func TestOpenRequestsEndBeforeKill(t *testing.T) {
 	t.Parallel()
 	for class, status := range map[string]int{"lookup": 429, "payment": 502} {
@@ -138,11 +136,11 @@
 			}
 			conn := gw.sendPart(t, text[:len(text)-1])
 			gw.stop()
-			gw.waitUntilClosed(t) // 0.6 s later: the kill comes before the request's own end
+			gw.waitUntilClosed(t) // 0.6 s later; the kill comes before the request's own deadline
 			io.WriteString(conn, text[len(text)-1:])
 			_, br := backend.Accept(t)
 			readRequest(t, br)
-			expectLastResponse(t, conn, "taken late", status)
+			expectLastResponse(t, conn, "accepted late", status)
 			if _, err := br.ReadByte(); err != io.EOF {
 				t.Errorf("the attempt's connection: %v", err)
 			}
@@ -153,7 +151,7 @@
 	}
 }
 
-// gatedListener takes connections only once the gate is open.
+// gatedListener accepts connections only once the gate is open.
 type gatedListener struct {
 	*net.TCPListener
 	gate chan struct{}
@@ -164,8 +162,7 @@
 	return l.TCPListener.Accept()
 }
 
-// What waits in the backlog when the last connections are taken is served before the
-// listener closes.
+// Connections in the backlog at shutdown are served before the listener closes.
 func TestBacklogAtShutdown(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -203,12 +200,12 @@
 	}
 	if conn, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		conn.Close()
-		t.Error("the listener stands")
+		t.Error("the listener is still open")
 	}
 }
 
-// A connection is closed as idle or its request is carried out, never both: here its
-// bytes have been read, and the server has not seen them yet.
+// A connection is either closed as idle or its request runs, never both. Here its bytes have been read, but
+// the server has not processed them.
 func TestCloseIfIdleWhileRequestIsRead(t *testing.T) {
 	t.Parallel()
 	for _, readFirst := range []bool{true, false} {
@@ -220,11 +217,11 @@
 				t.Fatalf("%d bytes, %v", n, err)
 			}
 			if cc.closeIfIdle() {
-				t.Error("closed with a request begun")
+				t.Error("closed with a request started")
 			}
 			continue
 		}
-		// The crossing: the bytes have left the socket, and the guard does not know yet.
+		// The race: the bytes have left the socket, and clientConn has not recorded them.
 		if n, err := io.ReadFull(cc.TCPConn, buffer); n != 4 || err != nil {
 			t.Fatalf("%d bytes, %v", n, err)
 		}
@@ -232,13 +229,12 @@
 			t.Error("an idle connection was not closed")
 		}
 		if cc.markStarted() {
-			t.Error("the request goes on though its connection was closed")
+			t.Error("the request was read from a closed connection")
 		}
 	}
 }
 
-// A reload and the end at once: the end waits for nothing of the reload, and a second
-// call to end changes nothing.
+// A shutdown does not wait for a reload that is in progress, and a second stop request changes nothing.
 func TestReloadDuringShutdown(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -246,7 +242,7 @@
 	_, openResponse := gw.send(t, requestText("GET", "lookup", ""))
 	conn, br := backend.Accept(t)
 	readRequest(t, br)
-	dead, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+	dead, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,7 +253,7 @@
 	gw.stop()
 	gw.stop()
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	if resp := wait(t, openResponse, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, openResponse, "response"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if err := wait(t, gw.runErr, "end"); err != nil {
@@ -265,7 +261,7 @@
 	}
 }
 
-// What a client claims beyond its class's own time does not hold its request.
+// A client can't keep its request open for longer than its class allows.
 func TestTimeLimitCappedByClass(t *testing.T) {
 	t.Parallel()
 	l, _ := newLoopWithDialGate(t, testpeer.Settings, newPeer(t))
@@ -280,13 +276,13 @@
 			t.Fatal(err)
 		}
 		if got := ex.timeLeft + responseMargin; math.Abs(got-want) > 1e-9 {
-			t.Errorf("%s ms: held for %g s, want %g", claimed, got, want)
+			t.Errorf("%s ms: open for %g s, want %g", claimed, got, want)
 		}
 	}
 }
 
-// The end counts from the earliest kill that the deadlines allow. A grace for late answers
-// comes on top of a deadline and of no kill.
+// The kill is expected as early as the deadlines allow. The slack for late responses extends the deadline,
+// but not the time until the kill.
 func TestMinKillDelay(t *testing.T) {
 	for _, k := range []struct {
 		deadline, slack string
--- a/internal/gateway/streaming.go
+++ b/internal/gateway/streaming.go
@@ -8,25 +8,24 @@
 	"time"
 )
 
-// Bodies up to inlineBody are taken whole, so that a request can be sent again
-// and a spoilt answer does not reach a client. Longer ones pass through as they
-// come, in both directions, in bounded memory.
+// Bodies of up to maxBufferedBody are read completely, so that a request can be retried and a truncated
+// response does not reach the client. Longer bodies are streamed in both directions in bounded memory.
 const (
 	maxBufferedBody    = 64 << 10               // bytes
-	maxStreamedBody    = 34 << 20               // bytes of a body that passes through
+	maxStreamedBody    = 34 << 20               // bytes of a body that is streamed
 	streamBufferSize   = 16 << 10               // bytes read at a time
-	chunkedBufferLimit = 32 << 10               // bytes of an answer of unknown length that are waited for before it passes through
-	chunkedBufferTime  = 200 * time.Millisecond // and for how long
+	chunkedBufferLimit = 32 << 10               // bytes of a response of unknown length that are read before it is streamed
+	chunkedBufferTime  = 200 * time.Millisecond // and the time that this may take
 
-	uploadStallTimeout   = 1500 * time.Millisecond // a body that brings nothing for so long has ended
-	minUploadRate        = 24 << 10                // bytes a second that a body must bring over its whole
-	downloadStallTimeout = 30 * time.Second        // a client that takes nothing for so long has gone
-	responseStallTimeout = 10 * time.Second        // and so has a backend that gives nothing
+	uploadStallTimeout   = 1500 * time.Millisecond // a request body that brings no bytes for this long has failed
+	minUploadRate        = 24 << 10                // bytes per second that a request body must bring on average
+	downloadStallTimeout = 30 * time.Second        // a client that reads nothing for this long is disconnected
+	responseStallTimeout = 10 * time.Second        // and so is a backend that sends nothing
 )
 
 var errTooLong = errors.New("the body is too long")
 
-// bulkTime is the longest that a body of so many bytes may take.
+// maxUploadTime returns the longest time that a body of the given length may take.
 func maxUploadTime(length int64) time.Duration {
 	if length < 0 {
 		length = maxStreamedBody
@@ -36,21 +35,21 @@
 
 var errRequestOver = errors.New("the request is over")
 
-// upload is a body on its way from a client. It is read by the handler to see
-// whether it is short, and then by one attempt.
+// upload is the body of a client's request. The handler reads its start to see whether it is short; if it
+// is not, one attempt reads the rest.
 type upload struct {
 	body     io.Reader
 	control  *http.ResponseController
 	deadline time.Time
-	length   int64  // -1: in chunks
-	prefix   []byte // read already
+	length   int64  // -1: chunked
+	prefix   []byte // read, but not yet returned by Read
 
 	mu       sync.Mutex
 	claimed  bool
 	stopped  bool
-	complete bool          // all has been read
-	failed   bool          // its client failed
-	finished chan struct{} // the attempt reads no more
+	complete bool          // read to its end
+	failed   bool          // reading from the client failed
+	finished chan struct{} // closed when the attempt reads no more
 }
 
 func newUpload(w http.ResponseWriter, r *http.Request) *upload {
@@ -58,8 +57,8 @@
 		deadline: time.Now().Add(maxUploadTime(r.ContentLength)), finished: make(chan struct{})}
 }
 
-// Read reads from the client. Danger: the server cancels a request whose connection
-// runs into a time-out after its body has ended, so the time-out ends with it.
+// Read reads from the client. The read timeout is cleared at the end of the body: the server cancels a
+// request whose connection times out after that.
 func (u *upload) Read(p []byte) (int, error) {
 	if len(u.prefix) > 0 {
 		n := copy(p, u.prefix)
@@ -92,26 +91,26 @@
 	return n, err
 }
 
-// first reads up to inlineBody bytes and tells whether that was all.
+// readBuffered reads up to maxBufferedBody bytes and reports whether that was all.
 func (u *upload) readBuffered() (body []byte, complete bool, err error) {
 	body, err = io.ReadAll(io.LimitReader(u, maxBufferedBody+1))
 	return body, len(body) <= maxBufferedBody, err
 }
 
-// shortBody reads a body of a few bytes.
+// readShortBody reads a body of at most maxPreallocatedBody bytes.
 func readShortBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	control := http.NewResponseController(w)
 	control.SetReadDeadline(time.Now().Add(uploadStallTimeout))
 	body := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, body); err != nil {
-		return nil, err // the time-out stays: the server reads on for what is missing
+		return nil, err // the timeout stays: the server still reads the missing rest
 	}
-	io.Copy(io.Discard, r.Body) // to its end: only then does the server watch for a client that leaves
+	io.Copy(io.Discard, r.Body) // the server watches for a disconnect only after the end of the body
 	control.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// take hands the body to an attempt, once.
+// claim assigns the body to an attempt. It succeeds once.
 func (u *upload) claim() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -122,9 +121,8 @@
 	return true
 }
 
-// stop ends the reading, waits for the attempt that is at it, and tells whether
-// all had been read. After that the handler may return: net/http forbids a read of
-// the body from then on.
+// stop ends the reading, waits for the attempt that reads, and reports whether the body was read to its
+// end. Only then may the handler return: net/http forbids reading the body after that.
 func (u *upload) stop() bool {
 	u.mu.Lock()
 	u.stopped = true
@@ -139,23 +137,23 @@
 	return u.complete
 }
 
-// download is an answer that passes through: what has come already, and the rest.
+// download is a streamed response: what has been read already, and the rest.
 type download struct {
 	length int64 // -1: unknown
 	prefix []byte
 	body   io.Reader
 	conn   *backendConn
-	onEnd  func(sound bool) // called once by who passes it on
-	onDrop func()           // called instead where nobody does
+	onEnd  func(complete bool) // called once by whoever streams it
+	onDrop func()              // called instead if nobody does
 }
 
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
-// errCut says that an answer ended before its end.
-var errTruncated = errors.New("the answer was cut")
+// errTruncated reports that a response ended early.
+var errTruncated = errors.New("response body ended early")
 
-// write passes the answer on as it comes. The client can tell a cut one: its length or
-// its last chunk is missing.
+// write streams the response to the client. A client recognizes a truncated response by its length or by
+// the missing last chunk.
 func (d *download) write(w http.ResponseWriter) error {
 	control := http.NewResponseController(w)
 	complete := false
--- a/internal/gateway/streaming_test.go
+++ b/internal/gateway/streaming_test.go
@@ -18,7 +18,7 @@
 	"elderyard/internal/testpeer"
 )
 
-// noise is a long body that is the same for the same seed.
+// randomBytes returns a body that is the same for the same seed.
 func randomBytes(seed uint64, length int) []byte {
 	var key [32]byte
 	key[0] = byte(seed)
@@ -27,7 +27,7 @@
 	return p
 }
 
-// inPieces writes p in pieces of random sizes.
+// writeInPieces writes p in pieces of random sizes.
 func writeInPieces(w io.Writer, p []byte) error {
 	for len(p) > 0 {
 		n := min(1+rand.IntN(40<<10), len(p))
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// chunked writes p as chunks.
+// writeChunked writes p as chunks of random sizes.
 func writeChunked(w io.Writer, p []byte) {
 	for len(p) > 0 {
 		n := min(1+rand.IntN(40<<10), len(p))
@@ -49,8 +49,8 @@
 	io.WriteString(w, "0\r\n\r\n")
 }
 
-// Long bodies pass through unchanged both ways, in any framing, and the connection
-// to the backend is used again.
+// Long bodies are streamed unchanged in both directions with any framing, and the connection to the backend
+// is reused.
 func TestLongBodiesAreStreamed(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -115,14 +115,13 @@
 	}
 }
 
-// A client that takes nothing holds its backend's answer up, not the gateway's
-// memory: a hundred such answers of 8 MB each stay within a few MB, and each ends
-// in order once its client reads.
+// A client that reads nothing blocks its backend's response, and costs the gateway little memory: a hundred
+// such responses of 8 MB each need a few MB, and each is completed once its client reads.
 func TestSlowReadersCostLittleMemory(t *testing.T) {
 	backend := newPeer(t)
 	gw := startGatewayWith(t, strings.NewReplacer(`"sockets": 1024`, `"sockets": 4096`).Replace, backend)
 	const transfers, size = 100, 8 << 20
-	answer := randomBytes(3, size)
+	responseBody := randomBytes(3, size)
 	var before, during runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -136,7 +135,7 @@
 		readRequest(t, br)
 		go func() {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", size)
-			conn.Write(answer)
+			conn.Write(responseBody)
 			conn.Close()
 		}()
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
@@ -148,22 +147,22 @@
 	runtime.GC()
 	runtime.ReadMemStats(&during)
 	if grown := int64(during.HeapInuse) - int64(before.HeapInuse); grown > transfers*256<<10 {
-		t.Errorf("%d answers that stand still take %d kB", transfers, grown>>10)
+		t.Errorf("%d stalled responses use %d kB", transfers, grown>>10)
 	}
 	var wg sync.WaitGroup
 	for i, rd := range readers {
 		wg.Go(func() {
 			n, err := io.Copy(io.Discard, rd.Body)
 			if n != size || err != nil {
-				t.Errorf("answer %d: %d bytes, %v", i, n, err)
+				t.Errorf("response %d: %d bytes, %v", i, n, err)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// A client that stops in the middle of its body gets an error in time, and its
-// backend never has the whole request.
+// A client that stops sending in the middle of its body gets an error in time, and its backend never gets
+// the complete request.
 func TestUploadStops(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -178,7 +177,7 @@
 		t.Errorf("the backend got %d bytes, %v", n, err)
 	}
 	conn.Close()
-	if resp := wait(t, responses, "answer"); resp.StatusCode < 400 || !resp.Close {
+	if resp := wait(t, responses, "response"); resp.StatusCode < 400 || !resp.Close {
 		t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	if n := len(backend.Conns); n > 0 {
@@ -186,8 +185,8 @@
 	}
 }
 
-// A backend that goes before the last byte has not run the request: the client is
-// told at once that it may try again, and nothing goes out twice, since the body is gone.
+// A backend that closes before the last byte of a request has not run it: the client is told at once to
+// retry, and the request is not sent again, since its body is gone.
 func TestBackendClosesDuringUpload(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -199,7 +198,7 @@
 	}
 	conn.Close()
 	go writeInPieces(client, make([]byte, 3000000))
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 429 || !resp.Close {
+	if resp := wait(t, responses, "response"); resp.StatusCode != 429 || !resp.Close {
 		t.Errorf("status %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	if n := len(backend.Conns); n > 0 {
@@ -207,8 +206,8 @@
 	}
 }
 
-// The time of a request runs from its last byte: a body that takes longer than
-// the class's aim costs it nothing, and from then on the aim holds.
+// A request's time limit starts with its last byte: a body that takes longer than the class's objective
+// does not use it up, and the objective applies from then on.
 func TestTimeLimitStartsAtLastByte(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -222,19 +221,19 @@
 		}
 		conn, br := backend.Accept(t)
 		readRequest(t, br)
-		status := 502 // silent: it may have run
+		status := 502 // no response: the request may have run
 		if answered {
 			status = 200
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		}
-		if resp := wait(t, responses, "answer"); resp.StatusCode != status {
+		if resp := wait(t, responses, "response"); resp.StatusCode != status {
 			t.Errorf("answered %t: status %d, want %d", answered, resp.StatusCode, status)
 		}
 	}
 }
 
-// A long answer that is cut is no whole answer to the client either; an answer that
-// is cut while it is short has not begun, and the request goes out again.
+// A long response that is truncated must not look complete to the client. A short one that is truncated has
+// not been started, so the request is retried.
 func TestTruncatedResponses(t *testing.T) {
 	t.Parallel()
 	for _, framing := range []string{"Content-Length: 200000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n186a0\r\n"} {
@@ -245,7 +244,7 @@
 		readRequest(t, br)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+framing+strings.Repeat("x", 100000))
 		conn.Close()
-		resp := wait(t, responses, "answer")
+		resp := wait(t, responses, "response")
 		if n, err := io.Copy(io.Discard, resp.Body); resp.StatusCode != 200 || err == nil || n > 100000 {
 			t.Errorf("%q: status %d, %d bytes, %v", framing, resp.StatusCode, n, err)
 		}
@@ -257,13 +256,13 @@
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel")
 		conn.Close()
 		serveOnce(t, backend, "ok")
-		if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
-			t.Errorf("%q: after a short one was cut: %d", framing, resp.StatusCode)
+		if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
+			t.Errorf("%q: after a truncated short response: %d", framing, resp.StatusCode)
 		}
 	}
 }
 
-// A client that leaves in the middle of a long answer ends it at the backend.
+// A client that disconnects during a long response ends it at the backend too.
 func TestDisconnectDuringDownload(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -272,19 +271,19 @@
 	conn, br := backend.Accept(t)
 	readRequest(t, br)
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n"+strings.Repeat("x", 1000))
-	wait(t, responses, "answer")
+	wait(t, responses, "response")
 	client.Close()
 	for {
 		if _, err := conn.Write(make([]byte, 64<<10)); err != nil {
 			if isTimeout(err) {
-				t.Errorf("the backend's connection stays")
+				t.Errorf("the connection to the backend stays open")
 			}
 			return
 		}
 	}
 }
 
-// Targets of all forms reach the backend as paths.
+// Request targets of all forms reach the backend in origin form.
 func TestAbsoluteRequestTarget(t *testing.T) {
 	t.Parallel()
 	backend := newPeer(t)
@@ -293,10 +292,10 @@
 	conn, br := backend.Accept(t)
 	req, _ := readRequest(t, br)
 	if req.RequestURI != "/lookup/a%2Fb?c=%20d" {
-		t.Errorf("the backend was asked for %q", req.RequestURI)
+		t.Errorf("the backend got target %q", req.RequestURI)
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if resp := wait(t, responses, "answer"); resp.StatusCode != 200 {
+	if resp := wait(t, responses, "response"); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -15,9 +15,8 @@
 	stateHeader  = "Tracestate"
 )
 
-// beginTrace begins the trace of a request: it joins the client's where that sent a valid
-// context, else the one that the request's key stands for, else it starts a new one. The headers
-// for the backend follow it.
+// beginTrace starts the trace of a request. It joins the trace of the client's context if that is valid,
+// else the one derived from the request's key, else a new one. It sets the headers for the backend accordingly.
 func (f *frontend) beginTrace(ex *exchange) *traces.Begin {
 	header := ex.header
 	client, valid := traces.ParseContext(header[parentHeader], header[stateHeader])
@@ -42,7 +41,7 @@
 		Units: ex.request.Units, Method: ex.method, Key: key != "", Repeated: ex.request.IsRetry, Sent: ex.request.SentAt}
 }
 
-// recordEvent records an event of a request that is traced.
+// recordEvent records an event of a traced request.
 func (l *Loop) recordEvent(ex *exchange, e traces.Event) {
 	if ex.trace == nil {
 		return
@@ -51,7 +50,7 @@
 	l.telemetry.Record(e)
 }
 
-// recordAttempt records an attempt, and gives it the trace context that is sent with it.
+// recordAttempt records an attempt and sets the trace context that is sent with it.
 func (l *Loop) recordAttempt(attempt *attempt, admittedAt float64) {
 	if attempt.exchange.trace == nil {
 		return
@@ -63,18 +62,18 @@
 	l.recordEvent(attempt.exchange, traces.Event{Kind: traces.Sent, Attempt: attempt.number, Span: traceContext.Span, Backend: backend.name, Zone: backend.zone, Paid: admittedAt})
 }
 
-// figures returns the module's figures for the exporter.
+// figures returns the decision module's statistics for the exporter.
 func (l *Loop) figures(ctx context.Context) (figures telemetry.Figures, err error) {
 	figures.Stats, figures.Calls, err = l.Stats(ctx)
 	return figures, err
 }
 
-// answered is the event of a final answer.
+// responseEvent returns the event for a response.
 func responseEvent(response response) traces.Event {
 	return traces.Event{Kind: traces.Answered, Status: response.status, Reason: response.reason, Paid: response.admittedAt, RetryAfter: response.retryAfter}
 }
 
-// deployed sets what traces need to know of a deployment.
+// setDeployment adds the deployment's classes and plans to the trace settings.
 func setDeployment(settings *traces.Settings, classes []rules.Class, names, plans []string) {
 	settings.Classes, settings.Plans = names, plans
 	for _, class := range classes {
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -32,7 +32,7 @@
 	return c
 }
 
-// exporting are the settings of a gateway that exports all traces.
+// exporting returns the settings of a gateway that exports all traces.
 func exporting(c *collector.Collector, name string) *telemetry.Settings {
 	return &telemetry.Settings{Endpoint: "http://" + c.Address(""), Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testTimeout,
 		Flush: testTimeout, QueueBytes: 1 << 20, Tracing: traces.Settings{SampleRatio: 1},
@@ -41,7 +41,7 @@
 
 func unchanged(text string) string { return text }
 
-// end stops a gateway, and so has it send what it has.
+// stopAndWait stops a gateway, which exports its remaining data.
 func (gw *testGateway) stopAndWait(t *testing.T) {
 	t.Helper()
 	gw.stop()
@@ -53,12 +53,12 @@
 func expectNoFlaws(t *testing.T, c *collector.Collector) {
 	t.Helper()
 	for _, f := range c.Flaws() {
-		t.Errorf("the specification is broken: %s", f)
+		t.Errorf("violation of the specification: %s", f)
 	}
 }
 
-// A client's context goes on to the backend, under the span of the attempt, and all of
-// the request is a part of its trace.
+// A client's trace context is forwarded to the backend under the span of the attempt, and all spans of the
+// request are part of the client's trace.
 func TestClientTraceIsContinued(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
 	gw := startExportingGateway(t, exporting(c, "g0"), unchanged, backend)
@@ -66,12 +66,12 @@
 	conn, br := backend.Accept(t)
 	req, _ := readRequest(t, br)
 	total(conn, 200, "ok")
-	if got := wait(t, responses, "answer"); got.StatusCode != 200 {
+	if got := wait(t, responses, "response"); got.StatusCode != 200 {
 		t.Fatal(got.Status)
 	}
 	forwarded, ok := traces.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"])
 	if !ok || hex.EncodeToString(forwarded.Trace[:]) != clientTrace || forwarded.State != "rojo=1" || !forwarded.Sampled {
-		t.Errorf("went on: %v", req.Header)
+		t.Errorf("forwarded: %v", req.Header)
 	}
 	gw.stopAndWait(t)
 	kinds := map[trace.Span_SpanKind]collector.Span{}
@@ -86,8 +86,8 @@
 	expectNoFlaws(t, c)
 }
 
-// A keyed request whose first gateway could not serve it and that goes through a
-// second one, marked by its key alone, is one trace with both halves.
+// A keyed request that fails at one gateway and is served through another, linked only by its key, is one
+// trace with the spans of both.
 func TestSameKeyAtTwoGatewaysIsOneTrace(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
 	one, two := startExportingGateway(t, exporting(c, "g0"), unchanged, backend), startExportingGateway(t, exporting(c, "g1"), unchanged, backend)
@@ -96,17 +96,17 @@
 		conn, br := backend.Accept(t)
 		req, _ := readRequest(t, br)
 		if req.Header.Get("Tracestate") != "" {
-			t.Error("the state of a context that is not valid went on")
+			t.Error("the state of an invalid context was forwarded")
 		}
 		if i == 0 {
-			conn.Close() // after its last byte: it may have run
-			if got := wait(t, responses, "answer"); got.StatusCode == 200 {
+			conn.Close() // after the last byte: the request may have run
+			if got := wait(t, responses, "response"); got.StatusCode == 200 {
 				t.Fatal(got.Status)
 			}
 			continue
 		}
 		total(conn, 200, "ok")
-		if got := wait(t, responses, "answer"); got.StatusCode != 200 {
+		if got := wait(t, responses, "response"); got.StatusCode != 200 {
 			t.Fatal(got.Status)
 		}
 	}
@@ -127,7 +127,7 @@
 	expectNoFlaws(t, c)
 }
 
-// Without an exporter a request goes on as it came, context and all.
+// Without an exporter a request's headers are forwarded unchanged, including its trace context.
 func TestNoExporterForwardsContextUnchanged(t *testing.T) {
 	backend := newPeer(t)
 	gw := startGateway(t, backend)
@@ -135,7 +135,7 @@
 	conn, br := backend.Accept(t)
 	req, _ := readRequest(t, br)
 	total(conn, 200, "ok")
-	wait(t, responses, "answer")
+	wait(t, responses, "response")
 	for name, want := range map[string]string{"Traceparent": "00-hostile", "Tracestate": "a=1", "Baggage": "x=y"} {
 		if req.Header.Get(name) != want {
 			t.Errorf("%s: %q", name, req.Header.Get(name))
@@ -143,7 +143,7 @@
 	}
 }
 
-// Hostile contexts are no reason to turn a request down, and begin a trace of their own.
+// A request with an invalid trace context is served and starts a trace of its own.
 func TestInvalidTraceContexts(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
 	gw := startExportingGateway(t, exporting(c, "g0"), unchanged, backend)
@@ -153,19 +153,18 @@
 		req, _ := readRequest(t, br)
 		total(conn, 200, "ok")
 		conn.Close()
-		if got := wait(t, responses, "answer"); got.StatusCode != http.StatusOK {
+		if got := wait(t, responses, "response"); got.StatusCode != http.StatusOK {
 			t.Fatal(got.Status)
 		}
 		if _, ok := traces.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"]); !ok || req.Header.Get("Tracestate") != "" {
-			t.Errorf("%.20q went on as %v", parent, req.Header)
+			t.Errorf("%.20q was forwarded as %v", parent, req.Header)
 		}
 	}
 	gw.stopAndWait(t)
 	expectNoFlaws(t, c)
 }
 
-// With a collector that takes and never answers, requests are answered as ever and the
-// gateway ends within its time.
+// If the collector never responds, requests are served as usual and the gateway ends in time.
 func TestSilentCollectorDelaysNothing(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
 	c.SetTrouble(collector.Trouble{Silent: true})
@@ -176,7 +175,7 @@
 	conn, br := backend.Accept(t)
 	readRequest(t, br)
 	total(conn, 200, "ok")
-	if got := wait(t, responses, "answer"); got.StatusCode != http.StatusOK {
+	if got := wait(t, responses, "response"); got.StatusCode != http.StatusOK {
 		t.Fatal(got.Status)
 	}
 	gw.stopAndWait(t)
