--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -12,8 +12,8 @@
 	"elderyard/rollout"
 )
 
-// The golden files of this package are what the voters' logs and snapshots of existing
-// sites contain, and what the agents' interface answers.
+// The golden files of this package pin the format of the replicated log and snapshots of existing sites, and of the
+// responses of the agents' interface.
 
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
@@ -21,16 +21,16 @@
 	return &revisions.Content{File: "[site]\nname = \"<1> & \\t\"\n", Overlays: map[string]string{"g0": "a = 1\n"}, RestartGeneration: 3}
 }
 
-// goldenEntries returns an entry of each kind by the name of its file.
+// goldenEntries returns an entry of each kind, by the kind in the name of its golden file.
 func goldenEntries() map[string]Entry {
 	version := uint64(12)
 	return map[string]Entry{
-		"command": {Command: &revisions.Command{Request: "r-1", Parent: 4, Content: goldenContent(), Author: "ann", Message: "why", At: goldenTime}},
-		"restore": {Command: &revisions.Command{Request: "r-2", Parent: 5, Restore: 2, Author: "bob", Message: "back", At: goldenTime}},
+		"command": {Command: &revisions.Command{IdempotencyKey: "r-1", Parent: 4, Content: goldenContent(), Author: "ann", Message: "why", At: goldenTime}},
+		"restore": {Command: &revisions.Command{IdempotencyKey: "r-2", Parent: 5, Restore: 2, Author: "bob", Message: "back", At: goldenTime}},
 		"turn":    {RolloutChange: &RolloutChange{New: 5, State: rollout.Paused, Reason: "paused by ann", By: "ann", At: goldenTime}},
 		"enroll":  {Enroll: &Enroll{Agent: Agent{Name: "a1", Address: "127.0.0.1:7400", Instances: []string{"g0", "g1"}}, At: goldenTime}},
 		"remove":  {Remove: &Remove{Agent: "a1", By: "ann", At: goldenTime}},
-		"drain":   {Drain: &Drain{Instance: "g1", On: true, By: "ann", At: goldenTime}},
+		"drain":   {Drain: &Drain{Instance: "g1", Drained: true, By: "ann", At: goldenTime}},
 		"undrain": {Drain: &Drain{Instance: "g1", By: "ann", At: goldenTime}},
 		"belong":  {RosterChange: &RosterChange{Names: []string{"g0", "g1"}, At: goldenTime}},
 		"records": {Records: &records.Change{IdempotencyKey: "c-1", Author: "ann", Message: "plans", At: goldenTime, Operations: []records.Operation{
@@ -41,9 +41,9 @@
 }
 
 func TestGoldenEntries(t *testing.T) {
-	var all []any
+	var entries []any
 	for kind, entry := range goldenEntries() {
-		all = append(all, entry)
+		entries = append(entries, entry)
 		name := "entry-" + kind + ".json"
 		encoded, err := entry.Encode()
 		if err != nil {
@@ -58,11 +58,11 @@
 			return err
 		})
 	}
-	golden.Complete(t, all...)
+	golden.Complete(t, entries...)
 }
 
-// TestUnknownKeyIsRejected: a voter that skipped a key would reach another state than
-// one that knows it.
+// TestUnknownKeyIsRejected checks that no voter ignores an unknown key: it would reach a different state than a voter
+// that knows the key.
 func TestUnknownKeyIsRejected(t *testing.T) {
 	for kind := range goldenEntries() {
 		golden.Decode(t, "entry-"+kind+".json", func(text []byte) error {
@@ -77,7 +77,7 @@
 func TestGoldenOutcome(t *testing.T) {
 	content := goldenContent()
 	outcome := Outcome{
-		Result: revisions.Result{Status: Busy, Revision: revisions.Revision{Number: 5, Parent: 4, Content: *content, Checksum: content.Sum(),
+		Result: revisions.Result{Status: Busy, Revision: revisions.Revision{Number: 5, Parent: 4, Content: *content, Checksum: content.Checksum(),
 			Author: "ann", Message: "why", At: goldenTime}},
 		Rejected: "there is no agent a9",
 		Records:  &records.Result{Status: records.Invalid, Version: 12, Problem: &records.Problem{Key: "plan/gold", Field: "price_weight", Reason: "is missing"}},
@@ -87,9 +87,9 @@
 }
 
 func TestGoldenRollout(t *testing.T) {
-	present := Rollout{New: 5, Previous: 3, State: rollout.RollingBack, Reason: "g0 was not ready", By: "ann", At: goldenTime}
-	golden.Complete(t, present)
-	golden.JSON(t, "rollout.json", present)
+	current := Rollout{New: 5, Previous: 3, State: rollout.RollingBack, Reason: "g0 was not ready", By: "ann", At: goldenTime}
+	golden.Complete(t, current)
+	golden.JSON(t, "rollout.json", current)
 }
 
 func TestGoldenAgent(t *testing.T) {
@@ -106,30 +106,30 @@
 
 func TestGoldenTexts(t *testing.T) {
 	golden.Constants(t, map[string]string{string(Busy): "busy"})
-	if acceptedReason != "it has been accepted" { // by it a leader finds that nobody has begun a rollout
-		t.Errorf("an accepted rollout's reason is %q", acceptedReason)
+	if acceptedReason != "it has been accepted" { // by this text a leader recognizes a rollout that has not been started
+		t.Errorf("the reason of a rollout that has not been started is %q", acceptedReason)
 	}
 }
 
-// goldenState has been through an entry of each kind; every part of it is set.
+// goldenState returns a state to which an entry of each kind has been applied, so that all of its parts are set.
 func goldenState(t *testing.T) *State {
 	t.Helper()
 	state := &State{}
 	names := []string{"g0", "g1", "g2"}
 	for i, entry := range []Entry{
-		{Command: &revisions.Command{Request: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
+		{Command: &revisions.Command{IdempotencyKey: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
 		{RolloutChange: &RolloutChange{New: 1, State: rollout.Applied, Reason: "all 2 instances have revision 1", At: goldenTime}},
-		{Command: &revisions.Command{Request: "r-2", Parent: 1, Content: goldenContent(), Author: "bob", Message: "second", At: goldenTime}},
+		{Command: &revisions.Command{IdempotencyKey: "r-2", Parent: 1, Content: goldenContent(), Author: "bob", Message: "second", At: goldenTime}},
 		{RolloutChange: &RolloutChange{New: 2, State: rollout.Applied, Reason: "all 2 instances have revision 2", At: goldenTime}},
-		{Command: &revisions.Command{Request: "r-3", Parent: 2, Restore: 1, Author: "ann", Message: "third", At: goldenTime}},
+		{Command: &revisions.Command{IdempotencyKey: "r-3", Parent: 2, Restore: 1, Author: "ann", Message: "third", At: goldenTime}},
 		{RolloutChange: &RolloutChange{New: 3, State: rollout.Paused, Reason: "paused by ann", By: "ann", At: goldenTime}},
-		{Command: &revisions.Command{Request: "r-4", Parent: 3, Content: &revisions.Content{File: "d"}, Author: "ann", At: goldenTime}}, // busy
+		{Command: &revisions.Command{IdempotencyKey: "r-4", Parent: 3, Content: &revisions.Content{File: "d"}, Author: "ann", At: goldenTime}}, // busy
 		{Enroll: &Enroll{Agent: Agent{Name: "a1", Address: "127.0.0.1:7400", Instances: names[:2]}, At: goldenTime}},
 		{Enroll: &Enroll{Agent: Agent{Name: "a2", Address: "127.0.0.1:7401", Instances: names[2:]}, At: goldenTime}},
 		{Enroll: &Enroll{Agent: Agent{Name: "a3", Address: "127.0.0.1:7402", Instances: []string{"g9"}}, At: goldenTime}},
 		{Remove: &Remove{Agent: "a3", By: "ann", At: goldenTime}},
-		{Drain: &Drain{Instance: "g0", On: true, By: "ann", At: goldenTime}},
-		{Drain: &Drain{Instance: "g1", On: true, By: "ann", At: goldenTime}},
+		{Drain: &Drain{Instance: "g0", Drained: true, By: "ann", At: goldenTime}},
+		{Drain: &Drain{Instance: "g1", Drained: true, By: "ann", At: goldenTime}},
 		{Drain: &Drain{Instance: "g0", By: "ann", At: goldenTime}},
 		{RosterChange: &RosterChange{Names: names[:2], At: goldenTime}},
 		{RosterChange: &RosterChange{Names: names, At: goldenTime}},
@@ -151,16 +151,16 @@
 		t.Fatal(err)
 	}
 	golden.File(t, "state.json", encoded)
-	var form snapshot
-	golden.Decode(t, "state.json", func(text []byte) error { return revisions.DecodeStrict(text, &form) })
-	golden.Complete(t, form)
+	var decoded snapshot
+	golden.Decode(t, "state.json", func(text []byte) error { return revisions.DecodeStrict(text, &decoded) })
+	golden.Complete(t, decoded)
 	var restored State
 	golden.Decode(t, "state.json", restored.Restore)
-	again, err := restored.Snapshot()
+	reencoded, err := restored.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.File(t, "state.json", again)
+	golden.File(t, "state.json", reencoded)
 	if !reflect.DeepEqual(restored.Agents(), state.Agents()) || !reflect.DeepEqual(restored.Events(), state.Events()) ||
 		!reflect.DeepEqual(restored.Revisions(), state.Revisions()) || restored.Rollout() != state.Rollout() ||
 		!reflect.DeepEqual(restored.Roster(), state.Roster()) || !restored.Drained("g1") || restored.Drained("g0") ||
--- a/internal/gateway/backend.go
+++ b/internal/gateway/backend.go
@@ -418,13 +418,13 @@
 			if complete {
 				attempt.onStreamEnd(rules.Served)
 			} else {
-				attempt.onStreamEnd(rules.ConnectionLost)
+				attempt.onStreamEnd(rules.ConnectionBroken)
 			}
 		}
 		return result
 	}
 	notAborted := attempt.releaseConn()
-	if droppedIdle := result.outcome == rules.ConnectionLost && conn.limit.N == maxBufferedResponse; notAborted && conn.idleFor > 0 {
+	if droppedIdle := result.outcome == rules.ConnectionBroken && conn.limit.N == maxBufferedResponse; notAborted && conn.idleFor > 0 {
 		p.idleEstimator.Record(time.Now(), conn.idleFor, droppedIdle)
 	}
 	if notAborted && reuse {
@@ -517,7 +517,7 @@
 			resp.Body = closeDelimitedBody{resp.Body, c.limit}
 		}
 		if resp.ContentLength > maxStreamedBody {
-			return result{outcome: rules.ConnectionLost}, false
+			return result{outcome: rules.ConnectionBroken}, false
 		}
 		if resp.StatusCode != http.StatusOK && resp.ContentLength > maxBufferedBody {
 			return result{outcome: rules.Errored}, false
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -71,20 +71,20 @@
 		{"503 without proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
 		{"504 without proof", "HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
 		{"500 is no proof", "HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", rules.Errored, "", true},
-		{"closed without a response", "", rules.ConnectionLost, "", false},
-		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\n" + long, rules.ConnectionLost, "", false},
-		{"endless headers", "HTTP/1.1 200 OK\r\nX: " + long + long, rules.ConnectionLost, "", false},
+		{"closed without a response", "", rules.ConnectionBroken, "", false},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", rules.ConnectionBroken, "", false},
+		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 40000000\r\n\r\n" + long, rules.ConnectionBroken, "", false},
+		{"endless headers", "HTTP/1.1 200 OK\r\nX: " + long + long, rules.ConnectionBroken, "", false},
 		{"close-delimited body", "HTTP/1.1 200 OK\r\n\r\nok", rules.Served, "ok", false},
 		{"close-delimited error", "HTTP/1.1 500 No\r\n\r\nno", rules.Errored, "", false},
 		{"close-delimited rejection", "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\n", rules.Overloaded, "", false},
-		{"close-delimited body over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedResponse-100) + "\r\n\r\n" + long, rules.ConnectionLost, "", false},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"invalid length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"invalid chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", rules.ConnectionLost, "", false},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", rules.ConnectionLost, "", false},
+		{"close-delimited body over the limit", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxBufferedResponse-100) + "\r\n\r\n" + long, rules.ConnectionBroken, "", false},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", rules.ConnectionBroken, "", false},
+		{"invalid length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok", rules.ConnectionBroken, "", false},
+		{"invalid chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nok", rules.ConnectionBroken, "", false},
+		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok", rules.ConnectionBroken, "", false},
 		{"surplus bytes", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", rules.Served, "ok", false},
-		{"not HTTP", "SSH-2.0\r\n\r\n", rules.ConnectionLost, "", false},
+		{"not HTTP", "SSH-2.0\r\n\r\n", rules.ConnectionBroken, "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newPeer(t)
@@ -219,7 +219,7 @@
 	_, r := backend.Accept(t)
 	readRequest(t, r)
 	p.update(1, backend.Address(), 5)
-	if got := wait(t, inFlight, "result"); got.outcome != rules.ConnectionLost {
+	if got := wait(t, inFlight, "result"); got.outcome != rules.ConnectionBroken {
 		t.Errorf("in flight at the earlier run: outcome %d", got.outcome)
 	}
 	for n, address := range []string{backend.Address(), elsewhere.Address()} {
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -292,7 +292,7 @@
 		return request, errors.New(planHeader + " names no plan")
 	}
 	customer := header.Get(clientHeader)
-	account, err := site.AccountID(customer)
+	account, err := site.ParseAccountID(customer)
 	if err != nil {
 		return request, errors.New(clientHeader + " is not the number of a customer")
 	}
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -47,7 +47,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c := newBackendConn(readerConn{r: strings.NewReader(text)}, nil)
 		res, reuse := c.readResponse(http.MethodGet)
-		if res.outcome == rules.Served && len(res.body) > maxBufferedBody || res.outcome == rules.ConnectionLost && reuse {
+		if res.outcome == rules.Served && len(res.body) > maxBufferedBody || res.outcome == rules.ConnectionBroken && reuse {
 			t.Errorf("outcome %d, %d bytes, reused %t", res.outcome, len(res.body), reuse)
 		}
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,9 +52,9 @@
 
 // Peers are the other gateways of the site that this one knows.
 type Peers interface {
-	// Run participates until ctx ends. It calls onChange with each new number of local shares into which
-	// the quotas are divided, and of gateways that send to a cold backend.
-	Run(ctx context.Context, onChange func(localShares, coldSenders int))
+	// Run participates until ctx ends. It calls onChange with each new divisor of the quotas, and each
+	// new number of gateways that send to a cold backend.
+	Run(ctx context.Context, onChange func(quotaDivisor, coldSenders int))
 	AdminHandler() http.Handler // serves operators, under peersPath
 	Summary() string            // one line for operators
 }
@@ -144,7 +144,7 @@
 // serve is Run with its sockets open. operatorListener may be nil.
 func serve(ctx context.Context, c *config.Config, listener, operatorListener net.Listener, export *telemetry.Settings, peers Peers, reload Reload) error {
 	descriptors := divideDescriptors(c, peers != nil, operatorListener != nil)
-	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepAlive), descriptors.backends)
+	pools := newPools(seconds(c.ConnectTimeout), seconds(c.KeepaliveTimeout), descriptors.backends)
 	c.Settings.CheckFrontends = c.Site.Quotas.Fronts
 	counterClient, err := counter.Open(c.Site.Counter, c.Settings, c.Counter)
 	if err != nil {
@@ -202,7 +202,7 @@
 		}
 		detachedUpdate{front.loop, backends}.Process()
 	}
-	front.loop.applyListing(c.Known, rules.CachedList)
+	front.loop.applyListing(c.InitialBackends, rules.CachedList)
 	wg.Go(func() { front.loop.Run(runCtx) })
 	wg.Go(func() { pools.sweep(runCtx) })
 	if peers != nil {
@@ -224,7 +224,7 @@
 	}
 	stopWatch := startWatch(c.Discovery)
 	cachedListTimer := time.AfterFunc(cachedListDelay, func() {
-		if len(c.Known.Instances) > 0 {
+		if len(c.InitialBackends.Instances) > 0 {
 			onList()
 		}
 	})
@@ -242,7 +242,7 @@
 	acceptDone := make(chan struct{}) // closed when no more connections are accepted
 	wg.Go(func() {
 		defer close(acceptDone)
-		if c.Inherited {
+		if c.InheritedListener {
 			// Until this process can serve, the old process must accept the connections on the shared socket.
 			select {
 			case <-listReceived:
@@ -266,7 +266,7 @@
 				continue
 			}
 			if counterClient != nil && next.Settings.HasCounter {
-				counterClient.SetAddress(next.Counter)
+				counterClient.Retarget(next.Counter)
 			}
 			if next.Discovery != discovery {
 				// A version from the old address may mean nothing at the new one, so the new watch must start with
@@ -292,12 +292,12 @@
 		log.Printf("resp.most_clients: %d descriptors allow %d clients, not %d", c.Sockets, maxClients, settings.Most)
 		settings.Most = maxClients
 	}
-	front, err := respfront.Open(settings, owner, c.Settings, c.PlanNames)
+	front, err := respfront.FromSite(settings, owner, c.Settings, c.PlanNames)
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
 	}
 	listener, err := net.Listen("tcp", c.Site.RESP.Listen)
-	if err != nil && !c.Inherited {
+	if err != nil && !c.InheritedListener {
 		return nil, fmt.Errorf("limit commands: %w", err)
 	}
 	return func(ctx context.Context) {
@@ -353,14 +353,14 @@
 	front.shuttingDown.Store(true)
 	killTime := start.Add(minKillDelay(c))
 	usedFor := time.Duration(0)
-	if c.Inherited {
+	if c.InheritedListener {
 		usedFor = acceptAfterStop / 2
 		clients.Close()
 	}
 	for end := start.Add(acceptAfterStop); time.Now().Before(end); time.Sleep(shutdownPollInterval) {
 		clients.closeIdleConns(usedFor, unlimited)
 	}
-	if !c.Inherited {
+	if !c.InheritedListener {
 		clients.drainBacklog()
 	}
 	<-acceptDone
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -384,8 +384,8 @@
 	}
 }
 
-// An amount that was added by a call that was written off, because its response had no total, must not stay
-// in a window that another gateway has started: the customer would lack it until the window ends.
+// An amount that a call wrote off, and that was added although the response had no total, must not stay in a
+// window that another gateway has started: the customer would lack it until the window ends.
 func TestRefillWithoutTotalIsReturned(t *testing.T) {
 	t.Parallel()
 	for name, breakResponse := range map[string]func(net.Conn){
@@ -427,7 +427,7 @@
 }
 
 // A reload under load moves discovery and the counter and loses nothing: open requests get their responses,
-// the new discovery is asked for its full list, the pending counter call is completed by the old counter,
+// the new discovery is called for its full list, the pending counter call is completed by the old counter,
 // and an invalid file changes nothing.
 func TestReload(t *testing.T) {
 	t.Parallel()
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -46,7 +46,7 @@
 		outcome = attemptOnce()
 		readRequest(t, r) // on the same connection
 		conn.Close()
-		if got := wait(t, outcome, "outcome"); got != rules.ConnectionLost {
+		if got := wait(t, outcome, "outcome"); got != rules.ConnectionBroken {
 			t.Fatalf("outcome %d on a dropped connection", got)
 		}
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -146,8 +146,8 @@
 }
 
 // setFleet posts the number of gateways to the loop.
-func (l *Loop) setFleet(localShares, coldSenders int) {
-	l.Post(fleetUpdate{l, rules.FleetUpdate{LocalShares: localShares, ColdSenders: coldSenders}})
+func (l *Loop) setFleet(quotaDivisor, coldSenders int) {
+	l.Post(fleetUpdate{l, rules.FleetUpdate{QuotaDivisor: quotaDivisor, ColdSenders: coldSenders}})
 }
 
 // disconnect handles a client's disconnect. A streamed response may just have been handed to the
@@ -461,8 +461,8 @@
 	}
 }
 
-// Done reports whether the attempt's timeout no longer applies.
-func (a *attempt) Done() bool { return a.ended || a.streaming }
+// Finished reports whether the attempt's timeout no longer applies.
+func (a *attempt) Finished() bool { return a.ended || a.streaming }
 
 // Expire times out an attempt at its deadline.
 func (a *attempt) Expire() {
