--- a/rules/checks.go
+++ b/rules/checks.go
@@ -5,130 +5,130 @@
 	"slices"
 )
 
-// Checks: units of a customer's quota without a request. They wait in the customer's line, are paid by its
-// leases or its local share and are answered by the same steps as requests (admit, giveBack); only what they
-// are told is here.
+// Checks spend units of a quota without a request. They wait in the customer's queue, are paid by its leases
+// or its local share, and are answered in the steps of requests (admit, refuseOrFail). Here is what differs.
 
-// checkClass stands for the class of a check, which has none.
+// checkClass is the class of all checks.
 var checkClass Class
 
-// check takes in a take. One for more than the store ever holds is answered at once: no wait would help.
-func (g *Gateway) check(e Check) {
+// handleCheck accepts a check. One for more than the bucket can hold is answered at once: no wait would help.
+func (g *Gateway) handleCheck(e Check) {
 	r := Request{ID: e.ID, Customer: e.Customer, Plan: e.Plan, Units: e.Units, FirstGateway: e.FirstGateway,
 		Gateways: e.Gateways, SentAt: g.now, Deadline: e.Deadline}
-	j := g.spare // most checks are over at once, and the next takes the place of the last
-	if g.spare = nil; j == nil {
-		j = &job{}
+	req := g.freeRequest // most checks end at once, and the next one reuses the allocation
+	if g.freeRequest = nil; req == nil {
+		req = &activeRequest{}
 	}
-	*j = job{Request: r, class: &checkClass, check: true, partial: e.Partial, giveUp: max(e.Deadline, g.now)}
-	j.level = len(g.worths) - 1 // it takes no place of a backend, and the levels are for those
-	j.customer = g.customerOf(r)
-	if t := &j.customer.terms; !(r.Units > 0) || t.rate > 0 && r.Units > t.allowance {
-		g.checked(j, 0, false)
+	*req = activeRequest{Request: r, class: &checkClass, isCheck: true, partial: e.Partial,
+		answerBy: max(e.Deadline, g.now)}
+	req.level = len(g.values) - 1 // levels rank requests for backends, and it is sent to none
+	req.customer = g.ensureCustomer(r)
+	if t := &req.customer.limits; !(r.Units > 0) || t.rate > 0 && r.Units > t.allowance {
+		g.finishCheck(req, 0, false)
 		return
 	}
-	if g.line(j); !j.done {
-		g.jobs[r.ID] = j
-		g.timer(j.giveUp-g.now, timerEnd, 0, r.ID)
+	if g.waitForQuota(req); !req.done {
+		g.requests[r.ID] = req
+		g.setTimer(req.answerBy-g.now, timerAnswerBy, 0, r.ID)
 	}
 }
 
-// later takes a check that may wait out of its customer's line until then, and tells whether it did. Danger:
-// left at the head, it would hold up the customer's requests, which can't wait so long.
-func (g *Gateway) later(j *job, until float64) bool {
-	at := max(until, g.now+g.set.Tick)
-	if !j.check || at+g.set.Tick > j.giveUp {
+// postponeCheck removes a check that may wait from its customer's queue until then, and reports whether it
+// did. At the head of the queue it would block the customer's requests, which can't wait as long.
+func (g *Gateway) postponeCheck(req *activeRequest, until float64) bool {
+	at := max(until, g.now+g.cfg.Tick)
+	if !req.isCheck || at+g.cfg.Tick > req.answerBy {
 		return false
 	}
-	j.customer.waiting = slices.DeleteFunc(j.customer.waiting, func(w *job) bool { return w == j })
-	g.timer(at-g.now, timerLine, 0, j.ID)
+	req.customer.queue = slices.DeleteFunc(req.customer.queue, func(w *activeRequest) bool { return w == req })
+	g.setTimer(at-g.now, timerCheckRetry, 0, req.ID)
 	return true
 }
 
-// checked answers a check and forgets it.
-func (g *Gateway) checked(j *job, units float64, shared bool) {
-	c := j.customer
-	g.close(j)
-	g.spare = j
-	a := g.known(c, j.Plan)
-	a.ID, a.Granted, a.Shared = j.ID, units, shared
-	if left := j.Units - units; left > 0 && c.terms.rate > 0 {
-		a.RetryAfter = max((left-a.Remaining)/c.terms.rate, c.dryUntil-g.now, c.restTill-g.now, g.set.Tick)
+func (g *Gateway) finishCheck(req *activeRequest, units float64, shared bool) {
+	c := req.customer
+	g.closeRequest(req)
+	g.freeRequest = req
+	a := g.bucketState(c, req.Plan)
+	a.ID, a.Granted, a.Shared = req.ID, units, shared
+	if missing := req.Units - units; missing > 0 && c.limits.rate > 0 {
+		a.RetryAfter = max((missing-a.Remaining)/c.limits.rate, c.exhaustedUntil-g.now,
+			c.backoffUntil-g.now, g.cfg.Tick)
 	}
-	g.say(a)
+	g.emitCheckResult(a)
 }
 
-// least is how many units a request or check will do with.
-func (j *job) least() float64 {
-	if j.partial {
-		return min(j.Units, 1)
+// minUnits returns the least number of units that a request or check accepts.
+func (r *activeRequest) minUnits() float64 {
+	if r.partial {
+		return min(r.Units, 1)
 	}
-	return j.Units
+	return r.Units
 }
 
-// part grants a partial check what there is, in whole units.
-func (g *Gateway) part(j *job) {
-	c, units, shared := j.customer, 0.0, true
-	if j.partial {
-		if units = math.Floor(max(c.units, 0)); units > 0 {
-			units = min(units, j.Units)
-			g.spend(c, units)
-		} else if !g.set.HasCounter || g.now < c.restTill {
-			c.takeLocal(g.now, 0, 0)
-			shared, units = false, min(math.Floor(max(c.local, 0)), j.Units)
-			c.local -= units
-			c.owed += units
+// grantPartial grants a partial check the units that are available, in whole units.
+func (g *Gateway) grantPartial(req *activeRequest) {
+	c, units, shared := req.customer, 0.0, true
+	if req.partial {
+		if units = math.Floor(max(c.leased, 0)); units > 0 {
+			units = min(units, req.Units)
+			g.spendLease(c, units)
+		} else if !g.cfg.HasCounter || g.now < c.backoffUntil {
+			c.spendLocal(g.now, 0, 0)
+			shared, units = false, min(math.Floor(max(c.localUnits, 0)), req.Units)
+			c.localUnits -= units
+			c.unreported += units
 		}
 	}
-	g.checked(j, units, shared && units > 0)
+	g.finishCheck(req, units, shared && units > 0)
 }
 
-// known is what this gateway knows of a customer's store.
-func (g *Gateway) known(c *customer, plan int) CheckResult {
-	t := &c.terms
+// bucketState returns what this gateway knows of a customer's token bucket.
+func (g *Gateway) bucketState(c *customer, plan int) CheckResult {
+	t := &c.limits
 	if t.rate <= 0 {
 		return CheckResult{Remaining: math.Inf(1), Exact: true}
 	}
-	floor := g.roll(c)
-	c.takeLocal(g.now, 0, 0)
-	a := CheckResult{Window: c.window, Remaining: max(c.local, 0)}
-	if g.set.HasCounter && c.known > 0 && g.now >= c.restTill {
-		// The total as last seen, with what it has not been told yet; others may have taken more since.
+	full := g.rollWindow(c)
+	c.spendLocal(g.now, 0, 0)
+	a := CheckResult{Window: c.window, Remaining: max(c.localUnits, 0)}
+	if g.cfg.HasCounter && c.knownTotal > 0 && g.now >= c.backoffUntil {
+		// The last known total and what is not reported yet. Others may have spent more since.
 		a.Exact = true
-		a.Remaining = min(max(t.allowance-max(c.known+c.owed-floor, 0), 0)+max(c.units, 0), t.allowance)
+		a.Remaining = min(max(t.allowance-max(c.knownTotal+c.unreported-full, 0), 0)+max(c.leased, 0), t.allowance)
 	}
-	a.ResetAfter = max(g.set.Plans[plan].Burst-a.Remaining, 0) / t.rate
+	a.ResetAfter = max(g.cfg.Plans[plan].Burst-a.Remaining, 0) / t.rate
 	return a
 }
 
-// peek tells what is known, and asks nobody.
+// peek answers with what is known here, without a call to the counter.
 func (g *Gateway) peek(e Peek) {
-	c := g.customerOf(Request{Customer: e.Customer, Plan: e.Plan, FirstGateway: e.FirstGateway,
+	c := g.ensureCustomer(Request{Customer: e.Customer, Plan: e.Plan, FirstGateway: e.FirstGateway,
 		Gateways: e.Gateways})
-	a := g.known(c, e.Plan)
+	a := g.bucketState(c, e.Plan)
 	a.ID = e.ID
-	g.say(a)
+	g.emitCheckResult(a)
 }
 
-// give takes units back. Danger: a store that was renewed since must not be lifted over its burst by what
-// came out of an earlier one. Into the present one they go with the next call, which a full store writes off
-// again; the local share, which leases count against, has them back at once.
-func (g *Gateway) give(e Refund) {
-	c := g.customerOf(Request{Customer: e.Customer, Plan: e.Plan, FirstGateway: e.FirstGateway,
+// refund takes units back. Units of an earlier window must not lift a bucket that was renewed since above its
+// burst. Units of the present window go back with the next call, which a full bucket writes off again; the
+// local share, which leases count against, has them back at once.
+func (g *Gateway) refund(e Refund) {
+	c := g.ensureCustomer(Request{Customer: e.Customer, Plan: e.Plan, FirstGateway: e.FirstGateway,
 		Gateways: e.Gateways})
-	back := 0.0
-	if c.terms.rate > 0 {
-		g.roll(c)
+	returned := 0.0
+	if c.limits.rate > 0 {
+		g.rollWindow(c)
 		if c.window == e.Window && e.Units > 0 {
-			back = min(e.Units, c.terms.allowance)
-			c.owed -= back
-			c.dryUntil = 0
-			c.takeLocal(g.now, 0, 0)
-			c.local = min(c.local+back, c.terms.localBurst)
+			returned = min(e.Units, c.limits.allowance)
+			c.unreported -= returned
+			c.exhaustedUntil = 0
+			c.spendLocal(g.now, 0, 0)
+			c.localUnits = min(c.localUnits+returned, c.limits.localBurst)
 		}
 	}
-	a := g.known(c, e.Plan)
-	a.ID, a.Granted = e.ID, back
-	g.say(a)
+	a := g.bucketState(c, e.Plan)
+	a.ID, a.Granted = e.ID, returned
+	g.emitCheckResult(a)
 	g.admit(c)
 }
--- a/rules/checks_test.go
+++ b/rules/checks_test.go
@@ -69,7 +69,7 @@
 	for _, units := range []float64{4.5, 1e9, 0, -1, math.NaN(), math.Inf(1)} {
 		d := start(t, testSettings(), some(1)...)
 		a, out := d.take(store{}, 5, units, func(e *Check) { e.Deadline = d.now + 60 })
-		if a.Granted != 0 || len(find[CounterAdd](out)) != 0 || len(d.g.jobs) != 0 {
+		if a.Granted != 0 || len(find[CounterAdd](out)) != 0 || len(d.g.requests) != 0 {
 			t.Errorf("%g units: %+v, %d calls", units, a, len(find[CounterAdd](out)))
 		}
 	}
@@ -98,15 +98,15 @@
 	var granted []*CheckResult
 	for at := d.now; d.now < at+10 && len(granted) == 0; {
 		d.now += 0.05
-		out := d.handle(TimerFired{Token: timerHouse << 56})
-		out = append(out, d.handle(TimerFired{Token: timerLine<<56 | uint64(id)})...)
+		out := d.handle(TimerFired{Token: timerHousekeeping << 56})
+		out = append(out, d.handle(TimerFired{Token: timerCheckRetry<<56 | uint64(id)})...)
 		granted = find[*CheckResult](s.answer(d, out))
 	}
 	if len(granted) != 1 || granted[0].Granted != 3 || granted[0].ID != id {
 		t.Errorf("what waited got %+v", granted)
 	}
-	if len(d.g.jobs) != 0 {
-		t.Errorf("%d left", len(d.g.jobs))
+	if len(d.g.requests) != 0 {
+		t.Errorf("%d left", len(d.g.requests))
 	}
 }
 
@@ -134,7 +134,7 @@
 	if after := peek(); !after.Exact || after.Remaining != before.Remaining || after.Remaining > 3 || after.ResetAfter < 0.5 {
 		t.Errorf("%+v, then %+v", before, after)
 	}
-	d.g.set.Plans[1].Rate = 0
+	d.g.cfg.Plans[1].Rate = 0
 	if a := one[*CheckResult](t, d.handle(Peek{ID: 99, Customer: 6, Plan: 1, Gateways: 2})); !math.IsInf(a.Remaining, 1) {
 		t.Errorf("without a quota: %+v", a)
 	}
@@ -159,7 +159,7 @@
 	if b := give(3, a.Window); b.Granted != 3 {
 		t.Errorf("of this window: %+v", b)
 	}
-	s.answer(d, d.handle(TimerFired{Token: timerHouse << 56}))
+	s.answer(d, d.handle(TimerFired{Token: timerHousekeeping << 56}))
 	other.now += 2
 	d.now += 2
 	if b, _ := other.take(s, 5, 4, nil); b.Granted != 4 {
@@ -167,7 +167,7 @@
 	}
 	for range 20 {
 		give(4, a.Window)
-		s.answer(d, d.handle(TimerFired{Token: timerHouse << 56}))
+		s.answer(d, d.handle(TimerFired{Token: timerHousekeeping << 56}))
 	}
 	got := 0.0
 	for range 20 {
@@ -213,7 +213,7 @@
 			at    float64
 			token uint64
 		}
-		timers := []timer{{d.now, timerHouse << 56}}
+		timers := []timer{{d.now, timerHousekeeping << 56}}
 		see := func(out []Action) {
 			for _, a := range out {
 				switch a := a.(type) {
--- a/rules/divide_test.go
+++ b/rules/divide_test.go
@@ -25,7 +25,7 @@
 		if c.share > 0 {
 			d.handle(FleetUpdate{QuotaDivisor: c.share, ColdSenders: 2})
 		}
-		if got := d.g.terms(&set.Plans[0], c.gateways, 0).localBurst; got != c.want {
+		if got := d.g.limitsFor(&set.Plans[0], c.gateways, 0).localBurst; got != c.want {
 			t.Errorf("share by %d, %d gateways: %g units, want %g", c.share, c.gateways, got, c.want)
 		}
 	}
@@ -37,10 +37,10 @@
 	set := testSettings()
 	set.FleetSize = 2
 	d := start(t, set, some(2)...)
-	before := d.g.terms(&set.Plans[0], 2, 0)
+	before := d.g.limitsFor(&set.Plans[0], 2, 0)
 	d.handle(FleetUpdate{QuotaDivisor: 1 << 30, ColdSenders: 9})
-	after := d.g.terms(&set.Plans[0], 2, 0)
-	if before.exact != after.exact || before.window != after.window || before.allowance != after.allowance || before.first != after.first {
+	after := d.g.limitsFor(&set.Plans[0], 2, 0)
+	if before.exact != after.exact || before.windowSeconds != after.windowSeconds || before.allowance != after.allowance || before.firstLease != after.firstLease {
 		t.Errorf("%+v became %+v", before, after)
 	}
 }
@@ -48,11 +48,11 @@
 // What a cold backend always gets is divided by the senders that are known.
 func TestColdRoomGoesBySenders(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	if got, want := d.g.senders(), float64(max(testSettings().FleetSize, 1)); got != want {
+	if got, want := d.g.coldSenders(), float64(max(testSettings().FleetSize, 1)); got != want {
 		t.Errorf("%g senders by the settings, want %g", got, want)
 	}
 	d.handle(FleetUpdate{QuotaDivisor: 7, ColdSenders: 9})
-	if got := d.g.senders(); got != 9 {
+	if got := d.g.coldSenders(); got != 9 {
 		t.Errorf("%g senders, want 9", got)
 	}
 	// Sends that a gateway with no others' traffic to go by saves up for a cold backend in 20 s.
@@ -63,15 +63,15 @@
 		d.handle(fleet)
 		d.handle(Backends{Kind: DeltaList, Entries: []Backend{{ID: 900, State: Ready, StartedAt: d.now, Weight: 1}}})
 		d.now += 20
-		d.handle(TimerFired{Token: timerHouse << 56})
-		s := d.g.servers[900]
-		d.g.coldRoom(s)
-		return s.budget
+		d.handle(TimerFired{Token: timerHousekeeping << 56})
+		s := d.g.backends[900]
+		d.g.coldBudgetAllows(s)
+		return s.coldBudget
 	}
-	if got := saved(FleetUpdate{}); got != coldSave {
-		t.Errorf("one of two saved %g sends, want %g", got, coldSave)
+	if got := saved(FleetUpdate{}); got != maxColdBudget {
+		t.Errorf("one of two saved %g sends, want %g", got, maxColdBudget)
 	}
-	if got, most := saved(FleetUpdate{QuotaDivisor: 7, ColdSenders: 20}), 20*coldMin/20; got <= 0 || got > most {
+	if got, most := saved(FleetUpdate{QuotaDivisor: 7, ColdSenders: 20}), 20*minColdRate/20; got <= 0 || got > most {
 		t.Errorf("one of twenty saved %g sends, want at most %g", got, most)
 	}
 }
@@ -88,8 +88,8 @@
 		set.FleetSize = 2
 		d := start(t, set, some(2)...)
 		d.handle(FleetUpdate{ColdSenders: c.cold})
-		d.g.held, d.g.load = c.held, c.load
-		if got := d.g.senders(); math.Abs(got-c.want) > 1e-9 {
+		d.g.meanReported, d.g.meanInFlight = c.held, c.load
+		if got := d.g.coldSenders(); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%g held, %g own, %d told of: %g senders, want %g", c.held, c.load, c.cold, got, c.want)
 		}
 	}
--- a/rules/fleet_counter_test.go
+++ b/rules/fleet_counter_test.go
@@ -30,9 +30,9 @@
 	set.FleetSize = 300
 	set.Plans = []Plan{{Price: 1, Rate: 0.8, Burst: 4}, {Price: 2, Rate: 12, Burst: 20}}
 	d := start(t, set, some(2)...)
-	d.g.bound = 1000
-	d.g.untold[0], d.g.told[0] = 6, 4 // seldom: three in five go untold
-	d.g.untold[1], d.g.told[1] = 0, 9
+	d.g.limit = 1000
+	d.g.recentLocal[0], d.g.recentLeased[0] = 6, 4 // seldom: three in five go untold
+	d.g.recentLocal[1], d.g.recentLeased[1] = 0, 9
 	for plan, tells := range []float64{1 + 6.0/4, 1} {
 		d.nextID++
 		out := d.handle(Request{ID: d.nextID, Plan: plan, Customer: CustomerID(90 + plan), Units: 1, Gateways: 200, Deadline: d.now + 2})
@@ -49,14 +49,14 @@
 	set.FleetSize = 300
 	set.Plans = []Plan{{Price: 1, Rate: 0.8, Burst: 4}, {Price: 2, Rate: 4, Burst: 6}, {Price: 2, Rate: 12, Burst: 20}, {Price: 1}}
 	d := start(t, set, some(2)...)
-	d.g.bound = 1000
+	d.g.limit = 1000
 	for plan, want := range []int{1, 1, 2, 4} {
 		sent := 0
 		for range 4 {
 			d.nextID++
 			who := CustomerID(90 + plan)
 			if c := d.g.customers[who]; c != nil {
-				c.restTill = d.now + 10
+				c.backoffUntil = d.now + 10
 			}
 			out := d.handle(Request{ID: d.nextID, Plan: plan, Customer: who, Units: 1, Gateways: 200, Deadline: d.now + 2})
 			for _, a := range out {
@@ -81,7 +81,7 @@
 		set := testSettings()
 		set.FleetSize, set.Plans = 300, []Plan{{Price: 1, Rate: 2, Burst: 6}}
 		d := start(t, set, some(2)...)
-		d.g.bound = 1000
+		d.g.limit = 1000
 		for i, total := range []float64{-1e9, 1e9, 3, -1, 1e300, -1e300, 0, 5, 4, 3, 2, 1} {
 			sent := 0
 			for range 5 {
@@ -100,8 +100,8 @@
 				t.Errorf("%d gateways: %d units are sent by a total of %v", gateways, sent, total)
 			}
 		}
-		for _, c := range d.g.roster {
-			if v := c.units + c.known + c.owed + c.doubt + c.local + c.dryUntil; v != v || v > 1e12 {
+		for _, c := range d.g.customerList {
+			if v := c.leased + c.knownTotal + c.unreported + c.uncertain + c.localUnits + c.exhaustedUntil; v != v || v > 1e12 {
 				t.Errorf("%d gateways: the books are spoilt: %+v", gateways, *c)
 			}
 		}
@@ -117,8 +117,8 @@
 		for plan := range plans {
 			d.nextID++
 			d.handle(Request{ID: d.nextID, Plan: plan, Customer: CustomerID(plan), Units: 1, Gateways: 200, Deadline: d.now + 2})
-			if c := d.g.customers[CustomerID(plan)]; c.local != c.local || c.terms.localBurst != c.terms.localBurst {
-				t.Errorf("plan %d of %d: a share of %v, %v left", plan, len(plans), c.terms.localBurst, c.local)
+			if c := d.g.customers[CustomerID(plan)]; c.localUnits != c.localUnits || c.limits.localBurst != c.limits.localBurst {
+				t.Errorf("plan %d of %d: a share of %v, %v left", plan, len(plans), c.limits.localBurst, c.localUnits)
 			}
 		}
 	}
--- a/rules/fleet_hard_test.go
+++ b/rules/fleet_hard_test.go
@@ -88,7 +88,7 @@
 	f.run(f.now + 4)
 	t.Logf("at one backend at most: %d before, %d after", before, after)
 	// The mean is bounded by boundStart; the fullest of 100 has some times that, as chance is.
-	if most := int(9 * boundStart); after > most {
+	if most := int(9 * initialLimit); after > most {
 		t.Errorf("%d requests are at one backend after the restart, %d before, %d at most", after, before, most)
 	}
 	served := func(from, to float64) (n float64) {
--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -280,7 +280,7 @@
 	set := testSettings()
 	set.FleetSize, set.Plans, set.LoadFields = 80, []Plan{{Price: 1}, {Price: 1}}, []LoadField{LoadInFlight, LoadQueued}
 	d := start(t, set, some(2)...)
-	d.g.bound = 100
+	d.g.limit = 100
 	to := func() BackendID {
 		d.ask(0, 0, 1)
 		return one[Send](t, d.last).Backend
@@ -304,7 +304,7 @@
 		}
 		end(b, load...)
 	}
-	d.now += 10 * heldSpan
+	d.now += 10 * reportDecaySeconds
 	seen := map[BackendID]bool{}
 	for range 40 {
 		b := to()
@@ -340,7 +340,7 @@
 // Units that are leased for a request with no place in time are lost to all gateways.
 func TestRequestWithNoPlaceDoesNotPay(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	d.g.bound, d.g.latency, d.g.spread = 1, 0.4, 0.1
+	d.g.limit, d.g.latency, d.g.latencyDev = 1, 0.4, 0.1
 	for i := range 8 {
 		d.ask(0, 1, CustomerID(10+i))
 	}
@@ -349,7 +349,7 @@
 	if n := len(find[CounterAdd](out)); n > 0 {
 		t.Errorf("%d calls for a request that has no place", n)
 	}
-	if r := one[Refuse](t, out); r.Request != d.nextID || r.Reason != NoCapacity || r.RetryAfter != d.g.set.MaxRetryAfter {
+	if r := one[Refuse](t, out); r.Request != d.nextID || r.Reason != NoCapacity || r.RetryAfter != d.g.cfg.MaxRetryAfter {
 		t.Errorf("refused %+v", r)
 	}
 }
@@ -395,8 +395,8 @@
 			set := testSettings()
 			set.FleetSize, set.Rank = c.fleet, rank
 			d := start(t, set, some(c.backends)...)
-			for _, s := range d.g.list {
-				if !s.far {
+			for _, s := range d.g.backendList {
+				if !s.offSubset {
 					near[s.ID]++
 				}
 			}
@@ -423,16 +423,16 @@
 		gone := cold
 		gone.State = Removed
 		d.handle(Backends{Kind: DeltaList, Entries: []Backend{cold, gone, cold}})
-		d.g.bound = 100
+		d.g.limit = 100
 		sent := 0
 		for i := range 40 {
 			d.now += 0.1
 			d.ask(0, 1, CustomerID(i))
 			sent += len(find[Send](d.last))
-			d.handle(TimerFired{Token: timerHouse << 56})
-			for _, b := range d.g.list {
-				if math.IsNaN(b.budget) || b.budget > coldSave || math.IsNaN(d.g.bound) || math.IsInf(d.g.bound, 0) {
-					t.Fatalf("%+v: budget %v, bound %v", set, b.budget, d.g.bound)
+			d.handle(TimerFired{Token: timerHousekeeping << 56})
+			for _, b := range d.g.backendList {
+				if math.IsNaN(b.coldBudget) || b.coldBudget > maxColdBudget || math.IsNaN(d.g.limit) || math.IsInf(d.g.limit, 0) {
+					t.Fatalf("%+v: budget %v, bound %v", set, b.coldBudget, d.g.limit)
 				}
 			}
 		}
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,10 +1,10 @@
 package rules
 
-// The decisions of one gateway. The interface it is driven through (settings, events, actions) is in
-// rules/types.go; rules/state.go declares what is kept between events, and decides nothing.
-// A request passes these steps: its customer's lease pays for it (admit), it waits in the queue of its
-// level (enqueue), the bound lets it go (dispatch), a backend is picked (pick), and one function sends
-// (send) and one answers (giveBack), which hold the rules that no other step may bypass.
+// The decisions of one gateway. Its settings, events and actions are declared in rules/types.go, the state
+// kept between events in rules/state.go, which decides nothing. A request passes these steps: a lease of its
+// customer admits it (admit), it waits in the queue of its level (enqueue), the concurrency limit releases it
+// (dispatch) and a backend is chosen (pickBackend). Only send starts attempts and only refuseOrFail answers
+// without a backend: they enforce the rules that no other step may bypass.
 
 import (
 	"cmp"
@@ -12,1128 +12,1129 @@
 	"slices"
 )
 
-// Tuned values. Each is a share or a count that holds for any deployment.
+// Parameters. Each is a ratio, a count or a duration that fits any deployment.
 const (
-	// The bound on work in flight.
-	boundStart   = 4.0  // attempts a backend, shared among the gateways: high, cut soon if wrong
-	boundFloor   = 3.0  // it never shrinks below so many a backend: all slow together, cores still need work
-	boundCut     = 0.75 // factor on the bound when latency nears the aim
-	boundHigh    = 0.38 // mean latency, as a share of the aim, above which the bound shrinks
-	boundLow     = 0.28 // and below which it may grow
-	boundUsed    = 0.8  // it grows only while this share of it is in use
-	boundBurst   = 3.0  // a bound below so many attempts is kept in the mean over loadSpan, not each moment
-	loadSpan     = 1.0  // seconds
-	reserveShare = 0.15 // part of the bound that only top levels may use
-	topWorth     = 0.5  // levels worth at least this share of the highest are top
+	// Limit on attempts in flight.
+	initialLimit       = 4.0  // attempts per backend, divided among the gateways; high, as it is cut quickly
+	minLimit           = 3.0  // attempts per backend: when all are slow at once, their cores still need work
+	limitCutFactor     = 0.75 // by which the limit is cut when latency nears the objective
+	cutLatencyRatio    = 0.38 // mean latency, as a fraction of the objective, above which the limit is cut
+	growLatencyRatio   = 0.28 // and below which it may grow
+	growMinUse         = 0.8  // it grows only while this fraction of it is in use
+	meanLimitBelow     = 3.0  // attempts; a smaller limit applies to the mean over loadMeanSeconds
+	loadMeanSeconds    = 1.0
+	topReserveFraction = 0.15 // part of the limit that only top levels may use
+	topValueFraction   = 0.5  // levels of at least this fraction of the highest value are top levels
 
 	// Leases on the shared counter.
-	exactMost    = 5.0  // gateways that can keep the store of a customer exactly
-	windowLen    = 50.0 // seconds of an exact store's window; names live 60 s at most
-	dryMost      = 3.0  // units of refill after which an empty store is asked for again
-	refundLeast  = 0.25 // of a unit; less is not worth a call
-	ceilingLease = 0.22 // part of a ceiling's burst that a window may lease; the rest is for local shares
-	nameKeep     = 60.0 // seconds a name lives: longer than its window
-	leaseShare   = 0.5  // a lease lives this part of its window
-	localMost    = 2.0  // units of a local share, where gateways are many
-	untoldSpan   = 5.0  // seconds over which units paid by leases and by local shares are compared
-	untoldMost   = 2.0  // times its own units, is what a call may tell for others
-	lostMost     = 64   // calls with no answer that are remembered, should one come late
-	counterRest  = 0.25 // first pause after a failed call, seconds; doubles
-	counterMost  = 2.0  // longest pause
-	demandSpan   = 2.0  // seconds over which demand is averaged
-	crowdGain    = 0.05 // least weight of the newest call in the share of calls that fail
-	crowdSpan    = 2.0  // seconds of that share, where calls are so few that one would weigh less
-	crowdFactor  = 4.0  // so many times that share of calls are left out: a crowded counter gets air
-	crowdMost    = 0.9
+	maxExactGateways       = 5.0  // gateways that can keep the bucket of a customer exactly
+	exactWindowSeconds     = 50.0 // window of an exact bucket; keys live 60 s at most
+	maxExhaustedRefill     = 3.0  // units of refill after which an exhausted bucket is tried again
+	minCorrectionUnits     = 0.25 // less is not worth a call
+	ceilingLeaseFraction   = 0.22 // part of a ceiling's burst that a window may lease; the rest is local
+	keyTTLSeconds          = 60.0 // longer than the key's window
+	leaseTTLFraction       = 0.5  // part of its window for which a lease is valid
+	maxLocalBurstUnits     = 2.0  // burst of a local share in a large fleet
+	usageDecaySeconds      = 5.0  // over which units paid by leases and by local shares are compared
+	maxUnreportedRatio     = 2.0  // what a call may report for others, as a multiple of its own units
+	maxTimedOutCalls       = 64   // remembered for a late reply
+	minBackoffSeconds      = 0.25 // first backoff after a failed call; doubles
+	maxBackoffSeconds      = 2.0
+	demandMeanSeconds      = 2.0
+	callFailureMinWeight   = 0.05 // least weight of the newest call in the failure rate of calls
+	callFailureMeanSeconds = 2.0  // averaging time of that rate if a call would weigh less
+	callSkipFactor         = 4.0  // this many times that rate is skipped, to relieve an overloaded counter
+	maxCallSkipRate        = 0.9
 
-	// Leases of places for attempts out at once.
-	slotSalt      = 1 << 40
-	placeUse      = 0.65 // mean use of the places, where they are kept as a rate
-	placeWindow   = 1.0  // seconds of the window for that
-	slotWindowLen = 10.0 // seconds; what a dead gateway held comes free by then
-	slotRetry     = 0.03 // seconds until the next call when all places are taken
+	// Leases of slots for concurrent attempts.
+	slotKeySalt           = 1 << 40
+	slotUseFraction       = 0.65 // mean use of the slots where they are enforced as a rate
+	slotRateWindowSeconds = 1.0  // window of that rate
+	slotWindowSeconds     = 10.0 // by its end the slots of a dead gateway are free
+	slotRetrySeconds      = 0.03 // until the next call when all slots are in use
 
 	// Health of a backend.
-	failGain   = 0.25 // weight of the newest outcome in the failure share
-	failEject  = 0.4  // failure share at which a backend gets trials only
-	paceGain   = 0.15 // weight of the newest latency
-	paceMost   = 8.0  // a backend counts as this many times slower at most
-	trialFirst = 0.5  // seconds between trials of an ejected backend; doubles
-	trialMost  = 4.0
-	healthSpan = 5.0  // seconds over which what was learnt of a backend in use fades
-	costDoubt  = 0.05 // backends whose cost differs by less than this share are taken alike
-	lateDevs   = 4.0  // an attempt is late this many mean deviations past the mean
+	failureWeight      = 0.25 // weight of the newest outcome in the failure rate
+	ejectFailureRate   = 0.4  // failure rate from which a backend is ejected and gets trials only
+	latencyWeight      = 0.15 // weight of the newest latency
+	maxLatencyRatio    = 8.0  // a backend counts as at most this many times slower than the mean
+	minTrialSeconds    = 0.5  // between trials of an ejected backend; doubles
+	maxTrialSeconds    = 4.0
+	healthDecaySeconds = 5.0  // over which the measured health of a backend in use decays
+	costJitter         = 0.05 // backends whose costs differ by less than this fraction count as equal
+	slowDeviations     = 4.0  // mean deviations above the mean from which an attempt is slow
 
-	// Near backends, where a gateway is one of many.
-	nearGateways = 16.0 // that come to a backend
-	nearLeast    = 8.0  // backends
-	farCost      = 1.5  // factor
+	// Subset of the backends that a gateway of a large fleet uses.
+	subsetGateways      = 16.0 // gateways that use each backend
+	minSubsetBackends   = 8.0
+	offSubsetCostFactor = 1.5
 
-	// Load reports, where a gateway is one of many.
-	heldSpan = 3.0 // seconds over which one fades
-	heldGain = 0.05
-	heldMost = 1e6 // requests; more is no report
+	// Load reports in a large fleet.
+	reportDecaySeconds  = 3.0
+	reportWeight        = 0.05
+	maxReportedRequests = 1e6 // more is no valid report
 
 	// Further attempts.
-	retryShare = 0.15 // of first sends, so that retries cannot amplify an overload
-	retryMost  = 10.0 // retries saved up at most
+	retryTokensPerSend = 0.15 // per first attempt, so that retries cannot amplify an overload
+	maxRetryTokens     = 10.0
 
-	coldSpan = 2.0  // seconds over which sends to warm backends are averaged
-	coldMin  = 0.5  // sends a second, of the whole fleet, that a cold backend always gets
-	coldSave = 1.5  // sends a cold backend's budget holds at most
-	coldWide = 0.4  // of its share, is what a backend with no capacity at all would get from many gateways
-	askRest  = 1.0  // seconds until discovery is asked again after it failed
-	houseGap = 0.05 // seconds between rounds of housekeeping
-	idleDrop = 60.0 // seconds after which a customer is forgotten
+	warmRateMeanSeconds    = 2.0  // over which sends to warm backends are averaged
+	minColdRate            = 0.5  // sends per second of the whole fleet that a cold backend always gets
+	maxColdBudget          = 1.5  // sends
+	largeFleetColdFraction = 0.4  // part of its share that a backend with no capacity at all would get there
+	discoveryRetrySeconds  = 1.0  // until discovery is asked again after it failed
+	housekeepingSeconds    = 0.05 // interval
+	customerIdleSeconds    = 60.0 // after which a customer is dropped
 )
 
 // Kinds of timer, in the top byte of a token.
 const (
-	timerHouse = iota
-	timerStart // a request that has not been sent is too late now
-	timerEnd   // a request must be answered now
-	timerAsk   // discovery failed a while ago
-	timerLate  // an attempt takes longer than usual
-	timerLine  // a check that waits for units may ask again
+	timerHousekeeping = iota
+	timerSendBy       // a request that has not been sent is too late now
+	timerAnswerBy     // a request must be answered now
+	timerSubscribe    // discovery failed a while ago
+	timerSlowAttempt  // an attempt takes longer than usual
+	timerCheckRetry   // a check that waits for units may try again
 )
 
-// New starts a gateway. It keeps nothing from an earlier life.
-func New(set Settings, seed uint64, now float64, out []Action) (*Gateway, []Action) {
-	g := &Gateway{set: set, now: now, out: out, born: now, lastHouse: now, lastCut: now, retries: retryMost}
-	for _, c := range set.Classes {
-		for _, p := range set.Plans {
-			g.worths = append(g.worths, c.Value*p.Price)
+// New starts a gateway without any state of an earlier process. It appends its first actions to out.
+func New(settings Settings, seed uint64, now float64, out []Action) (*Gateway, []Action) {
+	g := &Gateway{cfg: settings, now: now, actions: out, startedAt: now, lastHousekeeping: now,
+		limitCutAt: now, retryTokens: maxRetryTokens}
+	for _, c := range settings.Classes {
+		for _, p := range settings.Plans {
+			g.values = append(g.values, c.Value*p.Price)
 		}
 	}
-	g.worths = append(g.worths, 0) // level 0: beyond the quota
-	slices.Sort(g.worths)
-	g.worths = slices.Compact(g.worths)
+	g.values = append(g.values, 0) // level 0: beyond the quota
+	slices.Sort(g.values)
+	g.values = slices.Compact(g.values)
 	g.allocate(seed)
-	if set.SubscribeDiscovery {
-		g.do(Subscribe{})
+	if settings.SubscribeDiscovery {
+		g.emit(Subscribe{})
 	}
-	g.timer(houseGap, timerHouse, 0, 0)
-	return g, g.out
+	g.setTimer(housekeepingSeconds, timerHousekeeping, 0, 0)
+	return g, g.actions
 }
 
-// Handle takes one event and appends what is to be done about it.
+// Handle processes one event and appends the actions to carry out to out.
 func (g *Gateway) Handle(now float64, ev Event, out []Action) []Action {
-	if now != g.now { // checks come many at a time
-		g.load += (1 - math.Exp((g.now-now)/loadSpan)) * (float64(g.inFlight) - g.load)
+	if now != g.now { // many checks arrive at the same time
+		g.meanInFlight += (1 - math.Exp((g.now-now)/loadMeanSeconds)) * (float64(g.inFlight) - g.meanInFlight)
 	}
-	g.now, g.out, g.said = now, out, g.said[:0]
+	g.now, g.actions, g.checkResults = now, out, g.checkResults[:0]
 	switch e := ev.(type) {
 	case Request:
-		g.request(e)
+		g.handleRequest(e)
 	case AttemptEnd:
-		g.attemptEnd(e)
+		g.endAttempt(e)
 	case ResponseStarted:
-		g.begun(e)
+		g.startResponse(e)
 	case BodyComplete:
-		g.bodyWhole(e)
+		g.completeBody(e)
 	case ClientDisconnected:
-		if j := g.live(e.Request); j != nil {
-			g.close(j)
+		if req := g.openRequest(e.Request); req != nil {
+			g.closeRequest(req)
 		}
 	case TimerFired:
-		g.due(e.Token)
+		g.handleTimer(e.Token)
 	case CounterReply:
-		g.counted(e)
+		g.handleCounterReply(e)
 	case LateCounterReply:
-		g.countedLate(e)
+		g.handleLateReply(e)
 	case Backends:
-		g.backends(e)
-	case *Check: // its sender uses its storage again
-		g.check(*e)
+		g.updateBackends(e)
+	case *Check: // copied: the sender reuses the storage
+		g.handleCheck(*e)
 	case Peek:
 		g.peek(e)
 	case Refund:
-		g.give(e)
+		g.refund(e)
 	case Detach:
 		g.detached[e.Backend] = true
-		g.gather()
+		g.chooseSubset()
 	case Attach:
 		g.attach(e.Backend)
 	case FleetUpdate:
-		g.divide = e
+		g.fleet = e
 	}
 	g.dispatch()
-	return g.out
+	return g.actions
 }
 
-// request takes in a try. Two timers see to it that it is answered in time.
-func (g *Gateway) request(r Request) {
-	c, p := &g.set.Classes[r.Class], &g.set.Plans[r.Plan]
+// handleRequest accepts a request. Two timers ensure that it is answered in time.
+func (g *Gateway) handleRequest(r Request) {
+	class, plan := &g.cfg.Classes[r.Class], &g.cfg.Plans[r.Plan]
 	if r.SentAt == 0 {
 		r.SentAt = g.now
 	}
-	j := &job{Request: r, class: c, coming: r.Streamed}
-	j.level, _ = slices.BinarySearch(g.worths, c.Value*p.Price)
-	j.giveUp = g.lastUse(j)
-	g.jobs[r.ID] = j
-	g.arrived[j.level]++
-	who := g.customerOf(r)
-	j.customer = who
-	if j.noPlace = g.hopeless(j); j.noPlace || j.giveUp < g.now+g.latency/2 {
-		g.giveBack(j)
+	req := &activeRequest{Request: r, class: class, bodyPending: r.Streamed}
+	req.level, _ = slices.BinarySearch(g.values, class.Value*plan.Price)
+	req.answerBy = g.answerDeadline(req)
+	g.requests[r.ID] = req
+	g.arrivalCounts[req.level]++
+	c := g.ensureCustomer(r)
+	req.customer = c
+	if req.noCapacity = g.wouldMissDeadline(req); req.noCapacity || req.answerBy < g.now+g.latency/2 {
+		g.refuseOrFail(req)
 		return
 	}
-	g.line(j)
-	if j.done {
-		return // most refusals come at once, and timers for them would be as many as requests
+	g.waitForQuota(req)
+	if req.done {
+		return // most refusals are immediate: timers for them would be as many as requests
 	}
-	g.timer(j.giveUp-g.now, timerEnd, 0, r.ID)
-	if len(j.attempts) == 0 {
-		g.timer(j.giveUp-g.now-g.latency, timerStart, 0, r.ID)
+	g.setTimer(req.answerBy-g.now, timerAnswerBy, 0, r.ID)
+	if len(req.attempts) == 0 {
+		g.setTimer(req.answerBy-g.now-g.latency, timerSendBy, 0, r.ID)
 	}
 }
 
-// line puts a request in the line of its customer, highest level first, and lets in who can be.
-func (g *Gateway) line(j *job) {
-	who := j.customer
-	at := len(who.waiting)
-	for at > 0 && who.waiting[at-1].level < j.level {
+// waitForQuota queues a request at its customer, highest level first, and admits those that can be.
+func (g *Gateway) waitForQuota(req *activeRequest) {
+	c := req.customer
+	at := len(c.queue)
+	for at > 0 && c.queue[at-1].level < req.level {
 		at--
 	}
-	who.waiting = slices.Insert(who.waiting, at, j)
-	g.admit(who)
+	c.queue = slices.Insert(c.queue, at, req)
+	g.admit(c)
 }
 
-// lastUse is when an answer earns nothing any more.
-func (g *Gateway) lastUse(j *job) float64 {
-	at := j.Deadline - 2*g.set.Tick
-	if j.class.LateValueFraction == 0 && j.class.ObjectiveWorkFactor == 0 {
-		at = min(at, j.SentAt+j.class.LatencyObjective-g.elapsed(j.Request, j.class))
+// answerDeadline returns the time after which an answer earns nothing.
+func (g *Gateway) answerDeadline(req *activeRequest) float64 {
+	at := req.Deadline - 2*g.cfg.Tick
+	if req.class.LateValueFraction == 0 && req.class.ObjectiveWorkFactor == 0 {
+		at = min(at, req.SentAt+req.class.LatencyObjective-g.timeSpentBefore(req.Request, req.class))
 	}
 	return at
 }
 
-// elapsed is the time that the client has surely spent on earlier tries. Most tries of a class and plan are
-// given the same patience; one that has another is cut to what is left of the client's whole patience.
-// Danger: a repeat whose aim has passed earns nothing, yet takes units, a call and a backend's time from
-// requests that may still earn; a fresh try must not be taken for one, so an unknown patience says nothing.
-func (g *Gateway) elapsed(r Request, c *Class) float64 {
-	left, usual := r.Deadline-r.SentAt, &g.patience[r.Class*len(g.set.Plans)+r.Plan]
-	same := func(x float64) bool { return math.Abs(left-x) < 2*g.set.Tick }
+// timeSpentBefore returns the time that the client has certainly spent on earlier tries. Most tries of a
+// class and plan have the same timeout; one with another timeout has only what is left of the client's total.
+// A retry past its objective earns nothing, yet uses units, a call and backend time that others need. A first
+// try must not be mistaken for a retry, so the result is 0 while the usual timeout is unknown.
+func (g *Gateway) timeSpentBefore(r Request, c *Class) float64 {
+	timeout, usual := r.Deadline-r.SentAt, &g.clientTimeouts[r.Class*len(g.cfg.Plans)+r.Plan]
+	same := func(x float64) bool { return math.Abs(timeout-x) < 2*g.cfg.Tick }
 	if same(usual.last) {
-		usual.known = left
+		usual.confirmed = timeout
 	}
-	usual.last = left
-	if usual.known == 0 || same(usual.known) {
+	usual.last = timeout
+	if usual.confirmed == 0 || same(usual.confirmed) {
 		return 0
 	}
-	return max(c.Timeout-left, 0)
+	return max(c.Timeout-timeout, 0)
 }
 
-// due handles a timer.
-func (g *Gateway) due(token uint64) {
-	j, n := g.jobs[RequestID(uint32(token))], int(uint8(token>>32))
+func (g *Gateway) handleTimer(token uint64) {
+	req, n := g.requests[RequestID(uint32(token))], int(uint8(token>>32))
 	switch kind := token >> 56; {
-	case kind == timerHouse:
-		g.house()
-	case kind == timerAsk:
-		g.do(Subscribe{})
-	case j == nil:
-	case kind == timerLine && !j.done && j.check:
-		g.line(j)
-	case kind == timerLate && n < len(j.attempts) && !j.attempts[n].ended:
-		g.late(j, n)
-	case j.Streamed && kind == timerEnd && g.now < j.giveUp-g.set.Tick: // its time has been set anew since
-	case !j.done && !j.streams && (kind == timerEnd || kind == timerStart && len(j.attempts) == 0):
-		g.giveBack(j)
+	case kind == timerHousekeeping:
+		g.housekeeping()
+	case kind == timerSubscribe:
+		g.emit(Subscribe{})
+	case req == nil:
+	case kind == timerCheckRetry && !req.done && req.isCheck:
+		g.waitForQuota(req)
+	case kind == timerSlowAttempt && n < len(req.attempts) && !req.attempts[n].ended:
+		g.handleSlowAttempt(req, n)
+	case req.Streamed && kind == timerAnswerBy && g.now < req.answerBy-g.cfg.Tick: // its deadline has moved
+	case !req.done && !req.streaming && (kind == timerAnswerBy || kind == timerSendBy && len(req.attempts) == 0):
+		g.refuseOrFail(req)
 	}
 }
 
-// enqueue puts a paid request in the queue of its level.
-func (g *Gateway) enqueue(j *job) {
-	if g.hopeless(j) {
-		g.giveBack(j)
+func (g *Gateway) enqueue(req *activeRequest) {
+	if g.wouldMissDeadline(req) {
+		g.refuseOrFail(req)
 		return
 	}
-	g.queues[j.level] = append(g.queues[j.level], j)
+	g.queues[req.level] = append(g.queues[req.level], req)
 }
 
-// hopeless tells whether the wait for a place would outlast the request's aim: Wh <= X / (1 - X*Ah), X being
-// the time in which the bound frees a place and Ah the arrivals of higher levels. Danger: units that are
-// leased first and then not sent on are missing to all gateways, and so is the call.
-func (g *Gateway) hopeless(j *job) bool {
-	x := g.latency / max(g.bound, 1e-3)
-	ahead, higher := 1+float64(len(g.queues[j.level])), 0.0
-	for l := j.level + 1; l < len(g.queues); l++ {
-		ahead += float64(len(g.queues[l]))
-		higher += g.arrivals[l]
-	}
-	return g.full(j.level) && ahead*x >= (j.giveUp-g.now-g.latency)*max(1-x*higher, 0)
+// wouldMissDeadline reports whether the wait for capacity would outlast the request's objective:
+// Wh <= X / (1 - X*Ah), X being the time in which the limit frees one place and Ah the arrival rate of higher
+// levels. Must be checked before a lease: units and a call for an unsent request are lost to all gateways.
+func (g *Gateway) wouldMissDeadline(req *activeRequest) bool {
+	x := g.latency / max(g.limit, 1e-3)
+	ahead, higher := 1+float64(len(g.queues[req.level])), 0.0
+	for level := req.level + 1; level < len(g.queues); level++ {
+		ahead += float64(len(g.queues[level]))
+		higher += g.arrivalRates[level]
+	}
+	return g.limitReached(req.level) && ahead*x >= (req.answerBy-g.now-g.latency)*max(1-x*higher, 0)
 }
 
-// full tells whether a level has to wait: it may fill its part of the bound. Of many gateways, the bound of
-// one is less than an attempt; then it is kept in the mean.
-func (g *Gateway) full(level int) bool {
-	room := g.bound
-	if g.worths[level] < topWorth*g.worths[len(g.worths)-1] {
-		room *= 1 - reserveShare
-	}
-	return float64(g.inFlight) >= max(room, boundBurst) || room < boundBurst && g.load >= room
+// limitReached reports whether a level has used its part of the concurrency limit and has to wait. In a large
+// fleet a gateway's limit can be below one attempt: then it applies to the mean number in flight.
+func (g *Gateway) limitReached(level int) bool {
+	limit := g.limit
+	if g.values[level] < topValueFraction*g.values[len(g.values)-1] {
+		limit *= 1 - topReserveFraction
+	}
+	return float64(g.inFlight) >= max(limit, meanLimitBelow) || limit < meanLimitBelow && g.meanInFlight >= limit
 }
 
-// dispatch releases held requests, highest level first.
+// dispatch sends queued requests, highest level first.
 func (g *Gateway) dispatch() {
-	for l := len(g.queues) - 1; l >= 0; l-- {
-		for len(g.queues[l]) > 0 {
-			j := g.queues[l][0]
-			if !j.done {
-				if g.full(l) {
+	for level := len(g.queues) - 1; level >= 0; level-- {
+		for len(g.queues[level]) > 0 {
+			req := g.queues[level][0]
+			if !req.done {
+				if g.limitReached(level) {
 					return
 				}
-				s := g.pick(j)
-				if s == nil {
+				b := g.pickBackend(req)
+				if b == nil {
 					break
 				}
-				g.send(j, s)
+				g.send(req, b)
 			}
-			g.queues[l] = g.queues[l][1:]
+			g.queues[level] = g.queues[level][1:]
 		}
 	}
 }
 
-// pick chooses the backend with the fewest own attempts of equal or higher level, measured against the
-// work it is believed to bear. It returns nil if none may be used now.
-func (g *Gateway) pick(j *job) *server {
-	var best, well, trial *server
-	usable, sick := 0, 0
-	for _, s := range g.list {
-		busy := func(a attempt) bool { return a.on == s && !a.ended }
-		if !g.usable(s) || !j.inGroup(s) || !g.coldRoom(s) || slices.ContainsFunc(j.attempts, busy) {
+// pickBackend chooses the backend with the fewest own attempts of equal or higher level, relative to the load
+// that it is estimated to bear. It returns nil if none may be used now.
+func (g *Gateway) pickBackend(req *activeRequest) *backend {
+	var best, healthy, dueTrial *backend
+	usable, ejected := 0, 0
+	for _, b := range g.backendList {
+		busy := func(a attempt) bool { return a.backend == b && !a.ended }
+		if !g.usable(b) || !req.mayRunOn(b) || !g.coldBudgetAllows(b) || slices.ContainsFunc(req.attempts, busy) {
 			continue
 		}
-		if !s.far && g.wide() && g.warmth(s) < 1 && !s.ejected() {
-			// Danger: where nearly all backends are idle as seen from here, a cold one is always the dearest,
-			// and gets nothing until it is warm. What its budget allows is its share, so it comes first.
-			return s
+		if !b.offSubset && g.largeFleet() && g.capacityFraction(b) < 1 && !b.ejected() {
+			// Seen from here nearly all backends are idle, so a cold one would always have the highest cost and get
+			// nothing until it is warm. Its budget is its share of the load, so it comes first.
+			return b
 		}
-		s.cost = g.cost(s, j)
-		if usable++; best == nil || s.cost < best.cost {
-			best = s
+		b.cost = g.backendCost(b, req)
+		if usable++; best == nil || b.cost < best.cost {
+			best = b
 		}
-		rest := s.trialAt
-		if s.ejected() {
-			if sick++; j.class.Idempotency != Idempotent {
-				rest += trialMost
+		trialAt := b.trialAt
+		if b.ejected() {
+			if ejected++; req.class.Idempotency != Idempotent {
+				trialAt += maxTrialSeconds
 			}
-		} else if well == nil || s.cost < well.cost {
-			well = s
+		} else if healthy == nil || b.cost < healthy.cost {
+			healthy = b
 		}
-		if !s.ejected() && !s.back {
+		if !b.ejected() && !b.reattached {
 			continue
 		}
-		if trial == nil && g.now >= rest && len(j.attempts) == 0 {
-			trial = s
+		if dueTrial == nil && g.now >= trialAt && len(req.attempts) == 0 {
+			dueTrial = b
 		}
 	}
 	switch {
-	case trial != nil:
-		// Danger: trials are all that can put right what is left out, so they come first, shared trouble or
-		// not: else most stay left out for good once they are, and the few others bear all.
-		trial.trialGap = min(2*trial.trialGap, trialMost)
-		trial.trialAt = g.now + trial.trialGap
-		return trial
-	case 2*sick > usable:
-		// When most look bad the trouble is shared: leaving them out would only heap the work on the rest.
+	case dueTrial != nil:
+		// Trials come first, even when most backends fail: only they can restore an ejected one. Otherwise most
+		// would stay ejected for good and the few others would bear all the load.
+		dueTrial.trialDelay = min(2*dueTrial.trialDelay, maxTrialSeconds)
+		dueTrial.trialAt = g.now + dueTrial.trialDelay
+		return dueTrial
+	case 2*ejected > usable:
+		// When most are ejected the cause is shared: excluding them would only overload the rest.
 		return best
 	}
-	return well
+	return healthy
 }
 
-func (g *Gateway) cost(s *server, j *job) float64 {
+// backendCost estimates how busy b is for req. The backend with the lowest cost is used.
+func (g *Gateway) backendCost(b *backend, req *activeRequest) float64 {
 	higher := 0
-	for _, n := range s.levels[j.level:] {
+	for _, n := range b.inFlightByLevel[req.level:] {
 		higher += n
 	}
-	slow := 1.0
-	if s.latency > 0 && g.latency > 0 && !g.wide() { // else one answer in a while tells of itself, not of s
-		slow = min(max(s.latency/g.latency, 1/paceMost), paceMost)
+	slowness := 1.0
+	if b.latency > 0 && g.latency > 0 && !g.largeFleet() { // there, a rare answer says little about b
+		slowness = min(max(b.latency/g.latency, 1/maxLatencyRatio), maxLatencyRatio)
 	}
-	well := 1 - min(s.fail, 0.9)
-	cost := (1 + float64(higher) + 0.1*float64(s.inFlight) + g.unseen(s)) * slow / (well * well * g.warmth(s))
-	if s.far {
-		cost *= farCost
+	health := 1 - min(b.failureRate, 0.9)
+	cost := (1 + float64(higher) + 0.1*float64(b.inFlight) + g.otherLoad(b)) * slowness /
+		(health * health * g.capacityFraction(b))
+	if b.offSubset {
+		cost *= offSubsetCostFactor
 	}
-	if s.Zone != g.set.Zone {
-		cost *= 1 + g.set.CrossZonePrice
+	if b.Zone != g.cfg.Zone {
+		cost *= 1 + g.cfg.CrossZonePrice
 	}
-	if n := len(j.attempts); n > 0 && j.attempts[n-1].on == s {
-		cost += 1e3 // not where it just failed, if there is another
+	if n := len(req.attempts); n > 0 && req.attempts[n-1].backend == b {
+		cost += 1e3 // avoids the backend that just failed, if there is another
 	}
-	return cost * (1 + costDoubt*g.rng.Float64())
+	return cost * (1 + costJitter*g.rng.Float64())
 }
 
-// unseen is how much work of others is believed to be at a backend: what its last report said, which fades
-// into what backends hold in the mean. A few gateways know enough by what they have there themselves.
-func (g *Gateway) unseen(s *server) float64 {
-	if !g.wide() {
+// otherLoad estimates the load that other gateways put on a backend: that of its last report, which decays to
+// the mean of all reports. In a small fleet a gateway's own attempts are enough to go by.
+func (g *Gateway) otherLoad(b *backend) float64 {
+	if !g.largeFleet() {
 		return 0
 	}
-	return g.held + (s.held-g.held)*math.Exp((s.heldAt-g.now)/heldSpan)
+	return g.meanReported + (b.reportedLoad-g.meanReported)*math.Exp((b.reportedAt-g.now)/reportDecaySeconds)
 }
 
-// inGroup tells whether s would drop a repeat of j, if j may have run.
-func (j *job) inGroup(s *server) bool {
-	if !j.mayRun || j.class.Idempotency == Idempotent {
+// mayRunOn reports whether the request may be sent to b, which must drop a duplicate if it may have run.
+func (r *activeRequest) mayRunOn(b *backend) bool {
+	if !r.mayHaveRun || r.class.Idempotency == Idempotent {
 		return true
 	}
-	scope := j.class.Scope
-	return j.class.Idempotency == IdempotentByKey && (scope == ScopeAll ||
-		scope == ScopeZone && s.Zone == j.mayOn.Zone || scope == ScopeCell && s.Cell == j.mayOn.Cell)
+	scope := r.class.Scope
+	return r.class.Idempotency == IdempotentByKey && (scope == ScopeAll ||
+		scope == ScopeZone && b.Zone == r.mayHaveRunOn.Zone || scope == ScopeCell && b.Cell == r.mayHaveRunOn.Cell)
 }
 
-// send starts an attempt. Only it enforces the rules on idempotency, on concurrent attempts and on drains.
-func (g *Gateway) send(j *job, s *server) bool {
-	tries := len(j.attempts)
-	stale := j.mayRun && j.class.Idempotency == IdempotentByKey &&
-		g.now > j.mayAt+j.class.DedupeWindow-2*g.set.Tick
-	if j.done || j.streams || !j.paid || !g.usable(s) || !j.inGroup(s) || stale ||
-		tries >= max(g.set.MaxAttempts, 1) || j.out > 0 && !g.set.CanHedge {
+// send starts an attempt; nothing else does. It enforces idempotency, concurrency and drains for all callers.
+func (g *Gateway) send(req *activeRequest, b *backend) bool {
+	attempts := len(req.attempts)
+	keyExpired := req.mayHaveRun && req.class.Idempotency == IdempotentByKey &&
+		g.now > req.mayHaveRunAt+req.class.DedupeWindow-2*g.cfg.Tick
+	if req.done || req.streaming || !req.admitted || !g.usable(b) || !req.mayRunOn(b) || keyExpired ||
+		attempts >= max(g.cfg.MaxAttempts, 1) || req.openAttempts > 0 && !g.cfg.CanHedge {
 		return false
 	}
-	if tries == 0 {
-		g.retries = min(g.retries+retryShare, retryMost)
+	if attempts == 0 {
+		g.retryTokens = min(g.retryTokens+retryTokensPerSend, maxRetryTokens)
 	} else {
-		j.customer.open++
+		req.customer.openAttempts++
 	}
-	if !j.mayRun {
-		j.mayRun, j.mayAt, j.mayOn = true, g.now, s
+	if !req.mayHaveRun {
+		req.mayHaveRun, req.mayHaveRunAt, req.mayHaveRunOn = true, g.now, b
 	}
-	j.attempts = append(j.attempts, attempt{on: s, sent: g.now})
-	j.out++
-	if j.coming {
-		// A backend begins with the last byte of a body; till then the request takes nobody's place.
-		j.giveUp = j.Deadline - 2*g.set.Tick
-		g.timer(j.giveUp-g.now, timerEnd, 0, j.ID)
+	req.attempts = append(req.attempts, attempt{backend: b, sentAt: g.now})
+	req.openAttempts++
+	if req.bodyPending {
+		// A backend starts at the last byte of a body. Until then the attempt uses none of the limit.
+		req.answerBy = req.Deadline - 2*g.cfg.Tick
+		g.setTimer(req.answerBy-g.now, timerAnswerBy, 0, req.ID)
 	} else {
-		g.work(&j.attempts[tries], j.level)
+		g.trackAttempt(&req.attempts[attempts], req.level)
 	}
-	if g.warmth(s) < 1 {
-		s.budget--
-	} else if !s.far {
-		g.warmSent++
+	if g.capacityFraction(b) < 1 {
+		b.coldBudget--
+	} else if !b.offSubset {
+		g.warmSends++
 	}
-	g.do(Send{Request: j.ID, Backend: s.ID, Timeout: max(j.giveUp-g.now, g.set.Tick), AdmittedAt: j.paidAt})
-	if g.latency > 0 && !j.coming {
-		g.timer(g.lateAfter(), timerLate, tries, j.ID)
+	g.emit(Send{Request: req.ID, Backend: b.ID, Timeout: max(req.answerBy-g.now, g.cfg.Tick),
+		AdmittedAt: req.admittedAt})
+	if g.latency > 0 && !req.bodyPending {
+		g.setTimer(g.slowAfter(), timerSlowAttempt, attempts, req.ID)
 	}
 	return true
 }
 
-// bodyWhole starts a request's time over where its body has gone on whole.
-func (g *Gateway) bodyWhole(e BodyComplete) {
-	j := g.live(e.Request)
-	if j == nil || !j.coming || j.out == 0 {
+// completeBody restarts the time of a request whose whole body has been forwarded.
+func (g *Gateway) completeBody(e BodyComplete) {
+	req := g.openRequest(e.Request)
+	if req == nil || !req.bodyPending || req.openAttempts == 0 {
 		return
 	}
-	n := len(j.attempts) - 1
-	j.coming, j.SentAt, j.Deadline = false, g.now, e.Deadline
-	j.giveUp = g.lastUse(j)
-	j.attempts[n].sent, j.mayAt = g.now, g.now
-	g.work(&j.attempts[n], j.level)
-	g.timer(j.giveUp-g.now, timerEnd, 0, j.ID)
+	n := len(req.attempts) - 1
+	req.bodyPending, req.SentAt, req.Deadline = false, g.now, e.Deadline
+	req.answerBy = g.answerDeadline(req)
+	req.attempts[n].sentAt, req.mayHaveRunAt = g.now, g.now
+	g.trackAttempt(&req.attempts[n], req.level)
+	g.setTimer(req.answerBy-g.now, timerAnswerBy, 0, req.ID)
 	if g.latency > 0 {
-		g.timer(g.lateAfter(), timerLate, n, j.ID)
+		g.setTimer(g.slowAfter(), timerSlowAttempt, n, req.ID)
 	}
 }
 
-// begun takes the first byte of a long answer for the answer: what follows may take as long as its client
-// likes, and says nothing of the backend. Where the class itself is streamed the backend works on to the end.
-func (g *Gateway) begun(e ResponseStarted) {
-	j := g.live(e.Request)
-	if j == nil || e.Attempt >= len(j.attempts) {
+// startResponse treats the first byte of a long response as its end: the rest may take as long as the client
+// likes and says nothing about the backend. In a Streamed class the backend works until the end.
+func (g *Gateway) startResponse(e ResponseStarted) {
+	req := g.openRequest(e.Request)
+	if req == nil || e.Attempt >= len(req.attempts) {
 		return
 	}
-	j.streams = true
-	if a := &j.attempts[e.Attempt]; !j.class.Streamed && !a.ended {
-		g.rest(a, j.level)
-		g.observe(j, a, AttemptEnd{Outcome: Served})
-		for n := range j.attempts {
-			if n != e.Attempt && !j.attempts[n].ended && g.set.CanCancel {
-				g.do(Cancel{Request: j.ID, Attempt: n})
+	req.streaming = true
+	if a := &req.attempts[e.Attempt]; !req.class.Streamed && !a.ended {
+		g.untrackAttempt(a, req.level)
+		g.recordOutcome(req, a, AttemptEnd{Outcome: Served})
+		for n := range req.attempts {
+			if n != e.Attempt && !req.attempts[n].ended && g.cfg.CanCancel {
+				g.emit(Cancel{Request: req.ID, Attempt: n})
 			}
 		}
 	}
 }
 
-func (g *Gateway) lateAfter() float64 { return g.latency + lateDevs*g.spread }
+func (g *Gateway) slowAfter() float64 { return g.latency + slowDeviations*g.latencyDev }
 
-// attemptEnd books the end of an attempt and decides what becomes of the request.
-func (g *Gateway) attemptEnd(e AttemptEnd) {
-	j := g.jobs[e.Request]
-	if j == nil || e.Attempt >= len(j.attempts) || j.attempts[e.Attempt].ended {
+// endAttempt records the end of an attempt and decides how its request goes on.
+func (g *Gateway) endAttempt(e AttemptEnd) {
+	req := g.requests[e.Request]
+	if req == nil || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].ended {
 		return
 	}
-	a, c := &j.attempts[e.Attempt], j.customer
+	a, c := &req.attempts[e.Attempt], req.customer
 	a.ended = true
-	g.report(a.on, e.LoadData)
-	j.out--
-	c.open--
-	seen := a.counted
+	g.recordLoadReport(a.backend, e.LoadData)
+	req.openAttempts--
+	c.openAttempts--
+	tracked := a.tracked
 	switch {
-	case !seen:
+	case !tracked:
 	case e.Outcome == TimedOut || e.Outcome == Cancelled:
-		// Danger: a time-out or a cancel may stop no work. If given-up attempts left the count, each would
-		// make room for one more at a full backend. It stays the longer the more in a row the backend has
-		// let pass.
-		a.on.missed++
-		stay := min(g.latency*float64(a.on.missed), j.class.Timeout)
-		a.on.ghosts = append(a.on.ghosts, ghost{a.sent, g.now + stay, j.level})
-		a.counted = false // the ghost is
+		// A timeout or a cancel may stop no work. Were it not counted any more, each would make room for one more
+		// at a full backend. It stays counted the longer the more in a row the backend has left unanswered.
+		a.backend.unanswered++
+		countedFor := min(g.latency*float64(a.backend.unanswered), req.class.Timeout)
+		a.backend.abandoned = append(a.backend.abandoned, abandonedAttempt{a.sentAt, g.now + countedFor, req.level})
+		a.tracked = false // it counts as abandoned instead
 	default:
-		g.rest(a, j.level)
+		g.untrackAttempt(a, req.level)
 	}
-	if seen || !j.streams && e.Outcome == ConnectFailed {
-		g.observe(j, a, e)
+	if tracked || !req.streaming && e.Outcome == ConnectFailed {
+		g.recordOutcome(req, a, e)
 	}
-	if j.out == 0 && e.Attempt == len(j.attempts)-1 && a.sent == j.mayAt && NeverRan(e.Outcome) {
-		j.mayRun = false // proved: no attempt has run
+	if req.openAttempts == 0 && e.Attempt == len(req.attempts)-1 && a.sentAt == req.mayHaveRunAt &&
+		NeverRan(e.Outcome) {
+		req.mayHaveRun = false // no attempt has run
 	}
-	if e.Outcome == Served && g.set.EstimatedUnits && e.ActualUnits > 0 {
-		c.units -= e.ActualUnits - j.Units // the guess is put right
+	if e.Outcome == Served && g.cfg.EstimatedUnits && e.ActualUnits > 0 {
+		c.leased -= e.ActualUnits - req.Units // corrects the estimate
 	}
 	switch {
-	case j.done:
+	case req.done:
 	case e.RequestDone || e.Outcome == Served:
-		g.close(j)
-	case j.out > 0: // another attempt may still answer
-	case !g.again(j):
-		g.giveBack(j)
+		g.closeRequest(req)
+	case req.openAttempts > 0: // another attempt may still answer
+	case !g.retry(req):
+		g.refuseOrFail(req)
 	}
-	if j.done && j.out == 0 {
-		delete(g.jobs, j.ID)
+	if req.done && req.openAttempts == 0 {
+		delete(g.requests, req.ID)
 	}
-	g.admit(j.customer)
+	g.admit(req.customer)
 }
 
-// again starts a further attempt if the budget has room and time remains.
-func (g *Gateway) again(j *job) bool {
-	if j.Streamed || g.retries < 1 || g.now+g.latency > j.giveUp || g.full(len(g.worths)-1) {
+// retry starts a further attempt if the retry budget and the remaining time allow it.
+func (g *Gateway) retry(req *activeRequest) bool {
+	if req.Streamed || g.retryTokens < 1 || g.now+g.latency > req.answerBy || g.limitReached(len(g.values)-1) {
 		return false
 	}
-	s := g.pick(j)
-	if s == nil || !g.send(j, s) {
+	b := g.pickBackend(req)
+	if b == nil || !g.send(req, b) {
 		return false
 	}
-	g.retries--
+	g.retryTokens--
 	return true
 }
 
-// late handles a slow attempt: silence counts against the backend, and a hedged attempt may be sent.
-func (g *Gateway) late(j *job, n int) {
-	a := &j.attempts[n]
-	if a.on.lastOK < a.sent {
-		g.blame(a.on)
-	}
-	if j.done || j.streams || len(j.attempts) != n+1 || g.full(0) {
+// handleSlowAttempt handles an attempt that takes longer than nearly all others: silence counts against the
+// backend, and where allowed a hedged attempt is sent to another one.
+func (g *Gateway) handleSlowAttempt(req *activeRequest, n int) {
+	a := &req.attempts[n]
+	if a.backend.lastSuccess < a.sentAt {
+		g.recordFailure(a.backend)
+	}
+	if req.done || req.streaming || len(req.attempts) != n+1 || g.limitReached(0) {
 		return
 	}
-	if g.set.CanHedge && j.customer.terms.places == 0 {
-		g.again(j)
+	if g.cfg.CanHedge && req.customer.limits.maxConcurrent == 0 {
+		g.retry(req)
 	}
 }
 
-// giveBack ends a request without a backend's answer: it is refused if a retry is harmless, else failed.
-func (g *Gateway) giveBack(j *job) {
-	if j.check {
-		g.part(j)
+// refuseOrFail ends a request without a backend's answer: refused if a retry is harmless, else failed.
+func (g *Gateway) refuseOrFail(req *activeRequest) {
+	if req.isCheck {
+		g.grantPartial(req)
 		return
 	}
-	if j.class.Idempotency == Idempotent || !j.mayRun ||
-		j.class.Idempotency == IdempotentByKey && j.class.Scope == ScopeAll {
+	if req.class.Idempotency == Idempotent || !req.mayHaveRun ||
+		req.class.Idempotency == IdempotentByKey && req.class.Scope == ScopeAll {
 		advice := 0.0
-		if g.set.CanSendRetryAfter && (j.paid || j.noPlace) {
-			advice = g.set.MaxRetryAfter
-		} else if g.set.CanSendRetryAfter {
-			advice = min(g.set.MaxRetryAfter, max(j.customer.dryUntil-g.now, 0))
+		if g.cfg.CanSendRetryAfter && (req.admitted || req.noCapacity) {
+			advice = g.cfg.MaxRetryAfter
+		} else if g.cfg.CanSendRetryAfter {
+			advice = min(g.cfg.MaxRetryAfter, max(req.customer.exhaustedUntil-g.now, 0))
 		}
-		g.do(Refuse{Request: j.ID, RetryAfter: advice, Reason: j.lacked(), AdmittedAt: j.paidAt})
+		g.emit(Refuse{Request: req.ID, RetryAfter: advice, Reason: req.refusalReason(), AdmittedAt: req.admittedAt})
 	} else {
-		g.do(Fail{Request: j.ID})
+		g.emit(Fail{Request: req.ID})
 	}
-	g.close(j)
+	g.closeRequest(req)
 }
 
-// close ends a request for good and calls off what is still out.
-func (g *Gateway) close(j *job) {
-	j.done = true
-	j.customer.waiting = slices.DeleteFunc(j.customer.waiting, func(w *job) bool { return w == j })
-	if j.paid && len(j.attempts) == 0 {
-		j.customer.units += j.Units
-		j.customer.open--
-	}
-	for n := range j.attempts {
-		if !j.attempts[n].ended && g.set.CanCancel && !j.streams {
-			g.do(Cancel{Request: j.ID, Attempt: n})
+// closeRequest ends a request for good and cancels its attempts in flight.
+func (g *Gateway) closeRequest(req *activeRequest) {
+	req.done = true
+	req.customer.queue = slices.DeleteFunc(req.customer.queue, func(w *activeRequest) bool { return w == req })
+	if req.admitted && len(req.attempts) == 0 {
+		req.customer.leased += req.Units
+		req.customer.openAttempts--
+	}
+	for n := range req.attempts {
+		if !req.attempts[n].ended && g.cfg.CanCancel && !req.streaming {
+			g.emit(Cancel{Request: req.ID, Attempt: n})
 		}
 	}
-	if j.out == 0 {
-		delete(g.jobs, j.ID)
+	if req.openAttempts == 0 {
+		delete(g.requests, req.ID)
 	}
 }
 
-// observe learns from an outcome: the backend's health and pace, and the bound.
-func (g *Gateway) observe(j *job, a *attempt, e AttemptEnd) {
-	s := a.on
-	took := g.now - a.sent
+// recordOutcome updates the backend's health and latency, and the concurrency limit, after an attempt.
+func (g *Gateway) recordOutcome(req *activeRequest, a *attempt, e AttemptEnd) {
+	b := a.backend
+	duration := g.now - a.sentAt
 	switch e.Outcome {
 	case Served:
-		s.lastOK, s.missed, s.back = g.now, 0, false
-		g.lay(s, a.sent)
-		s.fail -= failGain * s.fail
-		if !s.ejected() {
-			s.trialGap = 0
+		b.lastSuccess, b.unanswered, b.reattached = g.now, 0, false
+		g.dropAbandoned(b, a.sentAt)
+		b.failureRate -= failureWeight * b.failureRate
+		if !b.ejected() {
+			b.trialDelay = 0
 		}
-		s.pace(took)
+		b.updateLatency(duration)
 		if g.latency == 0 {
-			g.latency, g.spread = took, took/2
+			g.latency, g.latencyDev = duration, duration/2
 		}
-		g.spread += 0.02 * (math.Abs(took-g.latency) - g.spread)
-		g.latency += 0.02 * (took - g.latency)
-		g.press(took / j.class.LatencyObjective)
+		g.latencyDev += 0.02 * (math.Abs(duration-g.latency) - g.latencyDev)
+		g.latency += 0.02 * (duration - g.latency)
+		g.adjustLimit(duration / req.class.LatencyObjective)
 	case Errored, ConnectionBroken, ConnectFailed:
-		g.blame(s)
+		g.recordFailure(b)
 	case Overloaded:
-		g.blame(s)
-		g.press(1)
+		g.recordFailure(b)
+		g.adjustLimit(1)
 	case TimedOut, Cancelled:
-		if took > g.lateAfter() {
-			if s.pace(max(took, s.latency)); e.Outcome == TimedOut {
-				g.press(1)
+		if duration > g.slowAfter() {
+			if b.updateLatency(max(duration, b.latency)); e.Outcome == TimedOut {
+				g.adjustLimit(1)
 			}
 		}
 	}
 }
 
-// age lets what was learnt of a backend fade. Danger: one that is passed over for a single failure or a slow
-// answer gets nothing that could put that right, and the others bear its work for good. One that is left out
-// has its trials.
-func (s *server) age(part, usual float64) {
-	if s.ejected() {
+// decayHealth decays a backend's measured health. One avoided for a single failure or slow answer would get
+// nothing to correct that, and the others would bear its load for good. An ejected one has its trials.
+func (b *backend) decayHealth(fraction, mean float64) {
+	if b.ejected() {
 		return
 	}
-	s.fail -= part * s.fail
-	if s.latency > 0 {
-		s.latency += part * (usual - s.latency)
+	b.failureRate -= fraction * b.failureRate
+	if b.latency > 0 {
+		b.latency += fraction * (mean - b.latency)
 	}
 }
 
-func (s *server) ejected() bool { return s.fail >= failEject }
+func (b *backend) ejected() bool { return b.failureRate >= ejectFailureRate }
 
-// blame counts a failure or a silence, whatever its cause.
-func (g *Gateway) blame(s *server) {
-	was := s.ejected()
-	s.fail += failGain * (1 - s.fail)
-	if s.ejected() && !was {
-		s.trialGap = trialFirst
-		s.trialAt = g.now + s.trialGap
+// recordFailure counts a failure or a missing answer, whatever its cause.
+func (g *Gateway) recordFailure(b *backend) {
+	wasEjected := b.ejected()
+	b.failureRate += failureWeight * (1 - b.failureRate)
+	if b.ejected() && !wasEjected {
+		b.trialDelay = minTrialSeconds
+		b.trialAt = g.now + b.trialDelay
 	}
 }
 
-// press moves the bound: down when latency nears the aim, at most once a round trip, and slowly up while
-// it is in use and latency is low.
-func (g *Gateway) press(ratio float64) {
-	gain := min(max((g.now-g.pressedAt)/loadSpan, 0.05), 0.3) // rare answers weigh more
-	g.pressedAt = g.now
-	g.pressure += gain * (min(ratio, 1) - g.pressure)
+// adjustLimit cuts the limit when latency nears the objective, at most once per round trip, and raises it
+// slowly while it is in use and latency is low.
+func (g *Gateway) adjustLimit(ratio float64) {
+	weight := min(max((g.now-g.latencyRatioAt)/loadMeanSeconds, 0.05), 0.3) // rare answers weigh more
+	g.latencyRatioAt = g.now
+	g.latencyRatio += weight * (min(ratio, 1) - g.latencyRatio)
 	switch {
-	case g.pressure > boundHigh && g.now-g.lastCut > max(g.latency, g.set.Tick):
-		g.bound = max(g.bound*boundCut, g.boundLeast())
-		g.lastCut = g.now
-	case g.pressure < boundLow && max(float64(g.inFlight), g.load) >= boundUsed*g.bound:
-		g.bound += min(1, g.perGateway()) / max(g.bound, 1)
+	case g.latencyRatio > cutLatencyRatio && g.now-g.limitCutAt > max(g.latency, g.cfg.Tick):
+		g.limit = max(g.limit*limitCutFactor, g.limitFloor())
+		g.limitCutAt = g.now
+	case g.latencyRatio < growLatencyRatio && max(float64(g.inFlight), g.meanInFlight) >= growMinUse*g.limit:
+		g.limit += min(1, g.backendsPerGateway()) / max(g.limit, 1)
 	}
 }
 
-func (g *Gateway) boundLeast() float64 { return boundFloor * g.perGateway() }
+func (g *Gateway) limitFloor() float64 { return minLimit * g.backendsPerGateway() }
 
-// perGateway is how many backends there are for each gateway.
-func (g *Gateway) perGateway() float64 {
-	return float64(len(g.list)) / float64(max(g.set.FleetSize, 1))
+// backendsPerGateway returns the number of backends divided by that of the gateways.
+func (g *Gateway) backendsPerGateway() float64 {
+	return float64(len(g.backendList)) / float64(max(g.cfg.FleetSize, 1))
 }
 
-// warmth is the least share of its capacity that a backend can be trusted with.
-func (g *Gateway) warmth(s *server) float64 {
-	if s.StartedAt == 0 || g.set.WarmUpTime <= 0 || g.now-s.StartedAt >= g.set.WarmUpTime {
+// capacityFraction returns the part of its capacity that a backend has at least; it grows during warm-up.
+func (g *Gateway) capacityFraction(b *backend) float64 {
+	if b.StartedAt == 0 || g.cfg.WarmUpTime <= 0 || g.now-b.StartedAt >= g.cfg.WarmUpTime {
 		return 1
 	}
-	age := max(g.now-s.StartedAt, 0) / g.set.WarmUpTime
-	return g.set.ColdMinCapacity + (1-g.set.ColdMinCapacity)*age
+	age := max(g.now-b.StartedAt, 0) / g.cfg.WarmUpTime
+	return g.cfg.ColdMinCapacity + (1-g.cfg.ColdMinCapacity)*age
 }
 
-// coldRoom keeps a cold backend from overload without coordination among gateways: each sends it at most its
-// warmth times the rate of a warm one in any short window, so the sum stays within what warm ones bear.
-func (g *Gateway) coldRoom(s *server) bool {
-	w := g.warmth(s)
-	if w >= 1 {
+// coldBudgetAllows keeps a cold backend from overload without agreement among gateways: each sends it at most
+// its capacityFraction times the rate of a warm one in any short window, so the sum is what warm ones bear.
+func (g *Gateway) coldBudgetAllows(b *backend) bool {
+	capacity := g.capacityFraction(b)
+	if capacity >= 1 {
 		return true
 	}
-	rate, most := max(w*g.warmRate, coldMin/g.senders()), coldSave
-	if g.wide() || g.senders() > boundStart {
-		rate *= coldWide + (1-coldWide)*w // what comes of many hands comes less evenly
-		most = 1
+	rate, maxBudget := max(capacity*g.warmRate, minColdRate/g.coldSenders()), maxColdBudget
+	if g.largeFleet() || g.coldSenders() > initialLimit {
+		rate *= largeFleetColdFraction + (1-largeFleetColdFraction)*capacity // the sum of many is less even
+		maxBudget = 1
 	}
-	s.budget = min(s.budget+rate*(g.now-s.budgetedAt), most)
-	s.budgetedAt = g.now
-	return s.budget >= 1
+	b.coldBudget = min(b.coldBudget+rate*(g.now-b.coldBudgetAt), maxBudget)
+	b.coldBudgetAt = g.now
+	return b.coldBudget >= 1
 }
 
-// wide tells whether there are more gateways than a backend bears attempts of: then a gateway meets most
-// backends seldom, and what it has in flight at one says next to nothing.
-func (g *Gateway) wide() bool { return float64(g.set.FleetSize) > boundStart }
+// largeFleet reports whether there are more gateways than attempts that a backend can bear. Then a gateway
+// rarely uses most backends, and its own attempts in flight say next to nothing about their load.
+func (g *Gateway) largeFleet() bool { return float64(g.cfg.FleetSize) > initialLimit }
 
-// gather tells near backends from far ones. Danger: were every gateway to use every backend, each would keep
-// connections to all, which take from what backends can do until their tables are full, pay a handshake for
-// nearly every request and hear from none often enough to know it. So a gateway keeps to a part of one
-// common order that begins at its own number: as many gateways come to each backend.
-func (g *Gateway) gather() {
-	var order []*server
-	for _, s := range g.list {
-		if s.far = false; g.wide() && g.usable(s) {
-			order = append(order, s)
+// chooseSubset selects the subset of backends that this gateway uses. Gateways that used all backends would
+// keep connections to all, which use up backend capacity until connection tables are full, pay a handshake
+// for nearly every request and get too few answers from each backend to know it. The subset is a range of one
+// common order that starts at the gateway's index, so that equally many gateways use each backend.
+func (g *Gateway) chooseSubset() {
+	var list []*backend
+	for _, b := range g.backendList {
+		if b.offSubset = false; g.largeFleet() && g.usable(b) {
+			list = append(list, b)
 		}
 	}
-	slices.SortFunc(order, func(a, b *server) int { return cmp.Compare(hash(uint64(a.ID)), hash(uint64(b.ID))) })
-	n := float64(len(order))
-	share := max(n*nearGateways/float64(g.set.FleetSize), nearLeast)
-	begin := math.Floor(n * float64(g.set.Rank) / float64(g.set.FleetSize))
-	for i, s := range order {
-		s.far = math.Mod(float64(i)-begin+n, n) >= share
+	slices.SortFunc(list, func(a, b *backend) int { return cmp.Compare(hash(uint64(a.ID)), hash(uint64(b.ID))) })
+	total := float64(len(list))
+	width := max(total*subsetGateways/float64(g.cfg.FleetSize), minSubsetBackends)
+	start := math.Floor(total * float64(g.cfg.Rank) / float64(g.cfg.FleetSize))
+	for i, b := range list {
+		b.offSubset = math.Mod(float64(i)-start+total, total) >= width
 	}
 }
 
-// turn is where a cold backend's budget starts at this gateway. Danger: of many gateways each may send it one
-// request in many seconds. Were all to start empty, it would get none for as long and stay idle; were all to
-// start full, it would get one of each at once. By their numbers they take turns, in another order for each;
-// the golden ratio keeps those whose numbers are near, who come to the same backends, far apart.
-func (g *Gateway) turn(id BackendID) float64 {
-	if !g.wide() {
+// initialColdBudget returns a cold backend's first budget at this gateway. In a large fleet each may send it
+// one request in many seconds. If all budgets started at 0, it would stay idle for as long; if all started
+// full, it would get one request of each at once. So gateways take turns by index, in another order for each
+// backend; the golden ratio spreads neighbouring indexes, whose subsets share the same backends.
+func (g *Gateway) initialColdBudget(id BackendID) float64 {
+	if !g.largeFleet() {
 		return 0
 	}
-	return math.Mod(float64(hash(uint64(id))%1024)/1024+float64(g.set.Rank)*math.Phi, 1)
+	return math.Mod(float64(hash(uint64(id))%1024)/1024+float64(g.cfg.Rank)*math.Phi, 1)
 }
 
-// backends takes in news of the list. What is not ready gets nothing from now on.
-func (g *Gateway) backends(e Backends) {
+// updateBackends applies an update of the backend list. A backend that is not ready gets nothing from now on.
+func (g *Gateway) updateBackends(e Backends) {
 	if e.Kind == ListFailed {
-		g.timer(askRest, timerAsk, 0, 0) // at once, all gateways would keep discovery down
+		g.setTimer(discoveryRetrySeconds, timerSubscribe, 0, 0) // immediate retries would keep discovery down
 		return
 	}
 	if e.Kind != DeltaList {
-		for _, s := range g.list {
-			s.State = Removed
+		for _, b := range g.backendList {
+			b.State = Removed
 		}
 	}
-	for _, b := range e.Entries {
-		s := g.serverOf(b)
-		if b.StartedAt > s.StartedAt {
-			s.latency, s.fail = 0, 0 // a new process
-			s.budget, s.budgetedAt = g.turn(b.ID), g.now
+	for _, entry := range e.Entries {
+		b := g.ensureBackend(entry)
+		if entry.StartedAt > b.StartedAt {
+			b.latency, b.failureRate = 0, 0 // a new process
+			b.coldBudget, b.coldBudgetAt = g.initialColdBudget(entry.ID), g.now
 		} else {
-			b.StartedAt = s.StartedAt
+			entry.StartedAt = b.StartedAt
 		}
-		s.Backend = b
+		b.Backend = entry
 	}
-	g.gather()
-	if g.bound == 0 && len(g.list) > 0 {
-		g.bound = boundStart * g.perGateway()
+	g.chooseSubset()
+	if g.limit == 0 && len(g.backendList) > 0 {
+		g.limit = initialLimit * g.backendsPerGateway()
 	}
 }
 
-// attach puts a backend back. Danger: it has most likely been started anew, and the list may tell of that
-// only later, or never. So it counts as cold from now on, and what was learnt of it as an earlier process's.
-// While others are idle a cold one is dear, and might get nothing for long: it has a trial at once.
+// attach puts a detached backend back into use. Most likely it was restarted, which the list may report late
+// or never, so it counts as cold and its measured health as an earlier process's. It gets a trial at once:
+// while other backends are idle a cold one has a high cost and might get nothing for long.
 func (g *Gateway) attach(id BackendID) {
-	if s := g.servers[id]; s != nil && g.detached[id] {
-		s.StartedAt, s.latency, s.fail, s.missed = max(s.StartedAt, g.now), 0, 0, 0
-		s.back, s.trialAt, s.trialGap = true, g.now, trialFirst/2
+	if b := g.backends[id]; b != nil && g.detached[id] {
+		b.StartedAt, b.latency, b.failureRate, b.unanswered = max(b.StartedAt, g.now), 0, 0, 0
+		b.reattached, b.trialAt, b.trialDelay = true, g.now, minTrialSeconds/2
 	}
 	delete(g.detached, id)
-	g.gather()
+	g.chooseSubset()
 }
 
-// house keeps averages and leases in order.
-func (g *Gateway) house() {
-	g.timer(houseGap, timerHouse, 0, 0)
-	span := max(g.now-g.lastHouse, g.set.Tick, 1e-3)
-	g.lastHouse = g.now
+// housekeeping updates averages, drops what is no longer used and returns unused leases and slots.
+func (g *Gateway) housekeeping() {
+	g.setTimer(housekeepingSeconds, timerHousekeeping, 0, 0)
+	interval := max(g.now-g.lastHousekeeping, g.cfg.Tick, 1e-3)
+	g.lastHousekeeping = g.now
 	warm := 0
-	g.forget()
-	aged := 1 - math.Exp(-span/healthSpan)
-	for _, s := range g.list {
-		g.lay(s, 0)
-		s.age(aged, g.latency)
-		if g.usable(s) && g.warmth(s) >= 1 && !s.far {
+	g.dropRemovedBackends()
+	decay := 1 - math.Exp(-interval/healthDecaySeconds)
+	for _, b := range g.backendList {
+		g.dropAbandoned(b, 0)
+		b.decayHealth(decay, g.latency)
+		if g.usable(b) && g.capacityFraction(b) >= 1 && !b.offSubset {
 			warm++
 		}
 	}
-	gain := min(span/coldSpan, 1)
+	ewmaWeight := min(interval/warmRateMeanSeconds, 1)
 	if warm > 0 {
-		g.warmRate += gain * (float64(g.warmSent)/span/float64(warm) - g.warmRate)
-	}
-	g.warmSent = 0
-	g.fadePaid(math.Exp(-span / untoldSpan))
-	for l := range g.arrivals {
-		g.arrivals[l] += gain * (g.arrived[l]/span - g.arrivals[l])
-		g.arrived[l] = 0
-	}
-	keep := g.roster[:0]
-	for _, c := range g.roster {
-		if g.now >= c.expires {
-			c.units = min(c.units, 0) // nobody came for them; the next window makes up for it
+		g.warmRate += ewmaWeight * (float64(g.warmSends)/interval/float64(warm) - g.warmRate)
+	}
+	g.warmSends = 0
+	g.decayUsage(math.Exp(-interval / usageDecaySeconds))
+	for level := range g.arrivalRates {
+		g.arrivalRates[level] += ewmaWeight * (g.arrivalCounts[level]/interval - g.arrivalRates[level])
+		g.arrivalCounts[level] = 0
+	}
+	kept := g.customerList[:0]
+	for _, c := range g.customerList {
+		if g.now >= c.leaseExpires {
+			c.leased = min(c.leased, 0) // expired unused; the next window makes up for it
 		}
-		g.leavePlaces(c)
-		if g.now-c.seen > idleDrop && c.open == 0 && c.inCalls == 0 && len(c.waiting) == 0 {
+		g.releaseSlots(c)
+		if g.now-c.lastRequestAt > customerIdleSeconds && c.openAttempts == 0 && c.pendingCalls == 0 &&
+			len(c.queue) == 0 {
 			delete(g.customers, c.id)
 			continue
 		}
-		keep = append(keep, c)
-		if c.owed < -refundLeast && c.inCalls == 0 && g.now >= c.restTill {
-			if g.roll(c); c.owed < 0 {
-				g.count(call{customer: c, name: c.name, window: c.window, owed: c.owed}, nameKeep)
-				c.owed = 0
+		kept = append(kept, c)
+		if c.unreported < -minCorrectionUnits && c.pendingCalls == 0 && g.now >= c.backoffUntil {
+			if g.rollWindow(c); c.unreported < 0 {
+				g.callCounter(counterCall{customer: c, key: c.key, window: c.window, spent: c.unreported}, keyTTLSeconds)
+				c.unreported = 0
 			}
 		}
-		if len(c.waiting) > 0 {
+		if len(c.queue) > 0 {
 			g.admit(c)
 		}
 	}
-	g.roster = keep
+	g.customerList = kept
 }
 
-// terms works out what a plan comes to for a customer of so many gateways.
-// With few gateways each sees the totals often enough to keep an exact store: a long window whose allowance
-// grows with time. Else each window is short and stands for itself.
-// Under a ceiling, leases and local shares together never pass it. An exact store spends in any time L
-// allowance*(1+leaseShare) + rate*L at most, and twice the first allowance if the counter comes back empty;
-// short windows allowance*(2+leaseShare) + rate*L. The shares have the rest of burst and rate.
-func (g *Gateway) terms(p *Plan, gateways, index int) terms {
-	n, parts := float64(max(gateways, 1)+g.set.CheckFrontends), g.parts(gateways)
-	t := terms{rate: p.Rate, allowance: p.Burst, first: p.Burst / n, exact: n <= exactMost,
-		localRate: p.Rate / parts, localBurst: max(p.Burst/parts, 1), ceiling: p.CeilingRate > 0,
-		places: p.MaxConcurrent,
-		share:  (p.MaxConcurrent + gateways - 1 - index) / max(gateways, 1)} // their sum is the limit
-	if g.wide() {
-		// A whole unit is many times a small store's share. A larger store has as many times its own, in
-		// bounds: all gateways may spend theirs at once while the counter is away.
-		t.localBurst = max(t.localBurst, min(p.Burst/g.leastBurst, localMost))
-	}
-	t.spare = t.allowance
+// limitsFor returns what a plan allows a customer that comes to so many gateways.
+// With few gateways each sees the totals often enough to keep an exact token bucket: a long window whose
+// allowance grows with time. Otherwise each window is short and independent.
+// Under a ceiling, leases and local shares together never exceed it. An exact bucket spends in any time L at
+// most allowance*(1+leaseTTLFraction) + rate*L, and twice the first allowance if the counter loses its data;
+// short windows allowance*(2+leaseTTLFraction) + rate*L. Local shares have the rest of burst and rate.
+func (g *Gateway) limitsFor(p *Plan, gateways, index int) planLimits {
+	n, divisor := float64(max(gateways, 1)+g.cfg.CheckFrontends), g.quotaDivisor(gateways)
+	lim := planLimits{rate: p.Rate, allowance: p.Burst, firstLease: p.Burst / n, exact: n <= maxExactGateways,
+		localRate: p.Rate / divisor, localBurst: max(p.Burst/divisor, 1), ceiling: p.CeilingRate > 0,
+		maxConcurrent:   p.MaxConcurrent,
+		localConcurrent: (p.MaxConcurrent + gateways - 1 - index) / max(gateways, 1)} // their sum is the limit
+	if g.largeFleet() {
+		// A whole unit is many times the local share of a small bucket. A larger bucket gets as many times its own,
+		// within a bound: all gateways may spend theirs at once while the counter is unavailable.
+		lim.localBurst = max(lim.localBurst, min(p.Burst/g.minBurst, maxLocalBurstUnits))
+	}
+	lim.initialAllowance = lim.allowance
 	if p.CeilingRate > 0 {
-		t.rate = min(p.Rate, p.CeilingRate)
-		t.allowance = min(t.allowance, p.CeilingBurst*ceilingLease)
-		t.spare, t.localBurst = t.allowance, (p.CeilingBurst-(2+leaseShare)*t.allowance)/parts
-		if t.exact {
-			t.allowance = min(p.Burst, p.CeilingBurst/(1+leaseShare))
-			t.spare = (p.CeilingBurst - (1+leaseShare)*t.allowance) / 2
-			t.localBurst = t.spare / parts
+		lim.rate = min(p.Rate, p.CeilingRate)
+		lim.allowance = min(lim.allowance, p.CeilingBurst*ceilingLeaseFraction)
+		lim.initialAllowance, lim.localBurst = lim.allowance,
+			(p.CeilingBurst-(2+leaseTTLFraction)*lim.allowance)/divisor
+		if lim.exact {
+			lim.allowance = min(p.Burst, p.CeilingBurst/(1+leaseTTLFraction))
+			lim.initialAllowance = (p.CeilingBurst - (1+leaseTTLFraction)*lim.allowance) / 2
+			lim.localBurst = lim.initialAllowance / divisor
 		}
-		t.first, t.localRate = t.allowance/n, (p.CeilingRate-t.rate)/parts
-	}
-	t.window = windowLen
-	if !t.exact {
-		t.window = t.allowance / max(t.rate, 1e-3)
-	}
-	if !t.exact && t.places > 0 {
-		// Danger: places kept by many hands are two calls a request, and stray. What they let through on
-		// average is kept as a rate instead.
-		if t.places = 0; t.rate == 0 && g.latency > 0 {
-			t.rate = placeUse * float64(p.MaxConcurrent) / g.latency
-			t.window, t.allowance, t.spare = placeWindow, t.rate*placeWindow, t.rate*placeWindow
-			t.first, t.localRate = 1, t.rate/parts
+		lim.firstLease, lim.localRate = lim.allowance/n, (p.CeilingRate-lim.rate)/divisor
+	}
+	lim.windowSeconds = exactWindowSeconds
+	if !lim.exact {
+		lim.windowSeconds = lim.allowance / max(lim.rate, 1e-3)
+	}
+	if !lim.exact && lim.maxConcurrent > 0 {
+		// Slots of many gateways cost two calls per request and get lost: their average rate is kept instead.
+		if lim.maxConcurrent = 0; lim.rate == 0 && g.latency > 0 {
+			lim.rate = slotUseFraction * float64(p.MaxConcurrent) / g.latency
+			lim.windowSeconds, lim.allowance, lim.initialAllowance =
+				slotRateWindowSeconds, lim.rate*slotRateWindowSeconds, lim.rate*slotRateWindowSeconds
+			lim.firstLease, lim.localRate = 1, lim.rate/divisor
 		}
 	}
-	return t
+	return lim
 }
 
-// startShare is what a customer new to this gateway may spend of its local share. Danger: a gateway that
-// starts again may have spent its share in its last life. Under a ceiling it earns the share anew; elsewhere
-// a full store costs little.
-func (g *Gateway) startShare(r Request) float64 {
-	p := &g.set.Plans[r.Plan]
-	if p.CeilingRate > 0 {
+// initialLocalUnits returns the local share of a customer new to this gateway. A restarted gateway may have
+// spent its share before: under a ceiling it is earned anew; elsewhere a full bucket costs little.
+func (g *Gateway) initialLocalUnits(r Request) float64 {
+	plan := &g.cfg.Plans[r.Plan]
+	if plan.CeilingRate > 0 {
 		return 0
 	}
-	return g.terms(p, r.Gateways, 0).localBurst
+	return g.limitsFor(plan, r.Gateways, 0).localBurst
 }
 
-// admit lets a customer's waiting requests go as far as its leases reach.
+// admit admits a customer's waiting requests as far as its leases reach.
 func (g *Gateway) admit(c *customer) {
-	limited := c.terms.rate > 0
-	for len(c.waiting) > 0 {
-		j := c.waiting[0]
+	limited := c.limits.rate > 0
+	for len(c.queue) > 0 {
+		req := c.queue[0]
 		shared := true
-		if c.terms.places > 0 && !j.check && !g.place(c) {
-			return // a place may come free before its time is over
+		if c.limits.maxConcurrent > 0 && !req.isCheck && !g.slotAvailable(c) {
+			return // a slot may become free before the request is too late
 		}
 		if limited {
-			g.roll(c)
+			g.rollWindow(c)
 			switch {
-			case c.units >= j.Units:
-				g.spend(c, j.Units)
-				g.told[j.Plan] += j.Units
-			case c.asking > 0:
+			case c.leased >= req.Units:
+				g.spendLease(c, req.Units)
+				g.recentLeased[req.Plan] += req.Units
+			case c.leaseCalls > 0:
 				return
-			case g.now < c.dryUntil && j.least() >= c.dryFor:
-				if !g.later(j, c.dryUntil) {
-					g.giveBack(j)
+			case g.now < c.exhaustedUntil && req.minUnits() >= c.exhaustedUnits:
+				if !g.postponeCheck(req, c.exhaustedUntil) {
+					g.refuseOrFail(req)
 				}
 				continue
-			case !g.set.HasCounter || g.now < c.restTill:
-				if !c.takeLocal(g.now, j.Units, j.share()) {
-					if g.set.HasCounter && c.terms.exact && c.restTill+g.latency < j.giveUp {
-						return // held: a crowded counter may have room in a moment
+			case !g.cfg.HasCounter || g.now < c.backoffUntil:
+				if !c.spendLocal(g.now, req.Units, req.localUnitsNeeded()) {
+					if g.cfg.HasCounter && c.limits.exact && c.backoffUntil+g.latency < req.answerBy {
+						return // it waits: the counter may accept calls again soon
 					}
-					if !g.later(j, c.restTill) {
-						g.giveBack(j)
+					if !g.postponeCheck(req, c.backoffUntil) {
+						g.refuseOrFail(req)
 					}
 					continue
 				}
-				c.owed += j.Units
-				g.untold[j.Plan] += j.Units
+				c.unreported += req.Units
+				g.recentLocal[req.Plan] += req.Units
 				shared = false
 			default:
-				g.lease(c)
+				g.requestLease(c)
 				continue
 			}
 		}
-		if j.check {
-			g.checked(j, j.Units, shared && limited)
+		if req.isCheck {
+			g.finishCheck(req, req.Units, shared && limited)
 			continue
 		}
-		c.waiting = c.waiting[1:]
-		c.open++
-		j.paid, j.paidAt = true, g.now
-		g.enqueue(j)
+		c.queue = c.queue[1:]
+		c.openAttempts++
+		req.admitted, req.admittedAt = true, g.now
+		g.enqueue(req)
 		g.dispatch()
 	}
 }
 
-// spend takes leased units. Danger: with a counter that answers now and then, leases and the local share
-// would add up to more than the quota. So leases count against the share too.
-func (g *Gateway) spend(c *customer, units float64) {
-	c.units -= units
-	c.takeLocal(g.now, 0, 0)
-	c.local = max(c.local-units, -c.terms.localBurst)
+// spendLease spends leased units. They count against the local share too: with a counter that answers only
+// now and then, leases and the local share would add up to more than the quota.
+func (g *Gateway) spendLease(c *customer, units float64) {
+	c.leased -= units
+	c.spendLocal(g.now, 0, 0)
+	c.localUnits = max(c.localUnits-units, -c.limits.localBurst)
 }
 
-// place tells whether one more request of c may be let in under its plan's limit on attempts out at once.
-// Places are leased from the counter one call at a time and go back when nobody waits for them.
-func (g *Gateway) place(c *customer) bool {
+// slotAvailable reports whether one more request of c may be admitted under its plan's limit on concurrent
+// attempts. Slots are leased from the counter one call at a time and returned when nobody waits for them.
+func (g *Gateway) slotAvailable(c *customer) bool {
 	switch {
-	case c.open < c.slots:
+	case c.openAttempts < c.slots:
 		return true
-	case !g.set.HasCounter || g.now < c.restTill:
-		return c.open < c.terms.share
-	case c.open >= c.terms.places: // others need not be asked
-	case c.askingPlace == 0 && g.now >= c.slotAfter && math.Mod(g.now, slotWindowLen) > 2*houseGap &&
-		!g.crowded(c):
-		g.slotWindow(c)
-		want := float64(min(len(c.waiting), c.terms.places))
-		g.count(call{customer: c, name: c.slotName, units: want, slot: true}, nameKeep)
+	case !g.cfg.HasCounter || g.now < c.backoffUntil:
+		return c.openAttempts < c.limits.localConcurrent
+	case c.openAttempts >= c.limits.maxConcurrent: // no call needed
+	case c.slotCalls == 0 && g.now >= c.nextSlotCallAt &&
+		math.Mod(g.now, slotWindowSeconds) > 2*housekeepingSeconds && !g.skipCall(c):
+		g.rollSlotWindow(c)
+		slots := float64(min(len(c.queue), c.limits.maxConcurrent))
+		g.callCounter(counterCall{customer: c, key: c.slotKey, requested: slots, slots: true}, keyTTLSeconds)
 	}
 	return false
 }
 
-// placed takes the answer to a call for places and adds back what is too many.
-func (g *Gateway) placed(c *customer, k call, total float64) {
-	over := min(max(math.Ceil(total)-float64(c.terms.places), 0), k.units)
-	c.slots += int(k.units - over)
-	if over > 0 {
-		c.slotAfter = g.now + slotRetry
-		g.count(call{customer: c, name: k.name, fill: -over, slot: true}, nameKeep)
+// grantSlots handles the answer to a call for slots and returns those beyond the limit.
+func (g *Gateway) grantSlots(c *customer, call counterCall, total float64) {
+	excess := min(max(math.Ceil(total)-float64(c.limits.maxConcurrent), 0), call.requested)
+	c.slots += int(call.requested - excess)
+	if excess > 0 {
+		c.nextSlotCallAt = g.now + slotRetrySeconds
+		g.callCounter(counterCall{customer: c, key: call.key, delta: -excess, slots: true}, keyTTLSeconds)
 	}
 }
 
-// leavePlaces gives places back that nobody here has used for a moment.
-func (g *Gateway) leavePlaces(c *customer) {
+// releaseSlots returns slots that no request here has used for a moment.
+func (g *Gateway) releaseSlots(c *customer) {
 	if c.slots > 0 {
-		g.slotWindow(c) // what is held is told before anyone asks in the new window
+		g.rollSlotWindow(c) // held slots are reported before any is requested in the new window
 	}
-	if spare := c.slots - c.open; spare > 0 && g.now >= max(c.restTill, c.seen+houseGap) {
-		c.slots -= spare
-		g.count(call{customer: c, name: c.slotName, fill: -float64(spare), slot: true}, nameKeep)
+	if idle := c.slots - c.openAttempts; idle > 0 &&
+		g.now >= max(c.backoffUntil, c.lastRequestAt+housekeepingSeconds) {
+		c.slots -= idle
+		g.callCounter(counterCall{customer: c, key: c.slotKey, delta: -float64(idle), slots: true}, keyTTLSeconds)
 	}
 }
 
-// crowded leaves a call out, the more often the more of late have failed.
-func (g *Gateway) crowded(c *customer) bool {
-	if g.rng.Float64() >= min(crowdFactor*g.crowd, crowdMost) {
+// skipCall decides whether to leave out a call: the more calls have failed recently, the more it skips.
+func (g *Gateway) skipCall(c *customer) bool {
+	if g.rng.Float64() >= min(callSkipFactor*g.callFailureRate, maxCallSkipRate) {
 		return false
 	}
-	c.restTill = g.now + counterRest
+	c.backoffUntil = g.now + minBackoffSeconds
 	return true
 }
 
-// lease asks for a block, and tells what has been spent from the local share in this window.
-func (g *Gateway) lease(c *customer) {
-	if g.crowded(c) {
+// requestLease requests units, and reports those spent from the local share in this window.
+func (g *Gateway) requestLease(c *customer) {
+	if g.skipCall(c) {
 		return
 	}
-	need := 0.0
-	for _, j := range c.waiting {
-		need += j.Units
-	}
-	block := c.terms.first // what the demand of a second needs, at first all of the share
-	if c.met {
-		block = min(c.demand, block)
-	}
-	need = math.Ceil(need) + math.Floor(block) // a unit that nobody comes for is missing to the others
-	floor := g.roll(c)
-	k := call{customer: c, name: c.name, window: c.window, floor: floor, owed: c.owed}
-	k.units = max(min(need, c.terms.allowance), 1)
-	if k.fill = max(floor-c.known, 0); c.known == 0 {
-		// Danger: a window that is new to this gateway may be new to all. The call that starts it must
-		// tell, in one step, that not all of the store is there; who was not the first takes it back.
-		k.fill = floor + c.terms.allowance - c.terms.spare
-	}
-	c.owed = 0
-	if g.wide() {
-		// Danger: of a customer that comes through many gateways each sees one request in a while, so what a
-		// local share paid is hardly ever told with a later call, and the counter would see half of the use.
-		// Each call speaks for the units of others of its plan that went untold.
-		p := c.waiting[0].Plan
-		k.fill += need * min(g.untold[p]/max(g.told[p], 1), untoldMost)
-	}
-	g.count(k, nameKeep)
+	needed := 0.0
+	for _, req := range c.queue {
+		needed += req.Units
+	}
+	demand := c.limits.firstLease // the demand of a second, at first the whole share
+	if c.hasTotal {
+		demand = min(c.demandRate, demand)
+	}
+	needed = math.Ceil(needed) + math.Floor(demand) // an unused unit is missing at the others
+	fullTotal := g.rollWindow(c)
+	call := counterCall{customer: c, key: c.key, window: c.window, fullTotal: fullTotal, spent: c.unreported}
+	call.requested = max(min(needed, c.limits.allowance), 1)
+	if call.delta = max(fullTotal-c.knownTotal, 0); c.knownTotal == 0 {
+		// A window that is new to this gateway may be new to all. The call that starts it must also report that the
+		// bucket is not full. A gateway that was not the first takes that back.
+		call.delta = fullTotal + c.limits.allowance - c.limits.initialAllowance
+	}
+	c.unreported = 0
+	if g.largeFleet() {
+		// Of a customer at many gateways each sees a request now and then: a later call hardly ever reports what
+		// its local share paid, and the counter would see half of the use. So each call reports for its whole plan.
+		plan := c.queue[0].Plan
+		call.delta += needed * min(g.recentLocal[plan]/max(g.recentLeased[plan], 1), maxUnreportedRatio)
+	}
+	g.callCounter(call, keyTTLSeconds)
 }
 
-// counted takes the answer to a call. An unanswered call grants nothing: it may have been added, and the
-// next totals will tell. Neither does one whose answer can't be read, but that was added, so the next call
-// takes it back, and what it wrote off, which the next call writes off again. Under a ceiling that stays: the
-// first call of a window must not find less there than it told.
-func (g *Gateway) counted(e CounterReply) {
-	k, ok := g.called(e.Key)
+// handleCounterReply handles the answer to a call. An unanswered call grants nothing: it may have been added,
+// which the next totals will show. Neither does one that was added with an unreadable answer: the next call
+// takes it back, and its write-off too, which it then repeats. Under a ceiling the write-off stays: the first
+// call of a window must not find less there than it reported.
+func (g *Gateway) handleCounterReply(e CounterReply) {
+	call, ok := g.popCall(e.Key)
 	if !ok {
 		return
 	}
-	c := k.customer
-	gain := min(max((g.now-g.crowdAt)/crowdSpan, crowdGain), 1)
-	g.crowdAt = g.now
-	g.crowd -= gain * g.crowd
-	if (e.Outcome == TimedOut || e.Outcome == ConnectionBroken) && !k.slot && k.window == c.window {
-		c.doubt += k.units + math.Abs(k.fill)
+	c := call.customer
+	weight := min(max((g.now-g.lastCallEnd)/callFailureMeanSeconds, callFailureMinWeight), 1)
+	g.lastCallEnd = g.now
+	g.callFailureRate -= weight * g.callFailureRate
+	if (e.Outcome == TimedOut || e.Outcome == ConnectionBroken) && !call.slots && call.window == c.window {
+		c.uncertain += call.requested + math.Abs(call.delta)
 		if e.Outcome == TimedOut {
-			g.lost = append(g.lost[max(len(g.lost)+1-lostMost, 0):], k)
+			g.timedOutCalls = append(g.timedOutCalls[max(len(g.timedOutCalls)+1-maxTimedOutCalls, 0):], call)
 		}
 	}
 	switch {
 	case e.Outcome == Errored || e.Outcome == ConnectionBroken:
-		// Danger: a spoilt answer or connection says nothing of a crowd. Were it taken for one, calls would be
-		// left out that the counter bears, and customers refused inside their quotas.
-		if e.Outcome == Errored && k.slot && k.units > 0 {
-			g.count(call{customer: c, name: k.name, fill: -k.units, slot: true}, nameKeep)
+		// An unreadable answer or a broken connection is no sign of an overloaded counter. Taken for one, it would
+		// skip calls that the counter can bear, and refuse customers within their quotas.
+		if e.Outcome == Errored && call.slots && call.requested > 0 {
+			g.callCounter(counterCall{customer: c, key: call.key, delta: -call.requested, slots: true}, keyTTLSeconds)
 		} else if e.Outcome == Errored {
-			c.takeBack(k)
+			c.reclaim(call)
 		}
-		c.restTill = g.now + c.rest // the first time none at all
-		c.rest = min(max(2*c.rest, counterRest), counterMost)
-	case k.slot && e.Outcome == Served && k.units > 0:
-		g.placed(c, k, e.Total)
+		c.backoffUntil = g.now + c.backoff // no backoff the first time
+		c.backoff = min(max(2*c.backoff, minBackoffSeconds), maxBackoffSeconds)
+	case call.slots && e.Outcome == Served && call.requested > 0:
+		g.grantSlots(c, call, e.Total)
 	case e.Outcome != Served:
-		// Danger: a place or a unit that was not given back is missing to all gateways. A call turned
-		// away has changed nothing and is made again; one unanswered may have counted and is let be.
+		// A slot or unit that is not returned is missing at all gateways. A rejected call has changed nothing and
+		// is repeated; an unanswered one may have been added and is not.
 		switch {
 		case e.Outcome == TimedOut:
-		case k.slot && k.name == c.slotName:
-			c.slots += int(max(-k.fill, 0))
-		case !k.slot:
-			c.tellLater(k)
+		case call.slots && call.key == c.slotKey:
+			c.slots += int(max(-call.delta, 0))
+		case !call.slots:
+			c.reportLater(call)
 		}
-		g.crowd += gain
-		c.rest = min(max(2*c.rest, counterRest), counterMost)
-		c.restTill = g.now + c.rest
-	case k.units > 0 && !k.slot:
-		c.rest = 0
-		g.granted(c, k, e.Total)
+		g.callFailureRate += weight
+		c.backoff = min(max(2*c.backoff, minBackoffSeconds), maxBackoffSeconds)
+		c.backoffUntil = g.now + c.backoff
+	case call.requested > 0 && !call.slots:
+		c.backoff = 0
+		g.grantLease(c, call, e.Total)
 	}
 	g.admit(c)
 }
 
-// countedLate takes what came of a call after it was given up. Danger: a counter that is slow for a moment
-// adds all the same, and what it added and nobody uses is missing at all gateways. So a late total grants
-// as one in time would, and ends the rest. It stands for a counter slow for all, and where silence was a
-// network's; a total too old for its window is of no use.
-func (g *Gateway) countedLate(e LateCounterReply) {
-	at := slices.IndexFunc(g.lost, func(k call) bool { return k.id == e.CallID })
-	if at < 0 {
+// handleLateReply handles the result of a call that had timed out. A counter that is slow for a moment adds
+// all the same, and unused units are missing at all gateways. So a late total grants as one in time would
+// and ends the backoff. This covers a counter slow for all and a silent network; a too old total is ignored.
+func (g *Gateway) handleLateReply(e LateCounterReply) {
+	i := slices.IndexFunc(g.timedOutCalls, func(call counterCall) bool { return call.id == e.CallID })
+	if i < 0 {
 		return
 	}
-	k := g.lost[at]
-	c := k.customer
-	g.lost = slices.Delete(g.lost, at, at+1)
-	if k.window != c.window || e.Outcome == TimedOut || e.Outcome == ConnectionBroken {
+	call := g.timedOutCalls[i]
+	c := call.customer
+	g.timedOutCalls = slices.Delete(g.timedOutCalls, i, i+1)
+	if call.window != c.window || e.Outcome == TimedOut || e.Outcome == ConnectionBroken {
 		return
 	}
-	c.doubt = max(c.doubt-k.units-math.Abs(k.fill), 0)
+	c.uncertain = max(c.uncertain-call.requested-math.Abs(call.delta), 0)
 	switch {
 	case e.Outcome == Errored:
-		c.takeBack(k)
+		c.reclaim(call)
 	case e.Outcome != Served:
-		c.tellLater(k)
-	case k.units > 0:
-		c.rest, c.restTill = 0, g.now
-		g.granted(c, k, e.Total)
+		c.reportLater(call)
+	case call.requested > 0:
+		c.backoff, c.backoffUntil = 0, g.now
+		g.grantLease(c, call, e.Total)
 	}
 	g.admit(c)
 }
 
-// granted keeps what fits of a block. An exact store gets the rest back. In a short window it is left: there
-// is nothing for anyone until the next, and the calls for it would be as many as those for units.
-func (g *Gateway) granted(c *customer, k call, total float64) {
-	before := total - k.fill - k.units
-	target := max(before, k.floor)
-	if before-k.owed < refundLeast { // the window is new, or the counter has lost it
-		target = max(target, c.known, k.floor+c.terms.allowance-c.terms.spare)
-	}
-	if over := target - k.floor - 2*c.terms.allowance; over > 0 && c.terms.exact && !c.terms.ceiling {
-		// Danger: a call in doubt that was added is missing to all gateways till the window ends, refills
-		// that nobody used among it. Leases bring a store to empty and local shares a burst below; what is
-		// beyond proves the call and goes back. It covers lost, late and cut answers alike. What another
-		// gateway is about to take back looks the same; then the store is at most filled anew.
-		back := min(over, c.doubt)
-		c.doubt -= back
-		target -= back
+// grantLease keeps what fits of the requested units. An exact bucket gets the rest back. In a short window it
+// is left: there is nothing for anyone until the next, and returns would take as many calls as leases do.
+func (g *Gateway) grantLease(c *customer, call counterCall, total float64) {
+	before := total - call.delta - call.requested
+	target := max(before, call.fullTotal)
+	if before-call.spent < minCorrectionUnits { // the window is new, or the counter has lost it
+		target = max(target, c.knownTotal, call.fullTotal+c.limits.allowance-c.limits.initialAllowance)
+	}
+	if over := target - call.fullTotal - 2*c.limits.allowance; over > 0 && c.limits.exact && !c.limits.ceiling {
+		// An uncertain call that was added is missing at all gateways until the window ends, and so is the refill
+		// that it wrote off. Leases empty a bucket and local shares overdraw it by one burst; more than that proves
+		// that the call was added, and is returned. This covers lost, late and truncated answers alike. What
+		// another gateway is about to take back looks the same; then the bucket is filled once more at most.
+		returned := min(over, c.uncertain)
+		c.uncertain -= returned
+		target -= returned
 	}
 	unit := 1.0
-	if len(c.waiting) > 0 && !c.waiting[0].partial {
-		unit = max(c.waiting[0].Units, 1e-3)
-	}
-	avail, held := c.terms.allowance-(target-k.floor), max(c.units, 0)
-	grant := max(min(k.units, math.Floor((avail+held)/unit+1e-3)*unit-held), 0)
-	if grant < k.units {
-		if g.wide() {
-			// Danger: a customer at its limit would get the local share of one gateway after another.
-			c.takeLocal(g.now, 0, 0)
-			c.local = min(c.local, 0)
+	if len(c.queue) > 0 && !c.queue[0].partial {
+		unit = max(c.queue[0].Units, 1e-3)
+	}
+	available, leased := c.limits.allowance-(target-call.fullTotal), max(c.leased, 0)
+	grant := max(min(call.requested, math.Floor((available+leased)/unit+1e-3)*unit-leased), 0)
+	if grant < call.requested {
+		if g.largeFleet() {
+			// Otherwise a customer at its limit would get the local share of one gateway after another.
+			c.spendLocal(g.now, 0, 0)
+			c.localUnits = min(c.localUnits, 0)
 		}
-		// Danger: another gateway may be about to take back what it wrote off twice; until it has, the store
-		// looks emptier than it is.
-		more := min(unit, 1)
-		short := min(unit+more-avail-held+grant, unit+(dryMost-1)*more)
-		c.dryFor = unit
-		c.dryUntil = g.now + max(short/max(c.terms.rate, 1e-3), g.set.Tick)
-		if !c.terms.exact {
-			c.dryUntil = (k.window + 1 - c.phase()) * c.terms.window
+		// Another gateway may be about to take back a double write-off; until then the bucket looks too empty.
+		extra := min(unit, 1)
+		missing := min(unit+extra-available-leased+grant, unit+(maxExhaustedRefill-1)*extra)
+		c.exhaustedUnits = unit
+		c.exhaustedUntil = g.now + max(missing/max(c.limits.rate, 1e-3), g.cfg.Tick)
+		if !c.limits.exact {
+			c.exhaustedUntil = (call.window + 1 - c.windowPhase()) * c.limits.windowSeconds
 		}
 	}
-	c.units += grant
+	c.leased += grant
 	if grant > 0 {
-		c.expires = g.now + leaseShare*c.terms.allowance/max(c.terms.rate, 1e-3)
+		c.leaseExpires = g.now + leaseTTLFraction*c.limits.allowance/max(c.limits.rate, 1e-3)
 	}
-	if c.window == k.window {
-		c.known = target + grant
+	if c.window == call.window {
+		c.knownTotal = target + grant
 	}
-	c.met = true
-	if more := target + grant - total; c.terms.exact && math.Abs(more) > refundLeast*min(unit, 1) {
-		// Less, or what an emptied counter lost.
-		g.count(call{customer: c, name: k.name, window: k.window, fill: more}, nameKeep)
+	c.hasTotal = true
+	if diff := target + grant - total; c.limits.exact && math.Abs(diff) > minCorrectionUnits*min(unit, 1) {
+		// Takes back what was too much, or adds what a counter without its data has lost.
+		g.callCounter(counterCall{customer: c, key: call.key, window: call.window, delta: diff}, keyTTLSeconds)
 	}
 }
 
-// NeverRan tells which outcomes prove that an attempt had no effect.
+// NeverRan reports whether an outcome proves that an attempt had no effect.
 func NeverRan(o Outcome) bool { return o == Overloaded || o == ConnectFailed || o == NotSent }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -66,7 +66,7 @@
 // ask sends a request of the class and plan and answers its counter calls in full.
 func (d *drive) ask(class, plan int, who CustomerID) RequestID {
 	d.nextID++
-	set := d.g.set
+	set := d.g.cfg
 	out := d.handle(Request{ID: d.nextID, Class: class, Plan: plan, Customer: who, Units: 1, Gateways: 2,
 		Deadline: d.now + set.Classes[class].Timeout})
 	d.last = append(out, d.grantAll(out)...)
@@ -127,12 +127,12 @@
 		t.Fatalf("sent %d with no backend", n)
 	}
 	d.now += 0.8
-	out := d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)})
+	out := d.handle(TimerFired{Token: timerAnswerBy<<56 | uint64(id)})
 	if r := one[Refuse](t, out); r.Request != id {
 		t.Errorf("refused %d, want %d", r.Request, id)
 	}
 	d.now += 1
-	if out := d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)}); len(find[Refuse](out))+len(find[Fail](out)) > 0 {
+	if out := d.handle(TimerFired{Token: timerAnswerBy<<56 | uint64(id)}); len(find[Refuse](out))+len(find[Fail](out)) > 0 {
 		t.Error("answered twice")
 	}
 }
@@ -148,7 +148,7 @@
 		t.Errorf("repeat went from backend %d to %d, another cell", first.Backend, second.Backend)
 	}
 	d.now += 0.9
-	out = d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)})
+	out = d.handle(TimerFired{Token: timerAnswerBy<<56 | uint64(id)})
 	if len(find[Refuse](out)) > 0 {
 		t.Error("refused a keyed request that may have run")
 	}
@@ -211,7 +211,7 @@
 			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Duration: 0.04, RequestDone: true})
 			out = out[1:]
 		}
-		d.handle(TimerFired{Token: timerHouse << 56})
+		d.handle(TimerFired{Token: timerHousekeeping << 56})
 	}
 	// A warm backend had 100 a second for two seconds; the cold one may do 20 to 36 of these.
 	if toCold > 2*2*36 {
@@ -224,7 +224,7 @@
 
 func TestHeldRequestsLeaveHighestLevelFirst(t *testing.T) {
 	d := start(t, testSettings(), some(2)...)
-	d.g.bound = 4
+	d.g.limit = 4
 	var first RequestID
 	var busy Send
 	for i := range 4 {
@@ -244,7 +244,7 @@
 
 func TestReserveIsForTopLevels(t *testing.T) {
 	d := start(t, testSettings(), some(4)...)
-	d.g.bound = 10
+	d.g.limit = 10
 	sent := 0
 	for i := range 30 {
 		d.ask(0, 0, CustomerID(i))
@@ -336,7 +336,7 @@
 	}
 	d.now += 0.79
 	for i := range 10 {
-		refused += len(find[Refuse](d.handle(TimerFired{Token: timerEnd<<56 | uint64(i+1)})))
+		refused += len(find[Refuse](d.handle(TimerFired{Token: timerAnswerBy<<56 | uint64(i+1)})))
 	}
 	if refused != 8 {
 		t.Errorf("sent %d and refused %d, want burst/gateways = 2 and 8", sent, refused)
@@ -359,7 +359,7 @@
 	}
 	d.handle(CounterReply{Key: call.Key, Total: 2})
 	d.now += 0.05
-	out = d.handle(TimerFired{Token: timerHouse << 56})
+	out = d.handle(TimerFired{Token: timerHousekeeping << 56})
 	call = one[CounterAdd](t, out)
 	out = d.handle(CounterReply{Key: call.Key, Total: 2})
 	one[Send](t, out)
@@ -388,7 +388,7 @@
 			if now < 102 || rng.Float64() < 0.2+0.2*math.Sin(now) || math.Mod(now, 19) < 7 {
 				todo = d.handle(Request{ID: id, Units: 1, Gateways: gateways, Customer: 5, Deadline: now + 2})
 			} else if step%9 == 0 {
-				todo = d.handle(TimerFired{Token: timerHouse << 56})
+				todo = d.handle(TimerFired{Token: timerHousekeeping << 56})
 			}
 			if rng.IntN(8000) == 0 { // killed, with all it knew
 				ds[n] = start(t, set, some(30)...)
@@ -434,7 +434,7 @@
 					how = Errored
 					toBad++
 				}
-				n := len(d.g.jobs[s.Request].attempts) - 1
+				n := len(d.g.requests[s.Request].attempts) - 1
 				todo = append(todo, d.handle(AttemptEnd{Request: s.Request, Attempt: n, Backend: s.Backend, Outcome: how,
 					Duration: 0.002, RequestDone: how == Served})...)
 			}
@@ -451,14 +451,14 @@
 func TestWhatIsKnownOfABackendFades(t *testing.T) {
 	d := start(t, testSettings(), some(3)...)
 	d.g.latency = 0.1
-	once, slow, out := d.g.servers[1], d.g.servers[2], d.g.servers[3]
-	once.fail, slow.latency, out.fail = failGain, 0.4, 0.9
-	for range int(2 * healthSpan / houseGap) {
-		d.now += houseGap
-		d.handle(TimerFired{Token: timerHouse << 56})
+	once, slow, out := d.g.backends[1], d.g.backends[2], d.g.backends[3]
+	once.failureRate, slow.latency, out.failureRate = failureWeight, 0.4, 0.9
+	for range int(2 * healthDecaySeconds / housekeepingSeconds) {
+		d.now += housekeepingSeconds
+		d.handle(TimerFired{Token: timerHousekeeping << 56})
 	}
-	if once.fail > 0.05 || slow.latency > 0.15 || out.fail != 0.9 {
-		t.Errorf("failures %.2f, latency %.2f, failures of the one left out %.2f", once.fail, slow.latency, out.fail)
+	if once.failureRate > 0.05 || slow.latency > 0.15 || out.failureRate != 0.9 {
+		t.Errorf("failures %.2f, latency %.2f, failures of the one left out %.2f", once.failureRate, slow.latency, out.failureRate)
 	}
 }
 
@@ -466,7 +466,7 @@
 	set := testSettings()
 	set.MaxAttempts = 1
 	d := start(t, set, some(1)...)
-	d.g.bound, d.g.latency = 3.4, 0.5
+	d.g.limit, d.g.latency = 3.4, 0.5
 	for i := range 3 {
 		d.ask(0, 1, CustomerID(i))
 		s := one[Send](t, d.last)
@@ -481,7 +481,7 @@
 
 func TestRetriesCannotAmplifyAnOutage(t *testing.T) {
 	d := start(t, testSettings(), some(8)...)
-	d.g.bound = 1000
+	d.g.limit = 1000
 	sends := 0
 	for i := range 400 {
 		d.now += 0.05
@@ -490,14 +490,14 @@
 		for len(todo) > 0 {
 			for _, s := range find[Send](todo[:1]) {
 				sends++
-				n := len(d.g.jobs[s.Request].attempts) - 1
+				n := len(d.g.requests[s.Request].attempts) - 1
 				todo = append(todo, d.handle(AttemptEnd{Request: s.Request, Attempt: n, Backend: s.Backend, Outcome: Errored,
 					Duration: 0.001})...)
 			}
 			todo = todo[1:]
 		}
 	}
-	if limit := 400*(1+retryShare) + retryMost + 1; float64(sends) > limit {
+	if limit := 400*(1+retryTokensPerSend) + maxRetryTokens + 1; float64(sends) > limit {
 		t.Errorf("%d sends for 400 requests that all fail, want %v at most", sends, limit)
 	}
 }
@@ -534,12 +534,12 @@
 	for _, back := range find[CounterAdd](out) {
 		total += back.Amount
 	}
-	window := d.g.roll(d.g.customers[1])
-	if lent := d.g.customers[1].units + 1; math.Abs(total-window-lent) > 1 {
+	window := d.g.rollWindow(d.g.customers[1])
+	if lent := d.g.customers[1].leased + 1; math.Abs(total-window-lent) > 1 {
 		t.Errorf("the counter holds %.1f beyond the refill of %.1f, but %.1f were lent", total-window, window, lent)
 	}
-	if d.g.crowd > 0 {
-		t.Errorf("a crowd of %v was seen", d.g.crowd)
+	if d.g.callFailureRate > 0 {
+		t.Errorf("a crowd of %v was seen", d.g.callFailureRate)
 	}
 	calls := 0
 	for i := range 200 {
@@ -561,9 +561,9 @@
 	set := testSettings()
 	set.Plans[1].Rate = 0
 	d := start(t, set, some(4)...)
-	for _, s := range d.g.list {
+	for _, s := range d.g.backendList {
 		if s.ID != 1 {
-			s.fail = 0.9
+			s.failureRate = 0.9
 		}
 	}
 	for range 600 {
@@ -573,9 +573,9 @@
 			d.handle(AttemptEnd{Request: s.Request, Backend: s.Backend, Outcome: Served, Duration: 0.05})
 		}
 	}
-	for _, s := range d.g.list {
+	for _, s := range d.g.backendList {
 		if s.ejected() {
-			t.Errorf("backend %d is left out, share of failures %.2f", s.ID, s.fail)
+			t.Errorf("backend %d is left out, share of failures %.2f", s.ID, s.failureRate)
 		}
 	}
 }
@@ -590,8 +590,8 @@
 		t.Fatalf("nothing was taken back: %v", back)
 	}
 	d.handle(CounterReply{Key: back.Key, Outcome: Overloaded})
-	d.now += counterMost
-	again := one[CounterAdd](t, d.handle(TimerFired{Token: timerHouse << 56}))
+	d.now += maxBackoffSeconds
+	again := one[CounterAdd](t, d.handle(TimerFired{Token: timerHousekeeping << 56}))
 	if again.Amount != back.Amount || again.Key != back.Key {
 		t.Errorf("%v was turned away, told later: %v", back, again)
 	}
@@ -608,9 +608,9 @@
 	out := d.handle(CounterReply{Key: first.Key, Total: first.Amount + 1000})
 	one[Refuse](t, out)
 	d.handle(CounterReply{Key: one[CounterAdd](t, out).Key, Total: 1000}) // its own double write-off
-	d.now += (dryMost + 0.1) / d.g.set.Plans[1].Rate
+	d.now += (maxExhaustedRefill + 0.1) / d.g.cfg.Plans[1].Rate
 	next := one[CounterAdd](t, d.handle(Request{ID: 2, Plan: 1, Customer: 1, Units: 1, Gateways: 2, Deadline: d.now + 2}))
-	full := d.g.roll(d.g.customers[1]) // it has been taken back, and the store is full
+	full := d.g.rollWindow(d.g.customers[1]) // it has been taken back, and the store is full
 	one[Send](t, d.handle(CounterReply{Key: next.Key, Total: full + next.Amount}))
 }
 
@@ -651,22 +651,22 @@
 	set := testSettings()
 	set.FleetSize, set.HasCounter = 300, false
 	d := start(t, set, some(60)...)
-	d.g.bound = 0.5 // half an attempt each
+	d.g.limit = 0.5 // half an attempt each
 	var out []Send
 	sent, together := 0, 0
 	for i := range 4000 { // ten a second; each takes half a second
 		d.now += 0.1
-		for len(out) > 0 && d.now > d.g.jobs[out[0].Request].attempts[0].sent+0.5 {
+		for len(out) > 0 && d.now > d.g.requests[out[0].Request].attempts[0].sentAt+0.5 {
 			d.handle(AttemptEnd{Request: out[0].Request, Backend: out[0].Backend, Duration: 0.5, Outcome: Overloaded})
 			out = out[1:]
 		}
-		d.g.bound = 0.5
-		d.g.retries = 0
+		d.g.limit = 0.5
+		d.g.retryTokens = 0
 		d.nextID++
 		sends := find[Send](d.handle(Request{ID: d.nextID, Plan: 1, Units: 1, Gateways: 300, Customer: CustomerID(i),
 			Deadline: d.now + 2}))
 		for _, id := range []RequestID{d.nextID, d.nextID - 8} {
-			d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)})
+			d.handle(TimerFired{Token: timerAnswerBy<<56 | uint64(id)})
 		}
 		sent += len(sends)
 		out = append(out, sends...)
@@ -715,7 +715,7 @@
 	set.FleetSize = 100
 	set.Plans[0] = Plan{Price: 1, MaxConcurrent: 2}
 	d := start(t, set, some(40)...)
-	d.g.latency, d.g.bound = 0.1, 100
+	d.g.latency, d.g.limit = 0.1, 100
 	total, sent := 0.0, 0
 	names := map[uint64]bool{}
 	for i := range 60 { // 60 requests within one window
@@ -741,10 +741,10 @@
 		d.handle(Backends{Kind: DeltaList, Entries: []Backend{ready(id)}})
 		d.handle(Backends{Kind: DeltaList, Entries: []Backend{{ID: id, State: Removed}}})
 		d.now += 0.05
-		d.handle(TimerFired{Token: timerHouse << 56})
+		d.handle(TimerFired{Token: timerHousekeeping << 56})
 	}
-	if len(d.g.list) != 3 || len(d.g.servers) != 3 {
-		t.Errorf("%d listed and %d known, want 3", len(d.g.list), len(d.g.servers))
+	if len(d.g.backendList) != 3 || len(d.g.backends) != 3 {
+		t.Errorf("%d listed and %d known, want 3", len(d.g.backendList), len(d.g.backends))
 	}
 }
 
@@ -772,7 +772,7 @@
 			d.handle(AttemptEnd{Request: 12345, Backend: 1, Outcome: NotSent})
 			d.handle(Backends{Kind: FullList})
 			d.handle(Backends{Kind: DeltaList, Entries: some(1)})
-			out = append(out, d.handle(TimerFired{Token: timerHouse << 56})...)
+			out = append(out, d.handle(TimerFired{Token: timerHousekeeping << 56})...)
 			for _, s := range find[Send](out) {
 				end := AttemptEnd{Request: s.Request, Backend: s.Backend, Duration: 0.1, RequestDone: true}
 				d.handle(end)
@@ -781,7 +781,7 @@
 			}
 			answered += len(find[Refuse](out)) + len(find[Fail](out))
 			d.now += 2
-			answered += len(find[Refuse](d.handle(TimerFired{Token: timerEnd<<56 | uint64(id)})))
+			answered += len(find[Refuse](d.handle(TimerFired{Token: timerAnswerBy<<56 | uint64(id)})))
 		}
 		if answered != 4 {
 			t.Errorf("%s: %d of 4 requests answered", name, answered)
@@ -819,7 +819,7 @@
 		at    float64
 		token uint64
 	}
-	timers := []timer{{100.05, timerHouse << 56}}
+	timers := []timer{{100.05, timerHousekeeping << 56}}
 	var calls []CounterAdd
 	notReady, detached := map[BackendID]bool{}, map[BackendID]bool{}
 	take := func(actions []Action) {
--- a/rules/state.go
+++ b/rules/state.go
@@ -1,7 +1,6 @@
 package rules
 
-// What a gateway keeps between events, and plain bookkeeping on it. Nothing is
-// decided here.
+// The state that a gateway keeps between events, and bookkeeping on it. Nothing is decided here.
 
 import (
 	"cmp"
@@ -10,219 +9,219 @@
 	"slices"
 )
 
-// Gateway holds all that one gateway knows.
+// Gateway is the state of one gateway.
 type Gateway struct {
-	set  Settings
-	now  float64
-	rng  *rand.Rand
-	out  []Action
-	said []CheckResult // of the present event; out points into it
-
-	jobs       map[RequestID]*job
-	spare      *job     // a check that is over
-	queues     [][]*job // by level, each in order of arrival
-	worths     []float64
-	leastBurst float64 // of the plans' stores
-	servers    map[BackendID]*server
-	detached   map[BackendID]bool // by hand
-	divide     FleetUpdate
-	list       []*server // by id
-	customers  map[CustomerID]*customer
-	roster     []*customer       // by first sight
-	calls      map[uint64][]call // out, by name, in order
-	lastCall   uint64
-	lost       []call // that ended with no answer lately, oldest first
-	born       float64
-
-	bound, lastCut    float64 // most attempts in flight, and when that was last cut
-	inFlight          int
-	load              float64 // mean of inFlight
-	pressure          float64 // mean of latency over aim
-	pressedAt         float64
-	latency, spread   float64   // mean of answers and its mean deviation
-	retries           float64   // saved up
-	untold, told      []float64 // by plan: units paid lately by local shares, and by leases
-	held              float64   // requests at a backend, mean of what was told
-	crowd, crowdAt    float64   // share of counter calls that fail, and when the last one ended
-	warmRate          float64   // own sends a second to a warm backend
-	warmSent          int
-	lastHouse         float64
-	patience          []patience
-	arrivals, arrived []float64 // by level: a second, and since lastHouse
-}
-
-// job is one request from its arrival until its last attempt has ended.
-type job struct {
+	cfg          Settings
+	now          float64
+	rng          *rand.Rand
+	actions      []Action
+	checkResults []CheckResult // of the present event; actions points into it
+
+	requests      map[RequestID]*activeRequest
+	freeRequest   *activeRequest     // a check that is over, for reuse
+	queues        [][]*activeRequest // by level, each in order of arrival
+	values        []float64          // of the levels, ascending
+	minBurst      float64            // least burst of any plan
+	backends      map[BackendID]*backend
+	detached      map[BackendID]bool // by an operator
+	fleet         FleetUpdate
+	backendList   []*backend // by ID
+	customers     map[CustomerID]*customer
+	customerList  []*customer              // by first request
+	pendingCalls  map[uint64][]counterCall // by key, in order
+	lastCallID    uint64
+	timedOutCalls []counterCall // recent ones, oldest first
+	startedAt     float64
+
+	limit, limitCutAt            float64 // on attempts in flight, and when it was last cut
+	inFlight                     int
+	meanInFlight                 float64
+	latencyRatio                 float64 // mean of latency divided by the objective
+	latencyRatioAt               float64
+	latency, latencyDev          float64   // mean of answers and its mean deviation
+	retryTokens                  float64   // retry budget
+	recentLocal, recentLeased    []float64 // by plan: units recently paid by local shares, and by leases
+	meanReported                 float64   // requests at a backend, mean of the load reports
+	callFailureRate, lastCallEnd float64   // fraction of counter calls that fail, and when the last one ended
+	warmRate                     float64   // own sends per second to a warm backend
+	warmSends                    int
+	lastHousekeeping             float64
+	clientTimeouts               []clientTimeout
+	arrivalRates, arrivalCounts  []float64 // by level: per second, and since lastHousekeeping
+}
+
+// activeRequest is a request or check from its arrival until its last attempt has ended.
+type activeRequest struct {
 	Request
-	class               *Class
-	customer            *customer
-	level               int
-	giveUp              float64 // an answer after this earns nothing
-	paidAt              float64 // 0: it is not paid
-	paid, done, streams bool    // its units are taken; it is over; its answer has begun
-	noPlace             bool    // it had no place in time, and was not let pay
-	coming              bool    // its body has not gone on whole yet
-	check, partial      bool    // a Check: it is paid, and nothing is sent
-	attempts            []attempt
-	out                 int
-	mayRun              bool    // an attempt may have run, or is out
-	mayAt               float64 // when the first such was sent
-	mayOn               *server // and where
-}
-
-// lacked tells what a request that is given back did not get.
-func (j *job) lacked() Reason {
+	class                     *Class
+	customer                  *customer
+	level                     int
+	answerBy                  float64 // an answer after this earns nothing
+	admittedAt                float64 // 0: not admitted
+	admitted, done, streaming bool    // its units are paid; it is over; its response has begun
+	noCapacity                bool    // no capacity in time, so it was not admitted
+	bodyPending               bool    // its body has not been forwarded completely
+	isCheck, partial          bool    // a Check, which is paid and not sent
+	attempts                  []attempt
+	openAttempts              int
+	mayHaveRun                bool     // an attempt may have run, or is in flight
+	mayHaveRunAt              float64  // when the first such attempt was sent
+	mayHaveRunOn              *backend // and where
+}
+
+// refusalReason returns why a request that is refused now was not served.
+func (r *activeRequest) refusalReason() Reason {
 	switch {
-	case len(j.attempts) > 0:
+	case len(r.attempts) > 0:
 		return AttemptsFailed
-	case j.paid, j.noPlace:
+	case r.admitted, r.noCapacity:
 		return NoCapacity
 	}
 	return QuotaExceeded
 }
 
-// share is how much of a local share has to be there for a request. Danger: one of more units than the share
-// ever holds would never be let in, however long its customer stayed away. It may have all of a full one, and
-// what it takes beyond that is earned before the next. Under a ceiling nothing goes beyond, and a check, which
-// may ask for all of a store at once, has what there is.
-func (j *job) share() float64 {
-	if j.check || j.customer.terms.ceiling {
-		return j.Units
+// localUnitsNeeded returns how many units the local share must hold to admit a request. One of more units than the
+// share ever holds would otherwise never be admitted, however long its customer paused: it may use all of a full share,
+// and what it uses beyond that is earned before the next. Under a ceiling nothing goes beyond, and a check, which may
+// ask for a whole bucket at once, gets what there is.
+func (r *activeRequest) localUnitsNeeded() float64 {
+	if r.isCheck || r.customer.limits.ceiling {
+		return r.Units
 	}
-	return min(j.Units, j.customer.terms.localBurst)
+	return min(r.Units, r.customer.limits.localBurst)
 }
 
-// patience is how long the clients of a class and plan wait for one try.
-type patience struct{ last, known float64 }
+// clientTimeout is for how long the clients of a class and plan wait for one try.
+type clientTimeout struct{ last, confirmed float64 }
 
 type attempt struct {
-	on      *server
-	sent    float64
+	backend *backend
+	sentAt  float64
 	ended   bool
-	counted bool // as work in flight
+	tracked bool // counted as in flight
 }
 
-// ghost is an attempt that was given up and may still take up its backend.
-type ghost struct {
-	sent, until float64
-	level       int
+// abandonedAttempt is an attempt that was given up and may still occupy its backend.
+type abandonedAttempt struct {
+	sentAt, until float64
+	level         int
 }
 
-// server is what this gateway knows of one backend.
-type server struct {
+// backend is the state of one backend as this gateway sees it.
+type backend struct {
 	Backend
-	levels             []int // own attempts in flight by level
-	inFlight           int
-	ghosts             []ghost
-	missed             int     // attempts given up since the last answer
-	fail               float64 // share of recent failures
-	latency            float64 // 0: no answer yet
-	lastOK             float64
-	far                bool    // used where near ones are not enough
-	held, heldAt       float64 // requests there, as last told, and when
-	cost               float64 // as of the last pick
-	trialAt, trialGap  float64
-	back               bool    // put back by hand, and has served nothing since
-	budget, budgetedAt float64 // sends it may get while cold
-}
-
-// live returns a request that is not over, or nil.
-func (g *Gateway) live(id RequestID) *job {
-	if j := g.jobs[id]; j != nil && !j.done {
-		return j
+	inFlightByLevel          []int // own attempts
+	inFlight                 int
+	abandoned                []abandonedAttempt
+	unanswered               int     // attempts abandoned since the last answer
+	failureRate              float64 // of recent attempts
+	latency                  float64 // 0: no answer yet
+	lastSuccess              float64
+	offSubset                bool    // outside this gateway's subset
+	reportedLoad, reportedAt float64 // requests there as last reported, and when
+	cost                     float64 // at the last pickBackend
+	trialAt, trialDelay      float64
+	reattached               bool    // attached by an operator, and no request served since
+	coldBudget, coldBudgetAt float64 // sends it may get while cold
+}
+
+// openRequest returns a request that is not over, or nil.
+func (g *Gateway) openRequest(id RequestID) *activeRequest {
+	if req := g.requests[id]; req != nil && !req.done {
+		return req
 	}
 	return nil
 }
 
-func (g *Gateway) do(a Action) { g.out = append(g.out, a) }
+func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-// say answers a check. The action is good until the next event: checks come by the
-// hundred thousand, and an answer each on the heap is what they would cost most.
-func (g *Gateway) say(a CheckResult) {
-	g.said = append(g.said, a)
-	g.do(&g.said[len(g.said)-1])
+// emitCheckResult answers a check. The action is valid until the next event: there are hundreds of thousands of checks,
+// and a heap allocation for each answer would be their largest cost.
+func (g *Gateway) emitCheckResult(a CheckResult) {
+	g.checkResults = append(g.checkResults, a)
+	g.emit(&g.checkResults[len(g.checkResults)-1])
 }
 
-func (g *Gateway) timer(in float64, kind uint64, attempt int, id RequestID) {
-	g.do(SetTimer{Delay: max(in, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
+func (g *Gateway) setTimer(delay float64, kind uint64, attempt int, id RequestID) {
+	g.emit(SetTimer{Delay: max(delay, 0), Token: kind<<56 | uint64(attempt)<<32 | uint64(id), Request: id})
 }
 
-// work counts an attempt as work in flight until rest.
-func (g *Gateway) work(a *attempt, level int) {
-	a.counted = true
-	g.enter(a.on, level)
+// trackAttempt counts an attempt as in flight until untrackAttempt.
+func (g *Gateway) trackAttempt(a *attempt, level int) {
+	a.tracked = true
+	g.addInFlight(a.backend, level)
 }
 
-// rest ends that.
-func (g *Gateway) rest(a *attempt, level int) {
-	if a.counted {
-		a.counted = false
-		g.leave(a.on, level)
+// untrackAttempt ends the count of an attempt as in flight.
+func (g *Gateway) untrackAttempt(a *attempt, level int) {
+	if a.tracked {
+		a.tracked = false
+		g.removeInFlight(a.backend, level)
 	}
 }
 
-// leave takes an attempt out of the counts of work in flight.
-func (g *Gateway) leave(s *server, level int) {
-	s.inFlight--
-	s.levels[level]--
+// removeInFlight takes an attempt out of the counts of attempts in flight.
+func (g *Gateway) removeInFlight(b *backend, level int) {
+	b.inFlight--
+	b.inFlightByLevel[level]--
 	g.inFlight--
 }
 
 // customer is the quota of one customer as this gateway sees it.
 type customer struct {
-	id             CustomerID
-	terms          terms
-	seen, demand   float64 // units a second, here
-	open           int     // requests let in and not over, and further attempts
-	waiting        []*job  // highest level first
-	units, expires float64 // leased and not spent
-	window         float64 // number of the counter's window
-	name           uint64
-	known          float64 // the window's total as last seen
-	met            bool    // the counter has told of it
-	dryUntil       float64
-	dryFor         float64 // units: fewer may still be there
-	owed           float64 // spent in this window and not told
-	doubt          float64 // of this window's calls that may have been added, and of what they were to take back
-	inCalls        int     // calls out
-	asking         int     // of these for units
-	askingPlace    int     // of these for places
-	rest, restTill float64 // pause after a failed call
-	local, localAt float64 // own share, for when the counter is silent
-
-	slots     int // leased places for attempts out at once
-	slotName  uint64
-	slotAfter float64 // no call for a place before this
-}
-
-// call is one Count whose reply is due.
-type call struct {
-	id       uint64
-	customer *customer
-	name     uint64
-	window   float64
-	floor    float64 // total at which the store is full
-	owed     float64 // spent already
-	fill     float64 // refill that nobody has used, written off; places told or given back
-	units    float64 // asked for
-	slot     bool    // for places, not units
-}
-
-// pending keeps count of the calls that are out.
-func (c *customer) pending(k call, n int) {
-	c.inCalls += n
+	id                         CustomerID
+	limits                     planLimits
+	lastRequestAt, demandRate  float64          // demandRate in units per second, at this gateway
+	openAttempts               int              // admitted requests that are not over, and further attempts
+	queue                      []*activeRequest // for units or a slot, highest level first
+	leased, leaseExpires       float64          // leased units not spent
+	window                     float64          // number of the counter's window
+	key                        uint64
+	knownTotal                 float64 // last known total of the window
+	hasTotal                   bool    // the counter has reported a total
+	exhaustedUntil             float64
+	exhaustedUnits             float64 // fewer units than this may still be available
+	unreported                 float64 // units spent in this window, less those returned, that no call has reported
+	uncertain                  float64 // units and deltas of this window's calls that may have been added
+	pendingCalls               int
+	leaseCalls                 int     // of these, calls for units
+	slotCalls                  int     // of these, calls for slots
+	backoff, backoffUntil      float64 // after a failed call
+	localUnits, localUpdatedAt float64 // local share, for when the counter does not answer
+
+	slots          int // leased slots for concurrent attempts
+	slotKey        uint64
+	nextSlotCallAt float64 // no call for a slot before this
+}
+
+// counterCall is one CounterAdd whose reply is due.
+type counterCall struct {
+	id        uint64
+	customer  *customer
+	key       uint64
+	window    float64
+	fullTotal float64 // total at which the bucket is full
+	spent     float64 // units spent before and reported by this call
+	delta     float64 // write-off of unused refill, units reported for others, or slots reported or returned
+	requested float64 // units or slots
+	slots     bool    // for slots, not units
+}
+
+// trackCall counts the pending calls of a customer.
+func (c *customer) trackCall(call counterCall, change int) {
+	c.pendingCalls += change
 	switch {
-	case k.units > 0 && k.slot:
-		c.askingPlace += n
-	case k.units > 0:
-		c.asking += n
+	case call.requested > 0 && call.slots:
+		c.slotCalls += change
+	case call.requested > 0:
+		c.leaseCalls += change
 	}
 }
 
-// phase spreads the ends of windows over customers.
-func (c *customer) phase() float64 { return float64(hash(uint64(c.id))%1024) / 1024 }
+// windowPhase spreads the ends of windows over customers.
+func (c *customer) windowPhase() float64 { return float64(hash(uint64(c.id))%1024) / 1024 }
 
-// hash mixes a number; names of the counter must not collide.
+// hash mixes a number; counter keys must not collide.
 func hash(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -230,277 +229,279 @@
 	return x ^ x>>31
 }
 
-// terms are what a plan comes to for one customer at one gateway.
-type terms struct {
-	exact, ceiling          bool
-	rate, allowance, window float64 // units a second, units a window, its length
-	spare                   float64 // the first allowance where nothing is known
-	localRate, localBurst   float64
-	first                   float64 // block
-	places                  int
-	share                   int // of the places, without the counter
+// planLimits are the limits of a plan for one customer at one gateway.
+type planLimits struct {
+	exact, ceiling                 bool    // the bucket is kept exactly; the plan has a ceiling
+	rate, allowance, windowSeconds float64 // units per second, units per window, its length
+	initialAllowance               float64 // first allowance while no total is known
+	localRate, localBurst          float64
+	firstLease                     float64 // units
+	maxConcurrent                  int
+	localConcurrent                int // of maxConcurrent, without the counter
 }
 
-// allocate allocates what the levels and the settings call for.
+// allocate creates the state whose size depends on the levels and the settings.
 func (g *Gateway) allocate(seed uint64) {
 	g.rng = rand.New(rand.NewPCG(seed, seed>>1))
-	g.jobs = map[RequestID]*job{}
-	g.servers = map[BackendID]*server{}
+	g.requests = map[RequestID]*activeRequest{}
+	g.backends = map[BackendID]*backend{}
 	g.detached = map[BackendID]bool{}
 	g.customers = map[CustomerID]*customer{}
-	g.calls = map[uint64][]call{}
-	g.queues = make([][]*job, len(g.worths))
-	g.arrivals = make([]float64, len(g.worths))
-	g.arrived = make([]float64, len(g.worths))
-	g.leastBurst = math.Inf(1)
-	for _, p := range g.set.Plans {
+	g.pendingCalls = map[uint64][]counterCall{}
+	g.queues = make([][]*activeRequest, len(g.values))
+	g.arrivalRates = make([]float64, len(g.values))
+	g.arrivalCounts = make([]float64, len(g.values))
+	g.minBurst = math.Inf(1)
+	for _, p := range g.cfg.Plans {
 		if p.Rate > 0 && p.Burst > 0 {
-			g.leastBurst = min(g.leastBurst, p.Burst)
+			g.minBurst = min(g.minBurst, p.Burst)
 		}
 	}
-	g.untold = make([]float64, len(g.set.Plans))
-	g.told = make([]float64, len(g.set.Plans))
-	g.patience = make([]patience, len(g.set.Classes)*len(g.set.Plans))
+	g.recentLocal = make([]float64, len(g.cfg.Plans))
+	g.recentLeased = make([]float64, len(g.cfg.Plans))
+	g.clientTimeouts = make([]clientTimeout, len(g.cfg.Classes)*len(g.cfg.Plans))
 }
 
-// enter counts an attempt as work in flight.
-func (g *Gateway) enter(s *server, level int) {
-	s.inFlight++
-	s.levels[level]++
+// addInFlight adds an attempt to the counts of attempts in flight.
+func (g *Gateway) addInFlight(b *backend, level int) {
+	b.inFlight++
+	b.inFlightByLevel[level]++
 	g.inFlight++
 }
 
-// serverOf finds a listed backend, or adds it to the list, which is kept by id.
-func (g *Gateway) serverOf(b Backend) *server {
-	s := g.servers[b.ID]
-	if s == nil {
-		s = &server{Backend: Backend{ID: b.ID}, levels: make([]int, len(g.worths)), budgetedAt: g.now}
-		g.servers[b.ID] = s
-		at, _ := slices.BinarySearchFunc(g.list, b.ID, func(s *server, id BackendID) int { return cmp.Compare(s.ID, id) })
-		g.list = slices.Insert(g.list, at, s)
+// ensureBackend returns the backend with this ID, adding it to the list, which is sorted by ID, if needed.
+func (g *Gateway) ensureBackend(entry Backend) *backend {
+	b := g.backends[entry.ID]
+	if b == nil {
+		b = &backend{Backend: Backend{ID: entry.ID}, inFlightByLevel: make([]int, len(g.values)), coldBudgetAt: g.now}
+		g.backends[entry.ID] = b
+		at, _ := slices.BinarySearchFunc(g.backendList, entry.ID,
+			func(b *backend, id BackendID) int { return cmp.Compare(b.ID, id) })
+		g.backendList = slices.Insert(g.backendList, at, b)
 	}
-	return s
+	return b
 }
 
-// usable tells whether anything new may go to s.
-func (g *Gateway) usable(s *server) bool { return s.State == Ready && !g.detached[s.ID] }
+// usable reports whether new requests may be sent to b.
+func (g *Gateway) usable(b *backend) bool { return b.State == Ready && !g.detached[b.ID] }
 
-// forget drops backends that are gone and have nothing in flight.
-func (g *Gateway) forget() {
-	g.list = slices.DeleteFunc(g.list, func(s *server) bool {
-		gone := s.State == Removed && s.inFlight == 0
-		if gone {
-			delete(g.servers, s.ID)
+// dropRemovedBackends drops backends that were removed and have nothing in flight.
+func (g *Gateway) dropRemovedBackends() {
+	g.backendList = slices.DeleteFunc(g.backendList, func(b *backend) bool {
+		removed := b.State == Removed && b.inFlight == 0
+		if removed {
+			delete(g.backends, b.ID)
 		}
-		return gone
+		return removed
 	})
 }
 
-// count makes a call. Replies for one name come in the order of the calls.
-func (g *Gateway) count(k call, keep float64) {
-	g.lastCall++
-	k.id = g.lastCall
-	g.calls[k.name] = append(g.calls[k.name], k)
-	k.customer.pending(k, 1)
-	g.do(CounterAdd{CallID: k.id, Key: k.name, Amount: k.owed + k.fill + k.units, TTL: keep})
+// callCounter makes a call. Replies for one key arrive in the order of its calls.
+func (g *Gateway) callCounter(call counterCall, ttl float64) {
+	g.lastCallID++
+	call.id = g.lastCallID
+	g.pendingCalls[call.key] = append(g.pendingCalls[call.key], call)
+	call.customer.trackCall(call, 1)
+	g.emit(CounterAdd{CallID: call.id, Key: call.key, Amount: call.spent + call.delta + call.requested, TTL: ttl})
 }
 
-// called takes the call that a reply answers off the list.
-func (g *Gateway) called(name uint64) (k call, ok bool) {
-	out := g.calls[name]
-	if len(out) == 0 {
-		return k, false
+// popCall removes the oldest pending call of a key, which the reply answers.
+func (g *Gateway) popCall(key uint64) (call counterCall, ok bool) {
+	pending := g.pendingCalls[key]
+	if len(pending) == 0 {
+		return call, false
 	}
-	if k, g.calls[name] = out[0], out[1:]; len(out) == 1 {
-		delete(g.calls, name)
+	if call, g.pendingCalls[key] = pending[0], pending[1:]; len(pending) == 1 {
+		delete(g.pendingCalls, key)
 	}
-	k.customer.pending(k, -1)
-	return k, true
+	call.customer.trackCall(call, -1)
+	return call, true
 }
 
-// takeLocal spends units from the customer's share at this gateway, if the share holds least.
-func (c *customer) takeLocal(now, units, least float64) bool {
-	c.local = min(c.local+c.terms.localRate*(now-c.localAt), c.terms.localBurst)
-	if c.localAt = now; c.local < least {
+// spendLocal spends units of the customer's local share, if it holds at least the given minimum.
+func (c *customer) spendLocal(now, units, minimum float64) bool {
+	c.localUnits = min(c.localUnits+c.limits.localRate*(now-c.localUpdatedAt), c.limits.localBurst)
+	if c.localUpdatedAt = now; c.localUnits < minimum {
 		return false
 	}
-	c.local -= units
+	c.localUnits -= units
 	return true
 }
 
-// tellLater has the next call tell what a call that was not added was to tell.
-func (c *customer) tellLater(k call) {
-	if k.window == c.window && k.name == c.name {
-		if c.owed += k.owed; k.units == 0 {
-			c.owed += k.fill
+// reportLater has the next call report what a call that was not added should have reported.
+func (c *customer) reportLater(call counterCall) {
+	if call.window == c.window && call.key == c.key {
+		if c.unreported += call.spent; call.requested == 0 {
+			c.unreported += call.delta
 		}
 	}
 }
 
-// fadePaid ages what is kept of the units paid lately.
-func (g *Gateway) fadePaid(left float64) {
-	for i := range g.untold {
-		g.untold[i] *= left
-		g.told[i] *= left
+// decayUsage decays the recent usage by plan; factor is the part that remains.
+func (g *Gateway) decayUsage(factor float64) {
+	for i := range g.recentLocal {
+		g.recentLocal[i] *= factor
+		g.recentLeased[i] *= factor
 	}
 }
 
-// pace keeps the mean of a backend's answers.
-func (s *server) pace(took float64) {
-	if s.latency == 0 {
-		s.latency = took
+// updateLatency updates the mean latency of a backend's answers.
+func (b *backend) updateLatency(duration float64) {
+	if b.latency == 0 {
+		b.latency = duration
 	}
-	s.latency += paceGain * (took - s.latency)
+	b.latency += latencyWeight * (duration - b.latency)
 }
 
-// report takes in the load report of an answer.
-func (g *Gateway) report(s *server, load []float64) {
+// recordLoadReport records the number of requests at a backend from its load report, if it has one.
+func (g *Gateway) recordLoadReport(b *backend, load []float64) {
 	for i, v := range load {
-		if i < len(g.set.LoadFields) && g.set.LoadFields[i] == LoadInFlight && v >= 0 && v < heldMost {
-			s.held, s.heldAt = v, g.now
-			g.held += heldGain * (v - g.held)
+		if i < len(g.cfg.LoadFields) && g.cfg.LoadFields[i] == LoadInFlight && v >= 0 && v < maxReportedRequests {
+			b.reportedLoad, b.reportedAt = v, g.now
+			g.meanReported += reportWeight * (v - g.meanReported)
 		}
 	}
 }
 
-// lay ends the ghosts of s that were sent before a served attempt, since backends take work in order, and
-// those that have outlived all patience.
-func (g *Gateway) lay(s *server, served float64) {
-	s.ghosts = slices.DeleteFunc(s.ghosts, func(h ghost) bool {
-		over := h.sent < served || h.until < g.now
-		if over {
-			g.leave(s, h.level)
+// dropAbandoned ends the count of abandoned attempts that were sent before a served one, since backends start work in
+// order, and of those past their time.
+func (g *Gateway) dropAbandoned(b *backend, servedSentAt float64) {
+	b.abandoned = slices.DeleteFunc(b.abandoned, func(a abandonedAttempt) bool {
+		expired := a.sentAt < servedSentAt || a.until < g.now
+		if expired {
+			g.removeInFlight(b, a.level)
 		}
-		return over
+		return expired
 	})
 }
 
-// slotWindow moves held places to the present name. Places that a gateway took with it when it died, or
-// that a lost reply left behind, end with the old.
-func (g *Gateway) slotWindow(c *customer) {
-	name := hash(hash(uint64(c.id)^slotSalt) + uint64(g.now/slotWindowLen))
-	if name == c.slotName {
+// rollSlotWindow moves held slots to the present key. Slots held by a gateway that died, or left over from a lost
+// reply, expire with the previous key.
+func (g *Gateway) rollSlotWindow(c *customer) {
+	key := hash(hash(uint64(c.id)^slotKeySalt) + uint64(g.now/slotWindowSeconds))
+	if key == c.slotKey {
 		return
 	}
-	c.slotName = name
+	c.slotKey = key
 	if c.slots > 0 {
-		g.count(call{customer: c, name: name, fill: float64(c.slots), slot: true}, nameKeep)
+		g.callCounter(counterCall{customer: c, key: key, delta: float64(c.slots), slots: true}, keyTTLSeconds)
 	}
 }
 
-// roll moves to the counter's present window of this customer, and tells the total at which its store is
-// full. Windows of different customers end at different times, so that not all are asked for at once.
-func (g *Gateway) roll(c *customer) (floor float64) {
-	n := math.Floor(g.now/c.terms.window + c.phase())
-	if n != c.window {
-		c.window, c.known, c.owed, c.doubt, c.dryUntil = n, 0, 0, 0, 0
-		c.name = hash(hash(uint64(c.id)) + uint64(int64(n)))
+// rollWindow moves to the customer's present window on the counter and returns the total at which its bucket is full.
+// Windows of different customers end at different times, so that not all are requested at once.
+func (g *Gateway) rollWindow(c *customer) (fullTotal float64) {
+	number := math.Floor(g.now/c.limits.windowSeconds + c.windowPhase())
+	if number != c.window {
+		c.window, c.knownTotal, c.unreported, c.uncertain, c.exhaustedUntil = number, 0, 0, 0, 0
+		c.key = hash(hash(uint64(c.id)) + uint64(int64(number)))
 	}
-	if c.terms.exact {
-		floor = c.terms.rate * (g.now - (n-c.phase())*c.terms.window)
+	if c.limits.exact {
+		fullTotal = c.limits.rate * (g.now - (number-c.windowPhase())*c.limits.windowSeconds)
 	}
-	return floor
+	return fullTotal
 }
 
-// parts is how many have a part in what a customer may spend while the counter is
-// away. What goes by the counter's own names, such as whether a store is exact, must be the
-// same at all gateways, and rests on the settings alone.
-func (g *Gateway) parts(gateways int) float64 {
-	if g.divide.QuotaDivisor > 0 && gateways >= g.set.FleetSize {
-		gateways = g.divide.QuotaDivisor
+// quotaDivisor returns among how many processes a customer's quota is divided while the counter is unavailable.
+// Whatever determines the counter's keys, such as whether a bucket is exact, must be the same at all gateways and
+// depends on the settings alone.
+func (g *Gateway) quotaDivisor(gateways int) float64 {
+	if g.fleet.QuotaDivisor > 0 && gateways >= g.cfg.FleetSize {
+		gateways = g.fleet.QuotaDivisor
 	}
-	return float64(max(gateways, 1) + g.set.CheckFrontends)
+	return float64(max(gateways, 1) + g.cfg.CheckFrontends)
 }
 
-// senderMultiple is how many times more gateways than the settings name load reports have to show before they
-// are believed: a gateway's own part of the work is uneven.
-const senderMultiple = 2.0
+// minSenderRatio is by how much load reports must exceed the load of the gateways that the settings name before more
+// senders are assumed: a gateway's own part of the load is uneven.
+const minSenderRatio = 2.0
 
-// senders is how many gateways send to a cold backend: as many as members tell of, else as the settings name, unless
-// backends report far more work than that many gateways with this one's load would give them.
-func (g *Gateway) senders() float64 {
-	if g.divide.ColdSenders > 0 {
-		return float64(g.divide.ColdSenders)
+// coldSenders returns how many gateways send to a cold backend: the number from FleetUpdate, else that of the settings,
+// unless backends report far more load than so many gateways with this one's load would cause.
+func (g *Gateway) coldSenders() float64 {
+	if g.fleet.ColdSenders > 0 {
+		return float64(g.fleet.ColdSenders)
 	}
-	size := float64(max(g.set.FleetSize, 1))
-	own := g.load / float64(max(len(g.list), 1)) // attempts of this gateway at a backend
-	if own > 0 && g.held > senderMultiple*size*own {
-		return g.held / own
+	size := float64(max(g.cfg.FleetSize, 1))
+	own := g.meanInFlight / float64(max(len(g.backendList), 1)) // attempts of this gateway at a backend
+	if own > 0 && g.meanReported > minSenderRatio*size*own {
+		return g.meanReported / own
 	}
 	return size
 }
 
-// customerOf finds the customer of a request, or begins to keep books on it.
-func (g *Gateway) customerOf(r Request) *customer {
+// ensureCustomer returns the customer of a request, adding its state if needed, and updates its demand.
+func (g *Gateway) ensureCustomer(r Request) *customer {
 	c := g.customers[r.Customer]
 	if c == nil {
-		c = &customer{id: r.Customer, localAt: g.born, window: -1, seen: g.now}
+		c = &customer{id: r.Customer, localUpdatedAt: g.startedAt, window: -1, lastRequestAt: g.now}
 		g.customers[r.Customer] = c
-		g.roster = append(g.roster, c)
-		c.local = g.startShare(r)
+		g.customerList = append(g.customerList, c)
+		c.localUnits = g.initialLocalUnits(r)
 	}
-	fleet := max(g.set.FleetSize, 1)
-	index := (g.set.Rank - r.FirstGateway + fleet) % fleet // this gateway's place in the customer's set
-	c.terms = g.terms(&g.set.Plans[r.Plan], r.Gateways, max(min(index, r.Gateways-1), 0))
-	if g.now != c.seen {
-		c.demand *= math.Exp(-(g.now - c.seen) / demandSpan)
+	fleetSize := max(g.cfg.FleetSize, 1)
+	index := (g.cfg.Rank - r.FirstGateway + fleetSize) % fleetSize // this gateway's place in the customer's set
+	c.limits = g.limitsFor(&g.cfg.Plans[r.Plan], r.Gateways, max(min(index, r.Gateways-1), 0))
+	if g.now != c.lastRequestAt {
+		c.demandRate *= math.Exp(-(g.now - c.lastRequestAt) / demandMeanSeconds)
 	}
-	c.demand += r.Units / demandSpan
-	c.seen = g.now
+	c.demandRate += r.Units / demandMeanSeconds
+	c.lastRequestAt = g.now
 	return c
 }
 
-// takeBack has the next call take back what a call added for nothing.
-func (c *customer) takeBack(k call) {
-	if k.units > 0 && k.window == c.window {
-		if c.owed -= k.units; !c.terms.ceiling {
-			c.owed -= k.fill
+// reclaim has the next call take back what a call added without a grant.
+func (c *customer) reclaim(call counterCall) {
+	if call.requested > 0 && call.window == c.window {
+		if c.unreported -= call.requested; !c.limits.ceiling {
+			c.unreported -= call.delta
 		}
 	}
 }
 
-// Stats tell of a moment, for people who watch.
+// Stats are numbers of a moment, for metrics.
 type Stats struct {
 	ConcurrencyLimit                           float64 // attempts that may be in flight
 	InFlight                                   int
-	Queued                                     []int // requests held back for a place, by level
+	Queued                                     []int // requests that wait for capacity, by level
 	WaitingForQuota                            int   // requests and checks that wait for units
 	Healthy, Ejected, Cold, Detached, NotReady int   // backends
 	Customers                                  int
-	LeasedUnits                                float64 // units, and not spent
+	LeasedUnits                                float64 // not spent
 }
 
-// Stats tells of the present moment. It changes nothing.
+// Stats returns the present numbers. It changes nothing.
 func (g *Gateway) Stats() Stats {
-	f := Stats{ConcurrencyLimit: g.bound, InFlight: g.inFlight, Queued: make([]int, len(g.queues)), Customers: len(g.customers)}
-	for l, q := range g.queues {
-		for _, j := range q {
-			if !j.done {
-				f.Queued[l]++
+	stats := Stats{ConcurrencyLimit: g.limit, InFlight: g.inFlight, Queued: make([]int, len(g.queues)),
+		Customers: len(g.customers)}
+	for level, queue := range g.queues {
+		for _, req := range queue {
+			if !req.done {
+				stats.Queued[level]++
 			}
 		}
 	}
-	for _, s := range g.list {
+	for _, b := range g.backendList {
 		switch {
-		case s.State != Ready:
-			f.NotReady++
-		case g.detached[s.ID]:
-			f.Detached++
-		case s.ejected():
-			f.Ejected++
-		case g.warmth(s) < 1:
-			f.Cold++
+		case b.State != Ready:
+			stats.NotReady++
+		case g.detached[b.ID]:
+			stats.Detached++
+		case b.ejected():
+			stats.Ejected++
+		case g.capacityFraction(b) < 1:
+			stats.Cold++
 		default:
-			f.Healthy++
+			stats.Healthy++
 		}
 	}
-	for _, c := range g.roster {
-		f.WaitingForQuota += len(c.waiting)
-		f.LeasedUnits += max(c.units, 0)
+	for _, c := range g.customerList {
+		stats.WaitingForQuota += len(c.queue)
+		stats.LeasedUnits += max(c.leased, 0)
 	}
-	return f
+	return stats
 }
 
-// ExpireRequest is the event that a request's time is over: for a process that is about to
-// be ended, whatever time its clients would have.
-func ExpireRequest(id RequestID) Event { return TimerFired{Token: timerEnd<<56 | uint64(id)} }
+// ExpireRequest returns the event that ends a request's time, for a process that is about to exit, however long the
+// clients would wait.
+func ExpireRequest(id RequestID) Event { return TimerFired{Token: timerAnswerBy<<56 | uint64(id)} }
--- a/rules/streamed_test.go
+++ b/rules/streamed_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("a body on its way takes %d places", d.g.inFlight)
 	}
 	end := d.now + 1.5*set.Classes[0].LatencyObjective
-	token := uint64(timerEnd)<<56 | uint64(id)
+	token := uint64(timerAnswerBy)<<56 | uint64(id)
 	for d.now = end; d.now < end+0.001; d.now += 1 {
 		if out := d.handle(TimerFired{Token: token}); len(find[Refuse](out)) > 0 {
 			t.Fatal("refused while its body was on its way")
@@ -60,10 +60,10 @@
 	// Its client fails: the backend is not to blame.
 	id, _ = ask(true)
 	sent = one[Send](t, d.last)
-	before := d.g.servers[sent.Backend].fail
+	before := d.g.backends[sent.Backend].failureRate
 	d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: Cancelled})
-	if s := d.g.servers[sent.Backend]; s.fail > before || len(s.ghosts) > 0 || d.g.inFlight != 0 {
-		t.Errorf("fail %g after %g, %d ghosts, %d in flight", s.fail, before, len(s.ghosts), d.g.inFlight)
+	if s := d.g.backends[sent.Backend]; s.failureRate > before || len(s.abandoned) > 0 || d.g.inFlight != 0 {
+		t.Errorf("fail %g after %g, %d ghosts, %d in flight", s.failureRate, before, len(s.abandoned), d.g.inFlight)
 	}
 }
 
@@ -82,18 +82,18 @@
 		t.Errorf("%d in flight, latency %g", d.g.inFlight, d.g.latency)
 	}
 	d.now += 30
-	if out := d.handle(TimerFired{Token: uint64(timerEnd)<<56 | uint64(id)}); len(out) != 0 {
+	if out := d.handle(TimerFired{Token: uint64(timerAnswerBy)<<56 | uint64(id)}); len(out) != 0 {
 		t.Errorf("at its old end: %v", out)
 	}
 	d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: ConnectionBroken, RequestDone: true})
-	if s := d.g.servers[sent.Backend]; s.fail != 0 || d.g.inFlight != 0 || d.g.latency > 0.11 || len(d.g.jobs) != 0 {
-		t.Errorf("fail %g, %d in flight, latency %g, %d requests", s.fail, d.g.inFlight, d.g.latency, len(d.g.jobs))
+	if s := d.g.backends[sent.Backend]; s.failureRate != 0 || d.g.inFlight != 0 || d.g.latency > 0.11 || len(d.g.requests) != 0 {
+		t.Errorf("fail %g, %d in flight, latency %g, %d requests", s.failureRate, d.g.inFlight, d.g.latency, len(d.g.requests))
 	}
 
 	id = d.ask(0, 1, 3)
 	sent = one[Send](t, d.last)
 	d.now += 0.5
-	out := d.handle(TimerFired{Token: uint64(timerLate)<<56 | uint64(id)})
+	out := d.handle(TimerFired{Token: uint64(timerSlowAttempt)<<56 | uint64(id)})
 	second := one[Send](t, out)
 	d.now += 0.1
 	out = d.handle(ResponseStarted{Request: id, Attempt: 1, Backend: second.Backend})
@@ -102,7 +102,7 @@
 	}
 	d.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: Cancelled, RequestDone: true})
 	d.handle(AttemptEnd{Request: id, Attempt: 1, Backend: second.Backend, Outcome: Served, RequestDone: true})
-	if len(d.g.jobs) != 0 {
-		t.Errorf("%d requests at the end", len(d.g.jobs))
+	if len(d.g.requests) != 0 {
+		t.Errorf("%d requests at the end", len(d.g.requests))
 	}
 }
--- a/rules/types.go
+++ b/rules/types.go
@@ -1,31 +1,30 @@
-// Package rules decides, for one gateway, what happens to each request of a
-// customer that is held to a quota before a shared back end.
+// Package rules decides, for one gateway, what happens to each request of a customer with a quota on shared backends.
 //
-// This file is the whole interface: settings go in once, events go in one at a
-// time, actions come out. Times are seconds on the clock of the caller. The
-// decisions are in rules.go.
+// This file is the whole interface: settings are passed once, events one at a time, and each event returns the
+// actions to carry out. The package does no input or output and reads no clock: times are seconds on the caller's
+// clock. The decisions are in rules.go.
 package rules
 
-// RequestID names one try of a client at one gateway.
+// RequestID identifies one client request at one gateway. A retry by the client is a request of its own.
 type RequestID uint32
 
-// BackendID names a backend; it is the same at every gateway.
+// BackendID identifies a backend; it is the same at every gateway.
 type BackendID uint32
 
-// CustomerID names a customer.
+// CustomerID identifies a customer.
 type CustomerID uint64
 
-// Idempotency says how often a request of a class may take effect.
+// Idempotency is how often a request of a class may take effect.
 type Idempotency int
 
-// The kinds of effect.
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // a group of backends drops repeats for a while
+	IdempotentByKey                    // the backends of a DedupeScope drop duplicates within the DedupeWindow
 	AtMostOnce                         // must not run twice
 )
 
-// DedupeScope is the group of backends that drops repeats of a keyed request.
+// DedupeScope is the group of backends that drops duplicates of an IdempotentByKey request.
 type DedupeScope int
 
 // The scopes, widest first.
@@ -37,37 +36,37 @@
 
 // Class is one class of requests.
 type Class struct {
-	LatencyObjective    float64 // an answer within this time earns the full worth
-	ObjectiveWorkFactor float64 // the aim grows by this many times the request's own work
-	Timeout             float64 // the client's patience over all its tries
+	LatencyObjective    float64 // seconds; an answer within it earns the full Value
+	ObjectiveWorkFactor float64 // the objective grows by this many times the request's own work
+	Timeout             float64 // seconds that the client waits in all, over its retries
 	Value               float64
-	LateValueFraction   float64 // share of the worth between aim and deadline
+	LateValueFraction   float64 // part of Value that an answer after the objective and before Timeout earns
 	Idempotency         Idempotency
 	Scope               DedupeScope
-	DedupeWindow        float64 // how long the scope remembers a keyed request
+	DedupeWindow        float64 // seconds for which the scope remembers a key
 	Streamed            bool
 }
 
-// Plan is what a customer has bought. A rate or limit of 0 means none.
+// Plan is what a customer has bought. A rate or limit of 0 means that there is none.
 type Plan struct {
-	Price                  float64 // factor on the worth of a request
-	Rate                   float64 // units a second
-	Burst                  float64 // units the quota's store holds at most
-	MaxConcurrent          int     // attempts out at once, over all gateways
-	OverQuotaValueFraction float64 // share of the worth earned beyond the quota
-	OverQuotaCostFraction  float64 // share of the worth that a send beyond the quota costs
+	Price                  float64 // factor on the Value of a request
+	Rate                   float64 // units per second
+	Burst                  float64 // units that the quota's token bucket holds at most
+	MaxConcurrent          int     // concurrent attempts, over all gateways
+	OverQuotaValueFraction float64 // part of the Value that a request beyond the quota earns
+	OverQuotaCostFraction  float64 // part of the Value that sending a request beyond the quota costs
 	CeilingRate            float64
 	CeilingBurst           float64
 	CeilingSlack           float64
 }
 
-// LoadField is one value of a backend's load report.
+// LoadField is one field of a backend's load report.
 type LoadField int
 
-// The values a load report can hold.
+// The fields of a load report.
 const (
 	LoadOther    LoadField = iota
-	LoadInFlight           // requests held
+	LoadInFlight           // requests that the backend has accepted and not answered
 	LoadQueued
 	LoadCPU
 	LoadServiceMillis
@@ -75,32 +74,32 @@
 	LoadErrorsPerSecond
 )
 
-// Settings is what an operator states about a deployment.
+// Settings describes a deployment, as its operator configures it. Durations are in seconds.
 type Settings struct {
 	Classes []Class
 	Plans   []Plan
 
-	Rank           int // this gateway's number among Fleet
-	FleetSize      int // gateways
-	CheckFrontends int // that take checks and no requests; each may be asked for any customer
+	Rank           int // index of this gateway in the fleet
+	FleetSize      int // number of gateways
+	CheckFrontends int // processes that answer checks and no requests; each may get checks of any customer
 	Zone           int
-	Tick           float64 // events come at most this often
+	Tick           float64 // resolution of the clock: least interval between events
 
-	SubscribeDiscovery bool // changes of the list come only when asked for
-	ApproximateWeights bool // Backend.Weight says something about size
+	SubscribeDiscovery bool // discovery sends changes only after a Subscribe
+	ApproximateWeights bool // Backend.Weight approximates the capacity
 	LoadFields         []LoadField
-	InlineLoadReports  bool // reports come with outcomes, not with probes alone
+	InlineLoadReports  bool // load reports come with outcomes too, not only with probes
 
 	HasCounter       bool
 	CounterTimeout   float64
 	CounterCallPrice float64
 	MaxUnits         float64
-	EstimatedUnits   bool // a request's units are a guess until it is answered
+	EstimatedUnits   bool // a request's units are an estimate until it is answered
 
 	CanCancel         bool
 	CanProbe          bool
-	CanHedge          bool // two attempts of a request may be out at once
-	CanSendRetryAfter bool // clients are told how long to stay away
+	CanHedge          bool // two attempts of a request may be in flight at once
+	CanSendRetryAfter bool // refusals may carry a Retry-After
 	MaxRetryAfter     float64
 	MaxAttempts       int
 	MaxOpenRequests   int
@@ -108,10 +107,10 @@
 
 	AnswerSlack     float64
 	DrainGrace      float64
-	ColdMinCapacity float64 // least share of its capacity a backend starts at
-	WarmUpTime      float64 // it is warm after this time
-	OverloadFactor  float64 // this many times its capacity pushes it over
-	OverloadTime    float64 // when sent for this long
+	ColdMinCapacity float64 // part of its capacity that a backend has when it starts
+	WarmUpTime      float64 // time after a start until a backend has all of its capacity
+	OverloadFactor  float64 // load, as a multiple of its capacity, that overloads a backend
+	OverloadTime    float64 // time for which it has to last
 
 	CrossZonePrice float64
 	WastePrice     float64
@@ -119,7 +118,7 @@
 	ProbePrice     float64
 }
 
-// BackendState is what discovery says of a backend.
+// BackendState is the state of a backend in discovery.
 type BackendState int
 
 // The states of a backend.
@@ -129,7 +128,7 @@
 	Draining
 )
 
-// Backend is one entry of the list of backends.
+// Backend is one entry of the backend list.
 type Backend struct {
 	ID        BackendID
 	Zone      int
@@ -140,21 +139,21 @@
 	StartedAt float64 // time of its last start; 0: long ago
 }
 
-// ListKind says what a Backends event holds.
+// ListKind is what a Backends event contains.
 type ListKind int
 
 // The kinds of list.
 const (
-	FullList   ListKind = iota // all there are
+	FullList   ListKind = iota // all backends
 	DeltaList                  // changed entries only
-	CachedList                 // all, as last known to a gateway that starts
-	ListFailed                 // discovery failed; the old list stands
+	CachedList                 // all backends, from the cache of a gateway that starts
+	ListFailed                 // discovery failed; the previous list stays in use
 )
 
-// Outcome is how an attempt ended.
+// Outcome is how an attempt, a probe or a counter call ended.
 type Outcome int
 
-// The outcomes. NeverRan tells which of them prove that nothing happened.
+// The outcomes. NeverRan reports which of them prove that an attempt had no effect.
 const (
 	Served Outcome = iota
 	Errored
@@ -169,36 +168,36 @@
 // Event is one thing that happened to this gateway.
 type Event interface{ event() }
 
-// Backends is news from discovery.
+// Backends is an update of the backend list.
 type Backends struct {
 	Kind    ListKind
 	Entries []Backend
 }
 
-// Request is a client's try, which is owed one final answer.
+// Request is a request of a client. It gets exactly one final answer: that of a backend, Refuse or Fail.
 type Request struct {
 	ID           RequestID
 	Customer     CustomerID
 	Plan         int
 	Class        int
 	Units        float64
-	FirstGateway int // the gateways of this customer are Gateways in a row from here
+	FirstGateway int // the customer may come to Gateways consecutive gateways from this index on
 	Gateways     int
-	SentAt       float64 // clock time at which the client sent it; 0: just now
-	Deadline     float64 // clock time at which the client stops waiting
-	IsRetry      bool    // marked by the client as another try
-	Streamed     bool    // its body passes through: it can be sent once, and Deadline allows for the body till BodyWhole
+	SentAt       float64 // time at which the client sent it; 0: now
+	Deadline     float64 // time at which the client stops waiting
+	IsRetry      bool    // the client marked it as a retry
+	Streamed     bool    // forwarded as it arrives, so sent only once; Deadline includes the transfer until BodyComplete
 }
 
-// BodyComplete says that the body of a Streamed request has gone on whole. Its
-// backend begins with it now, and its time counts from here.
+// BodyComplete reports that the whole body of a Streamed request has been forwarded. The backend starts its work on
+// the request now, so the request's time counts from here.
 type BodyComplete struct {
 	Request  RequestID
-	Deadline float64 // clock time at which the client stops waiting
+	Deadline float64 // time at which the client stops waiting
 }
 
-// ResponseStarted says that a streamed answer has begun. In a class that is not
-// Streamed it is a long one, whose first byte counts; the backend has done its work.
+// ResponseStarted reports the first byte of a streamed response. In a class that is not Streamed the response is a
+// long one, whose latency is that of its first byte: the backend has done its work.
 type ResponseStarted struct {
 	Request  RequestID
 	Attempt  int
@@ -206,7 +205,7 @@
 	Duration float64
 }
 
-// AttemptEnd is the one end of an attempt.
+// AttemptEnd reports the end of an attempt. There is exactly one for each attempt.
 type AttemptEnd struct {
 	Request     RequestID
 	Attempt     int
@@ -214,12 +213,12 @@
 	Outcome     Outcome
 	Duration    float64
 	RequestDone bool    // the request is over
-	QuotaUse    int     // 1 + use of the customer in percent, 0: not told
-	ActualUnits float64 // true units, 0: not told
+	QuotaUse    int     // 1 + the percentage of its quota that the customer has used; 0: not reported
+	ActualUnits float64 // units that the request really used; 0: not reported
 	LoadData    []float64
 }
 
-// ProbeResult is the result of a probe.
+// ProbeResult reports the end of a probe.
 type ProbeResult struct {
 	Backend  BackendID
 	Outcome  Outcome
@@ -227,14 +226,14 @@
 	LoadData []float64
 }
 
-// ClientDisconnected says that a request is over without our answer.
+// ClientDisconnected reports that a request or check is over without an answer of this gateway.
 type ClientDisconnected struct{ Request RequestID }
 
-// TimerFired is a timer that is due.
+// TimerFired reports that a timer set by SetTimer is due.
 type TimerFired struct{ Token uint64 }
 
-// CounterReply answers one Count. Errored: it was added, but the total can't be
-// read. Broken: the connection ended, and it may have been added.
+// CounterReply answers one CounterAdd. Errored: the amount was added, but the total can't be read. ConnectionBroken:
+// the connection ended, and the amount may have been added.
 type CounterReply struct {
 	Key      uint64
 	Outcome  Outcome
@@ -242,17 +241,15 @@
 	Duration float64
 }
 
-// LateCounterReply tells what came of a Count that had ended as TimedOut. Not every
-// one is told of.
+// LateCounterReply reports the result of a CounterAdd that had ended as TimedOut. Not every late result is reported.
 type LateCounterReply struct {
 	CallID  uint64
 	Outcome Outcome
 	Total   float64
 }
 
-// Check asks for units of a customer's quota for something other than a request.
-// Its one answer is Checked. ID is of the same space as those of requests, and
-// ClientGone ends it with nothing spent.
+// Check requests units of a customer's quota for something other than a request. It gets exactly one answer, a
+// CheckResult. IDs of checks and requests share one space, and ClientDisconnected ends a check with nothing spent.
 type Check struct {
 	ID           RequestID
 	Customer     CustomerID
@@ -260,11 +257,11 @@
 	Units        float64
 	FirstGateway int // as in Request
 	Gateways     int
-	Deadline     float64 // clock time until which it may wait for units
-	Partial      bool    // fewer units will do, if not all are to be had
+	Deadline     float64 // time until which it may wait for units
+	Partial      bool    // fewer units may be granted if not all are available
 }
 
-// Peek asks what is known of a customer's store. Its answer is Checked.
+// Peek queries the state of a customer's token bucket as known here. The answer is a CheckResult.
 type Peek struct {
 	ID                     RequestID
 	Customer               CustomerID
@@ -272,31 +269,28 @@
 	FirstGateway, Gateways int
 }
 
-// Refund hands back units of a Check that were not used. Its answer is Checked, with
-// what was taken back as Granted. Whoever drives the module sees to it that a
-// Check's units come back once.
+// Refund returns unused units of a Check. The answer is a CheckResult whose Granted is the units taken back. The
+// caller ensures that the units of a Check are returned once only.
 type Refund struct {
 	ID                     RequestID
 	Customer               CustomerID
 	Plan                   int
 	FirstGateway, Gateways int
 	Units                  float64
-	Window                 float64 // of the Checked that granted them
+	Window                 float64 // that of the CheckResult that granted the units
 }
 
-// Detach takes a backend out by hand: it gets nothing more until Attach, whatever
-// the list says meanwhile, and whether or not it is listed yet.
+// Detach is an operator's command to send nothing more to a backend until Attach, whatever the backend list contains
+// meanwhile. The backend need not be listed yet.
 type Detach struct{ Backend BackendID }
 
-// Attach ends a Detach. The backend counts as just started, since work on it by
-// hand mostly restarts it.
+// Attach ends a Detach. The backend counts as just started, since maintenance mostly restarts it.
 type Attach struct{ Backend BackendID }
 
-// FleetUpdate says how many gateways there are, where that is known better than by the
-// settings.
+// FleetUpdate gives numbers of gateways where they are known better than from the settings. A 0 means not known.
 type FleetUpdate struct {
-	QuotaDivisor int // what is spent while the counter is away is divided by it, where a customer may come to all gateways
-	ColdSenders  int // that send to a cold backend
+	QuotaDivisor int // divides the quota of a customer that may come to all gateways, while the counter is unavailable
+	ColdSenders  int // gateways that send to a cold backend
 }
 
 // PeerMessage is data from another gateway.
@@ -323,67 +317,66 @@
 func (FleetUpdate) event()        {}
 func (PeerMessage) event()        {}
 
-// Action is one thing for the gateway to do.
+// Action is one thing for the caller to do.
 type Action interface{ action() }
 
-// Send starts the next attempt of a request. Timeout 0: the client's deadline.
+// Send starts the next attempt of a request. Timeout is in seconds; 0 means the client's deadline.
 type Send struct {
 	Request    RequestID
 	Backend    BackendID
 	Timeout    float64
-	AdmittedAt float64 // clock time at which its quota let it in
+	AdmittedAt float64 // time at which the quota admitted the request
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel aborts an attempt.
 type Cancel struct {
 	Request RequestID
 	Attempt int
 }
 
-// Refuse is a final answer: turned away, trying again is harmless.
+// Refuse is a final answer: the request was rejected, and a retry is harmless.
 type Refuse struct {
 	Request    RequestID
 	RetryAfter float64
 	Reason     Reason
-	AdmittedAt float64 // as in Send; 0: it was never let in
+	AdmittedAt float64 // as in Send; 0: it was never admitted
 }
 
-// Reason says what a refused request lacked.
+// Reason is why a request was refused.
 type Reason int
 
 // The reasons.
 const (
-	QuotaExceeded  Reason = iota // units of its customer's quota, or a place among its customer's
-	NoCapacity                   // a place in flight, or a backend, in time
-	AttemptsFailed               // an attempt that succeeded
+	QuotaExceeded  Reason = iota // no units left in the customer's quota, or too many concurrent attempts of the customer
+	NoCapacity                   // the concurrency limit or the lack of a usable backend left it unsent for too long
+	AttemptsFailed               // no attempt succeeded
 )
 
-// Fail is a final answer with no promise about the effect.
+// Fail is a final answer: the request may or may not have taken effect.
 type Fail struct{ Request RequestID }
 
-// CheckResult answers a Check, Peek or Give. It comes as a pointer that is good until
-// the next event.
+// CheckResult answers a Check, Peek or Refund. It is passed as a pointer that is valid until the next event.
 type CheckResult struct {
 	ID         RequestID
 	Granted    float64 // units
-	Remaining  float64 // units in the store as known here; infinite without a quota
-	Exact      bool    // Remaining is the shared count as last seen, not a local share
-	Shared     bool    // the units come from the shared count, not from a local share
-	RetryAfter float64 // seconds until the units may be had; 0: all were granted, or none ever will
-	ResetAfter float64 // seconds until the store is full, if nobody takes any
-	Window     float64 // for Give
+	Remaining  float64 // units in the token bucket as known here; infinite without a quota
+	Exact      bool    // Remaining is from the shared counter, as last seen, not from the local share
+	Shared     bool    // the units come from the shared counter, not from the local share
+	RetryAfter float64 // seconds until the units may be available; 0: all were granted, or they never will be
+	ResetAfter float64 // seconds until the token bucket is full if none are spent
+	Window     float64 // to be passed to Refund
 }
 
-// SetTimer asks for a Timer event. With a Request it may be left out once that
-// request is over and none of its attempts is out.
+// SetTimer requests a TimerFired event after Delay seconds. A timer with a Request may be dropped once that request is
+// over and none of its attempts is in flight.
 type SetTimer struct {
 	Delay   float64
 	Token   uint64
 	Request RequestID // 0: none
 }
 
-// CounterAdd adds to a shared number and asks for its total. A name that is new
-// starts at 0 and is forgotten after Keep. Call is what CounterLate names it by.
+// CounterAdd adds Amount to a number on the shared counter and asks for its total. A new key starts at 0 and expires
+// TTL seconds later. LateCounterReply refers to the call by CallID.
 type CounterAdd struct {
 	CallID uint64
 	Key    uint64
@@ -391,13 +384,13 @@
 	TTL    float64
 }
 
-// Probe asks a backend for its load.
+// Probe requests a load report from a backend.
 type Probe struct{ Backend BackendID }
 
-// Subscribe asks discovery for changes.
+// Subscribe requests changes of the backend list from discovery.
 type Subscribe struct{}
 
-// Log writes a line for the operators.
+// Log writes a line to the log.
 type Log struct{ Text string }
 
 func (Send) action()         {}
