--- a/rules/fleet_cold_test.go
+++ b/rules/fleet_cold_test.go
@@ -21,7 +21,7 @@
 	returns   bool    // the backends are listed as removed for 5 s, and return; else they are new
 	unlisted  bool    // the backends restart at once and are never listed as removed
 	burst     float64 // start of 5 s of four times the load; 0: none
-	quiet     bool    // hardly any load but for the burst
+	lightLoad bool    // hardly any load but for the burst
 	restarts  []float64
 	starts    int // backends that start at once; 0: one
 }
@@ -31,7 +31,7 @@
 	{name: "return", returns: true},
 	{name: "burst at the start", burst: 0.1},
 	{name: "burst during warm-up", burst: 6},
-	{name: "burst after quiet", burst: 8, quiet: true},
+	{name: "burst after quiet", burst: 8, lightLoad: true},
 	{name: "a third of the gateways restarts", restarts: []float64{3}},
 	{name: "a third of the gateways restarts each second", restarts: []float64{1, 2, 3, 4, 5, 6, 7, 8}},
 	{name: "lists 2 s apart", listDelay: 2},
@@ -131,7 +131,7 @@
 		startGateway(i)
 	}
 	load, start := utilization*capacity, f.now+12
-	if c.quiet {
+	if c.lightLoad {
 		load = 0.02 * capacity
 	}
 	f.generateLoad(load, start+f.set.WarmUpTime)
--- a/rules/fleet_hard_test.go
+++ b/rules/fleet_hard_test.go
@@ -8,16 +8,16 @@
 // overQuota replays the token bucket of one customer over the whole fleet, and returns how many of its units were sent
 // and how many of them exceeded the bucket.
 func (f *fleet) overQuota(customer CustomerID, p Plan, started float64) (sent, over float64) {
-	store, at := p.Burst, started
+	bucket, updatedAt := p.Burst, started
 	for id := RequestID(1); id <= f.lastID; id++ {
 		req := f.requests[id]
 		if req.customer != customer || req.sends == 0 {
 			continue
 		}
-		store = min(store+p.Rate*(req.arrivedAt-at), p.Burst)
-		at = req.arrivedAt
-		if sent++; store >= 1 {
-			store--
+		bucket = min(bucket+p.Rate*(req.arrivedAt-updatedAt), p.Burst)
+		updatedAt = req.arrivedAt
+		if sent++; bucket >= 1 {
+			bucket--
 		} else {
 			over++
 		}
@@ -111,12 +111,12 @@
 	f := newFleet(13, 300, 90, func(s *Settings) { s.LoadFields = []LoadField{LoadInFlight} })
 	f.generateLoad(450, f.now+40)
 	f.run(f.now + 8)
-	var zone, rest []*fleetBackend
+	var zone, others []*fleetBackend
 	for i := range 90 {
 		if b := f.backends[BackendID(hash(uint64(i)))]; i < 30 {
 			zone = append(zone, b)
 		} else {
-			rest = append(rest, b)
+			others = append(others, b)
 		}
 	}
 	count := func(list []*fleetBackend, from, to float64) (n float64) {
@@ -134,7 +134,7 @@
 		b.unreachable = true
 	}
 	f.run(lost + 5)
-	usual, spent := count(zone, lost-5, lost), count(zone, lost+2, lost+5)
+	usual, wasted := count(zone, lost-5, lost), count(zone, lost+2, lost+5)
 	back := f.now
 	for _, b := range zone {
 		b.unreachable, b.StartedAt = false, back
@@ -150,10 +150,10 @@
 		})
 	}
 	f.run(back + 24)
-	t.Logf("sends per backend: %.1f in the 5 s before, %.1f in the last 3 s of the outage, 17 to 22 s after it %.1f, and %.1f at the others", usual, spent,
-		count(zone, back+17, back+22), count(rest, back+17, back+22))
-	if spent > 0.7*usual*3/5 {
-		t.Errorf("%.1f sends in 3 s to an unreachable backend, %.1f in the 5 s before", spent, usual)
+	t.Logf("sends per backend: %.1f in the 5 s before, %.1f in the last 3 s of the outage, 17 to 22 s after it %.1f, and %.1f at the others", usual, wasted,
+		count(zone, back+17, back+22), count(others, back+17, back+22))
+	if wasted > 0.7*usual*3/5 {
+		t.Errorf("%.1f sends in 3 s to an unreachable backend, %.1f in the 5 s before", wasted, usual)
 	}
 	for from := 0.0; from < 15; from += 0.5 {
 		can := (0.15 + 0.85*(from+1)/17) * 2 / meanWorkSeconds
@@ -163,7 +163,7 @@
 			}
 		}
 	}
-	if got, of := count(zone, back+17, back+22), count(rest, back+17, back+22); got < 0.7*of {
+	if got, of := count(zone, back+17, back+22), count(others, back+17, back+22); got < 0.7*of {
 		t.Errorf("%.1f sends to a backend that is warm again, %.1f to each of the others", got, of)
 	}
 }
--- a/rules/fleet_test.go
+++ b/rules/fleet_test.go
@@ -186,13 +186,13 @@
 	if len(f.set.LoadFields) == 0 || s.unreachable {
 		return nil
 	}
-	held := 0.0
+	inFlight := 0.0
 	for _, end := range s.endTimes {
 		if end > f.now {
-			held++
+			inFlight++
 		}
 	}
-	return []float64{held}
+	return []float64{inFlight}
 }
 
 // capacity returns the present capacity of s as a fraction of that of a warm backend.
@@ -359,19 +359,19 @@
 	f := newFleet(5, 80, 60, nil)
 	f.generateLoad(320, f.now+40)
 	f.run(f.now + 10)
-	var bad *fleetBackend
+	var failing *fleetBackend
 	for _, b := range f.backends {
-		if bad == nil || b.ID < bad.ID {
-			bad = b
+		if failing == nil || b.ID < failing.ID {
+			failing = b
 		}
 	}
-	bad.fails = true
-	before := len(bad.sendTimes)
+	failing.fails = true
+	before := len(failing.sendTimes)
 	f.run(f.now + 15)
-	spent := len(bad.sendTimes) - before
-	t.Logf("%d requests in 15 s", spent)
-	if spent > maxWastedRequests {
-		t.Errorf("the failing backend got %d requests in 15 s", spent)
+	wasted := len(failing.sendTimes) - before
+	t.Logf("%d requests in 15 s", wasted)
+	if wasted > maxWastedRequests {
+		t.Errorf("the failing backend got %d requests in 15 s", wasted)
 	}
 }
 
@@ -379,7 +379,7 @@
 
 // Each backend has to be in the subset of about as many gateways as every other, otherwise some bear more load.
 func TestSubsetsCoverBackendsEvenly(t *testing.T) {
-	for _, c := range []struct{ fleet, backends, least, most int }{
+	for _, c := range []struct{ fleet, backends, minimum, maximum int }{
 		{80, 60, 15, 17}, // each in 16 subsets
 		{80, 59, 15, 17},
 		{40, 60, 15, 17},
@@ -400,14 +400,15 @@
 			}
 		}
 		for _, b := range readyBackends(c.backends) {
-			if n := inSubsets[b.ID]; n < c.least || n > c.most {
+			if n := inSubsets[b.ID]; n < c.minimum || n > c.maximum {
 				t.Errorf("%d gateways, %d backends: backend %d is in %d subsets", c.fleet, c.backends, b.ID, n)
 			}
 		}
 	}
 }
 
-// Fleet size and rank are configured from outside: invalid values must not stop a gateway from sending.
+// Fleet size and rank are configured from outside: invalid values must neither corrupt budgets nor stop a gateway from
+// sending.
 func TestUnusualFleetSizes(t *testing.T) {
 	for _, set := range []struct{ fleet, rank, backends int }{
 		{0, 0, 3}, {0, 7, 3}, {-5, 0, 3}, {80, -3, 60}, {80, 80, 60}, {80, 1 << 40, 60}, {1 << 40, 5, 60}, {80, 3, 0},
@@ -440,7 +441,7 @@
 	}
 }
 
-// A customer comes through dozens of gateways and the counter can't bear a call for each request. Customers far beyond
+// A customer uses dozens of gateways and the counter can't bear a call for each request. Customers far beyond
 // their quota must not get a local share of each gateway, and those within it must be served.
 func TestQuotaInALargeFleetWithAnOverloadedCounter(t *testing.T) {
 	f := newFleet(3, 80, 60, func(s *Settings) {
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -253,7 +253,7 @@
 }
 
 // wouldMissDeadline reports whether the wait for capacity would outlast the request's objective:
-// Wh <= X / (1 - X*Ah), X being the time in which the limit frees one place and Ah the arrival rate of higher
+// Wh <= X / (1 - X*Ah), X being the time in which the limit admits one and Ah the arrival rate of higher
 // levels. Must be checked before a lease: units and a call for an unsent request are lost to all gateways.
 func (g *Gateway) wouldMissDeadline(req *activeRequest) bool {
 	x := g.latency / max(g.limit, 1e-3)
@@ -808,7 +808,7 @@
 	g.customerList = kept
 }
 
-// limitsFor returns what a plan allows a customer that comes to so many gateways.
+// limitsFor returns the limits of a plan at one gateway for a customer that uses so many gateways.
 // With few gateways each sees the totals often enough to keep an exact token bucket: a long window whose
 // allowance grows with time. Otherwise each window is short and independent.
 // Under a ceiling, leases and local shares together never exceed it. An exact bucket spends in any time L at
--- a/rules/state.go
+++ b/rules/state.go
@@ -440,7 +440,7 @@
 		c.localUnits = g.initialLocalUnits(r)
 	}
 	fleetSize := max(g.cfg.FleetSize, 1)
-	index := (g.cfg.Rank - r.FirstGateway + fleetSize) % fleetSize // this gateway's place in the customer's set
+	index := (g.cfg.Rank - r.FirstGateway + fleetSize) % fleetSize // of this gateway among the customer's
 	c.limits = g.limitsFor(&g.cfg.Plans[r.Plan], r.Gateways, max(min(index, r.Gateways-1), 0))
 	if g.now != c.lastRequestAt {
 		c.demandRate *= math.Exp(-(g.now - c.lastRequestAt) / demandMeanSeconds)
--- a/rules/streamed_test.go
+++ b/rules/streamed_test.go
@@ -9,7 +9,7 @@
 	set.HasCounter, set.CanHedge = false, true
 	set.Plans[1].Rate = 0
 	gw := newTestGateway(t, set, readyBackends(3)...)
-	ask := func(streamed bool) (RequestID, []Action) {
+	request := func(streamed bool) (RequestID, []Action) {
 		gw.nextID++
 		return gw.nextID, gw.handle(Request{ID: gw.nextID, Class: 0, Plan: 1, Customer: 3, Units: 1, Gateways: 1, Streamed: streamed,
 			Deadline: gw.now + 2 + 60})
@@ -18,9 +18,9 @@
 		gw.now += 0.1
 		gw.handle(AttemptEnd{Request: id, Attempt: n, Backend: to, Outcome: Served, RequestDone: true})
 	}
-	first, _ := ask(false)
+	first, _ := request(false)
 	serve(first, 0, exactlyOne[Send](t, gw.last).Backend) // the usual latency is known
-	id, _ := ask(true)
+	id, _ := request(true)
 	sent := exactlyOne[Send](t, gw.last)
 	if sent.Timeout < 50 {
 		t.Errorf("the timeout of the body is %g s", sent.Timeout)
@@ -58,7 +58,7 @@
 	}
 
 	// Its client fails: this does not count against the backend.
-	id, _ = ask(true)
+	id, _ = request(true)
 	sent = exactlyOne[Send](t, gw.last)
 	before := gw.g.backends[sent.Backend].failureRate
 	gw.handle(AttemptEnd{Request: id, Attempt: 0, Backend: sent.Backend, Outcome: Cancelled})
--- a/rules/types.go
+++ b/rules/types.go
@@ -181,7 +181,7 @@
 	Plan         int
 	Class        int
 	Units        float64
-	FirstGateway int // the customer may come to Gateways consecutive gateways from this index on
+	FirstGateway int // the customer may use Gateways consecutive gateways, starting with this index
 	Gateways     int
 	SentAt       float64 // time at which the client sent it; 0: now
 	Deadline     float64 // time at which the client stops waiting
@@ -289,7 +289,7 @@
 
 // FleetUpdate gives numbers of gateways where they are known better than from the settings. A 0 means not known.
 type FleetUpdate struct {
-	QuotaDivisor int // divides the quota of a customer that may come to all gateways, while the counter is unavailable
+	QuotaDivisor int // divides the quota of a customer that may use all gateways, while the counter is unavailable
 	ColdSenders  int // gateways that send to a cold backend
 }
 
@@ -375,7 +375,7 @@
 	Request RequestID // 0: none
 }
 
-// CounterAdd adds Amount to a number on the shared counter and asks for its total. A new key starts at 0 and expires
+// CounterAdd adds Amount to a number on the shared counter and requests its total. A new key starts at 0 and expires
 // TTL seconds later. LateCounterReply refers to the call by CallID.
 type CounterAdd struct {
 	CallID uint64
