--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,258 +17,258 @@
 )
 
 const (
-	answerMargin = 0.005 // seconds kept of a deadline for the way to the client, the loop and the write
-	sameMoment   = 0.001 // a cancel so close before an attempt's time-out is one
+	responseMargin   = 0.005 // seconds of a deadline reserved for the loop, the write and the way to the client
+	timeoutTolerance = 0.001 // seconds: an attempt cancelled this close to its deadline counts as timed out
 )
 
-// What sockets and operators tell the loop.
+// Messages from connections and from operators to the loop.
 type (
-	arrival struct {
-		l *Loop
-		x *exchange
+	requestArrived struct {
+		loop     *Loop
+		exchange *exchange
 	}
-	clientGone struct {
-		l *Loop
-		x *exchange
+	clientDisconnected struct {
+		loop     *Loop
+		exchange *exchange
 	}
-	attemptDone struct {
-		l      *Loop
-		a      *attempt
-		result result
+	attemptEnded struct {
+		loop    *Loop
+		attempt *attempt
+		result  result
 	}
-	bodyWhole struct { // a body that passes through has gone whole
-		l *Loop
-		a *attempt
+	requestSent struct { // the streamed body of a request has been written completely
+		loop    *Loop
+		attempt *attempt
 	}
-	news struct {
-		l       *Loop
+	listUpdate struct {
+		loop    *Loop
 		listing discovery.Listing
 		kind    rules.ListKind
 	}
-	handCall struct { // an operator's
-		l    *Loop
-		id   string
-		ask  bool // only whether the id was ever listed
-		out  bool
-		done chan error // has room for one
+	detachCommand struct { // from an operator
+		loop      *Loop
+		id        string
+		checkOnly bool // reports whether the backend was ever listed and changes nothing
+		detach    bool
+		done      chan error // buffered: the loop must not block on the caller
 	}
-	divided struct { // by how many gateways
-		l *Loop
+	fleetUpdate struct { // the number of gateways that share quotas and cold backends
+		loop *Loop
 		rules.FleetUpdate
 	}
-	outByHand struct { // all that are, as noted
-		l   *Loop
-		ids map[string]struct{}
+	detachedUpdate struct { // all backends that are recorded as detached
+		loop *Loop
+		ids  map[string]struct{}
 	}
-	ending struct{ l *Loop } // the process will be killed soon
+	processEnding struct{ loop *Loop } // the platform will kill the process soon
 )
 
-// Take accepts a request that a client has sent.
-func (m arrival) Take() { m.l.arrive(m.x) }
+// Process accepts a client's request.
+func (m requestArrived) Process() { m.loop.accept(m.exchange) }
 
-// Take cancels the requests of a client that has disconnected.
-func (m clientGone) Take() { m.l.leave(m.x) }
+// Process cancels the request of a client that has disconnected.
+func (m clientDisconnected) Process() { m.loop.disconnect(m.exchange) }
 
-// Take records that the body of an attempt's request has been sent completely.
-func (m bodyWhole) Take() { m.l.bodyWhole(m.a) }
+// Process records that the streamed body of a request has been written completely.
+func (m requestSent) Process() { m.loop.onRequestSent(m.attempt) }
 
-// Take applies an endpoint list.
-func (m news) Take() { m.l.list(m.listing, m.kind) }
+// Process applies an endpoint list.
+func (m listUpdate) Process() { m.loop.applyListing(m.listing, m.kind) }
 
-// Take passes the number of gateways on to the module.
-func (m divided) Take() { m.l.Handle(m.FleetUpdate) }
+// Process passes the number of gateways to the decision module.
+func (m fleetUpdate) Process() { m.loop.Handle(m.FleetUpdate) }
 
-// Take answers every open request, since the process ends soon.
-func (m ending) Take() { m.l.endAll() }
+// Process responds to every open request, since the process is about to end.
+func (m processEnding) Process() { m.loop.respondToAll() }
 
-// Take carries out an operator's call and sends its result to the caller.
-func (m handCall) Take() { m.done <- m.l.takeByHand(m) }
+// Process runs an operator's command and sends its result to the caller.
+func (m detachCommand) Process() { m.done <- m.loop.runDetachCommand(m) }
 
-// Take records the end of an attempt, or the beginning of a streamed response.
-func (m attemptDone) Take() {
-	if m.result.rest != nil {
-		m.l.begin(m.a, m.result)
+// Process records the end of an attempt, or the start of a streamed response.
+func (m attemptEnded) Process() {
+	if m.result.stream != nil {
+		m.loop.beginStream(m.attempt, m.result)
 	} else {
-		m.l.endAttempt(m.a, m.result)
+		m.loop.endAttempt(m.attempt, m.result)
 	}
 }
 
-// Take replaces the set of backends that operators have taken out of service.
-func (m outByHand) Take() {
-	for id := range m.l.out {
+// Process replaces the set of backends that operators have detached.
+func (m detachedUpdate) Process() {
+	for id := range m.loop.detached {
 		if _, still := m.ids[id]; !still {
-			m.l.setOut(id, false)
+			m.loop.setDetached(id, false)
 		}
 	}
 	for id := range m.ids {
-		m.l.setOut(id, true)
+		m.loop.setDetached(id, true)
 	}
 }
 
-// Loop is the part of the module's owner that concerns requests: it gives each its
-// one final answer, starts and ends attempts, and hands the list of backends on. All of it
-// runs in the owner's goroutine.
+// Loop handles requests in the goroutine of the module's owner: it gives each request exactly one
+// response, starts and ends attempts, and passes backend lists to the decision module.
+// All of its methods run in that goroutine.
 type Loop struct {
-	*owner.Owner
+	*owner.EventLoop
 	deploy   *wire.Deployment
 	pools    *pools
 	onListed func()
 
-	telemetry *telemetry.Telemetry // nil: nothing is exported
-	share     float64              // of requests that are traced
+	telemetry   *telemetry.Telemetry // nil: traces and metrics are not exported
+	sampleRatio float64              // fraction of requests that are traced
 
-	attempts sync.WaitGroup // those that use sockets
+	attempts sync.WaitGroup // attempts that use connections
 
-	live  map[rules.RequestID]*exchange // until the last attempt has ended
-	held  map[string]struct{}           // the clients' own ids of those
-	ids   recent                        // and of requests taken lately
-	over  bool                          // what comes is turned away: the process ends
-	names map[rules.BackendID]listed    // the ready ones
-	ever  everListed
-	out   map[string]struct{} // backends out by hand; the module leaves them out
+	exchanges      map[rules.RequestID]*exchange // requests that are open or have an attempt in flight
+	openIDs        map[string]struct{}           // correlation IDs of those requests
+	recentIDs      recentIDs                     // and of requests accepted recently
+	terminating    bool                          // the process is ending: new requests are rejected
+	readyBackends  map[rules.BackendID]readyBackend
+	backendHistory backendHistory
+	detached       map[string]struct{} // backends detached by operators; the decision module leaves them out
 }
 
-func newLoop(c *config.Config, p *pools, k owner.Counter, onListed func()) *Loop {
-	l := &Loop{Owner: owner.New(c.Settings, c.Seed, k), deploy: &c.Deployment, pools: p, onListed: onListed,
-		live: map[rules.RequestID]*exchange{}, held: map[string]struct{}{}, names: map[rules.BackendID]listed{}, out: map[string]struct{}{}}
-	l.ids.span = longest(c).Seconds() + c.AnswerSlack
+func newLoop(conf *config.Config, pools *pools, counter owner.Counter, onListed func()) *Loop {
+	l := &Loop{EventLoop: owner.New(conf.Settings, conf.Seed, counter), deploy: &conf.Deployment, pools: pools, onListed: onListed,
+		exchanges: map[rules.RequestID]*exchange{}, openIDs: map[string]struct{}{}, readyBackends: map[rules.BackendID]readyBackend{}, detached: map[string]struct{}{}}
+	l.recentIDs.span = longestDeadline(conf).Seconds() + conf.AnswerSlack
 	l.Start(l)
 	return l
 }
 
-// hear passes on what discovery told.
-func (l *Loop) hear(told discovery.Listing) {
+// onListing posts an endpoint list from discovery to the loop.
+func (l *Loop) onListing(listing discovery.Listing) {
 	kind := rules.DeltaList
-	if told.Reset {
+	if listing.Reset {
 		kind = rules.FullList
 	}
-	l.Post(news{l, told, kind})
+	l.Post(listUpdate{l, listing, kind})
 }
 
-// divide passes on how many gateways there are.
-func (l *Loop) divide(share, cold int) {
-	l.Post(divided{l, rules.FleetUpdate{QuotaDivisor: share, ColdSenders: cold}})
+// setFleet posts the number of gateways to the loop.
+func (l *Loop) setFleet(quotaDivisor, coldSenders int) {
+	l.Post(fleetUpdate{l, rules.FleetUpdate{QuotaDivisor: quotaDivisor, ColdSenders: coldSenders}})
 }
 
-// leave takes a client's leaving. Danger: an answer may just have been given that
-// passes through, and nobody would end it.
-func (l *Loop) leave(x *exchange) {
-	if x.open {
-		x.open = false
-		l.recordEvent(x, traces.Event{Kind: traces.ClientLeft})
-		l.Handle(rules.ClientDisconnected{Request: x.ask.ID})
-		x.withhold()
-		l.drop(x)
-		if x.upload != nil {
-			// Danger: the server watches for a client's end only behind a whole body, so the handler of
-			// one that is not read to its end would wait for good, and keep the connection.
-			x.reply <- answer{status: http.StatusBadRequest}
+// disconnect handles a client's disconnect. A streamed response may just have been handed to the
+// handler, which will not read it any more: its attempt must be ended here, as nothing else would end it.
+func (l *Loop) disconnect(ex *exchange) {
+	if ex.open {
+		ex.open = false
+		l.recordEvent(ex, traces.Event{Kind: traces.ClientLeft})
+		l.Handle(rules.ClientDisconnected{Request: ex.request.ID})
+		ex.abortUnsent()
+		l.removeIfDone(ex)
+		if ex.upload != nil {
+			// The server notices a disconnect only once the body has been read to its end. A handler
+			// whose body has not been read that far would wait forever and keep the connection.
+			ex.reply <- response{status: http.StatusBadRequest}
 		}
 		return
 	}
 	select {
-	case a := <-x.reply:
-		if a.rest == nil {
+	case response := <-ex.reply:
+		if response.stream == nil {
 			return
 		}
-		a.rest.drop()
-		for _, out := range x.attempts {
-			if out.streams {
-				l.endAttempt(out, result{outcome: rules.Cancelled})
+		response.stream.onDrop()
+		for _, attempt := range ex.attempts {
+			if attempt.streaming {
+				l.endAttempt(attempt, result{outcome: rules.Cancelled})
 			}
 		}
 	default:
 	}
 }
 
-// arrive gives a request an id of its own and hands it to the module.
-func (l *Loop) arrive(x *exchange) {
-	if l.over || l.deploy.MaxOpenRequests > 0 && len(l.live) >= l.deploy.MaxOpenRequests {
-		x.reply <- answer{status: http.StatusServiceUnavailable} // nothing was sent for it
+// accept assigns an internal ID to a request and passes it to the decision module.
+func (l *Loop) accept(ex *exchange) {
+	if l.terminating || l.deploy.MaxOpenRequests > 0 && len(l.exchanges) >= l.deploy.MaxOpenRequests {
+		ex.reply <- response{status: http.StatusServiceUnavailable} // nothing was sent to a backend
 		return
 	}
-	// Danger: an id names one request. A second one under it, from whatever client, could be answered by
-	// what a backend made for the first.
-	_, twice := l.held[x.id]
-	if !l.ids.add(x.id, x.ask.SentAt) || twice {
-		x.reply <- answer{status: http.StatusConflict}
+	// A correlation ID must identify one request. A second request with the same ID, from any client, could
+	// receive the response that a backend made for the first.
+	_, open := l.openIDs[ex.correlationID]
+	if !l.recentIDs.add(ex.correlationID, ex.request.SentAt) || open {
+		ex.reply <- response{status: http.StatusConflict}
 		return
 	}
-	x.ask.ID, x.open = l.NewID(), true
-	l.live[x.ask.ID], l.held[x.id] = x, struct{}{}
-	if m := l.RollupCounts(); m != nil {
-		m.Requests++
+	ex.request.ID, ex.open = l.NewRequestID(), true
+	l.exchanges[ex.request.ID], l.openIDs[ex.correlationID] = ex, struct{}{}
+	if counts := l.RollupCounts(); counts != nil {
+		counts.Requests++
 	}
-	l.recordEvent(x, traces.Event{Kind: traces.Began})
-	l.Handle(x.ask)
+	l.recordEvent(ex, traces.Event{Kind: traces.Began})
+	l.Handle(ex.request)
 }
 
-// list takes in what discovery told. Connections follow it before the module
-// hears of it.
-func (l *Loop) list(told discovery.Listing, kind rules.ListKind) {
-	ev := rules.Backends{Kind: kind}
-	kept := map[rules.BackendID]bool{}
-	for _, i := range told.Instances {
-		b, err := i.Backend(l.deploy)
+// applyListing applies an endpoint list from discovery. Connections are updated before the decision
+// module learns of the list.
+func (l *Loop) applyListing(listing discovery.Listing, kind rules.ListKind) {
+	event := rules.Backends{Kind: kind}
+	present := map[rules.BackendID]bool{}
+	for _, instance := range listing.Instances {
+		backend, err := instance.Backend(l.deploy)
 		if err != nil {
 			log.Printf("discovery: %v", err)
 		}
-		if i.ID == "" {
+		if instance.ID == "" {
 			continue
 		}
-		if other, known := l.names[b.ID]; known && other.name != i.ID {
-			log.Printf("discovery: instances %q and %q have one id; the second is left out", other.name, i.ID)
+		if other, known := l.readyBackends[backend.ID]; known && other.name != instance.ID {
+			log.Printf("discovery: instances %q and %q map to the same ID; ignoring the second", other.name, instance.ID)
 			continue
 		}
-		kept[b.ID] = true
-		ev.Entries = append(ev.Entries, b)
-		l.ever.add(i.ID)
-		if b.State == rules.Ready {
-			l.names[b.ID] = listed{i.ID, i.HostPort, i.Zone, b.StartedAt}
-			if _, out := l.out[i.ID]; !out {
-				l.pools.update(b.ID, i.HostPort, b.StartedAt)
+		present[backend.ID] = true
+		event.Entries = append(event.Entries, backend)
+		l.backendHistory.add(instance.ID)
+		if backend.State == rules.Ready {
+			l.readyBackends[backend.ID] = readyBackend{instance.ID, instance.HostPort, instance.Zone, backend.StartedAt}
+			if _, detached := l.detached[instance.ID]; !detached {
+				l.pools.update(backend.ID, instance.HostPort, backend.StartedAt)
 			}
 		} else {
-			delete(l.names, b.ID)
-			l.pools.remove(b.ID)
+			delete(l.readyBackends, backend.ID)
+			l.pools.remove(backend.ID)
 		}
 	}
 	if kind != rules.DeltaList {
-		for id := range l.names {
-			if !kept[id] {
-				delete(l.names, id)
+		for id := range l.readyBackends {
+			if !present[id] {
+				delete(l.readyBackends, id)
 				l.pools.remove(id)
 			}
 		}
 	}
-	l.Handle(ev)
+	l.Handle(event)
 	if kind != rules.CachedList {
-		if m := l.RollupCounts(); m != nil {
-			m.Changes += len(ev.Entries)
+		if counts := l.RollupCounts(); counts != nil {
+			counts.Changes += len(event.Entries)
 		}
 		l.onListed()
 	}
 }
 
-// Live tells whether a request, or an attempt of it, is still out.
-func (l *Loop) Live(id rules.RequestID) bool { return l.live[id] != nil }
+// InFlight reports whether a request is open or has an attempt in flight.
+func (l *Loop) InFlight(id rules.RequestID) bool { return l.exchanges[id] != nil }
 
-// Refuse answers a request: trying again is harmless.
+// Refuse rejects a request that did not run, so that the client may safely retry it.
 func (l *Loop) Refuse(a rules.Refuse) {
-	l.answer(a.Request, answer{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter, why: a.Reason, paid: a.AdmittedAt})
+	l.respond(a.Request, response{status: http.StatusTooManyRequests, retryAfter: a.RetryAfter, reason: a.Reason, admittedAt: a.AdmittedAt})
 }
 
-// Fail answers a request that may have run.
-func (l *Loop) Fail(a rules.Fail) { l.answer(a.Request, answer{status: http.StatusBadGateway}) }
+// Fail ends a request that may have run.
+func (l *Loop) Fail(a rules.Fail) { l.respond(a.Request, response{status: http.StatusBadGateway}) }
 
-// byHand passes on a call of an operator and waits for its end.
-func (l *Loop) byHand(ctx context.Context, c handCall) error {
-	c.l, c.done = l, make(chan error, 1)
-	if !l.Post(c) {
+// sendDetachCommand posts an operator's command to the loop and waits for its result.
+func (l *Loop) sendDetachCommand(ctx context.Context, command detachCommand) error {
+	command.loop, command.done = l, make(chan error, 1)
+	if !l.Post(command) {
 		return errStopped
 	}
 	select {
-	case err := <-c.done:
+	case err := <-command.done:
 		return err
 	case <-l.Stopped():
 		return errStopped
@@ -277,249 +277,250 @@
 	}
 }
 
-func (l *Loop) takeByHand(c handCall) error {
-	if _, out := l.out[c.id]; !out && !l.ever.has(c.id) {
+func (l *Loop) runDetachCommand(command detachCommand) error {
+	if _, detached := l.detached[command.id]; !detached && !l.backendHistory.has(command.id) {
 		return errNeverListed
 	}
-	if !c.ask {
-		l.setOut(c.id, c.out)
+	if !command.checkOnly {
+		l.setDetached(command.id, command.detach)
 	}
 	return nil
 }
 
-// setOut takes a backend out or puts it back. Its connections follow as at a
-// change of the list: no dial that waits goes on, and what is out may be answered.
-func (l *Loop) setOut(name string, out bool) {
-	if _, was := l.out[name]; was == out {
+// setDetached detaches a backend or attaches it again. Its connections are updated as for a change of
+// the endpoint list: pending dials are cancelled, and attempts in flight may still get a response.
+func (l *Loop) setDetached(name string, detached bool) {
+	if _, already := l.detached[name]; already == detached {
 		return
 	}
 	id := discovery.BackendID(name)
-	at, ready := l.names[id]
-	ready = ready && at.name == name
-	if out {
-		l.out[name] = struct{}{}
+	backend, ready := l.readyBackends[id]
+	ready = ready && backend.name == name
+	if detached {
+		l.detached[name] = struct{}{}
 		if ready {
 			l.pools.remove(id)
 		}
 		l.Handle(rules.Detach{Backend: id})
 		return
 	}
-	delete(l.out, name)
+	delete(l.detached, name)
 	if ready {
-		l.pools.update(id, at.address, at.born)
+		l.pools.update(id, backend.address, backend.startedAt)
 	}
 	l.Handle(rules.Attach{Backend: id})
 }
 
-// Send starts an attempt. What is over or was tried too often gets none.
-func (l *Loop) Send(s rules.Send) {
-	x := l.live[s.Request]
-	if x == nil {
-		log.Printf("request %d is not known", s.Request)
+// Send starts an attempt. A request that is over or has used up its attempts gets none.
+func (l *Loop) Send(send rules.Send) {
+	ex := l.exchanges[send.Request]
+	if ex == nil {
+		log.Printf("decision module sent an attempt for unknown request %d", send.Request)
 		return
 	}
 	now := l.Clock.Now()
-	a := &attempt{x: x, loop: l, number: len(x.attempts), backend: s.Backend, sent: now, deadline: x.ask.Deadline}
-	if s.Timeout > 0 {
-		a.deadline = min(a.deadline, now+s.Timeout)
-	}
-	a.until, a.latest = l.Clock.At(a.deadline), l.latest(x)
-	x.attempts = append(x.attempts, a)
-	x.out++
-	l.recordAttempt(a, s.AdmittedAt)
-	if !x.open || a.number >= max(l.deploy.MaxAttempts, 1) || a.deadline <= now {
-		l.endAttempt(a, result{outcome: rules.NotSent})
+	attempt := &attempt{exchange: ex, loop: l, number: len(ex.attempts), backend: send.Backend, sentAt: now, deadline: ex.request.Deadline}
+	if send.Timeout > 0 {
+		attempt.deadline = min(attempt.deadline, now+send.Timeout)
+	}
+	attempt.socketDeadline, attempt.writeDeadline = l.Clock.At(attempt.deadline), l.retryWriteDeadline(ex)
+	ex.attempts = append(ex.attempts, attempt)
+	ex.activeAttempts++
+	l.recordAttempt(attempt, send.AdmittedAt)
+	if !ex.open || attempt.number >= max(l.deploy.MaxAttempts, 1) || attempt.deadline <= now {
+		l.endAttempt(attempt, result{outcome: rules.NotSent})
 		return
 	}
-	a.ctx, a.cancel = context.WithCancel(context.Background())
-	a.passed = func(o rules.Outcome) { l.Post(attemptDone{l, a, result{outcome: o}}) }
-	if x.upload != nil {
-		a.whole = func() { l.Post(bodyWhole{l, a}) }
-	}
-	l.After(a.deadline, a)
-	l.attempts.Go(func() { // ends by a.until, or when the attempt is called off
-		res := l.pools.attempt(a)
-		a.cancel()
-		res.told = readLoad(res.load, l.deploy.LoadFields) // here, where it holds up no other request
-		l.Post(attemptDone{l, a, res})
+	attempt.ctx, attempt.cancel = context.WithCancel(context.Background())
+	attempt.onStreamEnd = func(o rules.Outcome) { l.Post(attemptEnded{l, attempt, result{outcome: o}}) }
+	if ex.upload != nil {
+		attempt.onSent = func() { l.Post(requestSent{l, attempt}) }
+	}
+	l.ScheduleTimeout(attempt.deadline, attempt)
+	l.attempts.Go(func() { // ends by socketDeadline, or when the attempt is aborted
+		result := l.pools.send(attempt)
+		attempt.cancel()
+		result.load = parseLoadReport(result.loadText, l.deploy.LoadFields) // parsed here so that the loop's goroutine is not held up
+		l.Post(attemptEnded{l, attempt, result})
 	})
 }
 
-// latest is when a repeat must have gone out, if an attempt before may have run; the
-// zero time: whenever. Danger: the module looks at the window when it decides, and a
-// connection that comes up late would bring the repeat to a backend that has forgotten.
-func (l *Loop) latest(x *exchange) time.Time {
-	class := &l.deploy.Classes[x.ask.Class]
-	for _, a := range x.attempts { // in the order they were sent
+// retryWriteDeadline returns the time by which a retry must have been written if an earlier attempt may
+// have run; zero means that any time will do. The decision module checks the deduplication window when it
+// decides, but a connection that is established late would deliver the retry to a backend that no longer
+// remembers the key.
+func (l *Loop) retryWriteDeadline(ex *exchange) time.Time {
+	class := &l.deploy.Classes[ex.request.Class]
+	for _, a := range ex.attempts { // in sending order
 		if class.Idempotency == rules.IdempotentByKey && !a.neverRan {
-			return l.Clock.At(a.sent + class.DedupeWindow - 2*l.deploy.Tick)
+			return l.Clock.At(a.sentAt + class.DedupeWindow - 2*l.deploy.Tick)
 		}
 	}
 	return time.Time{}
 }
 
-// bodyWhole starts the client's time where its body has gone on whole.
-func (l *Loop) bodyWhole(a *attempt) {
-	x := a.x
-	if a.ended || !x.open {
+// onRequestSent starts the client's time limit once the streamed body of its request has been written.
+func (l *Loop) onRequestSent(attempt *attempt) {
+	ex := attempt.exchange
+	if attempt.ended || !ex.open {
 		return
 	}
-	x.ask.Deadline = l.Clock.Now() + x.left
-	a.deadline = x.ask.Deadline
-	l.After(a.deadline, a)
-	l.Handle(rules.BodyComplete{Request: x.ask.ID, Deadline: x.ask.Deadline})
+	ex.request.Deadline = l.Clock.Now() + ex.timeLeft
+	attempt.deadline = ex.request.Deadline
+	l.ScheduleTimeout(attempt.deadline, attempt)
+	l.Handle(rules.BodyComplete{Request: ex.request.ID, Deadline: ex.request.Deadline})
 }
 
-// begin gives a client an answer that passes through: it is final from its first
-// byte, and the attempt is out until its last.
-func (l *Loop) begin(a *attempt, res result) {
-	x := a.x
-	if a.ended || !x.open {
-		res.rest.drop()
-		l.endAttempt(a, result{outcome: rules.Cancelled})
+// beginStream hands a streamed response to the client. It is final from its first byte, and the
+// attempt remains in flight until its last.
+func (l *Loop) beginStream(attempt *attempt, res result) {
+	ex := attempt.exchange
+	if attempt.ended || !ex.open {
+		res.stream.onDrop()
+		l.endAttempt(attempt, result{outcome: rules.Cancelled})
 		return
 	}
-	a.streams = true
-	header := passedOn(res.header)
+	attempt.streaming = true
+	header := endToEndHeaders(res.header)
 	header.Del(loadHeader)
-	l.answer(x.ask.ID, answer{status: http.StatusOK, header: header, rest: res.rest})
-	l.Handle(rules.ResponseStarted{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Duration: l.Clock.Now() - a.sent})
+	l.respond(ex.request.ID, response{status: http.StatusOK, header: header, stream: res.stream})
+	l.Handle(rules.ResponseStarted{Request: ex.request.ID, Attempt: attempt.number, Backend: attempt.backend, Duration: l.Clock.Now() - attempt.sentAt})
 }
 
-// endAttempt takes an attempt's one end; what comes after it is dropped.
-func (l *Loop) endAttempt(a *attempt, res result) {
-	if res.left && !a.ended {
-		l.leave(a.x) // the server will see it too, and say it again
+// endAttempt records the end of an attempt. It has an effect once per attempt; later results are dropped.
+func (l *Loop) endAttempt(attempt *attempt, result result) {
+	if result.clientDisconnected && !attempt.ended {
+		l.disconnect(attempt.exchange) // the server notices the disconnect too, and posts it again
 	}
-	if a.ended {
+	if attempt.ended {
 		return
 	}
-	a.ended, a.neverRan = true, rules.NeverRan(res.outcome)
-	x := a.x
-	x.out--
-	l.recordEvent(x, traces.Event{Kind: traces.Ended, Attempt: a.number, Outcome: res.outcome})
-	if res.outcome == rules.Served && x.open {
-		header := passedOn(res.header)
-		header.Del(loadHeader) // for gateways, not for clients
-		l.answer(x.ask.ID, answer{status: http.StatusOK, header: header, body: res.body})
-	}
-	l.Handle(rules.AttemptEnd{Request: x.ask.ID, Attempt: a.number, Backend: a.backend, Outcome: res.outcome,
-		Duration: l.Clock.Now() - a.sent, RequestDone: !x.open, LoadData: res.told})
-	l.drop(x)
+	attempt.ended, attempt.neverRan = true, rules.NeverRan(result.outcome)
+	ex := attempt.exchange
+	ex.activeAttempts--
+	l.recordEvent(ex, traces.Event{Kind: traces.Ended, Attempt: attempt.number, Outcome: result.outcome})
+	if result.outcome == rules.Served && ex.open {
+		header := endToEndHeaders(result.header)
+		header.Del(loadHeader) // meant for gateways, not for clients
+		l.respond(ex.request.ID, response{status: http.StatusOK, header: header, body: result.body})
+	}
+	l.Handle(rules.AttemptEnd{Request: ex.request.ID, Attempt: attempt.number, Backend: attempt.backend, Outcome: result.outcome,
+		Duration: l.Clock.Now() - attempt.sentAt, RequestDone: !ex.open, LoadData: result.load})
+	l.removeIfDone(ex)
 }
 
-// Cancel ends an attempt.
-func (l *Loop) Cancel(c rules.Cancel) {
-	x := l.live[c.Request]
-	if x == nil || c.Attempt >= len(x.attempts) || x.attempts[c.Attempt].ended || x.attempts[c.Attempt].streams {
+// Cancel ends an attempt on behalf of the decision module.
+func (l *Loop) Cancel(cancel rules.Cancel) {
+	ex := l.exchanges[cancel.Request]
+	if ex == nil || cancel.Attempt >= len(ex.attempts) || ex.attempts[cancel.Attempt].ended || ex.attempts[cancel.Attempt].streaming {
 		return
 	}
-	a := x.attempts[c.Attempt]
-	a.callOff()
+	attempt := ex.attempts[cancel.Attempt]
+	attempt.abort()
 	outcome := rules.Cancelled
-	if l.Clock.Now() >= a.deadline-sameMoment {
-		outcome = rules.TimedOut // the module learns from it
+	if l.Clock.Now() >= attempt.deadline-timeoutTolerance {
+		outcome = rules.TimedOut // reported as a timeout, from which the decision module learns
 	}
-	l.endAttempt(a, result{outcome: outcome})
+	l.endAttempt(attempt, result{outcome: outcome})
 }
 
-// answer gives a request its final answer, if it has none.
-func (l *Loop) answer(id rules.RequestID, a answer) {
-	x := l.live[id]
-	if x == nil || !x.open {
+// respond sends a request its response, unless it already has one.
+func (l *Loop) respond(id rules.RequestID, response response) {
+	ex := l.exchanges[id]
+	if ex == nil || !ex.open {
 		return
 	}
-	x.open = false
-	l.recordEvent(x, answered(a))
-	x.reply <- a // it has room for one, and one is all it gets
-	x.withhold()
-	l.drop(x)
+	ex.open = false
+	l.recordEvent(ex, responseEvent(response))
+	ex.reply <- response // never blocks: the channel is buffered, and each request gets one response
+	ex.abortUnsent()
+	l.removeIfDone(ex)
 }
 
-// endAll answers all that is held: refused where the module finds that harmless, else
-// failed. What passes through goes on until the process ends.
-func (l *Loop) endAll() {
-	l.over = true
-	for id, x := range l.live {
-		if !x.open {
+// respondToAll ends all open requests: they are refused where the decision module finds that safe, and
+// failed otherwise. Streamed responses go on until the process ends.
+func (l *Loop) respondToAll() {
+	l.terminating = true
+	for id, ex := range l.exchanges {
+		if !ex.open {
 			continue
 		}
 		l.Handle(rules.ExpireRequest(id))
-		if x.open { // its body is still coming
+		if ex.open { // its body is still being received
 			l.Handle(rules.ClientDisconnected{Request: id})
 			l.Fail(rules.Fail{Request: id})
 		}
 	}
 }
 
-// drop forgets a request that has its answer and nothing out.
-func (l *Loop) drop(x *exchange) {
-	if !x.open && x.out == 0 {
-		delete(l.live, x.ask.ID)
-		delete(l.held, x.id)
+// removeIfDone forgets a request that has its response and no attempt in flight.
+func (l *Loop) removeIfDone(ex *exchange) {
+	if !ex.open && ex.activeAttempts == 0 {
+		delete(l.exchanges, ex.request.ID)
+		delete(l.openIDs, ex.correlationID)
 	}
 }
 
-// Over tells whether nobody waits for the attempt's time-out.
-func (a *attempt) Over() bool { return a.ended || a.streams }
+// Finished reports whether the attempt's timeout no longer applies.
+func (a *attempt) Finished() bool { return a.ended || a.streaming }
 
-// Due ends an attempt whose time is over.
-func (a *attempt) Due() {
-	if a.loop.Clock.Now() < a.deadline-sameMoment {
-		return // its body has come whole since, and its time runs from there
+// Expire times out an attempt at its deadline.
+func (a *attempt) Expire() {
+	if a.loop.Clock.Now() < a.deadline-timeoutTolerance {
+		return // the deadline was moved when the streamed body had been written completely
 	}
-	a.callOff()
+	a.abort()
 	a.loop.endAttempt(a, result{outcome: rules.TimedOut})
 }
 
-// listed is what discovery says of a ready backend.
-type listed struct {
+// readyBackend is what discovery reports about a ready backend.
+type readyBackend struct {
 	name, address, zone string
-	born                float64
+	startedAt           float64
 }
 
-// everListed remembers the ids of backends that discovery told of, the newest
-// some thousands at least: where backends are replaced all day, ids are ever new.
-type everListed struct{ now, last map[string]struct{} }
+// backendHistory remembers the IDs of backends that discovery has listed. Where backends are replaced all
+// day there are always new IDs, so it holds a bounded number: at least the newest backendsPerGeneration.
+type backendHistory struct{ current, previous map[string]struct{} }
 
-const everMost = 1 << 12 // ids of a generation; then the next begins
+const backendsPerGeneration = 1 << 12 // IDs until a new generation begins
 
-func (e *everListed) add(id string) {
-	if _, there := e.now[id]; there {
+func (h *backendHistory) add(id string) {
+	if _, listed := h.current[id]; listed {
 		return
 	}
-	if e.now == nil || len(e.now) >= everMost {
-		e.now, e.last = map[string]struct{}{}, e.now
+	if h.current == nil || len(h.current) >= backendsPerGeneration {
+		h.current, h.previous = map[string]struct{}{}, h.current
 	}
-	e.now[id] = struct{}{}
+	h.current[id] = struct{}{}
 }
 
-func (e *everListed) has(id string) bool {
-	_, now := e.now[id]
-	_, last := e.last[id]
+func (h *backendHistory) has(id string) bool {
+	_, now := h.current[id]
+	_, last := h.previous[id]
 	return now || last
 }
 
-// recent remembers ids for a while: those of the present span and of the last.
-type recent struct {
-	span      float64 // seconds
-	now, last map[string]struct{}
-	since     float64
+// recentIDs remembers IDs for a limited time: those of the current span and of the previous one.
+type recentIDs struct {
+	span              float64 // seconds
+	current, previous map[string]struct{}
+	startedAt         float64
 }
 
-const recentMost = 1 << 13 // ids of a span; then the next begins
+const idsPerSpan = 1 << 13 // IDs until a new span begins
 
-// add tells whether an id is new, and remembers it.
-func (r *recent) add(id string, now float64) bool {
-	if r.now == nil || now-r.since > r.span || len(r.now) >= recentMost {
-		r.now, r.last, r.since = map[string]struct{}{}, r.now, now
+// add records an ID and reports whether it is new.
+func (r *recentIDs) add(id string, now float64) bool {
+	if r.current == nil || now-r.startedAt > r.span || len(r.current) >= idsPerSpan {
+		r.current, r.previous, r.startedAt = map[string]struct{}{}, r.current, now
 	}
-	if _, seen := r.now[id]; seen {
+	if _, seen := r.current[id]; seen {
 		return false
 	}
-	if _, seen := r.last[id]; seen {
+	if _, seen := r.previous[id]; seen {
 		return false
 	}
-	r.now[id] = struct{}{}
+	r.current[id] = struct{}{}
 	return true
 }
