--- a/cmd/elderctl/peers.go
+++ b/cmd/elderctl/peers.go
@@ -194,7 +194,7 @@
 	}
 	traffic := status.Traffic
 	fmt.Fprintf(out, "  sent %d datagrams, %d bytes; got %d, %d bytes; dropped: %d foreign, %d not opened, %d too long, %d crowded, %d over the rate\n",
-		traffic.PacketsOut, traffic.BytesOut, traffic.PacketsIn, traffic.BytesIn, traffic.Foreign, traffic.Unsealed, traffic.Oversized, traffic.QueueFull, traffic.RateLimited)
+		traffic.PacketsOut, traffic.BytesOut, traffic.PacketsIn, traffic.BytesIn, traffic.Foreign, traffic.Undecryptable, traffic.Oversized, traffic.QueueFull, traffic.RateLimited)
 }
 
 // viewDifferences is what diff writes with --json.
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -202,10 +202,10 @@
 		{"failure of a later release", &agentapi.Failure{Code: "moody", Text: "it is moody"}},
 		{"refused by the site's state", &leader.RejectedError{Reason: "it fits no more"}},
 		{"refused by the machine", fmt.Errorf("first: %w", &leader.RejectedError{Reason: "it fits no more"})},
-		{"store does not know", fmt.Errorf("first: %w", replica.ErrUnknown)},
+		{"store does not know", fmt.Errorf("first: %w", replica.ErrOutcomeUnknown)},
 		{"time limit", context.DeadlineExceeded},
 		{"does not lead", leader.ErrNotLeading},
-		{"store has no leader", fmt.Errorf("first: %w", replica.ErrNoLeader)},
+		{"store has no leader", fmt.Errorf("first: %w", replica.ErrNotLeader)},
 		{"anything else", errors.New("the store is closed")},
 	} {
 		f, status := asFailure(one.err)
--- a/internal/agent/handlers.go
+++ b/internal/agent/handlers.go
@@ -307,7 +307,7 @@
 // memberChange returns which voters have not applied an accepted change of the voters
 // yet. It must return within leaderTimeout, after which the agent that has forwarded the
 // call would report the outcome of an accepted change as unknown.
-func (a *Agent) memberChange(ctx context.Context, change replica.Change) (any, error) {
+func (a *Agent) memberChange(ctx context.Context, change replica.ConfigurationChange) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout/2)
 	defer cancel()
 	behind, err := a.store.LaggingVoters(ctx, change)
--- a/internal/agent/membership_linux_test.go
+++ b/internal/agent/membership_linux_test.go
@@ -48,7 +48,7 @@
 // postReport posts a report with a certificate, and returns the agent's failure.
 func postReport(t *testing.T, files pki.Files, to *machine, report agentapi.Report) error {
 	t.Helper()
-	config, err := files.Client()
+	config, err := files.ClientConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/port.go
+++ b/internal/agent/port.go
@@ -116,10 +116,10 @@
 	p := &port{refused: refused, slots: make(chan struct{}, maxOpenConns)}
 	if !config.Plain {
 		var err error
-		if p.server, err = config.files().Server(); err != nil {
+		if p.server, err = config.files().ServerConfig(); err != nil {
 			return nil, err
 		}
-		if p.client, err = config.files().Client(); err != nil {
+		if p.client, err = config.files().ClientConfig(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -284,7 +284,7 @@
 		t.Fatalf("%+v, %v", versions, err)
 	}
 	for name, want := range map[string]int{"vic": http.StatusForbidden, "ann": http.StatusForbidden, "a2": http.StatusOK} {
-		config, err := files(name).Client()
+		config, err := files(name).ClientConfig()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -302,7 +302,7 @@
 		client.CloseIdleConnections()
 	}
 	// An agent that is no voter says so.
-	config, err := files("a1").Client()
+	config, err := files("a1").ClientConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -145,7 +145,7 @@
 	default:
 		err = leader.ErrNotLeading
 	}
-	if errors.Is(err, leader.ErrNotLeading) || errors.Is(err, replica.ErrNoLeader) {
+	if errors.Is(err, leader.ErrNotLeading) || errors.Is(err, replica.ErrNotLeader) {
 		text, sent := a.forward(ctx, c)
 		if sent == nil {
 			response.Header().Set("Content-Type", "application/json")
@@ -173,7 +173,7 @@
 func (a *Agent) whenLeading(ctx context.Context, e *endpoint, c *call) (answer any, err error) {
 	for limit := time.Now().Add(electionTimeout); ; wait.For(ctx, electionPollInterval) {
 		answer, err = e.handle(ctx, c)
-		if !errors.Is(err, leader.ErrNotLeading) && !errors.Is(err, replica.ErrNoLeader) || ctx.Err() != nil || time.Now().After(limit) {
+		if !errors.Is(err, leader.ErrNotLeading) && !errors.Is(err, replica.ErrNotLeader) || ctx.Err() != nil || time.Now().After(limit) {
 			return answer, err
 		}
 		if _, address := a.store.Leader(); address != "" && address != a.self.Address {
@@ -196,9 +196,9 @@
 		return f, status
 	case errors.As(err, &r):
 		return &agentapi.Failure{Code: agentapi.CodeRefused, Text: r.Reason}, http.StatusConflict
-	case errors.Is(err, replica.ErrUnknown), errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, replica.ErrOutcomeUnknown), errors.Is(err, context.DeadlineExceeded):
 		return &agentapi.Failure{Code: agentapi.CodeOutcomeUnknown, Text: err.Error()}, http.StatusGatewayTimeout
-	case errors.Is(err, leader.ErrNotLeading), errors.Is(err, replica.ErrNoLeader):
+	case errors.Is(err, leader.ErrNotLeading), errors.Is(err, replica.ErrNotLeader):
 		return &agentapi.Failure{Code: agentapi.CodeUnreachable, Text: err.Error()}, http.StatusServiceUnavailable
 	}
 	return &agentapi.Failure{Code: agentapi.CodeRefused, Text: err.Error()}, http.StatusConflict
--- a/internal/agentapi/client.go
+++ b/internal/agentapi/client.go
@@ -59,7 +59,7 @@
 		}
 		c.base = "http://" + target.Address
 	default:
-		config, err := target.Files.Client()
+		config, err := target.Files.ClientConfig()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -120,7 +120,7 @@
 		case c := <-l.calls:
 			err := c.do(t)
 			c.done <- err
-			if errors.Is(err, replica.ErrNoLeader) || errors.Is(err, replica.ErrUnknown) {
+			if errors.Is(err, replica.ErrNotLeader) || errors.Is(err, replica.ErrOutcomeUnknown) {
 				return err
 			}
 		case <-tick.C:
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -202,7 +202,7 @@
 	out, err := t.store.Propose(ctx, fleet.Entry{RolloutChange: &fleet.RolloutChange{New: t.machineRevision, State: rollout.State(change.To),
 		Reason: fleet.Truncate(change.Reason, fleet.MaxTextBytes), By: operator, At: time.Now().UTC()}})
 	if err == nil && out.Rejected != "" {
-		err = fmt.Errorf("%w: %s", replica.ErrNoLeader, out.Rejected)
+		err = fmt.Errorf("%w: %s", replica.ErrNotLeader, out.Rejected)
 	}
 	return err
 }
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -37,7 +37,7 @@
 		},
 		Permissions: []OperationPermission{{Operation: "hold a duty", Allowed: true, Reason: "all are heard; the lease decides"}},
 		Traffic: Traffic{PacketsIn: 1, PacketsOut: 2, BytesIn: 3, BytesOut: 4, StreamsIn: 5, StreamsOut: 6,
-			Foreign: 7, Oversized: 8, Unsealed: 9, QueueFull: 10, RateLimited: 11},
+			Foreign: 7, Oversized: 8, Undecryptable: 9, QueueFull: 10, RateLimited: 11},
 	}
 }
 
--- a/internal/peers/traffic.go
+++ b/internal/peers/traffic.go
@@ -4,17 +4,17 @@
 
 // Traffic counts what was sent and received, and what was dropped by reason.
 type Traffic struct {
-	PacketsIn   uint64 `json:"packets_in"`
-	PacketsOut  uint64 `json:"packets_out"`
-	BytesIn     uint64 `json:"bytes_in"`  // of datagrams and connections
-	BytesOut    uint64 `json:"bytes_out"` // of datagrams and connections
-	StreamsIn   uint64 `json:"streams_in"`
-	StreamsOut  uint64 `json:"streams_out"`
-	Foreign     uint64 `json:"foreign"`   // datagrams without this site's label
-	Oversized   uint64 `json:"oversized"` // datagrams longer than the limit
-	Unsealed    uint64 `json:"unsealed"`  // datagrams and connections that could not be decrypted
-	QueueFull   uint64 `json:"crowded"`   // datagrams beyond the queue, connections beyond the limit
-	RateLimited uint64 `json:"over"`      // datagrams not sent, beyond the rate limit
+	PacketsIn     uint64 `json:"packets_in"`
+	PacketsOut    uint64 `json:"packets_out"`
+	BytesIn       uint64 `json:"bytes_in"`  // of datagrams and connections
+	BytesOut      uint64 `json:"bytes_out"` // of datagrams and connections
+	StreamsIn     uint64 `json:"streams_in"`
+	StreamsOut    uint64 `json:"streams_out"`
+	Foreign       uint64 `json:"foreign"`   // datagrams without this site's label
+	Oversized     uint64 `json:"oversized"` // datagrams longer than the limit
+	Undecryptable uint64 `json:"unsealed"`  // datagrams and connections that could not be decrypted
+	QueueFull     uint64 `json:"crowded"`   // datagrams beyond the queue, connections beyond the limit
+	RateLimited   uint64 `json:"over"`      // datagrams not sent, beyond the rate limit
 }
 
 // trafficCounters are the counters behind Traffic. They outlive a transport.
--- a/internal/peers/transport_test.go
+++ b/internal/peers/transport_test.go
@@ -24,8 +24,8 @@
 		fill       byte
 		count      func(Traffic) uint64
 	}{
-		{"south", "another site's name", 1, func(c Traffic) uint64 { return c.Foreign + c.Unsealed }},
-		{"north", "another key", 2, func(c Traffic) uint64 { return c.Unsealed }},
+		{"south", "another site's name", 1, func(c Traffic) uint64 { return c.Foreign + c.Undecryptable }},
+		{"north", "another key", 2, func(c Traffic) uint64 { return c.Undecryptable }},
 	} {
 		s := newSite(t, c.site, 2)
 		s.writeKeys(c.fill)
@@ -59,7 +59,7 @@
 	t.Logf("%d datagrams: heap %d kB before, %d after; %+v", *garbageCount, before.HeapAlloc>>10, after.HeapAlloc>>10, a.Traffic())
 	testwait.UntilEvery(t, waitTimeout, pollInterval, "all kinds are counted", func() bool {
 		c := a.Traffic()
-		return c.Foreign > 1000 && c.Oversized > 100 && c.Unsealed > 1000
+		return c.Foreign > 1000 && c.Oversized > 100 && c.Undecryptable > 1000
 	})
 	for range 2 * maxInboundStreams {
 		if c, err := net.Dial("tcp", s.hosts["g0"]); err == nil {
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -226,9 +226,9 @@
 	return s, pool, nil
 }
 
-// Server is the end that is called. Who calls must have a certificate of the
+// ServerConfig is the end that is called. Who calls must have a certificate of the
 // site's authority.
-func (f Files) Server() (*tls.Config, error) {
+func (f Files) ServerConfig() (*tls.Config, error) {
 	s, pool, err := f.open()
 	if err != nil {
 		return nil, err
@@ -237,8 +237,8 @@
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.get() }}, nil
 }
 
-// Client is the end that calls. Who is called must be an agent of the site.
-func (f Files) Client() (*tls.Config, error) {
+// ClientConfig is the end that calls. Who is called must be an agent of the site.
+func (f Files) ClientConfig() (*tls.Config, error) {
 	s, pool, err := f.open()
 	if err != nil {
 		return nil, err
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -63,15 +63,15 @@
 
 func TestBothEndsAreOfTheSite(t *testing.T) {
 	dir, other := site(t), site(t)
-	server, err := pathsOf(dir, "a1").Server()
+	server, err := pathsOf(dir, "a1").ServerConfig()
 	must(t, err)
-	ann, err := pathsOf(dir, "ann").Client()
+	ann, err := pathsOf(dir, "ann").ClientConfig()
 	must(t, err)
 	name, role, a, b := meet(t, server, ann)
 	if a != nil || b != nil || name != "ann" || role != Operator {
 		t.Fatalf("%v %v %s %s", a, b, name, role)
 	}
-	stranger, err := pathsOf(other, "ann").Client()
+	stranger, err := pathsOf(other, "ann").ClientConfig()
 	must(t, err)
 	if _, _, a, b := meet(t, server, stranger); a == nil || b == nil {
 		t.Fatalf("a certificate of another site was taken: %v %v", a, b)
@@ -80,7 +80,7 @@
 		t.Fatal("one without a certificate was taken")
 	}
 	// An operator's certificate is none for an agent.
-	false1, err := pathsOf(dir, "ann").Server()
+	false1, err := pathsOf(dir, "ann").ServerConfig()
 	must(t, err)
 	if _, _, _, b := meet(t, false1, ann); b == nil {
 		t.Fatal("an operator was taken for an agent")
@@ -89,7 +89,7 @@
 
 func TestARenewedCertificateIsUsedWithoutAStart(t *testing.T) {
 	dir := site(t)
-	server, err := pathsOf(dir, "a1").Server()
+	server, err := pathsOf(dir, "a1").ServerConfig()
 	must(t, err)
 	first, err := server.GetCertificate(nil)
 	must(t, err)
@@ -118,8 +118,8 @@
 		`role "king" is not known`:      Issue(dir, "bob", "king", 30),
 		"0 days":                        Issue(dir, "bob", Viewer, 0),
 		"no such file":                  Renew(dir, "nobody", 30),
-		"authority":                     func() error { _, err := Files{}.Client(); return err }(),
-		"certificate:":                  func() error { _, err := pathsOf(dir, "nobody").Server(); return err }(),
+		"authority":                     func() error { _, err := Files{}.ClientConfig(); return err }(),
+		"certificate:":                  func() error { _, err := pathsOf(dir, "nobody").ServerConfig(); return err }(),
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -190,7 +190,7 @@
 
 func doAt(ctx context.Context, s *Store, c call) (got reply, err error) {
 	if s == nil {
-		return got, ErrNoLeader
+		return got, ErrNotLeader
 	}
 	if c.read {
 		if err := s.VerifyLeader(); err != nil {
--- a/internal/replica/leader_test.go
+++ b/internal/replica/leader_test.go
@@ -61,10 +61,10 @@
 	for _, v := range others {
 		n.set(old.name, v.name, true)
 	}
-	if _, err := old.store.Propose(t.Context(), rolloutApplied(1)); !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrNoLeader) {
+	if _, err := old.store.Propose(t.Context(), rolloutApplied(1)); !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("a minority accepted a change: %v", err)
 	}
-	if err := old.store.VerifyLeader(); !errors.Is(err, ErrNoLeader) {
+	if err := old.store.VerifyLeader(); !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("a minority confirmed a leader: %v", err)
 	}
 	if head(old.store).Number != 1 {
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -14,8 +14,8 @@
 var (
 	// ErrNotMember reports that a store to be removed is not a member.
 	ErrNotMember = errors.New("is no voter")
-	// ErrVoter reports that a store to be added without a vote is a voter.
-	ErrVoter = errors.New("is a voter: remove it before it is added without a vote")
+	// ErrIsVoter reports that a store to be added without a vote is a voter.
+	ErrIsVoter = errors.New("is a voter: remove it before it is added without a vote")
 	// ErrOnlyVoter reports that a store to be removed is the only voter.
 	ErrOnlyVoter = errors.New("is the only voter: a site needs one")
 )
@@ -44,56 +44,56 @@
 	return list, nil
 }
 
-// Change identifies a change of the members that is committed.
-type Change struct{ at position }
+// ConfigurationChange identifies a change of the members that is committed.
+type ConfigurationChange struct{ at position }
 
-// AddVoter makes an agent's store a voter. The leader alone can, else the error matches ErrNoLeader or ErrUnknown. The
+// AddVoter makes an agent's store a voter. The leader alone can, else the error matches ErrNotLeader or ErrOutcomeUnknown. The
 // change is committed when it returns; see LaggingVoters for the voters that don't have it yet.
-func (s *Store) AddVoter(name, address string) (Change, error) {
+func (s *Store) AddVoter(name, address string) (ConfigurationChange, error) {
 	return s.awaitChange(s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.callTimeout))
 }
 
 // AddNonVoter makes an agent's store a replica that follows the log and answers reads, and counts for no majority. The
-// leader alone can. A voter is not demoted: the error matches ErrVoter.
-func (s *Store) AddNonVoter(name, address string) (Change, error) {
+// leader alone can. A voter is not demoted: the error matches ErrIsVoter.
+func (s *Store) AddNonVoter(name, address string) (ConfigurationChange, error) {
 	list, err := s.Members()
 	if err != nil {
-		return Change{}, err
+		return ConfigurationChange{}, err
 	}
 	if slices.ContainsFunc(list, func(m Member) bool { return m.Name == name && !m.NonVoter }) {
-		return Change{}, fmt.Errorf("%s %w", name, ErrVoter)
+		return ConfigurationChange{}, fmt.Errorf("%s %w", name, ErrIsVoter)
 	}
 	return s.awaitChange(s.raft.AddNonvoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.callTimeout))
 }
 
 // Remove removes a voter or a replica without a vote. The leader alone can. The error may match ErrNotMember or
 // ErrOnlyVoter.
-func (s *Store) Remove(name string) (Change, error) {
+func (s *Store) Remove(name string) (ConfigurationChange, error) {
 	list, err := s.Members()
 	if err != nil {
-		return Change{}, err
+		return ConfigurationChange{}, err
 	}
 	if !slices.ContainsFunc(list, func(m Member) bool { return m.Name == name }) {
-		return Change{}, fmt.Errorf("%s %w", name, ErrNotMember)
+		return ConfigurationChange{}, fmt.Errorf("%s %w", name, ErrNotMember)
 	}
 	if !slices.ContainsFunc(list, func(m Member) bool { return m.Name != name && !m.NonVoter }) {
-		return Change{}, fmt.Errorf("%s %w", name, ErrOnlyVoter)
+		return ConfigurationChange{}, fmt.Errorf("%s %w", name, ErrOnlyVoter)
 	}
 	return s.awaitChange(s.raft.RemoveServer(raft.ServerID(name), 0, s.callTimeout))
 }
 
 // awaitChange waits until a change is committed.
-func (s *Store) awaitChange(change raft.IndexFuture) (Change, error) {
+func (s *Store) awaitChange(change raft.IndexFuture) (ConfigurationChange, error) {
 	if err := change.Error(); err != nil {
-		return Change{}, s.classifyError(err)
+		return ConfigurationChange{}, s.classifyError(err)
 	}
-	return Change{position{s.raft.CurrentTerm(), change.Index()}}, nil
+	return ConfigurationChange{position{s.raft.CurrentTerm(), change.Index()}}, nil
 }
 
 // LaggingVoters waits until every voter is known to have a change in its log, for at most the time of one call to a voter,
 // and returns the names of those that are not. A leader that has removed itself learns nothing more, so it returns what it
 // knows at once.
-func (s *Store) LaggingVoters(ctx context.Context, change Change) ([]string, error) {
+func (s *Store) LaggingVoters(ctx context.Context, change ConfigurationChange) ([]string, error) {
 	members, err := s.Members()
 	if err != nil {
 		return nil, err
--- a/internal/replica/nonvoter_test.go
+++ b/internal/replica/nonvoter_test.go
@@ -19,7 +19,7 @@
 		_, err := leader(t, list).store.AddNonVoter(replica.name, replica.address)
 		return err == nil
 	})
-	if _, err := leader(t, list).store.AddNonVoter(list[0].name, list[0].address); !errors.Is(err, ErrVoter) || !strings.Contains(err.Error(), "is a voter") {
+	if _, err := leader(t, list).store.AddNonVoter(list[0].name, list[0].address); !errors.Is(err, ErrIsVoter) || !strings.Contains(err.Error(), "is a voter") {
 		t.Fatalf("demotion of a voter: %v", err)
 	}
 	commit(t, list, command("1", 0, "a"))
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -11,7 +11,7 @@
 )
 
 // Propose proposes an entry and returns its outcome once it is committed and applied. The leader alone can. An error that
-// matches ErrNoLeader says that nothing was changed, one that matches ErrUnknown that the entry may be committed still; the
+// matches ErrNotLeader says that nothing was changed, one that matches ErrOutcomeUnknown that the entry may be committed still; the
 // latter also if the context ends first. Any other error is of an invalid entry, or of raft itself.
 func (s *Store) Propose(ctx context.Context, entry fleet.Entry) (fleet.Outcome, error) {
 	text, err := entry.Encode()
@@ -23,7 +23,7 @@
 	go func() { done <- future.Error() }() // ends with the future, which raft completes at its shutdown at the latest
 	select {
 	case <-ctx.Done():
-		return fleet.Outcome{}, fmt.Errorf("%w: %w", ErrUnknown, ctx.Err())
+		return fleet.Outcome{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())
 	case err := <-done:
 		if err != nil {
 			return fleet.Outcome{}, s.classifyError(err)
@@ -38,19 +38,19 @@
 	return fleet.Outcome{}, fmt.Errorf("the voters answered %T", future.Response())
 }
 
-// classifyError wraps an error of raft in ErrNoLeader or ErrUnknown, depending on whether the change may be committed.
+// classifyError wraps an error of raft in ErrNotLeader or ErrOutcomeUnknown, depending on whether the change may be committed.
 func (s *Store) classifyError(err error) error {
 	if err == nil {
 		return nil
 	}
 	if diskError := s.DiskError(); diskError != nil {
-		return fmt.Errorf("%w: this voter can't write its store: %w", ErrUnknown, diskError)
+		return fmt.Errorf("%w: this voter can't write its store: %w", ErrOutcomeUnknown, diskError)
 	}
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout):
-		return fmt.Errorf("%w (%w)", ErrNoLeader, err)
+		return fmt.Errorf("%w (%w)", ErrNotLeader, err)
 	case errors.Is(err, raft.ErrLeadershipLost), errors.Is(err, raft.ErrRaftShutdown), errors.Is(err, raft.ErrAbortedByRestore):
-		return fmt.Errorf("%w (%w)", ErrUnknown, err)
+		return fmt.Errorf("%w (%w)", ErrOutcomeUnknown, err)
 	}
 	return err
 }
--- a/internal/replica/records_test.go
+++ b/internal/replica/records_test.go
@@ -156,7 +156,7 @@
 	for _, v := range others {
 		n.set(old.name, v.name, true)
 	}
-	if _, err := old.store.Propose(t.Context(), plans("lost", "lost")); !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrNoLeader) {
+	if _, err := old.store.Propose(t.Context(), plans("lost", "lost")); !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("a minority accepted a change: %v", err)
 	}
 	const (
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -7,7 +7,7 @@
 // connections either: Config.Streams does, with the authentication that the agent demands.
 //
 // The state machine's goroutine in raft owns the fleet.State; others read it through View and ReadRecords, under a lock. A
-// caller must close every Store that Open returned, exactly once, and must treat ErrUnknown as "maybe committed".
+// caller must close every Store that Open returned, exactly once, and must treat ErrOutcomeUnknown as "maybe committed".
 package replica
 
 import (
@@ -27,12 +27,12 @@
 
 // Errors that callers tell apart by errors.Is.
 var (
-	// ErrNoLeader reports that this voter does not lead, or lost its leadership before it proposed the change. Nothing was
+	// ErrNotLeader reports that this voter does not lead, or lost its leadership before it proposed the change. Nothing was
 	// changed.
-	ErrNoLeader = errors.New("this voter does not lead")
-	// ErrUnknown reports that the leadership was lost, or time ran out, while a change was in flight: it may be committed
+	ErrNotLeader = errors.New("this voter does not lead")
+	// ErrOutcomeUnknown reports that the leadership was lost, or time ran out, while a change was in flight: it may be committed
 	// later or never. The same request may be retried.
-	ErrUnknown = errors.New("it is not known whether the change was committed")
+	ErrOutcomeUnknown = errors.New("it is not known whether the change was committed")
 	// ErrDamaged reports that the log's file is damaged, so that the voter can't start.
 	ErrDamaged = errors.New("is damaged")
 	// ErrNothingToRecover reports that Config.Recover is set and the folder is empty.
@@ -191,13 +191,13 @@
 }
 
 // VerifyLeader returns once a majority has confirmed that this voter leads and its state has all that was committed
-// before the call. Otherwise the error matches ErrNoLeader.
+// before the call. Otherwise the error matches ErrNotLeader.
 func (s *Store) VerifyLeader() error {
 	if s.raft.State() != raft.Leader {
-		return ErrNoLeader
+		return ErrNotLeader
 	}
 	if err := s.raft.Barrier(s.callTimeout).Error(); err != nil {
-		return fmt.Errorf("%w (%w)", ErrNoLeader, err) // not ErrUnknown: a barrier changes nothing
+		return fmt.Errorf("%w (%w)", ErrNotLeader, err) // not ErrOutcomeUnknown: a barrier changes nothing
 	}
 	return nil
 }
--- a/internal/replica/voter_test.go
+++ b/internal/replica/voter_test.go
@@ -95,7 +95,7 @@
 }
 
 // expectNoneLagging fails the test unless all voters have a change within the time of a call.
-func expectNoneLagging(t testing.TB, l *voter, change Change) {
+func expectNoneLagging(t testing.TB, l *voter, change ConfigurationChange) {
 	t.Helper()
 	if lagging, err := l.store.LaggingVoters(t.Context(), change); err != nil || lagging != nil {
 		t.Fatalf("%v lack the change, %v", lagging, err)
