--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -17,11 +17,13 @@
 	}
 }
 
-func pathsOf(dir, name string) Files {
+// filesOf returns the files of a name's certificate in an authority's directory.
+func filesOf(dir, name string) Files {
 	return Files{filepath.Join(dir, "ca.pem"), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem")}
 }
 
-func site(t *testing.T) string {
+// newAuthority returns the directory of an authority that has issued one certificate of each role.
+func newAuthority(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "ca")
 	must(t, Init(dir))
@@ -31,8 +33,8 @@
 	return dir
 }
 
-// meet has two ends shake hands and returns what each says, and who called.
-func meet(t *testing.T, server, client *tls.Config) (name string, role Role, atServer, atClient error) {
+// handshake connects a client to a server, and returns the client's identity and the error of each side.
+func handshake(t *testing.T, server, client *tls.Config) (name string, role Role, serverErr, clientErr error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
@@ -46,10 +48,10 @@
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(time.Minute))
-		end := tls.Server(c, server)
-		if err = end.Handshake(); err == nil {
-			name, role, err = Identity(end.ConnectionState().PeerCertificates[0])
-			end.Write([]byte("x"))
+		conn := tls.Server(c, server)
+		if err = conn.Handshake(); err == nil {
+			name, role, err = Identity(conn.ConnectionState().PeerCertificates[0])
+			conn.Write([]byte("x"))
 		}
 		done <- err
 	}()
@@ -57,61 +59,66 @@
 	must(t, err)
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(time.Minute))
-	_, atClient = tls.Client(c, client).Read(make([]byte, 1)) // in TLS 1.3 a refusal comes with the first read
-	return name, role, <-done, atClient
+	_, clientErr = tls.Client(c, client).Read(make([]byte, 1)) // in TLS 1.3 the client sees a rejection at the first read
+	return name, role, <-done, clientErr
 }
 
-func TestBothEndsAreOfTheSite(t *testing.T) {
-	dir, other := site(t), site(t)
-	server, err := pathsOf(dir, "a1").ServerConfig()
+// TestMutualTLSWithinSite: a server accepts a client of its site. Connections with a certificate of another site's authority
+// or without a certificate fail, and so does a client's connection to a server that is no agent.
+func TestMutualTLSWithinSite(t *testing.T) {
+	dir, other := newAuthority(t), newAuthority(t)
+	server, err := filesOf(dir, "a1").ServerConfig()
 	must(t, err)
-	ann, err := pathsOf(dir, "ann").ClientConfig()
+	ann, err := filesOf(dir, "ann").ClientConfig()
 	must(t, err)
-	name, role, a, b := meet(t, server, ann)
-	if a != nil || b != nil || name != "ann" || role != Operator {
-		t.Fatalf("%v %v %s %s", a, b, name, role)
+	name, role, serverErr, clientErr := handshake(t, server, ann)
+	if serverErr != nil || clientErr != nil || name != "ann" || role != Operator {
+		t.Fatalf("%v %v %s %s", serverErr, clientErr, name, role)
 	}
-	stranger, err := pathsOf(other, "ann").ClientConfig()
+	foreignClient, err := filesOf(other, "ann").ClientConfig()
 	must(t, err)
-	if _, _, a, b := meet(t, server, stranger); a == nil || b == nil {
-		t.Fatalf("a certificate of another site was taken: %v %v", a, b)
+	if _, _, serverErr, clientErr := handshake(t, server, foreignClient); serverErr == nil || clientErr == nil {
+		t.Fatalf("a certificate of another site was accepted: %v %v", serverErr, clientErr)
 	}
-	if _, _, a, _ := meet(t, server, &tls.Config{InsecureSkipVerify: true}); a == nil {
-		t.Fatal("one without a certificate was taken")
+	if _, _, serverErr, _ := handshake(t, server, &tls.Config{InsecureSkipVerify: true}); serverErr == nil {
+		t.Fatal("a client without a certificate was accepted")
 	}
-	// An operator's certificate is none for an agent.
-	false1, err := pathsOf(dir, "ann").ServerConfig()
+	// An operator's certificate must not authenticate a server.
+	operatorServer, err := filesOf(dir, "ann").ServerConfig()
 	must(t, err)
-	if _, _, _, b := meet(t, false1, ann); b == nil {
-		t.Fatal("an operator was taken for an agent")
+	if _, _, _, clientErr := handshake(t, operatorServer, ann); clientErr == nil {
+		t.Fatal("a server with an operator's certificate was accepted")
 	}
 }
 
-func TestARenewedCertificateIsUsedWithoutAStart(t *testing.T) {
-	dir := site(t)
-	server, err := pathsOf(dir, "a1").ServerConfig()
+// TestRenewedCertificateIsReloaded: a renewed certificate is served without a restart, and an invalid file does not replace
+// the certificate that is in use.
+func TestRenewedCertificateIsReloaded(t *testing.T) {
+	dir := newAuthority(t)
+	server, err := filesOf(dir, "a1").ServerConfig()
 	must(t, err)
 	first, err := server.GetCertificate(nil)
 	must(t, err)
 	must(t, Renew(dir, "a1", 60))
 	later := time.Now().Add(time.Minute)
-	must(t, os.Chtimes(filepath.Join(dir, "a1.pem"), later, later)) // file systems have coarse clocks
+	must(t, os.Chtimes(filepath.Join(dir, "a1.pem"), later, later)) // file systems record times coarsely
 	second, err := server.GetCertificate(nil)
 	must(t, err)
 	if string(first.Certificate[0]) == string(second.Certificate[0]) {
-		t.Fatal("the old one is still shown")
+		t.Fatal("the previous certificate is still served")
 	}
 	must(t, os.WriteFile(filepath.Join(dir, "a1.pem"), []byte("x"), 0o600))
 	if third, err := server.GetCertificate(nil); err != nil || string(third.Certificate[0]) != string(second.Certificate[0]) {
-		t.Fatalf("a spoilt file took the good one's place: %v", err)
+		t.Fatalf("an invalid file replaced the certificate: %v", err)
 	}
 	if c, _ := readCertificate(filepath.Join(dir, "ann.pem")); c == nil {
-		t.Fatal("ann's is gone")
+		t.Fatal("the renewal removed the certificate of ann")
 	}
 }
 
-func TestWhatIsRefused(t *testing.T) {
-	dir := site(t)
+// TestInvalidRequestsAreErrors: each error names its cause, and the authority's key is readable for its owner alone.
+func TestInvalidRequestsAreErrors(t *testing.T) {
+	dir := newAuthority(t)
 	for want, err := range map[string]error{
 		"there is an authority already": Init(dir),
 		"renew it":                      Issue(dir, "ann", Viewer, 30),
@@ -119,7 +126,7 @@
 		"0 days":                        Issue(dir, "bob", Viewer, 0),
 		"no such file":                  Renew(dir, "nobody", 30),
 		"authority":                     func() error { _, err := Files{}.ClientConfig(); return err }(),
-		"certificate:":                  func() error { _, err := pathsOf(dir, "nobody").ServerConfig(); return err }(),
+		"certificate:":                  func() error { _, err := filesOf(dir, "nobody").ServerConfig(); return err }(),
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -130,13 +137,13 @@
 	}
 }
 
-func TestRoles(t *testing.T) {
+func TestRoleCovers(t *testing.T) {
 	for _, c := range []struct {
-		have, need Role
-		may        bool
+		have, required Role
+		want           bool
 	}{{Viewer, Viewer, true}, {Viewer, Operator, false}, {Operator, Viewer, true}, {Operator, Agent, false}, {Agent, Operator, true}, {"", Viewer, false}, {Agent, "", false}} {
-		if c.have.Covers(c.need) != c.may {
-			t.Errorf("%s for %s", c.have, c.need)
+		if c.have.Covers(c.required) != c.want {
+			t.Errorf("%q covers %q: %v, want %v", c.have, c.required, !c.want, c.want)
 		}
 	}
 }
