--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -1,6 +1,6 @@
-// Package pki is a site's own certificate authority. It issues short-lived certificates that state the holder's name and
-// role, and loads them into the TLS configurations of servers and clients, for mutual TLS between elderctl, agents and
-// voters. It uses the standard library's cryptography alone.
+// Package pki is a site's own certificate authority. It issues short-lived certificates that state the holder's name
+// and role, and loads them into the TLS configurations of servers and clients, for mutual TLS between elderctl, agents
+// and voters. It uses the standard library's cryptography alone.
 package pki
 
 import (
@@ -36,7 +36,8 @@
 // Roles returns all roles in ascending order.
 func Roles() []Role { return []Role{Viewer, Operator, Agent} }
 
-// Covers reports whether the role has all permissions of the required one. Unknown roles cover nothing and are not covered.
+// Covers reports whether the role has all permissions of the required one. Unknown roles cover nothing and are not
+// covered.
 func (r Role) Covers(required Role) bool {
 	have, want := slices.Index(Roles(), r), slices.Index(Roles(), required)
 	return have >= want && want >= 0
@@ -49,8 +50,8 @@
 	clockSkew       = 5 * time.Minute // tolerated clock difference between machines of the site
 	keyFileMode     = 0o600
 	certFileMode    = 0o644
-	// agentDNSName is the DNS name in every agent's certificate. Clients verify it instead of the address, so an agent can
-	// be reached at any address.
+	// agentDNSName is the DNS name in every agent's certificate. Clients verify it instead of the address, so an agent
+	// can be reached at any address.
 	agentDNSName    = "agent.elderyard"
 	maxValidityDays = 825
 )
@@ -144,8 +145,8 @@
 	if err != nil {
 		return err
 	}
-	// The key must be written first: the certificate's modification time triggers the reload. An agent that reads between
-	// the two writes finds a key that does not match the certificate, and keeps the pair that it has loaded.
+	// The key must be written first: the certificate's modification time triggers the reload. An agent that reads
+	// between the two writes finds a key that does not match the certificate, and keeps the pair that it has loaded.
 	if err := files.Replace(filepath.Join(dir, keyFile), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: encodedKey}), keyFileMode); err != nil {
 		return err
 	}
@@ -169,8 +170,8 @@
 	return cert, nil
 }
 
-// Identity returns the name and role of a certificate's holder. It returns an error if the certificate has no name or no
-// known role.
+// Identity returns the name and role of a certificate's holder. It returns an error if the certificate has no name or
+// no known role.
 func Identity(certificate *x509.Certificate) (name string, role Role, err error) {
 	if len(certificate.Subject.OrganizationalUnit) == 1 {
 		role = Role(certificate.Subject.OrganizationalUnit[0])
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -63,8 +63,8 @@
 	return name, role, <-done, clientErr
 }
 
-// TestMutualTLSWithinSite: a server accepts a client of its site. Connections with a certificate of another site's authority
-// or without a certificate fail, and so does a client's connection to a server that is no agent.
+// TestMutualTLSWithinSite: a server accepts a client of its site. Connections with a certificate of another site's
+// authority or without a certificate fail, and so does a client's connection to a server that is no agent.
 func TestMutualTLSWithinSite(t *testing.T) {
 	dir, other := newAuthority(t), newAuthority(t)
 	server, err := filesOf(dir, "a1").ServerConfig()
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestRenewedCertificateIsReloaded: a renewed certificate is served without a restart, and an invalid file does not replace
-// the certificate that is in use.
+// TestRenewedCertificateIsReloaded: a renewed certificate is served without a restart, and an invalid file does not
+// replace the certificate that is in use.
 func TestRenewedCertificateIsReloaded(t *testing.T) {
 	dir := newAuthority(t)
 	server, err := filesOf(dir, "a1").ServerConfig()
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -20,8 +20,8 @@
 )
 
 var (
-	faultRuns = flag.Int("fault-runs", 2, "seeded runs of three voters under faults")
-	faultSeed = flag.Uint64("fault-seed", 1, "the first run's seed")
+	faultRuns = flag.Int("fault-runs", 2, "number of seeded runs of three voters with injected faults")
+	faultSeed = flag.Uint64("fault-seed", 1, "seed of the first run; each further run adds 1")
 )
 
 const (
@@ -31,29 +31,29 @@
 	requestTimeout = 3 * time.Second
 )
 
-// TestFaults injects seeded faults (crash, partition, isolated voter, full disk) into three voters while clients write and
-// read revisions. No acknowledged revision may be lost, none may exist that was not requested, all voters must reach the
-// same state, and the history must be linearizable.
+// TestFaults injects seeded faults (crash, partition, isolated voter, full disk) into three voters while clients write
+// and read revisions. No acknowledged revision may be lost, none may exist that was not requested, all voters must
+// reach the same state, and the history must be linearizable.
 func TestFaults(t *testing.T) {
 	for run := range *faultRuns {
 		seed := *faultSeed + uint64(run)
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playFaults(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runWithFaults(t, seed) })
 	}
 }
 
-// faultRun is one run.
+// faultRun is the state of one run of TestFaults.
 type faultRun struct {
-	mu       sync.RWMutex // guards the stores of list
-	list     []*voter
-	diskFull []atomic.Bool // by voter
+	mu       sync.RWMutex // guards the stores of the voters
+	voters   []*voter
+	diskFull []atomic.Bool // by index of the voter
 
-	record       sync.Mutex // guards the fields below
+	historyMu    sync.Mutex // guards the fields below
 	operations   []porcupine.Operation
-	requested    map[string]bool   // contents
-	acknowledged map[uint64]string // contents by revision
+	requested    map[string]bool   // contents of the requested revisions
+	acknowledged map[uint64]string // contents by revision number
 }
 
-// call and reply are the input and output of an operation of the history.
+// call and reply are the input and output of an operation in the history.
 type call struct {
 	read    bool
 	request string
@@ -68,11 +68,12 @@
 	file    string
 }
 
-func playFaults(t *testing.T, seed uint64) {
+// runWithFaults runs the clients while it injects faults, then checks the voters and the history.
+func runWithFaults(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 0))
-	n, list := startThree(t)
-	run := &faultRun{list: list, diskFull: make([]atomic.Bool, len(list)), requested: map[string]bool{}, acknowledged: map[uint64]string{}}
-	for i, v := range list {
+	n, voters := startThree(t)
+	run := &faultRun{voters: voters, diskFull: make([]atomic.Bool, len(voters)), requested: map[string]bool{}, acknowledged: map[uint64]string{}}
+	for i, v := range voters {
 		v.stop()
 		v.injectWriteError = func() error {
 			if run.diskFull[i].Load() {
@@ -82,7 +83,7 @@
 		}
 		testwait.Must(t, v.start(t))
 	}
-	leader(t, list)
+	awaitLeader(t, voters)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	began := time.Now()
@@ -92,28 +93,28 @@
 		wg.Go(func() { run.runClient(ctx, client, choose, began) })
 	}
 	for range faultsPerRun {
-		at := random.IntN(len(list))
+		target := random.IntN(len(voters))
 		switch kind := random.IntN(5); kind {
 		case 0, 1: // crash and restart
 			run.mu.Lock()
-			list[at].stop()
+			voters[target].stop()
 			run.mu.Unlock()
 			wait.For(ctx, time.Duration(random.IntN(600))*time.Millisecond)
 			run.mu.Lock()
-			testwait.Must(t, list[at].start(t))
+			testwait.Must(t, voters[target].start(t))
 			run.mu.Unlock()
 		case 2, 3: // partition from one of the others, or isolation
-			for other := range list {
-				if other != at && (kind == 3 || other == (at+1)%len(list)) {
-					n.set(list[at].name, list[other].name, true)
+			for other := range voters {
+				if other != target && (kind == 3 || other == (target+1)%len(voters)) {
+					n.setPartition(voters[target].name, voters[other].name, true)
 				}
 			}
 			wait.For(ctx, time.Duration(random.IntN(900))*time.Millisecond)
 			n.healAll()
 		case 4: // full disk
-			run.diskFull[at].Store(true)
+			run.diskFull[target].Store(true)
 			wait.For(ctx, time.Duration(random.IntN(600))*time.Millisecond)
-			run.diskFull[at].Store(false)
+			run.diskFull[target].Store(false)
 		}
 		run.restartFailed(t)
 		wait.For(ctx, time.Duration(random.IntN(300))*time.Millisecond)
@@ -126,11 +127,11 @@
 	run.check(t)
 }
 
-// restartFailed restarts voters that have stopped for good, as a service manager does.
+// restartFailed restarts voters that have stopped permanently, as a service manager does.
 func (run *faultRun) restartFailed(t *testing.T) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	for _, v := range run.list {
+	for _, v := range run.voters {
 		select {
 		case <-v.store.Failed():
 			t.Logf("%s stopped: %v", v.name, v.store.DiskError())
@@ -143,16 +144,16 @@
 
 // runClient writes and reads revisions at random voters.
 func (run *faultRun) runClient(ctx context.Context, client int, choose *rand.Rand, began time.Time) {
-	head := uint64(0) // as far as the client knows
+	head := uint64(0) // latest revision that the client has seen
 	for n := 0; n < callsPerClient && ctx.Err() == nil; n++ {
 		wait.For(ctx, time.Duration(choose.IntN(250))*time.Millisecond)
 		c := call{read: choose.IntN(3) == 0, parent: head}
 		if !c.read {
 			c.request = fmt.Sprintf("%d-%d", client, n)
 			c.file = "by " + c.request
-			run.record.Lock()
+			run.historyMu.Lock()
 			run.requested[c.file] = true
-			run.record.Unlock()
+			run.historyMu.Unlock()
 		}
 		calledAt := time.Since(began)
 		got := run.do(ctx, c, choose)
@@ -165,21 +166,21 @@
 		} else {
 			head = got.number
 		}
-		run.record.Lock()
+		run.historyMu.Lock()
 		run.operations = append(run.operations, porcupine.Operation{ClientId: client, Input: c, Call: int64(calledAt), Output: got, Return: int64(returnedAt)})
 		if got.status == revisions.Accepted {
 			run.acknowledged[got.number] = c.file
 		}
-		run.record.Unlock()
+		run.historyMu.Unlock()
 	}
 }
 
-// do sends a call to random voters until one has answered, as elderctl does with one request. Its fate is unknown after
-// requestTimeout.
+// do sends a call to random voters until one responds, as elderctl does with a request. Without a response within
+// requestTimeout, the outcome is unknown.
 func (run *faultRun) do(ctx context.Context, c call, choose *rand.Rand) reply {
-	for limit := time.Now().Add(requestTimeout); time.Now().Before(limit); wait.For(ctx, 20*time.Millisecond) {
+	for deadline := time.Now().Add(requestTimeout); time.Now().Before(deadline); wait.For(ctx, 20*time.Millisecond) {
 		run.mu.RLock()
-		got, err := doAt(ctx, run.list[choose.IntN(len(run.list))].store, c)
+		got, err := doAt(ctx, run.voters[choose.IntN(len(run.voters))].store, c)
 		run.mu.RUnlock()
 		if err == nil {
 			return got
@@ -188,6 +189,7 @@
 	return reply{unknown: true}
 }
 
+// doAt performs a call at one voter. An error means that it may be retried.
 func doAt(ctx context.Context, s *Store, c call) (got reply, err error) {
 	if s == nil {
 		return got, ErrNotLeader
@@ -204,7 +206,7 @@
 		return got, err
 	}
 	if out.Result.Status == fleet.Busy {
-		// Ends the rollout, which is no part of this history.
+		// Completes the rollout, which is not part of this history.
 		if _, err := s.Propose(ctx, rolloutApplied(out.Result.Revision.Number)); err != nil {
 			return got, err
 		}
@@ -213,7 +215,7 @@
 	return reply{status: out.Result.Status, number: out.Result.Revision.Number, file: out.Result.Revision.Content.File}, nil
 }
 
-// register is the model of the history: a compare-and-swap register with the head's number and content.
+// register is the sequential model of the history: a compare-and-swap register with the head's number and content.
 var register = porcupine.Model{
 	Init: func() any { return reply{} },
 	Step: func(state, in, out any) (bool, any) {
@@ -237,13 +239,14 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// check compares the voters' states with the operations of the clients.
+// check compares the voters' states with each other and with the clients' operations, and checks the history for
+// linearizability.
 func (run *faultRun) check(t *testing.T) {
-	l := leader(t, run.list)
-	propose(t, l.store, fleet.Entry{Audit: &fleet.Event{At: at, Who: "ann", What: "the end"}})
-	testwait.Must(t, l.store.VerifyLeader())
-	snapshots := make([]string, len(run.list))
-	for i, v := range run.list {
+	leader := awaitLeader(t, run.voters)
+	propose(t, leader.store, fleet.Entry{Audit: &fleet.Event{At: testTime, Who: "ann", What: "the end"}})
+	testwait.Must(t, leader.store.VerifyLeader())
+	snapshots := make([]string, len(run.voters))
+	for i, v := range run.voters {
 		testwait.Until(t, testTimeout, v.name+" has all entries", func() bool {
 			var last fleet.Event
 			v.store.View(func(s *fleet.State) {
@@ -258,11 +261,11 @@
 	}
 	for i := range snapshots {
 		if snapshots[i] != snapshots[0] {
-			t.Errorf("%s and %s have different states", run.list[0].name, run.list[i].name)
+			t.Errorf("%s and %s have different states", run.voters[0].name, run.voters[i].name)
 		}
 	}
 	var all []revisions.Revision
-	l.store.View(func(s *fleet.State) { all = s.Revisions() })
+	leader.store.View(func(s *fleet.State) { all = s.Revisions() })
 	stored := map[uint64]string{}
 	for _, r := range all {
 		stored[r.Number] = r.Content.File
@@ -279,7 +282,7 @@
 	case porcupine.Illegal:
 		t.Errorf("the history of %d calls is not linearizable", len(run.operations))
 	case porcupine.Unknown:
-		t.Error("the check of the history timed out")
+		t.Error("checking the history timed out")
 	}
 	t.Logf("%d calls, %d revisions, %d acknowledged", len(run.operations), len(all), len(run.acknowledged))
 	if len(run.acknowledged) == 0 {
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -25,8 +25,8 @@
 	"elderyard/rollout"
 )
 
-// The golden files of this package are a voter's folder as existing sites have it, and
-// what the agents' interface answers about voters.
+// The golden files of this package are a voter's directory as existing sites have it, and
+// the agents' response about voters.
 
 func TestGoldenMember(t *testing.T) {
 	member := Member{Name: "v1", Address: "127.0.0.1:7400", Leader: true, NonVoter: true}
@@ -34,9 +34,9 @@
 	golden.JSON(t, "member.json", member)
 }
 
-// goldenFolder is the folder of the voter v0, whose site has a replica r0 without a
-// vote. It was ended after a snapshot and further entries.
-const goldenFolder = "voter"
+// goldenDir is the directory of the voter v0, whose site has the non-voter r0. The voter
+// was stopped after a snapshot and further entries.
+const goldenDir = "voter"
 
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
@@ -49,8 +49,8 @@
 		{Key: records.Key{Kind: records.Plan, Name: name}, Value: json.RawMessage(`{"price_weight":1.5,"requests_per_second":100}`)}}}
 }
 
-// goldenEntries returns the entries that the folder's voter committed, before its snapshot
-// and after it.
+// goldenEntries returns the entries that the voter of goldenDir committed, before its
+// snapshot and after it.
 func goldenEntries() (before, after []fleet.Entry) {
 	before = []fleet.Entry{
 		{Command: &revisions.Command{IdempotencyKey: "r-1", Content: &revisions.Content{File: "a"}, Author: "ann", Message: "first", At: goldenTime}},
@@ -75,15 +75,15 @@
 	return before, after
 }
 
-// createGoldenFolder writes the folder as the present program leaves it. It was used
-// once, before the first change of the code that reads it: a folder that later code
-// wrote would prove nothing.
-func createGoldenFolder(t *testing.T, path string) {
+// createGoldenDir writes the directory as the present program leaves it. It was used
+// once, before the first change of the code that reads it: a directory written by later
+// code would not test compatibility.
+func createGoldenDir(t *testing.T, path string) {
 	t.Helper()
 	v := newVoter(t, newNetwork(), "v0")
 	v.bootstrap = true
 	testwait.Must(t, v.start(t))
-	testwait.Until(t, testTimeout, "it leads", func() bool { return v.store.VerifyLeader() == nil })
+	testwait.Until(t, testTimeout, "the voter leads", func() bool { return v.store.VerifyLeader() == nil })
 	_, err := v.store.AddNonVoter("r0", loopback.Host()+":1")
 	testwait.Must(t, err)
 	before, after := goldenEntries()
@@ -99,24 +99,24 @@
 	testwait.Must(t, os.CopyFS(path, os.DirFS(v.dir)))
 }
 
-// copyGoldenFolder returns a copy of the folder, for a voter to start on.
-func copyGoldenFolder(t *testing.T) (dir string) {
+// copyGoldenDir returns a copy of goldenDir, on which a voter can start.
+func copyGoldenDir(t *testing.T) (dir string) {
 	t.Helper()
-	path := filepath.Join("testdata", goldenFolder)
+	path := filepath.Join("testdata", goldenDir)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) && golden.Creating() {
-		createGoldenFolder(t, path)
+		createGoldenDir(t, path)
 	}
 	dir = filepath.Join(t.TempDir(), "voter")
 	testwait.Must(t, os.CopyFS(dir, os.DirFS(path)))
 	return dir
 }
 
-// TestGoldenFolderFiles reads the folder's parts one by one: the names of its files,
-// the entries of its log and the state in its snapshot.
-func TestGoldenFolderFiles(t *testing.T) {
-	dir := copyGoldenFolder(t)
+// TestGoldenDirectoryFiles checks the parts of the directory one by one: the names of its
+// files, the entries of its log and the state in its snapshot.
+func TestGoldenDirectoryFiles(t *testing.T) {
+	dir := copyGoldenDir(t)
 	if _, err := os.Stat(filepath.Join(dir, "log.bolt")); err != nil || LogFileName != "log.bolt" {
-		t.Fatalf("the log's file is %s, %v", LogFileName, err)
+		t.Fatalf("the log file is %s, %v", LogFileName, err)
 	}
 	logs, err := raftbolt.New(raftbolt.Options{Path: filepath.Join(dir, LogFileName), BoltOptions: boltOptions()})
 	testwait.Must(t, err)
@@ -134,7 +134,7 @@
 			continue
 		}
 		if len(entries) == 0 {
-			t.Fatalf("entry %d is one too many: %s", index, stored.Data)
+			t.Fatalf("entry %d is unexpected: %s", index, stored.Data)
 		}
 		encoded, err := entries[0].Encode()
 		testwait.Must(t, err)
@@ -170,23 +170,23 @@
 		t.Errorf("the snapshot is encoded as\n     %s\nwant %s", got, want)
 	}
 	if head, _ := state.Head(); head.Number != 1 || !state.Drained("g1") || state.Roster().Epoch != 1 || state.Records().Len() != 1 {
-		t.Errorf("the snapshot holds %s", text)
+		t.Errorf("the snapshot contains %s", text)
 	}
 }
 
-// TestGoldenFolderOpens starts a voter on the folder of an earlier program. It finds
-// everything that was stored, and appends to it.
-func TestGoldenFolderOpens(t *testing.T) {
+// TestGoldenDirectoryOpens starts a voter on the directory of an earlier program. The voter
+// has everything that was stored, and appends to it.
+func TestGoldenDirectoryOpens(t *testing.T) {
 	v := newVoter(t, newNetwork(), "v0")
-	v.dir = copyGoldenFolder(t)
+	v.dir = copyGoldenDir(t)
 	snapshots, err := raft.NewFileSnapshotStore(v.dir, retainedSnapshots, io.Discard)
 	testwait.Must(t, err)
 	list, err := snapshots.List()
 	testwait.Must(t, err)
 	testwait.Must(t, v.start(t))
-	testwait.Until(t, testTimeout, "it leads", func() bool { return v.store.VerifyLeader() == nil })
+	testwait.Until(t, testTimeout, "the voter leads", func() bool { return v.store.VerifyLeader() == nil })
 	if term := v.store.raft.CurrentTerm(); term <= list[0].Term {
-		t.Errorf("it leads in term %d, and was in term %d before", term, list[0].Term)
+		t.Errorf("the voter leads in term %d, the snapshot is of term %d", term, list[0].Term)
 	}
 	voters, err := v.store.Members()
 	if err != nil || len(voters) != 2 || voters[0].Name != "r0" || !voters[0].NonVoter || voters[1].Name != "v0" || voters[1].NonVoter {
@@ -194,14 +194,14 @@
 	}
 	v.store.View(func(s *fleet.State) { checkGoldenState(t, s) })
 
-	// A repeat of a request to an earlier program creates no second revision.
+	// A retry of a request to an earlier program creates no second revision.
 	_, after := goldenEntries()
 	if out := propose(t, v.store, after[0]); out.Result.Status != revisions.Accepted || out.Result.Revision.Number != 2 {
-		t.Errorf("a repeated command: %+v", out)
+		t.Errorf("a retried command: %+v", out)
 	}
 	out := propose(t, v.store, fleet.Entry{Records: goldenPlan("silver")})
 	if version := recordsStateOf(v.store).version; out.Records == nil || out.Records.Status != records.Accepted || out.Records.Version != version {
-		t.Errorf("a repeated change of records at version %d: %+v", version, out.Records)
+		t.Errorf("a retried change of records at version %d: %+v", version, out.Records)
 	}
 	propose(t, v.store, fleet.Entry{RolloutChange: &fleet.RolloutChange{New: 3, State: rollout.Applied, Reason: "all have it", At: goldenTime}})
 	propose(t, v.store, command("r-4", 3, "d"))
@@ -210,15 +210,16 @@
 	}
 }
 
-// withoutRecords returns a snapshot without its records, which are compressed: the
-// bytes of equal records may differ between versions of the compressor.
+// withoutRecords returns a snapshot without its records, which are compressed: equal
+// records may have different bytes with another version of the compressor.
 func withoutRecords(snapshot []byte) string {
-	return storedRecords.ReplaceAllString(string(snapshot), `"records":"",`)
+	return encodedRecords.ReplaceAllString(string(snapshot), `"records":"",`)
 }
 
-var storedRecords = regexp.MustCompile(`"records":"[^"]*",`)
+// encodedRecords matches the records of an encoded state.
+var encodedRecords = regexp.MustCompile(`"records":"[^"]*",`)
 
-// checkGoldenState compares a state with all that the folder's entries say.
+// checkGoldenState compares a state with the result of goldenEntries.
 func checkGoldenState(t *testing.T, s *fleet.State) {
 	t.Helper()
 	var contents []revisions.Content
--- a/internal/replica/leader_test.go
+++ b/internal/replica/leader_test.go
@@ -9,16 +9,18 @@
 	"elderyard/revisions"
 )
 
+// TestLeaderFailureLosesNothing: after the leader fails, the next one has all committed entries, and a retry of a
+// request whose response was lost has no second effect.
 func TestLeaderFailureLosesNothing(t *testing.T) {
-	_, list := startThree(t)
-	first := leader(t, list)
+	_, voters := startThree(t)
+	first := awaitLeader(t, voters)
 	propose(t, first.store, command("1", 0, "a"))
 	first.stop()
-	next := leader(t, list)
+	next := awaitLeader(t, voters)
 	if r := head(next.store); r.Number != 1 {
 		t.Fatalf("%+v", r)
 	}
-	// The response was lost: the same request creates no second revision.
+	// A retry of the same request, as after a lost response, creates no second revision.
 	if out := propose(t, next.store, command("1", 0, "a")); out.Result.Status != revisions.Accepted || out.Result.Revision.Number != 1 {
 		t.Fatalf("%+v", out)
 	}
@@ -28,38 +30,41 @@
 	testwait.Until(t, testTimeout, "the former leader has all entries", func() bool { return head(first.store).Number == 2 })
 }
 
-// TestRemovedVoterDisturbsNobody: a removed voter that did not receive its removal must not depose the leader.
+// TestRemovedVoterDisturbsNobody: a removed voter that did not receive its removal starts elections, which must not
+// depose the leader.
 func TestRemovedVoterDisturbsNobody(t *testing.T) {
-	n, list := startThree(t)
-	l := leader(t, list)
-	others := followers(list, l)
+	n, voters := startThree(t)
+	leader := awaitLeader(t, voters)
+	others := followers(voters, leader)
 	removed, other := others[0], others[1]
-	n.set(l.name, removed.name, true) // its removal does not reach it
-	change, err := l.store.Remove(removed.name)
+	n.setPartition(leader.name, removed.name, true) // the voter does not receive its removal
+	change, err := leader.store.Remove(removed.name)
 	testwait.Must(t, err)
-	expectNoneLagging(t, l, change)
-	term := l.store.raft.CurrentTerm()
+	expectNoneLagging(t, leader, change)
+	term := leader.store.raft.CurrentTerm()
 	testwait.Until(t, testTimeout, "the removed voter has no leader", func() bool { id, _ := removed.store.Leader(); return id == "" })
-	n.set(l.name, removed.name, false)
+	n.setPartition(leader.name, removed.name, false)
 	for range 10 {
 		time.Sleep(heartbeat)
-		testwait.Must(t, l.store.VerifyLeader())
+		testwait.Must(t, leader.store.VerifyLeader())
 	}
-	if now := l.store.raft.CurrentTerm(); now != term || !l.store.IsLeader() {
-		t.Fatalf("term %d, %d before; leading: %v", now, term, l.store.IsLeader())
+	if now := leader.store.raft.CurrentTerm(); now != term || !leader.store.IsLeader() {
+		t.Fatalf("term %d, %d before; leading: %v", now, term, leader.store.IsLeader())
 	}
-	if id, _ := other.store.Leader(); id != l.name {
-		t.Fatalf("the other follows %q", id)
+	if id, _ := other.store.Leader(); id != leader.name {
+		t.Fatalf("the other voter follows %q", id)
 	}
 }
 
+// TestMinorityAcceptsNothingAndServesReads: a leader that is partitioned from the other voters commits nothing, still
+// serves its state, and has the majority's entries after the partition is healed.
 func TestMinorityAcceptsNothingAndServesReads(t *testing.T) {
-	n, list := startThree(t)
-	old := leader(t, list)
+	n, voters := startThree(t)
+	old := awaitLeader(t, voters)
 	propose(t, old.store, command("1", 0, "a"))
-	others := followers(list, old)
+	others := followers(voters, old)
 	for _, v := range others {
-		n.set(old.name, v.name, true)
+		n.setPartition(old.name, v.name, true)
 	}
 	if _, err := old.store.Propose(t.Context(), rolloutApplied(1)); !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("a minority accepted a change: %v", err)
@@ -68,11 +73,11 @@
 		t.Fatalf("a minority confirmed a leader: %v", err)
 	}
 	if head(old.store).Number != 1 {
-		t.Fatal("it does not serve its state")
+		t.Fatal("the minority does not serve its state")
 	}
-	next := leader(t, others)
+	next := awaitLeader(t, others)
 	propose(t, next.store, rolloutApplied(1))
 	propose(t, next.store, command("2", 1, "b"))
 	n.healAll()
-	testwait.Until(t, testTimeout, "the minority follows", func() bool { return head(old.store).Number == 2 })
+	testwait.Until(t, testTimeout, "the minority has all entries", func() bool { return head(old.store).Number == 2 })
 }
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -10,17 +10,17 @@
 	"github.com/hashicorp/raft"
 )
 
-// Errors of changes of the members, to be told apart by errors.Is. Nothing was changed.
+// Errors of configuration changes that were rejected, to be matched with errors.Is.
 var (
 	// ErrNotMember reports that a store to be removed is not a member.
 	ErrNotMember = errors.New("is no voter")
-	// ErrIsVoter reports that a store to be added without a vote is a voter.
+	// ErrIsVoter reports that a store to be added as non-voter is a voter.
 	ErrIsVoter = errors.New("is a voter: remove it before it is added without a vote")
 	// ErrOnlyVoter reports that a store to be removed is the only voter.
 	ErrOnlyVoter = errors.New("is the only voter: a site needs one")
 )
 
-// Member is one store of the site: a voter, or a replica that follows the log without a vote.
+// Member is one store of the site: a voter, or a non-voter, which replicates the log without a vote.
 type Member struct {
 	Name     string `json:"name"`
 	Address  string `json:"address"`
@@ -28,7 +28,7 @@
 	NonVoter bool   `json:"non_voter,omitempty"`
 }
 
-// Members returns the voters and the replicas without a vote, by name, in the latest configuration that this store has.
+// Members returns the voters and non-voters in the latest configuration of this store, sorted by name.
 func (s *Store) Members() ([]Member, error) {
 	future := s.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -44,17 +44,18 @@
 	return list, nil
 }
 
-// ConfigurationChange identifies a change of the members that is committed.
+// ConfigurationChange identifies a committed change of the members.
 type ConfigurationChange struct{ at position }
 
-// AddVoter makes an agent's store a voter. The leader alone can, else the error matches ErrNotLeader or ErrOutcomeUnknown. The
-// change is committed when it returns; see LaggingVoters for the voters that don't have it yet.
+// AddVoter makes an agent's store a voter. Only the leader can; on other voters, the error matches ErrNotLeader or
+// ErrOutcomeUnknown. The change is committed when AddVoter returns; see LaggingVoters for voters that don't have it
+// yet.
 func (s *Store) AddVoter(name, address string) (ConfigurationChange, error) {
 	return s.awaitChange(s.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.callTimeout))
 }
 
-// AddNonVoter makes an agent's store a replica that follows the log and answers reads, and counts for no majority. The
-// leader alone can. A voter is not demoted: the error matches ErrIsVoter.
+// AddNonVoter makes an agent's store a non-voter, which replicates the log and serves reads, but does not count towards
+// a majority. Only the leader can. A voter is not demoted: the error matches ErrIsVoter.
 func (s *Store) AddNonVoter(name, address string) (ConfigurationChange, error) {
 	list, err := s.Members()
 	if err != nil {
@@ -66,8 +67,7 @@
 	return s.awaitChange(s.raft.AddNonvoter(raft.ServerID(name), raft.ServerAddress(address), 0, s.callTimeout))
 }
 
-// Remove removes a voter or a replica without a vote. The leader alone can. The error may match ErrNotMember or
-// ErrOnlyVoter.
+// Remove removes a voter or non-voter. Only the leader can. The error may match ErrNotMember or ErrOnlyVoter.
 func (s *Store) Remove(name string) (ConfigurationChange, error) {
 	list, err := s.Members()
 	if err != nil {
@@ -82,7 +82,7 @@
 	return s.awaitChange(s.raft.RemoveServer(raft.ServerID(name), 0, s.callTimeout))
 }
 
-// awaitChange waits until a change is committed.
+// awaitChange waits until a configuration change is committed.
 func (s *Store) awaitChange(change raft.IndexFuture) (ConfigurationChange, error) {
 	if err := change.Error(); err != nil {
 		return ConfigurationChange{}, s.classifyError(err)
@@ -90,9 +90,9 @@
 	return ConfigurationChange{position{s.raft.CurrentTerm(), change.Index()}}, nil
 }
 
-// LaggingVoters waits until every voter is known to have a change in its log, for at most the time of one call to a voter,
-// and returns the names of those that are not. A leader that has removed itself learns nothing more, so it returns what it
-// knows at once.
+// LaggingVoters waits until every voter has acknowledged a change, for at most the timeout of an RPC, and returns the
+// names of those that have not. A leader that has removed itself receives no further acknowledgements, so the call does
+// not wait.
 func (s *Store) LaggingVoters(ctx context.Context, change ConfigurationChange) ([]string, error) {
 	members, err := s.Members()
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 	var others []raft.ServerID
 	for _, m := range members {
-		if m.Name != s.id && !m.NonVoter { // one without a vote counts for no majority
+		if m.Name != s.id && !m.NonVoter { // non-voters don't count towards a majority
 			others = append(others, raft.ServerID(m.Name))
 		}
 	}
--- a/internal/replica/monitored_log.go
+++ b/internal/replica/monitored_log.go
@@ -6,34 +6,35 @@
 	"github.com/hashicorp/raft"
 )
 
-// monitoredLog is the log's store as raft sees it. It records the result of the last write, and blocks raft where going on
-// after a failed write would break the log.
+// monitoredLog wraps raft's log store. It records the result of the last write, and blocks raft where continuing after
+// a failed write would corrupt the log.
 //
-// When a follower's log is truncated to replace entries that lost, and the replacements can't be written, raft believes
-// that the truncated entries still exist. It would append behind the gap, count those entries as stored, or panic at one
-// that is committed and missing. So a write that fails right after a truncation does not return before the store is
-// closed: until then the voter answers no other. The log on disk is intact, and the next Open reads it anew.
+// When a follower's log is truncated to replace conflicting entries, and the replacements can't be written, raft
+// assumes that the truncated entries still exist. It would append after the gap, count the missing entries as stored,
+// or panic at one that is committed and missing. So a write that fails right after a truncation does not return before
+// the store is closed: until then the voter responds to no other voter. The log on disk is intact, and the next Open
+// reads it again.
 type monitoredLog struct {
 	raft.LogStore
 	injectWriteError func() error
-	err              atomic.Pointer[error] // of the last write; nil: it succeeded
+	err              atomic.Pointer[error] // of the last write; nil if it succeeded
 
-	truncated atomic.Bool   // the log's end was deleted, and nothing has been written since
-	failed    chan struct{} // closed when a write blocks, so that the store must be closed
-	released  chan struct{} // closed when the store is closed
+	truncated atomic.Bool   // the end of the log was deleted, and nothing has been written since
+	failed    chan struct{} // closed when a write blocks: the store must then be closed
+	released  chan struct{} // closed by Store.Close, which unblocks the write
 }
 
 func newMonitoredLog(logs raft.LogStore, injectWriteError func() error) *monitoredLog {
 	return &monitoredLog{LogStore: logs, injectWriteError: injectWriteError, failed: make(chan struct{}), released: make(chan struct{})}
 }
 
-// DeleteRange deletes entries, and records whether these are the log's end.
+// DeleteRange deletes entries, and records a truncation of the log's end.
 func (l *monitoredLog) DeleteRange(from, to uint64) error {
 	last, err := l.LogStore.LastIndex()
 	if err != nil {
 		return err
 	}
-	if to >= last { // else it is compaction, after a snapshot
+	if to >= last { // otherwise it is compaction after a snapshot
 		l.truncated.Store(true)
 	}
 	return l.LogStore.DeleteRange(from, to)
@@ -42,7 +43,7 @@
 // StoreLog stores one entry, as StoreLogs does.
 func (l *monitoredLog) StoreLog(entry *raft.Log) error { return l.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs stores entries. If that fails after a truncation, it closes failed and returns once released is closed.
+// StoreLogs stores entries. If that fails after a truncation, it closes l.failed and blocks until l.released is closed.
 func (l *monitoredLog) StoreLogs(entries []*raft.Log) (err error) {
 	if l.injectWriteError != nil {
 		err = l.injectWriteError()
@@ -57,13 +58,13 @@
 	}
 	l.err.Store(&err)
 	if l.truncated.Load() {
-		close(l.failed) // once: raft writes from one goroutine, which blocks here
+		close(l.failed) // at most once: raft writes from one goroutine, which blocks here
 		<-l.released
 	}
 	return err
 }
 
-// lastError returns the error of the last write, nil if it succeeded.
+// lastError returns the error of the last write, or nil if it succeeded.
 func (l *monitoredLog) lastError() error {
 	if err := l.err.Load(); err != nil {
 		return *err
--- a/internal/replica/monitored_log_test.go
+++ b/internal/replica/monitored_log_test.go
@@ -9,7 +9,8 @@
 	"elderyard/internal/testwait"
 )
 
-// TestFailedWriteAfterTruncationBlocks: raft itself would go on with a log whose content it does not know.
+// TestFailedWriteAfterTruncationBlocks: a write that fails right after a truncation must block until the store is
+// closed, otherwise raft would continue with a log that lacks entries which it counts as stored.
 func TestFailedWriteAfterTruncationBlocks(t *testing.T) {
 	full := false
 	log := newMonitoredLog(raft.NewInmemStore(), func() error {
@@ -21,14 +22,14 @@
 	for i := range uint64(5) {
 		testwait.Must(t, log.StoreLog(&raft.Log{Index: i + 1, Term: 1}))
 	}
-	testwait.Must(t, log.DeleteRange(1, 2)) // compaction: a write that fails after it returns its error
+	testwait.Must(t, log.DeleteRange(1, 2)) // compaction: a failed write after it must return its error
 	full = true
 	if err := log.StoreLog(&raft.Log{Index: 6, Term: 2}); err == nil {
 		t.Fatal("the write succeeded")
 	}
 	full = false
 	testwait.Must(t, log.DeleteRange(4, 5))
-	testwait.Must(t, log.StoreLog(&raft.Log{Index: 4, Term: 2})) // a write after the truncation ends its effect
+	testwait.Must(t, log.StoreLog(&raft.Log{Index: 4, Term: 2})) // a successful write clears the truncation
 	testwait.Must(t, log.DeleteRange(4, 4))
 	full = true
 	done := make(chan error, 1)
--- a/internal/replica/net_test.go
+++ b/internal/replica/net_test.go
@@ -8,32 +8,33 @@
 	"github.com/hashicorp/raft"
 )
 
-// network connects voters over loopback and can partition pairs of them: what is sent then
-// vanishes, without an error, until the partition is healed.
+// network connects voters over loopback and can partition pairs of them: data sent between the two is then dropped
+// without an error, until the partition is healed.
 type network struct {
-	mu    sync.Mutex
-	names map[string]string // by address
-	cut   map[[2]string]bool
-	conns map[*conn]bool
+	mu         sync.Mutex
+	names      map[string]string // by address
+	partitions map[[2]string]bool
+	conns      map[*conn]bool
 }
 
 func newNetwork() *network {
-	return &network{names: map[string]string{}, cut: map[[2]string]bool{}, conns: map[*conn]bool{}}
+	return &network{names: map[string]string{}, partitions: map[[2]string]bool{}, conns: map[*conn]bool{}}
 }
 
+// partitioned reports whether two voters are partitioned. The caller must hold mu.
 func (n *network) partitioned(a, b string) bool {
-	return n.cut[[2]string{a, b}] || n.cut[[2]string{b, a}]
+	return n.partitions[[2]string{a, b}] || n.partitions[[2]string{b, a}]
 }
 
-// set partitions two voters, or heals the partition, which closes their connections.
-func (n *network) set(a, b string, cut bool) {
+// setPartition partitions two voters or heals their partition. Healing closes their connections.
+func (n *network) setPartition(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = cut, cut
+	n.partitions[[2]string{a, b}], n.partitions[[2]string{b, a}] = partitioned, partitioned
 	for c := range n.conns {
 		if c.from == a && c.to == b || c.from == b && c.to == a {
-			c.blackhole = cut
-			if !cut {
+			c.blackhole = partitioned
+			if !partitioned {
 				c.Conn.Close()
 				delete(n.conns, c)
 			}
@@ -41,61 +42,64 @@
 	}
 }
 
+// healAll heals all partitions.
 func (n *network) healAll() {
 	n.mu.Lock()
 	var pairs [][2]string
-	for p, cut := range n.cut {
-		if cut {
+	for p, partitioned := range n.partitions {
+		if partitioned {
 			pairs = append(pairs, p)
 		}
 	}
 	n.mu.Unlock()
 	for _, p := range pairs {
-		n.set(p[0], p[1], false)
+		n.setPartition(p[0], p[1], false)
 	}
 }
 
+// conn is a connection that drops what is written while its two voters are partitioned.
 type conn struct {
 	net.Conn
-	n         *network
-	from, to  string
+	network   *network
+	from, to  string // names of the voters
 	blackhole bool
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	c.n.mu.Lock()
+	c.network.mu.Lock()
 	blackhole := c.blackhole
-	c.n.mu.Unlock()
+	c.network.mu.Unlock()
 	if blackhole {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// streams is one voter's StreamLayer. The network knows dialled connections alone: raft
-// sends its calls on them, and a lost call has no response.
-type streams struct {
+// streamLayer is one voter's raft.StreamLayer. The network drops data on dialed connections alone: raft sends its
+// requests on them, and a lost request has no response.
+type streamLayer struct {
 	net.Listener
-	n    *network
-	name string
+	network *network
+	name    string
 }
 
-func (n *network) listen(name, address string) (*streams, error) {
-	l, err := net.Listen("tcp", address)
+// listen opens a voter's listener.
+func (n *network) listen(name, address string) (*streamLayer, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.names[l.Addr().String()] = name
-	return &streams{l, n, name}, nil
+	n.names[listener.Addr().String()] = name
+	return &streamLayer{listener, n, name}, nil
 }
 
-func (s *streams) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	s.n.mu.Lock()
-	to := s.n.names[string(address)]
-	partitioned := s.n.partitioned(s.name, to)
-	s.n.mu.Unlock()
+func (s *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	s.network.mu.Lock()
+	to := s.network.names[string(address)]
+	partitioned := s.network.partitioned(s.name, to)
+	s.network.mu.Unlock()
 	if partitioned {
 		time.Sleep(min(timeout, 20*time.Millisecond))
 		return nil, &net.OpError{Op: "dial", Err: net.ErrClosed}
@@ -104,17 +108,17 @@
 	if err != nil {
 		return nil, err
 	}
-	wrapped := &conn{Conn: c, n: s.n, from: s.name, to: to}
-	s.n.mu.Lock()
-	defer s.n.mu.Unlock()
-	wrapped.blackhole = s.n.partitioned(s.name, to)
-	s.n.conns[wrapped] = true
+	wrapped := &conn{Conn: c, network: s.network, from: s.name, to: to}
+	s.network.mu.Lock()
+	defer s.network.mu.Unlock()
+	wrapped.blackhole = s.network.partitioned(s.name, to)
+	s.network.conns[wrapped] = true
 	return wrapped, nil
 }
 
 func (c *conn) Close() error {
-	c.n.mu.Lock()
-	delete(c.n.conns, c)
-	c.n.mu.Unlock()
+	c.network.mu.Lock()
+	delete(c.network.conns, c)
+	c.network.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/replica/nonvoter_test.go
+++ b/internal/replica/nonvoter_test.go
@@ -9,57 +9,57 @@
 	"elderyard/internal/testwait"
 )
 
-// TestNonVoter adds a replica without a vote: it follows the log, and counts for no majority.
+// TestNonVoter adds a non-voter: it replicates the log, and does not count towards a majority.
 func TestNonVoter(t *testing.T) {
 	t.Parallel()
-	n, list := startThree(t)
-	replica := newVoter(t, n, "r0")
-	testwait.Must(t, replica.start(t))
-	testwait.Until(t, testTimeout, "the replica is added", func() bool {
-		_, err := leader(t, list).store.AddNonVoter(replica.name, replica.address)
+	n, voters := startThree(t)
+	nonVoter := newVoter(t, n, "r0")
+	testwait.Must(t, nonVoter.start(t))
+	testwait.Until(t, testTimeout, "the non-voter is added", func() bool {
+		_, err := awaitLeader(t, voters).store.AddNonVoter(nonVoter.name, nonVoter.address)
 		return err == nil
 	})
-	if _, err := leader(t, list).store.AddNonVoter(list[0].name, list[0].address); !errors.Is(err, ErrIsVoter) || !strings.Contains(err.Error(), "is a voter") {
+	if _, err := awaitLeader(t, voters).store.AddNonVoter(voters[0].name, voters[0].address); !errors.Is(err, ErrIsVoter) || !strings.Contains(err.Error(), "is a voter") {
 		t.Fatalf("demotion of a voter: %v", err)
 	}
-	commit(t, list, command("1", 0, "a"))
-	testwait.Until(t, testTimeout, "the replica has the revision", func() (has bool) {
-		replica.store.View(func(s *fleet.State) { r, found := s.Head(); has = found && r.Number == 1 })
+	commit(t, voters, command("1", 0, "a"))
+	testwait.Until(t, testTimeout, "the non-voter has the revision", func() (has bool) {
+		nonVoter.store.View(func(s *fleet.State) { r, found := s.Head(); has = found && r.Number == 1 })
 		return has
 	})
-	members, err := replica.store.Members()
+	members, err := nonVoter.store.Members()
 	testwait.Must(t, err)
-	if len(members) != 4 || !members[0].NonVoter || members[0].Name != replica.name {
+	if len(members) != 4 || !members[0].NonVoter || members[0].Name != nonVoter.name {
 		t.Fatalf("%+v", members)
 	}
 
-	// With two of three voters gone there is no leader, replica or not.
-	var left *voter
-	for _, v := range list {
-		if left == nil {
-			left = v
+	// Without two of three voters there is no leader, although the non-voter runs.
+	var remaining *voter
+	for _, v := range voters {
+		if remaining == nil {
+			remaining = v
 			continue
 		}
 		v.stop()
 	}
-	testwait.Until(t, testTimeout, "no leader", func() bool { return !left.store.IsLeader() && left.store.VerifyLeader() != nil })
-	if replica.store.IsLeader() {
-		t.Fatal("a replica without a vote leads")
+	testwait.Until(t, testTimeout, "no leader", func() bool { return !remaining.store.IsLeader() && remaining.store.VerifyLeader() != nil })
+	if nonVoter.store.IsLeader() {
+		t.Fatal("a non-voter leads")
 	}
 }
 
-// TestOnlyVoterIsNotRemoved: the only voter can't be removed, though a replica remains.
+// TestOnlyVoterIsNotRemoved: the only voter can't be removed, even if the site has a non-voter.
 func TestOnlyVoterIsNotRemoved(t *testing.T) {
 	t.Parallel()
-	n, list := startSeparate(t)
-	replica := newVoter(t, n, "r0")
-	testwait.Must(t, replica.start(t))
-	change, err := list[0].store.AddNonVoter(replica.name, replica.address)
+	n, voters := startSeparate(t)
+	nonVoter := newVoter(t, n, "r0")
+	testwait.Must(t, nonVoter.start(t))
+	change, err := voters[0].store.AddNonVoter(nonVoter.name, nonVoter.address)
 	testwait.Must(t, err)
-	expectNoneLagging(t, list[0], change)
-	if _, err := list[0].store.Remove(list[0].name); !errors.Is(err, ErrOnlyVoter) || !strings.Contains(err.Error(), "only voter") {
+	expectNoneLagging(t, voters[0], change)
+	if _, err := voters[0].store.Remove(voters[0].name); !errors.Is(err, ErrOnlyVoter) || !strings.Contains(err.Error(), "only voter") {
 		t.Fatalf("removal of the only voter: %v", err)
 	}
-	_, err = list[0].store.Remove(replica.name)
+	_, err = voters[0].store.Remove(nonVoter.name)
 	testwait.Must(t, err)
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -10,9 +10,10 @@
 	"elderyard/fleet"
 )
 
-// Propose proposes an entry and returns its outcome once it is committed and applied. The leader alone can. An error that
-// matches ErrNotLeader says that nothing was changed, one that matches ErrOutcomeUnknown that the entry may be committed still; the
-// latter also if the context ends first. Any other error is of an invalid entry, or of raft itself.
+// Propose proposes an entry and returns its outcome once it is committed and applied. Only the leader can. After an
+// error that matches ErrNotLeader, nothing was changed. After one that matches ErrOutcomeUnknown, the entry may still
+// be committed; this includes a context that ends first. Any other error means an invalid entry or a failure of raft
+// itself.
 func (s *Store) Propose(ctx context.Context, entry fleet.Entry) (fleet.Outcome, error) {
 	text, err := entry.Encode()
 	if err != nil {
@@ -20,7 +21,7 @@
 	}
 	future := s.raft.Apply(text, s.callTimeout)
 	done := make(chan error, 1)
-	go func() { done <- future.Error() }() // ends with the future, which raft completes at its shutdown at the latest
+	go func() { done <- future.Error() }() // ends with the future, which raft completes at shutdown at the latest
 	select {
 	case <-ctx.Done():
 		return fleet.Outcome{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())
@@ -38,7 +39,8 @@
 	return fleet.Outcome{}, fmt.Errorf("the voters answered %T", future.Response())
 }
 
-// classifyError wraps an error of raft in ErrNotLeader or ErrOutcomeUnknown, depending on whether the change may be committed.
+// classifyError wraps an error of raft in ErrNotLeader if the change was not committed, and in ErrOutcomeUnknown if it
+// may be.
 func (s *Store) classifyError(err error) error {
 	if err == nil {
 		return nil
@@ -55,9 +57,9 @@
 	return err
 }
 
-// Failed returns a channel that is closed when the voter has stopped for good because a write failed after a truncation,
-// see DiskError. The store must then be closed, and may be opened anew.
+// Failed returns a channel that is closed when the voter has stopped permanently because a write failed after a
+// truncation; see DiskError. The store must then be closed, and may be reopened.
 func (s *Store) Failed() <-chan struct{} { return s.log.failed }
 
-// DiskError returns the error of the last write to the log, nil if it succeeded.
+// DiskError returns the error of the last write to the log, or nil if it succeeded.
 func (s *Store) DiskError() error { return s.log.lastError() }
--- a/internal/replica/records.go
+++ b/internal/replica/records.go
@@ -2,8 +2,8 @@
 
 import "elderyard/records"
 
-// ReadRecords calls read with the records as this voter has them: committed, but maybe outdated. They must not be changed,
-// nor used after read has returned.
+// ReadRecords calls read with this voter's records, which are committed but may be stale. They must neither be
+// modified, nor be used after read has returned.
 func (s *Store) ReadRecords(read func(*records.Store)) {
 	s.fsm.mu.RLock()
 	defer s.fsm.mu.RUnlock()
--- a/internal/replica/restore.go
+++ b/internal/replica/restore.go
@@ -11,8 +11,8 @@
 	"elderyard/records"
 )
 
-// RestoreState replaces the state of all voters by a saved one. The leader alone can. A damaged state is rejected before any
-// voter receives it.
+// RestoreState replaces the state of all voters with a saved one. Only the leader can. A damaged state is rejected
+// before any voter receives it.
 func (s *Store) RestoreState(text []byte) error {
 	var saved fleet.State
 	if err := saved.Restore(text); err != nil {
@@ -31,17 +31,16 @@
 	return s.classifyError(s.raft.Restore(meta, bytes.NewReader(text), s.callTimeout))
 }
 
-// prepareRestore prepares a saved state for its restore. It returns the index after which raft must place it, and the
-// encoding to restore.
+// prepareRestore returns the encoding of a saved state to restore, and the index after which raft must place it.
 //
-// The records' versions are indices of the log. So after a restore the log must go on above all versions of the saved
-// state, and the restored records need a version above all that replicas may have received since the state was saved:
-// otherwise replicas would take restored records for older than their own.
+// The versions of the records are indices of the log. So after a restore the log must continue above all versions of
+// the saved state, and the restored records need a version above all that followers may have received since the state
+// was saved: otherwise followers would consider the restored records older than their own.
 func (s *Store) prepareRestore(saved *fleet.State, text []byte) (last uint64, advanced []byte, err error) {
-	var present uint64
-	s.ReadRecords(func(store *records.Store) { present = store.Applied() })
+	var appliedIndex uint64
+	s.ReadRecords(func(store *records.Store) { appliedIndex = store.Applied() })
 	last = max(s.raft.LastIndex(), saved.Records().Applied())
-	if present == 0 && saved.Records().Applied() == 0 {
+	if appliedIndex == 0 && saved.Records().Applied() == 0 {
 		return last, text, nil
 	}
 	restored := records.ChangeInfo{Version: last + 1, Author: "restore", Message: "a saved state was restored", At: time.Now().UTC()}
--- a/internal/replica/state_machine.go
+++ b/internal/replica/state_machine.go
@@ -10,8 +10,8 @@
 	"elderyard/fleet"
 )
 
-// stateMachine is the replicated state as a raft.FSM. Raft's goroutine for it is the only one that changes the state, and
-// holds mu for writing meanwhile; others read under mu.
+// stateMachine implements raft.FSM with the replicated state. Only raft's goroutine for it modifies the state, with mu
+// locked for writing; other goroutines read with mu locked for reading.
 type stateMachine struct {
 	mu             sync.RWMutex
 	state          fleet.State
@@ -29,7 +29,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
-		// All voters must skip the same entries: otherwise they would reach different states. They decode alike.
+		// All voters must skip the same entries: otherwise their states would diverge. Decoding is deterministic, so
+		// they do.
 		return fmt.Errorf("entry %d: %w", log.Index, err)
 	}
 	before := m.state.Records().Version()
@@ -50,7 +51,7 @@
 	m.changed = make(chan struct{})
 }
 
-// Snapshot encodes the present state.
+// Snapshot encodes the current state.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -58,7 +59,7 @@
 	return snapshot(text), err
 }
 
-// Restore replaces the state by that of a snapshot, or returns an error and changes nothing.
+// Restore replaces the state with that of a snapshot. On error, the state is unchanged.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	text, err := io.ReadAll(from)
@@ -79,13 +80,13 @@
 type snapshot []byte
 
 // Persist writes the snapshot to the sink and closes it.
-func (f snapshot) Persist(sink raft.SnapshotSink) error {
-	if _, err := sink.Write(f); err != nil {
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
 		sink.Cancel()
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return sink.Close()
 }
 
-// Release does nothing: the snapshot is memory alone.
-func (f snapshot) Release() {}
+// Release does nothing: the snapshot is held in memory.
+func (s snapshot) Release() {}
--- a/internal/replica/verify.go
+++ b/internal/replica/verify.go
@@ -12,9 +12,10 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
+// boltOptions returns the options with which the log is opened.
 func boltOptions() *bbolt.Options { return &bbolt.Options{Timeout: boltOpenTimeout} }
 
-// Layout of the two meta pages with which a file of bbolt begins.
+// Layout of the two meta pages at the start of a bbolt file.
 const (
 	boltMagic        = 0xED0CDAED
 	pageHeaderBytes  = 16
@@ -22,14 +23,14 @@
 	metaPages        = 2
 	minPageBytes     = 512
 	maxPageBytes     = 64 << 10
-	checksummedBytes = 56 // of the meta data that its checksum covers
-	metaPageSize     = 8  // offset of the page size in the meta data
+	checksummedBytes = 56 // of the metadata, covered by its checksum
+	metaPageSize     = 8  // offset of the page size in the metadata
 	metaPageCount    = 40 // offset of the number of pages
-	metaTransaction  = 48 // offset of the transaction's number
+	metaTransaction  = 48 // offset of the transaction ID
 )
 
-// verifyLogFile returns an error if a log's file is damaged. It must run before bbolt maps the file into memory: a read of
-// the map behind the end of a file that was cut short kills the process. A file that does not exist is no error.
+// verifyLogFile returns an error if a log file is damaged. It must run before bbolt maps the file into memory: a read
+// from the mapping beyond the end of a truncated file kills the process. A missing file is not an error.
 func verifyLogFile(path string) error {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -56,12 +57,12 @@
 	return verifyPages(path)
 }
 
-// readExtent returns the number and size of the pages of a file, by its newest meta page that is intact.
+// readExtent returns the number and size of a file's pages, as stated by its newest intact meta page.
 func readExtent(file io.ReaderAt) (pages uint64, pageSize uint32, err error) {
 	newest, found := uint64(0), false
 	page := make([]byte, pageHeaderBytes+metaBytes)
-	// The second meta page follows one page after the first. The page size stands in the first, which may be damaged, so
-	// all sizes are tried.
+	// The second meta page is the page after the first. The page size is recorded in the first, which may be damaged,
+	// so all sizes are tried.
 	for size := int64(minPageBytes); size <= maxPageBytes; size *= 2 {
 		for n := range int64(metaPages) {
 			if _, err := file.ReadAt(page, n*size); err != nil {
@@ -80,29 +81,29 @@
 		}
 	}
 	if !found || pageSize < minPageBytes || pageSize > maxPageBytes {
-		return 0, 0, errors.New("no page of it says what it holds")
+		return 0, 0, errors.New("neither meta page is valid")
 	}
 	return pages, pageSize, nil
 }
 
-// verifyPages has bbolt check every page, and returns the first error.
+// verifyPages checks every page with bbolt, and returns the first error.
 func verifyPages(path string) (err error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: boltOpenTimeout, ReadOnly: true})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil // another process has locked the file, and the next open reports that
+		return nil // another process has locked the file, which the open after this check reports
 	}
 	if err != nil {
 		return err
 	}
 	defer func() {
-		// bbolt panics at pages that contradict each other.
+		// bbolt panics on inconsistent pages.
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("%v", cause)
 		}
 	}()
 	defer db.Close()
 	return db.View(func(tx *bbolt.Tx) (first error) {
-		for err := range tx.Check() { // to the end: bbolt's goroutine sends until the channel is drained
+		for err := range tx.Check() { // must be drained: bbolt's goroutine blocks otherwise
 			if first == nil {
 				first = err
 			}
--- a/internal/replica/voter_test.go
+++ b/internal/replica/voter_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	testTimeout = time.Minute // of anything that is awaited
+	testTimeout = time.Minute // of each wait for a condition
 	heartbeat   = 200 * time.Millisecond
 )
 
-var at = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-// voter is a store that can be stopped and started again on its folder.
+// voter is a store that can be stopped, and restarted on its directory.
 type voter struct {
 	name, dir, address string
 	network            *network
@@ -31,7 +31,7 @@
 	injectWriteError   func() error
 }
 
-// newVoter returns a voter that is stopped, and is stopped again at the end of the test.
+// newVoter returns a stopped voter. The end of the test stops it if it runs.
 func newVoter(t testing.TB, n *network, name string) *voter {
 	t.Helper()
 	v := &voter{name: name, dir: filepath.Join(t.TempDir(), name), address: loopback.Host() + ":0", network: n}
@@ -61,63 +61,63 @@
 	}
 }
 
-// startSeparate starts three stores, of which the first is the site's only voter and leads.
+// startSeparate starts three stores. The first one is the site's only voter and leads; the others belong to no site.
 func startSeparate(t testing.TB) (*network, []*voter) {
 	t.Helper()
 	n := newNetwork()
-	var list []*voter
+	var voters []*voter
 	for i := range 3 {
 		v := newVoter(t, n, fmt.Sprint("v", i))
 		v.bootstrap = i == 0
 		testwait.Must(t, v.start(t))
-		list = append(list, v)
+		voters = append(voters, v)
 	}
-	testwait.Until(t, testTimeout, "the first leads", func() bool { return list[0].store.VerifyLeader() == nil })
-	return n, list
+	testwait.Until(t, testTimeout, "v0 leads", func() bool { return voters[0].store.VerifyLeader() == nil })
+	return n, voters
 }
 
 // startThree starts a site of three voters.
 func startThree(t testing.TB) (*network, []*voter) {
 	t.Helper()
-	n, list := startSeparate(t)
-	for _, v := range list[1:] {
-		addVoter(t, list[0], v)
+	n, voters := startSeparate(t)
+	for _, v := range voters[1:] {
+		addVoter(t, voters[0], v)
 	}
-	return n, list
+	return n, voters
 }
 
-// addVoter adds a voter, and waits until all have the change.
-func addVoter(t testing.TB, l, fresh *voter) {
+// addVoter adds a voter, and waits until all voters have the change.
+func addVoter(t testing.TB, leader, added *voter) {
 	t.Helper()
-	change, err := l.store.AddVoter(fresh.name, fresh.address)
+	change, err := leader.store.AddVoter(added.name, added.address)
 	testwait.Must(t, err)
-	expectNoneLagging(t, l, change)
+	expectNoneLagging(t, leader, change)
 }
 
-// expectNoneLagging fails the test unless all voters have a change within the time of a call.
-func expectNoneLagging(t testing.TB, l *voter, change ConfigurationChange) {
+// expectNoneLagging fails the test unless all voters have a change within the timeout of an RPC.
+func expectNoneLagging(t testing.TB, leader *voter, change ConfigurationChange) {
 	t.Helper()
-	if lagging, err := l.store.LaggingVoters(t.Context(), change); err != nil || lagging != nil {
+	if lagging, err := leader.store.LaggingVoters(t.Context(), change); err != nil || lagging != nil {
 		t.Fatalf("%v lack the change, %v", lagging, err)
 	}
 }
 
-// followers returns the voters but the one.
-func followers(list []*voter, l *voter) (others []*voter) {
-	for _, v := range list {
-		if v != l {
+// followers returns the voters except the leader.
+func followers(voters []*voter, leader *voter) (others []*voter) {
+	for _, v := range voters {
+		if v != leader {
 			others = append(others, v)
 		}
 	}
 	return others
 }
 
-// leader waits until one of the voters leads, and returns it.
-func leader(t testing.TB, list []*voter) *voter {
+// awaitLeader waits until one of the voters leads, and returns it.
+func awaitLeader(t testing.TB, voters []*voter) *voter {
 	t.Helper()
 	var found *voter
-	testwait.Until(t, testTimeout, "one leads", func() bool {
-		for _, v := range list {
+	testwait.Until(t, testTimeout, "a voter leads", func() bool {
+		for _, v := range voters {
 			if v.store != nil && v.store.VerifyLeader() == nil {
 				found = v
 				return true
@@ -128,15 +128,17 @@
 	return found
 }
 
-func command(request string, parent uint64, file string) fleet.Entry {
-	return fleet.Entry{Command: &revisions.Command{IdempotencyKey: request, Parent: parent, Content: &revisions.Content{File: file}, Author: "ann", At: at}}
+// command returns an entry with a new revision.
+func command(idempotencyKey string, parent uint64, file string) fleet.Entry {
+	return fleet.Entry{Command: &revisions.Command{IdempotencyKey: idempotencyKey, Parent: parent, Content: &revisions.Content{File: file}, Author: "ann", At: testTime}}
 }
 
-// rolloutApplied returns the entry that ends the rollout of a revision.
+// rolloutApplied returns an entry that completes the rollout of a revision.
 func rolloutApplied(revision uint64) fleet.Entry {
-	return fleet.Entry{RolloutChange: &fleet.RolloutChange{New: revision, State: rollout.Applied, Reason: "all have it", At: at}}
+	return fleet.Entry{RolloutChange: &fleet.RolloutChange{New: revision, State: rollout.Applied, Reason: "all have it", At: testTime}}
 }
 
+// propose proposes an entry to a store, and ends the test if that fails.
 func propose(t testing.TB, s *Store, e fleet.Entry) fleet.Outcome {
 	t.Helper()
 	out, err := s.Propose(context.Background(), e)
@@ -144,6 +146,7 @@
 	return out
 }
 
+// head returns the latest revision of a store.
 func head(s *Store) (r revisions.Revision) {
 	s.View(func(f *fleet.State) { r, _ = f.Head() })
 	return r
