--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -137,6 +137,7 @@
 	}
 }
 
+// TestRoleCovers: a role has the permissions of lower roles, and an unknown role has none.
 func TestRoleCovers(t *testing.T) {
 	for _, c := range []struct {
 		have, required Role
--- a/internal/recordsync/client.go
+++ b/internal/recordsync/client.go
@@ -12,16 +12,16 @@
 	"elderyard/records"
 )
 
-// maxErrorTextBytes bounds the text of a server's error in bytes.
+// maxErrorTextBytes is the length to which the body of an error response is truncated.
 const maxErrorTextBytes = 256
 
 // serverClient sends requests to servers.
 type serverClient struct {
-	http *http.Client
-	base func(server string) string // returns the URL of a server without a path
+	http    *http.Client
+	baseURL func(server string) string // returns the URL of a server without a path
 }
 
-// statusError means that a server responded with another status than 200.
+// statusError means that a server responded with a status other than 200.
 type statusError struct {
 	code   int
 	status string // code and text
@@ -32,14 +32,14 @@
 func (e *statusError) Error() string { return e.status + ": " + e.body }
 
 // do sends a request to a server and returns the body of the response, of at most
-// records.MaxMessageBytes+1 bytes. It does not decode it. The error is a *statusError if the
-// server responded with another status than 200.
+// records.MaxMessageBytes+1 bytes, without decoding it. The error is a *statusError if the
+// server responded with a status other than 200.
 func (c *serverClient) do(ctx context.Context, server string, request records.Request) ([]byte, error) {
 	target, err := requestTarget(request)
 	if err != nil {
 		return nil, err
 	}
-	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base(server)+target, nil)
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL(server)+target, nil)
 	if err != nil {
 		return nil, fmt.Errorf("ask %s: %w", server, err)
 	}
@@ -59,7 +59,7 @@
 	return body, nil
 }
 
-// withoutURL returns the cause of an HTTP client's error, without method and URL.
+// withoutURL strips the method and the URL from an error of the HTTP client.
 func withoutURL(err error) error {
 	if inner, ok := errors.AsType[*url.Error](err); ok {
 		return inner.Err
--- a/internal/recordsync/disk.go
+++ b/internal/recordsync/disk.go
@@ -14,14 +14,14 @@
 	"elderyard/records"
 )
 
-// Files of a follower's directory: the replica's snapshot; the journal of the changes after it,
-// so that the cost of a change does not depend on the size of the replica; and the time at which
-// the replica was last known to be at the newest version.
+// Files in a follower's directory: the replica's snapshot; the journal of the changes after it,
+// so that the cost of a change does not depend on the size of the replica; and the confirmation,
+// which is the time at which the replica was last known to be at the newest version.
 const (
 	snapshotName  = "records"
 	journalName   = "records.journal"
 	confirmedName = "records.confirmed"
-	// damagedSuffix is appended to the name of a quarantined file.
+	// damagedSuffix is the suffix of a quarantined file.
 	damagedSuffix = ".damaged"
 )
 
@@ -34,7 +34,7 @@
 	confirmInterval = 30 * time.Second
 )
 
-// diskStore persists a follower's replica across restarts. It belongs to one goroutine.
+// diskStore persists a follower's replica across restarts. It is not safe for concurrent use.
 type diskStore struct {
 	dir string
 	log *slog.Logger
@@ -51,11 +51,11 @@
 	At      time.Time `json:"at"`
 }
 
-// path returns the path of a file of the directory.
+// path returns the path of a file in the directory.
 func (s *diskStore) path(name string) string { return filepath.Join(s.dir, name) }
 
-// openDiskStore returns the replica that an earlier run has persisted. Files that are damaged or
-// truncated are quarantined: without a usable snapshot the replica is empty, and of the journal
+// openDiskStore returns the replica that an earlier run has persisted. Damaged and truncated
+// files are quarantined: without a usable snapshot the replica is empty, and of a damaged journal
 // the entries before the damage are applied.
 func openDiskStore(dir string, log *slog.Logger) (*diskStore, *records.Replica, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
@@ -75,8 +75,8 @@
 		if err := s.quarantine(journalName, err); err != nil {
 			return nil, nil, err
 		}
-		// The entries before the damage are in force: the next start must not go back behind
-		// them.
+		// The entries before the damage are applied and must be persisted: otherwise the next
+		// start would return to an earlier version.
 		if err := s.writeSnapshot(replica); err != nil {
 			return nil, nil, fmt.Errorf("records: %w", err)
 		}
@@ -84,8 +84,8 @@
 	return s, replica, nil
 }
 
-// errNoSnapshot is the reason for which a journal is quarantined together with its snapshot.
-var errNoSnapshot = errors.New("there is no copy that it follows")
+// errNoSnapshot is the cause with which a journal is quarantined together with its snapshot.
+var errNoSnapshot = errors.New("the snapshot before it is unusable")
 
 // readFile returns a file's content, or nil if the file does not exist.
 func (s *diskStore) readFile(name string) ([]byte, error) {
@@ -104,8 +104,8 @@
 	return data, err
 }
 
-// quarantine renames a file that cannot be used, and logs the cause. The error is that of the
-// renaming; a file that does not exist is none.
+// quarantine renames an unusable file, and logs the cause. It returns an error if the rename
+// fails, but not if the file does not exist.
 func (s *diskStore) quarantine(name string, cause error) error {
 	quarantined := s.path(name) + damagedSuffix
 	err := os.Rename(s.path(name), quarantined)
@@ -113,20 +113,20 @@
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("records: set a damaged file aside: %w", err)
+		return fmt.Errorf("records: quarantine a damaged file: %w", err)
 	}
 	s.log.Error("quarantined unusable records file", "file", s.path(name), "quarantine", quarantined, "error", cause)
 	return nil
 }
 
-// replayJournal applies the journal to the snapshot's replica, and opens it for appending.
+// replayJournal applies the journal to the replica of the snapshot, and opens it for appending.
 func (s *diskStore) replayJournal(replica *records.Replica) error {
 	data, err := s.readFile(journalName)
 	if err != nil {
 		return err
 	}
 	if _, err := replica.Replay(data); err != nil {
-		return fmt.Errorf("behind version %d: %w", replica.Version(), err)
+		return fmt.Errorf("after version %d: %w", replica.Version(), err)
 	}
 	if replica.Version() == 0 {
 		return nil // the first persist writes a snapshot
@@ -150,7 +150,7 @@
 		err = s.journal.Sync()
 	}
 	if err != nil {
-		// The end of the journal may be a part of the entry: nothing may be appended to it.
+		// The journal may end with a partial entry: nothing may be appended after it.
 		s.closeJournal()
 		return fmt.Errorf("write %s: %w", s.path(journalName), err)
 	}
@@ -158,9 +158,9 @@
 	return nil
 }
 
-// writeSnapshot replaces the snapshot, and truncates the journal. If it fails in between, the
-// journal's old entries remain: they end at or below the snapshot's version, so the next start
-// can replay them without effect.
+// writeSnapshot replaces the snapshot, and truncates the journal. If it fails in between, the old
+// entries of the journal remain: they end at or below the version of the snapshot, so replaying
+// them at the next start has no effect.
 func (s *diskStore) writeSnapshot(replica *records.Replica) error {
 	s.closeJournal()
 	data, err := replica.Snapshot()
@@ -200,8 +200,8 @@
 	}
 }
 
-// loadConfirmation returns when a version was last known to be the newest, or zero if that is
-// not known.
+// loadConfirmation returns the time at which a version was last known to be the newest, or the
+// zero time if the file has no confirmation of that version.
 func (s *diskStore) loadConfirmation(version uint64) time.Time {
 	data, err := s.readFile(confirmedName)
 	var stored confirmation
@@ -211,8 +211,8 @@
 	return stored.At
 }
 
-// confirmDue reports whether the confirmation in the file is older than confirmInterval. Not
-// every one is written, since one comes with each response.
+// confirmDue reports whether the confirmation in the file is at least confirmInterval older than
+// at. Each response confirms the version, which would be too many writes.
 func (s *diskStore) confirmDue(at time.Time) bool {
 	return !at.IsZero() && at.Sub(s.confirmedAt) >= confirmInterval
 }
--- a/internal/recordsync/disk_test.go
+++ b/internal/recordsync/disk_test.go
@@ -13,30 +13,31 @@
 	"elderyard/records"
 )
 
+// discard returns a logger without output.
 func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // advance applies the changes up to the source's version to a replica, and persists them.
-func advance(t testing.TB, f *diskStore, replica *records.Replica, source *memorySource) {
+func advance(t testing.TB, disk *diskStore, replica *records.Replica, source *memorySource) {
 	t.Helper()
 	source.ReadRecords(func(store *records.Store) {
 		delta, err := store.ChangesSince(replica.Version())
 		testwait.Must(t, err)
 		testwait.Must(t, replica.ApplyDelta(delta))
-		testwait.Must(t, f.persist(replica, records.Persist{Version: delta.To, Delta: &delta}))
+		testwait.Must(t, disk.persist(replica, records.Persist{Version: delta.To, Delta: &delta}))
 	})
 }
 
 // reopen opens a directory, and closes its journal at the end of the test.
 func reopen(t testing.TB, dir string) (*diskStore, *records.Replica) {
 	t.Helper()
-	f, replica, err := openDiskStore(dir, discard())
+	disk, replica, err := openDiskStore(dir, discard())
 	testwait.Must(t, err)
-	t.Cleanup(f.closeJournal)
-	return f, replica
+	t.Cleanup(disk.closeJournal)
+	return disk, replica
 }
 
-// openFiles writes a snapshot and a journal to a new directory, and opens it.
-func openFiles(t testing.TB, snapshot, journal []byte) (dir string, replica *records.Replica) {
+// openWith opens a new directory with a snapshot and a journal.
+func openWith(t testing.TB, snapshot, journal []byte) (dir string, replica *records.Replica) {
 	t.Helper()
 	dir = t.TempDir()
 	testwait.Must(t, os.WriteFile(filepath.Join(dir, snapshotName), snapshot, fileMode))
@@ -45,82 +46,83 @@
 	return dir, replica
 }
 
-// writeTestFolder returns a directory with a snapshot at version 1 and a journal up to version 5.
-func writeTestFolder(t testing.TB) (dir string, source *memorySource) {
+// writeTestDirectory returns a directory with a snapshot at version 1 and a journal up to version 5.
+func writeTestDirectory(t testing.TB) (dir string, source *memorySource) {
 	t.Helper()
 	source = newMemorySource()
 	source.apply(t, manyPlans(100)...)
 	dir = t.TempDir()
-	f, replica := reopen(t, dir)
+	disk, replica := reopen(t, dir)
 	if replica.Version() != 0 {
-		t.Fatalf("version %d in an empty folder", replica.Version())
+		t.Fatalf("version %d in an empty directory", replica.Version())
 	}
 	for i := range 5 {
-		advance(t, f, replica, source)
+		advance(t, disk, replica, source)
 		if i < 4 {
 			source.apply(t, plan(fmt.Sprint("later", i), 1))
 		}
 	}
-	f.closeJournal()
+	disk.closeJournal()
 	return dir, source
 }
 
 // The replica survives restarts.
 func TestDiskStorePersistsReplica(t *testing.T) {
-	dir, source := writeTestFolder(t)
-	f, replica := reopen(t, dir)
+	dir, source := writeTestDirectory(t)
+	disk, replica := reopen(t, dir)
 	if replica.Version() != 5 || replica.Digest() != source.digest() {
 		t.Fatalf("version %d", replica.Version())
 	}
 	source.apply(t, plan("more", 1))
-	advance(t, f, replica, source)
-	f.closeJournal()
+	advance(t, disk, replica, source)
+	disk.closeJournal()
 	if _, replica = reopen(t, dir); replica.Version() != 6 || replica.Digest() != source.digest() {
 		t.Fatalf("version %d", replica.Version())
 	}
 }
 
-// A journal over its bound is replaced by a new snapshot.
+// A journal above its maximum size is replaced by a new snapshot.
 func TestDiskStoreReplacesLargeJournal(t *testing.T) {
-	dir, source := writeTestFolder(t)
-	f, replica := reopen(t, dir)
-	f.journalBytes = records.MaxJournalBytes + 1
+	dir, source := writeTestDirectory(t)
+	disk, replica := reopen(t, dir)
+	disk.journalBytes = records.MaxJournalBytes + 1
 	source.apply(t, plan("more", 1))
-	advance(t, f, replica, source)
-	if f.journalBytes != 0 {
-		t.Fatalf("the journal has %d bytes", f.journalBytes)
+	advance(t, disk, replica, source)
+	if disk.journalBytes != 0 {
+		t.Fatalf("the journal has %d bytes", disk.journalBytes)
 	}
-	f.closeJournal()
+	disk.closeJournal()
 	if _, replica = reopen(t, dir); replica.Version() != 6 {
 		t.Fatalf("version %d", replica.Version())
 	}
 }
 
-// Entries of a journal that the snapshot has already are skipped.
+// Journal entries that the snapshot already contains are skipped, as after a failure between the
+// writes of the snapshot and the journal.
 func TestDiskStoreSkipsStaleJournalEntries(t *testing.T) {
-	dir, source := writeTestFolder(t)
+	dir, source := writeTestDirectory(t)
 	journal, err := os.ReadFile(filepath.Join(dir, journalName))
 	testwait.Must(t, err)
-	f, replica := reopen(t, dir)
-	testwait.Must(t, f.writeSnapshot(replica))
-	f.closeJournal()
+	disk, replica := reopen(t, dir)
+	testwait.Must(t, disk.writeSnapshot(replica))
+	disk.closeJournal()
 	testwait.Must(t, os.WriteFile(filepath.Join(dir, journalName), journal, fileMode))
 	if _, replica = reopen(t, dir); replica.Version() != 5 || replica.Digest() != source.digest() {
 		t.Fatalf("version %d", replica.Version())
 	}
 }
 
-// A snapshot that is damaged anywhere or truncated is quarantined, together with its journal.
+// A snapshot that is truncated or damaged in any place is quarantined, together with its journal.
 func TestDiskStoreQuarantinesDamagedSnapshot(t *testing.T) {
-	from, _ := writeTestFolder(t)
+	from, _ := writeTestDirectory(t)
 	snapshot, err := os.ReadFile(filepath.Join(from, snapshotName))
 	testwait.Must(t, err)
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
 	testwait.Must(t, err)
 	for _, data := range damaged(snapshot) {
-		dir, replica := openFiles(t, data, journal)
+		dir, replica := openWith(t, data, journal)
 		if replica.Version() != 0 || replica.Len() != 0 {
-			t.Fatalf("version %d of a damaged copy", replica.Version())
+			t.Fatalf("version %d of a damaged snapshot", replica.Version())
 		}
 		quarantined, err := os.ReadFile(filepath.Join(dir, snapshotName+damagedSuffix))
 		if err != nil || string(quarantined) != string(data) {
@@ -134,7 +136,7 @@
 	}
 }
 
-// damaged returns variants of a file's content, truncated and changed in many places.
+// damaged returns variants of a file's content that are truncated or modified in many places.
 func damaged(content []byte) (list [][]byte) {
 	for i := 0; i < len(content); i += max(1, len(content)/40) {
 		changed := append([]byte(nil), content...)
@@ -146,41 +148,41 @@
 
 // The entries before a journal's damage are applied, and persisted in a new snapshot.
 func TestDiskStoreAppliesJournalBeforeDamage(t *testing.T) {
-	from, source := writeTestFolder(t)
+	from, source := writeTestDirectory(t)
 	snapshot, err := os.ReadFile(filepath.Join(from, snapshotName))
 	testwait.Must(t, err)
 	journal, err := os.ReadFile(filepath.Join(from, journalName))
 	testwait.Must(t, err)
 	for _, data := range damaged(journal) {
-		dir, replica := openFiles(t, snapshot, data)
-		first := replica.Version()
+		dir, replica := openWith(t, snapshot, data)
+		version := replica.Version()
 		var digest records.Digest
-		source.ReadRecords(func(store *records.Store) { digest, _ = store.DigestAt(first) })
-		if first < 1 || first > 4 || replica.Digest() != digest {
-			t.Fatalf("version %d of a damaged journal", first)
+		source.ReadRecords(func(store *records.Store) { digest, _ = store.DigestAt(version) })
+		if version < 1 || version > 4 || replica.Digest() != digest {
+			t.Fatalf("version %d of a damaged journal", version)
 		}
-		if _, replica = reopen(t, dir); replica.Version() != first {
-			t.Fatalf("version %d at the second start, %d at the first", replica.Version(), first)
+		if _, replica = reopen(t, dir); replica.Version() != version {
+			t.Fatalf("version %d at the second start, %d at the first", replica.Version(), version)
 		}
 	}
 }
 
-// A confirmation is for one version, and is written at most once per confirmInterval.
+// A confirmation applies to one version, and is due once per confirmInterval.
 func TestDiskStoreLoadsConfirmation(t *testing.T) {
-	dir, _ := writeTestFolder(t)
-	f, _ := reopen(t, dir)
-	if at := f.loadConfirmation(5); !at.IsZero() {
+	dir, _ := writeTestDirectory(t)
+	disk, _ := reopen(t, dir)
+	if at := disk.loadConfirmation(5); !at.IsZero() {
 		t.Fatalf("confirmed at %v", at)
 	}
-	testwait.Must(t, f.writeConfirmation(5, testTime))
-	if f.confirmDue(testTime.Add(confirmInterval-time.Second)) || !f.confirmDue(testTime.Add(confirmInterval)) {
+	testwait.Must(t, disk.writeConfirmation(5, testTime))
+	if disk.confirmDue(testTime.Add(confirmInterval-time.Second)) || !disk.confirmDue(testTime.Add(confirmInterval)) {
 		t.Fatal("a confirmation is due at the wrong time")
 	}
-	f, _ = reopen(t, dir)
-	if at := f.loadConfirmation(5); !at.Equal(testTime) {
+	disk, _ = reopen(t, dir)
+	if at := disk.loadConfirmation(5); !at.Equal(testTime) {
 		t.Fatalf("confirmed at %v", at)
 	}
-	if at := f.loadConfirmation(6); !at.IsZero() {
+	if at := disk.loadConfirmation(6); !at.IsZero() {
 		t.Fatalf("another version was confirmed at %v", at)
 	}
 }
--- a/internal/recordsync/follower.go
+++ b/internal/recordsync/follower.go
@@ -16,17 +16,16 @@
 type Options struct {
 	Name           string                     // of the follower; unique in the site
 	Servers        []string                   // names of the servers, all of which have the same records
-	Dir            string                     // directory of the copy, created if it does not exist
-	BytesPerSecond int                        // budget of traffic; 0 means records.DefaultBytesPerSecond
+	Dir            string                     // directory of the replica, created if it does not exist
+	BytesPerSecond int                        // traffic budget; 0 means records.DefaultBytesPerSecond
 	BurstBytes     int                        // 0 means records.DefaultBurstBytes
 	Dial           Dialer                     // opens connections to servers, with TLS if the URL's scheme is https
 	BaseURL        func(server string) string // returns the URL of a server without a path
 	Log            *slog.Logger
 }
 
-// Follower replicates the records of the servers to a complete copy on disk. The goroutine of
-// Run owns the state machine that decides, the replica and the files; all other methods are safe
-// for concurrent use.
+// Follower maintains a complete replica of the servers' records on disk. The goroutine of Run owns
+// the state machine, the replica and the files; all other methods are safe for concurrent use.
 type Follower struct {
 	// The goroutine of Run owns these.
 	log           *slog.Logger
@@ -35,41 +34,41 @@
 	machine       *records.Follower
 	client        *serverClient
 	closeIdle     func() // closes the idle connections
-	countedBytes  int64  // of the traffic that the machine has been charged for
+	countedBytes  int64  // traffic that was already reported to the machine
 	cancelRequest context.CancelFunc
 	inFlightID    uint64 // of the request that cancelRequest cancels
 
 	// Messages to Run, and the counters.
 	responses chan records.Event
-	heads     chan uint64 // buffers the newest one
+	heads     chan uint64 // buffers the newest version
 	views     chan view
 	traffic   Traffic
 
 	mu        sync.Mutex // guards the fields below
 	status    records.FollowerStatus
-	diskError string        // text of the last write's error, empty if it succeeded
-	changed   chan struct{} // closed at the copy's next version
+	diskError string        // error of the last write, empty if it succeeded
+	changed   chan struct{} // closed when the replica reaches its next version
 }
 
-// view is a call of a function with the replica on behalf of another goroutine.
+// view is a read of the replica that Run performs for another goroutine.
 type view struct {
 	read func(*records.Replica)
 	done chan struct{} // closed when read has returned
 }
 
-// minTickInterval is the shortest time to the next tick: it prevents a wake time in the past from
-// spinning the loop.
+// minTickInterval is the shortest time to the next tick. It prevents a busy loop if the wake time
+// is in the past.
 const minTickInterval = time.Millisecond
 
 // idleTimeout is the time after which an idle connection is closed.
 const idleTimeout = time.Minute
 
-// Open returns a follower with the copy that an earlier run has persisted. The copy can be
-// inspected by Status at once; Run must be called for anything else. The error is for options
-// without servers and for a directory that cannot be created or written.
+// Open returns a follower with the replica that an earlier run has persisted. Status describes it
+// at once; everything else needs Run. Open returns an error for options without servers and for a
+// directory that cannot be created or written.
 func Open(options Options) (*Follower, error) {
 	if len(options.Servers) == 0 {
-		return nil, errors.New("records: no server is named that a copy could follow")
+		return nil, errors.New("records: no server is configured")
 	}
 	store, replica, err := openDiskStore(options.Dir, options.Log)
 	if err != nil {
@@ -79,7 +78,7 @@
 		responses: make(chan records.Event), heads: make(chan uint64, 1), views: make(chan view), changed: make(chan struct{})}
 	dial := f.traffic.Count(options.Dial)
 	transport := &http.Transport{DialContext: dial, DialTLSContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout}
-	f.client = &serverClient{http: &http.Client{Transport: transport}, base: options.BaseURL}
+	f.client = &serverClient{http: &http.Client{Transport: transport}, baseURL: options.BaseURL}
 	f.closeIdle = transport.CloseIdleConnections
 	now := time.Now()
 	f.machine = records.NewFollower(records.FollowerConfig{Name: options.Name, Servers: options.Servers, BytesPerSecond: options.BytesPerSecond,
@@ -107,7 +106,7 @@
 		case <-timer.C:
 			f.handle(ctx, &requests, records.Tick{})
 		case event := <-f.responses:
-			f.handle(ctx, &requests, f.addCost(event))
+			f.handle(ctx, &requests, f.setTraffic(event))
 		case head := <-f.heads:
 			f.handle(ctx, &requests, records.HeadReceived{Version: head})
 		case requested := <-f.views:
@@ -125,7 +124,7 @@
 	f.store.closeJournal()
 }
 
-// handle passes an event to the machine, and carries out its actions.
+// handle passes an event to the machine, and performs its actions.
 func (f *Follower) handle(ctx context.Context, requests *sync.WaitGroup, event records.Event) {
 	now := time.Now()
 	persisted := false
@@ -138,8 +137,8 @@
 				f.cancelRequest()
 			}
 		case records.Persist:
-			// Must precede publish: otherwise a restart could go back behind a version that was
-			// published.
+			// Must precede publish: otherwise a restart could return to a version below one that
+			// was published.
 			f.recordDiskResult(f.store.persist(f.replica, action))
 			persisted = true
 		}
@@ -151,8 +150,8 @@
 	f.publish(status, persisted)
 }
 
-// recordDiskResult sets the disk error, and logs it if it differs from the last one. The
-// follower goes on without persistence.
+// recordDiskResult sets the disk error, and logs it if it differs from the previous one. The
+// follower continues without persistence.
 func (f *Follower) recordDiskResult(err error) {
 	text := ""
 	if err != nil {
@@ -168,7 +167,7 @@
 }
 
 // publish sets the status that other goroutines read, and closes the channel of Changed if the
-// copy is at a new version.
+// replica is at a new version.
 func (f *Follower) publish(status records.FollowerStatus, changed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,9 +181,9 @@
 	}
 }
 
-// send sends a request. Its goroutine ends with the response, with the request's cancellation or
-// with Run, which waits for it. The response becomes an event of Run, also after a cancellation:
-// the machine ignores it then, except for its traffic.
+// send sends a request in a goroutine, which ends with the response or the cancellation of the
+// request, and for which Run waits. The result becomes an event of Run, also after a cancellation:
+// the machine then ignores everything but its traffic.
 func (f *Follower) send(ctx context.Context, requests *sync.WaitGroup, action records.Send) {
 	requestCtx, cancel := context.WithCancel(ctx)
 	f.cancelRequest, f.inFlightID = cancel, action.ID
@@ -202,9 +201,9 @@
 	})
 }
 
-// addCost sets the bytes of an event to the traffic of all connections since the last event with
-// bytes.
-func (f *Follower) addCost(event records.Event) records.Event {
+// setTraffic sets the bytes of a response's event to the traffic of all connections since the
+// previous such event.
+func (f *Follower) setTraffic(event records.Event) records.Event {
 	total := f.traffic.Received() + f.traffic.Sent()
 	bytes := int(total - f.countedBytes)
 	f.countedBytes = total
@@ -219,7 +218,7 @@
 	return event
 }
 
-// NotifyHead informs the follower that a version exists. It does not block.
+// NotifyHead informs the follower that the servers have a version. It does not block.
 func (f *Follower) NotifyHead(version uint64) {
 	for {
 		select {
@@ -227,7 +226,7 @@
 			return
 		default:
 		}
-		select { // replace a head that Run has not received yet, unless it is newer
+		select { // replace a pending version that Run has not received yet, unless it is newer
 		case pending := <-f.heads:
 			version = max(version, pending)
 		default:
@@ -235,22 +234,22 @@
 	}
 }
 
-// Status returns the status after the last event.
+// Status returns the status after the latest event.
 func (f *Follower) Status() records.FollowerStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.status
 }
 
-// DiskError returns the text of the last write's error, or an empty string if it succeeded.
+// DiskError returns the error of the last write, or an empty string if it succeeded.
 func (f *Follower) DiskError() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.diskError
 }
 
-// Changed returns a channel that is closed when the copy comes to its next version. A caller
-// gets the channel before it reads the status: otherwise it can miss a version.
+// Changed returns a channel that is closed when the replica reaches its next version. A caller must
+// get the channel before it reads the status: otherwise it can miss a version.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -260,9 +259,9 @@
 // Traffic returns the counters of all connections to servers.
 func (f *Follower) Traffic() *Traffic { return &f.traffic }
 
-// View calls read with the replica in the goroutine of Run, and returns afterwards. The function
-// must neither change nor retain the replica. If the context ends first, also
-// because Run has ended, read is not called, and the error wraps the context's.
+// View calls read with the replica in the goroutine of Run, and waits until it has returned. The
+// function must neither modify nor retain the replica. If the context ends first, read is not called,
+// and the error wraps that of the context. Once Run has ended, View waits until the context ends.
 func (f *Follower) View(ctx context.Context, read func(*records.Replica)) error {
 	requested := view{read: read, done: make(chan struct{})}
 	select {
--- a/internal/recordsync/follower_test.go
+++ b/internal/recordsync/follower_test.go
@@ -18,21 +18,22 @@
 	"elderyard/records"
 )
 
-// running is a follower of a test, and the function that ends its goroutine.
-type running struct {
+// runningFollower is a follower that runs until stop is called.
+type runningFollower struct {
 	*Follower
 	t    testing.TB
 	stop func()
 }
 
+// options returns options with a budget that the tests do not reach.
 func options(dir string, servers ...string) Options {
 	return Options{Name: "g1", Servers: servers, Dir: dir, Dial: (&net.Dialer{}).DialContext, Log: discard(),
 		BytesPerSecond: 1 << 20, BurstBytes: 1 << 20,
 		BaseURL: func(server string) string { return "http://" + server }}
 }
 
-// start opens and runs a follower until the end of the test.
-func start(t testing.TB, o Options) *running {
+// start opens a follower, and runs it until the end of the test.
+func start(t testing.TB, o Options) *runningFollower {
 	t.Helper()
 	f, err := Open(o)
 	testwait.Must(t, err)
@@ -41,23 +42,24 @@
 	go func() { defer close(done); f.Run(ctx) }()
 	stop := func() { cancel(); <-done }
 	t.Cleanup(stop)
-	return &running{f, t, stop}
+	return &runningFollower{f, t, stop}
 }
 
 // awaitVersionOf waits until the follower is at the source's version.
-func (r *running) awaitVersionOf(source *memorySource) records.FollowerStatus {
+func (r *runningFollower) awaitVersionOf(source *memorySource) records.FollowerStatus {
 	r.t.Helper()
 	var status records.FollowerStatus
-	testwait.Until(r.t, testTimeout, fmt.Sprintf("version %d is in force", source.version()), func() bool {
+	testwait.Until(r.t, testTimeout, fmt.Sprintf("the follower has version %d", source.version()), func() bool {
 		status = r.Status()
 		return status.Version == source.version() && status.Digest == source.digest()
 	})
 	return status
 }
 
+// addressOf returns the address of a server.
 func addressOf(server *httptest.Server) string { return server.Listener.Addr().String() }
 
-// Changes come into force, and a restart continues with the persisted copy.
+// A follower applies changes as they come, and a restart continues with the persisted replica.
 func TestFollowerAppliesChanges(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
@@ -75,33 +77,34 @@
 		<-changed
 		first.awaitVersionOf(source)
 	}
-	var names int
-	testwait.Must(t, first.View(t.Context(), func(replica *records.Replica) { names = replica.Len() }))
+	var count int
+	testwait.Must(t, first.View(t.Context(), func(replica *records.Replica) { count = replica.Len() }))
 	status := first.Status()
-	if age, known := status.Age(time.Now()); names != 105 || !known || age < 0 || status.Reason != "" {
-		t.Fatalf("%d records, %+v", names, status)
+	if age, known := status.Age(time.Now()); count != 105 || !known || age < 0 || status.Reason != "" {
+		t.Fatalf("%d records, %+v", count, status)
 	}
 	if first.Traffic().Received() == 0 || first.Traffic().Sent() == 0 {
-		t.Fatal("nothing was counted")
+		t.Fatal("no traffic was counted")
 	}
 	first.stop()
 
-	// A restart has the copy at once, and its age.
+	// After a restart, the replica and its age are there at once.
 	source.apply(t, plan("during-the-restart", 1), plan("another", 1))
-	again, err := Open(options(dir, servers...))
+	reopened, err := Open(options(dir, servers...))
 	testwait.Must(t, err)
-	if now := again.Status(); now.Version != status.Version || now.Digest != status.Digest || now.ConfirmedAt.IsZero() {
+	if now := reopened.Status(); now.Version != status.Version || now.Digest != status.Digest || now.ConfirmedAt.IsZero() {
 		t.Fatalf("%+v after the restart, %+v before", now, status)
 	}
-	again.store.closeJournal()
+	reopened.store.closeJournal()
 	second := start(t, options(dir, servers...))
 	second.awaitVersionOf(source)
 	if second.Status().Version <= status.Version {
-		t.Fatal("it did not go on")
+		t.Fatal("the version did not increase after the restart")
 	}
 }
 
-// Without Run, a view ends with its context, and announced heads do not block.
+// Without Run, View ends with its context, and NotifyHead does not block and retains the newest
+// version.
 func TestFollowerWithoutRun(t *testing.T) {
 	t.Parallel()
 	if _, err := Open(options(t.TempDir())); err == nil {
@@ -122,8 +125,8 @@
 	}
 }
 
-// faultyServers returns servers that each fail in one way, by the name of the fault. They are
-// at the source's version, apart from the one that is behind.
+// faultyServers returns the handlers of servers with one fault each, by the name of the fault. All
+// serve the source, except the one that is behind.
 func faultyServers(t testing.TB) map[string]func(source *memorySource) http.Handler {
 	t.Helper()
 	stale := newMemorySource()
@@ -159,10 +162,11 @@
 	}
 }
 
-// A faulty server of two is ejected, by followers whose names spread them over both.
+// Followers eject the faulty one of two servers and reach the newest version at the other. The names
+// of the followers distribute their first requests over both.
 func TestFollowerEjectsFaultyServer(t *testing.T) {
 	t.Parallel()
-	const followers = 24 // the first server goes by a hash of name and address: one run in 2^24 sends nothing to the faulty one
+	const followers = 24 // a hash of name and address selects the first server: one run in 2^24 sends no request to the faulty one
 	for name, handler := range faultyServers(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -176,7 +180,7 @@
 				inner.ServeHTTP(w, r)
 			}))
 			healthy := serve(t, NewHandler(source))
-			var list []*running
+			var list []*runningFollower
 			for i := range followers {
 				o := options(t.TempDir(), addressOf(faulty), addressOf(healthy))
 				o.Name = fmt.Sprint("g", i)
@@ -199,55 +203,56 @@
 	}
 }
 
-// A follower without servers retains its version and reports its age, and follows again when a
-// server returns.
-func TestFollowerReturnsAfterBeingCutOff(t *testing.T) {
+// A follower whose servers are down retains its version and reports its age, and resumes when a
+// server is back.
+func TestFollowerResumesAfterServerOutage(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
 	source.apply(t, manyPlans(10)...)
-	var cut atomic.Bool
+	var down atomic.Bool
 	inner := NewHandler(source)
 	server := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if cut.Load() {
+		if down.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		inner.ServeHTTP(w, r)
 	}))
 	f := start(t, options(t.TempDir(), addressOf(server)))
 	before := f.awaitVersionOf(source)
-	cut.Store(true)
+	down.Store(true)
 	server.CloseClientConnections()
 	source.apply(t, plan("later", 1))
 	f.NotifyHead(source.version())
 	var status records.FollowerStatus
-	testwait.Until(t, testTimeout, "the status has the reason", func() bool {
+	testwait.Until(t, testTimeout, "the status has a reason", func() bool {
 		status = f.Status()
 		return status.Reason != "" && status.Head == source.version()
 	})
 	if strings.Contains(status.Reason, ChangesPath) || !strings.Contains(status.Reason, addressOf(server)) {
-		t.Fatalf("the reason names more than the server and the cause: %s", status.Reason)
+		t.Fatalf("the reason is not limited to the server and the cause: %s", status.Reason)
 	}
 	if status.Version != before.Version || status.Digest != before.Digest || status.Head != before.Version+1 {
 		t.Fatalf("%+v, %+v before", status, before)
 	}
-	older := status.ConfirmedAt
+	confirmedAt := status.ConfirmedAt
 	testwait.Until(t, testTimeout, "more failures", func() bool {
-		return f.Status().LastContact.Equal(status.LastContact) && time.Since(older) > time.Second
+		return f.Status().LastContact.Equal(status.LastContact) && time.Since(confirmedAt) > time.Second
 	})
-	if now := f.Status(); !now.ConfirmedAt.Equal(older) {
-		t.Fatalf("confirmed at %v, %v before: it was confirmed without a server", now.ConfirmedAt, older)
+	if now := f.Status(); !now.ConfirmedAt.Equal(confirmedAt) {
+		t.Fatalf("confirmed at %v without a server, at %v before", now.ConfirmedAt, confirmedAt)
 	}
-	cut.Store(false)
-	if status = f.awaitVersionOf(source); !status.ConfirmedAt.After(older) {
-		t.Fatalf("confirmed at %v still", status.ConfirmedAt)
+	down.Store(false)
+	if status = f.awaitVersionOf(source); !status.ConfirmedAt.After(confirmedAt) {
+		t.Fatalf("still confirmed at %v", status.ConfirmedAt)
 	}
 }
 
-// A follower that has missed more changes than the log has fetches only the ranges that differ.
+// A follower that has missed more changes than the server's log retains fetches only the ranges
+// that differ.
 func TestFollowerRepairsAcrossACompactedLog(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
-	source.apply(t, noise(5000)...)
+	source.apply(t, incompressiblePlans(5000)...)
 	server := addressOf(serve(t, NewHandler(source)))
 	dir := t.TempDir()
 	first := start(t, options(dir, server))
@@ -272,7 +277,7 @@
 	}
 }
 
-// A follower whose snapshot is damaged fetches the records again.
+// A follower with a damaged snapshot quarantines it and fetches the records again.
 func TestFollowerRefetchesAfterSnapshotDamage(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
@@ -297,8 +302,8 @@
 	}
 }
 
-// A follower whose directory cannot be written goes on, and reports the error.
-func TestFollowerGoesOnWithoutDisk(t *testing.T) {
+// A follower whose directory cannot be written continues in memory, and reports the error.
+func TestFollowerContinuesWithoutDisk(t *testing.T) {
 	t.Parallel()
 	source := newMemorySource()
 	source.apply(t, manyPlans(20)...)
@@ -309,7 +314,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
-	r := &running{f, t, nil}
+	r := &runningFollower{f, t, nil}
 	r.awaitVersionOf(source)
 	if !strings.Contains(f.DiskError(), dir) {
 		t.Fatalf("the disk error is %q", f.DiskError())
@@ -318,8 +323,9 @@
 	<-done
 }
 
-// noise returns plans that compress badly, so that a budget of bytes is reached.
-func noise(count int) (operations []records.Operation) {
+// incompressiblePlans returns plans with random names, which compress badly: their responses are
+// large enough to reach a traffic budget.
+func incompressiblePlans(count int) (operations []records.Operation) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range count {
 		operations = append(operations, plan(fmt.Sprintf("%016x%016x-%d", random.Uint64(), random.Uint64(), i), 1+random.IntN(1_000_000)))
@@ -327,8 +333,8 @@
 	return operations
 }
 
-// A repair during changes uses no more bytes than the budget and one response.
-func TestFollowerStaysWithinBudget(t *testing.T) {
+// A repair during changes uses at most the traffic budget and one response.
+func TestFollowerLimitsTraffic(t *testing.T) {
 	t.Parallel()
 	const (
 		bytesPerSecond   = 20_000
@@ -336,7 +342,7 @@
 		maxResponseBytes = 64 << 10 // a chunk before compression, and its headers
 	)
 	source := newMemorySource()
-	source.apply(t, noise(3000)...)
+	source.apply(t, incompressiblePlans(3000)...)
 	server := serve(t, NewHandler(source))
 	o := options(t.TempDir(), addressOf(server))
 	o.BytesPerSecond, o.BurstBytes = bytesPerSecond, burst
@@ -346,11 +352,11 @@
 		used := f.Traffic().Received() + f.Traffic().Sent()
 		limit := burst + maxResponseBytes + int64(bytesPerSecond*time.Since(began).Seconds())
 		if used > limit {
-			t.Fatalf("%d bytes, %d may be", used, limit)
+			t.Fatalf("%d bytes were used, the limit is %d", used, limit)
 		}
 	}
 	urgent := 0
-	testwait.Until(t, testTimeout, "the copy is complete", func() bool {
+	testwait.Until(t, testTimeout, "the replica is complete", func() bool {
 		if checkBudget(); urgent < 50 {
 			source.apply(t, plan(fmt.Sprint("urgent", urgent), 1))
 			urgent++
@@ -358,9 +364,9 @@
 		return f.Status().Digest == source.digest()
 	})
 	if urgent < 2 {
-		t.Fatalf("%d changes while the copy was fetched", urgent)
+		t.Fatalf("%d changes while the replica was fetched", urgent)
 	}
-	// A later change arrives although the budget is spent.
+	// A later change is received although the budget is exhausted.
 	source.apply(t, plan("last", 1))
 	f.awaitVersionOf(source)
 	checkBudget()
--- a/internal/recordsync/golden_test.go
+++ b/internal/recordsync/golden_test.go
@@ -22,7 +22,7 @@
 )
 
 // goldenSource returns a source with few and short records: messages about them are not
-// compressed, so their bytes do not depend on a library.
+// compressed, so their bytes do not depend on the version of a library.
 func goldenSource(t testing.TB) *memorySource {
 	t.Helper()
 	source := newMemorySource()
@@ -42,14 +42,14 @@
 	}
 }
 
-// Requests are the same bytes on the wire, with every field set.
+// Requests keep their encoding on the wire, byte for byte, with every field set.
 func TestGoldenRequests(t *testing.T) {
 	for name, request := range allRequests() {
 		t.Run(name, func(t *testing.T) {
 			value := reflect.ValueOf(request)
 			for i := range value.NumField() {
 				if value.Field(i).IsZero() && name != "changes_minimal" {
-					t.Errorf("%T.%s is not set in the pinned value", request, value.Type().Field(i).Name)
+					t.Errorf("%T.%s is not set in the golden value", request, value.Type().Field(i).Name)
 				}
 			}
 			golden.File(t, "golden/request_"+name+".http", sentBytes(t, request))
@@ -57,7 +57,7 @@
 	}
 }
 
-// sentBytes returns a follower's request as it is sent over the connection.
+// sentBytes returns the bytes that a follower sends over its connection for a request.
 func sentBytes(t *testing.T, request records.Request) []byte {
 	t.Helper()
 	client, server := net.Pipe()
@@ -106,7 +106,7 @@
 	}
 }
 
-// Responses are the same bytes on the wire, errors included.
+// Responses keep their encoding on the wire, byte for byte, errors included.
 func TestGoldenResponses(t *testing.T) {
 	source := goldenSource(t)
 	handler := NewHandler(source)
@@ -138,8 +138,7 @@
 	golden.File(t, "golden/response_too_many_waiting.http", receivedBytes(t, address, "GET", present+"&wait_ms=1"))
 }
 
-// receivedBytes returns a server's response as it is received over the connection, without its
-// date.
+// receivedBytes returns the bytes of a server's response on the connection, without its Date header.
 func receivedBytes(t *testing.T, address, method, target string) []byte {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -160,8 +159,8 @@
 	return []byte(strings.Join(lines, "\r\n") + "\r\n\r\n" + body)
 }
 
-// Large changes and the digests of all ranges are compressed by a library: the responses of
-// released servers are decoded.
+// Large changes and the digests of all ranges are compressed by a library, so their bytes may
+// change with it: the responses of released servers must remain decodable.
 func TestGoldenCompressedResponses(t *testing.T) {
 	source := goldenSource(t)
 	source.apply(t, manyPlans(50)...)
@@ -190,20 +189,20 @@
 	}
 }
 
-// The files of a follower have the same names, modes and, since they are too short to be
-// compressed, bytes.
+// The files of a follower keep their names, their modes and, because they are too short to be
+// compressed, their bytes.
 func TestGoldenDisk(t *testing.T) {
 	source := newMemorySource()
 	source.apply(t, plan("gold", 7))
 	dir := filepath.Join(t.TempDir(), "copy")
-	f, replica := reopen(t, dir)
-	advance(t, f, replica, source)
+	disk, replica := reopen(t, dir)
+	advance(t, disk, replica, source)
 	source.apply(t, plan("gold", 8))
-	advance(t, f, replica, source)
+	advance(t, disk, replica, source)
 	source.apply(t, records.Operation{Key: records.Key{Kind: records.Plan, Name: "gold"}, Delete: true}, plan("silver", 1))
-	advance(t, f, replica, source)
-	testwait.Must(t, f.writeConfirmation(3, time.Date(2026, 12, 2, 6, 0, 1, 123456789, time.FixedZone("CET", 3600))))
-	f.closeJournal()
+	advance(t, disk, replica, source)
+	testwait.Must(t, disk.writeConfirmation(3, time.Date(2026, 12, 2, 6, 0, 1, 123456789, time.FixedZone("CET", 3600))))
+	disk.closeJournal()
 	requireModes(t, dir, map[string]os.FileMode{"": 0o700, "records": 0o600, "records.journal": 0o600, "records.confirmed": 0o600})
 	for _, name := range []string{"records", "records.journal", "records.confirmed"} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
@@ -213,11 +212,11 @@
 	var decoded confirmation
 	testwait.Must(t, json.Unmarshal(golden.Read(t, "golden/disk/records.confirmed", nil), &decoded))
 	if reflect.ValueOf(decoded).NumField() != 2 || decoded.Version == 0 || decoded.At.IsZero() {
-		t.Errorf("a field of %+v is not set in the pinned value", decoded)
+		t.Errorf("a field of %+v is not set in the golden value", decoded)
 	}
 }
 
-// requireModes requires that a folder holds these files and no others.
+// requireModes checks that a directory contains exactly these files, with these modes.
 func requireModes(t *testing.T, dir string, want map[string]os.FileMode) {
 	t.Helper()
 	got := map[string]os.FileMode{}
@@ -229,41 +228,41 @@
 		return nil
 	}))
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the folder holds %v, want %v", got, want)
+		t.Errorf("the directory contains %v, want %v", got, want)
 	}
 }
 
-// The files of a released program are read; unusable ones are quarantined.
+// The files of a released program are loaded; unusable ones are quarantined.
 func TestGoldenDiskIsRead(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "copy")
 	testwait.Must(t, os.Mkdir(dir, 0o700))
 	for _, name := range []string{"records", "records.journal", "records.confirmed"} {
 		testwait.Must(t, os.WriteFile(filepath.Join(dir, name), golden.Read(t, "golden/disk/"+name, nil), 0o600))
 	}
-	f, replica := reopen(t, dir)
+	disk, replica := reopen(t, dir)
 	if _, found := replica.Get(records.Key{Kind: records.Plan, Name: "silver"}); !found || replica.Version() != 3 || replica.Len() != 1 {
 		t.Errorf("version %d, %d records", replica.Version(), replica.Len())
 	}
-	if at := f.loadConfirmation(3); !at.Equal(time.Date(2026, 12, 2, 5, 0, 1, 123456789, time.UTC)) {
+	if at := disk.loadConfirmation(3); !at.Equal(time.Date(2026, 12, 2, 5, 0, 1, 123456789, time.UTC)) {
 		t.Errorf("confirmed at %v", at)
 	}
-	f.closeJournal()
+	disk.closeJournal()
 	// A confirmation may have fields that this program does not know.
 	testwait.Must(t, os.WriteFile(filepath.Join(dir, "records.confirmed"), []byte(`{"unknown_field":1,"version":3,"at":"2026-12-02T05:00:01Z"}`), 0o600))
-	if f.loadConfirmation(3).IsZero() {
+	if disk.loadConfirmation(3).IsZero() {
 		t.Error("a confirmation with an unknown field is not read")
 	}
 	testwait.Must(t, os.WriteFile(filepath.Join(dir, "records"), []byte("damaged"), 0o600))
 	_, replica = reopen(t, dir)
 	requireModes(t, dir, map[string]os.FileMode{"": 0o700, "records.damaged": 0o600, "records.journal.damaged": 0o600, "records.confirmed": 0o600})
 	if replica.Version() != 0 {
-		t.Errorf("version %d of a damaged copy", replica.Version())
+		t.Errorf("version %d of a damaged snapshot", replica.Version())
 	}
 }
 
-// A snapshot and a journal that a library has compressed are read.
+// A compressed snapshot and journal of a released program are loaded.
 func TestGoldenCompressedDisk(t *testing.T) {
-	dir, source := writeTestFolder(t)
+	dir, source := writeTestDirectory(t)
 	for _, name := range []string{"records", "records.journal"} {
 		data, err := os.ReadFile(filepath.Join(dir, name))
 		testwait.Must(t, err)
@@ -274,7 +273,7 @@
 	}
 }
 
-// Bounds and time limits are part of how old and new programs work together.
+// Limits and timeouts are part of the compatibility between old and new programs.
 func TestGoldenConstants(t *testing.T) {
 	text := fmt.Sprintln(MaxWaiting, maxConcurrentContents, writeTimeout, maxErrorTextBytes, maxFileBytes, confirmInterval, maxCachedResponses, minTickInterval, idleTimeout)
 	if want := "2048 4 30s 256 67108864 30s 4 1ms 1m0s\n"; text != want {
--- a/internal/recordsync/handler.go
+++ b/internal/recordsync/handler.go
@@ -12,11 +12,11 @@
 )
 
 // MaxWaiting is the number of requests for changes that may wait in a handler at once. Further
-// ones are rejected with status 503, and the follower goes to another server.
+// ones are rejected with status 503, and the follower tries another server.
 const MaxWaiting = 2048
 
 // maxConcurrentContents is the number of responses with the content of ranges that are encoded
-// at once. It bounds the memory: each one needs some hundreds of kB. Further requests wait.
+// at once. It bounds memory: each one needs some hundreds of kB. Further requests wait.
 const maxConcurrentContents = 4
 
 // writeTimeout is the time within which a client must have read a response.
@@ -24,19 +24,19 @@
 
 // Source is the store of a handler. It must be safe for concurrent use.
 type Source interface {
-	// ReadRecords calls read with the present store, which read must neither change nor
+	// ReadRecords calls read with the current store, which read must neither modify nor
 	// retain.
 	ReadRecords(read func(*records.Store))
 	// RecordsChanged returns a channel that is closed at the next change after the call.
 	RecordsChanged() <-chan struct{}
 }
 
-// Handler responds to followers from one source. The source need not be the leader: a response
-// has the version that it was read at.
+// Handler responds to followers from one source. The source need not be the leader: each response
+// states its version.
 type Handler struct {
 	source       Source
-	waitingSlots chan struct{} // has an element for each waiting request
-	contentSlots chan struct{} // has an element for each response that is being encoded
+	waitingSlots chan struct{} // semaphore of waiting requests
+	contentSlots chan struct{} // semaphore of responses that are being encoded
 	responses    responseCache
 	mux          *http.ServeMux
 }
@@ -55,8 +55,8 @@
 	return h
 }
 
-// ServeHTTP implements http.Handler for the paths of this package. The status is 400 for an
-// invalid query, and 503 if MaxWaiting requests wait.
+// ServeHTTP implements http.Handler for the paths of this package. It responds with status 400 to
+// an invalid query, and with 503 if MaxWaiting requests wait.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
 // Waiting returns the number of requests for changes that wait.
@@ -84,8 +84,8 @@
 // errTooManyWaiting means that MaxWaiting requests wait.
 var errTooManyWaiting = fmt.Errorf("%d requests for changes are waiting, and no more may", MaxWaiting)
 
-// awaitChanges returns the response as soon as there is something new, or when the request's
-// wait is over. The error is errTooManyWaiting or that of the context.
+// awaitChanges returns the response as soon as it has a change, or when the wait of the request
+// expires. The error is errTooManyWaiting or that of the context.
 func (h *Handler) awaitChanges(ctx context.Context, request records.ChangesRequest) (records.ChangesResponse, error) {
 	response, changed := h.currentResponse(request)
 	if !response.NothingNew() || request.Wait <= 0 {
@@ -112,7 +112,7 @@
 	return response, nil
 }
 
-// currentResponse returns the response in the present state, and a channel that is closed when
+// currentResponse returns the response for the current state, and a channel that is closed when
 // the state changes.
 func (h *Handler) currentResponse(request records.ChangesRequest) (response records.ChangesResponse, changed <-chan struct{}) {
 	changed = h.source.RecordsChanged() // must precede the read: otherwise a change in between is missed
@@ -159,7 +159,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	// A connection that supports no deadlines has none.
+	// Ignores the error of a connection without support for deadlines.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
--- a/internal/recordsync/handler_test.go
+++ b/internal/recordsync/handler_test.go
@@ -15,7 +15,7 @@
 	"elderyard/records"
 )
 
-// A response has the changes, nothing, or the reason for which there are none.
+// A response contains the changes, nothing new, or the reason why it can't contain them.
 func TestHandlerServesChanges(t *testing.T) {
 	source := newMemorySource()
 	source.apply(t, manyPlans(3)...)
@@ -28,7 +28,7 @@
 	if response.Version != 1 || response.Delta == nil || len(response.Delta.Puts) != 3 {
 		t.Fatalf("%+v", response)
 	}
-	// A repeat is served from the cache.
+	// The same request again is served from the cache.
 	again, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Digest: &empty})
 	testwait.Must(t, err)
 	if again.Delta == nil || again.Delta.Digest != response.Delta.Digest {
@@ -46,7 +46,8 @@
 	}
 }
 
-// A request waits for a change, at most until its client closes the connection or its wait ends.
+// A request waits for a change until its client closes the connection or its wait expires. It must
+// then release its slot.
 func TestHandlerWaitsForAChange(t *testing.T) {
 	source := newMemorySource()
 	source.apply(t, plan("gold", 1))
@@ -71,7 +72,7 @@
 	}
 	testwait.Until(t, testTimeout, "no request waits", func() bool { return handler.Waiting() == 0 })
 
-	// A request whose client closes the connection frees its slot.
+	// A request whose client closes the connection releases its slot.
 	ctx, cancel := context.WithCancel(t.Context())
 	canceled := make(chan error, 1)
 	digest = source.digest()
@@ -86,7 +87,7 @@
 	}
 	testwait.Until(t, testTimeout, "its slot is free", func() bool { return handler.Waiting() == 0 })
 
-	// Without a change the wait ends in time.
+	// Without a change, the wait expires.
 	response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: time.Millisecond})
 	if err != nil || !response.NothingNew() {
 		t.Fatalf("%+v, %v", response, err)
@@ -105,14 +106,14 @@
 	_, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Wait: records.MaxWait})
 	rejected, ok := errors.AsType[*statusError](err)
 	if !ok || rejected.code != http.StatusServiceUnavailable {
-		t.Fatalf("one more than may wait: %v", err)
+		t.Fatalf("a request above MaxWaiting: %v", err)
 	}
 	if response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{}); err != nil || !response.NothingNew() {
-		t.Fatalf("one that does not wait: %+v, %v", response, err)
+		t.Fatalf("a request that does not wait: %+v, %v", response, err)
 	}
 }
 
-// The responses with ranges suffice for a repair.
+// The digests and the content of ranges are sufficient for a repair.
 func TestHandlerServesRanges(t *testing.T) {
 	source := newMemorySource()
 	source.apply(t, manyPlans(500)...)
@@ -145,7 +146,7 @@
 	}
 }
 
-// An invalid query has status 400 and a text that names the parameter.
+// An invalid query has status 400 and a body that names the parameter.
 func TestHandlerRejectsInvalidQueries(t *testing.T) {
 	source := newMemorySource()
 	url := serve(t, NewHandler(source)).URL
@@ -195,8 +196,8 @@
 	s.memorySource.ReadRecords(read)
 }
 
-// However many followers request the content of ranges at once, at most maxConcurrentContents
-// responses are encoded at a time; the others wait, and all are served.
+// Of many concurrent requests for the content of ranges, at most maxConcurrentContents are encoded
+// at a time, which bounds memory; the others wait, and all are served.
 func TestHandlerLimitsConcurrentContents(t *testing.T) {
 	source := &blockedSource{memorySource: newMemorySource(), release: make(chan struct{})}
 	source.apply(t, manyPlans(3)...)
@@ -227,6 +228,6 @@
 		}
 	}
 	if highest := source.maxReading.Load(); highest > maxConcurrentContents {
-		t.Errorf("%d were encoded at once, at most %d may be", highest, maxConcurrentContents)
+		t.Errorf("%d responses were encoded at once, the limit is %d", highest, maxConcurrentContents)
 	}
 }
--- a/internal/recordsync/helpers_test.go
+++ b/internal/recordsync/helpers_test.go
@@ -17,7 +17,7 @@
 
 var testTime = time.Date(2026, 12, 2, 5, 0, 0, 0, time.UTC)
 
-// memorySource is a store in memory.
+// memorySource is a Source in memory.
 type memorySource struct {
 	mu      sync.Mutex
 	store   *records.Store
@@ -67,6 +67,7 @@
 	return version
 }
 
+// plan returns an operation that puts a plan.
 func plan(name string, price int) records.Operation {
 	value := fmt.Sprintf(`{"price_weight":%d,"requests_per_second":10}`, price)
 	return records.Operation{Key: records.Key{Kind: records.Plan, Name: name}, Value: json.RawMessage(value)}
@@ -87,12 +88,12 @@
 	return server
 }
 
-// newWireClient returns a client of servers that are named by address.
+// newWireClient returns a client for servers whose names are their addresses.
 func newWireClient(t testing.TB) *serverClient {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(client.CloseIdleConnections)
-	return &serverClient{http: client, base: func(server string) string { return "http://" + server }}
+	return &serverClient{http: client, baseURL: func(server string) string { return "http://" + server }}
 }
 
 // requestChanges returns the decoded response of a server.
--- a/internal/recordsync/query.go
+++ b/internal/recordsync/query.go
@@ -22,8 +22,8 @@
 	return "", fmt.Errorf("a request of type %T is not known", request)
 }
 
-// parseChangesQuery decodes what formatChangesQuery returns. A longer wait than
-// records.MaxWait is shortened to it.
+// parseChangesQuery decodes a query of formatChangesQuery. It reduces a wait above records.MaxWait
+// to that.
 func parseChangesQuery(query url.Values) (records.ChangesRequest, error) {
 	since, err := strconv.ParseUint(query.Get("since"), 10, 64)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return request, nil
 }
 
-// formatChangesQuery returns a request for changes as a query.
+// formatChangesQuery encodes a request for changes as a query.
 func formatChangesQuery(request records.ChangesRequest) url.Values {
 	query := url.Values{"since": {strconv.FormatUint(request.Since, 10)}}
 	if request.Digest != nil {
@@ -59,7 +59,7 @@
 	return query
 }
 
-// parseContentQuery decodes what formatContentQuery returns.
+// parseContentQuery decodes a query of formatContentQuery.
 func parseContentQuery(query url.Values) (records.ContentRequest, error) {
 	ranges, err := records.ParseRanges(query.Get("ranges"))
 	if err != nil {
@@ -72,7 +72,7 @@
 	return records.ContentRequest{Ranges: ranges, MaxBytes: int(maxBytes)}, nil
 }
 
-// formatContentQuery returns a request for content as a query.
+// formatContentQuery encodes a request for content as a query.
 func formatContentQuery(request records.ContentRequest) url.Values {
 	return url.Values{"ranges": {records.FormatRanges(request.Ranges)}, "max_bytes": {strconv.Itoa(request.MaxBytes)}}
 }
--- a/internal/recordsync/response_cache.go
+++ b/internal/recordsync/response_cache.go
@@ -10,11 +10,11 @@
 // maxCachedResponses is the number of encoded responses that are cached.
 const maxCachedResponses = 4
 
-// responseCache has the responses that were encoded last. A change wakes hundreds of followers
-// at one version, which all receive the same response. It is safe for concurrent use.
+// responseCache caches the latest encoded responses. A change wakes hundreds of followers that are
+// at the same version and receive the same response. It is safe for concurrent use.
 type responseCache struct {
 	mu      sync.Mutex
-	entries []cachedResponse // newest last
+	entries []cachedResponse // oldest first
 }
 
 // cachedResponse is an encoded response with a delta.
@@ -25,10 +25,10 @@
 	data   []byte
 }
 
-// encode returns the response in its form on the wire. Only responses with a delta are cached:
-// the delta is determined by the versions that it leads from and to, and by the digest there.
-// The lock spans the encoding, so that followers that are woken together wait
-// for one encoding instead of each performing it.
+// encode returns the encoded response. Only responses with a delta are cached: the delta is
+// determined by the versions before and after it, and by the digest of the latter. The lock is held
+// during the encoding, so that followers that are woken together wait for one encoding instead of
+// each performing it.
 func (c *responseCache) encode(request records.ChangesRequest, response records.ChangesResponse) ([]byte, error) {
 	if response.Delta == nil {
 		return records.EncodeChangesResponse(response)
--- a/internal/recordsync/traffic.go
+++ b/internal/recordsync/traffic.go
@@ -19,7 +19,7 @@
 // Dialer opens a connection, like net.Dialer.DialContext.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Count returns a dialer whose connections the traffic counts.
+// Count wraps a dialer so that the bytes of its connections are counted.
 func (t *Traffic) Count(dial Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -28,6 +28,7 @@
 // The golden files of this package are a voter's directory as existing sites have it, and
 // the agents' response about voters.
 
+// TestGoldenMember: the response about a voter keeps its keys.
 func TestGoldenMember(t *testing.T) {
 	member := Member{Name: "v1", Address: "127.0.0.1:7400", Leader: true, NonVoter: true}
 	golden.Complete(t, member)
--- a/internal/replica/net_test.go
+++ b/internal/replica/net_test.go
@@ -65,6 +65,7 @@
 	blackhole bool
 }
 
+// Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	c.network.mu.Lock()
 	blackhole := c.blackhole
@@ -95,6 +96,7 @@
 	return &streamLayer{listener, n, name}, nil
 }
 
+// Dial implements raft.StreamLayer.
 func (s *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	s.network.mu.Lock()
 	to := s.network.names[string(address)]
@@ -116,6 +118,7 @@
 	return wrapped, nil
 }
 
+// Close implements net.Conn.
 func (c *conn) Close() error {
 	c.network.mu.Lock()
 	delete(c.network.conns, c)
