--- a/internal/peers/admin.go
+++ b/internal/peers/admin.go
@@ -8,8 +8,8 @@
 	"elderyard/members"
 )
 
-// Paths of the admin interface. StatusPath returns a Status; EvidencePath an EvidenceReport on the member in the query
-// parameter name, on all without it.
+// Paths of the admin interface. StatusPath returns a Status. EvidencePath returns an EvidenceReport on the member in
+// the query parameter name, or on all members without it.
 const (
 	StatusPath   = "/_peers"
 	EvidencePath = "/_peers/why"
@@ -25,7 +25,7 @@
 	Traffic     Traffic               `json:"traffic"`
 }
 
-// OperationPermission reports whether an operation is allowed now, and the reason.
+// OperationPermission states whether an operation is allowed now, and the reason.
 type OperationPermission struct {
 	Operation string `json:"use"`
 	Allowed   bool   `json:"may"`
@@ -35,11 +35,11 @@
 // EvidenceReport is the response at EvidencePath.
 type EvidenceReport struct {
 	Self     string             `json:"self"`
-	At       members.Time       `json:"at_ns"` // now, on the process's own clock
+	At       members.Time       `json:"at_ns"` // now, on the clock of the process
 	Evidence []members.Evidence `json:"evidence"`
 }
 
-// Status returns this process's present status for operators.
+// Status returns the current status of this process, for operators.
 func (p *Peers) Status() Status {
 	status := Status{Version: protocolVersion, Site: p.settings.Site, Clock: time.Now().UTC(), View: p.View(), Traffic: p.Traffic()}
 	for _, op := range members.Operations() {
@@ -49,13 +49,13 @@
 	return status
 }
 
-// Summary returns the latest view in one line, with its ages.
+// Summary returns the latest view as one line of text, with ages relative to now.
 func (p *Peers) Summary() string {
 	view := p.View()
 	return "peers: " + view.Line(p.clock.now())
 }
 
-// AdminHandler returns the handler of StatusPath and EvidencePath. Both answer GET with JSON.
+// AdminHandler returns the handler of StatusPath and EvidencePath. Both respond to GET with JSON.
 func (p *Peers) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+StatusPath, func(w http.ResponseWriter, r *http.Request) { writeJSON(w, p.Status()) })
@@ -75,7 +75,7 @@
 	return mux
 }
 
-// writeJSON responds with a value and a newline.
+// writeJSON responds with a JSON value and a newline.
 func writeJSON(w http.ResponseWriter, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/peers/clock_linux.go
+++ b/internal/peers/clock_linux.go
@@ -8,7 +8,8 @@
 	"elderyard/members"
 )
 
-// clock counts from its creation, also while the process or the machine is suspended, and independently of the wall clock.
+// clock measures the time since its creation, including the time that the process or the machine was suspended. It does
+// not depend on the wall clock.
 type clock struct{ start time.Duration }
 
 func newClock() clock { return clock{sinceBoot()} }
@@ -19,7 +20,7 @@
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
-		return 0 // unreachable: the Go runtime needs a newer kernel than this clock
+		return 0 // unreachable: every kernel that the Go runtime supports has this clock
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/peers/clock_other.go
+++ b/internal/peers/clock_other.go
@@ -8,8 +8,8 @@
 	"elderyard/members"
 )
 
-// clock counts from its creation. Where the system's monotonic clock stops while the machine is suspended, package members
-// does not detect that.
+// clock measures the time since its creation. If the system's monotonic clock stops while the machine is suspended,
+// package members does not detect the suspension.
 type clock struct{ start time.Time }
 
 func newClock() clock { return clock{time.Now()} }
--- a/internal/peers/golden_admin_test.go
+++ b/internal/peers/golden_admin_test.go
@@ -19,21 +19,21 @@
 	"elderyard/members"
 )
 
-// openWithoutSockets returns Peers that have read their files and opened no socket; Run is not called.
+// openWithoutSockets returns Peers that have read their files, but have no sockets and do not run.
 func openWithoutSockets(t *testing.T) *Peers {
 	t.Helper()
 	s := newSite(t, "north", 2)
-	set := s.settings("g0")
-	set.WaitForAddress = true
-	p, err := Open(set)
+	settings := s.settings("g0")
+	settings.WaitForAddress = true
+	p, err := Open(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// The admin interface keeps its paths, statuses, types and bodies.
-func TestGoldenCalls(t *testing.T) {
+// The admin interface keeps its paths, statuses, content types and bodies.
+func TestGoldenAdminResponses(t *testing.T) {
 	p := openWithoutSockets(t)
 	done := make(chan struct{})
 	go func() {
@@ -75,7 +75,7 @@
 	}
 	for i, op := range members.Operations() {
 		if response.Permissions[i].Operation != op.String() {
-			t.Errorf("%v is in place of %v", response.Permissions[i].Operation, op)
+			t.Errorf("operation %v, want %v", response.Permissions[i].Operation, op)
 		}
 	}
 	var report EvidenceReport
@@ -88,6 +88,7 @@
 	}
 }
 
+// decodeStrictly decodes JSON, and reports unknown fields as errors.
 func decodeStrictly(t *testing.T, text []byte, v any) {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -112,8 +113,8 @@
 	return keys
 }
 
-// A request for evidence fails if its context ends or the process has stopped.
-func TestGoldenCallsWithoutEvidence(t *testing.T) {
+// A request for evidence fails if its context ends or Run has returned.
+func TestGoldenEvidenceUnavailable(t *testing.T) {
 	p := openWithoutSockets(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -130,17 +131,17 @@
 	}
 }
 
-// Queries request these paths, decode the golden responses, and return these errors for others.
+// Queries request these paths, decode the golden responses, and return these errors for invalid responses.
 func TestGoldenQueries(t *testing.T) {
-	var called []string
+	var requested []string
 	status, body := http.StatusOK, []byte(nil)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		called = append(called, r.Method+" "+r.RequestURI)
+		requested = append(requested, r.Method+" "+r.RequestURI)
 		w.WriteHeader(status)
 		w.Write(body)
 	}))
 	t.Cleanup(func() { server.Close(); http.DefaultClient.CloseIdleConnections() })
-	at := server.Listener.Addr().String()
+	address := server.Listener.Addr().String()
 	respondWith := func(file string) {
 		t.Helper()
 		text, err := os.ReadFile(filepath.Join("testdata", file))
@@ -150,17 +151,17 @@
 		body = text
 	}
 	respondWith("answer.json")
-	if a, err := QueryStatus(t.Context(), at); err != nil || !reflect.DeepEqual(a, goldenStatus()) {
-		t.Errorf("%+v, %v", a, err)
+	if got, err := QueryStatus(t.Context(), address); err != nil || !reflect.DeepEqual(got, goldenStatus()) {
+		t.Errorf("%+v, %v", got, err)
 	}
 	respondWith("why.json")
 	for _, name := range []string{"", "g1", "g 1&x"} {
-		if w, err := QueryEvidence(t.Context(), at, name); err != nil || !reflect.DeepEqual(w, goldenEvidence()) {
-			t.Errorf("%+v, %v", w, err)
+		if got, err := QueryEvidence(t.Context(), address, name); err != nil || !reflect.DeepEqual(got, goldenEvidence()) {
+			t.Errorf("%+v, %v", got, err)
 		}
 	}
-	if want := []string{"GET /_peers", "GET /_peers/why?name=", "GET /_peers/why?name=g1", "GET /_peers/why?name=g+1%26x"}; !slices.Equal(called, want) {
-		t.Errorf("called %q, want %q", called, want)
+	if want := []string{"GET /_peers", "GET /_peers/why?name=", "GET /_peers/why?name=g1", "GET /_peers/why?name=g+1%26x"}; !slices.Equal(requested, want) {
+		t.Errorf("requested %q, want %q", requested, want)
 	}
 	var text []byte
 	for _, c := range []struct {
@@ -168,8 +169,8 @@
 		body   string
 	}{{http.StatusNotFound, "404"}, {http.StatusServiceUnavailable, " peers have stopped\n"}, {http.StatusOK, "{"}} {
 		status, body = c.status, []byte(c.body)
-		_, err := QueryStatus(t.Context(), at)
-		text = fmt.Appendf(text, "%s\n", strings.ReplaceAll(fmt.Sprint(err), at, "AT"))
+		_, err := QueryStatus(t.Context(), address)
+		text = fmt.Appendf(text, "%s\n", strings.ReplaceAll(fmt.Sprint(err), address, "AT"))
 	}
 	golden.File(t, "query_errors.txt", text)
 }
--- a/internal/peers/golden_settings_test.go
+++ b/internal/peers/golden_settings_test.go
@@ -13,7 +13,7 @@
 	"elderyard/members"
 )
 
-// The operators' files: of keys, and of the roster.
+// The key file and the roster file of operators keep their formats.
 func TestGoldenOperatorsFiles(t *testing.T) {
 	keys, err := readKeys(filepath.Join("testdata", "keys"))
 	if err != nil || len(keys) != 3 || string(keys[0]) != strings.Repeat("b", 32) || string(keys[1]) != strings.Repeat("a", 24) || string(keys[2]) != strings.Repeat("c", 16) {
@@ -25,17 +25,17 @@
 	}
 }
 
-// Each key of [peers] reaches its setting, and the roster of the environment takes precedence over the file's.
+// Each key of [peers] sets its field, and the roster file of the environment takes precedence over that of [peers].
 func TestGoldenSettings(t *testing.T) {
-	p := site.Peers{Listen: "127.0.0.2:7000", Advertise: "127.0.0.3:7000", Site: "north", KeyFile: "keys", Roster: "roster.toml", Dir: "dir",
+	config := site.Peers{Listen: "127.0.0.2:7000", Advertise: "127.0.0.3:7000", Site: "north", KeyFile: "keys", Roster: "roster.toml", Dir: "dir",
 		Seeds: []string{"g1"}, Every: strict.Duration(time.Second), MostKB: 3, Reach: []site.PeerReach{{Name: "g1", Address: "127.0.0.4:7000"}}}
-	golden.EveryField(t, p)
+	golden.EveryField(t, config)
 	want := Settings{Self: "g0", Site: "north", Listen: "127.0.0.2:7000", Advertise: "127.0.0.3:7000", AdminAddress: "127.0.0.2:8000", Dir: "dir", KeyFile: "keys",
 		RosterFile: "roster.toml", Seeds: []string{"g1"}, AddressOverrides: map[string]string{"g1": "127.0.0.4:7000"}, ProbeInterval: time.Second, MaxBytesPerSecond: 3072}
 	env := map[string]string{}
 	read := func() *Settings {
 		t.Helper()
-		s, err := FromSite(p, "g0", "127.0.0.2:8000", func(name string) string { return env[name] }, nil)
+		s, err := FromSite(config, "g0", "127.0.0.2:8000", func(name string) string { return env[name] }, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -13,9 +13,9 @@
 	"elderyard/members"
 )
 
-// The files in testdata are what gateways of all versions send each other, keep on disk and answer to operators. They were
-// written by the code that first had the value, and never change. A field that is added gets a golden file of its own,
-// beside the one that older versions write.
+// The files in testdata contain what gateways of all versions send to each other, store on disk and respond to
+// operators. They were written by the first code that had the value, and never change. An added field gets a golden
+// file of its own, in addition to the one that older versions write.
 
 func goldenRoster() members.Roster {
 	return members.Roster{Epoch: 7, Members: []members.Member{{Name: "g0", Since: 1}, {Name: "g1", Since: 7}}}
@@ -58,7 +58,8 @@
 	return savedState{Incarnation: 1<<60 + 3, Roster: goldenRoster(), Addresses: map[string]string{"g1": "127.0.0.3:7000", "g2": "[::1]:7000"}}
 }
 
-func TestGoldenForms(t *testing.T) {
+// Encodings keep their keys, and decoders ignore unknown keys.
+func TestGoldenEncodings(t *testing.T) {
 	t.Run("meta", func(t *testing.T) { golden.ExtensibleJSON(t, "meta.json", goldenMeta()) })
 	t.Run("message", func(t *testing.T) { golden.ExtensibleJSON(t, "message.json", goldenMessage()) })
 	t.Run("saved state", func(t *testing.T) { golden.ExtensibleJSON(t, "kept.json", goldenSavedState()) })
@@ -70,16 +71,16 @@
 	})
 }
 
-// Keys with an omitempty option are left out of values that have none, and all others are there.
-func TestGoldenFormsOfZeroValues(t *testing.T) {
+// In the encoding of zero values, keys with the omitempty option are absent and all others are present.
+func TestGoldenEncodingsOfZeroValues(t *testing.T) {
 	golden.JSONLines(t, "zero.jsonl", meta{}, message{}, savedState{}, Status{}, OperationPermission{}, EvidenceReport{}, QueryResult{}, Traffic{})
 }
 
-// What a gateway of the version that wrote the golden files sends is accepted, and what this one sends is the same.
+// Messages of the version that wrote the golden files are accepted, and this version sends the same ones.
 func TestGoldenMessagesAreAccepted(t *testing.T) {
 	for _, c := range []struct {
 		file  string
-		sends []byte
+		sent  []byte
 		check func(text []byte) error
 	}{
 		{"meta.json", goldenMeta().encode(), func(text []byte) error {
@@ -98,11 +99,11 @@
 		}},
 	} {
 		stored := golden.Read(t, c.file, nil)
-		if !bytes.Equal(c.sends, bytes.TrimSpace(stored)) {
-			t.Errorf("%s: the code sends %s", c.file, c.sends)
+		if !bytes.Equal(c.sent, bytes.TrimSpace(stored)) {
+			t.Errorf("%s: the code sends %s", c.file, c.sent)
 		}
 		for name, text := range map[string][]byte{
-			"as it is":                   stored,
+			"unchanged":                  stored,
 			"of a later version":         bytes.Replace(golden.WithNewKey(stored), []byte(`"v":1`), []byte(`"v":1,"later":[1]`), 1),
 			"with a key in another case": bytes.Replace(stored, []byte(`"v":1`), []byte(`"V":1`), 1),
 		} {
@@ -113,13 +114,13 @@
 	}
 }
 
-// Names, labels and versions that members of all versions agree on.
+// Node names, labels, versions and paths are the same in all versions.
 func TestGoldenWire(t *testing.T) {
 	text := fmt.Appendf(nil, "label of north: %x\n", clusterLabel("north"))
 	for _, incarnation := range []members.Incarnation{1, 35, 36, 1<<60 + 3, 1<<64 - 1} {
 		node := nodeName("g-1_b.c", incarnation)
-		if name, parsed, ok := splitName(node); !ok || name != "g-1_b.c" || parsed != incarnation {
-			t.Errorf("%q is read as %q, %d, %v", node, name, parsed, ok)
+		if name, parsed, ok := parseNodeName(node); !ok || name != "g-1_b.c" || parsed != incarnation {
+			t.Errorf("%q is parsed as %q, %d, %v", node, name, parsed, ok)
 		}
 		text = fmt.Appendf(text, "node: %s\n", node)
 	}
@@ -133,11 +134,11 @@
 	golden.File(t, "wire.txt", text)
 }
 
-// The saved state has the name, the mode and the content that other versions write, and theirs is read.
+// The file of the saved state keeps its name, mode and content, and this version loads that of others.
 func TestGoldenSavedStateFile(t *testing.T) {
 	dir := t.TempDir()
-	set := Settings{Self: "g0", Dir: dir}
-	if err := set.store(goldenSavedState()); err != nil {
+	settings := Settings{Self: "g0", Dir: dir}
+	if err := settings.store(goldenSavedState()); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, "g0.peers.json")
@@ -154,7 +155,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if k, err := set.load(); err != nil || !reflect.DeepEqual(k, goldenSavedState()) {
+		if k, err := settings.load(); err != nil || !reflect.DeepEqual(k, goldenSavedState()) {
 			t.Errorf("%s: decoded to %+v, %v", text, k, err)
 		}
 	}
--- a/internal/peers/incarnation.go
+++ b/internal/peers/incarnation.go
@@ -18,15 +18,15 @@
 	return err
 }
 
-// connect opens the sockets and starts the failure detector of this incarnation. Where that fails, an earlier detector
-// stays: Run receives its events and closes it.
+// connect opens the sockets and starts the failure detector of this incarnation. If that fails, p.detector stays the
+// previous one: Run receives its events and closes it.
 func (p *Peers) connect() error {
-	t, err := listen(&p.settings, &p.traffic)
+	sockets, err := listen(&p.settings, &p.traffic)
 	if err != nil {
 		return err
 	}
 	m, state := p.announcement()
-	detector, err := startDetector(&p.settings, t, p.keyring, p.saved.Incarnation, m, state)
+	detector, err := startDetector(&p.settings, sockets, p.keyring, p.saved.Incarnation, m, state)
 	if err != nil {
 		return err
 	}
@@ -35,15 +35,17 @@
 	return nil
 }
 
-// announcement returns what this process announces of itself: to all with each message about it, and in exchanges of state.
+// announcement returns the metadata of this process, which is part of each gossip message about it, and its state for
+// push/pull exchanges.
 func (p *Peers) announcement() (meta, message) {
 	r := p.machine.Roster()
 	return meta{Version: p.settings.protocolVersion, Epoch: r.Epoch, Sum: fmt.Sprintf("%016x", r.Sum()), AdminAddress: p.settings.AdminAddress},
 		message{Version: p.settings.protocolVersion, From: p.settings.Self, Roster: r, Incarnations: p.machine.Incarnations()}
 }
 
-// resign handles a later incarnation of this process's own name. A process that has only just started is itself the later
-// one, whatever its clock shows: it restarts with a higher incarnation. Any other closes the detector for good.
+// resign handles a higher incarnation of this process's own name. A process that has just started is the later one,
+// even if its clock is behind: it restarts with a still higher incarnation. Any other process closes its detector
+// permanently.
 func (p *Peers) resign(later members.Incarnation) {
 	if !members.MayRaiseIncarnation(p.incarnationRaises, p.clock.now()-p.incarnationStarted, p.settings.ProbeInterval) {
 		p.settings.Log.Warn("peers: superseded by a later incarnation; resigned", "name", p.settings.Self, "incarnation", p.saved.Incarnation, "later", later)
@@ -53,7 +55,7 @@
 	}
 	p.incarnationRaises++
 	p.stopDetector(true)
-	p.settings.Log.Info("peers: restarting above a later incarnation", "name", p.settings.Self, "incarnation", p.saved.Incarnation, "later", later)
+	p.settings.Log.Info("peers: restarting with a higher incarnation", "name", p.settings.Self, "incarnation", p.saved.Incarnation, "later", later)
 	p.saved.Roster = p.machine.Roster()
 	err := p.startIncarnation(members.IncarnationAbove(later))
 	if err == nil {
--- a/internal/peers/incarnation_test.go
+++ b/internal/peers/incarnation_test.go
@@ -9,8 +9,9 @@
 	"elderyard/members"
 )
 
-// Of two processes with one name, from two folders, the later start owns the name and the earlier one resigns.
-func TestLaterStartOwnsName(t *testing.T) {
+// Of two processes with the same name and different directories, the later one supersedes the earlier one, which
+// resigns.
+func TestLaterProcessSupersedesEarlier(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, "north", 3)
 	other := t.TempDir()
@@ -18,10 +19,10 @@
 	b := s.run(s.settings("g1", "g0"))
 	c := s.run(s.settings("g2", "g0"))
 	a.waitForVerdict(t, members.Complete)
-	s.hosts["g2"] = ""
-	set := s.settings("g2", "g0")
-	set.Dir = other
-	d := s.run(set)
+	s.addresses["g2"] = ""
+	settings := s.settings("g2", "g0")
+	settings.Dir = other
+	d := s.run(settings)
 	testwait.UntilEvery(t, waitTimeout, pollInterval, "the first g2 is superseded", func() bool { return c.View().SupersededBy != 0 })
 	if allowed, _ := c.Allows(members.ExerciseLease); allowed || c.View().QuotaDivisor != members.NoQuota {
 		t.Error("the first g2 still has a lease or a quota")
@@ -32,30 +33,32 @@
 	}
 }
 
-// A process whose clock is an hour behind raises its incarnation above the one that others know.
+// A process that restarts without its saved state and with a clock that is an hour behind raises its incarnation above
+// the one that others know.
 func TestClockSetBackRaisesIncarnation(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, "north", 2)
 	first := s.settings("g0")
-	set := s.settings("g1", "g0")
-	if err := set.store(savedState{Incarnation: members.Incarnation(time.Now().Add(time.Hour).UnixMilli()) * members.IncarnationRandomValues}); err != nil {
+	settings := s.settings("g1", "g0")
+	if err := settings.store(savedState{Incarnation: members.Incarnation(time.Now().Add(time.Hour).UnixMilli()) * members.IncarnationRandomValues}); err != nil {
 		t.Fatal(err)
 	}
-	a, b := s.run(first), s.run(set)
+	a, b := s.run(first), s.run(settings)
 	a.waitForVerdict(t, members.Complete)
 	ahead := b.View().Incarnation
 	b.stop()
-	set.Dir = t.TempDir() // as on another machine with another clock
-	c := s.run(set)
+	settings.Dir = t.TempDir() // as on another machine with another clock
+	c := s.run(settings)
 	testwait.UntilEvery(t, waitTimeout, pollInterval, "the new g1 has the higher incarnation", func() bool { return c.View().Incarnation > ahead })
 	a.waitForVerdict(t, members.Complete)
 	c.waitForVerdict(t, members.Complete)
 	if c.View().SupersededBy != 0 {
-		t.Error("it counts as superseded")
+		t.Error("the new g1 is superseded")
 	}
 }
 
-// A process that can't restart its failure detector resigns; Run goes on with the stopped one until it ends.
+// A process that can't restart its failure detector resigns. It must retain the stopped detector, whose events Run
+// receives.
 func TestResignWhenTheDetectorCannotRestart(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, "north", 1)
@@ -63,13 +66,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.settings.Site = strings.Repeat("x", 300) // longer than the library's label may be
+	p.settings.Site = strings.Repeat("x", 300) // exceeds the maximum length of a label
 	p.resign(members.IncarnationAbove(p.saved.Incarnation))
 	if !p.resigned {
-		t.Fatal("it did not resign")
+		t.Fatal("the process did not resign")
 	}
 	if p.detector == nil {
-		t.Fatal("there is no detector whose events Run could receive")
+		t.Fatal("there is no detector from which Run could receive events")
 	}
 	p.stopDetector(false)
 }
--- a/internal/peers/join.go
+++ b/internal/peers/join.go
@@ -7,8 +7,8 @@
 	"elderyard/members"
 )
 
-// join starts a join attempt with members that are not alive, unless one is running or none is due. The goroutine belongs
-// to the background and ends after all targets, or with cancelJoin and the detector.
+// join starts an attempt to join members that are not alive, unless one is running or none is due. Its goroutine is one
+// of p.background and ends after all targets, or when cancelJoin is called and the detector is closed.
 func (p *Peers) join() {
 	if p.resigned || p.joinDone != nil {
 		return
@@ -32,13 +32,13 @@
 	p.background.Go(func() { defer close(done); defer cancel(); d.join(ctx, targets) })
 }
 
-// sendRoster sends a member this process's roster if it is due. The goroutine belongs to the background and ends with the
-// detector at the latest.
+// sendRoster sends the roster to a member if that is due. Its goroutine is one of p.background and ends when the
+// detector is closed, at the latest.
 func (p *Peers) sendRoster(to members.Alive) {
 	r := p.machine.Roster()
 	if !p.contacts.ShouldSendRoster(p.clock.now(), r, to) {
 		return
 	}
 	d, m := p.detector, message{Version: p.settings.protocolVersion, From: p.settings.Self, Roster: r}
-	p.background.Go(func() { d.send(to, m) }) // if it fails, the next exchange of states brings the roster
+	p.background.Go(func() { d.send(to, m) }) // if it fails, the next push/pull exchange transfers the roster
 }
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -12,9 +12,9 @@
 
 const maxKeys = 8 // in one file
 
-// readKeys reads a file of keys: one per line, as base64 of 16, 24 or 32 bytes. The first one encrypts what is sent; all of
-// them decrypt, so that a key can be rotated without interruption: the new one is added last, then moved to the front,
-// then the old one is removed. An error names the file and the line.
+// readKeys reads a key file: one key per line, as base64 of 16, 24 or 32 bytes. The first key encrypts, and all of them
+// decrypt, so that a key can be rotated without interruption: add the new one at the end, then move it to the front,
+// then remove the old one. An error names the file and the line.
 func readKeys(path string) ([][]byte, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return keys, nil
 }
 
-// updateKeyring makes a ring contain exactly these keys, the first one as primary key.
+// updateKeyring replaces the keys of a ring. The first key becomes the primary one.
 func updateKeyring(ring *memberlist.Keyring, keys [][]byte) error {
 	for _, key := range keys {
 		if err := ring.AddKey(key); err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// containsKey reports whether a list has a key.
+// containsKey reports whether a list contains a key.
 func containsKey(keys [][]byte, key []byte) bool {
 	for _, k := range keys {
 		if bytes.Equal(k, key) {
--- a/internal/peers/main_test.go
+++ b/internal/peers/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No goroutine outlives the tests.
+// TestMain fails if a goroutine outlives the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/peers/memberlist_log.go
+++ b/internal/peers/memberlist_log.go
@@ -7,9 +7,9 @@
 	"elderyard/members"
 )
 
-// memberlistLog is the output of the library's logger and turns lines into events and counts. The library reports some facts
-// nowhere else: suspicions and their origin, refutations, and messages that could not be decrypted. The texts are those of
-// the version in go.mod; an upgrade of the library must check them.
+// memberlistLog is the output of the library's logger. It converts lines to events and counts. The library reports some
+// facts nowhere else: suspicions and their origin, refutations, and messages that could not be decrypted. The patterns
+// match the version in go.mod and must be checked at each upgrade of the library.
 type memberlistLog struct {
 	detector *detector
 	counts   *trafficCounters
@@ -29,24 +29,24 @@
 	}
 )
 
-// Write handles one line. It always accepts the complete line.
+// Write handles one line of the log. It never fails.
 func (l *memberlistLog) Write(line []byte) (int, error) {
 	text := string(line)
 	if found := suspectLine.FindStringSubmatch(text); found != nil {
-		if name, incarnation, ok := splitName(found[1]); ok {
+		if name, incarnation, ok := parseNodeName(found[1]); ok {
 			l.detector.post(members.Suspected{Name: name, Incarnation: incarnation, By: l.detector.self})
 		}
 		return len(line), nil
 	}
 	if found := refuteLine.FindStringSubmatch(text); found != nil {
-		if by, _, ok := splitName(found[1]); ok {
+		if by, _, ok := parseNodeName(found[1]); ok {
 			l.detector.post(members.Refuted{Name: l.detector.self, Incarnation: l.detector.incarnation, By: by})
 		}
 		return len(line), nil
 	}
 	for _, start := range decryptionErrors {
 		if strings.HasPrefix(text, start) {
-			l.counts.unsealed.Add(1)
+			l.counts.undecryptable.Add(1)
 			break
 		}
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -15,7 +15,7 @@
 	"elderyard/members"
 )
 
-// Peers is one process's membership in its site. Run owns it; all other methods may be called from any goroutine.
+// Peers is one process's membership in its site. All methods except Run are safe for concurrent use.
 type Peers struct {
 	settings        Settings
 	clock           clock
@@ -25,7 +25,7 @@
 	evidenceQueries chan evidenceQuery
 	done            chan struct{}
 
-	// The fields below belong to Run's goroutine.
+	// The fields below belong to the goroutine of Run.
 	saved              savedState
 	detector           *detector // nil until the sockets are open
 	machine            *members.Machine
@@ -35,30 +35,30 @@
 	keyFile            fileWatch
 	incarnationRaises  int
 	incarnationStarted members.Time
-	joinDone           chan struct{}  // closed when the running join attempt ends; nil: none runs
-	background         sync.WaitGroup // joins and sent rosters; closing the detector ends them
+	joinDone           chan struct{}  // closed when the running join attempt ends; nil if none runs
+	background         sync.WaitGroup // goroutines of join and sendRoster; closing the detector ends them
 	cancelJoin         context.CancelFunc
 	unpublished        bool // the machine has changed since the last publish
 	resigned           bool // superseded by a later incarnation: the detector is closed
 }
 
-// publishedState is what other goroutines read.
+// publishedState is the state that other goroutines read.
 type publishedState struct {
 	view       members.View
 	permission members.Permission
 }
 
-// evidenceQuery asks Run for the evidence on a name.
+// evidenceQuery requests the evidence on a name from Run.
 type evidenceQuery struct {
 	name string
-	done chan []members.Evidence // has capacity for one: Run must not wait
+	done chan []members.Evidence // buffered: Run must not block
 }
 
-// errStopped is the error of queries after Run has returned.
+// errStopped is returned by queries after Run has returned.
 var errStopped = errors.New("peers have stopped")
 
-// Open reads the keys, the roster and the saved state, starts an incarnation and, unless Settings.WaitForAddress is set,
-// opens the sockets. It sends nothing of its own accord before Run. Errors name the file or setting that is invalid.
+// Open reads the keys, the roster and the saved state, starts an incarnation and, unless Settings.WaitForAddress is
+// set, opens the sockets. Before Run, it only responds to other members. Errors name the invalid file or setting.
 func Open(settings Settings) (*Peers, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	if p.saved.Roster.Epoch > roster.Epoch && validRoster(p.saved.Roster) {
-		roster = p.saved.Roster // other members had it; the file is outdated
+		roster = p.saved.Roster // received from other members; the file is outdated
 	}
 	if !roster.Has(settings.Self) {
 		settings.Log.Warn("peers: this process is not in the roster; it has no lease and no quota", "name", settings.Self, "epoch", roster.Epoch)
@@ -110,20 +110,20 @@
 	return err == nil
 }
 
-// View returns the view of the site that was published last, as old as View.At shows. It must not be modified.
+// View returns the latest published view of the site. View.At states its age. It must not be modified.
 func (p *Peers) View() members.View { return p.published.Load().view }
 
-// Allows reports whether an operation is allowed now, and the reason. It must be called right before the effect: otherwise
-// the process may have been suspended in between.
+// Allows reports whether an operation is allowed now, and the reason. It must be called right before the effect:
+// otherwise the process may have been suspended in between.
 func (p *Peers) Allows(op members.Operation) (allowed bool, reason string) {
 	return p.published.Load().permission.Allows(p.clock.now(), op)
 }
 
-// Traffic returns the counts of what was sent, received and dropped since Open.
+// Traffic returns the counts of sent, received and dropped traffic since Open.
 func (p *Peers) Traffic() Traffic { return p.traffic.snapshot() }
 
-// Evidence returns the latest evidence on a name, or on all names for "", oldest first. It waits for Run and returns an
-// error if ctx ends or Run has returned.
+// Evidence returns the latest evidence on a name, or on all names for "", oldest first. It waits for Run, and returns
+// an error if ctx ends or Run has returned.
 func (p *Peers) Evidence(ctx context.Context, name string) ([]members.Evidence, error) {
 	query := evidenceQuery{name, make(chan []members.Evidence, 1)}
 	select {
@@ -136,7 +136,7 @@
 	}
 }
 
-// publish makes the machine's state visible to other goroutines.
+// publish publishes the state of the machine to other goroutines.
 func (p *Peers) publish() {
 	p.published.Store(&publishedState{p.machine.View(p.clock.now()), p.machine.Permission()})
 }
--- a/internal/peers/query.go
+++ b/internal/peers/query.go
@@ -25,7 +25,7 @@
 
 // QueryResult is one process's response, or the error of the query.
 type QueryResult struct {
-	Name     string          `json:"name,omitempty"` // of the member; "" if no response names it
+	Name     string          `json:"name,omitempty"` // of the member; "" if it is unknown
 	Address  string          `json:"at"`             // of its admin interface
 	Status   *Status         `json:"answer,omitempty"`
 	Evidence *EvidenceReport `json:"why,omitempty"`
@@ -45,8 +45,9 @@
 	return report, err
 }
 
-// QueryAllStatus requests the status of the processes at these admin addresses and of all members that they know of, until
-// no response names another one. The results are sorted by name and address; a process that does not respond has an Error.
+// QueryAllStatus requests the status of the processes at these admin addresses and, repeatedly, of all members that the
+// responses name. The results are sorted by name and address. The result of a process that does not respond has an
+// Error.
 func QueryAllStatus(ctx context.Context, addresses []string) []QueryResult {
 	var results []QueryResult
 	queried := map[string]bool{}
@@ -84,8 +85,8 @@
 	return results
 }
 
-// QueryAllEvidence finds processes as QueryAllStatus does and requests from each that responds its evidence on a member, or
-// on all for "".
+// QueryAllEvidence finds processes like QueryAllStatus, and requests the evidence on a member, or on all for "", from
+// each one that responds.
 func QueryAllEvidence(ctx context.Context, addresses []string, name string) []QueryResult {
 	results := QueryAllStatus(ctx, addresses)
 	indexOf := map[string]int{} // by address
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// adminAddressOf returns the address of a member's admin interface, "" if it has none or it is invalid. A member whose admin
-// interface listens on all addresses is queried at the address at which other members reach it.
+// adminAddressOf returns the address of a member's admin interface, or "" if it has none or an invalid one. For an
+// admin interface that listens on all addresses, it is the address at which other members reach the member.
 func adminAddressOf(v members.MemberView) string {
 	host, port, err := net.SplitHostPort(v.AdminAddress)
 	if err != nil {
@@ -155,17 +156,17 @@
 	return net.JoinHostPort(host, port)
 }
 
-// inParallel returns the results of a function for each text, in order. At most maxConcurrentQueries calls run at a time;
-// all have returned when it returns.
-func inParallel[T any](list []string, do func(string) T) []T {
-	results := make([]T, len(list))
+// inParallel returns the results of a function for each argument, in order. At most maxConcurrentQueries calls run at a
+// time.
+func inParallel[T any](arguments []string, do func(string) T) []T {
+	results := make([]T, len(arguments))
 	slots := make(chan struct{}, maxConcurrentQueries)
 	var wg sync.WaitGroup
-	for i, text := range list {
+	for i, argument := range arguments {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			results[i] = do(text)
+			results[i] = do(argument)
 		})
 	}
 	wg.Wait()
--- a/internal/peers/reconcile.go
+++ b/internal/peers/reconcile.go
@@ -1,6 +1,6 @@
 package peers
 
-// reconcile compares the machine with the failure detector's complete list, and reloads files that have changed.
+// reconcile compares the machine with the complete list of the failure detector, and reloads changed files.
 func (p *Peers) reconcile() {
 	if p.resigned {
 		return
@@ -10,7 +10,7 @@
 	p.reloadRoster()
 }
 
-// reconcileMembers passes to the machine what it lacks of the failure detector's complete list.
+// reconcileMembers passes events to the machine for its differences from the complete list of the failure detector.
 func (p *Peers) reconcileMembers() {
 	incarnation, eventsDropped, alive := p.saved.Incarnation, p.detector.eventsDropped.Swap(false), p.detector.alive()
 	for _, a := range alive {
--- a/internal/peers/reload.go
+++ b/internal/peers/reload.go
@@ -8,15 +8,15 @@
 	"elderyard/members"
 )
 
-// fileWatch detects changes of a file by its size and time.
+// fileWatch detects changes of a file by its size and modification time.
 type fileWatch struct {
 	size      int64
 	modified  time.Time
-	lastError string // of the last reload; "": it succeeded
+	lastError string // of the last reload; "" if it succeeded
 }
 
-// changed reports whether the file has changed since the last call. It reports true for a file that can't be examined until
-// an error is recorded, so that the error is logged once.
+// changed reports whether the file has changed since the last call. If the file can't be examined, it reports true
+// until an error is recorded, so that the error is logged once.
 func (f *fileWatch) changed(path string) bool {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// reloadKeys reads the file of keys if it has changed. If that fails, the previous keys stay in use.
+// reloadKeys reads the key file if it has changed. If that fails, the previous keys stay in use.
 func (p *Peers) reloadKeys() {
 	if !p.keyFile.changed(p.settings.KeyFile) {
 		return
@@ -54,8 +54,8 @@
 	p.settings.Log.Info("peers: reloaded the keys", "file", p.settings.KeyFile, "keys", len(keys))
 }
 
-// reloadRoster reads the roster's file if it has changed. If that fails, or if the roster is not newer than the one in use
-// and differs from it, the previous roster stays in use.
+// reloadRoster reads the roster file if it has changed. If that fails, or if the file has an older roster or a
+// different one of the same epoch, the previous roster stays in use.
 func (p *Peers) reloadRoster() {
 	if !p.rosterFile.changed(p.settings.RosterFile) {
 		return
--- a/internal/peers/reload_test.go
+++ b/internal/peers/reload_test.go
@@ -10,27 +10,27 @@
 	"elderyard/members"
 )
 
-// A roster reaches members whose file is outdated, and survives their restart.
+// A roster reaches members with an outdated roster file, and survives their restart.
 func TestRosterSpreadsAndSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, "north", 2)
 	a := s.run(s.settings("g0"))
-	set := s.settings("g1", "g0")
-	set.RosterFile = filepath.Join(s.dir, "old.toml")
+	settings := s.settings("g1", "g0")
+	settings.RosterFile = filepath.Join(s.dir, "old.toml")
 	s.write("old.toml", "epoch = 1\n[[member]]\nname = \"g0\"\n[[member]]\nname = \"g1\"\n")
-	b := s.run(set)
+	b := s.run(settings)
 	b.waitForVerdict(t, members.Complete)
 	s.writeRoster(7, "g0", "g1", "g2")
 	testwait.UntilEvery(t, waitTimeout, pollInterval, "g1 has epoch 7", func() bool { return b.View().Epoch == 7 })
 	a.stop()
 	b.stop()
-	b = s.run(set)
+	b = s.run(settings)
 	if p := b.View(); p.Epoch != 7 {
-		t.Errorf("after a restart it has epoch %d, want 7", p.Epoch)
+		t.Errorf("epoch %d after the restart, want 7", p.Epoch)
 	}
 }
 
-// A key is rotated: the new one is added everywhere, then moved to the front, then the old one is removed. No member fails
+// A key rotation adds the new key everywhere, then moves it to the front, then removes the old one. No member may fail
 // meanwhile.
 func TestKeyRotationWithoutInterruption(t *testing.T) {
 	t.Parallel()
--- a/internal/peers/roster_file.go
+++ b/internal/peers/roster_file.go
@@ -10,7 +10,7 @@
 
 const maxFileBytes = 1 << 20 // of any file that is read
 
-// readRoster reads the roster's file. An error names the file and, for invalid content, line and key.
+// readRoster reads a roster file. An error names the file and, for invalid content, the line and the key.
 func readRoster(path string) (members.Roster, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return ParseRoster(path, text)
 }
 
-// ParseRoster parses the text of a roster's file. An error names the file as given, the line and the key.
+// ParseRoster parses the text of a roster file. An error names the file as given, the line and the key.
 func ParseRoster(file string, text []byte) (r members.Roster, err error) {
 	if err := strict.Decode(file, text, &r); err != nil {
 		return members.Roster{}, err
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%s: %d bytes, and %d may be", path, info.Size(), maxFileBytes)
+		return nil, fmt.Errorf("%s: %d bytes, the limit is %d", path, info.Size(), maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
--- a/internal/peers/run.go
+++ b/internal/peers/run.go
@@ -11,15 +11,15 @@
 // Intervals in units of Settings.ProbeInterval.
 const (
 	ticksPerInterval   = 4
-	reconcileIntervals = 2 // between checks of the files and the failure detector's complete list
+	reconcileIntervals = 2 // between reconciliations
 )
 
-// Run takes part in the site until ctx ends, then announces the graceful shutdown and closes the sockets. It must be called
-// once. The function divisorsChanged is called in Run's goroutine with each new quota divisor and number of processes that
-// send to a backend that is warming up; it must not block.
+// Run runs the membership until ctx ends, then announces the graceful shutdown and closes the sockets. It must be
+// called once. It calls divisorsChanged in its own goroutine with each new quota divisor and each new number of
+// processes that send to a backend that is warming up. The function must not block.
 func (p *Peers) Run(ctx context.Context, divisorsChanged func(quotaDivisor, senders int)) {
 	defer close(p.done)
-	if !p.connectWhenFree(ctx) {
+	if !p.connectWithRetry(ctx) {
 		return
 	}
 	defer func() { p.stopDetector(!p.resigned) }()
@@ -46,7 +46,7 @@
 			p.join()
 		}
 		if !p.unpublished {
-			continue // most events are answers that change nothing
+			continue // most events are acknowledged probes, which change nothing
 		}
 		p.unpublished = false
 		p.publish()
@@ -58,9 +58,9 @@
 	}
 }
 
-// connectWhenFree opens the sockets if they are not open, and retries while that fails: in an upgrade the previous process
-// has the address until it ends. It reports false if ctx ended before.
-func (p *Peers) connectWhenFree(ctx context.Context) bool {
+// connectWithRetry opens the sockets if they are not open, and retries until that succeeds: during an upgrade, the
+// previous process holds the address until it ends. It returns false if ctx ends first.
+func (p *Peers) connectWithRetry(ctx context.Context) bool {
 	for p.detector == nil && p.connect() != nil {
 		if !wait.For(ctx, p.settings.ProbeInterval/ticksPerInterval) {
 			return false
@@ -69,10 +69,11 @@
 	return true
 }
 
-// handle applies an event to the machine and what follows from it. A process that has resigned handles ticks alone.
+// handle applies an event to the machine, then announces and sends what has changed. A process that has resigned
+// handles ticks alone.
 func (p *Peers) handle(ev members.Event) {
 	if p.resigned {
-		if _, tick := ev.(members.Tick); !tick {
+		if _, isTick := ev.(members.Tick); !isTick {
 			return
 		}
 	}
@@ -90,7 +91,7 @@
 	}
 }
 
-// stopDetector closes the failure detector and waits for the goroutines of the background. If leave is set, it announces
+// stopDetector closes the failure detector and waits for the goroutines of p.background. If leave is set, it announces
 // the graceful shutdown.
 func (p *Peers) stopDetector(leave bool) {
 	if p.cancelJoin != nil {
--- a/internal/peers/run_test.go
+++ b/internal/peers/run_test.go
@@ -8,12 +8,14 @@
 	"elderyard/members"
 )
 
+// The verdict follows a graceful shutdown, a rejoin and a new roster. The quota divisor follows the roster alone: a
+// member that has left still counts.
 func TestVerdictFollowsLeaveAndRoster(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, "north", 3)
 	a, b, c := s.runThree()
 	if allowed, reason := a.Allows(members.ExerciseLease); !allowed {
-		t.Errorf("complete, and may not exercise a lease: %s", reason)
+		t.Errorf("the verdict is complete, but a lease is denied: %s", reason)
 	}
 	c.stop() // a graceful shutdown
 	for _, r := range []*runningPeers{a, b} {
@@ -39,7 +41,7 @@
 	}
 }
 
-// In an upgrade a member of the next version runs beside members of this one.
+// During an upgrade, members of the next version run side by side with members of this one.
 func TestAdjacentVersionsRunSideBySide(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, "north", 3)
@@ -57,7 +59,7 @@
 	}
 }
 
-// Members whose seeds are all down find each other by the addresses that they saved before the restart.
+// Members whose seeds are all down rejoin at the addresses that they saved before their restart.
 func TestRejoinWithoutSeeds(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, "north", 3)
--- a/internal/peers/saved_state.go
+++ b/internal/peers/saved_state.go
@@ -11,16 +11,16 @@
 	"elderyard/members"
 )
 
-// savedState is what must survive a restart. Without the incarnation, a process that restarts with its clock set back could
-// start below its previous one; without the roster, it could return to an outdated one; without the addresses, it would
-// find no other member if all seeds are down.
+// savedState is the state that must survive a restart. Without the incarnation, a process that restarts with its clock
+// set back could use a lower one than before. Without the roster, it could return to an outdated one. Without the
+// addresses, it would find no other member if all seeds are down.
 type savedState struct {
 	Incarnation members.Incarnation `json:"life"`
 	Roster      members.Roster      `json:"roster"`
-	Addresses   map[string]string   `json:"addresses"` // by name of member, as last announced
+	Addresses   map[string]string   `json:"addresses"` // last announced address of each member, by name
 }
 
-// load reads the saved state. It returns the zero state if there is no file.
+// load reads the saved state. It returns the zero value if the file does not exist.
 func (s *Settings) load() (state savedState, err error) {
 	text, err := readFile(s.path("peers.json"))
 	if errors.Is(err, os.ErrNotExist) {
@@ -30,13 +30,13 @@
 		err = json.Unmarshal(text, &state)
 	}
 	if err != nil {
-		return savedState{}, fmt.Errorf("%s: %w; what it knew is lost if it is removed: the incarnation then comes from the clock, the roster from its file or from other members", s.path("peers.json"), err)
+		return savedState{}, fmt.Errorf("%s: %w; removing the file discards the saved state: the incarnation then comes from the clock, the roster from its file or from other members", s.path("peers.json"), err)
 	}
 	return state, nil
 }
 
-// store replaces the saved state. It never lowers the saved incarnation: in an upgrade two processes share the folder, and
-// the one that ends must not replace the higher incarnation of the other.
+// store replaces the saved state. It never lowers the saved incarnation: during an upgrade two processes share the
+// directory, and the one that ends must not replace the higher incarnation of the other.
 func (s *Settings) store(state savedState) error {
 	if previous, err := s.load(); err == nil {
 		state.Incarnation = max(state.Incarnation, previous.Incarnation)
@@ -48,8 +48,8 @@
 	return files.Replace(s.path("peers.json"), text, 0o600)
 }
 
-// persist saves the roster and the addresses of members if they have changed. If that fails, it logs the error and tries
-// again with the next change.
+// persist saves the roster and the addresses of members if they have changed. If that fails, it logs the error, and the
+// next change saves them.
 func (p *Peers) persist() {
 	addresses, changed := maps.Clone(p.saved.Addresses), false
 	roster := p.machine.Roster()
--- a/internal/peers/settings.go
+++ b/internal/peers/settings.go
@@ -16,53 +16,53 @@
 type Settings struct {
 	Self              string            // name of this process
 	Site              string            // members of different sites ignore each other
-	Listen            string            // IP address and port, UDP and TCP
+	Listen            string            // IP address and port, for UDP and TCP
 	Advertise         string            // IP address and port at which members reach this process
-	AdminAddress      string            // of this process's admin interface; "": none
-	Dir               string            // existing folder of the saved state
+	AdminAddress      string            // of this process's admin interface; "" if it has none
+	Dir               string            // existing directory for the saved state
 	KeyFile           string            // see readKeys
 	RosterFile        string            // TOML
-	Seeds             []string          // addresses of members to join first
-	AddressOverrides  map[string]string // by name: address at which this process reaches that member
+	Seeds             []string          // addresses of members to join first, or their names in AddressOverrides
+	AddressOverrides  map[string]string // addresses at which this process reaches members, by name
 	ProbeInterval     time.Duration     // all other times are multiples of it
-	MaxBytesPerSecond float64           // sent, over both protocols
-	WaitForAddress    bool              // Run opens the sockets, once a previous process has closed its own
-	Log               *slog.Logger      // not nil
+	MaxBytesPerSecond float64           // limit of sent bytes, over UDP and TCP together
+	WaitForAddress    bool              // Run opens the sockets, when a previous process has closed its own
+	Log               *slog.Logger      // must not be nil
 
-	protocolVersion int // 0: that of this program
+	protocolVersion int // 0 means that of this program
 }
 
-// RosterVariable is the environment variable with the path of the roster's file, set by an agent that maintains the file.
+// RosterVariable is the environment variable with the path of the roster file, set by an agent that maintains the file.
 // It takes precedence over the operator's setting.
 const RosterVariable = "ELDERYARD_ROSTER"
 
 // The failure detector's times, in units of Settings.ProbeInterval.
 const (
-	suspicionMult         = 4  // duration of a suspicion that others confirm, times log10 of the number of members
-	suspicionMaxMult      = 3  // factor for a suspicion that nobody confirms
-	pushPullIntervals     = 20 // between exchanges of complete state with a random member
-	gossipToDeadIntervals = 60 // failed members still receive gossip, so that they can refute
+	suspicionMult         = 4  // timeout of a suspicion that others confirm, times log10 of the number of members
+	suspicionMaxMult      = 3  // factor for the timeout of a suspicion that nobody confirms
+	pushPullIntervals     = 20 // between push/pull exchanges with a random member
+	gossipToDeadIntervals = 60 // for which failed members still receive gossip, so that they can refute the failure
 )
 
-// FromSite returns the settings of the process self from the operator's file and the environment, nil if membership is off.
-// It returns an error if no roster file is set.
-func FromSite(table site.Peers, self, adminAddress string, env func(string) string, log *slog.Logger) (*Settings, error) {
-	if table.Listen == "" {
+// FromSite returns the settings of the process self from the operator's file and the environment, or nil if membership
+// is disabled. It returns an error if no roster file is set.
+func FromSite(config site.Peers, self, adminAddress string, env func(string) string, log *slog.Logger) (*Settings, error) {
+	if config.Listen == "" {
 		return nil, nil
 	}
-	settings := &Settings{Self: self, Site: table.Site, Listen: table.Listen, Advertise: table.Advertise, AdminAddress: adminAddress, Dir: table.Dir, KeyFile: table.KeyFile,
-		RosterFile: table.Roster, Seeds: table.Seeds, AddressOverrides: map[string]string{}, ProbeInterval: time.Duration(table.Every), MaxBytesPerSecond: float64(table.MostKB) * 1024, Log: log}
+	settings := &Settings{Self: self, Site: config.Site, Listen: config.Listen, Advertise: config.Advertise, AdminAddress: adminAddress, Dir: config.Dir, KeyFile: config.KeyFile,
+		RosterFile: config.Roster, Seeds: config.Seeds, AddressOverrides: map[string]string{}, ProbeInterval: time.Duration(config.Every), MaxBytesPerSecond: float64(config.MostKB) * 1024, Log: log}
 	if file := env(RosterVariable); file != "" {
 		settings.RosterFile = file
 	}
 	if settings.RosterFile == "" {
-		return nil, errors.New("peers.roster: it is missing, and no agent keeps one")
+		return nil, errors.New("peers.roster: no roster file is set, and no agent maintains one")
 	}
-	for _, r := range table.Reach {
+	for _, r := range config.Reach {
 		settings.AddressOverrides[r.Name] = r.Address
 	}
 	if settings.Advertise == "" {
-		settings.Advertise = table.Listen
+		settings.Advertise = config.Listen
 	}
 	return settings, nil
 }
@@ -79,16 +79,16 @@
 	if err := members.CheckName(s.Self); err != nil {
 		return fmt.Errorf("own name: %w", err)
 	}
-	for what, address := range map[string]string{"peers.listen": s.Listen, "peers.advertise": s.Advertise} {
+	for setting, address := range map[string]string{"peers.listen": s.Listen, "peers.advertise": s.Advertise} {
 		if err := site.CheckIPPort(address); err != nil {
-			return fmt.Errorf("%s: %w", what, err)
+			return fmt.Errorf("%s: %w", setting, err)
 		}
 	}
 	if info, err := os.Stat(s.Dir); err != nil || !info.IsDir() {
-		return fmt.Errorf("peers.dir: %q is not a folder", s.Dir)
+		return fmt.Errorf("peers.dir: %q is not a directory", s.Dir)
 	}
 	return nil
 }
 
-// path returns the path of a file of this process in the folder of the saved state.
-func (s *Settings) path(what string) string { return filepath.Join(s.Dir, s.Self+"."+what) }
+// path returns the path of a file of this process in Dir.
+func (s *Settings) path(suffix string) string { return filepath.Join(s.Dir, s.Self+"."+suffix) }
--- a/internal/peers/settings_test.go
+++ b/internal/peers/settings_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// Errors of Open name the invalid file with its line, or the invalid setting.
 func TestErrorsNameFileAndLine(t *testing.T) {
 	s := newSite(t, "north", 3)
 	base := s.settings("g0")
@@ -21,7 +22,7 @@
 		{"no member", "roster.toml", "epoch = 1\n", "member: there is none"},
 		{"duplicate member", "roster.toml", "epoch = 1\n[[member]]\nname = \"a\"\n[[member]]\nname = \"a\"\n", "roster.toml:5: member[1].name: \"a\" stands twice"},
 		{"misspelled key", "roster.toml", "epoch = 1\n[[member]]\nnam = \"a\"\n", "did you mean \"name\"?"},
-		{"truncated state", "g0.peers.json", "{", "what it knew is lost if it is removed"},
+		{"truncated state", "g0.peers.json", "{", "removing the file discards the saved state"},
 	} {
 		previous, err := os.ReadFile(filepath.Join(s.dir, c.file))
 		if err != nil && !os.IsNotExist(err) {
@@ -48,14 +49,14 @@
 		{"no address", func(s *Settings) { s.Listen = "nowhere" }},
 		{"host name as address", func(s *Settings) { s.Listen = "localhost:1" }},
 		{"port 0", func(s *Settings) { s.Advertise = "127.0.0.1:0" }},
-		{"no folder", func(s *Settings) { s.Dir = filepath.Join(s.Dir, "none") }},
-		{"no file of keys", func(s *Settings) { s.KeyFile = "none" }},
+		{"no directory", func(s *Settings) { s.Dir = filepath.Join(s.Dir, "none") }},
+		{"no key file", func(s *Settings) { s.KeyFile = "none" }},
 		{"no roster file", func(s *Settings) { s.RosterFile = "none" }},
 	} {
-		bad := base
-		c.change(&bad)
-		if p, err := Open(bad); err == nil {
-			t.Errorf("%s: accepted: %+v", c.name, bad)
+		invalid := base
+		c.change(&invalid)
+		if p, err := Open(invalid); err == nil {
+			t.Errorf("%s: accepted: %+v", c.name, invalid)
 			p.stopDetector(false)
 		}
 	}
--- a/internal/peers/site_test.go
+++ b/internal/peers/site_test.go
@@ -19,26 +19,27 @@
 
 const (
 	waitTimeout  = 30 * time.Second
-	pollInterval = 20 * time.Millisecond // of conditions that a running member is asked for
+	pollInterval = 20 * time.Millisecond // of conditions of a running member
 )
 
-// testSite is a folder with the files of some members.
+// testSite is a site with a directory for the files of its members.
 type testSite struct {
-	t     *testing.T
-	dir   string
-	name  string
-	hosts map[string]string
+	t         *testing.T
+	dir       string
+	name      string
+	addresses map[string]string // by name of member
 }
 
-// runningPeers is a running member. Stop ends it and waits for Run.
+// runningPeers is a running member. stop ends it and waits for Run.
 type runningPeers struct {
 	*Peers
 	stop func()
 }
 
+// newSite returns a site whose roster has the members g0, g1 and so on.
 func newSite(t *testing.T, name string, members int) *testSite {
 	t.Helper()
-	s := &testSite{t: t, dir: t.TempDir(), name: name, hosts: map[string]string{}}
+	s := &testSite{t: t, dir: t.TempDir(), name: name, addresses: map[string]string{}}
 	s.writeKeys(1)
 	var list []string
 	for i := range members {
@@ -48,7 +49,7 @@
 	return s
 }
 
-// encodedKey returns a key of 32 equal bytes as a line of the file of keys.
+// encodedKey returns a key of 32 equal bytes as a line of the key file.
 func encodedKey(fill byte) string {
 	return base64.StdEncoding.EncodeToString([]byte(strings.Repeat(string(rune('a'+fill)), 32)))
 }
@@ -78,26 +79,28 @@
 	s.write("roster.toml", text)
 }
 
+// settings returns the settings of a member, whose address stays the same for all calls.
 func (s *testSite) settings(name string, seeds ...string) Settings {
 	s.t.Helper()
-	if s.hosts[name] == "" {
-		at, err := loopback.FreeAddress()
+	if s.addresses[name] == "" {
+		address, err := loopback.FreeAddress()
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		s.hosts[name] = at
+		s.addresses[name] = address
 	}
-	set := Settings{Self: name, Site: s.name, Listen: s.hosts[name], Advertise: s.hosts[name], Dir: s.dir, KeyFile: filepath.Join(s.dir, "keys"),
+	settings := Settings{Self: name, Site: s.name, Listen: s.addresses[name], Advertise: s.addresses[name], Dir: s.dir, KeyFile: filepath.Join(s.dir, "keys"),
 		RosterFile: filepath.Join(s.dir, "roster.toml"), AddressOverrides: map[string]string{}, ProbeInterval: 200 * time.Millisecond, MaxBytesPerSecond: 1 << 20, Log: slog.New(slog.NewTextHandler(s.t.Output(), nil))}
 	for _, seed := range seeds {
-		set.Seeds = append(set.Seeds, s.hosts[seed])
+		settings.Seeds = append(settings.Seeds, s.addresses[seed])
 	}
-	return set
+	return settings
 }
 
-func (s *testSite) run(set Settings) *runningPeers {
+// run starts a member, which stops at the end of the test.
+func (s *testSite) run(settings Settings) *runningPeers {
 	s.t.Helper()
-	p, err := Open(set)
+	p, err := Open(settings)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -109,7 +112,7 @@
 	return r
 }
 
-// runThree returns three members that are complete.
+// runThree starts three members and waits until each has the verdict complete.
 func (s *testSite) runThree() (a, b, c *runningPeers) {
 	s.t.Helper()
 	a = s.run(s.settings("g0"))
@@ -121,6 +124,7 @@
 	return a, b, c
 }
 
+// waitForVerdict waits until the member has a verdict.
 func (r *runningPeers) waitForVerdict(t *testing.T, v members.Verdict) {
 	t.Helper()
 	testwait.UntilEvery(t, waitTimeout, pollInterval, fmt.Sprintf("%s is %v", r.settings.Self, v), func() bool { return r.View().Verdict == v })
--- a/internal/peers/stream.go
+++ b/internal/peers/stream.go
@@ -14,11 +14,11 @@
 	streamTimeout  = 10 * time.Second
 )
 
-// stream is a connection with a limit of bytes in each direction and a deadline that the library can't extend.
+// stream is a connection with a byte limit in each direction and a deadline that the library can't extend.
 type stream struct {
 	*net.TCPConn
 	t                       *transport
-	inbound                 bool // made by another process
+	inbound                 bool // opened by another process
 	deadline                time.Time
 	readBudget, writeBudget int // bytes left
 	readMu                  sync.Mutex
@@ -26,14 +26,14 @@
 	closeOnce               sync.Once
 }
 
-// newStream returns a stream whose deadline starts now.
+// newStream returns a stream with a deadline of streamTimeout from now.
 func newStream(conn *net.TCPConn, t *transport, inbound bool) *stream {
 	s := &stream{TCPConn: conn, t: t, inbound: inbound, deadline: time.Now().Add(streamTimeout), readBudget: maxStreamBytes, writeBudget: maxStreamBytes}
 	s.TCPConn.SetDeadline(s.deadline)
 	return s
 }
 
-// clampDeadline returns a deadline of the library, at most that of the stream.
+// clampDeadline returns the earlier one of a deadline that the library sets and that of the stream.
 func (s *stream) clampDeadline(at time.Time) time.Time {
 	if at.IsZero() || at.After(s.deadline) {
 		return s.deadline
@@ -54,7 +54,7 @@
 	return s.TCPConn.SetWriteDeadline(s.clampDeadline(at))
 }
 
-// Read returns io.ErrUnexpectedEOF once maxStreamBytes were read.
+// Read returns io.ErrUnexpectedEOF after maxStreamBytes.
 func (s *stream) Read(b []byte) (int, error) {
 	s.readMu.Lock()
 	defer s.readMu.Unlock()
@@ -67,8 +67,8 @@
 	return n, err
 }
 
-// Write returns io.ErrShortWrite, and writes nothing, beyond maxStreamBytes. It waits for the rate limit until the deadline
-// or Shutdown.
+// Write waits for the rate limiter until the deadline or Shutdown. If the data would exceed maxStreamBytes, it writes
+// nothing and returns io.ErrShortWrite.
 func (s *stream) Write(data []byte) (int, error) {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
@@ -90,7 +90,7 @@
 	return n, err
 }
 
-// Close closes the connection and releases its place among the inbound ones. Further calls do nothing.
+// Close closes the connection and unregisters it from the transport. Further calls have no effect.
 func (s *stream) Close() (err error) {
 	s.closeOnce.Do(func() {
 		err = s.TCPConn.Close()
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	maxPacketBytes         = 1400 // that the library puts into a datagram
-	maxPacketOverheadBytes = 512  // that encryption and label may add
+	maxPacketBytes         = 1400 // payload of the library in a datagram
+	maxPacketOverheadBytes = 512  // added by encryption and label, at most
 	minEncryptedBytes      = 1 + 12 + 16
 	packetQueueSize        = 256
 	readBufferBytes        = 256 << 10
-	maxInboundStreams      = 8 // open connections that other processes made
+	maxInboundStreams      = 8 // open connections from other processes
 	acceptRetryDelay       = 20 * time.Millisecond
-	burstSeconds           = 2.0 // of Settings.MaxBytesPerSecond that may be sent at once
-	labelMagic             = 244 // first byte of what carries a label, in the library's format
+	burstSeconds           = 2.0 // of Settings.MaxBytesPerSecond
+	labelMagic             = 244 // first byte of labeled datagrams and connections, in the library's format
 )
 
-// errShutDown is the error of a connection that is made while the transport shuts down.
-var errShutDown = errors.New("peers have ended")
+// errShutDown is returned for a connection that is opened while the transport shuts down.
+var errShutDown = errors.New("transport is shut down")
 
-// transport implements memberlist.NodeAwareTransport: datagrams and connections on one address, with limits on descriptors,
-// queued bytes and bytes per second. It sends to a member at its address in Settings.AddressOverrides if there is one. Two
-// goroutines read the sockets until Shutdown.
+// transport implements memberlist.NodeAwareTransport with datagrams and connections on one address. It limits
+// descriptors, queued bytes and bytes per second, and sends to a member at its address in Settings.AddressOverrides if
+// there is one. Two goroutines read the sockets until Shutdown.
 type transport struct {
 	label            []byte
 	addressOverrides map[string]string
@@ -43,14 +43,14 @@
 	limiter          *rate.Limiter
 
 	wg             sync.WaitGroup
-	ctx            context.Context // ends with Shutdown, and with it dialing and waiting writes
+	ctx            context.Context // canceled by Shutdown, which ends dialing and waiting writes
 	cancel         context.CancelFunc
 	mu             sync.Mutex
 	openStreams    map[*stream]struct{}
-	inboundStreams int // those of openStreams that other processes made
+	inboundStreams int // number of openStreams that other processes opened
 }
 
-// listen opens both sockets and starts to read them. The caller must call Shutdown.
+// listen opens both sockets and starts the goroutines that read them. The caller must call Shutdown.
 func listen(settings *Settings, counts *trafficCounters) (*transport, error) {
 	advertised, err := net.ResolveUDPAddr("udp", settings.Advertise)
 	if err != nil {
@@ -69,7 +69,7 @@
 		udp.Close()
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	udp.SetReadBuffer(readBufferBytes) // best effort: what is lost is sent again
+	udp.SetReadBuffer(readBufferBytes) // best effort: the protocol tolerates lost datagrams
 	t := &transport{
 		label:            clusterLabel(settings.Site),
 		addressOverrides: settings.AddressOverrides,
@@ -88,19 +88,19 @@
 	return t, nil
 }
 
-// burstBytes returns how many bytes may be sent at once, at least one datagram.
+// burstBytes returns the burst of the rate limiter, which is at least one datagram.
 func burstBytes(perSecond float64) int {
 	return max(int(perSecond*burstSeconds), maxPacketBytes+maxPacketOverheadBytes)
 }
 
-// clusterLabel returns the bytes with which every datagram and connection of a site begins.
+// clusterLabel returns the prefix of every datagram and connection of a site.
 func clusterLabel(site string) []byte {
 	label := "elderyard/" + site
 	return append([]byte{labelMagic, byte(len(label))}, label...)
 }
 
-// readPackets queues the datagrams of this site until the socket is closed. It drops all others before the library spends
-// time on decrypting them.
+// readPackets queues the datagrams of this site until the socket is closed. It drops all others before the library
+// spends time on decryption.
 func (t *transport) readPackets() {
 	buf := make([]byte, maxPacketBytes+maxPacketOverheadBytes+1)
 	for {
@@ -110,7 +110,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // such as an ICMP error for an earlier datagram
+			continue // for example an ICMP error for an earlier datagram
 		}
 		t.counts.packetsIn.Add(1)
 		t.counts.bytesIn.Add(uint64(n))
@@ -122,7 +122,7 @@
 			t.counts.foreign.Add(1)
 			continue
 		case n < len(t.label)+minEncryptedBytes:
-			t.counts.unsealed.Add(1)
+			t.counts.undecryptable.Add(1)
 			continue
 		}
 		select {
@@ -141,7 +141,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptRetryDelay) // the process is out of descriptors
+			time.Sleep(acceptRetryDelay) // the process is out of file descriptors
 			continue
 		}
 		s := t.register(conn, true)
@@ -161,8 +161,8 @@
 	}
 }
 
-// register adds a connection to those that Shutdown closes. It returns nil after Shutdown, and for an inbound connection
-// beyond maxInboundStreams.
+// register adds a connection to openStreams, which Shutdown closes. It returns nil after Shutdown, and for an inbound
+// connection above maxInboundStreams.
 func (t *transport) register(conn *net.TCPConn, inbound bool) *stream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,17 +177,18 @@
 	return s
 }
 
-// FinalAdvertiseAddr returns the address that members learn of this process.
+// FinalAdvertiseAddr returns the address of this process that is announced to members.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertised.IP, t.advertised.Port, nil
 }
 
-// WriteTo is like WriteToAddress for a member whose name is not known.
+// WriteTo is like WriteToAddress for a member whose name is unknown.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-// WriteToAddress sends a datagram. One beyond the rate limit is counted and dropped without an error, as networks do.
+// WriteToAddress sends a datagram. Above the rate limit, it counts and drops the datagram without an error, as a
+// network may.
 func (t *transport) WriteToAddress(packet []byte, to memberlist.Address) (time.Time, error) {
 	addr, err := net.ResolveUDPAddr("udp", t.address(to))
 	if err != nil {
@@ -209,7 +210,7 @@
 
 // address returns the address at which this process reaches a member.
 func (t *transport) address(a memberlist.Address) string {
-	if name, _, ok := splitName(a.Name); ok {
+	if name, _, ok := parseNodeName(a.Name); ok {
 		if override, ok := t.addressOverrides[name]; ok {
 			return override
 		}
@@ -223,14 +224,14 @@
 // StreamCh returns the accepted connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// DialTimeout is like DialAddressTimeout for a member whose name is not known.
+// DialTimeout is like DialAddressTimeout for a member whose name is unknown.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// DialAddressTimeout connects to a member within the timeout, streamTimeout at most.
+// DialAddressTimeout connects to a member within the timeout, which is limited to streamTimeout.
 func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	// The source address is that of datagrams, by which others may identify members.
+	// The source address must be that of datagrams: others may identify members by it.
 	dialer := net.Dialer{Timeout: min(timeout, streamTimeout), LocalAddr: &net.TCPAddr{IP: t.tcp.Addr().(*net.TCPAddr).IP}}
 	conn, err := dialer.DialContext(t.ctx, "tcp", t.address(to))
 	if err != nil {
@@ -245,7 +246,7 @@
 	return s, nil
 }
 
-// Shutdown closes the sockets and all connections and waits for the goroutines that read the sockets.
+// Shutdown closes the sockets and all connections, and waits for the goroutines that read the sockets.
 func (t *transport) Shutdown() error {
 	t.cancel()
 	t.udp.Close()
--- a/internal/peers/transport_test.go
+++ b/internal/peers/transport_test.go
@@ -12,38 +12,38 @@
 	"elderyard/members"
 )
 
-var garbageCount = flag.Int("garbage", 20000, "datagrams that are no member's")
+var garbageCount = flag.Int("garbage", 20000, "number of invalid datagrams")
 
-// Processes with another key or another site's name never become members, and what they send is counted.
-func TestSitesStaySeparate(t *testing.T) {
+// Processes with another key or the name of another site must not become members. Their traffic is counted.
+func TestSitesAreIsolated(t *testing.T) {
 	t.Parallel()
 	north := newSite(t, "north", 2)
 	a := north.run(north.settings("g0"))
 	for _, c := range []struct {
-		site, what string
-		fill       byte
-		count      func(Traffic) uint64
+		site, fault string
+		fill        byte
+		count       func(Traffic) uint64
 	}{
 		{"south", "another site's name", 1, func(c Traffic) uint64 { return c.Foreign + c.Undecryptable }},
 		{"north", "another key", 2, func(c Traffic) uint64 { return c.Undecryptable }},
 	} {
 		s := newSite(t, c.site, 2)
 		s.writeKeys(c.fill)
-		s.hosts["g0"] = north.hosts["g0"]
+		s.addresses["g0"] = north.addresses["g0"]
 		before := c.count(a.Traffic())
 		b := s.run(s.settings("g1", "g0"))
-		testwait.UntilEvery(t, waitTimeout, pollInterval, c.what+" is counted", func() bool { return c.count(a.Traffic()) >= before+3 })
+		testwait.UntilEvery(t, waitTimeout, pollInterval, c.fault+" is counted", func() bool { return c.count(a.Traffic()) >= before+3 })
 		if p := a.View(); p.Members[1].State != members.StateUnknown {
-			t.Errorf("%s: g0 counts it as %v", c.what, p.Members[1].State)
+			t.Errorf("%s: g0 counts g1 as %v", c.fault, p.Members[1].State)
 		}
 		if p := b.View(); p.Members[0].State != members.StateUnknown {
-			t.Errorf("%s: it counts g0 as %v", c.what, p.Members[0].State)
+			t.Errorf("%s: g1 counts g0 as %v", c.fault, p.Members[0].State)
 		}
 		b.stop()
 	}
 }
 
-// Datagrams and connections that are no member's are counted and dropped, and no member fails meanwhile.
+// Invalid datagrams and connections above the limit are counted and dropped, and no member fails meanwhile.
 func TestGarbageIsCountedAndBounded(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, "north", 2)
@@ -53,16 +53,16 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	sendGarbage(t, s.hosts["g0"], "north", *garbageCount)
+	sendGarbage(t, s.addresses["g0"], "north", *garbageCount)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	t.Logf("%d datagrams: heap %d kB before, %d after; %+v", *garbageCount, before.HeapAlloc>>10, after.HeapAlloc>>10, a.Traffic())
-	testwait.UntilEvery(t, waitTimeout, pollInterval, "all kinds are counted", func() bool {
+	testwait.UntilEvery(t, waitTimeout, pollInterval, "all kinds of invalid datagrams are counted", func() bool {
 		c := a.Traffic()
 		return c.Foreign > 1000 && c.Oversized > 100 && c.Undecryptable > 1000
 	})
 	for range 2 * maxInboundStreams {
-		if c, err := net.Dial("tcp", s.hosts["g0"]); err == nil {
+		if c, err := net.Dial("tcp", s.addresses["g0"]); err == nil {
 			defer c.Close()
 		}
 	}
@@ -71,7 +71,7 @@
 	a.waitForVerdict(t, members.Complete)
 }
 
-// sendGarbage sends n datagrams that are no member's, slowly enough for loopback.
+// sendGarbage sends n invalid datagrams, slowly enough for loopback.
 func sendGarbage(t *testing.T, to, site string, n int) {
 	t.Helper()
 	conn, err := net.Dial("udp", to)
@@ -80,16 +80,16 @@
 	}
 	defer conn.Close()
 	label := clusterLabel(site)
-	rng := newGarbage(1)
+	generator := newGarbage(1)
 	for i := range n {
-		conn.Write(rng.next(label))
+		conn.Write(generator.next(label))
 		if i%64 == 63 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// garbage generates datagrams of random bytes, some of them with the site's label, short or too long.
+// garbage generates datagrams of random bytes. Some have the site's label, some are too short, and some are too long.
 type garbage struct{ rng *rand.Rand }
 
 func newGarbage(seed uint64) garbage { return garbage{rand.New(rand.NewPCG(seed, 1))} }
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -11,13 +11,14 @@
 	"elderyard/members"
 )
 
-// Versions of this package's messages inside the library's. Messages of any version from minProtocolVersion on are accepted
-// and unknown keys ignored, so that members of adjacent versions run side by side in an upgrade.
+// Versions of this package's messages, which the library's messages contain. Messages of any version from
+// minProtocolVersion on are accepted and unknown keys are ignored, so that members of adjacent versions run side by
+// side during an upgrade.
 const (
 	protocolVersion    = 1
 	minProtocolVersion = 1
-	// The library rejects members whose version is outside the range that all others state. So this one must not change:
-	// changes of messages use the versions above.
+	// libraryVersion must not change: the library rejects members whose version is outside the range that all others
+	// state. Changes of messages increase protocolVersion instead.
 	libraryVersion = 1
 )
 
@@ -27,7 +28,7 @@
 	incarnationSeparator = "#" // not valid in names
 )
 
-// meta is what a member announces of itself. It is part of every library message about that member.
+// meta is the metadata that a member announces. It is part of every library message about that member.
 type meta struct {
 	Version      int    `json:"v"`
 	Epoch        uint64 `json:"e"`
@@ -36,7 +37,7 @@
 	Leaving      bool   `json:"l,omitempty"` // announced graceful shutdown
 }
 
-// encode returns meta in at most maxMetaBytes. It leaves out an admin address that does not fit.
+// encode encodes meta in at most maxMetaBytes. It omits an admin address that does not fit.
 func (m meta) encode() []byte {
 	text, err := json.Marshal(m)
 	if err != nil || len(text) > maxMetaBytes {
@@ -60,7 +61,7 @@
 	return m, sum, nil
 }
 
-// message is what members send over connections: in the library's exchange of states, and without incarnations to a member
+// message is the state that members send over connections: in push/pull exchanges, and without incarnations to a member
 // whose roster is older or conflicting.
 type message struct {
 	Version      int                          `json:"v"`
@@ -69,7 +70,7 @@
 	Incarnations []members.IncarnationLearned `json:"lives,omitempty"`
 }
 
-// encode returns nil if the message is longer than maxMessageBytes, which valid names can't cause.
+// encode encodes the message. It returns nil if that is longer than maxMessageBytes, which valid names can't cause.
 func (m message) encode() []byte {
 	text, err := json.Marshal(m)
 	if err != nil || len(text) > maxMessageBytes {
@@ -81,13 +82,13 @@
 // decodeMessage decodes a message and checks its roster. It returns an error for a version below minProtocolVersion.
 func decodeMessage(text []byte) (m message, err error) {
 	if len(text) > maxMessageBytes {
-		return message{}, fmt.Errorf("a message of %d bytes", len(text))
+		return message{}, fmt.Errorf("message of %d bytes exceeds the limit", len(text))
 	}
 	if err := json.Unmarshal(text, &m); err != nil {
 		return message{}, fmt.Errorf("message: %w", err)
 	}
 	if m.Version < minProtocolVersion {
-		return message{}, fmt.Errorf("a message of version %d, and the least is %d", m.Version, minProtocolVersion)
+		return message{}, fmt.Errorf("message of version %d, the minimum is %d", m.Version, minProtocolVersion)
 	}
 	if key, err := m.Roster.Check(); err != nil {
 		return message{}, fmt.Errorf("roster of a message: %s: %w", key, err)
@@ -95,14 +96,14 @@
 	return m, nil
 }
 
-// nodeName returns the library's name of an incarnation. Each incarnation is a node of its own there, so that the library
-// never takes an earlier one for a later one.
+// nodeName returns the library's node name of an incarnation. Each incarnation is a separate node, so that the library
+// never mistakes an earlier one for a later one.
 func nodeName(name string, incarnation members.Incarnation) string {
 	return name + incarnationSeparator + strconv.FormatUint(uint64(incarnation), 36)
 }
 
-// splitName parses a name that nodeName returned.
-func splitName(node string) (name string, incarnation members.Incarnation, ok bool) {
+// parseNodeName parses the result of nodeName.
+func parseNodeName(node string) (name string, incarnation members.Incarnation, ok bool) {
 	name, number, found := strings.Cut(node, incarnationSeparator)
 	n, err := strconv.ParseUint(number, 36, 64)
 	if !found || err != nil || n == 0 || members.CheckName(name) != nil {
--- a/internal/peers/wire_test.go
+++ b/internal/peers/wire_test.go
@@ -9,22 +9,23 @@
 	"elderyard/members"
 )
 
+// parseNodeName inverts nodeName, and rejects all other names.
 func TestNodeNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-zA-Z0-9._-]{1,64}`).Draw(t, "name")
 		incarnation := members.Incarnation(rapid.Uint64Min(1).Draw(t, "incarnation"))
-		if n, l, ok := splitName(nodeName(name, incarnation)); !ok || n != name || l != incarnation {
-			t.Fatalf("%q %d: %q %d %v", name, incarnation, n, l, ok)
+		if parsedName, parsed, ok := parseNodeName(nodeName(name, incarnation)); !ok || parsedName != name || parsed != incarnation {
+			t.Fatalf("%q %d: %q %d %v", name, incarnation, parsedName, parsed, ok)
 		}
 	})
-	for _, bad := range []string{"", "g0", "g0#", "#1", "g0#0", "g0#-1", "g0#zz zz", "g 0#1", "g0#1#2"} {
-		if _, _, ok := splitName(bad); ok {
-			t.Errorf("%q was accepted", bad)
+	for _, invalid := range []string{"", "g0", "g0#", "#1", "g0#0", "g0#-1", "g0#zz zz", "g 0#1", "g0#1#2"} {
+		if _, _, ok := parseNodeName(invalid); ok {
+			t.Errorf("%q was accepted", invalid)
 		}
 	}
 }
 
-// Messages of later versions are accepted without their unknown keys, those of versions that are too old are not.
+// Messages of later versions are accepted and their unknown keys ignored; those below minProtocolVersion are rejected.
 func TestMessagesOfOtherVersions(t *testing.T) {
 	m, sum, err := decodeMeta([]byte(`{"v":2,"e":9,"s":"00000000000000ff","new":{"a":[1]}}`))
 	if err != nil || m.Epoch != 9 || sum != 255 {
@@ -34,19 +35,20 @@
 	if err != nil || got.Roster.Epoch != 3 || got.From != "g1" {
 		t.Errorf("%+v, %v", got, err)
 	}
-	for _, bad := range []string{"", "{", `{"v":0,"e":1,"s":"1"}`, `{"v":1,"e":1,"s":"x"}`} {
-		if _, _, err := decodeMeta([]byte(bad)); err == nil {
-			t.Errorf("meta %q was accepted", bad)
+	for _, invalid := range []string{"", "{", `{"v":0,"e":1,"s":"1"}`, `{"v":1,"e":1,"s":"x"}`} {
+		if _, _, err := decodeMeta([]byte(invalid)); err == nil {
+			t.Errorf("meta %q was accepted", invalid)
 		}
 	}
-	for _, bad := range []string{"", "{", `{"v":0}`, `{"v":1,"roster":{"epoch":0}}`, `{"v":1,"roster":{"epoch":1,"members":[{"name":"a"},{"name":"a"}]}}`,
+	for _, invalid := range []string{"", "{", `{"v":0}`, `{"v":1,"roster":{"epoch":0}}`, `{"v":1,"roster":{"epoch":1,"members":[{"name":"a"},{"name":"a"}]}}`,
 		`{"v":1,"from":"` + strings.Repeat("x", maxMessageBytes) + `"}`} {
-		if _, err := decodeMessage([]byte(bad)); err == nil {
-			t.Errorf("message %.40q was accepted", bad)
+		if _, err := decodeMessage([]byte(invalid)); err == nil {
+			t.Errorf("message %.40q was accepted", invalid)
 		}
 	}
 }
 
+// Encoded metadata never exceeds the limit of the library.
 func TestMetaFits(t *testing.T) {
 	for _, adminAddress := range []string{"", "127.0.0.1:1", strings.Repeat("h", 600) + ":1"} {
 		m := meta{Version: protocolVersion, Epoch: 1 << 60, Sum: "ffffffffffffffff", AdminAddress: adminAddress, Leaving: true}
@@ -60,6 +62,7 @@
 	}
 }
 
+// A decoded message can be encoded and decoded again, and invalid input does not panic.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte(`{"v":1,"from":"g1","roster":{"epoch":3,"members":[{"name":"g1"}]},"lives":[{"Name":"g1","Life":3}]}`))
 	f.Add([]byte(`{"v":1,"e":9,"s":"00000000000000ff","d":"127.0.0.1:1","l":true}`))
