--- a/internal/peers/query.go
+++ b/internal/peers/query.go
@@ -156,17 +156,17 @@
 	return net.JoinHostPort(host, port)
 }
 
-// inParallel returns the results of a function for each argument, in order. At most maxConcurrentQueries calls run at a
+// inParallel returns the results of a function for each input, in order. At most maxConcurrentQueries calls run at a
 // time.
-func inParallel[T any](arguments []string, do func(string) T) []T {
-	results := make([]T, len(arguments))
+func inParallel[T any](inputs []string, do func(string) T) []T {
+	results := make([]T, len(inputs))
 	slots := make(chan struct{}, maxConcurrentQueries)
 	var wg sync.WaitGroup
-	for i, argument := range arguments {
+	for i, text := range inputs {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			results[i] = do(argument)
+			results[i] = do(text)
 		})
 	}
 	wg.Wait()
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -36,10 +36,10 @@
 // Roles returns all roles in ascending order.
 func Roles() []Role { return []Role{Viewer, Operator, Agent} }
 
-// Covers reports whether the role has all permissions of the required one. Unknown roles cover nothing and are not
+// Covers reports whether the role has all permissions of the needed one. Unknown roles cover nothing and are not
 // covered.
-func (r Role) Covers(required Role) bool {
-	have, want := slices.Index(Roles(), r), slices.Index(Roles(), required)
+func (r Role) Covers(needed Role) bool {
+	have, want := slices.Index(Roles(), r), slices.Index(Roles(), needed)
 	return have >= want && want >= 0
 }
 
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -140,11 +140,11 @@
 // TestRoleCovers: a role has the permissions of lower roles, and an unknown role has none.
 func TestRoleCovers(t *testing.T) {
 	for _, c := range []struct {
-		have, required Role
-		want           bool
+		have, needed Role
+		want         bool
 	}{{Viewer, Viewer, true}, {Viewer, Operator, false}, {Operator, Viewer, true}, {Operator, Agent, false}, {Agent, Operator, true}, {"", Viewer, false}, {Agent, "", false}} {
-		if c.have.Covers(c.required) != c.want {
-			t.Errorf("%q covers %q: %v, want %v", c.have, c.required, !c.want, c.want)
+		if c.have.Covers(c.needed) != c.want {
+			t.Errorf("%q covers %q: %v, want %v", c.have, c.needed, !c.want, c.want)
 		}
 	}
 }
