--- a/internal/recordsync/follower.go
+++ b/internal/recordsync/follower.go
@@ -100,7 +100,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(max(minTickInterval, time.Until(f.machine.Wake())))
+		timer.Reset(max(minTickInterval, time.Until(f.machine.NextTick())))
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/recordsync/handler.go
+++ b/internal/recordsync/handler.go
@@ -88,7 +88,7 @@
 // wait is over. The error is errTooManyWaiting or that of the context.
 func (h *Handler) awaitChanges(ctx context.Context, request records.ChangesRequest) (records.ChangesResponse, error) {
 	response, changed := h.currentResponse(request)
-	if !response.NothingNew() || request.Wait <= 0 {
+	if !response.UpToDate() || request.Wait <= 0 {
 		return response, nil
 	}
 	select {
@@ -99,7 +99,7 @@
 	}
 	timer := time.NewTimer(request.Wait)
 	defer timer.Stop()
-	for response.NothingNew() {
+	for response.UpToDate() {
 		select {
 		case <-changed:
 			response, changed = h.currentResponse(request)
--- a/internal/recordsync/handler_test.go
+++ b/internal/recordsync/handler_test.go
@@ -41,7 +41,7 @@
 		t.Fatalf("%+v, %v", response, err)
 	}
 	digest := source.digest()
-	if response, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &digest}); err != nil || !response.NothingNew() {
+	if response, err = requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 1, Digest: &digest}); err != nil || !response.UpToDate() {
 		t.Fatalf("%+v, %v", response, err)
 	}
 }
@@ -88,7 +88,7 @@
 
 	// Without a change the wait ends in time.
 	response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{Since: 2, Digest: &digest, Wait: time.Millisecond})
-	if err != nil || !response.NothingNew() {
+	if err != nil || !response.UpToDate() {
 		t.Fatalf("%+v, %v", response, err)
 	}
 }
@@ -107,7 +107,7 @@
 	if !ok || rejected.code != http.StatusServiceUnavailable {
 		t.Fatalf("one more than may wait: %v", err)
 	}
-	if response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{}); err != nil || !response.NothingNew() {
+	if response, err := requestChanges(t.Context(), client, server, records.ChangesRequest{}); err != nil || !response.UpToDate() {
 		t.Fatalf("one that does not wait: %+v, %v", response, err)
 	}
 }
--- a/records/changes.go
+++ b/records/changes.go
@@ -36,9 +36,9 @@
 	Behind  bool         `json:"behind,omitempty"` // the server is below the requested version
 }
 
-// NothingNew reports whether the replica is at the server's version, so that the server may
+// UpToDate reports whether the replica is at the server's version, so that the server may
 // wait for a change before it responds.
-func (r ChangesResponse) NothingNew() bool { return r.Delta == nil && r.Repair == "" && !r.Behind }
+func (r ChangesResponse) UpToDate() bool { return r.Delta == nil && r.Repair == "" && !r.Behind }
 
 // HandleChanges returns the response to a request in the store's present state. It does not
 // wait: that is for the caller, which calls it again after the next change.
--- a/records/follower.go
+++ b/records/follower.go
@@ -40,7 +40,7 @@
 // when, within a budget of bytes, and which servers to eject.
 //
 // It is driven by events: the driver passes each one to Handle with the present time, carries
-// out the actions that Handle returns in their order, and sends a Tick at the time that Wake
+// out the actions that Handle returns in their order, and sends a Tick at the time that NextTick
 // returns. At most one request is in flight. Times never come from a clock of the follower, so
 // the same events at the same times have the same actions.
 //
@@ -81,7 +81,7 @@
 }
 
 // NewFollower returns a follower of a replica, which only the follower may change from then
-// on. The first event is a Tick at the time that Wake returns.
+// on. The first event is a Tick at the time that NextTick returns.
 func NewFollower(config FollowerConfig, replica *Replica, now time.Time) *Follower {
 	follower := &Follower{
 		replica:     replica,
@@ -118,9 +118,9 @@
 	return append(actions, f.sendNext()...)
 }
 
-// Wake returns the time at which the driver must send a Tick; it may be in the past. It
+// NextTick returns the time at which the driver must send a Tick; it may be in the past. It
 // changes with every event.
-func (f *Follower) Wake() time.Time {
+func (f *Follower) NextTick() time.Time {
 	if f.inFlight != nil {
 		return f.requestDeadline()
 	}
--- a/records/follower_events.go
+++ b/records/follower_events.go
@@ -5,7 +5,7 @@
 // Event is an input of a follower: Tick, ResponseReceived, RequestFailed or HeadReceived.
 type Event interface{ event() }
 
-// Tick is the event that the time which Wake returned has come.
+// Tick reports that the time which NextTick returned has come.
 type Tick struct{}
 
 // ResponseReceived is the event that a server has responded to a Send.
--- a/records/follower_script_test.go
+++ b/records/follower_script_test.go
@@ -11,11 +11,11 @@
 func converse(t *testing.T, follower *Follower, maxRequests int, respond func(Send) any, done func() bool) []Send {
 	t.Helper()
 	var sent []Send
-	actions := follower.Handle(follower.Wake(), Tick{})
+	actions := follower.Handle(follower.NextTick(), Tick{})
 	for !done() && len(sent) < maxRequests {
 		position := slices.IndexFunc(actions, func(action Action) bool { _, ok := action.(Send); return ok })
 		if position < 0 {
-			actions = follower.Handle(follower.Wake(), Tick{})
+			actions = follower.Handle(follower.NextTick(), Tick{})
 			continue
 		}
 		send := actions[position].(Send)
--- a/records/follower_test.go
+++ b/records/follower_test.go
@@ -146,12 +146,12 @@
 		name := fmt.Sprintf("gateway-%d", i)
 		follower := NewFollower(FollowerConfig{Name: name, Servers: names}, &Replica{}, testTime)
 		again := NewFollower(FollowerConfig{Name: name, Servers: names}, &Replica{}, testTime)
-		if follower.Wake() != again.Wake() || follower.servers.pick(testTime, false) != again.servers.pick(testTime, false) {
+		if follower.NextTick() != again.NextTick() || follower.servers.pick(testTime, false) != again.servers.pick(testTime, false) {
 			t.Fatal("the same follower decides otherwise")
 		}
 		first[follower.servers.pick(testTime, false)]++
-		wakes[follower.Wake()] = true
-		if wait := follower.Wake().Sub(testTime); wait < 0 || wait >= maxStartDelay {
+		wakes[follower.NextTick()] = true
+		if wait := follower.NextTick().Sub(testTime); wait < 0 || wait >= maxStartDelay {
 			t.Fatalf("sends its first request after %v", wait)
 		}
 	}
@@ -174,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := follower.Wake()
+	now := follower.NextTick()
 	send := follower.Handle(now, Tick{})[0].(Send)
 	if actions := follower.Handle(now, Tick{}); len(actions) != 0 {
 		t.Errorf("a second tick: %v", actions)
@@ -183,8 +183,8 @@
 		t.Errorf("an unknown response: %v", actions)
 	}
 	late := now.Add(send.Timeout)
-	if follower.Wake() != late {
-		t.Errorf("wants to wake at %v, not at %v", follower.Wake(), late)
+	if follower.NextTick() != late {
+		t.Errorf("wants to wake at %v, not at %v", follower.NextTick(), late)
 	}
 	actions := follower.Handle(late, Tick{})
 	if len(actions) != 1 || actions[0] != (Cancel{ID: send.ID}) {
@@ -193,7 +193,7 @@
 	if actions := follower.Handle(late, ResponseReceived{ID: send.ID, Body: body}); len(actions) != 0 || replica.Version() != 0 {
 		t.Errorf("a response after the cancel: %v", actions)
 	}
-	next := follower.Handle(follower.Wake(), Tick{})[0].(Send)
+	next := follower.Handle(follower.NextTick(), Tick{})[0].(Send)
 	if next.Server == send.Server || next.ID == send.ID {
 		t.Errorf("sent %+v again", next)
 	}
@@ -202,7 +202,7 @@
 		t.Errorf("the right response: %+v", actions)
 	}
 	none := NewFollower(FollowerConfig{Name: "g"}, &Replica{}, testTime)
-	if actions := none.Handle(testTime.Add(time.Minute), Tick{}); len(actions) != 0 || !none.Wake().After(testTime.Add(time.Minute)) {
+	if actions := none.Handle(testTime.Add(time.Minute), Tick{}); len(actions) != 0 || !none.NextTick().After(testTime.Add(time.Minute)) {
 		t.Errorf("without servers: %v", actions)
 	}
 }
--- a/records/golden_follower_test.go
+++ b/records/golden_follower_test.go
@@ -82,7 +82,7 @@
 // run advances the clock and delivers all that is due in between.
 func (f *followerTrace) run(duration time.Duration) {
 	for end := f.now.Add(duration); ; {
-		wake := f.follower.Wake()
+		wake := f.follower.NextTick()
 		arriving := !f.arrival.IsZero() && f.arrival.Before(wake)
 		if arriving {
 			wake = f.arrival
@@ -159,7 +159,7 @@
 	switch request := f.inFlight.Request.(type) {
 	case ChangesRequest:
 		response := server.store.HandleChanges(request)
-		if response.NothingNew() && request.Wait > 0 {
+		if response.UpToDate() && request.Wait > 0 {
 			f.arrival = f.now.Add(request.Wait)
 		}
 		message = response
--- a/records/world_run_test.go
+++ b/records/world_run_test.go
@@ -30,7 +30,7 @@
 
 // due returns when something happens next for the follower.
 func (f *worldFollower) due() time.Time {
-	due := f.follower.Wake()
+	due := f.follower.NextTick()
 	for _, each := range []time.Time{f.responseAt, f.pollEnd} {
 		if !each.IsZero() && each.Before(due) {
 			due = each
--- a/records/world_test.go
+++ b/records/world_test.go
@@ -239,7 +239,7 @@
 	switch request := f.inFlight.Request.(type) {
 	case ChangesRequest:
 		response := server.store.HandleChanges(request)
-		if response.NothingNew() && request.Wait > 0 {
+		if response.UpToDate() && request.Wait > 0 {
 			f.pollEnd = w.now.Add(request.Wait)
 			server.polls = append(server.polls, f)
 			return
