--- a/records/bounded_list.go
+++ b/records/bounded_list.go
@@ -6,12 +6,11 @@
 	"fmt"
 )
 
-// minElementBytes is a lower bound of the size of any valid List element as JSON.
+// minElementBytes is a lower bound on the JSON size of a valid List element.
 const minElementBytes = 16
 
-// List is a list that decodes at most MaxRecords elements from JSON, and rejects unknown
-// fields in them. The bound also depends on the size of the text, so that a small message
-// cannot make a program allocate much memory.
+// List is a list that decodes at most MaxRecords elements from JSON and rejects unknown fields in them. The
+// limit also depends on the size of the input, so that a small message cannot cause a large allocation.
 type List[Element any] []Element
 
 // UnmarshalJSON implements json.Unmarshaler. It decodes element by element; null is the
--- a/records/change.go
+++ b/records/change.go
@@ -12,7 +12,7 @@
 	Value   json.RawMessage `json:"value"` // canonical JSON
 }
 
-// size returns the size of the key and value in bytes, which the bounds limit.
+// size returns the size of the key and value in bytes, to which the limits apply.
 func (r Record) size() int { return len(r.Key.Kind) + len(r.Key.Name) + len(r.Value) }
 
 // Operation puts or deletes one record. Putting the value that a record already has
@@ -21,8 +21,8 @@
 	Key    Key             `json:"key"`
 	Delete bool            `json:"delete,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
-	// IfVersion makes the change conditional on the record's version: 0 means that the
-	// record must not exist, nil that there is no condition.
+	// IfVersion makes the change conditional on the record's version: 0 requires that the
+	// record does not exist, nil means no condition.
 	IfVersion *uint64 `json:"if,omitempty"`
 }
 
@@ -43,7 +43,7 @@
 // The outcomes of a change.
 const (
 	Accepted  Status = "accepted"
-	Unchanged Status = "unchanged" // valid, but without effect on any record
+	Unchanged Status = "unchanged" // valid, but has no effect on any record
 	Conflict  Status = "conflict"  // a record is not at the version that the change expects
 	Invalid   Status = "invalid"
 )
@@ -55,7 +55,7 @@
 	Problem *Problem `json:"problem,omitempty"` // nil if the status is Accepted or Unchanged
 }
 
-// Problem is why a change was rejected.
+// Problem describes why a change was rejected.
 type Problem struct {
 	Key    string `json:"key,omitempty"`   // KIND/NAME; empty if it is not about one record
 	Field  string `json:"field,omitempty"` // of the record's value, or of the change
@@ -80,5 +80,5 @@
 	Author     string    `json:"author"`
 	Message    string    `json:"message,omitempty"`
 	At         time.Time `json:"at"`
-	Operations int       `json:"operations"` // number of records that it changed
+	Operations int       `json:"operations"` // number of changed records
 }
--- a/records/change_log.go
+++ b/records/change_log.go
@@ -2,28 +2,28 @@
 
 import "slices"
 
-// changeLog has the newest accepted changes, oldest first. It has no values: those that
-// are still in force are in the present state.
+// changeLog has the newest accepted changes, oldest first. It stores keys but no values: the values that still
+// apply are in the current state.
 type changeLog struct {
 	entries []logEntry
 	bytes   int // sum of the entries' sizes
-	// Version and digest of the state before the oldest entry.
-	floorVersion uint64
-	floorDigest  Digest
+	// Version and digest of the state before the oldest entry: the newest compacted version.
+	compactedVersion uint64
+	compactedDigest  Digest
 }
 
 // logEntry is one accepted change.
 type logEntry struct {
 	Info   ChangeInfo `json:"info"`
 	Digest Digest     `json:"digest"` // of the state after the change
-	Keys   []Key      `json:"keys"`   // that it put or deleted
+	Keys   []Key      `json:"keys"`   // of the records that it put or deleted
 }
 
-// entryOverhead is added for each key, and four times for each entry, to the size of the
-// texts, in bytes.
+// entryOverhead is an estimate of memory overhead in bytes. It is added once for each key and four times for each
+// entry to the size of the strings.
 const entryOverhead = 32
 
-// size returns about how many bytes the entry takes in memory.
+// size returns the approximate size of the entry in memory, in bytes.
 func (e *logEntry) size() int {
 	size := 4*entryOverhead + len(e.Info.Author) + len(e.Info.Message)
 	for _, key := range e.Keys {
@@ -32,7 +32,7 @@
 	return size
 }
 
-// add appends an entry and compacts the oldest ones until the log is within its bounds.
+// add appends an entry and compacts the oldest ones until the log is within its limits.
 func (l *changeLog) add(entry logEntry) {
 	l.entries = append(l.entries, entry)
 	l.bytes += entry.size()
@@ -50,11 +50,11 @@
 		return
 	}
 	last := &l.entries[count-1]
-	l.floorVersion, l.floorDigest = last.Info.Version, last.Digest
+	l.compactedVersion, l.compactedDigest = last.Info.Version, last.Digest
 	l.entries = slices.Delete(l.entries, 0, count)
 }
 
-// after returns the entries above a version. They are only valid until the next add.
+// after returns the entries above a version. The slice is only valid until the next add.
 func (l *changeLog) after(version uint64) []logEntry {
 	position, found := l.find(version)
 	if found {
@@ -63,7 +63,7 @@
 	return l.entries[position:]
 }
 
-// find returns the position of a version's entry, or where it would be inserted.
+// find returns the position of a version's entry, or its insertion point, and whether the entry exists.
 func (l *changeLog) find(version uint64) (int, bool) {
 	return slices.BinarySearchFunc(l.entries, version, func(entry logEntry, version uint64) int {
 		switch {
@@ -76,10 +76,10 @@
 	})
 }
 
-// digestAt returns the digest at a version that is in the log, or just before it.
+// digestAt returns the digest at a version in the log or at the newest compacted version.
 func (l *changeLog) digestAt(version uint64) (Digest, bool) {
-	if version == l.floorVersion {
-		return l.floorDigest, true
+	if version == l.compactedVersion {
+		return l.compactedDigest, true
 	}
 	position, found := l.find(version)
 	if !found {
@@ -88,7 +88,7 @@
 	return l.entries[position].Digest, true
 }
 
-// history returns up to limit changes, newest first; all if the limit is 0 or less.
+// history returns up to limit changes, newest first. A limit of 0 or less means all.
 func (l *changeLog) history(limit int) []ChangeInfo {
 	count := len(l.entries)
 	if limit > 0 {
--- a/records/changes.go
+++ b/records/changes.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// MaxWait is the longest time for which a server lets a request for changes wait.
+// MaxWait is the longest time that a server holds a request for changes open.
 const MaxWait = 10 * time.Second
 
 // ChangesRequest requests the changes above a version.
 type ChangesRequest struct {
 	Since  uint64
-	Digest *Digest       // of the replica's content at Since; nil if it is not to be checked
-	Wait   time.Duration // how long the server waits for a change if there is none; at most MaxWait
+	Digest *Digest       // of the replica's content at Since; nil disables the check
+	Wait   time.Duration // long poll: how long the server waits for a change if there is none; at most MaxWait
 }
 
-// RepairReason is why a server cannot send changes.
+// RepairReason states why a server cannot send changes.
 type RepairReason string
 
-// The reasons for a repair by ranges.
+// The reasons for a repair.
 const (
-	RepairCompacted RepairReason = "compacted" // the log does not go back to the version
+	RepairCompacted RepairReason = "compacted" // the log does not reach back to the version
 	RepairDigest    RepairReason = "digest"    // the replica's content is not what the server had at that version
-	RepairTooLarge  RepairReason = "too_large" // the changes are over MaxDeltaBytes
+	RepairTooLarge  RepairReason = "too_large" // the changes exceed MaxDeltaBytes
 )
 
 // ChangesResponse is a server's response to a ChangesRequest. At most one of Delta, Repair
@@ -40,8 +40,8 @@
 // wait for a change before it responds.
 func (r ChangesResponse) UpToDate() bool { return r.Delta == nil && r.Repair == "" && !r.Behind }
 
-// HandleChanges returns the response to a request in the store's present state. It does not
-// wait: that is for the caller, which calls it again after the next change.
+// HandleChanges returns the response to a request from the store's current state. It does not wait: a caller that
+// implements long polling calls it again after the next change.
 func (s *Store) HandleChanges(request ChangesRequest) ChangesResponse {
 	response := ChangesResponse{Version: s.version, Digest: s.Digest()}
 	delta, err := s.ChangesSince(request.Since)
@@ -60,7 +60,7 @@
 	return response
 }
 
-// digestMatches reports whether the content had the request's digest at its version.
+// digestMatches reports whether the store had the request's digest at the request's version.
 func (s *Store) digestMatches(request ChangesRequest) bool {
 	if request.Digest == nil {
 		return true
--- a/records/codec.go
+++ b/records/codec.go
@@ -6,20 +6,19 @@
 	"fmt"
 )
 
-// MaxMessageBytes bounds a message on the wire in bytes, before and after compression.
+// MaxMessageBytes limits the size of a message on the wire, before and after compression.
 const MaxMessageBytes = 2 << 20
 
-// ErrMessage means that a message is damaged, too large or contradicts itself.
+// ErrMessage means that a message is malformed, too large or inconsistent.
 var ErrMessage = errors.New("unusable message about records")
 
 // validator is a message from another program.
 type validator interface {
-	// validate returns an error if the message contradicts itself.
+	// validate returns an error if the message is inconsistent.
 	validate() error
 }
 
-// EncodeChangesResponse returns the response in its form on the wire. The error is for a
-// message over MaxMessageBytes.
+// EncodeChangesResponse returns the response in its wire format. It fails if the message exceeds MaxMessageBytes.
 func EncodeChangesResponse(response ChangesResponse) ([]byte, error) { return encode(response) }
 
 // DecodeChangesResponse decodes and validates a response. The error wraps ErrMessage.
@@ -27,14 +26,13 @@
 	return decode[ChangesResponse](data)
 }
 
-// EncodeRangeDigests returns the digests in their form on the wire.
+// EncodeRangeDigests returns the digests in their wire format.
 func EncodeRangeDigests(digests RangeDigests) ([]byte, error) { return encode(digests) }
 
 // DecodeRangeDigests decodes and validates digests. The error wraps ErrMessage.
 func DecodeRangeDigests(data []byte) (RangeDigests, error) { return decode[RangeDigests](data) }
 
-// EncodeChunk returns the chunk in its form on the wire. The error is for a message over
-// MaxMessageBytes.
+// EncodeChunk returns the chunk in its wire format. It fails if the message exceeds MaxMessageBytes.
 func EncodeChunk(chunk Chunk) ([]byte, error) { return encode(chunk) }
 
 // DecodeChunk decodes and validates a chunk. The error wraps ErrMessage.
--- a/records/compress.go
+++ b/records/compress.go
@@ -8,13 +8,13 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// minCompressBytes is the size in bytes from which a message is compressed.
+// minCompressBytes is the smallest size of a message that is compressed.
 const minCompressBytes = 512
 
-// zstdMagic begins every Zstandard frame, and no JSON text.
+// zstdMagic is the magic number of a Zstandard frame. No JSON text begins with it.
 var zstdMagic = []byte{0x28, 0xb5, 0x2f, 0xfd}
 
-// encoderWindow bounds the encoder's memory, in bytes.
+// encoderWindow is the encoder's window size in bytes, which limits its memory.
 const encoderWindow = 1 << 20
 
 // encoder is shared by all callers: its EncodeAll is safe for concurrent use.
@@ -38,9 +38,8 @@
 	return encoder().EncodeAll(data, nil)
 }
 
-// decompress reverses compress. It rejects data that expands to more than limit bytes before
-// it allocates memory for them. A decoder is made for each call, since its memory is bounded by the
-// limit.
+// decompress reverses compress. It rejects data that expands to more than limit bytes before it allocates memory
+// for them. Each call creates a decoder, since the limit is a setting of the decoder.
 func decompress(data []byte, limit int) ([]byte, error) {
 	if !bytes.HasPrefix(data, zstdMagic) {
 		if len(data) > limit {
--- a/records/delta.go
+++ b/records/delta.go
@@ -11,8 +11,8 @@
 	Version uint64 `json:"version"`
 }
 
-// Delta is the net effect of the changes above version From up to version To. A record that
-// several changes wrote is in it once, as it is at To.
+// Delta is the net effect of the changes above version From up to version To. A record that several changes wrote
+// appears once, as it is at To.
 type Delta struct {
 	From    uint64          `json:"from"`
 	To      uint64          `json:"to"`
@@ -24,7 +24,7 @@
 // Empty reports whether the delta changes no record.
 func (d Delta) Empty() bool { return len(d.Puts) == 0 && len(d.Deletes) == 0 }
 
-// Size returns about how many bytes the delta takes on the wire before compression.
+// Size returns the approximate size of the delta on the wire before compression, in bytes.
 func (d Delta) Size() int {
 	size := 0
 	for _, record := range d.Puts {
@@ -82,15 +82,14 @@
 	}
 }
 
-// ChangesSince returns the net effect of the changes above a version. The error is
-// ErrCompacted if the log does not go back to the version, and ErrFuture if the version is
-// above the store's.
+// ChangesSince returns the net effect of the changes above a version. The error is ErrCompacted if the log does not
+// reach back to the version, and ErrFuture if the version is above the store's.
 func (s *Store) ChangesSince(version uint64) (Delta, error) {
 	if version > s.version {
 		return Delta{}, fmt.Errorf("%w: asked for the changes since %d, the newest is %d", ErrFuture, version, s.version)
 	}
-	if version < s.log.floorVersion {
-		return Delta{}, fmt.Errorf("%w: asked for the changes since %d, the log begins at %d", ErrCompacted, version, s.log.floorVersion)
+	if version < s.log.compactedVersion {
+		return Delta{}, fmt.Errorf("%w: asked for the changes since %d, the log begins at %d", ErrCompacted, version, s.log.compactedVersion)
 	}
 	deleted := map[Key]uint64{}
 	delta := Delta{From: version, To: s.version, Digest: s.Digest()}
@@ -112,8 +111,8 @@
 	return delta, nil
 }
 
-// Difference returns the delta from one store's content to another's. The tombstones have
-// the other store's version.
+// Difference returns the delta from the content of one store to that of another. Its tombstones have the version
+// of the second store.
 func Difference(from, to *Store) Delta {
 	delta := Delta{From: from.version, To: to.version, Digest: to.Digest()}
 	old, target := from.current(), to.current()
--- a/records/delta_test.go
+++ b/records/delta_test.go
@@ -81,7 +81,7 @@
 	if err := replica.ApplyDelta(both); err != nil {
 		t.Errorf("twice: %v", err)
 	}
-	reject("an old one", second, ErrBehind)
+	reject("an old one", second, ErrStale)
 	wrong := third
 	wrong.Digest[0]++
 	reject("the same version with another digest", wrong, ErrDigest)
--- a/records/digest.go
+++ b/records/digest.go
@@ -9,16 +9,15 @@
 	"math/bits"
 )
 
-// RangeCount is the number of ranges into which a state is divided by a hash of the key.
+// RangeCount is the number of ranges into which a state is partitioned by a hash of the key.
 const RangeCount = 1024
 
 // Digest identifies the content of a state: keys, versions and values.
 //
-// Each record is hashed by itself, and the hashes of a range are added, so that the cost of
-// a change depends on the records that it writes and not on the size of the state. A digest
-// detects accidents (corruption, lost or repeated changes, programming errors). It is no
-// protection against an adversary, who could search for records whose hashes add up to a
-// given sum.
+// Each record is hashed separately, and the hashes of a range are added, so that the cost of a change depends on
+// the records that it writes and not on the size of the state. A digest detects accidental errors (corruption, lost
+// or repeated changes, bugs). It does not protect against an adversary, who could search for records whose hashes
+// add up to a given sum.
 type Digest [16]byte
 
 // String returns the digest in hexadecimal.
@@ -27,7 +26,7 @@
 // errNoDigest means that a message has no digest. No content has the zero digest.
 var errNoDigest = errors.New("the digest is missing")
 
-// ParseDigest returns the digest with the hexadecimal form.
+// ParseDigest parses a digest in hexadecimal.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	if len(text) != hex.EncodedLen(len(digest)) {
@@ -39,7 +38,7 @@
 	return digest, nil
 }
 
-// MarshalText implements encoding.TextMarshaler with the hexadecimal form.
+// MarshalText implements encoding.TextMarshaler: the digest in hexadecimal.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -52,7 +51,7 @@
 	return nil
 }
 
-// sum is a 128-bit sum of the hashes of records. It does not depend on their order.
+// sum is a sum of the hashes of records, modulo 2^128. It does not depend on their order.
 type sum struct{ high, low uint64 }
 
 func (s sum) plus(other sum) sum {
@@ -67,8 +66,7 @@
 	return sum{high: high, low: low}
 }
 
-// hashRecord returns the hash of key, version and value. A key has no zero byte, so
-// different records have different input.
+// hashRecord returns the hash of key, version and value. The input is unambiguous since a key has no zero byte.
 func hashRecord(record Record) sum {
 	buffer := make([]byte, 0, 512)
 	buffer = append(buffer, record.Key.Kind...)
@@ -102,7 +100,7 @@
 			hash = (hash ^ uint64(text[i])) * prime
 		}
 	}
-	// The low bits of FNV-1a alone are unevenly distributed: mix with MurmurHash3's finalizer.
+	// The low bits of FNV-1a are unevenly distributed: mix them with MurmurHash3's finalizer.
 	hash = (hash ^ hash>>33) * 0xff51afd7ed558ccd
 	return int((hash ^ hash>>33) % RangeCount)
 }
--- a/records/draft.go
+++ b/records/draft.go
@@ -6,46 +6,46 @@
 	"slices"
 )
 
-// draft is a mutable copy of a state. The state that it was made from does not change.
+// draft is a mutable copy of a state with copy-on-write ranges. The original state does not change.
 type draft struct {
 	state *state
-	owned [RangeCount]bool // ranges whose records are copied already
+	owned [RangeCount]bool // ranges whose records have been copied
 }
 
-// edit returns a draft that begins with the state.
+// edit returns a draft with the content of the state.
 func (s *state) edit() *draft { return new(draft).begin(s) }
 
-// begin makes the draft one of the state, and returns it.
+// begin initializes the draft with the content of the state, and returns the draft.
 func (d *draft) begin(from *state) *draft {
 	copied := *from
 	d.state = &copied
 	return d
 }
 
-// mutableRange returns a range that is safe to change, copied on its first use.
-func (d *draft) mutableRange(index int) *keyRange {
-	keys := &d.state.ranges[index]
+// mutableRange returns a range that may be modified. Its records are copied on first use.
+func (d *draft) mutableRange(index int) *hashRange {
+	target := &d.state.ranges[index]
 	if !d.owned[index] {
-		keys.records = slices.Clone(keys.records)
+		target.records = slices.Clone(target.records)
 		d.owned[index] = true
 	}
-	return keys
+	return target
 }
 
 // put inserts or replaces a record.
 func (d *draft) put(record Record) {
-	keys := d.mutableRange(RangeOf(record.Key))
-	position, found := keys.find(record.Key)
+	target := d.mutableRange(RangeOf(record.Key))
+	position, found := target.find(record.Key)
 	if found {
-		old := keys.records[position]
-		keys.sum = keys.sum.minus(hashRecord(old))
+		old := target.records[position]
+		target.sum = target.sum.minus(hashRecord(old))
 		d.state.bytes -= old.size()
-		keys.records[position] = record
+		target.records[position] = record
 	} else {
-		keys.records = slices.Insert(keys.records, position, record)
+		target.records = slices.Insert(target.records, position, record)
 		d.state.count++
 	}
-	keys.sum = keys.sum.plus(hashRecord(record))
+	target.sum = target.sum.plus(hashRecord(record))
 	d.state.bytes += record.size()
 }
 
@@ -56,31 +56,31 @@
 	if !found {
 		return
 	}
-	keys := d.mutableRange(index)
-	old := keys.records[position]
-	keys.records = slices.Delete(keys.records, position, position+1)
-	keys.sum = keys.sum.minus(hashRecord(old))
+	target := d.mutableRange(index)
+	old := target.records[position]
+	target.records = slices.Delete(target.records, position, position+1)
+	target.sum = target.sum.minus(hashRecord(old))
 	d.state.count--
 	d.state.bytes -= old.size()
 }
 
 // replace sets the records of a range, which must be in order of key.
 func (d *draft) replace(index int, records []Record) {
-	keys := &d.state.ranges[index]
-	for _, old := range keys.records {
+	target := &d.state.ranges[index]
+	for _, old := range target.records {
 		d.state.bytes -= old.size()
 	}
-	d.state.count += len(records) - len(keys.records)
-	keys.records = slices.Clone(records)
-	keys.sum = hashRecords(records)
+	d.state.count += len(records) - len(target.records)
+	target.records = slices.Clone(records)
+	target.sum = hashRecords(records)
 	for _, record := range records {
 		d.state.bytes += record.size()
 	}
 	d.owned[index] = true
 }
 
-// finish computes the digest and returns the state. The draft must not be used afterwards:
-// it shares all with the state.
+// finish computes the digest and returns the state. The draft must not be used afterwards, since it shares its
+// memory with the state.
 func (d *draft) finish() *state {
 	const sumBytes = 16
 	buffer := make([]byte, 0, RangeCount*sumBytes)
--- a/records/evaluate.go
+++ b/records/evaluate.go
@@ -8,16 +8,15 @@
 	"unicode/utf8"
 )
 
-// evaluation is the effect that a valid change would have on a store.
+// evaluation is the effect of a valid change on a store, before it is committed.
 type evaluation struct {
-	draft      *draft
-	changed    []Key       // in the order of the operations
-	references map[Key]int // differences to the counts of references
+	draft           *draft
+	changed         []Key       // in the order of the operations
+	referenceDeltas map[Key]int // changes of the reference counts
 }
 
-// Check returns the status and the problem that Apply would return for a change in the
-// store's present state, and changes nothing. The problem is nil if the status is Accepted
-// or Unchanged. Idempotency keys are not considered.
+// Check is a dry run of Apply: it returns the status and the problem of a change in the store's current state, and
+// changes nothing. The problem is nil if the status is Accepted or Unchanged. Idempotency keys are ignored.
 func (s *Store) Check(change Change) (Status, *Problem) {
 	evaluation, status, problem := s.evaluate(s.applied+1, change)
 	if problem != nil {
@@ -29,10 +28,10 @@
 	return Accepted, nil
 }
 
-// evaluate computes the effect of a change without changing the store. On a problem the
-// status is Invalid or Conflict.
+// evaluate computes the effect of a change without changing the store. If there is a problem, the status is Invalid
+// or Conflict.
 func (s *Store) evaluate(version uint64, change Change) (evaluation, Status, *Problem) {
-	if problem := checkText(change); problem != nil {
+	if problem := checkMetadata(change); problem != nil {
 		return evaluation{}, Invalid, problem
 	}
 	values, problem := parseOperations(change.Operations)
@@ -42,7 +41,7 @@
 	if problem := s.checkConditions(change.Operations); problem != nil {
 		return evaluation{}, Conflict, problem
 	}
-	result := s.perform(version, change.Operations, values)
+	result := s.applyOperations(version, change.Operations, values)
 	if problem := s.checkBounds(result.draft.state); problem != nil {
 		return evaluation{}, Invalid, problem
 	}
@@ -58,8 +57,8 @@
 	canonical json.RawMessage
 }
 
-// checkText checks the fields of a change that do not depend on its operations' keys.
-func checkText(change Change) *Problem {
+// checkMetadata checks all fields of a change except for the content of its operations.
+func checkMetadata(change Change) *Problem {
 	texts := []struct {
 		field, text string
 		maxBytes    int
@@ -91,8 +90,7 @@
 	return nil
 }
 
-// parseOperations validates keys and values, and returns the values by index of the
-// operation.
+// parseOperations validates keys and values, and returns the values in the order of the operations.
 func parseOperations(operations []Operation) ([]parsedValue, *Problem) {
 	values := make([]parsedValue, len(operations))
 	seen := make(map[Key]bool, len(operations))
@@ -120,7 +118,7 @@
 	return values, nil
 }
 
-// checkConditions compares the versions that the operations expect with the present ones.
+// checkConditions compares the versions that the operations expect with the current ones.
 func (s *Store) checkConditions(operations []Operation) *Problem {
 	for _, operation := range operations {
 		if operation.IfVersion == nil {
@@ -140,10 +138,9 @@
 	return nil
 }
 
-// perform returns the draft of the state after the operations, without the operations
-// that have no effect.
-func (s *Store) perform(version uint64, operations []Operation, values []parsedValue) evaluation {
-	result := evaluation{draft: s.current().edit(), references: map[Key]int{}}
+// applyOperations applies the operations to a draft of the state and skips those that have no effect.
+func (s *Store) applyOperations(version uint64, operations []Operation, values []parsedValue) evaluation {
+	result := evaluation{draft: s.current().edit(), referenceDeltas: map[Key]int{}}
 	for i, operation := range operations {
 		old, existed := s.Get(operation.Key)
 		if operation.Delete && !existed || existed && !operation.Delete && bytes.Equal(old.Value, values[i].canonical) {
@@ -151,7 +148,7 @@
 		}
 		result.changed = append(result.changed, operation.Key)
 		if existed {
-			result.addReference(referenceOf(old), -1)
+			result.addReference(storedValue(old), -1)
 		}
 		if operation.Delete {
 			result.draft.remove(operation.Key)
@@ -163,19 +160,18 @@
 	return result
 }
 
-// addReference adds delta to the count of references to the record that a value refers to.
+// addReference adds delta to the reference count of the record that a value refers to.
 func (e *evaluation) addReference(value Value, delta int) {
 	if value == nil {
 		return
 	}
 	if key, _, needed := value.Reference(); needed {
-		e.references[key] += delta
+		e.referenceDeltas[key] += delta
 	}
 }
 
-// referenceOf returns the decoded value of a stored record, or nil if the value is not
-// valid.
-func referenceOf(record Record) Value {
+// storedValue returns the decoded value of a stored record, or nil if the value is invalid.
+func storedValue(record Record) Value {
 	value, _, problem := ParseValue(record.Key.Kind, record.Value)
 	if problem != nil {
 		return nil
@@ -183,8 +179,8 @@
 	return value
 }
 
-// checkBounds rejects a change that grows the state beyond a bound. A state that is over a
-// bound already may shrink: otherwise it could never come below the bound again.
+// checkBounds rejects a change that grows the state beyond a limit. A state that already exceeds a limit may shrink:
+// otherwise it could never return below the limit.
 func (s *Store) checkBounds(after *state) *Problem {
 	if after.count > MaxRecords && after.count > s.Len() {
 		return newProblem("", "operations", fmt.Sprintf("%d records after the change, at most %d are allowed", after.count, MaxRecords))
@@ -195,12 +191,12 @@
 	return nil
 }
 
-// checkReferences checks that every record which the change puts finds the record that it
-// refers to, and that no record is deleted that others still refer to.
+// checkReferences enforces referential integrity: each record that the change puts refers to an existing record,
+// and no record is deleted while others refer to it.
 func (s *Store) checkReferences(after evaluation, operations []Operation, values []parsedValue) *Problem {
 	for i, operation := range operations {
 		if operation.Delete {
-			count := s.references[operation.Key] + after.references[operation.Key]
+			count := s.referenceCounts[operation.Key] + after.referenceDeltas[operation.Key]
 			if count > 0 {
 				return newProblem(operation.Key.String(), "", fmt.Sprintf("%d records still need it", count))
 			}
@@ -217,7 +213,7 @@
 	return nil
 }
 
-// maxProblemBytes bounds each text of a problem: results are cached and stored.
+// maxProblemBytes limits each text of a problem, since results are cached and stored.
 const maxProblemBytes = 256
 
 // newProblem returns a problem whose texts are truncated to maxProblemBytes.
--- a/records/follower.go
+++ b/records/follower.go
@@ -6,48 +6,46 @@
 	"time"
 )
 
-// Time limits of a follower.
+// Timeouts and intervals of a follower.
 const (
 	// LongPollWait is how long a server may wait for a change before it responds.
 	LongPollWait = 8 * time.Second
-	// CutOffTimeout is the time without a useful response after which a follower is CutOff.
-	CutOffTimeout = 30 * time.Second
+	// DisconnectTimeout is the time without a useful response after which a follower is Disconnected.
+	DisconnectTimeout = 30 * time.Second
 
 	requestTimeout     = 5 * time.Second // for a response, in addition to the server's wait
-	headGracePeriod    = 2 * time.Second // for a server to have a version that is known to exist
-	minPollInterval    = time.Second     // after a response without changes that came at once
+	headGracePeriod    = 2 * time.Second // until a server must have a version that is known to exist
+	minPollInterval    = time.Second     // after an immediate response without changes
 	repairPollInterval = 3 * time.Second // between requests for changes during a repair
 	maxStartDelay      = time.Second     // spreads the first requests of followers that start together
 	initialBackoff     = 300 * time.Millisecond
 	maxBackoff         = 5 * time.Second
 )
 
-// chunkRequestBytes is the bound on the ranges of one request, in bytes before compression.
+// chunkRequestBytes limits the ranges that one request returns, in bytes before compression.
 const chunkRequestBytes = 64 << 10
 
 // FollowerConfig is the configuration of a follower.
 type FollowerConfig struct {
-	Name           string   // of the gateway; spreads the requests of followers over servers and time
+	Name           string   // of the gateway; seeds the server order and the jitter
 	Servers        []string // names of the servers, all of which have the same records
-	BytesPerSecond int      // budget of traffic; 0 means DefaultBytesPerSecond
+	BytesPerSecond int      // traffic budget; 0 means DefaultBytesPerSecond
 	BurstBytes     int      // 0 means DefaultBurstBytes
-	// ConfirmedAt is when the replica's present version was last known to be the newest,
-	// as stored with it on disk. It is zero if that is not known.
+	// ConfirmedAt is when the replica's current version was last known to be the newest, as stored with the replica
+	// on disk. It is zero if unknown.
 	ConfirmedAt time.Time
 }
 
 // Follower decides how one replica follows the servers: what to request from which server and
 // when, within a budget of bytes, and which servers to eject.
 //
-// It is driven by events: the driver passes each one to Handle with the present time, carries
-// out the actions that Handle returns in their order, and sends a Tick at the time that NextTick
-// returns. At most one request is in flight. Times never come from a clock of the follower, so
-// the same events at the same times have the same actions.
+// It is driven by events: the driver passes each event to Handle with the current time, performs the returned
+// actions in order, and sends a Tick at the time that NextTick returns. At most one request is in flight. The
+// follower reads no clock, so it is deterministic: the same events at the same times result in the same actions.
 //
-// A server whose response is late, invalid or below the head is ejected for a while, and the
-// next request goes to another. A response is applied only if its digest verifies the result.
-// Where a delta is not available, a Repair fetches the ranges that differ; changes that any
-// server can send go before the repair's ranges.
+// A server whose response is late, invalid or below the head is ejected for some time, and the next request goes to
+// another one. A response is applied only if the result has its digest. If no delta is available, a Repair fetches
+// the ranges that differ; changes that some server can send have priority over the repair's ranges.
 type Follower struct {
 	replica *Replica
 	servers servers
@@ -57,7 +55,7 @@
 
 	lastID        uint64
 	inFlight      *inFlightRequest // nil if there is none
-	nextRequestAt time.Time        // earliest time of the next request, apart from the budget
+	nextRequestAt time.Time        // earliest time of the next request; the budget may delay it further
 	failures      int              // consecutive failed requests
 
 	head        uint64    // newest version known to exist
@@ -65,23 +63,23 @@
 
 	repair             *Repair // nil if there is none
 	repairReason       RepairReason
-	changesRequestedAt time.Time // when changes were last requested; paces them during a repair
-	digestDisputed     bool      // a server has another digest of the replica's version
+	changesRequestedAt time.Time // when changes were last requested; limits their rate during a repair
+	digestDisputed     bool      // a server has a different digest of the replica's version
 
 	lastContact time.Time // of the last useful response
 	confirmedAt time.Time // when the replica was last known to be at the newest version
-	lastFault   string    // empty after a useful response
+	lastError   string    // empty after a useful response
 }
 
-// inFlightRequest is a request without a response so far.
+// inFlightRequest is a request that waits for its response.
 type inFlightRequest struct {
 	Send
 	sentAt         time.Time
 	finishesRepair bool // the changes are for Repair.Finish
 }
 
-// NewFollower returns a follower of a replica, which only the follower may change from then
-// on. The first event is a Tick at the time that NextTick returns.
+// NewFollower returns a follower that owns the replica: only the follower may change it from then on. The first
+// event is a Tick at the time that NextTick returns.
 func NewFollower(config FollowerConfig, replica *Replica, now time.Time) *Follower {
 	follower := &Follower{
 		replica:     replica,
@@ -97,8 +95,8 @@
 	return follower
 }
 
-// Handle processes an event and returns the actions that the driver must carry out, in their
-// order. Responses to a request that is no longer in flight only count against the budget.
+// Handle processes an event and returns the actions that the driver must perform in order. Responses to a request
+// that is no longer in flight only count against the budget.
 func (f *Follower) Handle(now time.Time, event Event) []Action {
 	f.now = now
 	f.budget.refill(now)
@@ -118,8 +116,8 @@
 	return append(actions, f.sendNext()...)
 }
 
-// NextTick returns the time at which the driver must send a Tick; it may be in the past. It
-// changes with every event.
+// NextTick returns the time at which the driver must send a Tick; it may be in the past. It may change with every
+// event.
 func (f *Follower) NextTick() time.Time {
 	if f.inFlight != nil {
 		return f.requestDeadline()
@@ -131,13 +129,13 @@
 	return ready
 }
 
-// updateHead raises the newest version that is known to exist.
+// updateHead raises the head, the newest version known to exist.
 func (f *Follower) updateHead(version uint64) {
 	f.head = max(f.head, version)
 	f.updateBehindSince()
 }
 
-// updateBehindSince maintains the time since which the replica has been behind the head.
+// updateBehindSince records when the replica fell behind the head, or clears the time once it has caught up.
 func (f *Follower) updateBehindSince() {
 	switch {
 	case f.replica.Version() >= f.head:
@@ -147,19 +145,19 @@
 	}
 }
 
-// errLagging means that a server is below a version that is known to exist.
+// errLagging means that a server is below the head.
 var errLagging = errors.New("the server is behind")
 
-// ejectServer ejects a server after a failed request, and backs off.
+// ejectServer ejects a server after a failed request and delays the next request by the backoff.
 func (f *Follower) ejectServer(server string, period time.Duration, fault error) {
 	f.servers.eject(server, f.now.Add(f.jitter.shorten(period)))
-	f.lastFault = fmt.Sprintf("%s: %v", server, fault)
+	f.lastError = fmt.Sprintf("%s: %v", server, fault)
 	f.failures++
 	f.nextRequestAt = f.now.Add(f.jitter.shorten(f.backoff()))
 }
 
-// backoff returns the pause before the next request. It is short until every server has been
-// tried, and doubles from then on.
+// backoff returns the delay before the next request. It is short until every server has been tried, and doubles
+// from then on.
 func (f *Follower) backoff() time.Duration {
 	const maxDoublings = 10
 	doublings := min(max(0, f.failures-len(f.servers.order)), maxDoublings)
@@ -169,6 +167,6 @@
 // recordSuccess resets the backoff after a useful response.
 func (f *Follower) recordSuccess() {
 	f.failures = 0
-	f.lastFault = ""
+	f.lastError = ""
 	f.lastContact = f.now
 }
--- a/records/follower_repair_test.go
+++ b/records/follower_repair_test.go
@@ -23,7 +23,7 @@
 		t.Fatal("the others have not gone on")
 	}
 	status := f.follower.Status(w.now)
-	if age, known := status.Age(w.now); status.State != CutOff || status.Version != last || !known || age < 280*time.Second || status.Reason == "" {
+	if age, known := status.Age(w.now); status.State != Disconnected || status.Version != last || !known || age < 280*time.Second || status.Reason == "" {
 		t.Errorf("%+v, age %v", status, age)
 	}
 	if f.requests > 400 {
@@ -107,7 +107,7 @@
 	w.setFault(complete, refusing)
 	f := w.addFollower("gateway", replica)
 	w.run(10 * time.Second)
-	if status := f.follower.Status(w.now); status.State != Repairing || status.RangesMissing == 0 {
+	if status := f.follower.Status(w.now); status.State != Repairing || status.RangesPending == 0 {
 		t.Fatalf("%+v", status)
 	}
 	w.setFault(complete, healthy)
--- a/records/follower_request.go
+++ b/records/follower_request.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// clearInFlight removes and returns the request in flight if it has this ID, else it returns
-// nil.
+// clearInFlight removes and returns the request in flight if it has the ID, otherwise it returns nil.
 func (f *Follower) clearInFlight(id uint64) *inFlightRequest {
 	if f.inFlight == nil || f.inFlight.ID != id {
 		return nil
@@ -16,21 +15,21 @@
 	return sent
 }
 
-// requestDeadline returns when the request in flight expires. A long poll expires early if the
-// head has moved and the server does not send it: the server may be stalled or lagging.
+// requestDeadline returns the deadline of the request in flight. A long poll expires early if the head has advanced
+// and the server does not send it: the server may be stalled or lagging.
 func (f *Follower) requestDeadline() time.Time {
-	until := f.inFlight.sentAt.Add(f.inFlight.Timeout)
+	deadline := f.inFlight.sentAt.Add(f.inFlight.Timeout)
 	if changes, ok := f.inFlight.Request.(ChangesRequest); !ok || changes.Wait == 0 || f.behindSince.IsZero() {
-		return until
+		return deadline
 	}
 	since := f.inFlight.sentAt
 	if f.behindSince.After(since) {
 		since = f.behindSince
 	}
-	if grace := since.Add(headGracePeriod); grace.Before(until) {
+	if grace := since.Add(headGracePeriod); grace.Before(deadline) {
 		return grace
 	}
-	return until
+	return deadline
 }
 
 // expireRequest cancels the request in flight if its deadline has passed, and ejects the server.
@@ -62,9 +61,9 @@
 	return planned, ready
 }
 
-// chooseRequest returns the next request, whether it finishes the repair, and the debt of the
-// budget at which it may still be sent. Changes go before the ranges of a repair, and may be
-// requested in debt, so that what a repair has spent does not delay them.
+// chooseRequest returns the next request, whether it finishes the repair, and the budget's debt at which it may
+// still be sent. Changes have priority over the ranges of a repair and may be requested in debt, so that the traffic
+// of a repair does not delay them.
 func (f *Follower) chooseRequest() (request Request, finishesRepair bool, debt time.Duration) {
 	digest := f.replica.Digest()
 	changes := ChangesRequest{Since: f.replica.Version(), Digest: &digest}
@@ -84,7 +83,7 @@
 	return ChangesRequest{Since: f.repair.Since()}, true, maxBudgetDebt
 }
 
-// sendNext sends the next request if none is in flight and its time has come.
+// sendNext sends the next request if none is in flight and it is due.
 func (f *Follower) sendNext() []Action {
 	if f.inFlight != nil || len(f.servers.order) == 0 {
 		return nil
--- a/records/follower_response.go
+++ b/records/follower_response.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// handleResponse processes a response. If its request is no longer in flight, only its size
-// counts.
+// handleResponse processes a response. If its request is no longer in flight, the response only counts against the
+// budget.
 func (f *Follower) handleResponse(event ResponseReceived) []Action {
 	if event.Bytes > 0 {
 		f.budget.spend(event.Bytes)
@@ -33,13 +33,13 @@
 	return actions
 }
 
-// recordOutcome ejects the server if its response was of no use: for a short time if the server
-// lags or disputes the digest, for a long one if the response is invalid.
+// recordOutcome ejects the server if its response was not useful: for a short time if the server lags or has a
+// different digest, for a longer one if the response is invalid.
 func (f *Follower) recordOutcome(sent *inFlightRequest, err error) {
 	switch {
 	case err == nil:
 		f.recordSuccess()
-	case errors.Is(err, ErrBehind), errors.Is(err, errLagging), errors.Is(err, errDigestDisputed):
+	case errors.Is(err, ErrStale), errors.Is(err, errLagging), errors.Is(err, errDigestDisputed):
 		f.ejectServer(sent.Server, behindEjectionTime, err)
 	default:
 		f.ejectServer(sent.Server, corruptEjectionTime, err)
@@ -82,8 +82,8 @@
 	return f.applyChanges(sent, response)
 }
 
-// errDigestDisputed means that a server has another digest of the replica's version. A repair
-// begins only if a second server confirms it, since the first one's content may be wrong.
+// errDigestDisputed means that a server has a different digest of the replica's version. A repair begins only if a
+// second server confirms the difference, since the first server's content may be wrong.
 var errDigestDisputed = errors.New("the server has another digest of the replica's version")
 
 // applyChanges applies the changes above the replica's version, or begins a repair.
@@ -118,15 +118,15 @@
 	return nil, nil
 }
 
-// delayRequests paces requests to a server that responds at once instead of waiting.
+// delayRequests limits the rate of requests to a server that responds at once instead of waiting.
 func (f *Follower) delayRequests(sent *inFlightRequest, interval time.Duration) {
 	if f.now.Sub(sent.sentAt) < interval {
 		f.nextRequestAt = f.now.Add(f.jitter.shorten(interval))
 	}
 }
 
-// markApplied records that the replica is at a server's newest version. It drops a repair that
-// would not lead to a newer one.
+// markApplied records that the replica is at a server's newest version. It drops a repair that would not lead to a
+// newer version.
 func (f *Follower) markApplied() {
 	f.digestDisputed = false
 	if f.replica.Version() >= f.head {
@@ -137,7 +137,7 @@
 	}
 }
 
-// beginRepair begins a repair unless there is one.
+// beginRepair begins a repair unless one is in progress.
 func (f *Follower) beginRepair(reason RepairReason) {
 	if f.repair != nil {
 		return
--- a/records/follower_status.go
+++ b/records/follower_status.go
@@ -7,27 +7,26 @@
 
 // The states of a follower.
 const (
-	Following FollowerState = "following" // applies changes as they come
-	Repairing FollowerState = "repairing" // fetches the ranges that differ
-	CutOff    FollowerState = "cut_off"   // no useful response for CutOffTimeout
+	Following    FollowerState = "following" // applies changes as they arrive
+	Repairing    FollowerState = "repairing" // fetches the ranges that differ
+	Disconnected FollowerState = "cut_off"   // no useful response for CutOffTimeout
 )
 
-// FollowerStatus is a report of a follower's state.
+// FollowerStatus is a snapshot of a follower's state.
 type FollowerStatus struct {
 	State   FollowerState `json:"state"`
 	Version uint64        `json:"version"`
 	Digest  Digest        `json:"digest"`
 	Head    uint64        `json:"head"` // newest version known to exist
 	Records int           `json:"records"`
-	// ConfirmedAt is when the replica was last known to be at the newest version. It is
-	// zero if that is not known.
+	// ConfirmedAt is when the replica was last known to be at the newest version. It is zero if unknown.
 	ConfirmedAt time.Time `json:"confirmed,omitzero"`
 	LastContact time.Time `json:"contact"`          // last useful response, or the start
 	Server      string    `json:"server,omitempty"` // of the request in flight
 	Reason      string    `json:"reason,omitempty"` // why the replica may be behind
-	// Ranges of a repair: those that have been fetched, and those that are pending.
+	// Numbers of ranges that a repair has fetched and has yet to fetch.
 	RangesFetched int `json:"ranges_taken,omitempty"`
-	RangesMissing int `json:"ranges_wanted,omitempty"`
+	RangesPending int `json:"ranges_wanted,omitempty"`
 }
 
 // Age returns the time since the replica was last known to be at the newest version, and
@@ -49,20 +48,20 @@
 		Records:     f.replica.Len(),
 		ConfirmedAt: f.confirmedAt,
 		LastContact: f.lastContact,
-		Reason:      f.lastFault,
+		Reason:      f.lastError,
 	}
 	if f.inFlight != nil {
 		status.Server = f.inFlight.Server
 	}
 	if f.repair != nil {
 		status.State = Repairing
-		status.RangesFetched, status.RangesMissing = f.repair.Progress()
+		status.RangesFetched, status.RangesPending = f.repair.Progress()
 		if status.Reason == "" {
 			status.Reason = "repair: " + string(f.repairReason)
 		}
 	}
-	if now.Sub(f.lastContact) > CutOffTimeout {
-		status.State = CutOff
+	if now.Sub(f.lastContact) > DisconnectTimeout {
+		status.State = Disconnected
 	}
 	return status
 }
--- a/records/golden_follower_test.go
+++ b/records/golden_follower_test.go
@@ -18,7 +18,7 @@
 	}{
 		{"records of a state", MaxRecords}, {"bytes of a state", MaxStateBytes}, {"operations of a change", MaxOperations},
 		{"name bytes", MaxNameBytes}, {"value bytes", MaxValueBytes}, {"text bytes", MaxTextBytes},
-		{"log changes", MaxLogChanges}, {"log bytes", MaxLogBytes}, {"remembered results", MaxRequests},
+		{"log changes", MaxLogChanges}, {"log bytes", MaxLogBytes}, {"remembered results", MaxCachedResults},
 		{"delta bytes", MaxDeltaBytes}, {"chunk bytes", MaxChunkBytes}, {"message bytes", MaxMessageBytes},
 		{"journal bytes", MaxJournalBytes}, {"snapshot bytes", maxSnapshotBytes}, {"ranges", RangeCount},
 		{"problem bytes", maxProblemBytes}, {"record overhead", recordOverhead}, {"log entry overhead", entryOverhead},
@@ -27,7 +27,7 @@
 		{"burst", MaxBurst}, {"price_weight", MaxPriceWeight}, {"zones", MaxZones}, {"path bytes", maxPathBytes}, {"host bytes", maxHostBytes},
 		{"longest wait of a server", MaxWait}, {"wait of a follower", LongPollWait}, {"request timeout", requestTimeout}, {"head grace", headGracePeriod},
 		{"poll interval", minPollInterval}, {"poll interval in a repair", repairPollInterval}, {"start spread", maxStartDelay},
-		{"first retry", initialBackoff}, {"longest retry", maxBackoff}, {"cut off", CutOffTimeout}, {"chunk requested", chunkRequestBytes},
+		{"first retry", initialBackoff}, {"longest retry", maxBackoff}, {"cut off", DisconnectTimeout}, {"chunk requested", chunkRequestBytes},
 		{"bytes per second", DefaultBytesPerSecond}, {"burst bytes", DefaultBurstBytes}, {"budget debt", maxBudgetDebt},
 		{"behind server avoided", behindEjectionTime}, {"failed server avoided", failedEjectionTime}, {"damaged server avoided", corruptEjectionTime},
 	} {
@@ -127,7 +127,7 @@
 	shown.LastContact, shown.ConfirmedAt, shown.Server = f.last.LastContact, f.last.ConfirmedAt, f.last.Server
 	if shown != f.last {
 		f.printf("status %s, version %d, head %d, %d records, ranges %d of %d, confirmed %v, reason %q", status.State, status.Version, status.Head,
-			status.Records, status.RangesFetched, status.RangesFetched+status.RangesMissing, status.ConfirmedAt.Sub(testTime).Round(time.Millisecond), status.Reason)
+			status.Records, status.RangesFetched, status.RangesFetched+status.RangesPending, status.ConfirmedAt.Sub(testTime).Round(time.Millisecond), status.Reason)
 	}
 	f.last = status
 }
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -84,7 +84,7 @@
 	pinJSON(t, "change_info.json", ChangeInfo{Version: 12, Author: "anna", Message: "raise", At: goldenTime, Operations: 3})
 	pinJSON(t, "key_change.json", KeyChange{Key: record.Key, Version: 9, Record: &record, SupersededBy: 12})
 	pinJSON(t, "follower_status.json", FollowerStatus{State: Repairing, Version: 41, Digest: goldenDigest, Head: 43, Records: 5,
-		ConfirmedAt: goldenTime, LastContact: goldenTime.Add(time.Second), Server: "control-1", Reason: "repair: digest", RangesFetched: 3, RangesMissing: 2})
+		ConfirmedAt: goldenTime, LastContact: goldenTime.Add(time.Second), Server: "control-1", Reason: "repair: digest", RangesFetched: 3, RangesPending: 2})
 }
 
 // Fields at their zero value are encoded or omitted as other programs expect.
@@ -116,7 +116,7 @@
 			t.Errorf("%T: %s, %v; want %s", test.value, text, err, test.want)
 		}
 	}
-	texts := fmt.Sprint([]any{Accepted, Unchanged, Conflict, Invalid, RepairCompacted, RepairDigest, RepairTooLarge, Following, Repairing, CutOff, Kinds()})
+	texts := fmt.Sprint([]any{Accepted, Unchanged, Conflict, Invalid, RepairCompacted, RepairDigest, RepairTooLarge, Following, Repairing, Disconnected, Kinds()})
 	if want := "[accepted unchanged conflict invalid compacted digest too_large following repairing cut_off [route tenant plan service]]"; texts != want {
 		t.Errorf("%s, want %s", texts, want)
 	}
@@ -216,7 +216,7 @@
 	store := goldenStore(t)
 	fmt.Fprintf(&text, "store %s at 5 %s\n", store.Digest(), digestOf(store.current().sorted()))
 	expected := uint64(7)
-	hash := contentHash(Change{Author: "anna", Message: "raise", Operations: []Operation{put("plan/gold", planValue), {Key: key("plan/old"), Delete: true, IfVersion: &expected}}})
+	hash := changeHash(Change{Author: "anna", Message: "raise", Operations: []Operation{put("plan/gold", planValue), {Key: key("plan/old"), Delete: true, IfVersion: &expected}}})
 	fmt.Fprintf(&text, "change %x\n", hash)
 	golden.Text(t, "digests.txt", text.String())
 }
--- a/records/key.go
+++ b/records/key.go
@@ -21,7 +21,7 @@
 // Kinds returns all kinds.
 func Kinds() []Kind { return []Kind{Route, Tenant, Plan, Service} }
 
-// ParseKind returns the kind with this text, or an error that names the text.
+// ParseKind parses a kind. The error quotes the text.
 func ParseKind(text string) (Kind, error) {
 	for _, kind := range Kinds() {
 		if text == string(kind) {
@@ -37,7 +37,7 @@
 	Name string
 }
 
-// ParseKey returns the key with the text form KIND/NAME.
+// ParseKey parses a key in the form KIND/NAME.
 func ParseKey(text string) (Key, error) {
 	kindText, name, found := strings.Cut(text, "/")
 	if !found {
@@ -53,7 +53,7 @@
 	return Key{Kind: kind, Name: name}, nil
 }
 
-// String returns the text form KIND/NAME.
+// String returns the key in the form KIND/NAME.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
 // Validate returns an error for an unknown kind or a malformed name.
@@ -68,7 +68,7 @@
 	return cmp.Or(cmp.Compare(k.Kind, other.Kind), cmp.Compare(k.Name, other.Name))
 }
 
-// MarshalText implements encoding.TextMarshaler with the text form.
+// MarshalText implements encoding.TextMarshaler: the form KIND/NAME.
 func (k Key) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -91,15 +91,15 @@
 		return fmt.Errorf("the name has %d bytes, at most %d are allowed", len(name), MaxNameBytes)
 	}
 	for i := range len(name) {
-		if !nameByte(name[i], i == 0) {
+		if !isNameByte(name[i], i == 0) {
 			return fmt.Errorf("the name has %q at byte %d: want letters, digits and . _ - :, a letter or digit first", name[i], i)
 		}
 	}
 	return nil
 }
 
-// nameByte reports whether a name may contain the byte, as its first one or later.
-func nameByte(b byte, first bool) bool {
+// isNameByte reports whether a name may contain the byte at its first or at a later position.
+func isNameByte(b byte, first bool) bool {
 	switch {
 	case 'a' <= b && b <= 'z', 'A' <= b && b <= 'Z', '0' <= b && b <= '9':
 		return true
--- a/records/range_list.go
+++ b/records/range_list.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// FormatRanges returns the text of ascending ranges, such as "0-9,12".
+// FormatRanges formats ranges in ascending order, such as "0-9,12".
 func FormatRanges(ranges []int) string {
 	var text strings.Builder
 	for i := 0; i < len(ranges); {
@@ -27,8 +27,7 @@
 	return text.String()
 }
 
-// ParseRanges parses what FormatRanges returns. Anything but one or more existing ranges in
-// ascending order is an error.
+// ParseRanges reverses FormatRanges. Anything but one or more existing ranges in ascending order is an error.
 func ParseRanges(text string) ([]int, error) {
 	var ranges []int
 	next := 0
--- a/records/ranges.go
+++ b/records/ranges.go
@@ -7,12 +7,12 @@
 	"fmt"
 )
 
-// MaxChunkBytes bounds the ranges of a chunk in bytes before compression. A single range is
-// never divided, and may be over the bound.
+// MaxChunkBytes limits the ranges of a chunk in bytes before compression. A range is never split, so a single range
+// may exceed the limit.
 const MaxChunkBytes = 256 << 10
 
-// DigestList has the short digests of all ranges: the low halves of the sums of their
-// records' hashes. That of a range without records is 0.
+// DigestList has a 64-bit digest for each range: the low half of the sum of its records' hashes, 0 for a range
+// without records.
 type DigestList [RangeCount]uint64
 
 const digestListBytes = RangeCount * 8
@@ -70,7 +70,7 @@
 	Records List[Record] `json:"records"`
 }
 
-// validate returns an error if the content cannot be that of its range at a version.
+// validate returns an error if the content is inconsistent, or impossible at the version.
 func (c RangeContent) validate(version uint64) error {
 	if c.Range < 0 || c.Range >= RangeCount {
 		return fmt.Errorf("there is no range %d", c.Range)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// size returns about how many bytes the content takes on the wire before compression.
+// size returns the approximate size of the content on the wire before compression, in bytes.
 func (c RangeContent) size() int {
 	size := recordOverhead
 	for _, record := range c.Records {
@@ -141,7 +141,7 @@
 	return RangeDigests{Version: s.version, Digest: s.Digest(), Ranges: s.current().digests()}
 }
 
-// digests returns the short digests of all ranges.
+// digests returns the 64-bit digests of all ranges.
 func (s *state) digests() *DigestList {
 	var list DigestList
 	for i := range s.ranges {
@@ -150,15 +150,15 @@
 	return &list
 }
 
-// Range returns the content of a range, from 0 to RangeCount-1, at the store's version. The
-// caller must not change its records; later changes of the store do not affect them.
+// Range returns the content of a range, from 0 to RangeCount-1, at the store's version. The caller must not modify
+// the records; later changes of the store do not affect them.
 func (s *Store) Range(index int) RangeContent {
-	keys := &s.current().ranges[index]
-	return RangeContent{Range: index, Digest: keys.sum.low, Records: keys.records}
+	content := &s.current().ranges[index]
+	return RangeContent{Range: index, Digest: content.sum.low, Records: content.records}
 }
 
-// Chunk returns the first of the requested ranges: at least one, and more while they are
-// within the request's bound and MaxChunkBytes. Ranges that do not exist are skipped.
+// Chunk returns the first of the requested ranges: at least one, and more as long as they are within the request's
+// limit and MaxChunkBytes. Ranges that do not exist are skipped.
 func (s *Store) Chunk(request ContentRequest) Chunk {
 	chunk := Chunk{Version: s.version, Digest: s.Digest()}
 	remaining := min(request.MaxBytes, MaxChunkBytes)
--- a/records/repair.go
+++ b/records/repair.go
@@ -15,40 +15,40 @@
 	NeedChanges                   // for Finish, the changes above Since
 )
 
-// Repair builds a new copy beside a replica's present one from ranges of keys. These may
-// come in any number of chunks, at different versions, from different servers. The changes
-// above the lowest of these versions bring all ranges to one version, and the server's digest
-// at that version verifies the result: no content comes into force unverified.
+// Repair builds a new copy of a replica's content from hash ranges while the replica stays unchanged (anti-entropy).
+// The ranges may come in any number of chunks, at different versions, from different servers. The changes above the
+// lowest of these versions bring all ranges to one version. The result replaces the replica's content only if it has
+// the server's digest at that version.
 //
-// The caller does what Next returns until Finish succeeds.
+// The caller performs the step that Next returns until Finish succeeds.
 type Repair struct {
-	base     uint64 // the replica's version when the repair began
-	staged   *draft
-	versions [RangeCount]uint64 // at which a server had the staged content of each range
-	pending  [RangeCount]bool   // ranges whose content is to be fetched
-	missing  int                // how many ranges are pending
-	compared bool               // with a server's digests
-	fetched  int                // how many ranges have been staged from chunks
+	base         uint64 // the replica's version when the repair began
+	staged       *draft
+	versions     [RangeCount]uint64 // version at which a server had the staged content of each range
+	pending      [RangeCount]bool   // ranges whose content is to be fetched
+	pendingCount int                // how many ranges are pending
+	compared     bool               // with a server's digests
+	fetched      int                // how many ranges have been staged from chunks
 }
 
-// NewRepair returns a repair that begins with the replica's content. If that is empty, no
-// digests are needed: every range is pending.
+// NewRepair returns a repair that starts with the replica's content. If the replica is empty, no digests are needed:
+// every range is pending.
 func NewRepair(replica *Replica) *Repair {
 	repair := &Repair{base: replica.Version(), staged: replica.current().edit()}
 	if replica.Len() == 0 {
 		repair.compared = true
 		for i := range repair.pending {
-			repair.markMissing(i)
+			repair.markPending(i)
 		}
 	}
 	return repair
 }
 
-// markMissing makes a range pending.
-func (r *Repair) markMissing(index int) {
+// markPending marks a range as pending.
+func (r *Repair) markPending(index int) {
 	if !r.pending[index] {
 		r.pending[index] = true
-		r.missing++
+		r.pendingCount++
 	}
 }
 
@@ -56,7 +56,7 @@
 func (r *Repair) markCurrent(index int, version uint64) {
 	if r.pending[index] {
 		r.pending[index] = false
-		r.missing--
+		r.pendingCount--
 	}
 	r.versions[index] = version
 }
@@ -66,7 +66,7 @@
 	switch {
 	case !r.compared:
 		return NeedDigests
-	case r.missing > 0:
+	case r.pendingCount > 0:
 		return NeedContent
 	}
 	return NeedChanges
@@ -74,7 +74,7 @@
 
 // Pending returns the ranges whose content is to be fetched, in ascending order.
 func (r *Repair) Pending() []int {
-	ranges := make([]int, 0, r.missing)
+	ranges := make([]int, 0, r.pendingCount)
 	for i, pending := range r.pending {
 		if pending {
 			ranges = append(ranges, i)
@@ -84,9 +84,9 @@
 }
 
 // Progress returns how many ranges have been fetched and how many are pending.
-func (r *Repair) Progress() (fetched, missing int) { return r.fetched, r.missing }
+func (r *Repair) Progress() (fetched, pending int) { return r.fetched, r.pendingCount }
 
-// Since returns the version above which Finish needs the changes.
+// Since returns the version above which Finish needs changes.
 func (r *Repair) Since() uint64 {
 	lowest := r.versions[0]
 	for _, version := range r.versions {
@@ -105,40 +105,39 @@
 	return highest
 }
 
-// Recompare returns to NeedDigests, for when no server has the changes that would finish the
-// repair. The staged ranges are reused.
+// Recompare returns to NeedDigests. It is for the case that no server has the changes that would finish the repair.
+// The staged ranges are reused.
 func (r *Repair) Recompare() { r.compared = false }
 
-// CompareDigests compares the staged ranges with a server's; those that differ become
-// pending. The error is ErrBehind if the server is below the replica's version when the
-// repair began.
+// CompareDigests compares the staged ranges with a server's digests; ranges that differ become pending. The error is
+// ErrStale if the server is below the version that the replica had when the repair began.
 func (r *Repair) CompareDigests(digests RangeDigests) error {
 	if err := digests.validate(); err != nil {
 		return err
 	}
 	if digests.Version < r.base {
-		return fmt.Errorf("%w: the ranges are of version %d, the replica is at %d", ErrBehind, digests.Version, r.base)
+		return fmt.Errorf("%w: the ranges are of version %d, the replica is at %d", ErrStale, digests.Version, r.base)
 	}
 	for i, digest := range digests.Ranges {
 		if r.staged.state.ranges[i].sum.low == digest {
 			r.markCurrent(i, digests.Version)
 		} else {
-			r.markMissing(i)
+			r.markPending(i)
 		}
 	}
 	r.compared = true
 	return nil
 }
 
-// StageChunk stages the pending ranges of a chunk. On an error nothing is staged: ErrBehind if
-// the server is below the replica's version when the repair began, ErrDigest if a range does
-// not have its digest, and any other if the chunk contradicts itself or has no pending range.
+// StageChunk stages the pending ranges of a chunk. On an error nothing is staged. The error is ErrStale if the server
+// is below the version that the replica had when the repair began, ErrDigest if a range does not have its digest, and
+// another one if the chunk is inconsistent or has no pending range.
 func (r *Repair) StageChunk(chunk Chunk) error {
 	if err := chunk.validate(); err != nil {
 		return err
 	}
 	if chunk.Version < r.base {
-		return fmt.Errorf("%w: the chunk is of version %d, the replica is at %d", ErrBehind, chunk.Version, r.base)
+		return fmt.Errorf("%w: the chunk is of version %d, the replica is at %d", ErrStale, chunk.Version, r.base)
 	}
 	useful := false
 	for _, content := range chunk.Ranges {
@@ -156,11 +155,10 @@
 	return nil
 }
 
-// Finish applies the changes above Since to the staged ranges and, if the result has the
-// delta's digest, makes it the replica's content. The replica must be the one that the repair
-// began with. On an error the replica is unchanged: ErrGap if the changes begin above Since,
-// ErrBehind if they end below a staged range or the replica, ErrDigest if the result has
-// another digest. After ErrDigest the repair continues with NeedDigests.
+// Finish applies the changes above Since to the staged ranges and, if the result has the delta's digest, makes it the
+// replica's content. The replica must be the one with which the repair was created. On an error the replica is
+// unchanged. The error is ErrGap if the changes begin above Since, ErrStale if they end below a staged range or the
+// replica, and ErrDigest if the result has another digest. After ErrDigest the repair continues with NeedDigests.
 func (r *Repair) Finish(replica *Replica, delta Delta) error {
 	if r.Next() != NeedChanges {
 		return errors.New("the repair still needs ranges")
@@ -172,7 +170,7 @@
 		return fmt.Errorf("%w: the changes begin at %d, the ranges at %d", ErrGap, delta.From, since)
 	}
 	if highest := max(r.maxVersion(), replica.Version()); delta.To < highest {
-		return fmt.Errorf("%w: the changes lead to %d, the ranges or the replica are at %d", ErrBehind, delta.To, highest)
+		return fmt.Errorf("%w: the changes lead to %d, the ranges or the replica are at %d", ErrStale, delta.To, highest)
 	}
 	draft := r.staged.state.edit()
 	delta.apply(draft)
--- a/records/repair_test.go
+++ b/records/repair_test.go
@@ -123,7 +123,7 @@
 	if since := repair.Since(); since != 1 {
 		t.Errorf("the changes since %d are needed", since)
 	}
-	if err := repair.Finish(replica, Delta{From: 1, To: 1, Digest: behind.Digest()}); !errors.Is(err, ErrBehind) {
+	if err := repair.Finish(replica, Delta{From: 1, To: 1, Digest: behind.Digest()}); !errors.Is(err, ErrStale) {
 		t.Errorf("finished by the server that is behind: %v", err)
 	}
 	if err := repair.Finish(replica, since(t, ahead, repair.Since())); err != nil {
@@ -156,12 +156,12 @@
 	if err := repair.Finish(replica, since(t, store, 2)); err == nil {
 		t.Error("finished without a comparison")
 	}
-	if err := repair.CompareDigests(stale.RangeDigests()); !errors.Is(err, ErrBehind) {
+	if err := repair.CompareDigests(stale.RangeDigests()); !errors.Is(err, ErrStale) {
 		t.Errorf("digests of a stale server: %v", err)
 	}
 	compare(t, repair, store)
 	pending := repair.Pending()
-	if err := repair.StageChunk(stale.Chunk(ContentRequest{Ranges: pending})); !errors.Is(err, ErrBehind) {
+	if err := repair.StageChunk(stale.Chunk(ContentRequest{Ranges: pending})); !errors.Is(err, ErrStale) {
 		t.Errorf("a chunk of a stale server: %v", err)
 	}
 	if err := repair.StageChunk(Chunk{Version: 3, Digest: store.Digest()}); err == nil {
@@ -197,7 +197,7 @@
 	if err := repair.Finish(replica, Delta{From: 4, To: 5}); !errors.Is(err, ErrGap) {
 		t.Errorf("changes that begin too late: %v", err)
 	}
-	if err := repair.Finish(replica, Delta{From: 1, To: 2, Digest: replica.Digest()}); !errors.Is(err, ErrBehind) {
+	if err := repair.Finish(replica, Delta{From: 1, To: 2, Digest: replica.Digest()}); !errors.Is(err, ErrStale) {
 		t.Errorf("changes that end too early: %v", err)
 	}
 	damaged := delta
--- a/records/replica.go
+++ b/records/replica.go
@@ -11,20 +11,20 @@
 var (
 	// ErrGap means that a delta begins above the replica's version.
 	ErrGap = errors.New("changes are missing between the replica and the delta")
-	// ErrBehind means that a delta, a snapshot or ranges are of a version below the replica's.
-	ErrBehind = errors.New("the replica is past that version")
-	// ErrDigest means that the resulting content has another digest than the sender states.
+	// ErrStale means that a delta, a snapshot or ranges have a version below that of the replica.
+	ErrStale = errors.New("the replica is past that version")
+	// ErrDigest means that the resulting content does not have the sender's digest.
 	ErrDigest = errors.New("the content does not fit the digest")
 )
 
-// Replica is a complete copy of the records at one version, which never decreases. Its zero
-// value is the empty copy at version 0. It belongs to one goroutine.
+// Replica is a complete copy of the records at one version, which never decreases. Its zero value is empty, at
+// version 0. It is not safe for concurrent use.
 type Replica struct {
 	state   *state
 	version uint64
 }
 
-// current returns the content, also of the zero value.
+// current returns the content; it also works on the zero value.
 func (r *Replica) current() *state { return r.state.orEmpty() }
 
 // Version returns the version of the copy.
@@ -48,16 +48,15 @@
 // All is an iterator over the records, in an unspecified order.
 func (r *Replica) All(yield func(Record) bool) { r.current().all(yield) }
 
-// ApplyDelta applies a delta atomically; the copy is at version delta.To afterwards. On an
-// error it is unchanged. The error is ErrGap if the delta begins above the copy's version,
-// ErrBehind if it ends below, ErrDigest if the result does not have the delta's digest, and
-// any other if the delta contradicts itself.
+// ApplyDelta applies a delta atomically; the replica is at version delta.To afterwards. On an error it is unchanged.
+// The error is ErrGap if the delta begins above the replica's version, ErrStale if it ends below, ErrDigest if the
+// result does not have the delta's digest, and another one if the delta is inconsistent.
 func (r *Replica) ApplyDelta(delta Delta) error {
 	if err := delta.validate(); err != nil {
 		return err
 	}
 	if delta.To < r.version {
-		return fmt.Errorf("%w: the delta leads to %d, the replica is at %d", ErrBehind, delta.To, r.version)
+		return fmt.Errorf("%w: the delta leads to %d, the replica is at %d", ErrStale, delta.To, r.version)
 	}
 	if delta.From > r.version {
 		return fmt.Errorf("%w: the delta begins at %d, the replica is at %d", ErrGap, delta.From, r.version)
@@ -72,9 +71,8 @@
 	return nil
 }
 
-// checkRecord validates a received record: key, version and that the value is in canonical
-// form. The fields of the value are not checked, since a newer store may have fields that
-// this program does not know.
+// checkRecord validates the key and version of a received record, and that its value is canonical JSON. The fields of
+// the value are not checked, since a newer store may have fields that this program does not know.
 func checkRecord(record Record, newest uint64) error {
 	if err := record.Key.Validate(); err != nil {
 		return err
--- a/records/result_cache.go
+++ b/records/result_cache.go
@@ -8,46 +8,45 @@
 	"unicode/utf8"
 )
 
-// resultCache has the results of the newest MaxRequests changes with an idempotency key.
-// It is part of a store's replicated state: every store evicts the same result at the same
-// version.
+// resultCache has the results of the newest MaxCachedResults changes with an idempotency key. It is part of a store's
+// replicated state: every store evicts the same result at the same version.
 type resultCache struct {
 	order []string // idempotency keys, oldest first
 	byKey map[string]cachedResult
 }
 
-// cachedResult is the result of a change, and the hash of its content.
+// cachedResult is the result of a change with an idempotency key.
 type cachedResult struct {
 	IdempotencyKey string   `json:"request"`
-	Content        [16]byte `json:"content"` // hash of the change
+	ChangeHash     [16]byte `json:"content"`
 	Result         Result   `json:"result"`
 }
 
-// validIdempotencyKey reports whether the results of changes with this key are cached.
+// validIdempotencyKey reports whether results are cached under the key.
 func validIdempotencyKey(key string) bool {
 	return key != "" && len(key) <= MaxNameBytes && utf8.ValidString(key)
 }
 
-// lookup returns the cached result of a key, and whether there is one. If the key was used
-// for another content, that is the caller's mistake, and the result is Invalid.
-func (c *resultCache) lookup(key string, content [16]byte) (Result, bool) {
+// lookup returns the cached result of a key, and whether there is one. If the key was used for another change, which
+// is the client's error, the result is Invalid.
+func (c *resultCache) lookup(key string, changeHash [16]byte) (Result, bool) {
 	cached, found := c.byKey[key]
 	if !found {
 		return Result{}, false
 	}
-	if cached.Content != content {
+	if cached.ChangeHash != changeHash {
 		reason := fmt.Sprintf("%q has been used for another change", key)
 		return Result{Status: Invalid, Version: cached.Result.Version, Problem: &Problem{Field: "request", Reason: reason}}, true
 	}
 	return cached.Result, true
 }
 
-// add caches a result, and evicts the oldest one at the bound.
+// add caches a result, and evicts the oldest one if the cache is full.
 func (c *resultCache) add(cached cachedResult) {
 	if c.byKey == nil {
 		c.byKey = map[string]cachedResult{}
 	}
-	if len(c.order) == MaxRequests {
+	if len(c.order) == MaxCachedResults {
 		delete(c.byKey, c.order[0])
 		c.order = slices.Delete(c.order, 0, 1)
 	}
@@ -64,9 +63,8 @@
 	return list
 }
 
-// contentHash identifies what a change does. It leaves out the time, which may differ
-// between attempts.
-func contentHash(change Change) [16]byte {
+// changeHash returns a hash of all fields of a change except for the time, which may differ between attempts.
+func changeHash(change Change) [16]byte {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q %q", change.Author, change.Message)
 	for _, operation := range change.Operations {
--- a/records/result_cache_test.go
+++ b/records/result_cache_test.go
@@ -36,13 +36,13 @@
 			t.Errorf("another change under the same key: %+v", result.Problem)
 		}
 	}
-	for i := range MaxRequests {
+	for i := range MaxCachedResults {
 		filler := change(remove("plan/none"))
 		filler.IdempotencyKey = "f-" + string(rune('a'+i%26)) + strings.Repeat("x", i/26)
 		apply(t, store, uint64(10+i), filler, Unchanged)
 	}
 	apply(t, store, 5000, first, Conflict)
-	if len(store.results.order) != MaxRequests || len(store.results.byKey) != MaxRequests {
+	if len(store.results.order) != MaxCachedResults || len(store.results.byKey) != MaxCachedResults {
 		t.Errorf("%d results are cached", len(store.results.order))
 	}
 }
--- a/records/servers.go
+++ b/records/servers.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// How long a server is ejected after a fault. Each time is shortened by up to half, so that
-// followers do not return to the server together.
+// Durations of a server's ejection. Jitter shortens each one by up to half, so that followers do not return to the
+// server at the same time.
 const (
 	behindEjectionTime  = 10 * time.Second
 	failedEjectionTime  = 15 * time.Second
 	corruptEjectionTime = time.Minute
 )
 
-// servers is a follower's view of the servers, in the follower's own order of preference: it
-// requests from the first one that is not ejected.
+// servers has the servers in the follower's order of preference: requests go to the first one that is not ejected.
 type servers struct {
 	order []server
 }
 
 type server struct {
 	name         string
-	ejectedUntil time.Time // zero: it never was ejected
+	ejectedUntil time.Time // zero if it was never ejected
 }
 
-// newServers orders the servers by rendezvous hashing of the follower's name and theirs, so
-// that followers are spread evenly over them.
+// newServers orders the servers by rendezvous hashing of the follower's name and theirs, so that followers are
+// distributed evenly over them.
 func newServers(follower string, names []string) servers {
 	var all servers
 	for _, name := range names {
@@ -38,13 +37,13 @@
 	return all
 }
 
-// pick returns the server for the next request: the first one that is not ejected. If all are,
-// or if the last request failed, it is the one whose ejection ends first, so that every server
-// is tried. Without servers the name is empty.
-func (s *servers) pick(now time.Time, afterFault bool) string {
+// pick returns the server for the next request: the first one that is not ejected. If all are ejected, or if the last
+// request failed, it returns the one whose ejection ends first, so that every server is tried. It returns "" if there
+// are no servers.
+func (s *servers) pick(now time.Time, afterFailure bool) string {
 	var best server
 	for i, each := range s.order {
-		if !afterFault && !each.ejectedUntil.After(now) {
+		if !afterFailure && !each.ejectedUntil.After(now) {
 			return each.name
 		}
 		if i == 0 || each.ejectedUntil.Before(best.ejectedUntil) {
--- a/records/snapshot.go
+++ b/records/snapshot.go
@@ -9,43 +9,42 @@
 	"slices"
 )
 
-// ErrSnapshot means that a snapshot is damaged, truncated or contradicts itself.
+// ErrSnapshot means that a snapshot is corrupt, truncated or inconsistent.
 var ErrSnapshot = errors.New("unusable snapshot of records")
 
-// First lines of the files: their content and the version of the format.
+// Headers of the files: their type and the version of the format.
 const (
 	storeHeader   = "elderyard records store 1\n"
 	replicaHeader = "elderyard records replica 1\n"
 )
 
-// maxSnapshotBytes bounds a snapshot in bytes before compression.
+// maxSnapshotBytes limits the size of a snapshot before compression.
 const maxSnapshotBytes = 64 << 20
 
-// replicaSnapshot is the content of a replica's file.
+// replicaSnapshot is the body of a replica's snapshot.
 type replicaSnapshot struct {
 	Version uint64       `json:"version"`
 	Digest  Digest       `json:"digest"`
 	Records List[Record] `json:"records"`
 }
 
-// storeSnapshot is the content of a store's snapshot.
+// storeSnapshot is the body of a store's snapshot.
 type storeSnapshot struct {
 	replicaSnapshot
-	Applied      uint64             `json:"applied"`
-	FloorVersion uint64             `json:"floor_version"`
-	FloorDigest  Digest             `json:"floor_digest"`
-	Log          List[logEntry]     `json:"log"`
-	Requests     List[cachedResult] `json:"requests"`
+	Applied          uint64             `json:"applied"`
+	CompactedVersion uint64             `json:"floor_version"`
+	CompactedDigest  Digest             `json:"floor_digest"`
+	Log              List[logEntry]     `json:"log"`
+	Results          List[cachedResult] `json:"requests"`
 }
 
-// Snapshot returns the replica in the form that Restore reads.
+// Snapshot encodes the replica for Restore.
 func (r *Replica) Snapshot() ([]byte, error) {
 	return encodeSnapshot(replicaHeader, replicaSnapshot{Version: r.version, Digest: r.Digest(), Records: r.current().sorted()})
 }
 
-// Restore replaces the replica's content by a snapshot's. On an error the replica is unchanged:
-// ErrSnapshot if the snapshot is unusable, ErrBehind if it is of a lower version than the
-// replica.
+// Restore replaces the replica's content with a snapshot's. On an error the replica is unchanged. The error is
+// ErrSnapshot if the snapshot is invalid, and ErrStale if its version is below the replica's.
 func (r *Replica) Restore(data []byte) error {
 	var snapshot replicaSnapshot
 	if err := decodeSnapshot(replicaHeader, data, &snapshot); err != nil {
@@ -56,27 +55,25 @@
 		return fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	if snapshot.Version < r.version {
-		return fmt.Errorf("%w: the snapshot has %d, the replica is at %d", ErrBehind, snapshot.Version, r.version)
+		return fmt.Errorf("%w: the snapshot has %d, the replica is at %d", ErrStale, snapshot.Version, r.version)
 	}
 	r.state, r.version = restored, snapshot.Version
 	return nil
 }
 
-// Snapshot returns the store with its log and its cached results in the form that Restore
-// reads.
+// Snapshot encodes the store with its log and its cached results for Restore.
 func (s *Store) Snapshot() ([]byte, error) {
 	return encodeSnapshot(storeHeader, storeSnapshot{
-		replicaSnapshot: replicaSnapshot{Version: s.version, Digest: s.Digest(), Records: s.current().sorted()},
-		Applied:         s.applied,
-		FloorVersion:    s.log.floorVersion,
-		FloorDigest:     s.log.floorDigest,
-		Log:             s.log.entries,
-		Requests:        s.results.list(),
+		replicaSnapshot:  replicaSnapshot{Version: s.version, Digest: s.Digest(), Records: s.current().sorted()},
+		Applied:          s.applied,
+		CompactedVersion: s.log.compactedVersion,
+		CompactedDigest:  s.log.compactedDigest,
+		Log:              s.log.entries,
+		Results:          s.results.list(),
 	})
 }
 
-// Restore replaces the store by a snapshot's. On an error, which wraps ErrSnapshot, the store
-// is unchanged.
+// Restore replaces the store with a snapshot's. On an error, which wraps ErrSnapshot, the store is unchanged.
 func (s *Store) Restore(data []byte) error {
 	var snapshot storeSnapshot
 	if err := decodeSnapshot(storeHeader, data, &snapshot); err != nil {
@@ -100,7 +97,7 @@
 	return sorted
 }
 
-// state builds the state of the records and verifies its digest.
+// state builds the state from the records and verifies its digest.
 func (s *replicaSnapshot) state() (*state, error) {
 	if len(s.Records) > MaxRecords {
 		return nil, fmt.Errorf("%d records, at most %d are allowed", len(s.Records), MaxRecords)
@@ -140,11 +137,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Store{state: built, version: s.Version, applied: s.Applied, log: *log, results: *results, references: references}, nil
+	return &Store{state: built, version: s.Version, applied: s.Applied, log: *log, results: *results, referenceCounts: references}, nil
 }
 
-// countReferences validates every record as Apply does, and returns for each record that
-// others refer to how many do.
+// countReferences validates every record as Apply does, and returns the reference counts.
 func countReferences(built *state) (map[Key]int, error) {
 	references := map[Key]int{}
 	for record := range built.all {
@@ -167,13 +163,13 @@
 	return references, nil
 }
 
-// changeLog builds the log and checks that it leads to the snapshot's version and digest.
+// changeLog builds the log and checks that it ends at the snapshot's version and digest.
 func (s *storeSnapshot) changeLog() (*changeLog, error) {
 	if s.Applied < s.Version {
 		return nil, fmt.Errorf("applied up to %d, but at version %d", s.Applied, s.Version)
 	}
-	log := &changeLog{floorVersion: s.FloorVersion, floorDigest: s.FloorDigest}
-	newest, digest := s.FloorVersion, s.FloorDigest
+	log := &changeLog{compactedVersion: s.CompactedVersion, compactedDigest: s.CompactedDigest}
+	newest, digest := s.CompactedVersion, s.CompactedDigest
 	for i := range s.Log {
 		entry := &s.Log[i]
 		if entry.Info.Version <= newest {
@@ -200,13 +196,13 @@
 	return log, nil
 }
 
-// resultCache builds the cache and checks that no key is in it twice.
+// resultCache builds the cache and checks that idempotency keys are unique.
 func (s *storeSnapshot) resultCache() (*resultCache, error) {
-	if len(s.Requests) > MaxRequests {
-		return nil, fmt.Errorf("%d requests, at most %d are allowed", len(s.Requests), MaxRequests)
+	if len(s.Results) > MaxCachedResults {
+		return nil, fmt.Errorf("%d requests, at most %d are allowed", len(s.Results), MaxCachedResults)
 	}
 	cache := &resultCache{}
-	for _, cached := range s.Requests {
+	for _, cached := range s.Results {
 		if _, found := cache.byKey[cached.IdempotencyKey]; found {
 			return nil, fmt.Errorf("the request %q is there twice", cached.IdempotencyKey)
 		}
@@ -215,7 +211,7 @@
 	return cache, nil
 }
 
-// encodeSnapshot returns the header, the checksum of the body, and the content as the body.
+// encodeSnapshot returns the header, the SHA-256 of the body, and the body: the content as JSON, compressed if large.
 func encodeSnapshot(header string, content any) ([]byte, error) {
 	text, err := json.Marshal(content)
 	if err != nil {
@@ -226,7 +222,7 @@
 	return slices.Concat([]byte(header), checksum[:], body), nil
 }
 
-// decodeSnapshot decodes what encodeSnapshot returns. The error wraps ErrSnapshot.
+// decodeSnapshot reverses encodeSnapshot. The error wraps ErrSnapshot.
 func decodeSnapshot(header string, data []byte, into any) error {
 	payload, found := bytes.CutPrefix(data, []byte(header))
 	if !found {
--- a/records/snapshot_test.go
+++ b/records/snapshot_test.go
@@ -100,7 +100,7 @@
 	if err := replica.ApplyDelta(since(t, store, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if err := replica.Restore(old); !errors.Is(err, ErrBehind) || replica.Version() != 2 {
+	if err := replica.Restore(old); !errors.Is(err, ErrStale) || replica.Version() != 2 {
 		t.Errorf("%v, at version %d", err, replica.Version())
 	}
 }
@@ -142,8 +142,8 @@
 		{"log's end", func(s *storeSnapshot) { s.Log = s.Log[:1] }, "ends at version 1"},
 		{"log's digest", func(s *storeSnapshot) { s.Log[1].Digest[0]++ }, "log: the content does not fit the digest"},
 		{"log's key", func(s *storeSnapshot) { s.Log[1].Keys = []Key{{}} }, "unknown kind"},
-		{"log's floor", func(s *storeSnapshot) { s.FloorVersion = 1 }, "version 1 follows 1"},
-		{"requests twice", func(s *storeSnapshot) { s.Requests = make(List[cachedResult], 2) }, "there twice"},
+		{"log's floor", func(s *storeSnapshot) { s.CompactedVersion = 1 }, "version 1 follows 1"},
+		{"requests twice", func(s *storeSnapshot) { s.Results = make(List[cachedResult], 2) }, "there twice"},
 		{"long log", func(s *storeSnapshot) { s.Log = longLog() }, "beyond the bounds"},
 	} {
 		snapshot := valid()
--- a/records/state.go
+++ b/records/state.go
@@ -6,24 +6,23 @@
 	"strings"
 )
 
-// state is a set of records, divided into ranges by a hash of the key. It is immutable:
-// a draft copies the ranges that it changes and shares the others.
+// state is a set of records, partitioned into ranges by a hash of the key. It is immutable: a draft copies the ranges
+// that it changes and shares the others.
 type state struct {
-	ranges [RangeCount]keyRange
+	ranges [RangeCount]hashRange
 	count  int
 	bytes  int // size of all keys and values
 	digest Digest
 }
 
-// keyRange has the records of one range in order of key, and the sum of their hashes.
-type keyRange struct {
+// hashRange has the records of one range, in order of key, and the sum of their hashes.
+type hashRange struct {
 	records []Record
 	sum     sum
 }
 
-// find returns the position of the key, or where it would be inserted, and whether it is
-// there.
-func (r *keyRange) find(key Key) (int, bool) {
+// find returns the position of the key, or its insertion point, and whether the key exists.
+func (r *hashRange) find(key Key) (int, bool) {
 	return slices.BinarySearchFunc(r.records, key, func(record Record, key Key) int {
 		return record.Key.Compare(key)
 	})
@@ -32,7 +31,7 @@
 // emptyState is the content of the zero Store and Replica.
 var emptyState = new(draft).begin(&state{}).finish()
 
-// orEmpty returns the state, or that without records if it is nil.
+// orEmpty returns the state, or emptyState for nil.
 func (s *state) orEmpty() *state {
 	if s == nil {
 		return emptyState
@@ -42,12 +41,12 @@
 
 // get returns the record with the key, and whether it exists.
 func (s *state) get(key Key) (Record, bool) {
-	keys := &s.ranges[RangeOf(key)]
-	position, found := keys.find(key)
+	target := &s.ranges[RangeOf(key)]
+	position, found := target.find(key)
 	if !found {
 		return Record{}, false
 	}
-	return keys.records[position], true
+	return target.records[position], true
 }
 
 // all is an iterator over the records, range by range.
--- a/records/store_machine_test.go
+++ b/records/store_machine_test.go
@@ -90,7 +90,7 @@
 	}
 	delta, err := m.store.ChangesSince(from)
 	if err != nil {
-		if !errors.Is(err, ErrCompacted) || from >= m.store.log.floorVersion {
+		if !errors.Is(err, ErrCompacted) || from >= m.store.log.compactedVersion {
 			t.Fatal(err)
 		}
 		return
--- a/records/value.go
+++ b/records/value.go
@@ -11,7 +11,7 @@
 
 // FieldError is a problem with one field of a value.
 type FieldError struct {
-	Field  string // empty if it is not about one field
+	Field  string // empty if the problem is not about one field
 	Reason string
 }
 
@@ -29,16 +29,15 @@
 
 // Value is the typed content of a record.
 type Value interface {
-	// Validate returns the first problem of the value, or nil. It does not look at other
-	// records.
+	// Validate returns the first problem of the value, or nil. It does not consider other records.
 	Validate() *FieldError
-	// Reference returns the key of the record that must exist for this one to be valid,
-	// and the field that names it. If ok is false, the value refers to no record.
+	// Reference returns the key of the record that this one refers to and that must exist, and the field with its
+	// name. If ok is false, the value refers to no record.
 	Reference() (key Key, field string, ok bool)
 }
 
-// ParseValue decodes and validates the value of a record of a kind, and returns it with
-// its canonical JSON. Unknown fields are rejected. The error names the field at fault.
+// ParseValue decodes and validates the value of a record of a kind, and returns it with its canonical JSON. Unknown
+// fields are rejected. The error names the invalid field.
 func ParseValue(kind Kind, data []byte) (Value, json.RawMessage, *FieldError) {
 	value, problem := newValue(kind)
 	if problem != nil {
@@ -91,11 +90,10 @@
 	return nil
 }
 
-// unknownFieldPrefix begins the text of encoding/json's error for an unknown field, which
-// has no type of its own.
+// unknownFieldPrefix is the prefix of encoding/json's error for an unknown field, which has no type of its own.
 const unknownFieldPrefix = `json: unknown field "`
 
-// decodeProblem returns the field that a decoding error is about, where it is known.
+// decodeProblem converts a decoding error, with the name of the field if that is known.
 func decodeProblem(err error) *FieldError {
 	if wrongType, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		return fieldError(wrongType.Field, "cannot be a JSON %s", wrongType.Value)
--- a/records/value_types.go
+++ b/records/value_types.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Bounds of the fields of values.
+// Limits of the fields of values.
 const (
 	MaxTimeoutMillis     = 600_000
 	MaxRetries           = 10
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// checkHost accepts the empty host and host names in lower case.
+// checkHost accepts an empty host and host names in lower case.
 func checkHost(host string) error {
 	if host == "" {
 		return nil
