--- a/records/bench_test.go
+++ b/records/bench_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// siteRecords is the size of a site that the product is designed for.
+// siteRecords is the number of records of the largest site that the design has to support.
 const siteRecords = 26_000
 
-// heap returns the bytes of live objects.
-func heap() uint64 {
+// heapBytes returns the size of live heap objects.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -18,27 +18,27 @@
 	return stats.HeapAlloc
 }
 
-// A replica of a complete site, restored from its snapshot, is bounded in memory.
+// Guards against memory growth: a replica of a full-size site, restored from its snapshot, retains at most 12 MiB.
 func TestReplicaMemory(t *testing.T) {
 	data, err := fullReplica(t, largeStore(t, siteRecords)).Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := heap()
+	before := heapBytes()
 	replica := &Replica{}
 	if err := replica.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	retained := int64(heap()) - int64(before)
+	retained := int64(heapBytes()) - int64(before)
 	t.Logf("a replica of %d records has %.1f MB; its file has %d bytes", replica.Len(), float64(retained)/1e6, len(data))
 	if retained > 12<<20 {
-		t.Errorf("%d bytes", retained)
+		t.Errorf("replica retains %d bytes, want at most %d", retained, 12<<20)
 	}
 	runtime.KeepAlive(data)
 	runtime.KeepAlive(replica)
 }
 
-// The sizes on the wire are reported as bytes/op.
+// BenchmarkWireSizes reports the encoded sizes of messages as the metric wire-bytes.
 func BenchmarkWireSizes(b *testing.B) {
 	store := largeStore(b, siteRecords)
 	all := make([]int, RangeCount)
@@ -105,7 +105,7 @@
 	b.ReportMetric(float64(size), "wire-bytes")
 }
 
-// BenchmarkApply measures a change at a store of the full size.
+// BenchmarkApply measures changes of a full-size store.
 func BenchmarkApply(b *testing.B) {
 	for _, count := range []int{1, 5000} {
 		b.Run(fmt.Sprintf("%d operations", count), func(b *testing.B) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// BenchmarkReplicaApply measures a change of one record at a store and a replica of the full size.
+// BenchmarkReplicaApply measures a change of one record in a full-size store and its replica.
 func BenchmarkReplicaApply(b *testing.B) {
 	store := largeStore(b, siteRecords)
 	version := store.Version()
@@ -139,7 +139,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures writing and reading snapshots of the full size.
+// BenchmarkSnapshot measures writing and reading full-size snapshots.
 func BenchmarkSnapshot(b *testing.B) {
 	store := largeStore(b, siteRecords)
 	replica := fullReplica(b, store)
@@ -178,13 +178,13 @@
 	}
 }
 
-// BenchmarkDifference measures the comparison of two stores of the full size.
+// BenchmarkDifference measures the comparison of two full-size stores.
 func BenchmarkDifference(b *testing.B) {
 	from, to := largeStore(b, siteRecords), largeStore(b, siteRecords)
 	apply(b, to, 100, change(remove("plan/free")), Accepted)
 	for b.Loop() {
 		if delta := Difference(from, to); len(delta.Deletes) != 1 {
-			b.Fatal("not one difference")
+			b.Fatalf("%d deletes, want 1", len(delta.Deletes))
 		}
 	}
 }
--- a/records/changes_test.go
+++ b/records/changes_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// A response has a delta, a reason for a repair, or nothing.
+// A response has a delta, a reason for a repair, or neither if the replica is up to date.
 func TestHandleChanges(t *testing.T) {
 	store := smallStore(t)
 	old := store.Digest()
@@ -15,17 +15,17 @@
 		request ChangesRequest
 		want    ChangesResponse
 	}{
-		{"nothing new", ChangesRequest{Since: 5}, ChangesResponse{}},
-		{"a change", ChangesRequest{Since: 1, Digest: &old}, ChangesResponse{Delta: &Delta{}}},
-		{"from the beginning", ChangesRequest{}, ChangesResponse{Delta: &Delta{}}},
-		{"another digest", ChangesRequest{Since: 1, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
-		{"another digest of the newest", ChangesRequest{Since: 5, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
-		{"no such version", ChangesRequest{Since: 3, Digest: &old}, ChangesResponse{Repair: RepairDigest}},
-		{"the future", ChangesRequest{Since: 6}, ChangesResponse{Behind: true}},
+		{"up to date", ChangesRequest{Since: 5}, ChangesResponse{}},
+		{"one change", ChangesRequest{Since: 1, Digest: &old}, ChangesResponse{Delta: &Delta{}}},
+		{"from version 0", ChangesRequest{}, ChangesResponse{Delta: &Delta{}}},
+		{"wrong digest", ChangesRequest{Since: 1, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
+		{"wrong digest of the newest version", ChangesRequest{Since: 5, Digest: &wrong}, ChangesResponse{Repair: RepairDigest}},
+		{"version without a change", ChangesRequest{Since: 3, Digest: &old}, ChangesResponse{Repair: RepairDigest}},
+		{"above the newest version", ChangesRequest{Since: 6}, ChangesResponse{Behind: true}},
 	} {
 		response := store.HandleChanges(test.request)
 		if (response.Delta == nil) != (test.want.Delta == nil) || response.Repair != test.want.Repair || response.Behind != test.want.Behind {
-			t.Errorf("%s: %+v", test.name, response)
+			t.Errorf("%s: %+v, want %+v", test.name, response, test.want)
 		}
 		data, err := EncodeChangesResponse(response)
 		if err != nil {
@@ -38,6 +38,6 @@
 	}
 	large := largeStore(t, 26_000)
 	if response := large.HandleChanges(ChangesRequest{}); response.Repair != RepairTooLarge {
-		t.Errorf("26,000 records: %s", response.Repair)
+		t.Errorf("26,000 records: repair %q, want %q", response.Repair, RepairTooLarge)
 	}
 }
--- a/records/fuzz_test.go
+++ b/records/fuzz_test.go
@@ -9,14 +9,14 @@
 	t.Helper()
 	data, err := encode(message)
 	if err != nil {
-		t.Fatalf("read, but not written: %v", err)
+		t.Fatalf("encode a decoded message: %v", err)
 	}
 	if _, err := decode(data); err != nil {
-		t.Fatalf("written, but not read: %v", err)
+		t.Fatalf("decode a reencoded message: %v", err)
 	}
 }
 
-// seed adds a message, half of it and its text before compression to the corpus.
+// seed adds a message, its first half and its decompressed text to the corpus.
 func seed(f *testing.F, message []byte, err error) {
 	f.Helper()
 	if err != nil {
@@ -33,7 +33,7 @@
 	f.Add(text)
 }
 
-// A response that is decoded can be encoded, and its delta is verified.
+// A decoded response can be encoded again, and its delta is only applied if the result has its digest.
 func FuzzDecodeChangesResponse(f *testing.F) {
 	store := largeStore(f, 40)
 	apply(f, store, 9, change(remove("plan/free")), Accepted)
@@ -52,12 +52,12 @@
 		}
 		replica := &Replica{}
 		if err := replica.ApplyDelta(*response.Delta); err == nil && replica.Digest() != response.Digest {
-			t.Fatal("accepted a delta with another digest")
+			t.Fatal("applied a delta whose result has another digest")
 		}
 	})
 }
 
-// Digests that are decoded can be encoded and compared.
+// Decoded digests can be encoded again and compared.
 func FuzzDecodeRangeDigests(f *testing.F) {
 	data, err := EncodeRangeDigests(largeStore(f, 40).RangeDigests())
 	seed(f, data, err)
@@ -73,7 +73,7 @@
 	})
 }
 
-// A chunk that is decoded can be encoded and staged.
+// A decoded chunk can be encoded again and staged.
 func FuzzDecodeChunk(f *testing.F) {
 	store := largeStore(f, 200)
 	for _, ranges := range [][]int{{0}, {1, 2, 3, 4, 5, 6, 7, 8, 9, 10}} {
@@ -88,12 +88,13 @@
 		reencode(t, chunk, EncodeChunk, DecodeChunk)
 		repair := NewRepair(&Replica{})
 		if err := repair.StageChunk(chunk); err == nil && len(repair.Pending()) != RangeCount-len(chunk.Ranges) {
-			t.Fatal("the ranges of the chunk are still pending")
+			t.Fatal("staged ranges are still pending")
 		}
 	})
 }
 
-// The checksum would reject nearly all inputs of a fuzzer, so the test adds the right one.
+// Restore either fails and leaves the store unchanged, or the store can be stored and restored again. The fuzzer only
+// varies the body, since nearly all inputs would fail the checksum.
 func FuzzRestoreStore(f *testing.F) {
 	store := largeStore(f, 20)
 	request := change(put("plan/x", planValue))
@@ -105,13 +106,13 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		seed(f, unsealed(storeHeader, data), nil)
+		seed(f, snapshotBody(storeHeader, data), nil)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		restored := &Store{}
-		if err := restored.Restore(sealed(storeHeader, body)); err != nil {
+		if err := restored.Restore(snapshotWithBody(storeHeader, body)); err != nil {
 			if restored.Version() != 0 || restored.Len() != 0 {
-				t.Fatal("a rejected snapshot has changed the store")
+				t.Fatal("an invalid snapshot has changed the store")
 			}
 			return
 		}
@@ -121,22 +122,22 @@
 		}
 		again := &Store{}
 		if err := again.Restore(data); err != nil || again.Digest() != restored.Digest() {
-			t.Fatalf("restored, but not again: %v", err)
+			t.Fatalf("restore the snapshot of a restored state: %v", err)
 		}
 	})
 }
 
-// A replica that is restored can be stored and restored again.
+// A restored replica can be stored and restored again.
 func FuzzRestoreReplica(f *testing.F) {
 	replica := fullReplica(f, largeStore(f, 20))
 	data, err := replica.Snapshot()
 	if err != nil {
 		f.Fatal(err)
 	}
-	seed(f, unsealed(replicaHeader, data), nil)
+	seed(f, snapshotBody(replicaHeader, data), nil)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		restored := &Replica{}
-		if err := restored.Restore(sealed(replicaHeader, body)); err != nil {
+		if err := restored.Restore(snapshotWithBody(replicaHeader, body)); err != nil {
 			return
 		}
 		data, err := restored.Snapshot()
@@ -145,23 +146,23 @@
 		}
 		again := &Replica{}
 		if err := again.Restore(data); err != nil || again.Digest() != restored.Digest() {
-			t.Fatalf("restored, but not again: %v", err)
+			t.Fatalf("restore the snapshot of a restored state: %v", err)
 		}
 	})
 }
 
-// A key that is parsed has the same text.
+// A parsed key formats to the same text.
 func FuzzParseKey(f *testing.F) {
 	f.Add("route/a")
 	f.Add("tenant/00ff:x")
 	f.Fuzz(func(t *testing.T, text string) {
 		if parsed, err := ParseKey(text); err == nil && parsed.String() != text {
-			t.Fatalf("%q was read as %s", text, parsed)
+			t.Fatalf("%q parsed as %s", text, parsed)
 		}
 	})
 }
 
-// Ranges that are parsed can be formatted and parsed again.
+// Parsed ranges can be formatted and parsed again.
 func FuzzParseRanges(f *testing.F) {
 	f.Add("0-9,12,1023")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -171,12 +172,12 @@
 		}
 		again, err := ParseRanges(FormatRanges(ranges))
 		if err != nil || len(again) != len(ranges) || len(ranges) > RangeCount {
-			t.Fatalf("%q: %d ranges, again %d, %v", text, len(ranges), len(again), err)
+			t.Fatalf("%q: %d ranges, %d after formatting and parsing, %v", text, len(ranges), len(again), err)
 		}
 	})
 }
 
-// A value that is valid stays so in its canonical form, which does not change.
+// The canonical form of a valid value is valid, and is its own canonical form.
 func FuzzParseValue(f *testing.F) {
 	f.Add("plan", []byte(planValue))
 	f.Add("tenant", []byte(tenantValue))
@@ -189,7 +190,7 @@
 		}
 		_, again, problem := ParseValue(Kind(kind), canonical)
 		if problem != nil || string(again) != string(canonical) {
-			t.Fatalf("%s became %s (%v)", canonical, again, problem)
+			t.Fatalf("canonical form %s parsed as %s (%v)", canonical, again, problem)
 		}
 	})
 }
--- a/records/golden_follower_test.go
+++ b/records/golden_follower_test.go
@@ -9,7 +9,7 @@
 	"elderyard/internal/golden"
 )
 
-// Time limits, bounds and sizes are part of how old and new programs work together.
+// Timeouts, limits and sizes must be equal in all versions of the program that work together.
 func TestGoldenConstants(t *testing.T) {
 	var text strings.Builder
 	for _, each := range []struct {
@@ -36,7 +36,7 @@
 	golden.Text(t, "constants.txt", text.String())
 }
 
-// traceServer is a server of a traced follower.
+// traceServer is a simulated server of a traced follower.
 type traceServer struct {
 	name    string
 	store   *Store
@@ -46,8 +46,8 @@
 	behind  bool // receives no changes
 }
 
-// followerTrace runs one follower against servers on a clock of its own, and records what it
-// decides and when.
+// followerTrace runs one follower against simulated servers on a simulated clock, and records its decisions with their
+// times.
 type followerTrace struct {
 	t        *testing.T
 	text     strings.Builder
@@ -56,13 +56,13 @@
 	replica  *Replica
 	follower *Follower
 	inFlight *Send
-	arrival  time.Time // of the response; zero: none is on its way
+	arrival  time.Time // of the response; zero if none is in transit
 	response Event
 	last     FollowerStatus
 }
 
-// reference returns the last server, which only fails together with all others.
-func (f *followerTrace) reference() *traceServer { return f.servers[len(f.servers)-1] }
+// referenceServer returns the last server, which fails only when all servers fail.
+func (f *followerTrace) referenceServer() *traceServer { return f.servers[len(f.servers)-1] }
 
 func (f *followerTrace) printf(format string, arguments ...any) {
 	fmt.Fprintf(&f.text, "%9.3f ", f.now.Sub(testTime).Seconds())
@@ -79,7 +79,7 @@
 	f.printf("start %s at version %d", config.Name, replica.Version())
 }
 
-// run advances the clock and delivers all that is due in between.
+// run advances the clock and delivers all events that become due.
 func (f *followerTrace) run(duration time.Duration) {
 	for end := f.now.Add(duration); ; {
 		wake := f.follower.NextTick()
@@ -142,7 +142,7 @@
 	return "digests"
 }
 
-// serve responds to the request in flight after 20 ms, or when the time to wait is over.
+// serve schedules the response to the request in flight: after the latency, or at the end of a long poll.
 func (f *followerTrace) serve() {
 	var server *traceServer
 	for _, each := range f.servers {
@@ -175,7 +175,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	text, err := decompress(body, MaxMessageBytes) // its cost doesn't depend on the library
+	text, err := decompress(body, MaxMessageBytes) // its length does not depend on the version of the compression library
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -185,7 +185,7 @@
 	f.response = ResponseReceived{ID: f.inFlight.ID, Body: body, Bytes: len(text)/3 + 100}
 }
 
-// change applies a change at all servers that are not behind, and ends a long poll.
+// change applies a change to all servers that are not behind, and ends a long poll.
 func (f *followerTrace) change(operations ...Operation) {
 	f.t.Helper()
 	for _, server := range f.servers {
@@ -193,7 +193,7 @@
 			apply(f.t, server.store, server.store.Applied()+1, change(operations...), Accepted)
 		}
 	}
-	f.printf("change %d", f.reference().store.Version())
+	f.printf("change %d", f.referenceServer().store.Version())
 	if f.inFlight != nil && !f.arrival.IsZero() {
 		f.serve()
 	}
@@ -201,11 +201,11 @@
 
 func (f *followerTrace) reportHead() {
 	f.t.Helper()
-	f.handle(HeadReceived{Version: f.reference().store.Version()})
+	f.handle(HeadReceived{Version: f.referenceServer().store.Version()})
 }
 
-// What a follower decides, when, in which order and for which server, is the same as
-// in released programs, random draws included.
+// A follower's decisions, their order, times and servers, are the same as in released versions of the program, pseudo-
+// random values included.
 func TestGoldenFollowerDecisions(t *testing.T) {
 	f := &followerTrace{t: t, now: testTime}
 	for i := range 3 {
@@ -213,7 +213,7 @@
 	}
 	f.start(&Replica{}, FollowerConfig{Name: "gateway-1", ConfirmedAt: testTime.Add(-time.Hour)})
 	f.run(90 * time.Second)
-	f.change(urgent(1), remove("plan/free"))
+	f.change(urgentOperation(1), remove("plan/free"))
 	f.run(5 * time.Second)
 	for i, set := range []func(*traceServer){
 		func(s *traceServer) { s.failing = true },
@@ -226,13 +226,13 @@
 			for _, server := range faulty {
 				set(server)
 			}
-			f.change(urgent(10 + i))
+			f.change(urgentOperation(10 + i))
 			f.reportHead()
 			f.run(4 * time.Second)
-			f.change(urgent(100 + i))
+			f.change(urgentOperation(100 + i))
 			f.run(20 * time.Second)
 			for _, server := range faulty {
-				*server = traceServer{name: server.name, store: copyStore(t, f.reference().store)}
+				*server = traceServer{name: server.name, store: copyStore(t, f.referenceServer().store)}
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 	for _, server := range f.servers {
 		server.failing = true
 	}
-	f.change(urgent(1000), put("service/new", serviceValue))
+	f.change(urgentOperation(1000), put("service/new", serviceValue))
 	f.run(40 * time.Second)
 	f.printf("all servers are back, with compacted logs")
 	for _, server := range f.servers {
@@ -256,12 +256,12 @@
 	f.start(other, FollowerConfig{Name: "gateway-2", BytesPerSecond: 1500, BurstBytes: 3000})
 	for i := range 8 {
 		f.run(15 * time.Second)
-		f.change(urgent(2000 + i))
+		f.change(urgentOperation(2000 + i))
 		f.reportHead()
 	}
 	f.run(2 * time.Minute)
-	if f.replica.Version() != f.reference().store.Version() || f.replica.Digest() != f.reference().store.Digest() {
-		t.Errorf("at version %d of %d", f.replica.Version(), f.reference().store.Version())
+	if f.replica.Version() != f.referenceServer().store.Version() || f.replica.Digest() != f.referenceServer().store.Digest() {
+		t.Errorf("at version %d of %d", f.replica.Version(), f.referenceServer().store.Version())
 	}
 	golden.Text(t, "follower_decisions.txt", f.text.String())
 }
--- a/records/golden_helpers_test.go
+++ b/records/golden_helpers_test.go
@@ -12,8 +12,8 @@
 	"elderyard/internal/golden"
 )
 
-// withUnknownFields returns variants of a JSON text, each with a field that no type has in one
-// of the objects, except in the values of records.
+// withUnknownFields returns variants of a JSON text, each of which has an unknown field in one of its objects. The
+// values of records are left unchanged.
 func withUnknownFields(text []byte) [][]byte {
 	var variants [][]byte
 	for i := range text {
@@ -24,8 +24,8 @@
 	return variants
 }
 
-// pinJSON pins the encoding of a value that other packages embed in their messages: unknown
-// fields are ignored when it is decoded.
+// pinJSON compares the JSON encoding of a value that other packages embed in their messages with its golden file.
+// Unknown fields are ignored when it is decoded.
 func pinJSON[T any](t *testing.T, name string, value T) {
 	t.Run(name, func(t *testing.T) {
 		golden.EveryField(t, value)
@@ -38,15 +38,15 @@
 		for _, text := range append(withUnknownFields(stored), stored) {
 			var decoded T
 			if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(decoded, value) {
-				t.Errorf("%s is read as %+v, %v; want %+v", text, decoded, err, value)
+				t.Errorf("%s decoded to %+v, %v; want %+v", text, decoded, err, value)
 			}
 		}
 	})
 }
 
-// pinMessage pins the encoding of a message on the wire: its text is compared, and both the text
-// and the stored compressed bytes are decoded. Compressed bytes may differ between versions of
-// the library, so they are not compared. Unknown fields are rejected.
+// pinMessage compares the wire format of a message with its golden file and decodes both the golden text and the golden
+// compressed bytes. Compressed bytes are not compared, since they may differ between versions of the compression
+// library. Unknown fields are rejected.
 func pinMessage[T any](t *testing.T, name string, message T, encode func(T) ([]byte, error), decode func([]byte) (T, error)) {
 	t.Run(name, func(t *testing.T) {
 		data, err := encode(message)
@@ -67,7 +67,7 @@
 		}
 		for _, data := range stored {
 			if decoded, err := decode(data); err != nil || !reflect.DeepEqual(decoded, message) {
-				t.Errorf("read as %+v, %v; want %+v", decoded, err, message)
+				t.Errorf("decoded to %+v, %v; want %+v", decoded, err, message)
 			}
 		}
 		for _, text := range withUnknownFields(stored[0]) {
@@ -78,15 +78,15 @@
 	})
 }
 
-// pinSnapshot pins a snapshot's text, that the stored file restores to the same, and that
-// unknown fields are rejected. The bytes of a file that is not compressed are compared too.
+// pinSnapshot compares a snapshot's JSON with its golden file, and checks that the golden snapshot restores to the same
+// content and that unknown fields are rejected. The bytes of an uncompressed snapshot are compared too.
 func pinSnapshot(t *testing.T, name, header string, data []byte, restore func([]byte) ([]byte, error)) {
 	t.Run(name, func(t *testing.T) {
 		text := func(data []byte) []byte {
 			if !bytes.HasPrefix(data, []byte(header)) {
-				t.Fatalf("begins with %.40q", data)
+				t.Fatalf("the snapshot begins with %.40q, want %q", data, header)
 			}
-			text, err := decompress(unsealed(header, data), maxSnapshotBytes)
+			text, err := decompress(snapshotBody(header, data), maxSnapshotBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -103,7 +103,7 @@
 		}
 		golden.File(t, "golden/"+name+".json", text(again))
 		for _, unknown := range withUnknownFields(text(stored)) {
-			if _, err := restore(sealed(header, unknown)); !errors.Is(err, ErrSnapshot) || !strings.Contains(err.Error(), "unknown_field") {
+			if _, err := restore(snapshotWithBody(header, unknown)); !errors.Is(err, ErrSnapshot) || !strings.Contains(err.Error(), "unknown_field") {
 				t.Errorf("with an unknown field: %v", err)
 			}
 		}
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -18,7 +18,7 @@
 
 var goldenDigest = Digest{0x01, 0x23, 0x45, 0x67, 0x89, 0xab, 0xcd, 0xef, 0xfe, 0xdc, 0xba, 0x98, 0x76, 0x54, 0x32, 0x10}
 
-// goldenValues has a value of each kind with every field set.
+// goldenValues returns a value of each kind with every field set.
 func goldenValues() map[Kind]Value {
 	return map[Kind]Value{
 		Route:   &RouteValue{Service: "search", Host: "shop.example.test", Prefix: "/v1/<search>&more", TimeoutMillis: 2000, Retries: 2},
@@ -28,7 +28,7 @@
 	}
 }
 
-// Values are encoded in their canonical form.
+// The canonical form of values does not change.
 func TestGoldenValues(t *testing.T) {
 	for _, kind := range Kinds() {
 		name := "value_" + string(kind) + ".json"
@@ -42,7 +42,7 @@
 		stored := golden.Read(t, "golden/"+name, text)
 		parsed, canonical, problem := ParseValue(kind, stored)
 		if problem != nil || !reflect.DeepEqual(parsed, value) || !bytes.Equal(canonical, stored) {
-			t.Errorf("%s: read as %+v, %s, %v", kind, parsed, canonical, problem)
+			t.Errorf("%s: parsed as %+v, %s, %v", kind, parsed, canonical, problem)
 		}
 		for _, text := range withUnknownFields(stored) {
 			if _, _, problem := ParseValue(kind, text); problem == nil || problem.Error() != "unknown_field: unknown field" {
@@ -52,7 +52,7 @@
 	}
 }
 
-// goldenRecord is a record of a kind with every field set.
+// goldenRecord returns a record of a kind with every field set.
 func goldenRecord(t testing.TB, kind Kind, name string, version uint64) Record {
 	t.Helper()
 	value, err := json.Marshal(goldenValues()[kind])
@@ -70,7 +70,7 @@
 		Deletes: List[Tombstone]{{Key: Key{Kind: Tenant, Name: "old_1.x-y:z"}, Version: 43}}}
 }
 
-// Changes, results and statuses are embedded in messages of other packages.
+// The JSON of changes, results and statuses, which other packages embed in their messages, does not change.
 func TestGoldenChange(t *testing.T) {
 	expected := uint64(7)
 	record := goldenRecord(t, Plan, "gold", 9)
@@ -87,7 +87,7 @@
 		ConfirmedAt: goldenTime, LastContact: goldenTime.Add(time.Second), Server: "control-1", Reason: "repair: digest", RangesFetched: 3, RangesPending: 2})
 }
 
-// Fields at their zero value are encoded or omitted as other programs expect.
+// Fields with a zero value are encoded or omitted as other versions of the program expect.
 func TestGoldenZeroFields(t *testing.T) {
 	never := uint64(0)
 	for _, test := range []struct {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Responses with changes are exchanged between versions of the program.
+// Responses to requests for changes are exchanged between versions of the program.
 func TestGoldenChangesResponses(t *testing.T) {
 	delta := goldenDelta(t)
 	golden.EveryField(t, delta)
@@ -136,7 +136,7 @@
 	} {
 		pinMessage(t, name, response, EncodeChangesResponse, DecodeChangesResponse)
 	}
-	// No server sets all of these at once, and no follower accepts it.
+	// No server sets all of these fields at once, and no follower accepts such a response.
 	every := ChangesResponse{Version: 43, Digest: goldenDigest, Delta: &delta, Repair: RepairDigest, Behind: true}
 	golden.EveryField(t, every)
 	text, err := json.Marshal(every)
@@ -146,12 +146,12 @@
 	golden.File(t, "golden/answer_every_field.json", text)
 	var decoded ChangesResponse
 	if err := decodeStrict(golden.Read(t, "golden/answer_every_field.json", text), &decoded); err != nil || !reflect.DeepEqual(decoded, every) {
-		t.Errorf("read as %+v, %v", decoded, err)
+		t.Errorf("decoded to %+v, %v", decoded, err)
 	}
 	if _, err := DecodeChangesResponse(text); !errors.Is(err, ErrMessage) {
-		t.Errorf("accepted: %v", err)
+		t.Errorf("a response with every field: %v, want ErrMessage", err)
 	}
-	// Fields of a value are for stores: a follower accepts those that it does not know.
+	// Only stores interpret the fields of a value: a follower accepts unknown fields.
 	newer := bytes.ReplaceAll(golden.Read(t, "golden/answer_delta.json", nil), []byte(`"value":{`), []byte(`"value":{"unknown_field":1,`))
 	response, err := DecodeChangesResponse(newer)
 	if err != nil || !bytes.HasPrefix(response.Delta.Puts[0].Value, []byte(`{"unknown_field":1,`)) {
@@ -159,8 +159,8 @@
 	}
 }
 
-// goldenStore has its log compacted once, a change of each result, and a change that
-// only advances its version.
+// goldenStore returns a store with a compacted log, accepted, unchanged and invalid changes, and a version that was set
+// by Advance.
 func goldenStore(t testing.TB) *Store {
 	t.Helper()
 	store := &Store{}
@@ -200,11 +200,11 @@
 	pinMessage(t, "chunk.json", chunk, EncodeChunk, DecodeChunk)
 	pinMessage(t, "chunk_small.json", store.Chunk(ContentRequest{Ranges: ranges[:1]}), EncodeChunk, DecodeChunk)
 	if text := FormatRanges([]int{0, 1, 2, 9, 1022, 1023}); text != "0-2,9,1022-1023" {
-		t.Errorf("ranges are written as %s", text)
+		t.Errorf("ranges are formatted as %s", text)
 	}
 }
 
-// Digests and ranges are computed by servers and followers of different versions.
+// Servers and followers of different versions must compute the same digests and ranges.
 func TestGoldenDigests(t *testing.T) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "empty %s\n", emptyState.digest)
@@ -221,7 +221,7 @@
 	golden.Text(t, "digests.txt", text.String())
 }
 
-// Journals are read by later versions of the program.
+// Later versions of the program read the journals of earlier ones.
 func TestGoldenJournal(t *testing.T) {
 	store := goldenStore(t)
 	base := &Replica{state: emptyState, version: 1}
@@ -241,7 +241,7 @@
 				t.Fatal(err)
 			}
 			golden.File(t, "golden/"+name+".json", text)
-			if name == "journal_small" { // not compressed: the same bytes with any library
+			if name == "journal_small" { // not compressed, so that the bytes do not depend on the compression library
 				golden.File(t, "golden/"+name+".bin", entry)
 			}
 			for _, unknown := range withUnknownFields(text) {
@@ -262,7 +262,7 @@
 	}
 }
 
-// Snapshots are read by later versions of the program.
+// Later versions of the program read the snapshots of earlier ones.
 func TestGoldenSnapshots(t *testing.T) {
 	store := goldenStore(t)
 	var content storeSnapshot
--- a/records/helpers_test.go
+++ b/records/helpers_test.go
@@ -34,7 +34,7 @@
 	return Change{Author: "anna", At: testTime, Operations: operations}
 }
 
-// apply applies a change and fails the test unless the result has the status.
+// apply applies a change and fails the test unless the result has the wanted status.
 func apply(t rapid.TB, store *Store, version uint64, change Change, want Status) Result {
 	t.Helper()
 	result, err := store.Apply(version, change)
@@ -54,7 +54,7 @@
 	routeValue   = `{"service":"search","prefix":"/v1/search","timeout_ms":2000,"retries":2}`
 )
 
-// smallStore returns a store with one record of each kind, all of version 1.
+// smallStore returns a store with one record of each kind, all at version 1.
 func smallStore(t rapid.TB) *Store {
 	t.Helper()
 	store := &Store{}
@@ -67,7 +67,7 @@
 	return store
 }
 
-// largeStore returns a store with count records: 12,000 tenants and 14,000 routes for each 26,000 records.
+// largeStore returns a store with count records. Of 26,000 records, about 12,000 are tenants and 14,000 are routes.
 func largeStore(t rapid.TB, count int) *Store {
 	t.Helper()
 	store := &Store{}
--- a/records/journal_test.go
+++ b/records/journal_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// journalOf returns a replica's snapshot at version 1 and the journal of the three
-// changes after it, with where each entry ends.
+// journalOf returns a replica's snapshot at version 1, the journal of the three changes after it with the offset at
+// which each entry ends, and the store.
 func journalOf(t testing.TB) (snapshot, journal []byte, ends []int, store *Store) {
 	t.Helper()
 	store = smallStore(t)
@@ -18,7 +18,7 @@
 	}
 	for i := range 3 {
 		version := uint64(i + 2)
-		apply(t, store, version, change(urgent(i)), Accepted)
+		apply(t, store, version, change(urgentOperation(i)), Accepted)
 		entry, err := EncodeJournalEntry(since(t, store, version-1))
 		if err != nil {
 			t.Fatal(err)
@@ -29,7 +29,7 @@
 	return snapshot, journal, ends, store
 }
 
-// A journal is applied up to its first damaged or truncated entry.
+// A journal is replayed up to its first damaged or truncated entry, wherever the damage is.
 func TestReplayEndsAtDamagedEntry(t *testing.T) {
 	snapshot, journal, ends, store := journalOf(t)
 	restore := func() *Replica {
@@ -43,24 +43,24 @@
 	if applied, err := replica.Replay(journal); err != nil || applied != len(journal) || replica.Digest() != store.Digest() {
 		t.Fatalf("%d bytes, %v, at version %d", applied, err, replica.Version())
 	}
-	// The snapshot may have been written after the entries.
+	// A snapshot may be newer than the entries, so entries that it contains are skipped.
 	if applied, err := replica.Replay(journal); err != nil || applied != len(journal) || replica.Version() != 4 {
-		t.Errorf("again: %d bytes, %v, at version %d", applied, err, replica.Version())
+		t.Errorf("second replay: %d bytes, %v, at version %d", applied, err, replica.Version())
 	}
-	// The entries before the damage are applied.
+	// entriesBefore returns the number of entries that end at or before a position.
 	entriesBefore := func(position int) int {
 		count, _ := slices.BinarySearch(ends, position+1)
 		return count
 	}
 	for position := range journal {
 		for name, damaged := range map[string][]byte{
-			"cut":     journal[:position],
-			"changed": slices.Concat(journal[:position], []byte{journal[position] ^ 4}, journal[position+1:]),
+			"truncated": journal[:position],
+			"modified":  slices.Concat(journal[:position], []byte{journal[position] ^ 4}, journal[position+1:]),
 		} {
 			entries := entriesBefore(position)
 			replica := restore()
 			applied, err := replica.Replay(damaged)
-			atEnd := name == "cut" && (position == 0 || slices.Contains(ends, position))
+			atEnd := name == "truncated" && (position == 0 || slices.Contains(ends, position))
 			if atEnd != (err == nil) || err != nil && !errors.Is(err, ErrJournal) {
 				t.Fatalf("%s at byte %d: %v", name, position, err)
 			}
@@ -69,17 +69,17 @@
 				want = ends[entries-1]
 			}
 			if applied != want || replica.Version() != uint64(1+entries) {
-				t.Fatalf("%s at byte %d: %d bytes are usable, want %d; at version %d", name, position, applied, want, replica.Version())
+				t.Fatalf("%s at byte %d: replayed %d bytes, want %d; at version %d", name, position, applied, want, replica.Version())
 			}
 		}
 	}
-	missing := restore()
-	if applied, err := missing.Replay(journal[ends[0]:]); !errors.Is(err, ErrGap) || applied != 0 || missing.Version() != 1 {
-		t.Errorf("an entry is missing: %d bytes, %v", applied, err)
+	replica = restore()
+	if applied, err := replica.Replay(journal[ends[0]:]); !errors.Is(err, ErrGap) || applied != 0 || replica.Version() != 1 {
+		t.Errorf("without the first entry: %d bytes, %v", applied, err)
 	}
 }
 
-// Replay accepts any input without a panic, and never applies a part of an entry.
+// Replay does not panic on any input and never applies a part of an entry; it fails unless it replayed the whole input.
 func FuzzReplay(f *testing.F) {
 	snapshot, journal, ends, _ := journalOf(f)
 	f.Add(journal)
--- a/records/key_changes_test.go
+++ b/records/key_changes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each record is listed with its last change within the versions.
+// KeysChanged returns each record once, with its last change within the interval of versions.
 func TestKeysChanged(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 5, change(put("tenant/acme", `{"plan":"gold"}`), put("plan/silver", planValue)), Accepted)
--- a/records/range_list_test.go
+++ b/records/range_list_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Lists of ranges have one text form.
+// Each list of ranges has exactly one text, and other texts are rejected.
 func TestRangesText(t *testing.T) {
 	for text, want := range map[string][]int{
 		"0":          {0},
@@ -24,10 +24,10 @@
 	} {
 		ranges, err := ParseRanges(text)
 		if (err != nil) != (want == nil) || !slices.Equal(ranges, want) {
-			t.Errorf("%q: %v, %v", text, ranges, err)
+			t.Errorf("%q: %v, %v; want %v", text, ranges, err, want)
 		}
 		if err == nil && FormatRanges(ranges) != text {
-			t.Errorf("%q: written as %q", text, FormatRanges(ranges))
+			t.Errorf("%q: formatted as %q", text, FormatRanges(ranges))
 		}
 	}
 }
--- a/records/ranges_test.go
+++ b/records/ranges_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A chunk has at least one range, and is otherwise within its bounds.
+// A chunk has at least one range and otherwise stays within its limits. Ranges that do not exist are skipped.
 func TestChunkBounds(t *testing.T) {
 	store := largeStore(t, 3000)
 	all := make([]int, RangeCount)
@@ -11,7 +11,7 @@
 	}
 	one := store.Chunk(ContentRequest{Ranges: all, MaxBytes: -5})
 	if len(one.Ranges) != 1 {
-		t.Errorf("%d ranges", len(one.Ranges))
+		t.Errorf("%d ranges, want 1", len(one.Ranges))
 	}
 	largest := store.Chunk(ContentRequest{Ranges: all, MaxBytes: 1 << 30})
 	size := 0
@@ -19,15 +19,15 @@
 		size += content.size()
 	}
 	if size > MaxChunkBytes || size < MaxChunkBytes/2 {
-		t.Errorf("%d bytes", size)
+		t.Errorf("chunk of %d bytes, want %d to %d", size, MaxChunkBytes/2, MaxChunkBytes)
 	}
 	if none := store.Chunk(ContentRequest{Ranges: []int{-1, RangeCount}, MaxBytes: 1000}); len(none.Ranges) != 0 {
-		t.Errorf("%d ranges that do not exist", len(none.Ranges))
+		t.Errorf("%d ranges for a request of ranges that do not exist", len(none.Ranges))
 	}
 }
 
-// Records are spread evenly over the ranges.
-func TestRangesAreEven(t *testing.T) {
+// Records are distributed evenly over the ranges.
+func TestRecordsAreDistributedEvenly(t *testing.T) {
 	store := largeStore(t, 26_000)
 	fullest, withoutRecords := 0, 0
 	for i := range RangeCount {
--- a/records/repair_test.go
+++ b/records/repair_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fetch stages one chunk, encoded and decoded as on the wire.
+// fetch stages one chunk of pending ranges after encoding and decoding it as on the wire.
 func fetch(t testing.TB, repair *Repair, store *Store, maxBytes int) {
 	t.Helper()
 	data, err := EncodeChunk(store.Chunk(ContentRequest{Ranges: repair.Pending(), MaxBytes: maxBytes}))
@@ -23,7 +23,7 @@
 	}
 }
 
-// compare compares the digests, encoded and decoded as on the wire.
+// compare compares the store's range digests after encoding and decoding them as on the wire.
 func compare(t testing.TB, repair *Repair, store *Store) {
 	t.Helper()
 	data, err := EncodeRangeDigests(store.RangeDigests())
@@ -39,8 +39,8 @@
 	}
 }
 
-// An empty replica is repaired while the store changes.
-func TestRepairOfAnEmptyReplica(t *testing.T) {
+// An empty replica is repaired while the store changes, and no partial content is visible.
+func TestRepairOfEmptyReplica(t *testing.T) {
 	store := largeStore(t, 2000)
 	replica := &Replica{}
 	repair := NewRepair(replica)
@@ -57,23 +57,22 @@
 			put("tenant/changing", fmt.Sprintf(`{"plan":"gold","burst":%d}`, chunks)),
 		), Accepted)
 		if replica.Len() != 0 {
-			t.Fatal("a part has come in force")
+			t.Fatal("partial content is visible")
 		}
 	}
 	if chunks < 10 {
-		t.Errorf("%d chunks", chunks)
+		t.Errorf("%d chunks, want at least 10", chunks)
 	}
 	if err := repair.Finish(replica, since(t, store, repair.Since())); err != nil {
 		t.Fatal(err)
 	}
 	if replica.Version() != version || replica.Digest() != store.Digest() || replica.Len() != store.Len() {
-		t.Errorf("at %d with %d records", replica.Version(), replica.Len())
+		t.Errorf("replica at version %d with %d records, want %d with %d", replica.Version(), replica.Len(), version, store.Len())
 	}
 }
 
-// Only the ranges that differ are fetched, also from a server whose log has been
-// compacted above the replica's version.
-func TestRepairFetchesWhatDiffers(t *testing.T) {
+// If the server has compacted its log above the replica's version, only the ranges that differ are fetched.
+func TestRepairFetchesOnlyDifferentRanges(t *testing.T) {
 	store := largeStore(t, 3000)
 	replica := fullReplica(t, store)
 	apply(t, store, 100, change(put("plan/a", planValue), put("plan/b", planValue), remove("plan/free"), put("plan/gold", `{"price_weight":3,"requests_per_second":1}`)), Accepted)
@@ -83,14 +82,14 @@
 	}
 	repair := NewRepair(replica)
 	if repair.Next() != NeedDigests {
-		t.Fatal("digests are not needed")
+		t.Fatal("the repair does not begin with NeedDigests")
 	}
 	compare(t, repair, store)
 	if pending := repair.Pending(); len(pending) != 4 {
-		t.Errorf("%d ranges differ", len(pending))
+		t.Errorf("%d ranges are pending, want 4", len(pending))
 	}
 	fetch(t, repair, store, MaxChunkBytes)
-	// There are no changes above the ranges: the delta is empty.
+	// The store has no changes above the version of the ranges, so the delta is empty.
 	if err := repair.Finish(replica, Delta{From: 100, To: 100, Digest: store.Digest()}); err != nil {
 		t.Fatal(err)
 	}
@@ -99,8 +98,8 @@
 	}
 }
 
-// Chunks may come from servers at different versions: the changes above the lowest version
-// bring them to one.
+// Chunks may come from servers at different versions: the changes above the lowest version bring all ranges to one
+// version.
 func TestRepairAcrossServers(t *testing.T) {
 	ahead := smallStore(t)
 	behind := smallStore(t)
@@ -121,10 +120,10 @@
 		fetch(t, repair, from, 1)
 	}
 	if since := repair.Since(); since != 1 {
-		t.Errorf("the changes since %d are needed", since)
+		t.Errorf("the repair needs the changes since %d, want 1", since)
 	}
 	if err := repair.Finish(replica, Delta{From: 1, To: 1, Digest: behind.Digest()}); !errors.Is(err, ErrStale) {
-		t.Errorf("finished by the server that is behind: %v", err)
+		t.Errorf("finished by the server that is behind: %v, want ErrStale", err)
 	}
 	if err := repair.Finish(replica, since(t, ahead, repair.Since())); err != nil {
 		t.Fatal(err)
@@ -134,8 +133,7 @@
 	}
 }
 
-// newerStore returns a store at version 3, a replica of it at version 2 and a stale store at
-// version 1.
+// newerStore returns a store at version 3, a replica of it at version 2 and a stale store at version 1.
 func newerStore(t *testing.T) (store, stale *Store, replica *Replica) {
 	t.Helper()
 	store = smallStore(t)
@@ -149,20 +147,20 @@
 	return store, stale, replica
 }
 
-// Digests and chunks of a stale server, and invalid chunks, are rejected and stage nothing.
+// Digests and chunks of a stale server and invalid chunks are rejected, and nothing is staged.
 func TestRepairRejectsStaleAndInvalidRanges(t *testing.T) {
 	store, stale, replica := newerStore(t)
 	repair := NewRepair(replica)
 	if err := repair.Finish(replica, since(t, store, 2)); err == nil {
-		t.Error("finished without a comparison")
+		t.Error("Finish succeeded before the digests were compared")
 	}
 	if err := repair.CompareDigests(stale.RangeDigests()); !errors.Is(err, ErrStale) {
-		t.Errorf("digests of a stale server: %v", err)
+		t.Errorf("digests of a stale server: %v, want ErrStale", err)
 	}
 	compare(t, repair, store)
 	pending := repair.Pending()
 	if err := repair.StageChunk(stale.Chunk(ContentRequest{Ranges: pending})); !errors.Is(err, ErrStale) {
-		t.Errorf("a chunk of a stale server: %v", err)
+		t.Errorf("chunk of a stale server: %v, want ErrStale", err)
 	}
 	if err := repair.StageChunk(Chunk{Version: 3, Digest: store.Digest()}); err == nil {
 		t.Error("accepted an empty chunk")
@@ -171,7 +169,7 @@
 	changed.Ranges[0].Records = slices.Clone(changed.Ranges[0].Records)
 	changed.Ranges[0].Records[0].Version = 2
 	if err := repair.StageChunk(changed); !errors.Is(err, ErrDigest) {
-		t.Errorf("a changed chunk: %v", err)
+		t.Errorf("modified chunk: %v, want ErrDigest", err)
 	}
 	if !slices.Equal(repair.Pending(), pending) {
 		t.Error("a rejected chunk has been staged")
@@ -184,7 +182,8 @@
 	}
 }
 
-// Changes that do not complete the staged ranges are rejected, and the replica is unchanged.
+// Changes that do not follow the staged ranges, or whose result has another digest, are rejected, and the replica is
+// unchanged.
 func TestRepairRejectsInvalidChanges(t *testing.T) {
 	store, _, replica := newerStore(t)
 	repair := NewRepair(replica)
@@ -195,21 +194,21 @@
 	apply(t, store, 4, change(put("plan/last", planValue)), Accepted)
 	delta := since(t, store, 3)
 	if err := repair.Finish(replica, Delta{From: 4, To: 5}); !errors.Is(err, ErrGap) {
-		t.Errorf("changes that begin too late: %v", err)
+		t.Errorf("changes that begin above the ranges: %v, want ErrGap", err)
 	}
 	if err := repair.Finish(replica, Delta{From: 1, To: 2, Digest: replica.Digest()}); !errors.Is(err, ErrStale) {
-		t.Errorf("changes that end too early: %v", err)
+		t.Errorf("changes that end below the ranges: %v, want ErrStale", err)
 	}
 	damaged := delta
 	damaged.Puts = slices.Clone(delta.Puts)
 	damaged.Puts[0].Value = []byte(tenantValue)
 	if err := repair.Finish(replica, damaged); !errors.Is(err, ErrDigest) || replica.Version() != 2 {
-		t.Errorf("damaged changes: %v, at version %d", err, replica.Version())
+		t.Errorf("damaged changes: %v, want ErrDigest; replica at version %d, want 2", err, replica.Version())
 	}
 	if repair.Next() != NeedDigests {
 		t.Error("the ranges are not compared again")
 	}
-	// The ranges that differ now are fetched again, and no more.
+	// Only the ranges that now differ are fetched again.
 	compare(t, repair, store)
 	if pending := repair.Pending(); len(pending) != 1 || pending[0] != RangeOf(key("plan/last")) {
 		t.Errorf("pending %v", pending)
--- a/records/result_cache_test.go
+++ b/records/result_cache_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A change with a cached idempotency key has the result of the first attempt, also if the store
-// has changed since, and after a snapshot.
+// A change with a cached idempotency key has the result of the first attempt, even if the store has changed since or
+// has been restored from a snapshot. The oldest results are evicted.
 func TestRepeatedIdempotencyKey(t *testing.T) {
 	store := smallStore(t)
 	first := change(onlyIf(1, put("tenant/acme", `{"plan":"gold"}`)))
@@ -25,15 +25,15 @@
 	}
 	for _, each := range []*Store{store, restored} {
 		if result := apply(t, each, 4, first, Accepted); result.Version != 2 || each.Version() != 2 {
-			t.Errorf("repeated at version %d", result.Version)
+			t.Errorf("repeated change: version %d, store at %d, want 2", result.Version, each.Version())
 		}
 		if result := apply(t, each, 5, rejected, Invalid); result.Problem == nil || result.Problem.Key != "plan/gold" {
-			t.Errorf("repeat of a rejected one: %+v", result)
+			t.Errorf("repeated invalid change: %+v", result)
 		}
 		other := change(remove("tenant/acme"))
 		other.IdempotencyKey = "r-1"
 		if result := apply(t, each, 6, other, Invalid); result.Problem.Field != "request" {
-			t.Errorf("another change under the same key: %+v", result.Problem)
+			t.Errorf("another change with the same key: %+v", result.Problem)
 		}
 	}
 	for i := range MaxCachedResults {
@@ -43,6 +43,6 @@
 	}
 	apply(t, store, 5000, first, Conflict)
 	if len(store.results.order) != MaxCachedResults || len(store.results.byKey) != MaxCachedResults {
-		t.Errorf("%d results are cached", len(store.results.order))
+		t.Errorf("%d results are cached, want %d", len(store.results.order), MaxCachedResults)
 	}
 }
--- a/records/snapshot_test.go
+++ b/records/snapshot_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A restored store has the content, log and results of the original.
+// A restored store has the content, version and log of the original.
 func TestSnapshotRestoresStore(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 4, change(remove("route/search"), put("plan/free", planValue)), Accepted)
@@ -25,11 +25,11 @@
 		t.Errorf("restored: version %d, %d records", restored.Version(), restored.Len())
 	}
 	if _, err := restored.Apply(6, change(remove("plan/free"))); !errors.Is(err, ErrVersion) {
-		t.Errorf("the same version again: %v", err)
+		t.Errorf("change at an applied version: %v, want ErrVersion", err)
 	}
 	apply(t, restored, 7, change(remove("plan/gold")), Invalid)
 	if delta := since(t, restored, 1); len(delta.Puts) != 1 || len(delta.Deletes) != 1 {
-		t.Errorf("delta of the restored: %+v", delta)
+		t.Errorf("delta of the restored store: %+v", delta)
 	}
 	again, err := restored.Snapshot()
 	if err != nil {
@@ -39,11 +39,11 @@
 		t.Error(err)
 	}
 	if err := (&Replica{}).Restore(data); !errors.Is(err, ErrSnapshot) {
-		t.Errorf("a store's snapshot as a replica: %v", err)
+		t.Errorf("replica restored from a store's snapshot: %v, want ErrSnapshot", err)
 	}
 }
 
-// A snapshot that is truncated or changed anywhere is rejected, and the content is unchanged.
+// A snapshot that is truncated or modified at any byte is rejected, and the content is unchanged.
 func TestDamagedSnapshotIsRejected(t *testing.T) {
 	store := smallStore(t)
 	replica := fullReplica(t, store)
@@ -66,21 +66,21 @@
 		digest := store.Digest()
 		for length := range test.data {
 			if err := test.restore(test.data[:length]); !errors.Is(err, ErrSnapshot) {
-				t.Fatalf("%s cut to %d bytes: %v", test.name, length, err)
+				t.Fatalf("%s truncated to %d bytes: %v, want ErrSnapshot", test.name, length, err)
 			}
 		}
 		for i := range test.data {
 			changed := append([]byte{}, test.data...)
 			changed[i] ^= 1
 			if err := test.restore(changed); !errors.Is(err, ErrSnapshot) {
-				t.Fatalf("%s changed at byte %d: %v", test.name, i, err)
+				t.Fatalf("%s modified at byte %d: %v, want ErrSnapshot", test.name, i, err)
 			}
 		}
 		if err := test.restore(append(append([]byte{}, test.data...), 0)); !errors.Is(err, ErrSnapshot) {
-			t.Fatalf("%s with one byte more: %v", test.name, err)
+			t.Fatalf("%s with an additional byte: %v, want ErrSnapshot", test.name, err)
 		}
 		if store.Digest() != digest || replica.Digest() != digest || store.Len() != 4 || replica.Len() != 4 {
-			t.Fatalf("%s: the copy has changed", test.name)
+			t.Fatalf("%s: the content has changed", test.name)
 		}
 		if err := test.restore(test.data); err != nil {
 			t.Errorf("%s undamaged: %v", test.name, err)
@@ -88,7 +88,7 @@
 	}
 }
 
-// A replica does not go back to an older version.
+// A replica does not return to an older version.
 func TestRestoreRejectsOlderSnapshot(t *testing.T) {
 	store := smallStore(t)
 	replica := fullReplica(t, store)
@@ -105,8 +105,8 @@
 	}
 }
 
-// A snapshot with the right checksum is rejected if it contradicts itself.
-func TestContradictorySnapshotIsRejected(t *testing.T) {
+// An inconsistent snapshot is rejected even if its checksum is correct.
+func TestInconsistentSnapshotIsRejected(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 4, change(remove("route/search"), put("plan/free", planValue)), Accepted)
 	valid := func() storeSnapshot {
@@ -116,8 +116,8 @@
 			Log:             append(List[logEntry]{}, store.log.entries...),
 		}
 	}
-	// forge recomputes the digests after a change of the records.
-	forge := func(s *storeSnapshot) {
+	// recomputeDigests adapts the digests to changed records.
+	recomputeDigests := func(s *storeSnapshot) {
 		s.Digest = digestOf(s.Records)
 		s.Log[len(s.Log)-1].Digest = s.Digest
 	}
@@ -126,41 +126,41 @@
 		change func(*storeSnapshot)
 		reason string
 	}{
-		{"digest", func(s *storeSnapshot) { s.Digest[0]++ }, "does not fit the digest"},
-		{"version", func(s *storeSnapshot) { s.Version = 3 }, "version 4 is not between"},
-		{"record's version", func(s *storeSnapshot) { s.Records[0].Version = 5 }, "version 5 is not between"},
-		{"record is missing", func(s *storeSnapshot) { s.Records = s.Records[1:] }, "does not fit the digest"},
-		{"order", func(s *storeSnapshot) { s.Records[0], s.Records[1] = s.Records[1], s.Records[0] }, "does not come after"},
-		{"value", func(s *storeSnapshot) { s.Records[0].Value = []byte(`{"no":1}`); forge(s) }, "no: unknown field"},
-		{"not canonical", func(s *storeSnapshot) {
+		{"wrong digest", func(s *storeSnapshot) { s.Digest[0]++ }, "does not fit the digest"},
+		{"version below a record's", func(s *storeSnapshot) { s.Version = 3 }, "version 4 is not between"},
+		{"record above the version", func(s *storeSnapshot) { s.Records[0].Version = 5 }, "version 5 is not between"},
+		{"missing record", func(s *storeSnapshot) { s.Records = s.Records[1:] }, "does not fit the digest"},
+		{"order of records", func(s *storeSnapshot) { s.Records[0], s.Records[1] = s.Records[1], s.Records[0] }, "does not come after"},
+		{"invalid value", func(s *storeSnapshot) { s.Records[0].Value = []byte(`{"no":1}`); recomputeDigests(s) }, "no: unknown field"},
+		{"value not in canonical form", func(s *storeSnapshot) {
 			s.Records[0].Value = []byte(`{"requests_per_second":1,"price_weight":1}`)
-			forge(s)
+			recomputeDigests(s)
 		}, "not in canonical form"},
-		{"reference", func(s *storeSnapshot) { s.Records = s.Records[2:]; forge(s) }, "there is no plan/gold"},
-		{"applied", func(s *storeSnapshot) { s.Applied = 3 }, "applied up to 3"},
-		{"log's order", func(s *storeSnapshot) { s.Log[0], s.Log[1] = s.Log[1], s.Log[0] }, "version 1 follows 4"},
-		{"log's end", func(s *storeSnapshot) { s.Log = s.Log[:1] }, "ends at version 1"},
-		{"log's digest", func(s *storeSnapshot) { s.Log[1].Digest[0]++ }, "log: the content does not fit the digest"},
-		{"log's key", func(s *storeSnapshot) { s.Log[1].Keys = []Key{{}} }, "unknown kind"},
-		{"log's floor", func(s *storeSnapshot) { s.CompactedVersion = 1 }, "version 1 follows 1"},
-		{"requests twice", func(s *storeSnapshot) { s.Results = make(List[cachedResult], 2) }, "there twice"},
-		{"long log", func(s *storeSnapshot) { s.Log = longLog() }, "beyond the bounds"},
+		{"dangling reference", func(s *storeSnapshot) { s.Records = s.Records[2:]; recomputeDigests(s) }, "there is no plan/gold"},
+		{"applied below the version", func(s *storeSnapshot) { s.Applied = 3 }, "applied up to 3"},
+		{"order of log entries", func(s *storeSnapshot) { s.Log[0], s.Log[1] = s.Log[1], s.Log[0] }, "version 1 follows 4"},
+		{"log ends below the version", func(s *storeSnapshot) { s.Log = s.Log[:1] }, "ends at version 1"},
+		{"wrong digest in log", func(s *storeSnapshot) { s.Log[1].Digest[0]++ }, "log: the content does not fit the digest"},
+		{"invalid key in log", func(s *storeSnapshot) { s.Log[1].Keys = []Key{{}} }, "unknown kind"},
+		{"log begins at the compacted version", func(s *storeSnapshot) { s.CompactedVersion = 1 }, "version 1 follows 1"},
+		{"duplicate idempotency key", func(s *storeSnapshot) { s.Results = make(List[cachedResult], 2) }, "there twice"},
+		{"log too long", func(s *storeSnapshot) { s.Log = longLog() }, "beyond the bounds"},
 	} {
 		snapshot := valid()
 		test.change(&snapshot)
-		t.Run(test.name, func(t *testing.T) { requireContradiction(t, snapshot, test.reason) })
+		t.Run(test.name, func(t *testing.T) { requireInconsistent(t, snapshot, test.reason) })
 	}
 	data, err := encodeSnapshot(storeHeader, valid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := (&Store{}).Restore(data); err != nil {
-		t.Errorf("the valid one: %v", err)
+		t.Errorf("the valid snapshot: %v", err)
 	}
 }
 
-// requireContradiction fails the test unless a snapshot is rejected for the reason.
-func requireContradiction(t *testing.T, snapshot storeSnapshot, reason string) {
+// requireInconsistent fails the test unless the snapshot is rejected for the reason.
+func requireInconsistent(t *testing.T, snapshot storeSnapshot, reason string) {
 	t.Helper()
 	if _, err := snapshot.store(); err == nil || !strings.Contains(err.Error(), reason) {
 		t.Errorf("%v, want %q", err, reason)
@@ -170,20 +170,20 @@
 		t.Fatal(err)
 	}
 	if err := (&Store{}).Restore(data); !errors.Is(err, ErrSnapshot) {
-		t.Errorf("restored: %v", err)
+		t.Errorf("Restore: %v, want ErrSnapshot", err)
 	}
 }
 
-// sealed returns a snapshot of a body with the checksum that fits.
-func sealed(header string, body []byte) []byte {
+// snapshotWithBody returns a snapshot with the body and its correct checksum.
+func snapshotWithBody(header string, body []byte) []byte {
 	checksum := sha256.Sum256(body)
 	return slices.Concat([]byte(header), checksum[:], body)
 }
 
-// unsealed returns the body of a snapshot.
-func unsealed(header string, data []byte) []byte { return data[len(header)+sha256.Size:] }
+// snapshotBody returns the body of a snapshot.
+func snapshotBody(header string, data []byte) []byte { return data[len(header)+sha256.Size:] }
 
-// longLog has one change more than a log may have.
+// longLog returns a log with one change more than the limit.
 func longLog() List[logEntry] {
 	log := make(List[logEntry], MaxLogChanges+1)
 	for i := range log {
--- a/records/store_model_test.go
+++ b/records/store_model_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is the expected content of the store, in the simplest form.
+// model is a reference model of the store's content.
 type model struct {
 	values   map[Key]string
 	versions map[Key]uint64
@@ -18,15 +18,15 @@
 	return model{values: maps.Clone(m.values), versions: maps.Clone(m.versions)}
 }
 
-// allows reports whether every record is valid and finds the record that it refers to.
-func (m model) allows() bool {
+// isValid reports whether every record is valid and refers to an existing record.
+func (m model) isValid() bool {
 	for key, value := range m.values {
 		parsed, _, problem := ParseValue(key.Kind, []byte(value))
 		if problem != nil {
 			return false
 		}
-		if needed, _, ok := parsed.Reference(); ok {
-			if _, found := m.values[needed]; !found {
+		if referenced, _, ok := parsed.Reference(); ok {
+			if _, found := m.values[referenced]; !found {
 				return false
 			}
 		}
--- a/records/store_machine_test.go
+++ b/records/store_property_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// machine has a store, its model, and replicas whose deltas are lost, repeated and damaged.
+// machine is a rapid state machine: a store, its model, and replicas whose deltas are lost, repeated and damaged.
 type machine struct {
 	store           *Store
 	model           model
 	index           uint64
-	accepted        map[uint64]Digest // all versions that there have been
-	deltas          []Delta           // some of all that have been sent
+	accepted        map[uint64]Digest // digest of each accepted version
+	deltas          []Delta           // that were sent
 	replicas        []*Replica
 	repairs         []*Repair
-	highestVersions []uint64 // versions of the replicas, which never go back
+	highestVersions []uint64 // of the replicas, whose versions must never decrease
 }
 
 func newMachine() *machine {
@@ -60,7 +60,7 @@
 			after.versions[operation.Key] = m.index
 		}
 	}
-	if want == Accepted && !after.allows() {
+	if want == Accepted && !after.isValid() {
 		want = Invalid
 	}
 	result, err := m.store.Apply(m.index, change(operations...))
@@ -76,14 +76,14 @@
 	}
 }
 
-// pick draws a replica.
-func (m *machine) pick(t *rapid.T) int {
+// drawReplica draws the index of a replica.
+func (m *machine) drawReplica(t *rapid.T) int {
 	return rapid.IntRange(0, len(m.replicas)-1).Draw(t, "replica")
 }
 
 // send applies the changes since any version to a replica.
 func (m *machine) send(t *rapid.T) {
-	replica := m.replicas[m.pick(t)]
+	replica := m.replicas[m.drawReplica(t)]
 	from := replica.Version()
 	if rapid.Bool().Draw(t, "any version") {
 		from = rapid.Uint64Range(0, m.store.Version()).Draw(t, "from")
@@ -105,7 +105,7 @@
 // resend applies an earlier delta to a replica, sometimes damaged.
 func (m *machine) resend(t *rapid.T) {
 	if len(m.deltas) == 0 {
-		t.Skip("nothing has been sent")
+		t.Skip("no delta has been sent")
 	}
 	delta := rapid.SampledFrom(m.deltas).Draw(t, "delta")
 	switch rapid.IntRange(0, 4).Draw(t, "damage") {
@@ -120,10 +120,10 @@
 	case 3:
 		delta.From = min(delta.From+1, delta.To)
 	}
-	_ = m.replicas[m.pick(t)].ApplyDelta(delta) // check verifies the outcome
+	_ = m.replicas[m.drawReplica(t)].ApplyDelta(delta) // check verifies the outcome
 }
 
-// compact drops some of the oldest entries of the log.
+// compact drops a random number of the oldest entries of the log.
 func (m *machine) compact(t *rapid.T) {
 	m.store.log.compact(rapid.IntRange(0, len(m.store.log.entries)).Draw(t, "count"))
 }
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	m.store = restored
-	i := m.pick(t)
+	i := m.drawReplica(t)
 	data, err = m.replicas[i].Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 
 // repair performs one step of a replica's repair.
 func (m *machine) repair(t *rapid.T) {
-	i := m.pick(t)
+	i := m.drawReplica(t)
 	if m.repairs[i] == nil {
 		m.repairs[i] = NewRepair(m.replicas[i])
 	}
@@ -198,18 +198,18 @@
 	for i, replica := range m.replicas {
 		digest, found := m.accepted[replica.Version()]
 		if !found || digest != replica.Digest() {
-			t.Fatalf("replica %d at version %d is no version that there was", i, replica.Version())
+			t.Fatalf("replica %d at version %d does not have the digest of an accepted version", i, replica.Version())
 		}
 		if replica.Version() < m.highestVersions[i] {
-			t.Fatalf("replica %d went back from %d to %d", i, m.highestVersions[i], replica.Version())
+			t.Fatalf("the version of replica %d decreased from %d to %d", i, m.highestVersions[i], replica.Version())
 		}
 		m.highestVersions[i] = replica.Version()
 	}
 }
 
-// Whatever happens to deltas in transit, a replica is always at one of the accepted versions,
-// never goes back, and reaches the newest one in the end.
-func TestReplicasAreAcceptedVersions(t *testing.T) {
+// If deltas are lost, repeated, reordered or damaged, a replica always has the content of an accepted version, its
+// version never decreases, and a repair brings it to the newest version.
+func TestReplicasHaveAcceptedContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		t.Repeat(map[string]func(*rapid.T){
@@ -228,7 +228,7 @@
 			m.repairs[i] = NewRepair(replica)
 			for steps := 0; m.repairs[i] != nil; steps++ {
 				if steps > 2*RangeCount {
-					t.Fatal("the repair does not end")
+					t.Fatalf("the repair has not finished after %d steps", steps)
 				}
 				m.repairStep(t, i, MaxChunkBytes)
 			}
@@ -240,8 +240,9 @@
 	})
 }
 
-// Of two operators who change the same record from the same version, one succeeds.
-func TestTwoOperatorsAtTheSameRecord(t *testing.T) {
+// Conditional changes prevent lost updates: of two operators who change a record that they read at the same version,
+// only the first one succeeds.
+func TestConditionalChangesPreventLostUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &Store{}
 		if _, err := store.Apply(1, change(put("plan/a", planValue))); err != nil {
--- a/records/store_test.go
+++ b/records/store_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Changes are applied atomically, in order of version.
+// Changes are applied atomically in the order of versions, and their conditions are checked.
 func TestApply(t *testing.T) {
 	store := smallStore(t)
 	one := store.Digest()
@@ -16,7 +16,7 @@
 	}
 	apply(t, store, 4, change(onlyIf(1, put("tenant/acme", `{"plan":"gold"}`)), put("tenant/zoo", `{"plan":"gold"}`)), Accepted)
 	apply(t, store, 5, change(onlyIf(1, put("tenant/acme", tenantValue))), Conflict)
-	// A plan is deleted together with all records that refer to it.
+	// A plan can be deleted in the same change as all references to it.
 	apply(t, store, 6, change(remove("plan/gold"), remove("tenant/acme"), put("plan/new", planValue), put("tenant/zoo", `{"plan":"new"}`)), Accepted)
 	if _, found := store.Get(key("tenant/acme")); found || store.Len() != 4 {
 		t.Errorf("%d records", store.Len())
@@ -25,7 +25,7 @@
 		t.Errorf("tenant/zoo: %+v", record)
 	}
 	if _, err := store.Apply(6, change(remove("plan/x"))); !errors.Is(err, ErrVersion) {
-		t.Errorf("the same version again: %v", err)
+		t.Errorf("change at an applied version: %v, want ErrVersion", err)
 	}
 	history := store.History(2)
 	if len(history) != 2 || history[0].Version != 6 || history[0].Operations != 4 || history[1].Version != 4 || history[1].Author != "anna" {
@@ -35,11 +35,11 @@
 		t.Errorf("digest at 1: %v, %t", digest, found)
 	}
 	if _, found := store.DigestAt(5); found {
-		t.Error("a rejected change has a digest")
+		t.Error("the version of a rejected change has a digest")
 	}
 }
 
-// A list is filtered by kind and prefix, and limited.
+// List filters by kind and name prefix, sorts by name and applies the limit.
 func TestList(t *testing.T) {
 	store := smallStore(t)
 	apply(t, store, 2, change(put("tenant/b2", tenantValue), put("tenant/b1", tenantValue), put("tenant/a", tenantValue)), Accepted)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Advance changes the version and no record.
+// Advance changes the version and no record, and requires a version above all earlier ones.
 func TestAdvance(t *testing.T) {
 	store := smallStore(t)
 	digest := store.Digest()
@@ -74,8 +74,7 @@
 	if store.Version() != 9 || store.Digest() != digest || store.Applied() != 9 {
 		t.Fatalf("version %d, applied %d, digest %s", store.Version(), store.Applied(), store.Digest())
 	}
-	// A replica with the same content needs no puts; one that is past the restored state is
-	// repaired.
+	// A replica with the same content receives an empty delta; one that is ahead of the restored state is repaired.
 	if a := store.HandleChanges(ChangesRequest{Since: 1, Digest: &digest}); a.Delta == nil || !a.Delta.Empty() || a.Delta.To != 9 {
 		t.Fatalf("%+v", a)
 	}
