--- a/members/contacts.go
+++ b/members/contacts.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	maxJoinTargets      = 4  // per attempt: any of them knows all the others
-	firstJoinIntervals  = 2  // probe intervals; the backoff between attempts doubles
+	maxJoinTargets      = 4  // per attempt: each of them knows all other members
+	firstJoinIntervals  = 2  // probe intervals; the delay between attempts doubles
 	maxJoinIntervals    = 20 // probe intervals
 	rosterSendIntervals = 5  // probe intervals between rosters sent to one member
 )
 
-// Contacts decides to which addresses a process sends join requests, and to which members its roster, in addition to what
-// the failure detector sends. It is not safe for concurrent use.
+// Contacts decides to which addresses a process sends join requests and to which members it sends its roster, in
+// addition to the messages of the failure detector. It is not safe for concurrent use.
 type Contacts struct {
 	interval     time.Duration // between probes
 	nextJoin     Time
@@ -27,17 +27,17 @@
 	return &Contacts{interval: interval, nextJoin: now, joinDelay: firstJoinIntervals * interval, rosterSentAt: map[string]Time{}}
 }
 
-// JoinTargets returns the addresses to send join requests to now, in any order: those of members that are not alive, since
-// the failure detector forgets members after a long partition, and the seeds while too few members are known. The function
-// address returns the last known address of a member, "" for none. The delay between attempts backs off while members are
-// missing.
+// JoinTargets returns the addresses to which join requests are due at now, in random order: those of members that are
+// not alive, since the failure detector forgets members after a long partition, and the seeds while too few members are
+// known. The function address returns the last known address of a member, "" if there is none. The delay between
+// attempts backs off while members are missing.
 func (c *Contacts) JoinTargets(now Time, view *View, address func(name string) string, seeds []string, rng *rand.Rand) (targets []string) {
 	if now < c.nextJoin {
 		return nil
 	}
 	for _, v := range view.Members {
-		if at := address(v.Name); at != "" && !v.Self && v.IsMember && !v.State.Alive() {
-			targets = append(targets, at)
+		if last := address(v.Name); last != "" && !v.Self && v.IsMember && !v.State.Alive() {
+			targets = append(targets, last)
 		}
 	}
 	if view.LikelyCount <= 1 || len(targets) < view.RosterSize-view.LikelyCount {
@@ -55,18 +55,18 @@
 	return targets[:min(len(targets), maxJoinTargets)]
 }
 
-// ShouldSendRoster reports whether to send a member this process's roster: it has an older or a conflicting one, and was
-// sent none in the last intervals. If so, it records the roster as sent.
-func (c *Contacts) ShouldSendRoster(now Time, own Roster, a Alive) bool {
-	if a.Epoch > own.Epoch || a.Epoch == own.Epoch && a.Sum == own.Sum() {
+// ShouldSendRoster reports whether this process should send its roster to a member: the member has an older or a
+// conflicting one and was not sent one within rosterSendIntervals. If so, it records the roster as sent.
+func (c *Contacts) ShouldSendRoster(now Time, own Roster, member Alive) bool {
+	if member.Epoch > own.Epoch || member.Epoch == own.Epoch && member.Sum == own.Sum() {
 		return false
 	}
-	if last, sent := c.rosterSentAt[a.Name]; sent && now-last < rosterSendIntervals*c.interval {
+	if last, sent := c.rosterSentAt[member.Name]; sent && now-last < rosterSendIntervals*c.interval {
 		return false
 	}
 	if len(c.rosterSentAt) > 2*MaxRosterSize {
 		clear(c.rosterSentAt)
 	}
-	c.rosterSentAt[a.Name] = now
+	c.rosterSentAt[member.Name] = now
 	return true
 }
--- a/members/contacts_test.go
+++ b/members/contacts_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Join requests go to members that are not alive, each address once, a few at a time, with a backoff that starts again
-// once nobody is missing.
+// Join requests go to members that are not alive: each address at most once per attempt, a limited number per attempt,
+// and with exponential backoff between attempts.
 func TestJoinTargets(t *testing.T) {
 	m := completeMachine(t, 9)
 	c := NewContacts(time.Second, 0)
 	rng := rand.New(rand.NewPCG(1, 2))
 	at := func(name string) string { return "at-" + name }
 	targets := func(seeds ...string) []string {
-		p := m.View(m.now)
-		return c.JoinTargets(m.now, &p, at, seeds, rng)
+		view := m.View(m.now)
+		return c.JoinTargets(m.now, &view, at, seeds, rng)
 	}
 	if got := targets("seed"); len(got) != 0 {
-		t.Errorf("join requests go to %v, and all members are alive", got)
+		t.Errorf("join requests go to %v although all members are alive", got)
 	}
 	m.fail("g1", "g2")
 	m.advance(seconds(4))
@@ -27,7 +27,7 @@
 		t.Errorf("join requests go to %v, want g1 and g2", got)
 	}
 	if got := targets("seed"); got != nil {
-		t.Errorf("join requests go to %v again at once", got)
+		t.Errorf("join requests go to %v without a delay", got)
 	}
 	var delays []time.Duration
 	for last := m.now; len(delays) < 6; m.now += seconds(0.1) {
@@ -37,7 +37,7 @@
 		}
 	}
 	if !slices.IsSorted(delays[:3]) || delays[5] > 30*time.Second || delays[5] < 20*time.Second {
-		t.Errorf("delays %v", delays)
+		t.Errorf("delays between join requests: %v, want increasing delays up to 20 to 30 s", delays)
 	}
 	m.fail("g3", "g4", "g5", "g6", "g7", "g8")
 	m.advance(seconds(40))
@@ -47,6 +47,7 @@
 	}
 }
 
+// The roster is sent to members with an older or a conflicting one, at a limited rate for each member.
 func TestShouldSendRoster(t *testing.T) {
 	c, own := NewContacts(time.Second, 0), rosterOf(3).Next(memberNames(4))
 	same := Alive{Name: "g1", Epoch: own.Epoch, Sum: own.Sum()}
--- a/members/difference_test.go
+++ b/members/difference_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// Views that differ only in times have no differences; otherwise the roster, each differing member and the verdict are
+// listed with the largest group first.
 func TestDifferences(t *testing.T) {
 	a, b, c := completeMachine(t, 3), completeMachine(t, 3), completeMachine(t, 3)
 	views := func() []View {
@@ -15,11 +17,11 @@
 		return list
 	}
 	if d := Differences(views()); len(d) != 0 {
-		t.Errorf("of equal views: %+v", d)
+		t.Errorf("differences of equal views: %+v", d)
 	}
-	b.advance(seconds(7), "g1", "g2") // times are no difference
+	b.advance(seconds(7), "g1", "g2") // times are not compared
 	if d := Differences(views()); len(d) != 0 {
-		t.Errorf("of views with other times: %+v", d)
+		t.Errorf("differences of views that differ in times: %+v", d)
 	}
 	c.fail("g1")
 	d := Differences(views())
--- a/members/events.go
+++ b/members/events.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Time is a time on this process's own clock: the duration since the process started. It continues while the process is
-// suspended.
+// Time is a time on this process's clock: the duration since the process started. The clock continues while the process
+// is suspended.
 type Time = time.Duration
 
-// Event is an input of Machine.Handle: what a process learned of its peers, or that time has passed.
+// Event is an input of Machine.Handle: an observation of a peer, or the passing of time.
 type Event interface{ event() }
 
-// Tick reports that time has passed. It must be handled every Settings.TickInterval: a Tick that is late by
-// Settings.StallThreshold shows that this process was suspended.
+// Tick reports that time has passed. It must be handled every Settings.TickInterval: if a Tick is late by
+// Settings.StallThreshold, the Machine concludes that this process was suspended.
 type Tick struct{}
 
 // Answered reports that a member answered a probe of this process.
@@ -19,12 +19,12 @@
 	Incarnation Incarnation
 }
 
-// Alive reports that an incarnation of a name is alive, from whatever source, and what it announces of itself.
+// Alive reports that an incarnation of a name is alive, learned from any source, with the data that it announces.
 type Alive struct {
 	Name         string
 	Incarnation  Incarnation
-	Address      string // where others reach it
-	AdminAddress string // address of its operator interface; "": none
+	Address      string // at which peers reach it
+	AdminAddress string // address of its operator interface; "" if none
 	Epoch        uint64 // of its roster
 	Sum          uint64 // of its roster
 }
@@ -43,7 +43,7 @@
 	By          string
 }
 
-// Failed reports that the failure detector gave a member up, which proves nothing.
+// Failed reports that the failure detector declared a member failed. This does not prove that its process has ended.
 type Failed struct {
 	Name        string
 	Incarnation Incarnation
@@ -61,7 +61,7 @@
 	Incarnation Incarnation `json:"Life"`
 }
 
-// RosterReceived reports a roster that a peer sent or a file holds.
+// RosterReceived reports a roster that a peer sent or that was read from a file.
 type RosterReceived struct {
 	Roster Roster
 	By     string // the sender: a member, or the name of the file
--- a/members/evidence.go
+++ b/members/evidence.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// Evidence is an observation about a name that explains states and verdicts to operators.
+// Evidence is an observation of a name, stored so that operators can see the reasons of states and verdicts.
 type Evidence struct {
 	At          Time        `json:"at_ns"`
 	Name        string      `json:"name"`
@@ -13,7 +13,7 @@
 	By          string      `json:"by,omitempty"`
 }
 
-// Evidence returns the latest evidence on one name, or on all for "", oldest first.
+// Evidence returns the stored evidence of one name, or of all names for "", oldest first.
 func (m *Machine) Evidence(name string) (list []Evidence) {
 	for _, e := range m.evidence {
 		if name == "" || e.Name == name {
--- a/members/golden_test.go
+++ b/members/golden_test.go
@@ -12,9 +12,9 @@
 	"elderyard/internal/golden"
 )
 
-// The files in testdata are what gateways, agents and the operators' tool of all versions store, send and print. They were
-// written by the code that first had the value, and never change. A field that is added gets a golden file of its own,
-// beside the one that older versions write.
+// The files in testdata have the formats that gateways, agents and the operators' tool of all versions store, send and
+// print. They were written by the first version with the value, and never change. A new field gets a golden file of its
+// own beside that of the older versions.
 
 func goldenRoster() Roster {
 	return Roster{Epoch: 7, Members: []Member{{Name: "g0", Since: 1}, {Name: "g-1_b.c", Since: 7}}}
@@ -55,7 +55,8 @@
 	}
 }
 
-func TestGoldenForms(t *testing.T) {
+// The JSON of exchanged values does not change, and unknown fields are accepted.
+func TestGoldenJSON(t *testing.T) {
 	t.Run("roster", func(t *testing.T) { golden.ExtensibleJSON(t, "roster.json", goldenRoster()) })
 	t.Run("view", func(t *testing.T) { golden.ExtensibleJSON(t, "picture.json", goldenView()) })
 	t.Run("evidence", func(t *testing.T) {
@@ -70,12 +71,12 @@
 	})
 }
 
-// Keys with an omitempty option are left out of values that have none, and all others are there.
-func TestGoldenFormsOfZeroValues(t *testing.T) {
+// Zero values omit the keys with an omitempty option and have all others.
+func TestGoldenJSONOfZeroValues(t *testing.T) {
 	golden.JSONLines(t, "zero.jsonl", Roster{}, Member{}, View{}, MemberView{}, Evidence{}, Difference{}, ViewGroup{}, IncarnationLearned{})
 }
 
-// An agent writes the roster's file for its gateways, and operators write it by hand.
+// Agents write the roster file for their gateways, and operators write it by hand.
 func TestGoldenRosterFile(t *testing.T) {
 	want := goldenRoster()
 	text, err := toml.Marshal(&want)
@@ -89,13 +90,13 @@
 	}
 }
 
-// Members compare sums that others computed.
+// Members compare their sums with sums that other versions computed.
 func TestGoldenRosterSum(t *testing.T) {
 	text := fmt.Appendf(nil, "%016x\n%016x\n", goldenRoster().Sum(), Roster{Epoch: 1, Members: []Member{{Name: "a"}}}.Sum())
 	golden.File(t, "sums.txt", text)
 }
 
-// The names of states, verdicts and operations, and the reasons of decisions, are keys and texts of operators' JSON.
+// The names of states, verdicts and operations and the reasons of decisions appear in JSON that operators process.
 func TestGoldenNames(t *testing.T) {
 	var text []byte
 	for s := StateUnknown; s <= StateLeft; s++ {
@@ -126,7 +127,8 @@
 	golden.File(t, "names.txt", text)
 }
 
-// A machine's views after each event of a script that reaches every verdict, reason and text of evidence.
+// The views, permissions and evidence of a machine do not change over a script of events that reaches every verdict,
+// every reason and every text of evidence.
 func TestGoldenScript(t *testing.T) {
 	m := newTestMachine(t, rosterOf(4))
 	var text []byte
@@ -135,7 +137,7 @@
 		for _, ev := range events {
 			changed = m.Handle(m.now, ev) || changed
 		}
-		p := m.View(m.now)
+		view := m.View(m.now)
 		allowed, reason := m.Allows(m.now, ExerciseLease)
 		encoded, err := json.Marshal(struct {
 			Step         string               `json:"step"`
@@ -147,7 +149,7 @@
 			QuotaDivisor int                  `json:"share"`
 			Senders      int                  `json:"senders"`
 			Incarnations []IncarnationLearned `json:"lives"`
-		}{what, changed, p, p.Line(m.now + seconds(1.234)), allowed, reason, m.QuotaDivisor(), m.Senders(), m.Incarnations()})
+		}{what, changed, view, view.Line(m.now + seconds(1.234)), allowed, reason, m.QuotaDivisor(), m.Senders(), m.Incarnations()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/members/handle.go
+++ b/members/handle.go
@@ -22,11 +22,11 @@
 	}
 }
 
-// handleAlive records what an incarnation announces of itself.
+// handleAlive records that an incarnation is alive, and the data that it announces.
 func (m *Machine) handleAlive(event Alive) {
 	if event.Name == m.settings.Self {
 		if event.Incarnation < m.settings.Incarnation {
-			// An earlier incarnation of this name still runs; it will learn that it is superseded.
+			// An earlier incarnation of this name is still running; gossip will inform it that it is superseded.
 			if p := m.peerNamed(event.Name); p != nil {
 				m.recordEarlierIncarnation(p, event.Incarnation, true)
 			}
@@ -44,7 +44,7 @@
 		return
 	}
 	if p.state == StateLeft {
-		return // a delayed message: an incarnation that has left does not come back
+		return // a delayed message: an incarnation that has left does not return
 	}
 	if p.epoch != event.Epoch || p.sum != event.Sum || p.address != event.Address || p.adminAddress != event.AdminAddress {
 		p.epoch, p.sum, p.address, p.adminAddress = event.Epoch, event.Sum, event.Address, event.AdminAddress
@@ -53,10 +53,10 @@
 	m.setState(p, StateAlive, "is there", "")
 }
 
-// supersede records a later incarnation of this process's own name.
+// supersede records a later incarnation of this process's name.
 func (m *Machine) supersede(incarnation Incarnation) {
-	if incarnation > m.settings.Incarnation && incarnation > m.superseded {
-		m.superseded = incarnation
+	if incarnation > m.settings.Incarnation && incarnation > m.supersededBy {
+		m.supersededBy = incarnation
 		m.version++
 		m.addEvidence(m.settings.Self, incarnation, "a later life of this name is there; this one holds nothing any more", "")
 	}
@@ -74,7 +74,7 @@
 	m.setState(p, StateSuspect, "did not answer a probe", e.By)
 }
 
-// recordProbe records the result of a probe by this process and drops the oldest one.
+// recordProbe records the result of a probe by this process, and drops the oldest result if there are too many.
 func (m *Machine) recordProbe(name string, answered bool) {
 	if len(m.probes) >= maxProbes {
 		m.probes = slices.Delete(m.probes, 0, 1)
@@ -98,7 +98,7 @@
 	m.setState(p, to, what, "")
 }
 
-// handleIncarnationLearned records an incarnation that may have ended.
+// handleIncarnationLearned records that an incarnation existed; it may have ended.
 func (m *Machine) handleIncarnationLearned(e IncarnationLearned) {
 	if e.Name == m.settings.Self {
 		m.supersede(e.Incarnation)
@@ -121,8 +121,8 @@
 		return
 	}
 	self := m.settings.Self
-	if sinceEpoch(m.roster, self) != sinceEpoch(received.Roster, self) {
-		m.joined = false // a member that was removed and added again is a newcomer
+	if memberSince(m.roster, self) != memberSince(received.Roster, self) {
+		m.knownToAll = false // a member that was removed and added again is a newcomer
 	}
 	m.roster = received.Roster.Sorted()
 	clear(m.conflictingRosters)
@@ -131,7 +131,7 @@
 	m.forgetRemoved()
 }
 
-// recordConflict notes a roster of the present epoch that differs from this process's.
+// recordConflict records a roster of the current epoch that differs from this process's.
 func (m *Machine) recordConflict(e RosterReceived) {
 	sum := e.Roster.Sum()
 	if sum == m.roster.Sum() || len(m.conflictingRosters) >= maxEarlierIncarnations {
@@ -145,7 +145,7 @@
 	m.addEvidence(m.settings.Self, m.settings.Incarnation, fmt.Sprintf("another roster of epoch %d goes round", e.Roster.Epoch), e.By)
 }
 
-// forgetRemoved drops the peers outside the roster of which no incarnation is alive.
+// forgetRemoved drops the peers outside the roster that have no incarnation alive.
 func (m *Machine) forgetRemoved() {
 	for name, p := range m.peers {
 		if !m.roster.Has(name) && !p.state.Alive() && !p.hasEarlierIncarnation() {
@@ -154,9 +154,9 @@
 	}
 }
 
-// sinceEpoch returns the epoch in which a name became a member, 0 for a name outside the roster and for a member of the
-// first roster.
-func sinceEpoch(r Roster, name string) uint64 {
+// memberSince returns the epoch in which a name became a member, 0 for a name outside the roster and for a member of
+// the first roster.
+func memberSince(r Roster, name string) uint64 {
 	for _, m := range r.Members {
 		if m.Name == name {
 			return m.Since
--- a/members/tester_test.go
+++ b/members/helpers_test.go
@@ -36,6 +36,7 @@
 	return &testMachine{m, t}
 }
 
+// completeMachine returns the machine of a site with n members that are all alive.
 func completeMachine(t *testing.T, n int) *testMachine {
 	t.Helper()
 	m := newTestMachine(t, rosterOf(n))
@@ -51,18 +52,19 @@
 	}
 }
 
-// advance lets time pass, with regular ticks and an answer of each peer in answering after each tick.
+// advance advances the time with regular ticks. Each peer in answering answers a probe after each tick.
 func (m *testMachine) advance(d time.Duration, answering ...string) {
 	for end := m.now + d; m.now < end; {
 		m.Handle(m.now+seconds(0.25), Tick{})
 		for _, name := range answering {
-			if f := m.peers[name]; f != nil {
-				m.Handle(m.now, Answered{name, f.incarnation})
+			if peer := m.peers[name]; peer != nil {
+				m.Handle(m.now, Answered{name, peer.incarnation})
 			}
 		}
 	}
 }
 
+// join makes the names alive with the machine's roster, and makes them answer a probe.
 func (m *testMachine) join(names ...string) {
 	for _, name := range names {
 		r := m.Roster()
@@ -78,7 +80,7 @@
 
 func (m *testMachine) wantVerdict(v Verdict) {
 	m.t.Helper()
-	if p := m.View(m.now); p.Verdict != v {
-		m.t.Errorf("at %v: %v (%s), want %v", m.now, p.Verdict, p.Reason, v)
+	if view := m.View(m.now); view.Verdict != v {
+		m.t.Errorf("at %v: %v (%s), want %v", m.now, view.Verdict, view.Reason, v)
 	}
 }
--- a/members/incarnation.go
+++ b/members/incarnation.go
@@ -10,17 +10,17 @@
 type Incarnation uint64
 
 const (
-	incarnationRandomBits = 10 // below the milliseconds, so that simultaneous starts differ
+	incarnationRandomBits = 10 // low bits below the milliseconds, so that simultaneous starts differ
 	maxIncarnationRaises  = 3  // per process
-	raiseWindowIntervals  = 10 // probe intervals after the start of an incarnation: it has no lease and no quota until then
+	raiseWindowIntervals  = 10 // probe intervals since the start of an incarnation, during which it has no lease and no quota
 )
 
 // IncarnationRandomValues is the number of random values that NextIncarnation distinguishes.
 const IncarnationRandomValues = 1 << incarnationRandomBits
 
-// NextIncarnation returns the incarnation of a process that starts at now, wall-clock time. It is above last, the latest
-// one that is known. Incarnations that are not known are lower if the clock is right; otherwise other members report them.
-// Random distinguishes processes that start in the same millisecond.
+// NextIncarnation returns the incarnation of a process that starts at now, a wall-clock time. It is above last, the
+// latest known incarnation of the name. Unknown incarnations are lower if the clock is correct; otherwise other members
+// report them. Random distinguishes processes that start in the same millisecond.
 func NextIncarnation(last Incarnation, now time.Time, random uint64) Incarnation {
 	return max(Incarnation(now.UnixMilli())<<incarnationRandomBits|Incarnation(random%IncarnationRandomValues), last+1)
 }
@@ -30,16 +30,16 @@
 	return incarnation + IncarnationRandomValues
 }
 
-// MayRaiseIncarnation reports whether a process that has raised its incarnation raises times, and started the present one
-// age ago, may raise it above another incarnation of its name. A process that has just started is the later one, whatever
-// its clock shows; any other one resigns. Interval is the probe interval.
+// MayRaiseIncarnation reports whether a process may raise its incarnation above another one of its name, if it has
+// already done so raises times and its current incarnation started age ago. A process that has just started is the
+// later one even if its clock is behind; any other process is superseded. Interval is the probe interval.
 func MayRaiseIncarnation(raises int, age, interval time.Duration) bool {
 	return raises < maxIncarnationRaises && age <= raiseWindowIntervals*interval
 }
 
 // Incarnations returns the latest known incarnation of each name, sorted by name.
 func (m *Machine) Incarnations() (incarnations []IncarnationLearned) {
-	incarnations = append(incarnations, IncarnationLearned{m.settings.Self, max(m.settings.Incarnation, m.superseded)})
+	incarnations = append(incarnations, IncarnationLearned{m.settings.Self, max(m.settings.Incarnation, m.supersededBy)})
 	for name, p := range m.peers {
 		if name != m.settings.Self && p.incarnation != 0 {
 			incarnations = append(incarnations, IncarnationLearned{name, p.incarnation})
@@ -49,5 +49,5 @@
 	return incarnations
 }
 
-// Superseded returns the later incarnation of this process's own name, 0 if none is known.
-func (m *Machine) Superseded() Incarnation { return m.superseded }
+// Superseded returns the later incarnation of this process's name, 0 if none is known.
+func (m *Machine) Superseded() Incarnation { return m.supersededBy }
--- a/members/incarnation_test.go
+++ b/members/incarnation_test.go
@@ -2,25 +2,26 @@
 
 import "testing"
 
-// Of two incarnations the later one owns the name, in whatever order they are learned of.
+// Of two incarnations the later one owns the name, in any order of their events, and the safe count includes the
+// earlier one until it has failed.
 func TestLaterIncarnationOwnsName(t *testing.T) {
 	m := completeMachine(t, 3)
 	m.handle(Alive{Name: "g1", Incarnation: 200, Epoch: 1, Sum: m.roster.Sum()})
-	p := m.View(m.now)
-	if v := p.Members[1]; v.Incarnation != 200 || v.EarlierIncarnations != 1 || p.SafeCount != 4 {
-		t.Errorf("%+v, safe %d: want incarnation 200 and the earlier one beside it until that has failed", v, p.SafeCount)
+	view := m.View(m.now)
+	if v := view.Members[1]; v.Incarnation != 200 || v.EarlierIncarnations != 1 || view.SafeCount != 4 {
+		t.Errorf("%+v, safe count %d: want incarnation 200, one earlier incarnation and safe count 4", v, view.SafeCount)
 	}
 	m.handle(Answered{"g1", 100}, Alive{Name: "g1", Incarnation: 100, Epoch: 1, Sum: m.roster.Sum()})
 	if v := m.View(m.now).Members[1]; v.Incarnation != 200 {
-		t.Errorf("incarnation %d owns the name again", v.Incarnation)
+		t.Errorf("incarnation %d owns the name, want 200", v.Incarnation)
 	}
 	m.handle(Failed{"g1", 100})
-	if p := m.View(m.now); p.Members[1].EarlierIncarnations != 0 || p.SafeCount != 3 || !p.Members[1].State.Alive() {
-		t.Errorf("%+v, safe %d after the earlier incarnation failed", p.Members[1], p.SafeCount)
+	if view := m.View(m.now); view.Members[1].EarlierIncarnations != 0 || view.SafeCount != 3 || !view.Members[1].State.Alive() {
+		t.Errorf("%+v, safe count %d after the earlier incarnation failed, want 3", view.Members[1], view.SafeCount)
 	}
 }
 
-// An earlier incarnation learns that it is superseded, and has no lease and no quota from then on.
+// Once an earlier incarnation learns that it is superseded, it may use no lease and no quota.
 func TestEarlierIncarnationIsSuperseded(t *testing.T) {
 	for _, ev := range []Event{Alive{Name: "g0", Incarnation: 101, Epoch: 1}, IncarnationLearned{"g0", 101}} {
 		m := completeMachine(t, 3)
@@ -29,10 +30,10 @@
 		m.advance(seconds(100), "g1", "g2")
 		m.wantVerdict(Unsure)
 		if allowed, _ := m.Allows(m.now, ExerciseLease); allowed {
-			t.Errorf("after %T it may still exercise a lease", ev)
+			t.Errorf("after %T a superseded process may exercise a lease", ev)
 		}
 		if m.QuotaDivisor() != NoQuota {
-			t.Errorf("after %T its quota divisor is %d", ev, m.QuotaDivisor())
+			t.Errorf("after %T the quota divisor of a superseded process is %d, want NoQuota", ev, m.QuotaDivisor())
 		}
 	}
 	m := completeMachine(t, 3)
@@ -41,13 +42,13 @@
 	m.wantVerdict(Complete)
 }
 
-// A later incarnation has no quota until the earlier one has failed.
+// A later incarnation has no quota while the earlier one is alive: otherwise both would use it.
 func TestLaterIncarnationWaitsForEarlier(t *testing.T) {
 	m := completeMachine(t, 3)
 	m.handle(Alive{Name: "g0", Incarnation: 99, Epoch: 1})
 	m.wantVerdict(Unsure)
 	if m.QuotaDivisor() != NoQuota {
-		t.Errorf("quota divisor %d beside an earlier incarnation that is alive", m.QuotaDivisor())
+		t.Errorf("quota divisor %d while an earlier incarnation is alive, want NoQuota", m.QuotaDivisor())
 	}
 	m.handle(Failed{"g0", 99})
 	m.advance(seconds(5), "g1", "g2")
@@ -57,15 +58,16 @@
 	}
 }
 
+// Delayed messages do not bring an incarnation back that has left; the next incarnation is alive.
 func TestLeftIncarnationStaysLeft(t *testing.T) {
 	m := completeMachine(t, 3)
 	m.handle(Left{"g1", 100})
 	m.handle(Alive{Name: "g1", Incarnation: 100, Epoch: 1}, Answered{"g1", 100})
 	if v := m.View(m.now).Members[1]; v.State != StateLeft {
-		t.Errorf("an incarnation that left is %v", v.State)
+		t.Errorf("state of an incarnation that has left: %v", v.State)
 	}
 	m.handle(Alive{Name: "g1", Incarnation: 101, Epoch: 1})
 	if v := m.View(m.now).Members[1]; v.State != StateAlive {
-		t.Errorf("the next incarnation is %v", v.State)
+		t.Errorf("state of the next incarnation: %v", v.State)
 	}
 }
--- a/members/machine.go
+++ b/members/machine.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Machine is the membership state of one process: roster, peers, verdict and quota divisor. It is not safe for concurrent
-// use.
+// Machine is the membership state of one process: roster, peers, verdict and quota divisor. It is not safe for
+// concurrent use.
 type Machine struct {
 	settings           Settings
 	now                Time
@@ -14,31 +14,31 @@
 	conflictingRosters map[uint64]Roster // other rosters of the same epoch, by sum
 	peers              map[string]*peer  // by name
 
-	lastTick   Time
-	awakeSince Time          // when it started, or detected that it was suspended
-	lastSleep  time.Duration // length of the latest suspension; 0: none
-	lastAnswer Time          // of any peer; 0: none
-	probes     []probe       // by this process, oldest first
-	superseded Incarnation   // later incarnation of this process's name; 0: none
-	joined     bool          // every member has been seen with a roster that includes this one
+	lastTick       Time
+	activeSince    Time          // when this process started, or detected that it had been suspended
+	lastSuspension time.Duration // duration of the last suspension; 0 if none
+	lastAnswer     Time          // of any peer; 0 if none
+	probes         []probe       // by this process, oldest first
+	supersededBy   Incarnation   // later incarnation of this process's name; 0 if none
+	knownToAll     bool          // every member has announced a roster that includes this process
 
-	divisor      int // of quotas
-	verdict      Verdict
-	reason       string
-	since        Time               // of the verdict
-	likely       int                // likely count, as of the latest evidence that was not Unsure
-	allowedSince [verdictCount]Time // since when the evidence has supported this verdict or a better one
-	recentFalls  int                // falls of the verdict, halved each MaxSettleTime; they delay its next rise
-	changedAt    Time               // of the latest change of recentFalls
+	divisor        int // of quotas
+	verdict        Verdict
+	reason         string
+	since          Time               // of the verdict
+	likely         int                // likely count when the evidence last supported a verdict other than Unsure
+	supportedSince [verdictCount]Time // when the evidence began to support this verdict or a better one
+	recentFalls    int                // number of falls of the verdict, halved each MaxSettleTime; it delays the next rise
+	fallsChangedAt Time               // time of the last change of recentFalls
 
 	version  uint64     // increases with each change of the view
 	evidence []Evidence // oldest first
-	dropped  uint64     // events of names beyond the limits
+	dropped  uint64     // number of events dropped because their names exceed the limits
 }
 
 const (
-	maxProbes = 6 // latest ones, which show whether this process itself is partitioned
-	minProbes = 4 // fewer are no evidence
+	maxProbes = 6 // number of last probes that show whether this process itself is partitioned
+	minProbes = 4 // with fewer probes, no conclusion is drawn
 )
 
 // probe is the result of one probe by this process.
@@ -63,14 +63,14 @@
 		conflictingRosters: map[uint64]Roster{},
 		peers:              map[string]*peer{},
 		lastTick:           now,
-		awakeSince:         now,
+		activeSince:        now,
 		since:              now,
-		changedAt:          now,
+		fallsChangedAt:     now,
 		reason:             reasonStarted,
 		version:            1,
 	}
-	for v := range m.allowedSince {
-		m.allowedSince[v] = now
+	for v := range m.supportedSince {
+		m.supportedSince[v] = now
 	}
 	m.updateVerdict()
 	return m, nil
@@ -80,11 +80,11 @@
 func (m *Machine) Roster() Roster { return m.roster }
 
 // Handle applies an event that arrived at now and reports whether the View has changed. Events may arrive in any order
-// and more than once.
+// and repeatedly.
 func (m *Machine) Handle(now Time, ev Event) (changed bool) {
 	before := m.version
 	m.now = max(m.now, now) // time never decreases
-	m.detectSleep()
+	m.detectSuspension()
 	switch e := ev.(type) {
 	case Tick:
 		m.handleTick()
@@ -109,7 +109,7 @@
 	return m.version != before
 }
 
-// handleTick ends suspicions that were not confirmed within the silence timeout.
+// handleTick ends suspicions that were not confirmed within Settings.SilenceTimeout.
 func (m *Machine) handleTick() {
 	m.lastTick = m.now
 	for _, p := range m.peers {
@@ -119,13 +119,13 @@
 	}
 }
 
-// detectSleep detects that this process was suspended.
-func (m *Machine) detectSleep() {
+// detectSuspension detects from a late tick that this process was suspended.
+func (m *Machine) detectSuspension() {
 	late := m.now - m.lastTick - m.settings.TickInterval
 	if late < m.settings.StallThreshold {
 		return
 	}
-	m.lastSleep, m.awakeSince, m.lastTick = late, m.now, m.now
-	m.probes = m.probes[:0] // answers to earlier probes may have been lost meanwhile
+	m.lastSuspension, m.activeSince, m.lastTick = late, m.now, m.now
+	m.probes = m.probes[:0] // answers to earlier probes may have been lost during the suspension
 	m.addEvidence(m.settings.Self, m.settings.Incarnation, fmt.Sprintf("slept for %v", late.Round(time.Millisecond)), "")
 }
--- a/members/operation.go
+++ b/members/operation.go
@@ -1,14 +1,14 @@
 package members
 
-// Operation is an action that depends on what is known of the other members.
+// Operation is an action that depends on the state of other members.
 type Operation int
 
 // The operations. Their texts, returned by String, are part of elderctl's output.
 const (
-	ExerciseLease        Operation = iota // act as the holder of a lease that is granted elsewhere
+	ExerciseLease        Operation = iota // act as the holder of a lease that was granted elsewhere
 	RaiseQuota                            // decrease the divisor of quotas to the safe count
-	CountPeerUsage                        // count what peers report as spent
-	DivideWarmUpCapacity                  // divide the capacity of a backend that warms up by the likely count
+	CountPeerUsage                        // count the usage that peers report
+	DivideWarmUpCapacity                  // divide the capacity of a backend that is warming up by the likely count
 	EjectForAll                           // eject a backend on behalf of all gateways
 	AnswerOperator                        // report the view with its verdict and age
 	operationCount
@@ -34,8 +34,8 @@
 	reason  string
 }
 
-// decisions states which operations each verdict allows. All code that acts on what is known of other members consults it,
-// through Permission.Allows or Machine.Allows. A better verdict never forbids what a worse one allows.
+// decisions states which operations each verdict allows. All code whose effects depend on the state of other members
+// consults it through Permission.Allows or Machine.Allows. A better verdict never forbids what a worse one allows.
 var decisions = [operationCount][verdictCount]decision{
 	ExerciseLease: {
 		Unsure:   {false, "the lease may have run out while this one slept, and another may hold the duty"},
--- a/members/peer.go
+++ b/members/peer.go
@@ -10,16 +10,16 @@
 	alive       bool
 }
 
-// peer is what is known of one name: its latest incarnation, and earlier ones that may still be alive.
+// peer is the state of one name: its latest incarnation, and earlier ones that may still be alive.
 type peer struct {
 	name                string
-	incarnation         Incarnation // latest known; 0: none
+	incarnation         Incarnation // latest known; 0 if none
 	state               State
 	since               Time
-	lastAnswer          Time // to this process; 0: none
-	epoch               uint64
-	sum                 uint64
-	highestEpoch        uint64 // of the rosters that any of its incarnations had
+	lastAnswer          Time   // to a probe of this process; 0 if none
+	epoch               uint64 // of its roster, as last announced
+	sum                 uint64 // of its roster, as last announced
+	highestEpoch        uint64 // highest epoch that any of its incarnations announced
 	address             string
 	adminAddress        string
 	earlierIncarnations []earlierIncarnation
@@ -45,13 +45,13 @@
 	if p != nil {
 		return p
 	}
-	strangers := 0
+	nonMembers := 0
 	for other := range m.peers {
 		if !m.roster.Has(other) {
-			strangers++
+			nonMembers++
 		}
 	}
-	if CheckName(name) != nil || !m.roster.Has(name) && strangers >= maxStrangers {
+	if CheckName(name) != nil || !m.roster.Has(name) && nonMembers >= maxNonMembers {
 		m.dropped++
 		return nil
 	}
@@ -60,8 +60,8 @@
 	return p
 }
 
-// advanceIncarnation records an incarnation and reports whether it is the latest of its name. Incarnations only increase:
-// an earlier one never becomes the latest again.
+// advanceIncarnation records an incarnation and reports whether it is the latest of its name. The latest incarnation of
+// a name never decreases.
 func (m *Machine) advanceIncarnation(p *peer, incarnation Incarnation) bool {
 	if incarnation < p.incarnation {
 		return false
--- a/members/permission.go
+++ b/members/permission.go
@@ -1,20 +1,20 @@
 package members
 
-// Permission states which operations a process may perform. It is a copy that is safe for concurrent use and needs only a
-// clock.
+// Permission states which operations a process may perform. It is an immutable copy that is safe for concurrent use. To
+// check it, only a clock is needed.
 type Permission struct {
 	verdict    Verdict
 	superseded bool
-	validUntil Time // from then on the process must have been suspended
+	validUntil Time // without a newer Permission by then, the process was suspended
 }
 
-// Permission returns what this process may do after the latest event.
+// Permission returns the permission after the last event.
 func (m *Machine) Permission() Permission {
-	return Permission{m.verdict, m.superseded != 0, m.lastTick + m.settings.TickInterval + m.settings.StallThreshold}
+	return Permission{m.verdict, m.supersededBy != 0, m.lastTick + m.settings.TickInterval + m.settings.StallThreshold}
 }
 
 // Allows reports whether an operation is allowed at now, and the reason. It must be called right before the effect:
-// otherwise a process that was suspended in between acts on a lease or quota that it has lost.
+// otherwise a process that was suspended in between could act on a lease or quota that it has lost.
 func (p Permission) Allows(now Time, op Operation) (allowed bool, reason string) {
 	v := p.verdict
 	if now >= p.validUntil {
--- a/members/permission_test.go
+++ b/members/permission_test.go
@@ -2,17 +2,18 @@
 
 import "testing"
 
-// A permission that a process obtained before it was suspended expires, so that the process notices before the effect.
+// A permission expires without further ticks, so that a process that was suspended cannot act on a permission that it
+// obtained before.
 func TestPermissionExpiresWithoutTick(t *testing.T) {
 	m := completeMachine(t, 3)
 	p := m.Permission()
 	if allowed, reason := p.Allows(m.now+seconds(0.3), ExerciseLease); !allowed {
-		t.Fatalf("forbidden right after a tick: %s", reason)
+		t.Fatalf("lease forbidden right after a tick: %s", reason)
 	}
 	if allowed, _ := p.Allows(m.now+seconds(10), ExerciseLease); allowed {
-		t.Error("ten seconds after the last tick it may still exercise a lease")
+		t.Error("lease allowed ten seconds after the last tick")
 	}
 	if allowed, _ := p.Allows(m.now+seconds(10), AnswerOperator); !allowed {
-		t.Error("it may not answer an operator")
+		t.Error("answering an operator is forbidden ten seconds after the last tick")
 	}
 }
--- a/members/quota.go
+++ b/members/quota.go
@@ -4,16 +4,16 @@
 	"math"
 )
 
-// NoQuota is the quota divisor of a process that has no part of any quota.
+// NoQuota is the quota divisor of a process that may not use any quota.
 const NoQuota = math.MaxInt32
 
-// QuotaDivisor returns the number by which this process divides what all members share, such as a quota while the counter
-// is unreachable: the safe count, or an earlier, higher one while the verdict does not allow a smaller divisor. It is NoQuota
-// while this process may use no part of a quota.
+// QuotaDivisor returns the number by which this process divides shared capacity, such as a quota while the counter is
+// unreachable: the safe count, or an earlier, higher one while the verdict does not allow a smaller divisor. It is
+// NoQuota while this process may not use any quota.
 func (m *Machine) QuotaDivisor() int { return m.divisor }
 
-// Senders returns how many processes send to a backend that is warming up: the likely count if the verdict allows that
-// estimate, otherwise the safe count.
+// Senders returns the number of processes that send to a backend that is warming up: the likely count if the verdict
+// allows that estimate, otherwise the safe count.
 func (m *Machine) Senders() int {
 	if allowed, _ := m.Allows(m.now, DivideWarmUpCapacity); allowed {
 		return m.likely
@@ -21,12 +21,12 @@
 	return m.safeCount()
 }
 
-// targetQuotaDivisor returns what QuotaDivisor would be if every verdict allowed a smaller divisor. It is NoQuota for a
-// process outside the roster, for a new member that not all members know of, for a superseded process, and for one whose
-// earlier incarnation is still alive.
+// targetQuotaDivisor returns the divisor regardless of the verdict. It is NoQuota for a process outside the roster, for
+// a new member that some members may not know of, for a superseded process, and for one with an earlier incarnation
+// that is still alive.
 func (m *Machine) targetQuotaDivisor() int {
 	self := m.peers[m.settings.Self]
-	if m.superseded != 0 || m.unawareMember() != "" || !m.roster.Has(m.settings.Self) || self != nil && self.hasEarlierIncarnation() {
+	if m.supersededBy != 0 || m.unawareMember() != "" || !m.roster.Has(m.settings.Self) || self != nil && self.hasEarlierIncarnation() {
 		return NoQuota
 	}
 	return m.safeCount()
@@ -34,11 +34,12 @@
 
 // unawareMember returns a member that may not know yet that this process is a member, "" if there is none.
 //
-// A member that was partitioned while this process was added divides quotas by the number of members that it knows. Until
-// every member has been seen with a roster that includes this process, the others together may use the complete quota.
+// A member that was partitioned while this process was added still divides quotas by the number of members in its older
+// roster. Until every member has announced a roster that includes this process, the others together may use the
+// complete quota.
 func (m *Machine) unawareMember() string {
-	added := sinceEpoch(m.roster, m.settings.Self)
-	if m.joined || added == 0 {
+	added := memberSince(m.roster, m.settings.Self)
+	if m.knownToAll || added == 0 {
 		return ""
 	}
 	for _, other := range m.roster.Members {
@@ -46,12 +47,12 @@
 			return other.Name
 		}
 	}
-	m.joined = true
+	m.knownToAll = true
 	return ""
 }
 
-// safeCount returns a number that is never below that of the processes that may be serving, as far as this one can know:
-// members count whether they are alive or not, others if they are alive.
+// safeCount returns an upper bound of the number of processes that may be serving, as far as this process can know:
+// members count whether they are alive or not, other processes only while they are alive.
 func (m *Machine) safeCount() int {
 	names := map[string]bool{}
 	for _, other := range m.roster.Members {
@@ -72,7 +73,7 @@
 	return count
 }
 
-// likelyCount returns how many processes seem to be alive, this one included.
+// likelyCount returns the number of processes that seem to be alive, including this one.
 func (m *Machine) likelyCount() int {
 	n := 1
 	for name, p := range m.peers {
--- a/members/reconcile.go
+++ b/members/reconcile.go
@@ -1,9 +1,9 @@
 package members
 
-// Reconcile returns the events that bring this machine in line with the failure detector's complete list of living
+// Reconcile returns the events that bring the machine in line with the failure detector's complete list of living
 // members: events may have been dropped, and the detector does not report refuted suspicions. The caller passes them to
-// Handle. If eventsDropped is false, a name that is missing from the list does not count as failed, since the event of its
-// end may still be queued.
+// Handle. If eventsDropped is false, a name that is missing from the list does not count as failed, since the event of
+// its end may still be queued.
 func (m *Machine) Reconcile(alive []Alive, eventsDropped bool) (events []Event) {
 	latest := map[string]Alive{}
 	for _, a := range alive {
--- a/members/roster.go
+++ b/members/roster.go
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// Limits of what a machine holds, whatever peers send.
+// Limits of a machine's state. They bound its memory regardless of the messages that peers send.
 const (
 	MaxRosterSize = 512 // members
-	MaxNameBytes  = 64  // every datagram contains names
+	MaxNameBytes  = 64  // short, since every datagram contains names
 
-	maxStrangers           = 64  // tracked names outside the roster
+	maxNonMembers          = 64  // tracked names outside the roster
 	maxEarlierIncarnations = 4   // tracked earlier incarnations of one name
 	maxEvidence            = 512 // entries; the oldest are dropped
 )
@@ -25,7 +25,7 @@
 	Since uint64 `toml:"since" json:"since,omitempty" doc:"epoch in which it was added; 0, the default: it was there from the start"`
 }
 
-// Roster is the list of a site's members. Epochs only increase: of two rosters the one with the higher epoch is valid.
+// Roster is the list of a site's members. Epochs only increase: of two rosters, the one with the higher epoch is valid.
 type Roster struct {
 	Epoch   uint64   `toml:"epoch" json:"epoch" doc:"number of this roster, above that of each one before (needed)"`
 	Members []Member `toml:"member" json:"members" doc:"who belongs (needed)"`
@@ -65,7 +65,7 @@
 	return "", nil
 }
 
-// CheckName returns an error that quotes the name if it is not valid for a member.
+// CheckName returns an error that quotes the name unless it is a valid member name.
 func CheckName(name string) error {
 	if name == "" || len(name) > MaxNameBytes || !HasOnlyNameCharacters(name) {
 		return fmt.Errorf("%.80q: a name has letters, digits, '-', '_' and '.', 1 to %d of them", name, MaxNameBytes)
@@ -105,7 +105,7 @@
 		if i := slices.IndexFunc(r.Members, func(m Member) bool { return m.Name == name }); i >= 0 {
 			m.Since = r.Members[i].Since
 		} else if r.Epoch == 0 {
-			m.Since = 0 // a member of the first roster: no earlier member has to learn of it
+			m.Since = 0 // a member of the first roster: there are no earlier members that have to learn of it
 		}
 		next.Members = append(next.Members, m)
 	}
--- a/members/roster_test.go
+++ b/members/roster_test.go
@@ -8,12 +8,13 @@
 	"pgregory.net/rapid"
 )
 
+// A roster with a lower epoch is ignored.
 func TestEpochsOnlyIncrease(t *testing.T) {
 	m := completeMachine(t, 3)
 	two := m.roster.Next([]string{"g0", "g1"})
 	m.handle(RosterReceived{two, "g1"})
-	if p := m.View(m.now); p.Epoch != 2 || p.RosterSize != 2 {
-		t.Fatalf("epoch %d with %d", p.Epoch, p.RosterSize)
+	if view := m.View(m.now); view.Epoch != 2 || view.RosterSize != 2 {
+		t.Fatalf("epoch %d with %d members, want 2 with 2", view.Epoch, view.RosterSize)
 	}
 	m.handle(RosterReceived{rosterOf(3), "g2"})
 	if m.View(m.now).Epoch != 2 {
@@ -21,29 +22,32 @@
 	}
 }
 
-// Two rosters of one epoch are an operator's error: the verdict is unsure, and the safe count covers both.
+// Two different rosters of one epoch are an operator's error: the verdict is Unsure, and the safe count includes the
+// members of both.
 func TestConflictingRostersMakeUnsure(t *testing.T) {
 	m := completeMachine(t, 3)
 	other := Roster{}.Next([]string{"g0", "g1", "x1", "x2"})
 	m.handle(RosterReceived{other, "x1"})
 	m.wantVerdict(Unsure)
-	if p := m.View(m.now); p.SafeCount != 5 {
-		t.Errorf("safe %d, want 5: g0 to g2, x1 and x2", p.SafeCount)
+	if view := m.View(m.now); view.SafeCount != 5 {
+		t.Errorf("safe count %d, want 5: g0 to g2, x1 and x2", view.SafeCount)
 	}
 	m.handle(RosterReceived{m.roster.Next(memberNames(3)), "file"})
 	m.advance(seconds(5), "g1", "g2")
 	m.wantVerdict(Complete)
 }
 
+// A process that is not in its roster is Unsure and has no quota.
 func TestOutsideRosterIsUnsure(t *testing.T) {
 	m := completeMachine(t, 3)
 	m.handle(RosterReceived{m.roster.Next([]string{"g1", "g2"}), "g1"})
 	m.wantVerdict(Unsure)
 	if m.QuotaDivisor() != NoQuota {
-		t.Errorf("quota divisor %d outside the roster", m.QuotaDivisor())
+		t.Errorf("quota divisor %d outside the roster, want NoQuota", m.QuotaDivisor())
 	}
 }
 
+// Invalid rosters are rejected with the key of the invalid value.
 func TestRosterCheck(t *testing.T) {
 	many := Roster{Epoch: 1}
 	for i := range MaxRosterSize + 1 {
@@ -69,11 +73,11 @@
 		}
 	}
 	if _, err := rosterOf(1).Check(); err != nil {
-		t.Errorf("a roster of one: %v", err)
+		t.Errorf("valid roster of one member: %v", err)
 	}
 }
 
-// Two machines that received the same rosters in any order have the same one.
+// Two machines that receive the same rosters in different orders adopt the same roster.
 func TestRostersConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sent []Roster
--- a/members/search_test.go
+++ b/members/search_test.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-var searchDepth = flag.Int("depth", 4, "steps of the exhaustive search of three members")
+var searchDepth = flag.Int("depth", 4, "steps of the exhaustive search with three members")
 
-// The search visits every interleaving of three names' steps to a depth. Links between processes are up or cut, in one
-// direction or both; a process stalls and wakes, ends and restarts, or is started a second time while the first one runs;
-// the roster removes a member whose process has ended and adds it again. Times are full seconds, so that equal states
-// recur.
+// A small model checker: the search visits every interleaving of the steps of three names up to a depth. Links between
+// processes are up or cut, in one direction or both; a process is suspended and resumed, killed and restarted, or
+// started a second time while the first one runs; the roster removes a member whose process has ended and adds it
+// again. Times are full seconds, so that equal states recur.
 
-// process is one process of the searched world.
+// process is one process of a siteModel.
 type process struct {
-	name    string
-	machine *Machine
-	running bool
-	stalled bool
+	name      string
+	machine   *Machine
+	running   bool
+	suspended bool
 
-	// Facts, independent of what its machine concluded.
-	answered       bool // by any process since it last woke
+	// Facts that do not depend on the conclusions of its machine.
+	answered       bool // by any process since it was last resumed
 	learnedOfLater bool // it learned of a later incarnation of its name
 }
 
-type world struct {
+type siteModel struct {
 	processes       []*process
 	cut             map[[2]string]bool // from, to
 	roster          Roster             // agreed
@@ -38,85 +38,85 @@
 	trace           []string
 }
 
-var worldNames = []string{"a", "b", "c"}
+var siteNames = []string{"a", "b", "c"}
 
-func worldSettings(name string, incarnation Incarnation) Settings {
+func searchSettings(name string, incarnation Incarnation) Settings {
 	return Settings{Self: name, Incarnation: incarnation, TickInterval: time.Second, StallThreshold: 2 * time.Second, MinSettleTime: time.Second, MaxSettleTime: 2 * time.Second, SilenceTimeout: 3 * time.Second}
 }
 
-func newWorld() *world {
-	w := &world{cut: map[[2]string]bool{}, roster: Roster{}.Next(worldNames)}
-	for _, name := range worldNames {
-		w.start(name, w.roster)
+func newSiteModel() *siteModel {
+	site := &siteModel{cut: map[[2]string]bool{}, roster: Roster{}.Next(siteNames)}
+	for _, name := range siteNames {
+		site.start(name, site.roster)
 	}
-	return w
+	return site
 }
 
-func (w *world) start(name string, r Roster) *process {
-	w.lastIncarnation++
-	m, err := New(worldSettings(name, w.lastIncarnation), r, 0)
+func (site *siteModel) start(name string, r Roster) *process {
+	site.lastIncarnation++
+	m, err := New(searchSettings(name, site.lastIncarnation), r, 0)
 	if err != nil {
 		panic(err)
 	}
-	s := &process{name: name, machine: m, running: true}
-	w.processes = append(w.processes, s)
-	return s
+	p := &process{name: name, machine: m, running: true}
+	site.processes = append(site.processes, p)
+	return p
 }
 
-func (w *world) clone() *world {
-	c := &world{cut: maps.Clone(w.cut), roster: w.roster, lastIncarnation: w.lastIncarnation, restarts: w.restarts, trace: slices.Clone(w.trace)}
-	for _, s := range w.processes {
-		t := *s
-		t.machine = s.machine.clone()
-		c.processes = append(c.processes, &t)
+func (site *siteModel) clone() *siteModel {
+	copied := &siteModel{cut: maps.Clone(site.cut), roster: site.roster, lastIncarnation: site.lastIncarnation, restarts: site.restarts, trace: slices.Clone(site.trace)}
+	for _, p := range site.processes {
+		process := *p
+		process.machine = p.machine.clone()
+		copied.processes = append(copied.processes, &process)
 	}
-	return c
+	return copied
 }
 
 func (m *Machine) clone() *Machine {
-	c := *m
-	c.evidence = nil
-	c.probes = slices.Clone(m.probes)
-	c.conflictingRosters = maps.Clone(m.conflictingRosters)
-	c.peers = map[string]*peer{}
-	for name, f := range m.peers {
-		g := *f
-		g.earlierIncarnations = slices.Clone(f.earlierIncarnations)
-		c.peers[name] = &g
+	copied := *m
+	copied.evidence = nil
+	copied.probes = slices.Clone(m.probes)
+	copied.conflictingRosters = maps.Clone(m.conflictingRosters)
+	copied.peers = map[string]*peer{}
+	for name, original := range m.peers {
+		copiedPeer := *original
+		copiedPeer.earlierIncarnations = slices.Clone(original.earlierIncarnations)
+		copied.peers[name] = &copiedPeer
 	}
-	return &c
+	return &copied
 }
 
-// key returns the same text for worlds from which the same steps can follow.
-func (w *world) key() string {
+// key returns the same text for models whose future steps and violations are the same.
+func (site *siteModel) key() string {
 	var b strings.Builder
 	age := func(m *Machine, t Time) int { return int(min(m.now-t, 4*time.Second) / time.Second) }
-	fmt.Fprint(&b, w.roster.Epoch, w.restarts, w.cut)
-	for _, s := range w.processes {
-		m := s.machine
-		fmt.Fprint(&b, "|", s.name, s.running, s.stalled, m.settings.Incarnation, m.roster.Epoch, m.superseded, m.joined, m.divisor, m.verdict, m.recentFalls,
-			age(m, m.lastTick), age(m, m.awakeSince), m.lastAnswer > m.awakeSince, age(m, m.changedAt), m.probes, s.answered, s.learnedOfLater)
-		for _, t := range m.allowedSince {
+	fmt.Fprint(&b, site.roster.Epoch, site.restarts, site.cut)
+	for _, p := range site.processes {
+		m := p.machine
+		fmt.Fprint(&b, "|", p.name, p.running, p.suspended, m.settings.Incarnation, m.roster.Epoch, m.supersededBy, m.knownToAll, m.divisor, m.verdict, m.recentFalls,
+			age(m, m.lastTick), age(m, m.activeSince), m.lastAnswer > m.activeSince, age(m, m.fallsChangedAt), m.probes, p.answered, p.learnedOfLater)
+		for _, t := range m.supportedSince {
 			fmt.Fprint(&b, ",", age(m, t))
 		}
-		for _, name := range worldNames {
-			if f := m.peers[name]; f != nil {
-				fmt.Fprint(&b, ";", name, f.incarnation, f.state, f.highestEpoch, f.epoch, f.earlierIncarnations, f.state == StateSuspect && age(m, f.since) > 2)
+		for _, name := range siteNames {
+			if peer := m.peers[name]; peer != nil {
+				fmt.Fprint(&b, ";", name, peer.incarnation, peer.state, peer.highestEpoch, peer.epoch, peer.earlierIncarnations, peer.state == StateSuspect && age(m, peer.since) > 2)
 			}
 		}
 	}
 	return b.String()
 }
 
-// reaches reports whether messages of one process reach another.
-func (w *world) reaches(from, to *process) bool {
-	return from.running && to.running && !from.stalled && !to.stalled && !w.cut[[2]string{from.name, to.name}]
+// reaches reports whether messages of one process reach the other.
+func (site *siteModel) reaches(from, to *process) bool {
+	return from.running && to.running && !from.suspended && !to.suspended && !site.cut[[2]string{from.name, to.name}]
 }
 
-func (w *world) connected(a, b *process) bool { return w.reaches(a, b) && w.reaches(b, a) }
+func (site *siteModel) connected(a, b *process) bool { return site.reaches(a, b) && site.reaches(b, a) }
 
-// gossip sends what one process knows to another, as an exchange of states does.
-func (w *world) gossip(from, to *process) {
+// gossip sends the state of one process to another, as a push of a push/pull exchange does.
+func (site *siteModel) gossip(from, to *process) {
 	m, at := to.machine, to.machine.now
 	r := from.machine.roster
 	for _, l := range from.machine.Incarnations() {
@@ -125,155 +125,160 @@
 	}
 	m.Handle(at, RosterReceived{r, from.name})
 	m.Handle(at, Alive{Name: from.name, Incarnation: from.machine.settings.Incarnation, Epoch: r.Epoch, Sum: r.Sum()})
-	for _, f := range from.machine.peers {
-		for _, o := range f.earlierIncarnations {
-			if o.alive {
-				m.Handle(at, Alive{Name: f.name, Incarnation: o.incarnation, Epoch: f.epoch, Sum: f.sum})
+	for _, peer := range from.machine.peers {
+		for _, earlier := range peer.earlierIncarnations {
+			if earlier.alive {
+				m.Handle(at, Alive{Name: peer.name, Incarnation: earlier.incarnation, Epoch: peer.epoch, Sum: peer.sum})
 			}
 		}
-		if f.state.Alive() && f.incarnation != 0 {
-			m.Handle(at, Alive{Name: f.name, Incarnation: f.incarnation, Epoch: f.epoch, Sum: f.sum})
+		if peer.state.Alive() && peer.incarnation != 0 {
+			m.Handle(at, Alive{Name: peer.name, Incarnation: peer.incarnation, Epoch: peer.epoch, Sum: peer.sum})
 		}
 	}
 }
 
 type step struct {
-	what string
-	do   func(*world)
+	name string
+	do   func(*siteModel)
 }
 
-// steps returns all steps that can happen next.
-func (w *world) steps() (list []step) {
-	add := func(do func(*world), format string, a ...any) {
+// steps returns all possible next steps.
+func (site *siteModel) steps() (list []step) {
+	add := func(do func(*siteModel), format string, a ...any) {
 		list = append(list, step{fmt.Sprintf(format, a...), do})
 	}
-	add(func(w *world) {
-		for _, s := range w.processes {
+	add(func(site *siteModel) {
+		for _, p := range site.processes {
 			switch {
-			case s.stalled:
-				s.machine.now += 3 * time.Second // no tick: it is suspended
-			case s.running:
-				s.machine.Handle(s.machine.now+time.Second, Tick{})
+			case p.suspended:
+				p.machine.now += 3 * time.Second // no tick: it is suspended
+			case p.running:
+				p.machine.Handle(p.machine.now+time.Second, Tick{})
 			}
 		}
 	}, "time")
-	for i, s := range w.processes {
-		if !s.running {
+	for i, p := range site.processes {
+		if !p.running {
 			continue
 		}
-		if s.stalled {
-			add(func(w *world) { w.processes[i].stalled = false }, "wake %s%d", s.name, s.machine.settings.Incarnation)
+		if p.suspended {
+			add(func(site *siteModel) { site.processes[i].suspended = false }, "resume %s%d", p.name, p.machine.settings.Incarnation)
 			continue
 		}
-		add(func(w *world) {
-			w.processes[i].stalled, w.processes[i].answered = true, false
-			w.processes[i].machine.now += 3 * time.Second
-		}, "stall %s%d", s.name, s.machine.settings.Incarnation)
-		if w.restarts < 2 {
-			add(func(w *world) { w.processes[i].running = false }, "kill %s%d", s.name, s.machine.settings.Incarnation)
+		add(func(site *siteModel) {
+			site.processes[i].suspended, site.processes[i].answered = true, false
+			site.processes[i].machine.now += 3 * time.Second
+		}, "suspend %s%d", p.name, p.machine.settings.Incarnation)
+		if site.restarts < 2 {
+			add(func(site *siteModel) { site.processes[i].running = false }, "kill %s%d", p.name, p.machine.settings.Incarnation)
 		}
-		if s.machine.roster.Epoch < w.roster.Epoch {
-			add(func(w *world) {
-				w.processes[i].machine.Handle(w.processes[i].machine.now, RosterReceived{w.roster, "file"})
-			}, "%s%d reads epoch %d", s.name, s.machine.settings.Incarnation, w.roster.Epoch)
+		if p.machine.roster.Epoch < site.roster.Epoch {
+			add(func(site *siteModel) {
+				site.processes[i].machine.Handle(site.processes[i].machine.now, RosterReceived{site.roster, "file"})
+			}, "%s%d reads epoch %d", p.name, p.machine.settings.Incarnation, site.roster.Epoch)
 		}
-		for k, o := range w.processes {
-			if i == k || o.name == s.name && o.machine.settings.Incarnation == s.machine.settings.Incarnation {
+		for k, other := range site.processes {
+			if i == k || other.name == p.name && other.machine.settings.Incarnation == p.machine.settings.Incarnation {
 				continue
 			}
-			incarnation, name := o.machine.settings.Incarnation, o.name
-			f := s.machine.peers[name]
-			known := f != nil && f.incarnation == incarnation && f.state.Alive()
-			if w.connected(s, o) {
-				add(func(w *world) { w.gossip(w.processes[k], w.processes[i]); w.gossip(w.processes[i], w.processes[k]) }, "%s%d and %s%d exchange", s.name, s.machine.settings.Incarnation, name, incarnation)
+			incarnation, name := other.machine.settings.Incarnation, other.name
+			peer := p.machine.peers[name]
+			known := peer != nil && peer.incarnation == incarnation && peer.state.Alive()
+			if site.connected(p, other) {
+				add(func(site *siteModel) {
+					site.gossip(site.processes[k], site.processes[i])
+					site.gossip(site.processes[i], site.processes[k])
+				}, "%s%d and %s%d exchange", p.name, p.machine.settings.Incarnation, name, incarnation)
 				if known {
-					add(func(w *world) {
-						w.processes[i].answered = true
-						w.processes[i].machine.Handle(w.processes[i].machine.now, Answered{name, incarnation})
-					}, "%s%d is answered by %s%d", s.name, s.machine.settings.Incarnation, name, incarnation)
+					add(func(site *siteModel) {
+						site.processes[i].answered = true
+						site.processes[i].machine.Handle(site.processes[i].machine.now, Answered{name, incarnation})
+					}, "%s%d is answered by %s%d", p.name, p.machine.settings.Incarnation, name, incarnation)
 				}
 			} else if known {
-				add(func(w *world) {
-					w.processes[i].machine.Handle(w.processes[i].machine.now, Suspected{name, incarnation, w.processes[i].name})
-				}, "%s%d suspects %s%d", s.name, s.machine.settings.Incarnation, name, incarnation)
-				add(func(w *world) { w.processes[i].machine.Handle(w.processes[i].machine.now, Failed{name, incarnation}) }, "%s%d counts %s%d as failed", s.name, s.machine.settings.Incarnation, name, incarnation)
+				add(func(site *siteModel) {
+					site.processes[i].machine.Handle(site.processes[i].machine.now, Suspected{name, incarnation, site.processes[i].name})
+				}, "%s%d suspects %s%d", p.name, p.machine.settings.Incarnation, name, incarnation)
+				add(func(site *siteModel) {
+					site.processes[i].machine.Handle(site.processes[i].machine.now, Failed{name, incarnation})
+				}, "%s%d counts %s%d as failed", p.name, p.machine.settings.Incarnation, name, incarnation)
 			}
 		}
 	}
-	for i, a := range worldNames {
-		for _, b := range worldNames[i+1:] {
-			for _, way := range [][2]string{{a, b}, {b, a}} {
-				if w.cut[way] {
-					add(func(w *world) { delete(w.cut, way) }, "heal %s to %s", way[0], way[1])
+	for i, a := range siteNames {
+		for _, b := range siteNames[i+1:] {
+			for _, link := range [][2]string{{a, b}, {b, a}} {
+				if site.cut[link] {
+					add(func(site *siteModel) { delete(site.cut, link) }, "heal %s to %s", link[0], link[1])
 				} else {
-					add(func(w *world) { w.cut[way] = true }, "cut %s to %s", way[0], way[1])
+					add(func(site *siteModel) { site.cut[link] = true }, "cut %s to %s", link[0], link[1])
 				}
 			}
 		}
 	}
-	for _, name := range worldNames {
-		last, runs := w.latest(name)
-		if w.restarts < 2 && w.roster.Has(name) {
-			// Also beside one that runs: an operator may start a name twice.
-			add(func(w *world) { w.restarts++; w.start(name, last.machine.roster) }, "start %s beside %d", name, runs)
+	for _, name := range siteNames {
+		latest, running := site.latest(name)
+		if site.restarts < 2 && site.roster.Has(name) {
+			// Even if one is running: an operator may start a name twice.
+			add(func(site *siteModel) { site.restarts++; site.start(name, latest.machine.roster) }, "start %s beside %d", name, running)
 		}
 		switch {
-		case runs == 0 && w.roster.Has(name) && len(w.roster.Members) == 3:
-			add(func(w *world) {
-				w.roster = w.roster.Next(slices.DeleteFunc(slices.Clone(worldNames), func(n string) bool { return n == name }))
+		case running == 0 && site.roster.Has(name) && len(site.roster.Members) == 3:
+			add(func(site *siteModel) {
+				site.roster = site.roster.Next(slices.DeleteFunc(slices.Clone(siteNames), func(n string) bool { return n == name }))
 			}, "remove %s", name)
-		case !w.roster.Has(name) && w.restarts < 2:
-			add(func(w *world) {
-				w.roster = w.roster.Next(worldNames)
-				w.restarts++
-				w.start(name, w.roster)
+		case !site.roster.Has(name) && site.restarts < 2:
+			add(func(site *siteModel) {
+				site.roster = site.roster.Next(siteNames)
+				site.restarts++
+				site.start(name, site.roster)
 			}, "add %s and start it", name)
 		}
 	}
 	return list
 }
 
-// latest returns the latest process of a name, and how many of its processes run.
-func (w *world) latest(name string) (s *process, runs int) {
-	for _, o := range w.processes {
-		if o.name == name {
-			s = o
-			if o.running {
-				runs++
+// latest returns the latest process of a name, and the number of its running processes.
+func (site *siteModel) latest(name string) (latest *process, running int) {
+	for _, other := range site.processes {
+		if other.name == name {
+			latest = other
+			if other.running {
+				running++
 			}
 		}
 	}
-	return s, runs
+	return latest, running
 }
 
-// violation returns the invariant that this world violates, "" if none.
-func (w *world) violation() string {
+// violation returns the invariant that the model violates, "" if none.
+func (site *siteModel) violation() string {
 	used := 0.0
-	for _, name := range worldNames {
+	for _, name := range siteNames {
 		share := 0.0
-		for _, s := range w.processes {
-			if s.name != name || !s.running {
+		for _, p := range site.processes {
+			if p.name != name || !p.running {
 				continue
 			}
-			m := s.machine
+			m := p.machine
 			share = max(share, 1/float64(m.QuotaDivisor()))
-			// It acts by its own clock, which ran on while it was suspended.
+			// The process acts by its own clock, which continued while it was suspended.
 			if allowed, _ := m.Allows(m.now, ExerciseLease); allowed {
-				if s.stalled {
-					return fmt.Sprintf("%s%d is suspended and may exercise a lease on waking", s.name, m.settings.Incarnation)
+				if p.suspended {
+					return fmt.Sprintf("%s%d is suspended and may exercise a lease once it is resumed", p.name, m.settings.Incarnation)
 				}
-				if !s.answered {
-					return fmt.Sprintf("%s%d may exercise a lease and nobody has answered it since it woke", s.name, m.settings.Incarnation)
+				if !p.answered {
+					return fmt.Sprintf("%s%d may exercise a lease and no process has answered it since it was resumed", p.name, m.settings.Incarnation)
 				}
 				if m.verdict < Majority {
-					return fmt.Sprintf("%s%d may exercise a lease while %v", s.name, m.settings.Incarnation, m.verdict)
+					return fmt.Sprintf("%s%d may exercise a lease while %v", p.name, m.settings.Incarnation, m.verdict)
 				}
 			}
-			if allowed, _ := m.Allows(m.now, ExerciseLease); allowed && s.learnedOfLater {
-				return fmt.Sprintf("%s%d may exercise a lease and learned of a later incarnation", s.name, m.settings.Incarnation)
+			if allowed, _ := m.Allows(m.now, ExerciseLease); allowed && p.learnedOfLater {
+				return fmt.Sprintf("%s%d may exercise a lease and learned of a later incarnation", p.name, m.settings.Incarnation)
 			}
 			if m.safeCount() < len(m.roster.Members) {
-				return fmt.Sprintf("%s%d counts %d of %d members", s.name, m.settings.Incarnation, m.safeCount(), len(m.roster.Members))
+				return fmt.Sprintf("%s%d counts %d of %d members", p.name, m.settings.Incarnation, m.safeCount(), len(m.roster.Members))
 			}
 		}
 		used += share
@@ -284,30 +289,30 @@
 	return ""
 }
 
-// search visits all worlds to a depth and returns their number and the first violation. Flaw, if not nil, disables a
-// guard of a machine after each step.
-func search(from *world, depth int, flaw func(*Machine)) (states int, violation string) {
+// search visits all states up to a depth and returns their number and the first violation. DisableGuard, if not nil,
+// disables a guard of each machine after each step.
+func search(from *siteModel, depth int, disableGuard func(*Machine)) (states int, violation string) {
 	seen := map[string]bool{}
-	layer := []*world{from}
+	layer := []*siteModel{from}
 	seen[from.key()] = true
 	for range depth {
-		var next []*world
-		for _, w := range layer {
-			for _, st := range w.steps() {
-				c := w.clone()
-				st.do(c)
-				if flaw != nil {
-					for _, s := range c.processes {
-						flaw(s.machine)
+		var next []*siteModel
+		for _, site := range layer {
+			for _, step := range site.steps() {
+				successor := site.clone()
+				step.do(successor)
+				if disableGuard != nil {
+					for _, p := range successor.processes {
+						disableGuard(p.machine)
 					}
 				}
-				c.trace = append(c.trace, st.what)
-				if violation := c.violation(); violation != "" {
-					return len(seen), violation + " after: " + strings.Join(c.trace, "; ")
+				successor.trace = append(successor.trace, step.name)
+				if violation := successor.violation(); violation != "" {
+					return len(seen), violation + " after: " + strings.Join(successor.trace, "; ")
 				}
-				if k := c.key(); !seen[k] {
-					seen[k] = true
-					next = append(next, c)
+				if key := successor.key(); !seen[key] {
+					seen[key] = true
+					next = append(next, successor)
 				}
 			}
 		}
@@ -316,40 +321,41 @@
 	return len(seen), ""
 }
 
-// settledWorld returns a world in which all processes answer each other and are complete.
-func settledWorld(t *testing.T) *world {
+// settledSite returns a model in which all processes answer each other and have the verdict Complete.
+func settledSite(t *testing.T) *siteModel {
 	t.Helper()
-	w := newWorld()
-	w.play(t, "time", "a1 and b2 exchange", "b2 and c3 exchange", "a1 and c3 exchange", "a1 is answered by b2", "b2 is answered by c3", "c3 is answered by a1", "time", "time")
-	for _, s := range w.processes {
-		if s.machine.verdict != Complete {
-			t.Fatalf("%s is %v: %s", s.name, s.machine.verdict, s.machine.reason)
+	site := newSiteModel()
+	site.play(t, "time", "a1 and b2 exchange", "b2 and c3 exchange", "a1 and c3 exchange", "a1 is answered by b2", "b2 is answered by c3", "c3 is answered by a1", "time", "time")
+	for _, p := range site.processes {
+		if p.machine.verdict != Complete {
+			t.Fatalf("%s is %v: %s", p.name, p.machine.verdict, p.machine.reason)
 		}
 	}
-	w.trace = nil
-	return w
+	site.trace = nil
+	return site
 }
 
-// play does steps by their names.
-func (w *world) play(t *testing.T, steps ...string) {
+// play performs steps by their names.
+func (site *siteModel) play(t *testing.T, steps ...string) {
 	t.Helper()
-	for _, what := range steps {
-		list := w.steps()
-		i := slices.IndexFunc(list, func(s step) bool { return s.what == what })
+	for _, name := range steps {
+		list := site.steps()
+		i := slices.IndexFunc(list, func(s step) bool { return s.name == name })
 		if i < 0 {
-			var can []string
+			var possible []string
 			for _, s := range list {
-				can = append(can, s.what)
+				possible = append(possible, s.name)
 			}
-			t.Fatalf("%q can't happen after %v; possible steps: %v", what, w.trace, can)
+			t.Fatalf("step %q is not possible after %v; possible steps: %v", name, site.trace, possible)
 		}
-		list[i].do(w)
-		w.trace = append(w.trace, what)
+		list[i].do(site)
+		site.trace = append(site.trace, name)
 	}
 }
 
+// No interleaving of up to depth steps violates an invariant.
 func TestSearchThreeMembers(t *testing.T) {
-	for _, from := range []*world{newWorld(), settledWorld(t)} {
+	for _, from := range []*siteModel{newSiteModel(), settledSite(t)} {
 		states, violation := search(from, *searchDepth, nil)
 		t.Logf("%d states to depth %d", states, *searchDepth)
 		if violation != "" {
@@ -358,32 +364,32 @@
 	}
 }
 
-// Without any one of the guards the search finds a violation.
+// The search is effective: with any one of the guards disabled it finds a violation.
 func TestSearchFindsEachMissingGuard(t *testing.T) {
-	for _, c := range []struct {
-		guard string
-		steps []string // that lead close to the violation
-		flaw  func(*Machine)
+	for _, test := range []struct {
+		guard        string
+		steps        []string // that lead close to the violation
+		disableGuard func(*Machine)
 	}{
 		{"a new member has no quota until all know of it", []string{"kill c3", "a1 counts c3 as failed", "b2 counts c3 as failed", "remove c", "a1 reads epoch 2",
-			"add c and start it", "b2 and c4 exchange", "time", "c4 is answered by b2"}, func(m *Machine) { m.joined = true }},
-		{"a later incarnation supersedes", []string{"start c beside 1"}, func(m *Machine) { m.superseded = 0 }},
-		{"failed members count", []string{"cut a to c", "cut b to c"}, func(m *Machine) {
-			for name, f := range m.peers {
-				if f.state == StateFailed {
-					m.roster.Members = slices.DeleteFunc(slices.Clone(m.roster.Members), func(o Member) bool { return o.Name == name })
+			"add c and start it", "b2 and c4 exchange", "time", "c4 is answered by b2"}, func(m *Machine) { m.knownToAll = true }},
+		{"a later incarnation supersedes an earlier one", []string{"start c beside 1"}, func(m *Machine) { m.supersededBy = 0 }},
+		{"failed members are counted", []string{"cut a to c", "cut b to c"}, func(m *Machine) {
+			for name, peer := range m.peers {
+				if peer.state == StateFailed {
+					m.roster.Members = slices.DeleteFunc(slices.Clone(m.roster.Members), func(member Member) bool { return member.Name == name })
 				}
 			}
 			m.updateVerdict()
 		}},
-		{"a suspended process notices by its clock", nil, func(m *Machine) { m.lastTick = m.now }},
-		{"after a suspension answers are needed", []string{"stall a1", "wake a1"}, func(m *Machine) { m.lastAnswer = max(m.lastAnswer, m.awakeSince+1) }},
+		{"a suspended process detects the suspension by its clock", nil, func(m *Machine) { m.lastTick = m.now }},
+		{"a verdict after a suspension requires answers", []string{"suspend a1", "resume a1"}, func(m *Machine) { m.lastAnswer = max(m.lastAnswer, m.activeSince+1) }},
 	} {
-		t.Run(c.guard, func(t *testing.T) {
-			w := settledWorld(t)
-			w.play(t, c.steps...)
-			if states, violation := search(w, 3, c.flaw); violation == "" {
-				t.Errorf("no violation without it in %d states", states)
+		t.Run(test.guard, func(t *testing.T) {
+			site := settledSite(t)
+			site.play(t, test.steps...)
+			if states, violation := search(site, 3, test.disableGuard); violation == "" {
+				t.Errorf("no violation without the guard in %d states", states)
 			} else {
 				t.Logf("after %d states: %s", states, violation)
 			}
--- a/members/settings.go
+++ b/members/settings.go
@@ -11,10 +11,10 @@
 	Self           string        // name of this process
 	Incarnation    Incarnation   // of this process, not 0
 	TickInterval   time.Duration // between Tick events
-	StallThreshold time.Duration // a tick that is later by this much shows that the process was suspended
+	StallThreshold time.Duration // delay of a tick from which the process counts as suspended
 	MinSettleTime  time.Duration // how long the evidence must support a better verdict before it is adopted
-	MaxSettleTime  time.Duration // limit of the settle time, which doubles while verdicts keep falling
-	SilenceTimeout time.Duration // without any answer, after which the others count as failed; also the longest suspicion
+	MaxSettleTime  time.Duration // limit of the settle time, which doubles with each recent fall of the verdict
+	SilenceTimeout time.Duration // time without any answer after which the verdict is Alone; also the longest suspicion
 }
 
 // Check returns an error that names the first invalid setting, nil if there is none.
--- a/members/state.go
+++ b/members/state.go
@@ -10,10 +10,10 @@
 
 // The states.
 const (
-	StateUnknown State = iota // no event has reported it alive
+	StateUnknown State = iota // never reported alive
 	StateAlive
 	StateSuspect // a probe was not answered; it still counts as alive
-	StateFailed  // the failure detector gave it up, which proves nothing
+	StateFailed  // the failure detector declared it failed; its process may still be running
 	StateLeft    // it announced its graceful shutdown
 )
 
--- a/members/verdict.go
+++ b/members/verdict.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Verdict classifies how many members of its roster a process believes to be alive.
+// Verdict classifies how many members of the roster a process considers alive.
 type Verdict int
 
-// The verdicts, the least permissive first. Exactly half is less than a majority: the other half may think the same.
+// The verdicts, the least permissive first. Exactly half is not a majority, since the other half may come to the same
+// verdict.
 const (
 	Unsure   Verdict = iota // its state may be stale: it was suspended, just started, or rosters conflict
 	Alone                   // no other member is alive
@@ -41,31 +42,31 @@
 // reasonStarted is the reason of the first verdict.
 const reasonStarted = "it has just begun"
 
-// updateVerdict adapts the verdict and the quota divisor to the evidence. A worse verdict is adopted at once. A better one
-// is adopted after the evidence has supported it for settleTime, which grows with each recent fall, so that a flapping link
-// changes the verdict seldom.
+// updateVerdict updates the verdict and the quota divisor. A worse verdict is adopted at once, a better one after the
+// evidence has supported it for settleTime, which grows with each recent fall, so that a flapping link rarely changes
+// the verdict.
 func (m *Machine) updateVerdict() {
-	raw, reason := m.currentVerdict()
-	if raw != Unsure {
+	current, reason := m.currentVerdict()
+	if current != Unsure {
 		m.likely = m.likelyCount()
 	} else if m.likely == 0 {
 		m.likely = len(m.roster.Members)
 	}
-	if m.now-m.changedAt >= m.settings.MaxSettleTime {
-		m.recentFalls, m.changedAt = m.recentFalls/2, m.now
+	if m.now-m.fallsChangedAt >= m.settings.MaxSettleTime {
+		m.recentFalls, m.fallsChangedAt = m.recentFalls/2, m.now
 	}
-	for v := range m.allowedSince {
-		if raw < Verdict(v) {
-			m.allowedSince[v] = m.now
+	for v := range m.supportedSince {
+		if current < Verdict(v) {
+			m.supportedSince[v] = m.now
 		}
 	}
 	switch better := m.settledVerdict(); {
-	case raw < m.verdict:
-		m.recentFalls, m.changedAt = m.recentFalls+1, m.now
-		m.setVerdict(raw, reason)
+	case current < m.verdict:
+		m.recentFalls, m.fallsChangedAt = m.recentFalls+1, m.now
+		m.setVerdict(current, reason)
 	case better > m.verdict:
 		m.setVerdict(better, reason)
-	case raw == m.verdict:
+	case current == m.verdict:
 		m.reason = reason
 	}
 	// A larger divisor is adopted at once, a smaller one only if the verdict allows it.
@@ -78,13 +79,13 @@
 // settledVerdict returns the best verdict that the evidence has supported for the settle time.
 func (m *Machine) settledVerdict() Verdict {
 	v := Complete
-	for v > Unsure && m.now-m.allowedSince[v] < m.settleTime() {
+	for v > Unsure && m.now-m.supportedSince[v] < m.settleTime() {
 		v--
 	}
 	return v
 }
 
-// settleTime returns how long the evidence must support a better verdict.
+// settleTime returns how long the evidence must support a better verdict before it is adopted.
 func (m *Machine) settleTime() time.Duration {
 	d := m.settings.MinSettleTime
 	for range m.recentFalls {
@@ -102,12 +103,12 @@
 	m.addEvidence(m.settings.Self, m.settings.Incarnation, "is "+v.String()+": "+reason, "")
 }
 
-// currentVerdict returns the verdict that the present evidence supports, and why.
+// currentVerdict returns the verdict that the evidence supports now, and the reason.
 func (m *Machine) currentVerdict() (Verdict, string) {
 	if reason := m.identityProblem(); reason != "" {
 		return Unsure, reason
 	}
-	if len(m.roster.Members) > 1 && m.lastAnswer <= m.awakeSince {
+	if len(m.roster.Members) > 1 && m.lastAnswer <= m.activeSince {
 		return m.unansweredVerdict()
 	}
 	if failed := m.failedProbes(); len(m.probes) >= minProbes && 2*failed > len(m.probes) {
@@ -116,12 +117,12 @@
 	return m.countVerdict()
 }
 
-// identityProblem returns why this process can't be sure of its own place in the roster, "" if it can.
+// identityProblem returns the reason why this process's name or membership is in doubt, "" if there is none.
 func (m *Machine) identityProblem() string {
 	self := m.peers[m.settings.Self]
 	switch {
-	case m.superseded != 0:
-		return fmt.Sprintf("life %d of this name has taken the place of life %d", m.superseded, m.settings.Incarnation)
+	case m.supersededBy != 0:
+		return fmt.Sprintf("life %d of this name has taken the place of life %d", m.supersededBy, m.settings.Incarnation)
 	case self != nil && self.hasEarlierIncarnation():
 		return "an earlier life of this name is still heard"
 	case !m.roster.Has(m.settings.Self):
@@ -132,20 +133,20 @@
 	return ""
 }
 
-// unansweredVerdict returns the verdict if nobody has answered since this process started or was suspended.
+// unansweredVerdict returns the verdict of a process without any answer since it started or was suspended.
 func (m *Machine) unansweredVerdict() (Verdict, string) {
-	awake := m.now - m.awakeSince
+	active := m.now - m.activeSince
 	switch {
-	case awake >= m.settings.SilenceTimeout:
-		return Alone, fmt.Sprintf("nobody has answered in %v", awake.Round(time.Millisecond))
-	case m.lastSleep > 0:
-		return Unsure, fmt.Sprintf("it slept for %v and has had no answer since: others' silence proves nothing yet", m.lastSleep.Round(time.Millisecond))
+	case active >= m.settings.SilenceTimeout:
+		return Alone, fmt.Sprintf("nobody has answered in %v", active.Round(time.Millisecond))
+	case m.lastSuspension > 0:
+		return Unsure, fmt.Sprintf("it slept for %v and has had no answer since: others' silence proves nothing yet", m.lastSuspension.Round(time.Millisecond))
 	}
 	return Unsure, reasonStarted + ", and nobody has answered yet"
 }
 
-// failedProbes returns how many of the latest probes were not answered. Peers that have failed or left are not expected
-// to answer.
+// failedProbes returns how many of the last probes were not answered. Probes of peers that have failed or left do not
+// count.
 func (m *Machine) failedProbes() int {
 	failed := 0
 	for _, probe := range m.probes {
@@ -156,7 +157,7 @@
 	return failed
 }
 
-// countVerdict returns the verdict by how many members seem to be alive.
+// countVerdict returns the verdict based on the number of members that seem to be alive.
 func (m *Machine) countVerdict() (Verdict, string) {
 	count := len(m.roster.Members)
 	alive := 1
--- a/members/verdict_test.go
+++ b/members/verdict_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// The verdict follows the number of failed members, and the safe count still includes them.
 func TestVerdictFallsAsMembersFail(t *testing.T) {
 	m := completeMachine(t, 5)
 	for i, want := range []Verdict{Majority, Majority, Minority} {
@@ -13,27 +14,30 @@
 	}
 	m.fail("g4")
 	m.wantVerdict(Alone)
-	if p := m.View(m.now); p.SafeCount != 5 || p.LikelyCount != 1 {
-		t.Errorf("safe %d and likely %d, want 5 and 1: silence removes nobody from the roster", p.SafeCount, p.LikelyCount)
+	if view := m.View(m.now); view.SafeCount != 5 || view.LikelyCount != 1 {
+		t.Errorf("safe count %d and likely count %d, want 5 and 1: failed members remain in the roster", view.SafeCount, view.LikelyCount)
 	}
 }
 
+// Guards against two leaseholders: half of the roster must not exercise a lease, since the other half could do the
+// same.
 func TestHalfIsNoMajority(t *testing.T) {
 	m := completeMachine(t, 4)
 	m.fail("g1", "g2")
 	m.wantVerdict(Even)
 	if allowed, _ := m.Allows(m.now, ExerciseLease); allowed {
-		t.Error("half of the roster may exercise a lease, and so may the other half")
+		t.Error("half of the roster may exercise a lease")
 	}
 }
 
+// The only member of a roster needs no answers.
 func TestSingleMemberIsComplete(t *testing.T) {
 	m := newTestMachine(t, rosterOf(1))
 	m.advance(seconds(3))
 	m.wantVerdict(Complete)
 }
 
-// Nothing is known right after a start, and a better verdict is adopted after the settle time.
+// After its start a process is Unsure until the evidence has supported a better verdict for the settle time.
 func TestStartIsUnsureUntilSettled(t *testing.T) {
 	m := newTestMachine(t, rosterOf(3))
 	m.wantVerdict(Unsure)
@@ -45,7 +49,7 @@
 	m.wantVerdict(Complete)
 }
 
-// A process that nobody answers is alone after the silence timeout, not at once.
+// A process without any answer since its start is Alone only after the silence timeout.
 func TestUnansweredStartBecomesAlone(t *testing.T) {
 	m := newTestMachine(t, rosterOf(3))
 	m.advance(seconds(11))
@@ -54,12 +58,12 @@
 	m.wantVerdict(Alone)
 }
 
-// A process that was suspended is unsure until somebody answers, whatever its detector concluded from the silence; without
-// an answer it is alone after the silence timeout.
+// A process that was suspended is Unsure until a peer answers, even if its detector declared peers failed because their
+// answers were not processed in time. Without an answer it is Alone after the silence timeout.
 func TestSuspensionMakesUnsure(t *testing.T) {
 	m := completeMachine(t, 3)
 	m.now += seconds(30)
-	m.handle(Failed{"g1", 100}, Failed{"g2", 100}) // its own timers, which expired meanwhile
+	m.handle(Failed{"g1", 100}, Failed{"g2", 100}) // the detector's timers expired during the suspension
 	m.wantVerdict(Unsure)
 	m.advance(seconds(5))
 	m.wantVerdict(Unsure)
@@ -73,6 +77,7 @@
 	m.wantVerdict(Alone)
 }
 
+// A tick that is late by less than the stall threshold has no effect.
 func TestShortDelayIsNoSuspension(t *testing.T) {
 	m := completeMachine(t, 3)
 	m.now += seconds(1.2)
@@ -80,7 +85,8 @@
 	m.wantVerdict(Complete)
 }
 
-// A process that is partitioned from a large site detects it long before its detector counts all the others as failed.
+// Guards against late detection of a partition in a large site: several unanswered probes make a process Unsure long
+// before its detector has declared all other members failed.
 func TestFailedOwnProbesMakeUnsure(t *testing.T) {
 	m := completeMachine(t, 100)
 	for i := range 3 {
@@ -89,7 +95,7 @@
 	m.wantVerdict(Complete)
 	m.handle(Suspected{"g4", 100, "g0"})
 	m.wantVerdict(Unsure)
-	// Unanswered probes of members that have failed are no evidence.
+	// Unanswered probes of failed members do not count.
 	m = completeMachine(t, 100)
 	for i := range 6 {
 		m.handle(Failed{memberNames(100)[i+1], 100}, Suspected{memberNames(100)[i+1], 100, "g0"})
@@ -97,8 +103,8 @@
 	m.wantVerdict(Majority)
 }
 
-// A link that flaps for ten minutes changes the verdict a few times only.
-func TestFlappingLinkChangesVerdictSeldom(t *testing.T) {
+// A link that flaps for ten minutes changes the verdict only a few times.
+func TestFlappingLinkRarelyChangesVerdict(t *testing.T) {
 	m := completeMachine(t, 3)
 	changes, last := 0, m.View(m.now).Verdict
 	for range 600 {
@@ -111,13 +117,13 @@
 		}
 	}
 	if changes > 4 {
-		t.Errorf("%d changes of the verdict in ten minutes", changes)
+		t.Errorf("%d changes of the verdict in ten minutes, want at most 4", changes)
 	}
 	m.advance(seconds(200), "g1", "g2")
 	m.wantVerdict(Complete)
 }
 
-// However a link flaps, the settle time bounds how often the verdict rises: it doubles with each fall.
+// The settle time, which doubles with each fall, limits the number of rises of the verdict for any period of flapping.
 func TestVerdictRisesAreBoundedWhileFlapping(t *testing.T) {
 	for _, half := range []float64{1, 2.2, 3, 5, 9, 17, 33} {
 		m := completeMachine(t, 3)
@@ -137,7 +143,7 @@
 			last = m.View(m.now).Verdict
 		}
 		if rises > 22 {
-			t.Errorf("half period of %g s: %d rises in ten minutes", half, rises)
+			t.Errorf("half period of %g s: %d rises in ten minutes, want at most 22", half, rises)
 		}
 	}
 }
--- a/members/view.go
+++ b/members/view.go
@@ -19,13 +19,13 @@
 	Epoch         uint64       `json:"epoch"`
 	Sum           uint64       `json:"sum"`
 	RosterSize    int          `json:"belong"`               // members of the roster
-	SafeCount     int          `json:"safe"`                 // never below the number of processes that may be serving
-	LikelyCount   int          `json:"likely"`               // processes that seem to be alive, this one included
+	SafeCount     int          `json:"safe"`                 // upper bound of the processes that may be serving
+	LikelyCount   int          `json:"likely"`               // processes that seem to be alive, including this one
 	QuotaDivisor  int          `json:"share"`                // divisor of quotas
-	Dropped       uint64       `json:"dropped"`              // events of names beyond the limits
-	SupersededBy  Incarnation  `json:"superseded,omitempty"` // later incarnation of this process's name; 0: none
-	UnawareMember string       `json:"joining,omitempty"`    // a member that may not know that this process is one; "": none
-	LastAnswer    Time         `json:"heard_ns"`             // last answer of any peer; 0: none
+	Dropped       uint64       `json:"dropped"`              // number of events dropped because their names exceed the limits
+	SupersededBy  Incarnation  `json:"superseded,omitempty"` // later incarnation of this process's name; 0 if none
+	UnawareMember string       `json:"joining,omitempty"`    // a member that may not know of this process's membership; "" if none
+	LastAnswer    Time         `json:"heard_ns"`             // last answer of any peer; 0 if none
 	Members       []MemberView `json:"members"`              // by name
 }
 
@@ -37,7 +37,7 @@
 	Incarnation         Incarnation `json:"life,omitempty"`
 	State               State       `json:"state"`
 	Since               Time        `json:"since_ns"`       // of the state
-	LastAnswer          Time        `json:"heard_ns"`       // to a probe of this process; 0: none
+	LastAnswer          Time        `json:"heard_ns"`       // to a probe of this process; 0 if none
 	Epoch               uint64      `json:"epoch"`          // of its roster, as last announced
 	EarlierIncarnations int         `json:"older"`          // number of earlier incarnations that are still alive
 	Address             string      `json:"address"`        // as last announced
@@ -62,7 +62,7 @@
 		LikelyCount:   m.likely,
 		QuotaDivisor:  m.divisor,
 		Dropped:       m.dropped,
-		SupersededBy:  m.superseded,
+		SupersededBy:  m.supersededBy,
 		UnawareMember: m.unawareMember(),
 		LastAnswer:    m.lastAnswer,
 		Members:       m.memberViews(),
@@ -70,13 +70,13 @@
 }
 
 // Line returns the view in one line for display, with its ages at now.
-func (p *View) Line(now Time) string {
+func (v *View) Line(now Time) string {
 	const round = 100 * time.Millisecond
 	lastAnswer := "nobody has answered yet"
-	if p.LastAnswer != 0 {
-		lastAnswer = fmt.Sprintf("the last answer %v ago", (now - p.LastAnswer).Round(round))
+	if v.LastAnswer != 0 {
+		lastAnswer = fmt.Sprintf("the last answer %v ago", (now - v.LastAnswer).Round(round))
 	}
-	return fmt.Sprintf("%v for %v (%s), epoch %d, %s", p.Verdict, (now - p.Since).Round(round), p.Reason, p.Epoch, lastAnswer)
+	return fmt.Sprintf("%v for %v (%s), epoch %d, %s", v.Verdict, (now - v.Since).Round(round), v.Reason, v.Epoch, lastAnswer)
 }
 
 // memberViews returns the view of this process, of all members and of all other known names, by name.
