--- a/members/peer.go
+++ b/members/peer.go
@@ -38,8 +38,8 @@
 	return n
 }
 
-// peerNamed returns the peer of that name and adds it if it is new. It returns nil if the name is invalid, or if it is
-// outside the roster and maxStrangers such names are tracked already.
+// peerNamed returns the peer with the name and adds it if it is new. It returns nil if the name is invalid, or if it is
+// outside the roster and maxNonMembers such names are already tracked.
 func (m *Machine) peerNamed(name string) *peer {
 	p := m.peers[name]
 	if p != nil {
--- a/records/follower_status.go
+++ b/records/follower_status.go
@@ -9,7 +9,7 @@
 const (
 	Following    FollowerState = "following" // applies changes as they arrive
 	Repairing    FollowerState = "repairing" // fetches the ranges that differ
-	Disconnected FollowerState = "cut_off"   // no useful response for CutOffTimeout
+	Disconnected FollowerState = "cut_off"   // no useful response for DisconnectTimeout
 )
 
 // FollowerStatus is a snapshot of a follower's state.
