--- a/members/contacts.go
+++ b/members/contacts.go
@@ -36,8 +36,8 @@
 		return nil
 	}
 	for _, v := range view.Members {
-		if last := address(v.Name); last != "" && !v.Self && v.IsMember && !v.State.Alive() {
-			targets = append(targets, last)
+		if addr := address(v.Name); addr != "" && !v.Self && v.IsMember && !v.State.Alive() {
+			targets = append(targets, addr)
 		}
 	}
 	if view.LikelyCount <= 1 || len(targets) < view.RosterSize-view.LikelyCount {
--- a/members/peer.go
+++ b/members/peer.go
@@ -45,13 +45,13 @@
 	if p != nil {
 		return p
 	}
-	nonMembers := 0
+	tracked := 0
 	for other := range m.peers {
 		if !m.roster.Has(other) {
-			nonMembers++
+			tracked++
 		}
 	}
-	if CheckName(name) != nil || !m.roster.Has(name) && nonMembers >= maxNonMembers {
+	if CheckName(name) != nil || !m.roster.Has(name) && tracked >= maxNonMembers {
 		m.dropped++
 		return nil
 	}
--- a/members/verdict.go
+++ b/members/verdict.go
@@ -46,8 +46,8 @@
 // evidence has supported it for settleTime, which grows with each recent fall, so that a flapping link rarely changes
 // the verdict.
 func (m *Machine) updateVerdict() {
-	current, reason := m.currentVerdict()
-	if current != Unsure {
+	observed, reason := m.currentVerdict()
+	if observed != Unsure {
 		m.likely = m.likelyCount()
 	} else if m.likely == 0 {
 		m.likely = len(m.roster.Members)
@@ -56,17 +56,17 @@
 		m.recentFalls, m.fallsChangedAt = m.recentFalls/2, m.now
 	}
 	for v := range m.supportedSince {
-		if current < Verdict(v) {
+		if observed < Verdict(v) {
 			m.supportedSince[v] = m.now
 		}
 	}
 	switch better := m.settledVerdict(); {
-	case current < m.verdict:
+	case observed < m.verdict:
 		m.recentFalls, m.fallsChangedAt = m.recentFalls+1, m.now
-		m.setVerdict(current, reason)
+		m.setVerdict(observed, reason)
 	case better > m.verdict:
 		m.setVerdict(better, reason)
-	case current == m.verdict:
+	case observed == m.verdict:
 		m.reason = reason
 	}
 	// A larger divisor is adopted at once, a smaller one only if the verdict allows it.
--- a/records/draft.go
+++ b/records/draft.go
@@ -24,28 +24,28 @@
 
 // mutableRange returns a range that may be modified. Its records are copied on first use.
 func (d *draft) mutableRange(index int) *hashRange {
-	target := &d.state.ranges[index]
+	hashRange := &d.state.ranges[index]
 	if !d.owned[index] {
-		target.records = slices.Clone(target.records)
+		hashRange.records = slices.Clone(hashRange.records)
 		d.owned[index] = true
 	}
-	return target
+	return hashRange
 }
 
 // put inserts or replaces a record.
 func (d *draft) put(record Record) {
-	target := d.mutableRange(RangeOf(record.Key))
-	position, found := target.find(record.Key)
+	hashRange := d.mutableRange(RangeOf(record.Key))
+	position, found := hashRange.find(record.Key)
 	if found {
-		old := target.records[position]
-		target.sum = target.sum.minus(hashRecord(old))
+		old := hashRange.records[position]
+		hashRange.sum = hashRange.sum.minus(hashRecord(old))
 		d.state.bytes -= old.size()
-		target.records[position] = record
+		hashRange.records[position] = record
 	} else {
-		target.records = slices.Insert(target.records, position, record)
+		hashRange.records = slices.Insert(hashRange.records, position, record)
 		d.state.count++
 	}
-	target.sum = target.sum.plus(hashRecord(record))
+	hashRange.sum = hashRange.sum.plus(hashRecord(record))
 	d.state.bytes += record.size()
 }
 
@@ -56,23 +56,23 @@
 	if !found {
 		return
 	}
-	target := d.mutableRange(index)
-	old := target.records[position]
-	target.records = slices.Delete(target.records, position, position+1)
-	target.sum = target.sum.minus(hashRecord(old))
+	hashRange := d.mutableRange(index)
+	old := hashRange.records[position]
+	hashRange.records = slices.Delete(hashRange.records, position, position+1)
+	hashRange.sum = hashRange.sum.minus(hashRecord(old))
 	d.state.count--
 	d.state.bytes -= old.size()
 }
 
 // replace sets the records of a range, which must be in order of key.
 func (d *draft) replace(index int, records []Record) {
-	target := &d.state.ranges[index]
-	for _, old := range target.records {
+	hashRange := &d.state.ranges[index]
+	for _, old := range hashRange.records {
 		d.state.bytes -= old.size()
 	}
-	d.state.count += len(records) - len(target.records)
-	target.records = slices.Clone(records)
-	target.sum = hashRecords(records)
+	d.state.count += len(records) - len(hashRange.records)
+	hashRange.records = slices.Clone(records)
+	hashRange.sum = hashRecords(records)
 	for _, record := range records {
 		d.state.bytes += record.size()
 	}
--- a/records/journal.go
+++ b/records/journal.go
@@ -56,7 +56,7 @@
 	length := binary.BigEndian.Uint32(journal)
 	content := journal[journalHeaderBytes:]
 	if uint64(length) > uint64(len(content)) {
-		return 0, fmt.Errorf("entry body is truncated: %d of %d bytes", len(content), length)
+		return 0, fmt.Errorf("entry body is truncated: want %d bytes, have %d", length, len(content))
 	}
 	body := content[:length]
 	checksum := sha256.Sum256(body)
--- a/records/state.go
+++ b/records/state.go
@@ -41,12 +41,12 @@
 
 // get returns the record with the key, and whether it exists.
 func (s *state) get(key Key) (Record, bool) {
-	target := &s.ranges[RangeOf(key)]
-	position, found := target.find(key)
+	hashRange := &s.ranges[RangeOf(key)]
+	position, found := hashRange.find(key)
 	if !found {
 		return Record{}, false
 	}
-	return target.records[position], true
+	return hashRange.records[position], true
 }
 
 // all is an iterator over the records, range by range.
