--- a/cmd/elderctl/lab_read_test.go
+++ b/cmd/elderctl/lab_read_test.go
@@ -22,7 +22,7 @@
 	put("n0.moments", good+`{"at":100.2,"gateway":"n0","ca`) // killed here
 	put("n1.moments", strings.ReplaceAll(good, "n0", "n1"))
 	lines, err := readRollups(dir)
-	if err != nil || len(lines) != 2 || lines[1].Gateway != "n1" || lines[0].Sends != 2 {
+	if err != nil || len(lines) != 2 || lines[1].Gateway != "n1" || lines[0].Attempts != 2 {
 		t.Fatalf("%v %+v", err, lines)
 	}
 	if kept := selectLines(lines, 0, 0.05); len(kept) != 2 {
--- a/cmd/elderctl/trace_print.go
+++ b/cmd/elderctl/trace_print.go
@@ -90,7 +90,7 @@
 func attribute(attrs []*common.KeyValue, key string) string {
 	for _, a := range attrs {
 		if a.Key == key {
-			return plainText(otlpfile.Text(a.Value))
+			return plainText(otlpfile.FormatValue(a.Value))
 		}
 	}
 	return ""
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -54,8 +54,8 @@
 	upload        *upload     // a long body, which is streamed; the client's time limit starts at its end
 	timeLeft      float64     // seconds that the client waits once the request is complete
 
-	conn  *clientConn   // the client's connection; nil if unknown
-	trace *traces.Begin // nil if traces are not exported
+	conn  *clientConn     // the client's connection; nil if unknown
+	trace *traces.Request // nil if traces are not exported
 
 	// reply is buffered for the one response: the loop sends it and never blocks.
 	reply chan response
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -114,8 +114,8 @@
 	pools    *pools
 	onListed func()
 
-	telemetry   *telemetry.Telemetry // nil: traces and metrics are not exported
-	sampleRatio float64              // fraction of requests that are traced
+	telemetry   *telemetry.Exporter // nil: traces and metrics are not exported
+	sampleRatio float64             // fraction of requests that are traced
 
 	attempts sync.WaitGroup // attempts that use connections
 
@@ -155,7 +155,7 @@
 func (l *Loop) disconnect(ex *exchange) {
 	if ex.open {
 		ex.open = false
-		l.recordEvent(ex, traces.Event{Kind: traces.ClientLeft})
+		l.recordEvent(ex, traces.Event{Kind: traces.ClientDisconnected})
 		l.Handle(rules.ClientDisconnected{Request: ex.request.ID})
 		ex.abortUnsent()
 		l.removeIfDone(ex)
@@ -199,7 +199,7 @@
 	if counts := l.RollupCounts(); counts != nil {
 		counts.Requests++
 	}
-	l.recordEvent(ex, traces.Event{Kind: traces.Began})
+	l.recordEvent(ex, traces.Event{Kind: traces.RequestAccepted})
 	l.Handle(ex.request)
 }
 
@@ -244,7 +244,7 @@
 	l.Handle(event)
 	if kind != rules.CachedList {
 		if counts := l.RollupCounts(); counts != nil {
-			counts.Changes += len(event.Entries)
+			counts.BackendChanges += len(event.Entries)
 		}
 		l.onListed()
 	}
@@ -398,7 +398,7 @@
 	attempt.ended, attempt.neverRan = true, rules.NeverRan(result.outcome)
 	ex := attempt.exchange
 	ex.activeAttempts--
-	l.recordEvent(ex, traces.Event{Kind: traces.Ended, Attempt: attempt.number, Outcome: result.outcome})
+	l.recordEvent(ex, traces.Event{Kind: traces.AttemptEnded, Attempt: attempt.number, Outcome: result.outcome})
 	if result.outcome == rules.Served && ex.open {
 		header := endToEndHeaders(result.header)
 		header.Del(loadHeader) // meant for gateways, not for clients
--- a/internal/gateway/rollup.go
+++ b/internal/gateway/rollup.go
@@ -46,7 +46,7 @@
 // aggregator returns the aggregator through which the owner counts.
 func (r *rollupFile) aggregator(every time.Duration) *rollup.Aggregator {
 	return rollup.NewAggregator(every, func(at float64, c rollup.Counts) {
-		c.Connects = int(r.pools.dials.Swap(0))
+		c.Dials = int(r.pools.dials.Swap(0))
 		select {
 		case r.lines <- rollup.Line{At: at, Gateway: r.name, Counts: c}:
 		default: // the disk is slow; a dropped interval shows as a gap
--- a/internal/gateway/rollup_test.go
+++ b/internal/gateway/rollup_test.go
@@ -25,9 +25,9 @@
 		go func() { defer close(done); file.run() }()
 		for i := range intervals {
 			p.dials.Add(2)
-			file.lines <- rollup.Line{At: 1000 + float64(i), Gateway: "n3", Counts: rollup.Counts{Sends: 1}}
+			file.lines <- rollup.Line{At: 1000 + float64(i), Gateway: "n3", Counts: rollup.Counts{Attempts: 1}}
 		}
-		aggregator.Current(9000).Calls++
+		aggregator.Current(9000).CounterCalls++
 		aggregator.Flush()
 		close(file.lines)
 		<-done
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -17,14 +17,14 @@
 
 // beginTrace starts the trace of a request. It joins the trace of the client's context if that is valid,
 // else the one derived from the request's key, else a new one. It sets the headers for the backend accordingly.
-func (f *frontend) beginTrace(ex *exchange) *traces.Begin {
+func (f *frontend) beginTrace(ex *exchange) *traces.Request {
 	header := ex.header
 	client, valid := traces.ParseContext(header[parentHeader], header[stateHeader])
 	key := header.Get(keyHeader)
 	self := client
 	binary.BigEndian.PutUint64(self.Span[:], max(rand.Uint64(), 1))
 	if !valid {
-		self.State = ""
+		self.TraceState = ""
 		if key != "" {
 			self.Trace = traces.TraceIDFromKey(uint64(ex.request.Customer), key)
 		} else {
@@ -34,11 +34,11 @@
 		self.Sampled = traces.InSample(self.Trace, f.loop.sampleRatio)
 	}
 	delete(header, stateHeader)
-	if self.State != "" {
-		header[stateHeader] = []string{self.State}
+	if self.TraceState != "" {
+		header[stateHeader] = []string{self.TraceState}
 	}
-	return &traces.Begin{Context: client, Self: self, Client: ex.correlationID, Class: ex.request.Class, Plan: ex.request.Plan,
-		Units: ex.request.Units, Method: ex.method, Key: key != "", Repeated: ex.request.IsRetry, Sent: ex.request.SentAt}
+	return &traces.Request{ParentContext: client, SpanContext: self, RequestID: ex.correlationID, Class: ex.request.Class, Plan: ex.request.Plan,
+		Units: ex.request.Units, Method: ex.method, HasIdempotencyKey: key != "", IsRetry: ex.request.IsRetry, SentAt: ex.request.SentAt}
 }
 
 // recordEvent records an event of a traced request.
@@ -46,7 +46,7 @@
 	if ex.trace == nil {
 		return
 	}
-	e.Begin, e.At = ex.trace, l.Clock.Now()
+	e.Request, e.At = ex.trace, l.Clock.Now()
 	l.telemetry.Record(e)
 }
 
@@ -55,28 +55,28 @@
 	if attempt.exchange.trace == nil {
 		return
 	}
-	traceContext := attempt.exchange.trace.Self
+	traceContext := attempt.exchange.trace.SpanContext
 	binary.BigEndian.PutUint64(traceContext.Span[:], max(rand.Uint64(), 1))
-	attempt.traceParent = traceContext.Parent()
+	attempt.traceParent = traceContext.Traceparent()
 	backend := l.readyBackends[attempt.backend]
-	l.recordEvent(attempt.exchange, traces.Event{Kind: traces.Sent, Attempt: attempt.number, Span: traceContext.Span, Backend: backend.name, Zone: backend.zone, Paid: admittedAt})
+	l.recordEvent(attempt.exchange, traces.Event{Kind: traces.AttemptStarted, Attempt: attempt.number, SpanID: traceContext.Span, Backend: backend.name, Zone: backend.zone, AdmittedAt: admittedAt})
 }
 
 // figures returns the decision module's statistics for the exporter.
-func (l *Loop) figures(ctx context.Context) (figures telemetry.Figures, err error) {
-	figures.Stats, figures.Calls, err = l.Stats(ctx)
+func (l *Loop) figures(ctx context.Context) (figures telemetry.GatewayStats, err error) {
+	figures.Stats, figures.CounterCalls, err = l.Stats(ctx)
 	return figures, err
 }
 
 // responseEvent returns the event for a response.
 func responseEvent(response response) traces.Event {
-	return traces.Event{Kind: traces.Answered, Status: response.status, Reason: response.reason, Paid: response.admittedAt, RetryAfter: response.retryAfter}
+	return traces.Event{Kind: traces.FinalResponse, Status: response.status, Reason: response.reason, AdmittedAt: response.admittedAt, RetryAfter: response.retryAfter}
 }
 
 // setDeployment adds the deployment's classes and plans to the trace settings.
 func setDeployment(settings *traces.Settings, classes []rules.Class, names, plans []string) {
 	settings.Classes, settings.Plans = names, plans
 	for _, class := range classes {
-		settings.LatencyTargets = append(settings.LatencyTargets, class.LatencyObjective)
+		settings.LatencyObjectives = append(settings.LatencyObjectives, class.LatencyObjective)
 	}
 }
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -35,7 +35,7 @@
 // exporting returns the settings of a gateway that exports all traces.
 func exporting(c *collector.Collector, name string) *telemetry.Settings {
 	return &telemetry.Settings{Endpoint: "http://" + c.Address(""), Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testTimeout,
-		Flush: testTimeout, QueueBytes: 1 << 20, Tracing: traces.Settings{SampleRatio: 1},
+		FlushTimeout: testTimeout, QueueBytes: 1 << 20, Tracing: traces.Settings{SampleRatio: 1},
 		Resource: []traces.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: name}}}
 }
 
@@ -70,7 +70,7 @@
 		t.Fatal(got.Status)
 	}
 	forwarded, ok := traces.ParseContext(req.Header["Traceparent"], req.Header["Tracestate"])
-	if !ok || hex.EncodeToString(forwarded.Trace[:]) != clientTrace || forwarded.State != "rojo=1" || !forwarded.Sampled {
+	if !ok || hex.EncodeToString(forwarded.Trace[:]) != clientTrace || forwarded.TraceState != "rojo=1" || !forwarded.Sampled {
 		t.Errorf("forwarded: %v", req.Header)
 	}
 	gw.stopAndWait(t)
@@ -169,7 +169,7 @@
 	c, backend := newCollector(t), newPeer(t)
 	c.SetTrouble(collector.Trouble{Silent: true})
 	set := exporting(c, "g0")
-	set.Flush = 100 * time.Millisecond
+	set.FlushTimeout = 100 * time.Millisecond
 	gw := startExportingGateway(t, set, unchanged, backend)
 	_, responses := gw.send(t, requestText("GET", "lookup", ""))
 	conn, br := backend.Accept(t)
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -150,7 +150,7 @@
 	t.Requests, t.Unserved = full.Served, full.Other
 	t.PerSecond = float64(full.Served) / full.Took.Seconds()
 	if full.Served == 0 || used <= 0 {
-		return t, fmt.Errorf("bench: %s served nothing: %s", g.name, output.Telling(g.output.String()))
+		return t, fmt.Errorf("bench: %s served nothing: %s", g.name, output.FailureLine(g.output.String()))
 	}
 	t.PerCPU = float64(full.Served) / used.Seconds()
 	t.CPUFull = used / time.Duration(full.Served)
@@ -163,7 +163,7 @@
 	}
 	used = l.cpuOf(g) - cpu
 	if calm.Served == 0 {
-		return t, fmt.Errorf("bench: %s served nothing: %s", g.name, output.Telling(g.output.String()))
+		return t, fmt.Errorf("bench: %s served nothing: %s", g.name, output.FailureLine(g.output.String()))
 	}
 	t.CPU = used / time.Duration(calm.Served)
 	t.Unserved += calm.Other
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -231,11 +231,11 @@
 		}
 		select {
 		case <-exited:
-			return fmt.Errorf("%s ended: %s", a.name, output.Telling(a.output.String()))
+			return fmt.Errorf("%s ended: %s", a.name, output.FailureLine(a.output.String()))
 		default:
 		}
 		if time.Now().After(limit) || l.ctx.Err() != nil {
-			return fmt.Errorf("%s opened no socket: %s", a.name, output.Telling(a.output.String()))
+			return fmt.Errorf("%s opened no socket: %s", a.name, output.FailureLine(a.output.String()))
 		}
 	}
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -181,7 +181,7 @@
 		l.happened(audit.Ended, g.name)
 		crashed := !g.asked
 		if crashed {
-			g.died = fmt.Sprintf("ended by itself (%v): %s", err, output.Telling(g.output.String()))
+			g.died = fmt.Sprintf("ended by itself (%v): %s", err, output.FailureLine(g.output.String()))
 		}
 		g.mu.Unlock()
 		close(exited)
@@ -213,9 +213,9 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-exited:
-			return fmt.Errorf("%s ended before it was ready: %s", g.name, output.Telling(g.output.String()))
+			return fmt.Errorf("%s ended before it was ready: %s", g.name, output.FailureLine(g.output.String()))
 		case <-limit.C:
-			return fmt.Errorf("%s was not ready within %v: %s", g.name, readyLimit, output.Telling(g.output.String()))
+			return fmt.Errorf("%s was not ready within %v: %s", g.name, readyLimit, output.FailureLine(g.output.String()))
 		case <-tick.C:
 		}
 	}
--- a/internal/otlpfile/otlpfile.go
+++ b/internal/otlpfile/otlpfile.go
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// Text is an attribute's value for people.
-func Text(v *common.AnyValue) string {
+// FormatValue is an attribute's value for people.
+func FormatValue(v *common.AnyValue) string {
 	switch v := v.GetValue().(type) {
 	case *common.AnyValue_StringValue:
 		return v.StringValue
--- a/internal/output/output.go
+++ b/internal/output/output.go
@@ -3,9 +3,9 @@
 
 import "strings"
 
-// Telling is the line that says why: that of a crash, else the last one; "" for
+// FailureLine is the line that says why: that of a crash, else the last one; "" for
 // nothing.
-func Telling(text string) string {
+func FailureLine(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	// A crash of a Go program begins with the line that matters.
 	for _, line := range lines {
--- a/internal/owner/calls.go
+++ b/internal/owner/calls.go
@@ -32,7 +32,7 @@
 func (l *EventLoop) addToCounter(add rules.CounterAdd) {
 	c := &call{loop: l, id: add.CallID, sentAt: l.Clock.Now()}
 	if m := l.RollupCounts(); m != nil {
-		m.Calls++
+		m.CounterCalls++
 		m.Units += add.Amount
 	}
 	c.Key, c.Amount = add.Key, add.Amount
@@ -62,9 +62,9 @@
 	if m := l.RollupCounts(); m != nil {
 		switch out {
 		case rules.Overloaded, rules.ConnectFailed:
-			m.Full++
+			m.CallsRejected++
 		case rules.TimedOut, rules.ConnectionBroken:
-			m.Silent++
+			m.CallsUnanswered++
 		}
 	}
 	for queue := l.pendingCalls[c.Key]; len(queue) > 0 && queue[0].ended; queue = l.pendingCalls[c.Key] {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -216,7 +216,7 @@
 		switch a := action.(type) {
 		case rules.Send:
 			if m := l.RollupCounts(); m != nil {
-				m.Sends++
+				m.Attempts++
 			}
 			l.requests.Send(a)
 		case rules.Cancel:
@@ -225,11 +225,11 @@
 			if m := l.RollupCounts(); m != nil {
 				switch a.Reason {
 				case rules.QuotaExceeded:
-					m.NoQuota++
+					m.QuotaExceeded++
 				case rules.NoCapacity:
-					m.NoPlace++
+					m.NoCapacity++
 				default:
-					m.NoAnswer++
+					m.AttemptsFailed++
 				}
 			}
 			l.requests.Refuse(a)
--- a/internal/process/spawn.go
+++ b/internal/process/spawn.go
@@ -92,7 +92,7 @@
 	}
 	text := make([]byte, maxTailBytes)
 	n, _ := f.Read(text)
-	if line := output.Telling(string(text[:n])); line != "" {
+	if line := output.FailureLine(string(text[:n])); line != "" {
 		return ": " + line
 	}
 	return ""
--- a/internal/standin/collector/rules.go
+++ b/internal/standin/collector/rules.go
@@ -79,7 +79,7 @@
 			flaws = append(flaws, fmt.Sprintf("attribute %q has no name or value, or stands twice", a.Key))
 		}
 		seen[a.Key] = true
-		parts = append(parts, a.Key+"="+otlpfile.Text(a.Value))
+		parts = append(parts, a.Key+"="+otlpfile.FormatValue(a.Value))
 	}
 	slices.Sort(parts)
 	return strings.Join(parts, ","), flaws
@@ -104,7 +104,7 @@
 	flaw(s.Status != nil && s.Status.Code != trace.Status_STATUS_CODE_ERROR && s.Status.Message != "", "a message without an error")
 	if s.TraceState != "" {
 		c, _ := traces.ParseContext([]string{"00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"}, []string{s.TraceState})
-		flaw(c.State != s.TraceState, "tracestate")
+		flaw(c.TraceState != s.TraceState, "tracestate")
 	}
 	_, bad := write(s.Attributes)
 	return append(flaws, bad...)
--- a/internal/telemetry/encode.go
+++ b/internal/telemetry/encode.go
@@ -68,8 +68,8 @@
 	made := &trace.ScopeSpans{Scope: e.scope}
 	for i := range list {
 		s := &list[i]
-		span := &trace.Span{TraceId: s.Trace[:], SpanId: s.ID[:], TraceState: s.State, Name: s.Name, Kind: trace.Span_SpanKind(s.Kind),
-			StartTimeUnixNano: traces.Nanos(s.Start), EndTimeUnixNano: traces.Nanos(s.End), Attributes: attributes(s.Attrs),
+		span := &trace.Span{TraceId: s.Trace[:], SpanId: s.ID[:], TraceState: s.TraceState, Name: s.Name, Kind: trace.Span_SpanKind(s.Kind),
+			StartTimeUnixNano: traces.UnixNanos(s.Start), EndTimeUnixNano: traces.UnixNanos(s.End), Attributes: attributes(s.Attrs),
 			Flags: flagHasRemote, Status: &trace.Status{}}
 		if s.Parent != (traces.SpanID{}) {
 			span.ParentSpanId = s.Parent[:]
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -17,19 +17,19 @@
 // Every metric that is exported, with its series: TestThePageHasAllMetrics holds the list to the operators' page.
 func TestGoldenMetrics(t *testing.T) {
 	set := settings("127.0.0.1:1")
-	set.Tracing.Classes, set.Tracing.LatencyTargets = []string{"lookup", "booking"}, []float64{0.5, 0.5}
+	set.Tracing.Classes, set.Tracing.LatencyObjectives = []string{"lookup", "booking"}, []float64{0.5, 0.5}
 	x, client := newTelemetry(set, func() float64 { return 100 }, figures, quiet)
 	defer client.CloseIdleConnections()
 	self := traces.Context{Trace: traces.TraceID{1}, Span: traces.SpanID{2}}
-	b := &traces.Begin{Self: self, Method: "GET", Sent: 100}
-	for _, e := range []traces.Event{{Kind: traces.Began, At: 100}, {Kind: traces.Sent, At: 100, Span: traces.SpanID{3}, Backend: "n0"}, {Kind: traces.Ended, At: 100.25}, {Kind: traces.Answered, At: 100.25, Status: 200}} {
-		e.Begin = b
+	b := &traces.Request{SpanContext: self, Method: "GET", SentAt: 100}
+	for _, e := range []traces.Event{{Kind: traces.RequestAccepted, At: 100}, {Kind: traces.AttemptStarted, At: 100, SpanID: traces.SpanID{3}, Backend: "n0"}, {Kind: traces.AttemptEnded, At: 100.25}, {Kind: traces.FinalResponse, At: 100.25, Status: 200}} {
+		e.Request = b
 		x.state.tally.Handle(e)
 		x.state.recorder.Handle(e, nil)
 	}
-	x.state.figures = Figures{Stats: rules.Stats{ConcurrencyLimit: 4, InFlight: 1, Queued: []int{0, 2}, WaitingForQuota: 3, Healthy: 5, Ejected: 6, Cold: 7, Detached: 8, NotReady: 9, Customers: 10, LeasedUnits: 11.5}}
-	for i := range x.state.figures.Calls {
-		x.state.figures.Calls[i] = uint64(20 + i)
+	x.state.figures = GatewayStats{Stats: rules.Stats{ConcurrencyLimit: 4, InFlight: 1, Queued: []int{0, 2}, WaitingForQuota: 3, Healthy: 5, Ejected: 6, Cold: 7, Detached: 8, NotReady: 9, Customers: 10, LeasedUnits: 11.5}}
+	for i := range x.state.figures.CounterCalls {
+		x.state.figures.CounterCalls[i] = uint64(20 + i)
 	}
 	for i := range x.state.missed {
 		x.state.missed[i] = uint64(40 + i)
@@ -106,7 +106,7 @@
 		fmt.Fprintf(&b, "%s=%s\n", name, values[name])
 	}
 	fmt.Fprintf(&b, "endpoint %s, gRPC %t, headers %v, timeout %v, interval %v, flush %v, queue %d bytes, sample ratio %g\n",
-		set.Endpoint, set.GRPC, set.Headers, set.Timeout, set.Interval, set.Flush, set.QueueBytes, set.Tracing.SampleRatio)
+		set.Endpoint, set.GRPC, set.Headers, set.Timeout, set.Interval, set.FlushTimeout, set.QueueBytes, set.Tracing.SampleRatio)
 	for _, a := range set.Resource {
 		fmt.Fprintf(&b, "resource %s=%v\n", a.Key, a.Value)
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -14,7 +14,7 @@
 
 // Metric describes one metric. `elderctl site metrics` and the operators' page are generated from these
 // descriptions.
-type Metric struct{ Name, Unit, Kind, Attributes, About string }
+type Metric struct{ Name, Unit, Kind, Attributes, Description string }
 
 // The kinds of metric.
 const (
@@ -50,16 +50,16 @@
 type exportState struct {
 	tally       *traces.Tally
 	recorder    *traces.Recorder
-	figures     Figures
+	figures     GatewayStats
 	missed      [traces.EventKindCount]uint64
 	spanSender  *sender
 	pointSender *sender
 }
 
-// Figures are gauges and counters that the owner of the rules module reports.
-type Figures struct {
+// GatewayStats are gauges and counters that the owner of the rules module reports.
+type GatewayStats struct {
 	rules.Stats
-	Calls [traces.OutcomeCount]uint64 // calls to the counter, by outcome
+	CounterCalls [traces.OutcomeCount]uint64 // calls to the counter, by outcome
 }
 
 // metricBuilder collects the points of one export. Start and now are OTLP times.
@@ -77,7 +77,7 @@
 		if d.Name != name {
 			continue
 		}
-		m := &metrics.Metric{Name: name, Unit: d.Unit, Description: d.About}
+		m := &metrics.Metric{Name: name, Unit: d.Unit, Description: d.Description}
 		switch d.Kind {
 		case kindSum:
 			m.Data = &metrics.Metric_Sum{Sum: &metrics.Sum{IsMonotonic: true, AggregationTemporality: metrics.AggregationTemporality_AGGREGATION_TEMPORALITY_CUMULATIVE}}
@@ -115,7 +115,7 @@
 		p.Sum, p.Min, p.Max = &sum, &least, &most
 	}
 	if e := h.Exemplar; e.Context.Trace != (traces.TraceID{}) {
-		p.Exemplars = []*metrics.Exemplar{{TimeUnixNano: traces.Nanos(e.At), Value: &metrics.Exemplar_AsDouble{AsDouble: e.Value},
+		p.Exemplars = []*metrics.Exemplar{{TimeUnixNano: traces.UnixNanos(e.At), Value: &metrics.Exemplar_AsDouble{AsDouble: e.Value},
 			TraceId: e.Context.Trace[:], SpanId: e.Context.Span[:], FilteredAttributes: []*common.KeyValue{}}}
 	}
 	s := b.metric(name).GetExponentialHistogram()
@@ -126,7 +126,7 @@
 
 // metrics returns the current metrics. Start and now are in seconds.
 func (c *exportState) metrics(set *traces.Settings, start, now float64) []*metrics.Metric {
-	b := &metricBuilder{start: traces.Nanos(start), now: traces.Nanos(max(now, start)), at: map[string]*metrics.Metric{}}
+	b := &metricBuilder{start: traces.UnixNanos(start), now: traces.UnixNanos(max(now, start)), at: map[string]*metrics.Metric{}}
 	b.addRequests(c.tally, set)
 	b.addFigures(&c.figures)
 	b.addSampling(c.recorder)
@@ -145,9 +145,9 @@
 		for plan, planName := range set.Plans {
 			i := t.Index(class, plan)
 			byPlan := attr("elderyard.plan", planName)
-			b.sum("elderyard.requests", t.FirstTries[i], byClass, byPlan, attr("elderyard.first", true))
-			b.sum("elderyard.requests", t.Requests[i]-t.FirstTries[i], byClass, byPlan, attr("elderyard.first", false))
-			b.sum("elderyard.requests.in_time", t.InTime[i], byClass, byPlan)
+			b.sum("elderyard.requests", t.InitialRequests[i], byClass, byPlan, attr("elderyard.first", true))
+			b.sum("elderyard.requests", t.Requests[i]-t.InitialRequests[i], byClass, byPlan, attr("elderyard.first", false))
+			b.sum("elderyard.requests.in_time", t.WithinObjective[i], byClass, byPlan)
 		}
 		for end, n := range t.Ends[class] {
 			b.sum("elderyard.request.ends", n, byClass, attr("elderyard.outcome", traces.End(end).Name()))
@@ -160,8 +160,8 @@
 }
 
 // addFigures adds what the owner reported.
-func (b *metricBuilder) addFigures(f *Figures) {
-	for outcome, n := range f.Calls {
+func (b *metricBuilder) addFigures(f *GatewayStats) {
+	for outcome, n := range f.CounterCalls {
 		b.sum("elderyard.counter.calls", n, attr("elderyard.outcome", callOutcome(rules.Outcome(outcome))))
 	}
 	b.gauge("elderyard.bound", f.ConcurrencyLimit)
@@ -182,7 +182,7 @@
 
 // addSampling adds how many traces were exported and how many discarded.
 func (b *metricBuilder) addSampling(r *traces.Recorder) {
-	b.sum("elderyard.stories", uint64(r.Kept), attr("elderyard.kept", true))
+	b.sum("elderyard.stories", uint64(r.Sampled), attr("elderyard.kept", true))
 	b.sum("elderyard.stories", uint64(r.Discarded), attr("elderyard.kept", false))
 }
 
@@ -207,12 +207,12 @@
 	return traces.OutcomeName(o)
 }
 
-// Page returns the list of metrics as it stands on the operators' page.
-func Page() string {
+// MetricsTable returns the list of metrics as it stands on the operators' page.
+func MetricsTable() string {
 	var b strings.Builder
 	b.WriteString("| metric | unit | kind | attributes | what it is |\n| --- | --- | --- | --- | --- |\n")
 	for _, m := range Metrics() {
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", m.Name, m.Unit, m.Kind, m.Attributes, m.About)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", m.Name, m.Unit, m.Kind, m.Attributes, m.Description)
 	}
 	return b.String()
 }
--- a/internal/telemetry/settings.go
+++ b/internal/telemetry/settings.go
@@ -32,16 +32,16 @@
 		return nil, nil
 	}
 	set := &Settings{
-		Endpoint:   s.Endpoint,
-		GRPC:       s.Protocol == "grpc",
-		Headers:    map[string]string{},
-		Traces:     s.Traces,
-		Metrics:    s.Metrics,
-		Interval:   time.Duration(s.Interval),
-		Timeout:    time.Duration(s.Timeout),
-		Flush:      time.Duration(s.Flush),
-		QueueBytes: s.QueueKB << 10,
-		Tracing:    traces.Settings{SampleRatio: s.Share, Keep: keepOf(s.Keep)},
+		Endpoint:     s.Endpoint,
+		GRPC:         s.Protocol == "grpc",
+		Headers:      map[string]string{},
+		Traces:       s.Traces,
+		Metrics:      s.Metrics,
+		Interval:     time.Duration(s.Interval),
+		Timeout:      time.Duration(s.Timeout),
+		FlushTimeout: time.Duration(s.Flush),
+		QueueBytes:   s.QueueKB << 10,
+		Tracing:      traces.Settings{SampleRatio: s.Share, AlwaysSample: keepOf(s.Keep)},
 	}
 	if set.Endpoint == "" {
 		set.Endpoint = env("OTEL_EXPORTER_OTLP_ENDPOINT")
@@ -66,7 +66,7 @@
 }
 
 // keepOf converts the list of the operators' file, which package site has checked.
-func keepOf(list []string) (keep traces.Keep) {
+func keepOf(list []string) (keep traces.AlwaysSample) {
 	for _, k := range list {
 		switch k {
 		case "failed":
@@ -76,7 +76,7 @@
 		case "late":
 			keep.Late = true
 		case "repeated":
-			keep.Repeated = true
+			keep.Retried = true
 		}
 	}
 	return keep
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -27,24 +27,24 @@
 
 // Settings say what is exported, and to which collector.
 type Settings struct {
-	Endpoint   string            // URL, to which the paths of the signals are appended
-	GRPC       bool              // OTLP over gRPC instead of HTTP
-	Headers    map[string]string // of each call
-	Resource   []traces.Attr     // attributes of this process
-	Traces     bool
-	Metrics    bool
-	Interval   time.Duration // between exports of metrics
-	Timeout    time.Duration // of a call
-	Flush      time.Duration // how long Close may take to deliver what is queued
-	QueueBytes int           // limit of each signal's queue
-	Tracing    traces.Settings
+	Endpoint     string            // URL, to which the paths of the signals are appended
+	GRPC         bool              // OTLP over gRPC instead of HTTP
+	Headers      map[string]string // of each call
+	Resource     []traces.Attr     // attributes of this process
+	Traces       bool
+	Metrics      bool
+	Interval     time.Duration // between exports of metrics
+	Timeout      time.Duration // of a call
+	FlushTimeout time.Duration // how long Close may take to deliver what is queued
+	QueueBytes   int           // limit of each signal's queue
+	Tracing      traces.Settings
 }
 
-// Telemetry is the exporter of one process.
-type Telemetry struct {
+// Exporter is the exporter of one process.
+type Exporter struct {
 	settings       Settings
 	now            func() float64
-	readFigures    func(context.Context) (Figures, error)
+	readFigures    func(context.Context) (GatewayStats, error)
 	log            *slog.Logger
 	start          float64
 	events         eventBuffer
@@ -62,7 +62,7 @@
 
 // Start starts the exporter. Now is the clock of the events, in seconds; readFigures returns the owner's figures
 // and must respect its context. The caller must call Close.
-func Start(set Settings, now func() float64, readFigures func(context.Context) (Figures, error), log *slog.Logger) *Telemetry {
+func Start(set Settings, now func() float64, readFigures func(context.Context) (GatewayStats, error), log *slog.Logger) *Exporter {
 	t, client := newTelemetry(set, now, readFigures, log)
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
@@ -71,8 +71,8 @@
 }
 
 // newTelemetry makes an exporter whose goroutine is not started.
-func newTelemetry(set Settings, now func() float64, readFigures func(context.Context) (Figures, error), log *slog.Logger) (*Telemetry, *http.Client) {
-	t := &Telemetry{
+func newTelemetry(set Settings, now func() float64, readFigures func(context.Context) (GatewayStats, error), log *slog.Logger) (*Exporter, *http.Client) {
+	t := &Exporter{
 		settings:    set,
 		now:         now,
 		readFigures: readFigures,
@@ -149,7 +149,7 @@
 }
 
 // Record hands over an event. It never blocks: an event that does not fit is dropped and counted.
-func (t *Telemetry) Record(e traces.Event) {
+func (t *Exporter) Record(e traces.Event) {
 	if !t.events.add(e) {
 		t.missed[e.Kind].Add(1)
 	}
@@ -157,13 +157,13 @@
 
 // Close handles the events recorded so far, delivers what it can within Settings.Flush, and stops the exporter.
 // Record must not be called afterwards.
-func (t *Telemetry) Close() {
+func (t *Exporter) Close() {
 	t.stop()
 	<-t.ended
 }
 
 // run is the exporter's goroutine, which owns all of its state but the event buffer and the queues.
-func (t *Telemetry) run(ctx context.Context, client *http.Client) {
+func (t *Exporter) run(ctx context.Context, client *http.Client) {
 	defer close(t.ended)
 	defer client.CloseIdleConnections()
 	var sending sync.WaitGroup
@@ -185,7 +185,7 @@
 }
 
 // export handles events and queues spans and metrics until ctx ends.
-func (t *Telemetry) export(ctx context.Context) {
+func (t *Exporter) export(ctx context.Context) {
 	spans := time.NewTicker(spanInterval)
 	defer spans.Stop()
 	points := time.NewTicker(t.settings.Interval)
@@ -209,8 +209,8 @@
 }
 
 // drain delivers what is queued, within the flush time.
-func (t *Telemetry) drain() {
-	ctx, cancel := context.WithTimeout(context.Background(), t.settings.Flush)
+func (t *Exporter) drain() {
+	ctx, cancel := context.WithTimeout(context.Background(), t.settings.FlushTimeout)
 	defer cancel()
 	var sending sync.WaitGroup
 	for _, s := range t.senders {
@@ -220,7 +220,7 @@
 }
 
 // handleEvents handles the events recorded since the last call.
-func (t *Telemetry) handleEvents() {
+func (t *Exporter) handleEvents() {
 	list := t.events.swap(t.spare)
 	for i := range list {
 		t.handle(list[i])
@@ -229,7 +229,7 @@
 	t.spare = list[:0]
 }
 
-func (t *Telemetry) handle(e traces.Event) {
+func (t *Exporter) handle(e traces.Event) {
 	t.state.tally.Handle(e)
 	if !t.settings.Traces {
 		return
@@ -239,7 +239,7 @@
 	}
 }
 
-func (t *Telemetry) exportSpans() {
+func (t *Exporter) exportSpans() {
 	if len(t.spans) == 0 {
 		return
 	}
@@ -256,7 +256,7 @@
 
 // exportMetrics queues the current metrics. If the owner does not return its figures in time, the previous ones
 // are exported again.
-func (t *Telemetry) exportMetrics(ctx context.Context) {
+func (t *Exporter) exportMetrics(ctx context.Context) {
 	if !t.settings.Metrics {
 		return
 	}
@@ -279,7 +279,7 @@
 
 // warnUndelivered logs the number of deliveries that failed since its last line, at most once per
 // warningInterval.
-func (t *Telemetry) warnUndelivered() {
+func (t *Exporter) warnUndelivered() {
 	failed := uint64(0)
 	for _, s := range t.senders {
 		failed += s.failures.Load()
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -43,32 +43,32 @@
 
 func settings(address string) Settings {
 	return Settings{Endpoint: "http://" + address, Resource: []traces.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: "g0"}},
-		Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testpeer.Patience, Flush: testpeer.Patience, QueueBytes: 1 << 20,
-		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyTargets: []float64{0.5}, SampleRatio: 1}}
+		Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testpeer.Patience, FlushTimeout: testpeer.Patience, QueueBytes: 1 << 20,
+		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyObjectives: []float64{0.5}, SampleRatio: 1}}
 }
 
-func figures(context.Context) (Figures, error) {
-	return Figures{Stats: rules.Stats{ConcurrencyLimit: 4, InFlight: 1, Queued: []int{0, 2}, Healthy: 3}, Calls: [traces.OutcomeCount]uint64{7}}, nil
+func figures(context.Context) (GatewayStats, error) {
+	return GatewayStats{Stats: rules.Stats{ConcurrencyLimit: 4, InFlight: 1, Queued: []int{0, 2}, Healthy: 3}, CounterCalls: [traces.OutcomeCount]uint64{7}}, nil
 }
 
 // request records the events of one served request, the nth of the test.
-func request(x *Telemetry, n int) {
+func request(x *Exporter, n int) {
 	var self traces.Context
 	binary.BigEndian.PutUint64(self.Trace[:8], uint64(n)+1)
 	binary.BigEndian.PutUint64(self.Trace[8:], uint64(n+1)*0x9e3779b97f4a7c15) // as good as random
 	binary.BigEndian.PutUint64(self.Span[:], uint64(n)+1)
 	at := now()
-	b := &traces.Begin{Self: self, Method: "GET", Sent: at, Repeated: n%4 == 3}
+	b := &traces.Request{SpanContext: self, Method: "GET", SentAt: at, IsRetry: n%4 == 3}
 	span := self.Span
 	span[0] = 1
-	x.Record(traces.Event{Kind: traces.Began, At: at, Begin: b})
-	x.Record(traces.Event{Kind: traces.Sent, At: at, Begin: b, Span: span, Backend: "n0", Paid: at})
-	x.Record(traces.Event{Kind: traces.Ended, At: at + 0.01, Begin: b, Outcome: rules.Served})
-	x.Record(traces.Event{Kind: traces.Answered, At: at + 0.01, Begin: b, Status: 200})
+	x.Record(traces.Event{Kind: traces.RequestAccepted, At: at, Request: b})
+	x.Record(traces.Event{Kind: traces.AttemptStarted, At: at, Request: b, SpanID: span, Backend: "n0", AdmittedAt: at})
+	x.Record(traces.Event{Kind: traces.AttemptEnded, At: at + 0.01, Request: b, Outcome: rules.Served})
+	x.Record(traces.Event{Kind: traces.FinalResponse, At: at + 0.01, Request: b, Status: 200})
 }
 
 // idle reports whether all recorded events have been handled, or are about to be.
-func (t *Telemetry) idle() bool {
+func (t *Exporter) idle() bool {
 	t.events.mu.Lock()
 	defer t.events.mu.Unlock()
 	return len(t.events.list) == 0
@@ -181,7 +181,7 @@
 	c := newCollector(t)
 	c.SetTrouble(collector.Trouble{Silent: true})
 	set := settings(c.Address("g0"))
-	set.Flush = 100 * time.Millisecond
+	set.FlushTimeout = 100 * time.Millisecond
 	x := Start(set, now, figures, quiet)
 	for i := range 3 * maxEvents { // more than there is room for, without a wait
 		request(x, i)
@@ -197,8 +197,8 @@
 	for _, n := range x.state.tally.Requests {
 		begun += n
 	}
-	if begun+x.missed[traces.Began].Load() != 3*maxEvents {
-		t.Errorf("%d requests were counted and %d missed of %d", begun, x.missed[traces.Began].Load(), 3*maxEvents)
+	if begun+x.missed[traces.RequestAccepted].Load() != 3*maxEvents {
+		t.Errorf("%d requests were counted and %d missed of %d", begun, x.missed[traces.RequestAccepted].Load(), 3*maxEvents)
 	}
 }
 
@@ -307,9 +307,9 @@
 	x := Start(set, now, figures, quiet)
 	for i := range 100_000 {
 		at := now()
-		b := &traces.Begin{Client: fmt.Sprint(i), Method: "GET", Sent: at}
-		x.Record(traces.Event{Kind: traces.Began, At: at, Begin: b})
-		x.Record(traces.Event{Kind: traces.Answered, At: at, Begin: b, Status: 429})
+		b := &traces.Request{RequestID: fmt.Sprint(i), Method: "GET", SentAt: at}
+		x.Record(traces.Event{Kind: traces.RequestAccepted, At: at, Request: b})
+		x.Record(traces.Event{Kind: traces.FinalResponse, At: at, Request: b, Status: 429})
 		if i%1000 == 999 {
 			until(t, "the events are taken", x.idle)
 		}
@@ -326,12 +326,12 @@
 
 // Recording an event allocates nothing.
 func TestRecordAllocatesNothing(t *testing.T) {
-	x := &Telemetry{events: newEventBuffer(4)}
-	e := traces.Event{Kind: traces.Ended}
+	x := &Exporter{events: newEventBuffer(4)}
+	e := traces.Event{Kind: traces.AttemptEnded}
 	if n := testing.AllocsPerRun(100, func() { x.Record(e) }); n != 0 {
 		t.Errorf("%g allocations", n)
 	}
-	if x.missed[traces.Ended].Load() == 0 {
+	if x.missed[traces.AttemptEnded].Load() == 0 {
 		t.Error("events without room were not counted")
 	}
 }
@@ -392,7 +392,7 @@
 	s, err := FromSite(off, env("OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1/x/", "OTEL_EXPORTER_OTLP_HEADERS=a=b%20c, d=e", "OTEL_SERVICE_NAME=pl",
 		"OTEL_RESOURCE_ATTRIBUTES=team=ops,service.name=no", "OTEL_EXPORTER_OTLP_TIMEOUT=250", "OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0.25"), "g0")
 	if err != nil || s.Endpoint != "http://127.0.0.1:1/x" || s.Headers["a"] != "b c" || s.Headers["d"] != "e" || s.Timeout != 250*time.Millisecond ||
-		s.Tracing.SampleRatio != 0.25 || fmt.Sprint(s.Resource) != "[{service.name pl} {service.instance.id g0} {team ops}]" || !s.Tracing.Keep.Late || s.Tracing.Keep.Refused {
+		s.Tracing.SampleRatio != 0.25 || fmt.Sprint(s.Resource) != "[{service.name pl} {service.instance.id g0} {team ops}]" || !s.Tracing.AlwaysSample.Late || s.Tracing.AlwaysSample.Refused {
 		t.Fatalf("%+v %v", s, err)
 	}
 	on := off
@@ -417,15 +417,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(page), Page()) {
-		t.Errorf("docs/operate/otlp.md lacks the present list:\n%s", Page())
+	if !strings.Contains(string(page), MetricsTable()) {
+		t.Errorf("docs/operate/otlp.md lacks the present list:\n%s", MetricsTable())
 	}
 }
 
 // BenchmarkRecord measures what an event costs the request path, and what it costs in all.
 func BenchmarkRecord(b *testing.B) {
 	x, _ := newTelemetry(Settings{Endpoint: "http://127.0.0.1:1", Interval: time.Hour, Timeout: time.Second, QueueBytes: 1 << 20, Traces: true,
-		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyTargets: []float64{0.5}, SampleRatio: 0.01}}, now, figures, quiet)
+		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyObjectives: []float64{0.5}, SampleRatio: 0.01}}, now, figures, quiet)
 	b.ReportAllocs()
 	for i := range b.N {
 		request(x, i)
--- a/rollup/rollup.go
+++ b/rollup/rollup.go
@@ -10,18 +10,18 @@
 
 // Counts is what one gateway did in one interval. Fields that are 0 are omitted from a line.
 type Counts struct {
-	Requests int     `json:"requests,omitempty"` // accepted from clients
-	Sends    int     `json:"sends,omitempty"`    // attempts
-	Connects int     `json:"connects,omitempty"` // dials to backends
-	Calls    int     `json:"calls,omitempty"`    // to the counter
-	Units    float64 `json:"units,omitempty"`    // reported to the counter by these, less what they took back
-	Full     int     `json:"full,omitempty"`     // calls rejected, by the counter or before it
-	Silent   int     `json:"silent,omitempty"`   // calls without an answer in time, or with a broken one
-	NoQuota  int     `json:"no_quota,omitempty"` // refusals, by cause
-	NoPlace  int     `json:"no_place,omitempty"`
-	NoAnswer int     `json:"no_answer,omitempty"`
-	Failed   int     `json:"failed,omitempty"`  // answers that are neither served nor refused
-	Changes  int     `json:"changes,omitempty"` // changed entries of discovery's list of backends
+	Requests        int     `json:"requests,omitempty"` // accepted from clients
+	Attempts        int     `json:"sends,omitempty"`    // attempts
+	Dials           int     `json:"connects,omitempty"` // dials to backends
+	CounterCalls    int     `json:"calls,omitempty"`    // to the counter
+	Units           float64 `json:"units,omitempty"`    // reported to the counter by these, less what they took back
+	CallsRejected   int     `json:"full,omitempty"`     // calls rejected, by the counter or before it
+	CallsUnanswered int     `json:"silent,omitempty"`   // calls without an answer in time, or with a broken one
+	QuotaExceeded   int     `json:"no_quota,omitempty"` // refusals, by cause
+	NoCapacity      int     `json:"no_place,omitempty"`
+	AttemptsFailed  int     `json:"no_answer,omitempty"`
+	Failed          int     `json:"failed,omitempty"`  // answers that are neither served nor refused
+	BackendChanges  int     `json:"changes,omitempty"` // changed entries of discovery's list of backends
 }
 
 // Line is one line of a rollup file: the counts of one gateway in one interval. At is the Unix time in seconds at
--- a/rollup/rollup_test.go
+++ b/rollup/rollup_test.go
@@ -11,17 +11,17 @@
 func TestAggregatorEmitsFinishedIntervals(t *testing.T) {
 	var got []Line
 	aggregator := NewAggregator(100*time.Millisecond, func(at float64, c Counts) { got = append(got, Line{At: at, Counts: c}) })
-	aggregator.Current(1000.02).Sends++
-	aggregator.Current(1000.09).Sends++
-	aggregator.Current(999.5).Calls++ // the clock steps back
-	aggregator.Current(1000.75)       // nothing happens
+	aggregator.Current(1000.02).Attempts++
+	aggregator.Current(1000.09).Attempts++
+	aggregator.Current(999.5).CounterCalls++ // the clock steps back
+	aggregator.Current(1000.75)              // nothing happens
 	aggregator.Current(1000.81).Units += 2.5
 	aggregator.Flush()
 	aggregator.Flush()
 	for i := range got {
 		got[i].At = float64(int(got[i].At*10+0.5)) / 10
 	}
-	want := []Line{{At: 1000, Counts: Counts{Sends: 2, Calls: 1}}, {At: 1000.8, Counts: Counts{Units: 2.5}}}
+	want := []Line{{At: 1000, Counts: Counts{Attempts: 2, CounterCalls: 1}}, {At: 1000.8, Counts: Counts{Units: 2.5}}}
 	if !reflect.DeepEqual(got, want) {
 		t.Fatalf("%+v", got)
 	}
@@ -32,12 +32,12 @@
 	for g := range 10 {
 		name := string(rune('a' + g))
 		for i := range 20 {
-			lines = append(lines, Line{At: 100 + float64(i)/2, Gateway: name, Counts: Counts{Sends: 1}})
+			lines = append(lines, Line{At: 100 + float64(i)/2, Gateway: name, Counts: Counts{Attempts: 1}})
 		}
-		lines = append(lines, Line{At: 104, Gateway: name, Counts: Counts{Connects: 3}}, // all at once
-			Line{At: 101 + float64(g)/2, Gateway: name, Counts: Counts{Changes: 1}})
+		lines = append(lines, Line{At: 104, Gateway: name, Counts: Counts{Dials: 3}}, // all at once
+			Line{At: 101 + float64(g)/2, Gateway: name, Counts: Counts{BackendChanges: 1}})
 	}
-	lines = append(lines, Line{At: 100, Gateway: "a", Counts: Counts{Calls: 10}}) // one alone
+	lines = append(lines, Line{At: 100, Gateway: "a", Counts: Counts{CounterCalls: 10}}) // one alone
 	s, err := Sum(lines, 0.5)
 	if err != nil {
 		t.Fatal(err)
@@ -75,8 +75,8 @@
 		var lines []Line
 		sends, units := 0, 0.0
 		for range rapid.IntRange(1, 60).Draw(t, "lines") {
-			c := Counts{Sends: rapid.IntRange(0, 5).Draw(t, "sends"), Units: float64(rapid.IntRange(-3, 9).Draw(t, "units"))}
-			sends, units = sends+c.Sends, units+c.Units
+			c := Counts{Attempts: rapid.IntRange(0, 5).Draw(t, "sends"), Units: float64(rapid.IntRange(-3, 9).Draw(t, "units"))}
+			sends, units = sends+c.Attempts, units+c.Units
 			lines = append(lines, Line{At: rapid.Float64Range(1e9, 1e9+50).Draw(t, "at"), Gateway: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "gateway"), Counts: c})
 		}
 		s, err := Sum(lines, rapid.SampledFrom([]float64{0.1, 0.5, 3, 100}).Draw(t, "every"))
--- a/rollup/site.go
+++ b/rollup/site.go
@@ -16,17 +16,17 @@
 // Counters lists all counters in the order of a line.
 var Counters = []Counter{
 	{"requests", func(c *Counts) float64 { return float64(c.Requests) }},
-	{"sends", func(c *Counts) float64 { return float64(c.Sends) }},
-	{"connects", func(c *Counts) float64 { return float64(c.Connects) }},
-	{"calls", func(c *Counts) float64 { return float64(c.Calls) }},
+	{"sends", func(c *Counts) float64 { return float64(c.Attempts) }},
+	{"connects", func(c *Counts) float64 { return float64(c.Dials) }},
+	{"calls", func(c *Counts) float64 { return float64(c.CounterCalls) }},
 	{"units", func(c *Counts) float64 { return c.Units }},
-	{"full", func(c *Counts) float64 { return float64(c.Full) }},
-	{"silent", func(c *Counts) float64 { return float64(c.Silent) }},
-	{"no_quota", func(c *Counts) float64 { return float64(c.NoQuota) }},
-	{"no_place", func(c *Counts) float64 { return float64(c.NoPlace) }},
-	{"no_answer", func(c *Counts) float64 { return float64(c.NoAnswer) }},
+	{"full", func(c *Counts) float64 { return float64(c.CallsRejected) }},
+	{"silent", func(c *Counts) float64 { return float64(c.CallsUnanswered) }},
+	{"no_quota", func(c *Counts) float64 { return float64(c.QuotaExceeded) }},
+	{"no_place", func(c *Counts) float64 { return float64(c.NoCapacity) }},
+	{"no_answer", func(c *Counts) float64 { return float64(c.AttemptsFailed) }},
 	{"failed", func(c *Counts) float64 { return float64(c.Failed) }},
-	{"changes", func(c *Counts) float64 { return float64(c.Changes) }},
+	{"changes", func(c *Counts) float64 { return float64(c.BackendChanges) }},
 }
 
 // Interval is the sum over all gateways in one interval.
--- a/traces/context.go
+++ b/traces/context.go
@@ -18,10 +18,10 @@
 
 // Context is a trace context of the W3C recommendation: the trace and span that a request belongs to.
 type Context struct {
-	Trace   TraceID
-	Span    SpanID
-	Sampled bool
-	State   string // tracestate, forwarded unchanged
+	Trace      TraceID
+	Span       SpanID
+	Sampled    bool
+	TraceState string // tracestate, forwarded unchanged
 }
 
 // Limits of the W3C recommendation, https://www.w3.org/TR/trace-context/.
@@ -56,7 +56,7 @@
 		return Context{}, false
 	}
 	c.Sampled = flags[0]&1 != 0
-	c.State = parseState(state)
+	c.TraceState = parseState(state)
 	return c, true
 }
 
@@ -132,8 +132,8 @@
 	return true
 }
 
-// Parent returns the value of the header traceparent for requests that the span sends.
-func (c Context) Parent() string {
+// Traceparent returns the value of the header traceparent for requests that the span sends.
+func (c Context) Traceparent() string {
 	text := append(make([]byte, 0, parentLen), "00-"...)
 	text = append(hex.AppendEncode(text, c.Trace[:]), '-')
 	text = append(hex.AppendEncode(text, c.Span[:]), "-00"...)
--- a/traces/recorder.go
+++ b/traces/recorder.go
@@ -10,10 +10,10 @@
 
 // Settings say which traces are recorded, and the names that appear in them.
 type Settings struct {
-	Classes, Plans []string
-	LatencyTargets []float64 // seconds, by class
-	SampleRatio    float64   // of traces that are exported whatever happened, 0 to 1
-	Keep           Keep
+	Classes, Plans    []string
+	LatencyObjectives []float64 // seconds, by class
+	SampleRatio       float64   // of traces that are exported whatever happened, 0 to 1
+	AlwaysSample      AlwaysSample
 }
 
 const (
@@ -31,7 +31,7 @@
 type Recorder struct {
 	settings  Settings
 	rng       *rand.Rand
-	Kept      int // traces that were exported
+	Sampled   int // traces that were exported
 	Discarded int // traces that were not sampled
 }
 
@@ -64,8 +64,8 @@
 
 // Handle records an event. If it completes a trace that is sampled, the trace's spans are appended to out.
 func (r *Recorder) Handle(e Event, out []Span) []Span {
-	trace := &e.Begin.trace
-	if e.Kind == Began {
+	trace := &e.Request.trace
+	if e.Kind == RequestAccepted {
 		trace.start(e.At)
 		return out
 	}
@@ -77,7 +77,7 @@
 		return out
 	}
 	trace.recorded = true
-	return r.finish(e.Begin, out)
+	return r.finish(e.Request, out)
 }
 
 func (t *requestTrace) start(at float64) {
@@ -88,17 +88,17 @@
 
 func (t *requestTrace) handle(e Event) {
 	switch e.Kind {
-	case Sent:
+	case AttemptStarted:
 		t.startAttempt(e)
-	case Ended:
+	case AttemptEnded:
 		t.endAttempt(e)
-	case Answered, ClientLeft:
+	case FinalResponse, ClientDisconnected:
 		if t.answeredOrLeft {
 			return
 		}
 		t.answeredOrLeft = true
 		t.final = e
-		t.final.Begin = nil // it points to this trace
+		t.final.Request = nil // it points to this trace
 	}
 }
 
@@ -106,7 +106,7 @@
 	if len(t.attempts) >= maxAttempts {
 		return
 	}
-	t.attempts = append(t.attempts, attemptTrace{start: e.At, paidAt: e.Paid, number: e.Attempt, span: e.Span,
+	t.attempts = append(t.attempts, attemptTrace{start: e.At, paidAt: e.AdmittedAt, number: e.Attempt, span: e.SpanID,
 		backend: e.Backend, zone: e.Zone})
 	t.openAttempts++
 }
@@ -126,13 +126,13 @@
 }
 
 // finish appends the spans of a completed trace, or discards it.
-func (r *Recorder) finish(b *Begin, out []Span) []Span {
+func (r *Recorder) finish(b *Request, out []Span) []Span {
 	reason, ratio := r.samplingReason(b)
 	if reason == "" {
 		r.Discarded++
 		return out
 	}
-	r.Kept++
+	r.Sampled++
 	root := r.rootSpan(b, reason, ratio)
 	first := len(out)
 	out = append(out, root)
@@ -156,21 +156,21 @@
 }
 
 // rootSpan makes the span of the request itself.
-func (r *Recorder) rootSpan(b *Begin, reason string, ratio float64) Span {
+func (r *Recorder) rootSpan(b *Request, reason string, ratio float64) Span {
 	trace := &b.trace
 	class := r.settings.Classes[b.Class]
 	root := Span{
-		Trace: b.Self.Trace, ID: b.Self.Span, Parent: b.Context.Span, State: b.Self.State, Sampled: b.Self.Sampled,
-		Kind: Server, Name: b.Method + " /" + class, Start: min(b.Sent, trace.startedAt), End: trace.final.At,
+		Trace: b.SpanContext.Trace, ID: b.SpanContext.Span, Parent: b.ParentContext.Span, TraceState: b.SpanContext.TraceState, Sampled: b.SpanContext.Sampled,
+		Kind: Server, Name: b.Method + " /" + class, Start: min(b.SentAt, trace.startedAt), End: trace.final.At,
 	}
 	root.Attrs = []Attr{
 		{"http.request.method", b.Method},
 		{"elderyard.class", class},
 		{"elderyard.plan", r.settings.Plans[b.Plan]},
 		{"elderyard.units", b.Units},
-		{"elderyard.request.id", b.Client},
-		{"elderyard.request.keyed", b.Key},
-		{"elderyard.request.repeated", b.Repeated},
+		{"elderyard.request.id", b.RequestID},
+		{"elderyard.request.keyed", b.HasIdempotencyKey},
+		{"elderyard.request.repeated", b.IsRetry},
 		{"elderyard.attempts", int64(len(trace.attempts))},
 		{"elderyard.kept.why", reason},
 		{sampleRatioKey, ratio},
@@ -181,7 +181,7 @@
 
 // addResult adds how the request ended.
 func (s *Span) addResult(final Event) {
-	if final.Kind == ClientLeft {
+	if final.Kind == ClientDisconnected {
 		s.Attrs = append(s.Attrs, Attr{"elderyard.outcome", "client gone"})
 		return
 	}
@@ -197,7 +197,7 @@
 
 // child makes a span below the root.
 func (s *Span) child(id SpanID, kind Kind, name string, start, end float64) Span {
-	return Span{Trace: s.Trace, ID: id, Parent: s.ID, State: s.State, Sampled: s.Sampled, Kind: kind, Name: name, Start: start, End: end}
+	return Span{Trace: s.Trace, ID: id, Parent: s.ID, TraceState: s.TraceState, Sampled: s.Sampled, Kind: kind, Name: name, Start: start, End: end}
 }
 
 // attemptSpan makes the span of one attempt.
@@ -225,7 +225,7 @@
 	if len(t.attempts) > 0 {
 		end, paidAt = t.attempts[0].start, t.attempts[0].paidAt
 	} else if t.final.Reason != rules.QuotaExceeded {
-		paidAt = t.final.Paid
+		paidAt = t.final.AdmittedAt
 	}
 	if paidAt < t.startedAt {
 		return r.waitSpan("wait for quota", t.startedAt, end, root, ratio, out)
@@ -250,5 +250,5 @@
 	return id
 }
 
-// Nanos converts a time in seconds to OTLP's nanoseconds.
-func Nanos(at float64) uint64 { return uint64(math.Round(max(at, 0) * 1e9)) }
+// UnixNanos converts a time in seconds to OTLP's nanoseconds.
+func UnixNanos(at float64) uint64 { return uint64(math.Round(max(at, 0) * 1e9)) }
--- a/traces/sampling.go
+++ b/traces/sampling.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// Keep selects traces that are exported whatever the sample ratio.
-type Keep struct{ Failed, Refused, Late, Repeated bool }
+// AlwaysSample selects traces that are exported whatever the sample ratio.
+type AlwaysSample struct{ Failed, Refused, Late, Retried bool }
 
 // randomTraceBits is how many low bits of a trace ID W3C asks to be random.
 const randomTraceBits = 56
@@ -17,22 +17,22 @@
 
 // samplingReason returns why a finished request's trace is exported, "" if it is not, and the ratio at which
 // traces of its kind are sampled.
-func (r *Recorder) samplingReason(b *Begin) (reason string, ratio float64) {
-	keep, trace := r.settings.Keep, &b.trace
+func (r *Recorder) samplingReason(b *Request) (reason string, ratio float64) {
+	keep, trace := r.settings.AlwaysSample, &b.trace
 	final := &trace.final
-	answered := final.Kind != ClientLeft
+	answered := final.Kind != ClientDisconnected
 	switch {
-	case b.Context.Sampled:
+	case b.ParentContext.Sampled:
 		return "client", 1
 	case keep.Failed && answered && final.Status >= 500:
 		return "failed", 1
 	case keep.Refused && answered && (final.Status == 429 || final.Status == 503):
 		return "refused", 1
-	case keep.Late && answered && final.At-b.Sent > r.settings.LatencyTargets[b.Class]:
+	case keep.Late && answered && final.At-b.SentAt > r.settings.LatencyObjectives[b.Class]:
 		return "late", 1
-	case keep.Repeated && (b.Repeated || len(trace.attempts) > 1):
+	case keep.Retried && (b.IsRetry || len(trace.attempts) > 1):
 		return "repeated", 1
-	case InSample(b.Self.Trace, r.settings.SampleRatio):
+	case InSample(b.SpanContext.Trace, r.settings.SampleRatio):
 		return "share", r.settings.SampleRatio
 	}
 	return "", 0
--- a/traces/span.go
+++ b/traces/span.go
@@ -14,7 +14,7 @@
 type Span struct {
 	Trace      TraceID
 	ID, Parent SpanID // an all-zero Parent means none
-	State      string
+	TraceState string
 	Sampled    bool
 	Name       string
 	Kind       Kind
--- a/traces/tally.go
+++ b/traces/tally.go
@@ -8,12 +8,12 @@
 	plans          int
 	latencyTargets []float64
 
-	Requests   []uint64     // by class and plan: accepted requests
-	FirstTries []uint64     // by class and plan: accepted requests that no client marked as a retry
-	InTime     []uint64     // by class and plan: requests served within the class's latency target
-	Ends       [][]uint64   // by class, then by End
-	Attempts   []uint64     // by rules.Outcome
-	Latency    []*Histogram // by class: seconds to the final answer of served requests
+	Requests        []uint64     // by class and plan: accepted requests
+	InitialRequests []uint64     // by class and plan: accepted requests that no client marked as a retry
+	WithinObjective []uint64     // by class and plan: requests served within the class's latency target
+	Ends            [][]uint64   // by class, then by End
+	Attempts        []uint64     // by rules.Outcome
+	Latency         []*Histogram // by class: seconds to the final answer of served requests
 }
 
 // End is how a request ended.
@@ -22,11 +22,11 @@
 // The ways in which a request can end.
 const (
 	EndServed End = iota
-	EndNoQuota
-	EndNoPlace
-	EndNoAnswer // refused after attempts that had no effect
+	EndQuotaExceeded
+	EndNoCapacity
+	EndAttemptsFailed // refused after attempts that had no effect
 	EndFailed
-	EndClientLeft
+	EndClientDisconnected
 	EndCount int = iota
 )
 
@@ -73,12 +73,12 @@
 func NewTally(settings Settings) *Tally {
 	n := len(settings.Classes) * len(settings.Plans)
 	t := &Tally{
-		plans:          len(settings.Plans),
-		latencyTargets: settings.LatencyTargets,
-		Requests:       make([]uint64, n),
-		FirstTries:     make([]uint64, n),
-		InTime:         make([]uint64, n),
-		Attempts:       make([]uint64, OutcomeCount),
+		plans:           len(settings.Plans),
+		latencyTargets:  settings.LatencyObjectives,
+		Requests:        make([]uint64, n),
+		InitialRequests: make([]uint64, n),
+		WithinObjective: make([]uint64, n),
+		Attempts:        make([]uint64, OutcomeCount),
 	}
 	for range settings.Classes {
 		t.Ends = append(t.Ends, make([]uint64, EndCount))
@@ -93,49 +93,49 @@
 // Handle counts an event. Only the first final event of a request may be handed to it.
 func (t *Tally) Handle(e Event) {
 	switch e.Kind {
-	case Began:
-		t.countRequest(e.Begin)
-	case Ended:
+	case RequestAccepted:
+		t.countRequest(e.Request)
+	case AttemptEnded:
 		t.Attempts[e.Outcome]++
-	case Answered, ClientLeft:
+	case FinalResponse, ClientDisconnected:
 		t.countEnd(e)
 	}
 }
 
-func (t *Tally) countRequest(b *Begin) {
+func (t *Tally) countRequest(b *Request) {
 	i := t.Index(b.Class, b.Plan)
 	t.Requests[i]++
-	if !b.Repeated {
-		t.FirstTries[i]++
+	if !b.IsRetry {
+		t.InitialRequests[i]++
 	}
 }
 
 func (t *Tally) countEnd(e Event) {
-	b := e.Begin
+	b := e.Request
 	end := endOf(e)
 	t.Ends[b.Class][end]++
 	if end != EndServed {
 		return
 	}
-	latency := e.At - b.Sent
-	t.Latency[b.Class].Add(latency, b.Self, e.At)
+	latency := e.At - b.SentAt
+	t.Latency[b.Class].Add(latency, b.SpanContext, e.At)
 	if latency <= t.latencyTargets[b.Class] {
-		t.InTime[t.Index(b.Class, b.Plan)]++
+		t.WithinObjective[t.Index(b.Class, b.Plan)]++
 	}
 }
 
 func endOf(e Event) End {
 	switch {
-	case e.Kind == ClientLeft:
-		return EndClientLeft
+	case e.Kind == ClientDisconnected:
+		return EndClientDisconnected
 	case e.Status == 200:
 		return EndServed
 	case e.Status != 429:
 		return EndFailed
 	case e.Reason == rules.QuotaExceeded:
-		return EndNoQuota
+		return EndQuotaExceeded
 	case e.Reason == rules.NoCapacity:
-		return EndNoPlace
+		return EndNoCapacity
 	}
-	return EndNoAnswer
+	return EndAttemptsFailed
 }
--- a/traces/traces_test.go
+++ b/traces/traces_test.go
@@ -19,10 +19,10 @@
 func TestParseContext(t *testing.T) {
 	good := "00-" + trace + "-" + parent + "-01"
 	c, ok := ParseContext([]string{good}, []string{"rojo=00f067aa0ba902b7, congo=t61rcWkgMzE", "a@b=1"})
-	if !ok || !c.Sampled || c.Parent() != good || c.State != "rojo=00f067aa0ba902b7,congo=t61rcWkgMzE,a@b=1" {
+	if !ok || !c.Sampled || c.Traceparent() != good || c.TraceState != "rojo=00f067aa0ba902b7,congo=t61rcWkgMzE,a@b=1" {
 		t.Fatalf("%v %+v", ok, c)
 	}
-	if c, ok := ParseContext([]string{"cc" + good[2:] + "-later"}, nil); !ok || c.Parent() != good {
+	if c, ok := ParseContext([]string{"cc" + good[2:] + "-later"}, nil); !ok || c.Traceparent() != good {
 		t.Errorf("a later version: %v %+v", ok, c)
 	}
 	for name, bad := range map[string][]string{
@@ -39,8 +39,8 @@
 		"no value": "a", "empty value": "a=", "capital": "A=1", "twice": "a=1,a=2", "bytes": "a=\x01", "comma in value": "a=1=2",
 		"long": "a=" + strings.Repeat("x", 600), "many": strings.Repeat("a=1,", 33), "digit first": "1a=1", "bad tenant": "a@=1",
 	} {
-		if c, ok := ParseContext([]string{good}, []string{bad}); !ok || c.State != "" {
-			t.Errorf("%s: %v, state %q", name, ok, c.State)
+		if c, ok := ParseContext([]string{good}, []string{bad}); !ok || c.TraceState != "" {
+			t.Errorf("%s: %v, state %q", name, ok, c.TraceState)
 		}
 	}
 }
@@ -53,27 +53,27 @@
 		if !ok {
 			return
 		}
-		again, ok := ParseContext([]string{c.Parent()}, []string{c.State})
-		if !ok || again != c || len(c.State) > maxStateLen {
+		again, ok := ParseContext([]string{c.Traceparent()}, []string{c.TraceState})
+		if !ok || again != c || len(c.TraceState) > maxStateLen {
 			t.Fatalf("%+v became %+v", c, again)
 		}
 	})
 }
 
 func settings() Settings {
-	return Settings{Classes: []string{"lookup", "booking"}, Plans: []string{"basic"}, LatencyTargets: []float64{0.4, 0.9},
-		Keep: Keep{Failed: true, Refused: true, Late: true, Repeated: true}}
+	return Settings{Classes: []string{"lookup", "booking"}, Plans: []string{"basic"}, LatencyObjectives: []float64{0.4, 0.9},
+		AlwaysSample: AlwaysSample{Failed: true, Refused: true, Late: true, Retried: true}}
 }
 
 // record feeds the events of one request to a recorder and returns its spans.
-func record(t *Recorder, b Begin, events ...Event) []Span {
-	if b.Self.Trace == (TraceID{}) {
-		b.Self = Context{Trace: TraceIDFromKey(1, "k"), Span: SpanID{9}}
+func record(t *Recorder, b Request, events ...Event) []Span {
+	if b.SpanContext.Trace == (TraceID{}) {
+		b.SpanContext = Context{Trace: TraceIDFromKey(1, "k"), Span: SpanID{9}}
 	}
 	b.Method = "GET"
-	out := t.Handle(Event{Kind: Began, At: 10, Begin: &b}, nil)
+	out := t.Handle(Event{Kind: RequestAccepted, At: 10, Request: &b}, nil)
 	for _, e := range events {
-		e.Begin = &b
+		e.Request = &b
 		out = t.Handle(e, out)
 	}
 	return out
@@ -84,16 +84,16 @@
 	client, _ := ParseContext([]string{"00-" + trace + "-" + parent + "-01"}, []string{"a=1"})
 	self := client
 	self.Span = SpanID{7}
-	spans := record(recorder, Begin{Context: client, Self: self, Class: 1, Sent: 10, Units: 2},
-		Event{Kind: Sent, At: 10.3, Attempt: 0, Span: SpanID{1}, Backend: "n1", Paid: 10.2},
-		Event{Kind: Ended, At: 10.4, Attempt: 0, Outcome: rules.Overloaded},
-		Event{Kind: Sent, At: 10.4, Attempt: 1, Span: SpanID{2}, Backend: "n2", Paid: 10.2},
-		Event{Kind: Answered, At: 10.6, Status: 200},
-		Event{Kind: Ended, At: 10.6, Attempt: 1, Outcome: rules.Served})
+	spans := record(recorder, Request{ParentContext: client, SpanContext: self, Class: 1, SentAt: 10, Units: 2},
+		Event{Kind: AttemptStarted, At: 10.3, Attempt: 0, SpanID: SpanID{1}, Backend: "n1", AdmittedAt: 10.2},
+		Event{Kind: AttemptEnded, At: 10.4, Attempt: 0, Outcome: rules.Overloaded},
+		Event{Kind: AttemptStarted, At: 10.4, Attempt: 1, SpanID: SpanID{2}, Backend: "n2", AdmittedAt: 10.2},
+		Event{Kind: FinalResponse, At: 10.6, Status: 200},
+		Event{Kind: AttemptEnded, At: 10.6, Attempt: 1, Outcome: rules.Served})
 	var names []string
 	for i, s := range spans {
 		names = append(names, s.Name)
-		if s.Trace != client.Trace || s.State != "a=1" || i == 0 && s.Parent != client.Span || i > 0 && s.Parent != spans[0].ID || s.End < s.Start {
+		if s.Trace != client.Trace || s.TraceState != "a=1" || i == 0 && s.Parent != client.Span || i > 0 && s.Parent != spans[0].ID || s.End < s.Start {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -109,34 +109,34 @@
 	if spans[0].Get("elderyard.outcome") != "served" || spans[0].Get("elderyard.kept.why") != "client" || spans[0].Failed {
 		t.Errorf("%+v", spans[0])
 	}
-	if recorder.Kept != 1 {
-		t.Errorf("%d traces were recorded", recorder.Kept)
+	if recorder.Sampled != 1 {
+		t.Errorf("%d traces were recorded", recorder.Sampled)
 	}
 }
 
 // Traces of requests that went wrong are always kept, the others are sampled, and each span carries the sample ratio.
 func TestSampling(t *testing.T) {
-	served := []Event{{Kind: Sent, At: 10, Span: SpanID{1}, Paid: 10}, {Kind: Answered, At: 10.1, Status: 200}, {Kind: Ended, At: 10.1, Outcome: rules.Served}}
-	late := []Event{{Kind: Sent, At: 10, Span: SpanID{1}, Paid: 10}, {Kind: Answered, At: 10.5, Status: 200}, {Kind: Ended, At: 10.5, Outcome: rules.Served}}
-	refused := []Event{{Kind: Answered, At: 10, Status: 429, Reason: rules.NoCapacity, Paid: 10}}
+	served := []Event{{Kind: AttemptStarted, At: 10, SpanID: SpanID{1}, AdmittedAt: 10}, {Kind: FinalResponse, At: 10.1, Status: 200}, {Kind: AttemptEnded, At: 10.1, Outcome: rules.Served}}
+	late := []Event{{Kind: AttemptStarted, At: 10, SpanID: SpanID{1}, AdmittedAt: 10}, {Kind: FinalResponse, At: 10.5, Status: 200}, {Kind: AttemptEnded, At: 10.5, Outcome: rules.Served}}
+	refused := []Event{{Kind: FinalResponse, At: 10, Status: 429, Reason: rules.NoCapacity, AdmittedAt: 10}}
 	for name, k := range map[string]struct {
-		begin  Begin
+		begin  Request
 		events []Event
-		keep   Keep
+		keep   AlwaysSample
 		why    any
 	}{
-		"served":           {Begin{Sent: 10}, served, settings().Keep, nil},
-		"late":             {Begin{Sent: 10}, late, settings().Keep, "late"},
-		"late, left out":   {Begin{Sent: 10}, late, Keep{Failed: true}, nil},
-		"refused":          {Begin{Sent: 10}, refused, settings().Keep, "refused"},
-		"refused, not":     {Begin{Sent: 10}, refused, Keep{Late: true}, nil},
-		"failed":           {Begin{Sent: 10}, []Event{{Kind: Answered, At: 10, Status: 502}}, settings().Keep, "failed"},
-		"marked":           {Begin{Sent: 10, Repeated: true}, served, settings().Keep, "repeated"},
-		"the client asked": {Begin{Sent: 10, Context: Context{Sampled: true}}, served, Keep{}, "client"},
-		"gone":             {Begin{Sent: 10}, []Event{{Kind: ClientLeft, At: 11}}, settings().Keep, nil},
+		"served":           {Request{SentAt: 10}, served, settings().AlwaysSample, nil},
+		"late":             {Request{SentAt: 10}, late, settings().AlwaysSample, "late"},
+		"late, left out":   {Request{SentAt: 10}, late, AlwaysSample{Failed: true}, nil},
+		"refused":          {Request{SentAt: 10}, refused, settings().AlwaysSample, "refused"},
+		"refused, not":     {Request{SentAt: 10}, refused, AlwaysSample{Late: true}, nil},
+		"failed":           {Request{SentAt: 10}, []Event{{Kind: FinalResponse, At: 10, Status: 502}}, settings().AlwaysSample, "failed"},
+		"marked":           {Request{SentAt: 10, IsRetry: true}, served, settings().AlwaysSample, "repeated"},
+		"the client asked": {Request{SentAt: 10, ParentContext: Context{Sampled: true}}, served, AlwaysSample{}, "client"},
+		"gone":             {Request{SentAt: 10}, []Event{{Kind: ClientDisconnected, At: 11}}, settings().AlwaysSample, nil},
 	} {
 		set := settings()
-		set.Keep = k.keep
+		set.AlwaysSample = k.keep
 		spans := record(NewRecorder(set, 1), k.begin, k.events...)
 		var why any
 		if len(spans) > 0 {
@@ -155,7 +155,7 @@
 		for i := range id {
 			id[i] = byte(rng.Uint32())
 		}
-		spans := record(recorder, Begin{Sent: 10, Self: Context{Trace: id, Span: SpanID{1}}}, served...)
+		spans := record(recorder, Request{SentAt: 10, SpanContext: Context{Trace: id, Span: SpanID{1}}}, served...)
 		if len(spans) > 0 {
 			n++
 			for _, s := range spans {
@@ -194,30 +194,30 @@
 		set := settings()
 		set.SampleRatio = 1
 		recorder, tally := NewRecorder(set, 1), NewTally(set)
-		open := map[int]*Begin{}
-		ended := map[*Begin]bool{}
+		open := map[int]*Request{}
+		ended := map[*Request]bool{}
 		began, ends, roots, over := uint64(0), uint64(0), map[SpanID]bool{}, 0
 		for i, at := range rapid.SliceOfN(rapid.Float64Range(0, 100), 1, 300).Draw(t, "times") {
 			e := Event{Kind: EventKind(rapid.IntRange(0, 4).Draw(t, "kind")), At: at, Attempt: rapid.IntRange(0, 20).Draw(t, "attempt"),
 				Outcome: rules.Outcome(rapid.IntRange(0, int(rules.NotSent)).Draw(t, "outcome")),
 				Status:  rapid.SampledFrom([]int{200, 429, 502}).Draw(t, "status"), Reason: rules.Reason(rapid.IntRange(0, 2).Draw(t, "reason")),
-				Paid: rapid.Float64Range(0, 100).Draw(t, "paid"), Span: SpanID{1, byte(i), byte(i >> 8)}}
+				AdmittedAt: rapid.Float64Range(0, 100).Draw(t, "paid"), SpanID: SpanID{1, byte(i), byte(i >> 8)}}
 			id := rapid.IntRange(1, 20).Draw(t, "request")
-			e.Begin = open[id]
-			if e.Begin == nil {
-				e.Begin = &Begin{Self: Context{Trace: TraceIDFromKey(uint64(i), "x"), Span: SpanID{2, byte(i), byte(i >> 8)}},
-					Class: rapid.IntRange(0, 1).Draw(t, "class"), Sent: at, Method: "GET", Repeated: i%3 == 0}
-				open[id] = e.Begin
-				if e.Kind == Began {
+			e.Request = open[id]
+			if e.Request == nil {
+				e.Request = &Request{SpanContext: Context{Trace: TraceIDFromKey(uint64(i), "x"), Span: SpanID{2, byte(i), byte(i >> 8)}},
+					Class: rapid.IntRange(0, 1).Draw(t, "class"), SentAt: at, Method: "GET", IsRetry: i%3 == 0}
+				open[id] = e.Request
+				if e.Kind == RequestAccepted {
 					began++
 				}
-			} else if e.Kind == Began {
+			} else if e.Kind == RequestAccepted {
 				continue
 			}
-			if (e.Kind == Answered || e.Kind == ClientLeft) && !ended[e.Begin] {
-				ended[e.Begin] = true
+			if (e.Kind == FinalResponse || e.Kind == ClientDisconnected) && !ended[e.Request] {
+				ended[e.Request] = true
 				ends++
-			} else if e.Kind == Answered || e.Kind == ClientLeft {
+			} else if e.Kind == FinalResponse || e.Kind == ClientDisconnected {
 				continue // a request has one end
 			}
 			tally.Handle(e)
@@ -236,13 +236,13 @@
 				}
 			}
 		}
-		if recorder.Kept != over || recorder.Discarded != 0 {
-			t.Fatalf("%d recorded, %d discarded, %d seen", recorder.Kept, recorder.Discarded, over)
+		if recorder.Sampled != over || recorder.Discarded != 0 {
+			t.Fatalf("%d recorded, %d discarded, %d seen", recorder.Sampled, recorder.Discarded, over)
 		}
 		tries, counted := uint64(0), uint64(0)
 		for i := range tally.Requests {
 			tries += tally.Requests[i]
-			if tally.FirstTries[i] > tally.Requests[i] {
+			if tally.InitialRequests[i] > tally.Requests[i] {
 				t.Fatalf("%+v", tally)
 			}
 		}
