--- a/traces/context.go
+++ b/traces/context.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// TraceID identifies a trace across processes; a valid one is never all zero.
+// TraceID identifies a trace across processes. A valid ID has a byte that is not 0.
 type TraceID [16]byte
 
-// SpanID identifies a span; a valid one is never all zero.
+// SpanID identifies a span. A valid ID has a byte that is not 0.
 type SpanID [8]byte
 
-// Context is a trace context of the W3C recommendation: the trace and span that a request belongs to.
+// Context is a W3C trace context: a trace, one of its spans and the sampling decision.
 type Context struct {
 	Trace      TraceID
 	Span       SpanID
@@ -26,56 +26,56 @@
 
 // Limits of the W3C recommendation, https://www.w3.org/TR/trace-context/.
 const (
-	parentLen        = 55
-	maxParentLen     = 512 // bytes, of a later version's header
-	maxStateLen      = 512 // bytes
-	maxStateMembers  = 32
-	maxStateKeyLen   = 256
-	maxStateValueLen = 256
+	traceparentLen        = 55
+	maxTraceparentLen     = 512 // bytes; headers of later versions may be longer than traceparentLen
+	maxTraceStateLen      = 512 // bytes
+	maxTraceStateMembers  = 32
+	maxTraceStateKeyLen   = 256
+	maxTraceStateValueLen = 256
 )
 
 // ParseContext parses the values of the headers traceparent and tracestate. It returns false unless there is
-// exactly one valid traceparent; the request then starts a new trace. An invalid tracestate alone is dropped, as
-// the recommendation demands.
-func ParseContext(parent, state []string) (Context, bool) {
+// exactly one valid traceparent; the request then starts a new trace. If only the tracestate is invalid, it is
+// dropped and the traceparent is used, as the recommendation requires.
+func ParseContext(traceparent, tracestate []string) (Context, bool) {
 	var c Context
-	if len(parent) != 1 {
+	if len(traceparent) != 1 {
 		return c, false
 	}
-	text := parent[0]
-	if len(text) < parentLen || len(text) > maxParentLen || text[2] != '-' || text[35] != '-' || text[52] != '-' {
+	text := traceparent[0]
+	if len(text) < traceparentLen || len(text) > maxTraceparentLen || text[2] != '-' || text[35] != '-' || text[52] != '-' {
 		return c, false
 	}
 	var version, flags [1]byte
-	if !lowerHex(version[:], text[:2]) || version[0] == 0xff || version[0] == 0 && len(text) != parentLen ||
-		len(text) > parentLen && text[parentLen] != '-' {
+	if !decodeLowerHex(version[:], text[:2]) || version[0] == 0xff || version[0] == 0 && len(text) != traceparentLen ||
+		len(text) > traceparentLen && text[traceparentLen] != '-' {
 		return c, false
 	}
-	if !lowerHex(c.Trace[:], text[3:35]) || !lowerHex(c.Span[:], text[36:52]) || !lowerHex(flags[:], text[53:55]) ||
+	if !decodeLowerHex(c.Trace[:], text[3:35]) || !decodeLowerHex(c.Span[:], text[36:52]) || !decodeLowerHex(flags[:], text[53:55]) ||
 		c.Trace == (TraceID{}) || c.Span == (SpanID{}) {
 		return Context{}, false
 	}
 	c.Sampled = flags[0]&1 != 0
-	c.TraceState = parseState(state)
+	c.TraceState = parseTraceState(tracestate)
 	return c, true
 }
 
-// lowerHex decodes lower-case hexadecimal digits and reports whether they are valid and fill to.
-func lowerHex(to []byte, text string) bool {
+// decodeLowerHex decodes lower-case hexadecimal digits and reports whether they are valid and fill dst exactly.
+func decodeLowerHex(dst []byte, text string) bool {
 	for i := range len(text) {
 		if c := text[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
 			return false
 		}
 	}
-	n, err := hex.Decode(to, []byte(text))
-	return err == nil && n == len(to)
+	n, err := hex.Decode(dst, []byte(text))
+	return err == nil && n == len(dst)
 }
 
-// parseState joins the lines of a tracestate; it returns "" if they are not valid.
-func parseState(lines []string) string {
+// parseTraceState joins the lines of a tracestate into one list. It returns "" if they are invalid or too long.
+func parseTraceState(lines []string) string {
 	total := 0
-	for _, l := range lines {
-		if total += len(l) + 1; total > maxStateLen+1 {
+	for _, line := range lines {
+		if total += len(line) + 1; total > maxTraceStateLen+1 {
 			return ""
 		}
 	}
@@ -87,7 +87,7 @@
 			continue
 		}
 		key, value, ok := strings.Cut(part, "=")
-		if !ok || seen[key] || !stateKey(key) || !stateValue(value) || len(members) == maxStateMembers {
+		if !ok || seen[key] || !validTraceStateKey(key) || !validTraceStateValue(value) || len(members) == maxTraceStateMembers {
 			return ""
 		}
 		seen[key] = true
@@ -96,12 +96,14 @@
 	return strings.Join(members, ",")
 }
 
-func stateKey(key string) bool {
-	if key == "" || len(key) > maxStateKeyLen {
+// validTraceStateKey reports whether key is a simple key or, with an @, a multi-tenant key of at most 241 bytes for
+// the tenant and 14 for the system.
+func validTraceStateKey(key string) bool {
+	if key == "" || len(key) > maxTraceStateKeyLen {
 		return false
 	}
-	tenant, system, multi := strings.Cut(key, "@")
-	if multi && (len(tenant) > 241 || len(system) > 14 || system == "" || system[0] < 'a' || system[0] > 'z') {
+	tenant, system, multiTenant := strings.Cut(key, "@")
+	if multiTenant && (len(tenant) > 241 || len(system) > 14 || system == "" || system[0] < 'a' || system[0] > 'z') {
 		return false
 	}
 	for i := range len(tenant + system) {
@@ -109,7 +111,7 @@
 		switch {
 		case c >= 'a' && c <= 'z':
 		case c >= '0' && c <= '9':
-			if i == 0 && !multi {
+			if i == 0 && !multiTenant {
 				return false
 			}
 		case strings.IndexByte("_-*/", c) >= 0 && i > 0:
@@ -120,8 +122,10 @@
 	return tenant != ""
 }
 
-func stateValue(value string) bool {
-	if value == "" || len(value) > maxStateValueLen || value[len(value)-1] == ' ' {
+// validTraceStateValue reports whether value consists of printable ASCII without comma and equals sign, and does not
+// end in a space.
+func validTraceStateValue(value string) bool {
+	if value == "" || len(value) > maxTraceStateValueLen || value[len(value)-1] == ' ' {
 		return false
 	}
 	for i := range len(value) {
@@ -132,28 +136,28 @@
 	return true
 }
 
-// Traceparent returns the value of the header traceparent for requests that the span sends.
+// Traceparent returns the value of the header traceparent for requests sent by the span.
 func (c Context) Traceparent() string {
-	text := append(make([]byte, 0, parentLen), "00-"...)
+	text := append(make([]byte, 0, traceparentLen), "00-"...)
 	text = append(hex.AppendEncode(text, c.Trace[:]), '-')
 	text = append(hex.AppendEncode(text, c.Span[:]), "-00"...)
 	if c.Sampled {
-		text[parentLen-1] = '1'
+		text[traceparentLen-1] = '1'
 	}
 	return string(text)
 }
 
-// traceIDSeed is part of the derivation of trace IDs: gateways of all versions must agree on it.
-const traceIDSeed = "elderyard story "
+// traceIDPrefix is hashed in front of the key. It must not change: gateways of all versions must derive the same IDs.
+const traceIDPrefix = "elderyard story "
 
 // TraceIDFromKey derives the trace ID of a request with an idempotency key but no trace context. All gateways
-// derive the same ID, so retries through different gateways share one trace. The last eight bytes, which sampling
-// uses, are uniformly distributed.
+// derive the same ID, so retries through different gateways share one trace. Its last eight bytes, on which sampling
+// depends, are uniformly distributed.
 func TraceIDFromKey(account uint64, key string) (t TraceID) {
-	text := append(make([]byte, 0, 64), traceIDSeed...)
+	text := append(make([]byte, 0, 64), traceIDPrefix...)
 	text = append(binary.BigEndian.AppendUint64(text, account), key...)
 	sum := sha256.Sum256(text)
 	copy(t[:], sum[:])
-	t[0] |= 1 // never all zero
+	t[0] |= 1 // an all-zero ID is invalid
 	return t
 }
--- a/traces/event.go
+++ b/traces/event.go
@@ -2,12 +2,12 @@
 
 import "elderyard/rules"
 
-// Request describes a request that was accepted. Every event of the request carries a pointer to it, and it holds
-// the trace under construction, so there are never more open traces than open requests.
+// Request describes an accepted request. Every event of the request carries a pointer to it, and it holds the trace
+// under construction, so there are never more open traces than open requests.
 type Request struct {
-	ParentContext     Context // sent by the client; an all-zero span means that it sent none
-	SpanContext       Context // of the request's own span; forwarded to the backend
-	RequestID         string  // the client's own ID of this try
+	ParentContext     Context // from the client; an all-zero span ID means that it sent none
+	SpanContext       Context // of the request's own span; the backend gets it with the span ID of the attempt
+	RequestID         string  // the correlation ID that the client sent with this try
 	Class             int
 	Plan              int
 	Units             float64
@@ -19,25 +19,24 @@
 	trace requestTrace // owned by the Recorder
 }
 
-// Event is one thing that happened to a request. The fields after Begin are set only for the kinds named beside
-// them.
+// Event is one step in the life of a request. The fields below Request are set only for the kinds in their comments.
 type Event struct {
 	Kind    EventKind
 	At      float64 // seconds
 	Request *Request
 
-	Attempt    int    // Sent and Ended: the attempt's number
-	SpanID     SpanID // Sent: the attempt's span
-	Backend    string // Sent
-	Zone       string // Sent
-	AdmittedAt float64
-	Outcome    rules.Outcome // Ended
-	Status     int           // Answered: the HTTP status
-	Reason     rules.Reason  // Answered: why the request was refused
-	RetryAfter float64       // Answered: seconds
+	Attempt    int           // AttemptStarted and AttemptEnded: the attempt's number
+	SpanID     SpanID        // AttemptStarted: the attempt's span
+	Backend    string        // AttemptStarted
+	Zone       string        // AttemptStarted
+	AdmittedAt float64       // AttemptStarted and FinalResponse: when the quota admitted the request, in seconds
+	Outcome    rules.Outcome // AttemptEnded
+	Status     int           // FinalResponse: the HTTP status
+	Reason     rules.Reason  // FinalResponse: why the request was refused
+	RetryAfter float64       // FinalResponse: seconds
 }
 
-// EventKind says what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
 // The kinds of event.
@@ -45,8 +44,8 @@
 	RequestAccepted    EventKind = iota // a request was accepted
 	AttemptStarted                      // an attempt was started
 	AttemptEnded                        // an attempt ended
-	FinalResponse                       // the request got its final answer
-	ClientDisconnected                  // the client disconnected before the final answer
+	FinalResponse                       // the request got its final response
+	ClientDisconnected                  // the client disconnected before the final response
 )
 
 // EventKindCount is the number of kinds of event.
--- a/traces/golden_test.go
+++ b/traces/golden_test.go
@@ -9,11 +9,11 @@
 	"elderyard/rules"
 )
 
-// Every name of a span, an attribute and a value that a collector is sent, from requests that end in each way.
+// Pins the names of all exported spans, attributes and values, with a request for each outcome.
 func TestGoldenSpans(t *testing.T) {
-	client, ok := ParseContext([]string{"00-" + trace + "-" + parent + "-01"}, []string{"a=1"})
+	client, ok := ParseContext([]string{"00-" + traceID + "-" + parentSpanID + "-01"}, []string{"a=1"})
 	if !ok {
-		t.Fatal("the context is not read")
+		t.Fatal("the trace context was not parsed")
 	}
 	attempt := func(number int, at float64, outcome rules.Outcome) []Event {
 		return []Event{{Kind: AttemptStarted, At: at, Attempt: number, SpanID: SpanID{1, byte(number)}, Backend: "n1", Zone: "a", AdmittedAt: 10.1},
@@ -27,12 +27,12 @@
 	set.SampleRatio = 0.5
 	always := settings()
 	always.AlwaysSample, always.SampleRatio = AlwaysSample{}, 1
-	var b strings.Builder
-	for _, k := range []struct {
-		about  string
-		set    Settings
-		begin  Request
-		events []Event
+	var out strings.Builder
+	for _, tc := range []struct {
+		about   string
+		set     Settings
+		request Request
+		events  []Event
 	}{
 		{"an attempt of each outcome, asked for by the client", set, Request{ParentContext: client, Class: 1, Units: 2.5, RequestID: "id-1", HasIdempotencyKey: true, IsRetry: true, SentAt: 9.5},
 			append(everyOutcome, Event{Kind: FinalResponse, At: 20, Status: 200})},
@@ -45,22 +45,22 @@
 		{"failed", set, Request{SentAt: 10}, append(attempt(0, 10.2, rules.Errored), Event{Kind: FinalResponse, At: 10.5, Status: 502})},
 		{"the client left", always, Request{SentAt: 10}, []Event{{Kind: ClientDisconnected, At: 11}}},
 	} {
-		fmt.Fprintf(&b, "=== %s\n", k.about)
-		for i, s := range record(NewRecorder(k.set, 1), k.begin, k.events...) {
-			fmt.Fprintf(&b, "span %d: %q kind %d state %q sampled %t, %.3f to %.3f, failed %t %q\n", i, s.Name, s.Kind, s.TraceState, s.Sampled, s.Start, s.End, s.Failed, s.Message)
+		fmt.Fprintf(&out, "=== %s\n", tc.about)
+		for i, s := range record(NewRecorder(tc.set, 1), tc.request, tc.events...) {
+			fmt.Fprintf(&out, "span %d: %q kind %d state %q sampled %t, %.3f to %.3f, failed %t %q\n", i, s.Name, s.Kind, s.TraceState, s.Sampled, s.Start, s.End, s.Failed, s.Message)
 			for _, a := range s.Attrs {
-				fmt.Fprintf(&b, "  %s = %v (%T)\n", a.Key, a.Value, a.Value)
+				fmt.Fprintf(&out, "  %s = %v (%T)\n", a.Key, a.Value, a.Value)
 			}
 		}
 	}
 	for kind := range EventKindCount {
-		fmt.Fprintf(&b, "event kind %d: %s\n", kind, EventKind(kind))
+		fmt.Fprintf(&out, "event kind %d: %s\n", kind, EventKind(kind))
 	}
 	for end := range EndCount {
-		fmt.Fprintf(&b, "end %d: %s\n", end, End(end).Name())
+		fmt.Fprintf(&out, "end %d: %s\n", end, End(end).Name())
 	}
 	for outcome := range OutcomeCount {
-		fmt.Fprintf(&b, "outcome %d: %s\n", outcome, OutcomeName(rules.Outcome(outcome)))
+		fmt.Fprintf(&out, "outcome %d: %s\n", outcome, OutcomeName(rules.Outcome(outcome)))
 	}
-	golden.Text(t, "spans.txt", b.String())
+	golden.Text(t, "spans.txt", out.String())
 }
--- a/traces/histogram.go
+++ b/traces/histogram.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Histogram is OTLP's exponential histogram: buckets whose bounds are powers of
-// 2^(2^-Scale). It halves its resolution when it would need more than maxBuckets.
+// Histogram is OTLP's exponential histogram: its bucket bounds are powers of 2^(2^-Scale). It halves its resolution
+// when it would need more than maxBuckets.
 type Histogram struct {
 	Scale    int
 	Count    uint64
@@ -15,14 +15,14 @@
 	Exemplar Exemplar
 }
 
-// Exemplar is a value and the trace context that it was measured in.
+// Exemplar is a measured value and the trace context of the measurement.
 type Exemplar struct {
 	Value, At float64 // At in seconds
 	Context   Context
 }
 
 const (
-	exemplarLifetime = 60 // seconds that the largest value stays the exemplar
+	exemplarLifetime = 60 // seconds until a smaller value may replace the exemplar
 	maxBuckets       = 160
 	initialScale     = 6
 	minScale         = -10
@@ -33,36 +33,36 @@
 	return &Histogram{Scale: initialScale, Min: math.Inf(1), Max: math.Inf(-1)}
 }
 
-// index returns the bucket of a value above 0, which holds (base^index, base^(index+1)].
-func (h *Histogram) index(x float64) int {
-	return int(math.Ceil(math.Log2(x)*math.Exp2(float64(h.Scale)))) - 1
+// index returns the bucket of a positive value; bucket i holds (base^i, base^(i+1)].
+func (h *Histogram) index(value float64) int {
+	return int(math.Ceil(math.Log2(value)*math.Exp2(float64(h.Scale)))) - 1
 }
 
-// Add counts a value that was measured at a time in seconds. The largest value of the last exemplarLifetime
-// becomes the exemplar; NaN and infinite values are ignored.
-func (h *Histogram) Add(x float64, c Context, at float64) {
-	if math.IsNaN(x) || math.IsInf(x, 0) {
+// Add counts a value measured at the given time in seconds. The largest value of the last exemplarLifetime becomes
+// the exemplar. NaN and infinite values are ignored.
+func (h *Histogram) Add(value float64, traceContext Context, at float64) {
+	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return
 	}
 	h.Count++
-	h.Sum += x
-	h.Min, h.Max = min(h.Min, x), max(h.Max, x)
-	if c.Trace != (TraceID{}) && (x >= h.Exemplar.Value || at-h.Exemplar.At > exemplarLifetime) {
-		h.Exemplar = Exemplar{Value: x, At: at, Context: c}
+	h.Sum += value
+	h.Min, h.Max = min(h.Min, value), max(h.Max, value)
+	if traceContext.Trace != (TraceID{}) && (value >= h.Exemplar.Value || at-h.Exemplar.At > exemplarLifetime) {
+		h.Exemplar = Exemplar{Value: value, At: at, Context: traceContext}
 	}
-	if x <= 0 {
+	if value <= 0 {
 		h.Zero++
 		return
 	}
-	h.addToBucket(x)
+	h.addToBucket(value)
 }
 
-// addToBucket counts a value above 0 in its bucket, which is created if needed.
-func (h *Histogram) addToBucket(x float64) {
-	i := h.index(x)
+// addToBucket counts a positive value. It lowers the scale until the value fits, then adds missing buckets.
+func (h *Histogram) addToBucket(value float64) {
+	i := h.index(value)
 	for !h.fits(i) && h.Scale > minScale {
-		h.halve()
-		i = h.index(x)
+		h.downscale()
+		i = h.index(value)
 	}
 	if len(h.Buckets) == 0 {
 		h.Offset = i
@@ -77,7 +77,7 @@
 	h.Buckets[i-h.Offset]++
 }
 
-// fits reports whether the histogram, with bucket i, has at most maxBuckets.
+// fits reports whether the histogram has at most maxBuckets once it includes bucket i.
 func (h *Histogram) fits(i int) bool {
 	if len(h.Buckets) == 0 {
 		return true
@@ -85,13 +85,13 @@
 	return max(i, h.Offset+len(h.Buckets)-1)-min(i, h.Offset) < maxBuckets
 }
 
-// halve halves the resolution by merging neighbouring buckets.
-func (h *Histogram) halve() {
+// downscale lowers the scale by one, which halves the resolution, by merging neighbouring buckets.
+func (h *Histogram) downscale() {
 	h.Scale--
-	from := h.Offset >> 1
-	merged := make([]uint64, (h.Offset+len(h.Buckets)-1)>>1-from+1)
+	offset := h.Offset >> 1
+	merged := make([]uint64, (h.Offset+len(h.Buckets)-1)>>1-offset+1)
 	for i, n := range h.Buckets {
-		merged[(h.Offset+i)>>1-from] += n
+		merged[(h.Offset+i)>>1-offset] += n
 	}
-	h.Offset, h.Buckets = from, merged
+	h.Offset, h.Buckets = offset, merged
 }
--- a/traces/recorder.go
+++ b/traces/recorder.go
@@ -8,23 +8,24 @@
 	"elderyard/rules"
 )
 
-// Settings say which traces are recorded, and the names that appear in them.
+// Settings select the traces that are exported and hold the names that appear in them.
 type Settings struct {
 	Classes, Plans    []string
 	LatencyObjectives []float64 // seconds, by class
-	SampleRatio       float64   // of traces that are exported whatever happened, 0 to 1
+	SampleRatio       float64   // fraction of the other traces that is exported, 0 to 1
 	AlwaysSample      AlwaysSample
 }
 
 const (
-	// maxAttempts is how many attempts of one request are recorded.
+	// maxAttempts is the limit of recorded attempts per request; later ones get no span.
 	maxAttempts = 16
 	// minWaitSpan is the shortest wait that gets a span, in seconds.
 	minWaitSpan = 0.0005
-	// spanIDStream separates the random stream of span IDs from others of the same seed.
+	// spanIDStream keeps the random numbers of span IDs independent of other streams with the same seed.
 	spanIDStream = 11
 )
 
+// sampleRatioKey is the attribute with the ratio at which traces of its kind are sampled.
 const sampleRatioKey = "elderyard.kept.share"
 
 // Recorder builds the spans of requests from their events. It is not safe for concurrent use.
@@ -35,55 +36,55 @@
 	Discarded int // traces that were not sampled
 }
 
-// requestTrace is what has been recorded of a request that is still open.
+// requestTrace is the state of the trace of one request.
 type requestTrace struct {
 	startedAt      float64
 	attempts       []attemptTrace
-	first          [1]attemptTrace // backs attempts: most requests need no more
+	inlineAttempts [1]attemptTrace // backs attempts: most requests have one
 	openAttempts   int
 	started        bool
-	answeredOrLeft bool
-	recorded       bool  // its spans were made, or it was discarded
-	final          Event // Answered or ClientLeft
+	hasFinalEvent  bool
+	completed      bool  // its spans were created, or it was discarded
+	final          Event // FinalResponse or ClientDisconnected
 }
 
 // attemptTrace is one attempt of a request at a backend.
 type attemptTrace struct {
-	start, end, paidAt float64 // seconds
-	number             int
-	span               SpanID
-	backend, zone      string
-	ended              bool
-	outcome            rules.Outcome
+	start, end, admittedAt float64 // seconds
+	number                 int
+	span                   SpanID
+	backend, zone          string
+	ended                  bool
+	outcome                rules.Outcome
 }
 
-// NewRecorder returns a Recorder that draws the span IDs of waits from seed.
+// NewRecorder returns a Recorder. Seed determines the span IDs of waits.
 func NewRecorder(settings Settings, seed uint64) *Recorder {
 	return &Recorder{settings: settings, rng: rand.New(rand.NewPCG(seed, spanIDStream))}
 }
 
-// Handle records an event. If it completes a trace that is sampled, the trace's spans are appended to out.
+// Handle records an event. If it completes a sampled trace, it appends the spans to out.
 func (r *Recorder) Handle(e Event, out []Span) []Span {
 	trace := &e.Request.trace
 	if e.Kind == RequestAccepted {
 		trace.start(e.At)
 		return out
 	}
-	if !trace.started || trace.recorded {
-		return out // its beginning was dropped, or the event is late
+	if !trace.started || trace.completed {
+		return out // its RequestAccepted was dropped, or the trace is complete
 	}
 	trace.handle(e)
-	if !trace.answeredOrLeft || trace.openAttempts > 0 {
+	if !trace.hasFinalEvent || trace.openAttempts > 0 {
 		return out
 	}
-	trace.recorded = true
+	trace.completed = true
 	return r.finish(e.Request, out)
 }
 
 func (t *requestTrace) start(at float64) {
 	t.startedAt = at
 	t.started = true
-	t.attempts = t.first[:0]
+	t.attempts = t.inlineAttempts[:0]
 }
 
 func (t *requestTrace) handle(e Event) {
@@ -93,12 +94,12 @@
 	case AttemptEnded:
 		t.endAttempt(e)
 	case FinalResponse, ClientDisconnected:
-		if t.answeredOrLeft {
+		if t.hasFinalEvent {
 			return
 		}
-		t.answeredOrLeft = true
+		t.hasFinalEvent = true
 		t.final = e
-		t.final.Request = nil // it points to this trace
+		t.final.Request = nil // it points back to this trace
 	}
 }
 
@@ -106,7 +107,7 @@
 	if len(t.attempts) >= maxAttempts {
 		return
 	}
-	t.attempts = append(t.attempts, attemptTrace{start: e.At, paidAt: e.AdmittedAt, number: e.Attempt, span: e.SpanID,
+	t.attempts = append(t.attempts, attemptTrace{start: e.At, admittedAt: e.AdmittedAt, number: e.Attempt, span: e.SpanID,
 		backend: e.Backend, zone: e.Zone})
 	t.openAttempts++
 }
@@ -125,27 +126,27 @@
 	}
 }
 
-// finish appends the spans of a completed trace, or discards it.
-func (r *Recorder) finish(b *Request, out []Span) []Span {
-	reason, ratio := r.samplingReason(b)
+// finish appends the spans of a completed trace if it is sampled, else discards it.
+func (r *Recorder) finish(req *Request, out []Span) []Span {
+	reason, ratio := r.samplingReason(req)
 	if reason == "" {
 		r.Discarded++
 		return out
 	}
 	r.Sampled++
-	root := r.rootSpan(b, reason, ratio)
+	root := r.rootSpan(req, reason, ratio)
 	first := len(out)
 	out = append(out, root)
-	out = r.waitSpans(&b.trace, &root, ratio, out)
-	for i := range b.trace.attempts {
-		out = append(out, attemptSpan(&b.trace.attempts[i], &root, ratio))
+	out = r.waitSpans(&req.trace, &root, ratio, out)
+	for i := range req.trace.attempts {
+		out = append(out, attemptSpan(&req.trace.attempts[i], &root, ratio))
 	}
 	orderTimes(out[first:])
 	return out
 }
 
-// orderTimes makes each span end no sooner than it starts, and the root (the first) no sooner than its children,
-// even if the clock stepped back.
+// orderTimes corrects spans for a clock that stepped back: no span ends before it starts, and the root, which is the
+// first, does not end before its children.
 func orderTimes(spans []Span) {
 	root := &spans[0]
 	for i := range spans {
@@ -155,22 +156,22 @@
 	}
 }
 
-// rootSpan makes the span of the request itself.
-func (r *Recorder) rootSpan(b *Request, reason string, ratio float64) Span {
-	trace := &b.trace
-	class := r.settings.Classes[b.Class]
+// rootSpan returns the span of the request itself.
+func (r *Recorder) rootSpan(req *Request, reason string, ratio float64) Span {
+	trace := &req.trace
+	class := r.settings.Classes[req.Class]
 	root := Span{
-		Trace: b.SpanContext.Trace, ID: b.SpanContext.Span, Parent: b.ParentContext.Span, TraceState: b.SpanContext.TraceState, Sampled: b.SpanContext.Sampled,
-		Kind: Server, Name: b.Method + " /" + class, Start: min(b.SentAt, trace.startedAt), End: trace.final.At,
+		Trace: req.SpanContext.Trace, ID: req.SpanContext.Span, Parent: req.ParentContext.Span, TraceState: req.SpanContext.TraceState, Sampled: req.SpanContext.Sampled,
+		Kind: Server, Name: req.Method + " /" + class, Start: min(req.SentAt, trace.startedAt), End: trace.final.At,
 	}
 	root.Attrs = []Attr{
-		{"http.request.method", b.Method},
+		{"http.request.method", req.Method},
 		{"elderyard.class", class},
-		{"elderyard.plan", r.settings.Plans[b.Plan]},
-		{"elderyard.units", b.Units},
-		{"elderyard.request.id", b.RequestID},
-		{"elderyard.request.keyed", b.HasIdempotencyKey},
-		{"elderyard.request.repeated", b.IsRetry},
+		{"elderyard.plan", r.settings.Plans[req.Plan]},
+		{"elderyard.units", req.Units},
+		{"elderyard.request.id", req.RequestID},
+		{"elderyard.request.keyed", req.HasIdempotencyKey},
+		{"elderyard.request.repeated", req.IsRetry},
 		{"elderyard.attempts", int64(len(trace.attempts))},
 		{"elderyard.kept.why", reason},
 		{sampleRatioKey, ratio},
@@ -179,13 +180,13 @@
 	return root
 }
 
-// addResult adds how the request ended.
+// addResult adds the outcome of the request.
 func (s *Span) addResult(final Event) {
 	if final.Kind == ClientDisconnected {
 		s.Attrs = append(s.Attrs, Attr{"elderyard.outcome", "client gone"})
 		return
 	}
-	s.Attrs = append(s.Attrs, Attr{"http.response.status_code", int64(final.Status)}, Attr{"elderyard.outcome", outcomeName(final)})
+	s.Attrs = append(s.Attrs, Attr{"http.response.status_code", int64(final.Status)}, Attr{"elderyard.outcome", responseOutcome(final)})
 	if final.Status >= 500 {
 		s.Failed = true
 		s.Message = "no backend answered"
@@ -195,47 +196,47 @@
 	}
 }
 
-// child makes a span below the root.
+// child returns a child span of s in the same trace.
 func (s *Span) child(id SpanID, kind Kind, name string, start, end float64) Span {
 	return Span{Trace: s.Trace, ID: id, Parent: s.ID, TraceState: s.TraceState, Sampled: s.Sampled, Kind: kind, Name: name, Start: start, End: end}
 }
 
-// attemptSpan makes the span of one attempt.
-func attemptSpan(a *attemptTrace, root *Span, ratio float64) Span {
-	span := root.child(a.span, Client, "attempt", a.start, max(a.end, a.start))
+// attemptSpan returns the span of one attempt.
+func attemptSpan(attempt *attemptTrace, root *Span, ratio float64) Span {
+	span := root.child(attempt.span, Client, "attempt", attempt.start, max(attempt.end, attempt.start))
 	span.Attrs = []Attr{
-		{"server.address", a.backend},
-		{"elderyard.zone", a.zone},
-		{"elderyard.attempt", int64(a.number)},
-		{"elderyard.outcome", outcomeNames[a.outcome]},
-		{"elderyard.never_ran", rules.NeverRan(a.outcome)},
+		{"server.address", attempt.backend},
+		{"elderyard.zone", attempt.zone},
+		{"elderyard.attempt", int64(attempt.number)},
+		{"elderyard.outcome", outcomeNames[attempt.outcome]},
+		{"elderyard.never_ran", rules.NeverRan(attempt.outcome)},
 		{sampleRatioKey, ratio},
 	}
-	if a.outcome != rules.Served && a.outcome != rules.Cancelled && a.outcome != rules.NotSent {
+	if attempt.outcome != rules.Served && attempt.outcome != rules.Cancelled && attempt.outcome != rules.NotSent {
 		span.Failed = true
-		span.Message = outcomeNames[a.outcome]
+		span.Message = outcomeNames[attempt.outcome]
 	}
 	return span
 }
 
-// waitSpans appends the spans of the time before the first attempt: the wait for quota, then the wait for a place.
+// waitSpans appends the spans of the waits before the first attempt: first for quota, then for capacity.
 func (r *Recorder) waitSpans(t *requestTrace, root *Span, ratio float64, out []Span) []Span {
 	end := t.final.At
-	paidAt := 0.0
+	admittedAt := 0.0
 	if len(t.attempts) > 0 {
-		end, paidAt = t.attempts[0].start, t.attempts[0].paidAt
+		end, admittedAt = t.attempts[0].start, t.attempts[0].admittedAt
 	} else if t.final.Reason != rules.QuotaExceeded {
-		paidAt = t.final.AdmittedAt
+		admittedAt = t.final.AdmittedAt
 	}
-	if paidAt < t.startedAt {
+	if admittedAt < t.startedAt {
 		return r.waitSpan("wait for quota", t.startedAt, end, root, ratio, out)
 	}
-	admitted := min(paidAt, end)
+	admitted := min(admittedAt, end)
 	out = r.waitSpan("wait for quota", t.startedAt, admitted, root, ratio, out)
 	return r.waitSpan("wait for a place", admitted, end, root, ratio, out)
 }
 
-// waitSpan appends the span of one wait, unless it was too short.
+// waitSpan appends the span of one wait that lasted minWaitSpan or longer.
 func (r *Recorder) waitSpan(name string, start, end float64, root *Span, ratio float64, out []Span) []Span {
 	if end-start < minWaitSpan {
 		return out
@@ -250,5 +251,5 @@
 	return id
 }
 
-// UnixNanos converts a time in seconds to OTLP's nanoseconds.
+// UnixNanos converts a Unix time in seconds to OTLP's nanoseconds.
 func UnixNanos(at float64) uint64 { return uint64(math.Round(max(at, 0) * 1e9)) }
--- a/traces/span.go
+++ b/traces/span.go
@@ -10,10 +10,10 @@
 	Client   Kind = 3
 )
 
-// Span is one operation of a trace. Times are in seconds on the caller's clock.
+// Span is one operation of a trace. Times are Unix times in seconds on the caller's clock.
 type Span struct {
 	Trace      TraceID
-	ID, Parent SpanID // an all-zero Parent means none
+	ID, Parent SpanID // the root of a trace has an all-zero Parent
 	TraceState string
 	Sampled    bool
 	Name       string
@@ -30,7 +30,7 @@
 	Value any // string, int64, float64 or bool
 }
 
-// Get returns the value of an attribute, nil if the span has none with that key.
+// Get returns the value of the attribute with the given key, nil if there is none.
 func (s *Span) Get(key string) any {
 	for _, a := range s.Attrs {
 		if a.Key == key {
--- a/traces/tally.go
+++ b/traces/tally.go
@@ -2,29 +2,29 @@
 
 import "elderyard/rules"
 
-// Tally counts requests and how they ended, in sums that only grow. The number of series depends on the classes,
-// plans and outcomes alone, not on the clients.
+// Tally holds cumulative counts of requests and attempts by outcome. The number of series depends only on the classes,
+// plans and outcomes, not on the clients.
 type Tally struct {
-	plans          int
-	latencyTargets []float64
+	plans             int
+	latencyObjectives []float64
 
 	Requests        []uint64     // by class and plan: accepted requests
 	InitialRequests []uint64     // by class and plan: accepted requests that no client marked as a retry
-	WithinObjective []uint64     // by class and plan: requests served within the class's latency target
+	WithinObjective []uint64     // by class and plan: requests served within the class's latency objective
 	Ends            [][]uint64   // by class, then by End
 	Attempts        []uint64     // by rules.Outcome
-	Latency         []*Histogram // by class: seconds to the final answer of served requests
+	Latency         []*Histogram // by class: seconds to the final response of served requests
 }
 
 // End is how a request ended.
 type End int
 
-// The ways in which a request can end.
+// The ends of a request.
 const (
 	EndServed End = iota
 	EndQuotaExceeded
 	EndNoCapacity
-	EndAttemptsFailed // refused after attempts that had no effect
+	EndAttemptsFailed // refused because no attempt succeeded
 	EndFailed
 	EndClientDisconnected
 	EndCount int = iota
@@ -35,7 +35,7 @@
 	return [...]string{"served", "refused: no quota", "refused: no place", "refused: no attempt succeeded", "failed", "client gone"}[e]
 }
 
-// OutcomeCount is the number of outcomes that an attempt can have.
+// OutcomeCount is the number of outcomes of an attempt.
 const OutcomeCount = int(rules.NotSent) + 1
 
 // OutcomeName returns the outcome's name in exported metrics and spans.
@@ -58,13 +58,13 @@
 	rules.AttemptsFailed: "no attempt succeeded",
 }
 
-// outcomeName returns the outcome attribute of an answered request.
-func outcomeName(answer Event) string {
-	switch answer.Status {
+// responseOutcome returns the outcome attribute of a request with the given final response.
+func responseOutcome(response Event) string {
+	switch response.Status {
 	case 200:
 		return "served"
 	case 429:
-		return "refused: " + reasonNames[answer.Reason]
+		return "refused: " + reasonNames[response.Reason]
 	}
 	return "failed"
 }
@@ -73,12 +73,12 @@
 func NewTally(settings Settings) *Tally {
 	n := len(settings.Classes) * len(settings.Plans)
 	t := &Tally{
-		plans:           len(settings.Plans),
-		latencyTargets:  settings.LatencyObjectives,
-		Requests:        make([]uint64, n),
-		InitialRequests: make([]uint64, n),
-		WithinObjective: make([]uint64, n),
-		Attempts:        make([]uint64, OutcomeCount),
+		plans:             len(settings.Plans),
+		latencyObjectives: settings.LatencyObjectives,
+		Requests:          make([]uint64, n),
+		InitialRequests:   make([]uint64, n),
+		WithinObjective:   make([]uint64, n),
+		Attempts:          make([]uint64, OutcomeCount),
 	}
 	for range settings.Classes {
 		t.Ends = append(t.Ends, make([]uint64, EndCount))
@@ -87,10 +87,10 @@
 	return t
 }
 
-// Index returns the index of a class and plan in the slices by class and plan.
+// Index returns the position of a class and plan in the slices by class and plan.
 func (t *Tally) Index(class, plan int) int { return class*t.plans + plan }
 
-// Handle counts an event. Only the first final event of a request may be handed to it.
+// Handle counts an event. The caller must pass at most one final event per request.
 func (t *Tally) Handle(e Event) {
 	switch e.Kind {
 	case RequestAccepted:
@@ -102,25 +102,25 @@
 	}
 }
 
-func (t *Tally) countRequest(b *Request) {
-	i := t.Index(b.Class, b.Plan)
+func (t *Tally) countRequest(req *Request) {
+	i := t.Index(req.Class, req.Plan)
 	t.Requests[i]++
-	if !b.IsRetry {
+	if !req.IsRetry {
 		t.InitialRequests[i]++
 	}
 }
 
 func (t *Tally) countEnd(e Event) {
-	b := e.Request
+	req := e.Request
 	end := endOf(e)
-	t.Ends[b.Class][end]++
+	t.Ends[req.Class][end]++
 	if end != EndServed {
 		return
 	}
-	latency := e.At - b.SentAt
-	t.Latency[b.Class].Add(latency, b.SpanContext, e.At)
-	if latency <= t.latencyTargets[b.Class] {
-		t.WithinObjective[t.Index(b.Class, b.Plan)]++
+	latency := e.At - req.SentAt
+	t.Latency[req.Class].Add(latency, req.SpanContext, e.At)
+	if latency <= t.latencyObjectives[req.Class] {
+		t.WithinObjective[t.Index(req.Class, req.Plan)]++
 	}
 }
 
--- a/traces/traces_test.go
+++ b/traces/traces_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	trace  = "4bf92f3577b34da6a3ce929d0e0e4736"
-	parent = "00f067aa0ba902b7"
+	traceID      = "4bf92f3577b34da6a3ce929d0e0e4736"
+	parentSpanID = "00f067aa0ba902b7"
 )
 
 func TestParseContext(t *testing.T) {
-	good := "00-" + trace + "-" + parent + "-01"
+	good := "00-" + traceID + "-" + parentSpanID + "-01"
 	c, ok := ParseContext([]string{good}, []string{"rojo=00f067aa0ba902b7, congo=t61rcWkgMzE", "a@b=1"})
 	if !ok || !c.Sampled || c.Traceparent() != good || c.TraceState != "rojo=00f067aa0ba902b7,congo=t61rcWkgMzE,a@b=1" {
 		t.Fatalf("%v %+v", ok, c)
@@ -26,18 +26,18 @@
 		t.Errorf("a later version: %v %+v", ok, c)
 	}
 	for name, bad := range map[string][]string{
-		"none": {}, "two": {good, good}, "empty": {""}, "short": {good[:54]}, "longer": {good + "-x"}, "later without a dash": {"cc" + good[2:] + "x"},
-		"version ff": {"ff" + good[2:]}, "capitals": {strings.ToUpper(good)}, "no trace": {"00-" + strings.Repeat("0", 32) + "-" + parent + "-01"},
-		"no span": {"00-" + trace + "-0000000000000000-01"}, "blanks": {strings.ReplaceAll(good, "-", " ")}, "flags": {good[:53] + "0g"},
-		"huge": {"cc" + good[2:] + "-" + strings.Repeat("a", 10000)},
+		"no header": {}, "two headers": {good, good}, "empty": {""}, "short": {good[:54]}, "version 0 with a suffix": {good + "-x"}, "later version without a dash": {"cc" + good[2:] + "x"},
+		"version ff": {"ff" + good[2:]}, "upper case": {strings.ToUpper(good)}, "no trace": {"00-" + strings.Repeat("0", 32) + "-" + parentSpanID + "-01"},
+		"no span": {"00-" + traceID + "-0000000000000000-01"}, "blanks": {strings.ReplaceAll(good, "-", " ")}, "invalid flags": {good[:53] + "0g"},
+		"later version, too long": {"cc" + good[2:] + "-" + strings.Repeat("a", 10000)},
 	} {
 		if c, ok := ParseContext(bad, nil); ok {
 			t.Errorf("%s: %+v", name, c)
 		}
 	}
 	for name, bad := range map[string]string{
-		"no value": "a", "empty value": "a=", "capital": "A=1", "twice": "a=1,a=2", "bytes": "a=\x01", "comma in value": "a=1=2",
-		"long": "a=" + strings.Repeat("x", 600), "many": strings.Repeat("a=1,", 33), "digit first": "1a=1", "bad tenant": "a@=1",
+		"no value": "a", "empty value": "a=", "upper-case key": "A=1", "duplicate key": "a=1,a=2", "control character": "a=\x01", "equals sign in value": "a=1=2",
+		"too long": "a=" + strings.Repeat("x", 600), "too many members": strings.Repeat("a=1,", 33), "digit first": "1a=1", "empty system": "a@=1",
 	} {
 		if c, ok := ParseContext([]string{good}, []string{bad}); !ok || c.TraceState != "" {
 			t.Errorf("%s: %v, state %q", name, ok, c.TraceState)
@@ -46,7 +46,7 @@
 }
 
 func FuzzParseContext(f *testing.F) {
-	f.Add("00-"+trace+"-"+parent+"-01", "a=1,b@c=2")
+	f.Add("00-"+traceID+"-"+parentSpanID+"-01", "a=1,b@c=2")
 	f.Add("ff--", ",,=")
 	f.Fuzz(func(t *testing.T, p, s string) {
 		c, ok := ParseContext([]string{p}, []string{s})
@@ -54,7 +54,7 @@
 			return
 		}
 		again, ok := ParseContext([]string{c.Traceparent()}, []string{c.TraceState})
-		if !ok || again != c || len(c.TraceState) > maxStateLen {
+		if !ok || again != c || len(c.TraceState) > maxTraceStateLen {
 			t.Fatalf("%+v became %+v", c, again)
 		}
 	})
@@ -66,22 +66,22 @@
 }
 
 // record feeds the events of one request to a recorder and returns its spans.
-func record(t *Recorder, b Request, events ...Event) []Span {
-	if b.SpanContext.Trace == (TraceID{}) {
-		b.SpanContext = Context{Trace: TraceIDFromKey(1, "k"), Span: SpanID{9}}
+func record(recorder *Recorder, req Request, events ...Event) []Span {
+	if req.SpanContext.Trace == (TraceID{}) {
+		req.SpanContext = Context{Trace: TraceIDFromKey(1, "k"), Span: SpanID{9}}
 	}
-	b.Method = "GET"
-	out := t.Handle(Event{Kind: RequestAccepted, At: 10, Request: &b}, nil)
+	req.Method = "GET"
+	out := recorder.Handle(Event{Kind: RequestAccepted, At: 10, Request: &req}, nil)
 	for _, e := range events {
-		e.Request = &b
-		out = t.Handle(e, out)
+		e.Request = &req
+		out = recorder.Handle(e, out)
 	}
 	return out
 }
 
 func TestSpansOfOneRequest(t *testing.T) {
 	recorder := NewRecorder(settings(), 1)
-	client, _ := ParseContext([]string{"00-" + trace + "-" + parent + "-01"}, []string{"a=1"})
+	client, _ := ParseContext([]string{"00-" + traceID + "-" + parentSpanID + "-01"}, []string{"a=1"})
 	self := client
 	self.Span = SpanID{7}
 	spans := record(recorder, Request{ParentContext: client, SpanContext: self, Class: 1, SentAt: 10, Units: 2},
@@ -110,40 +110,41 @@
 		t.Errorf("%+v", spans[0])
 	}
 	if recorder.Sampled != 1 {
-		t.Errorf("%d traces were recorded", recorder.Sampled)
+		t.Errorf("%d traces were sampled, want 1", recorder.Sampled)
 	}
 }
 
-// Traces of requests that went wrong are always kept, the others are sampled, and each span carries the sample ratio.
+// Traces of failed, refused, late and retried requests are always exported if so configured, others by the sample
+// ratio. Each span carries the ratio at which it was sampled.
 func TestSampling(t *testing.T) {
 	served := []Event{{Kind: AttemptStarted, At: 10, SpanID: SpanID{1}, AdmittedAt: 10}, {Kind: FinalResponse, At: 10.1, Status: 200}, {Kind: AttemptEnded, At: 10.1, Outcome: rules.Served}}
 	late := []Event{{Kind: AttemptStarted, At: 10, SpanID: SpanID{1}, AdmittedAt: 10}, {Kind: FinalResponse, At: 10.5, Status: 200}, {Kind: AttemptEnded, At: 10.5, Outcome: rules.Served}}
 	refused := []Event{{Kind: FinalResponse, At: 10, Status: 429, Reason: rules.NoCapacity, AdmittedAt: 10}}
-	for name, k := range map[string]struct {
-		begin  Request
-		events []Event
-		keep   AlwaysSample
-		why    any
+	for name, tc := range map[string]struct {
+		request Request
+		events  []Event
+		always  AlwaysSample
+		reason  any
 	}{
-		"served":           {Request{SentAt: 10}, served, settings().AlwaysSample, nil},
-		"late":             {Request{SentAt: 10}, late, settings().AlwaysSample, "late"},
-		"late, left out":   {Request{SentAt: 10}, late, AlwaysSample{Failed: true}, nil},
-		"refused":          {Request{SentAt: 10}, refused, settings().AlwaysSample, "refused"},
-		"refused, not":     {Request{SentAt: 10}, refused, AlwaysSample{Late: true}, nil},
-		"failed":           {Request{SentAt: 10}, []Event{{Kind: FinalResponse, At: 10, Status: 502}}, settings().AlwaysSample, "failed"},
-		"marked":           {Request{SentAt: 10, IsRetry: true}, served, settings().AlwaysSample, "repeated"},
-		"the client asked": {Request{SentAt: 10, ParentContext: Context{Sampled: true}}, served, AlwaysSample{}, "client"},
-		"gone":             {Request{SentAt: 10}, []Event{{Kind: ClientDisconnected, At: 11}}, settings().AlwaysSample, nil},
+		"served":                {Request{SentAt: 10}, served, settings().AlwaysSample, nil},
+		"late":                  {Request{SentAt: 10}, late, settings().AlwaysSample, "late"},
+		"late, not selected":    {Request{SentAt: 10}, late, AlwaysSample{Failed: true}, nil},
+		"refused":               {Request{SentAt: 10}, refused, settings().AlwaysSample, "refused"},
+		"refused, not selected": {Request{SentAt: 10}, refused, AlwaysSample{Late: true}, nil},
+		"failed":                {Request{SentAt: 10}, []Event{{Kind: FinalResponse, At: 10, Status: 502}}, settings().AlwaysSample, "failed"},
+		"marked as a retry":     {Request{SentAt: 10, IsRetry: true}, served, settings().AlwaysSample, "repeated"},
+		"sampled by the client": {Request{SentAt: 10, ParentContext: Context{Sampled: true}}, served, AlwaysSample{}, "client"},
+		"client disconnected":   {Request{SentAt: 10}, []Event{{Kind: ClientDisconnected, At: 11}}, settings().AlwaysSample, nil},
 	} {
 		set := settings()
-		set.AlwaysSample = k.keep
-		spans := record(NewRecorder(set, 1), k.begin, k.events...)
-		var why any
+		set.AlwaysSample = tc.always
+		spans := record(NewRecorder(set, 1), tc.request, tc.events...)
+		var reason any
 		if len(spans) > 0 {
-			why = spans[0].Get("elderyard.kept.why")
+			reason = spans[0].Get("elderyard.kept.why")
 		}
-		if why != k.why {
-			t.Errorf("%s: kept for %v, want %v", name, why, k.why)
+		if reason != tc.reason {
+			t.Errorf("%s: sampled for reason %v, want %v", name, reason, tc.reason)
 		}
 	}
 	set := settings()
@@ -165,15 +166,15 @@
 			}
 		}
 		if (len(spans) > 0) != InSample(id, 0.25) {
-			t.Fatal("two processes would not agree")
+			t.Fatal("InSample and the recorder disagree")
 		}
 	}
 	if n < 850 || n > 1150 {
-		t.Errorf("%d of 4000 were kept for a share of a quarter", n)
+		t.Errorf("%d of 4000 traces were sampled at a ratio of 0.25", n)
 	}
 }
 
-// Two gateways derive the same trace ID from a key; other keys and accounts have other IDs.
+// The trace ID derived from an account and key is reproducible, and differs for other keys and accounts.
 func TestTraceIDFromKey(t *testing.T) {
 	seen := map[TraceID]bool{}
 	for account := range uint64(20) {
@@ -187,16 +188,16 @@
 	}
 }
 
-// In whatever order events come, a trace is recorded once, its spans belong together, and the tally counts each
-// request once.
-func TestAnyOrderOfEvents(t *testing.T) {
+// For any order of events, a trace is completed once, its spans belong to the same trace and nest in the root, and the
+// tally counts each request once.
+func TestEventsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
 		set.SampleRatio = 1
 		recorder, tally := NewRecorder(set, 1), NewTally(set)
 		open := map[int]*Request{}
 		ended := map[*Request]bool{}
-		began, ends, roots, over := uint64(0), uint64(0), map[SpanID]bool{}, 0
+		accepted, ends, roots, completed := uint64(0), uint64(0), map[SpanID]bool{}, 0
 		for i, at := range rapid.SliceOfN(rapid.Float64Range(0, 100), 1, 300).Draw(t, "times") {
 			e := Event{Kind: EventKind(rapid.IntRange(0, 4).Draw(t, "kind")), At: at, Attempt: rapid.IntRange(0, 20).Draw(t, "attempt"),
 				Outcome: rules.Outcome(rapid.IntRange(0, int(rules.NotSent)).Draw(t, "outcome")),
@@ -209,7 +210,7 @@
 					Class: rapid.IntRange(0, 1).Draw(t, "class"), SentAt: at, Method: "GET", IsRetry: i%3 == 0}
 				open[id] = e.Request
 				if e.Kind == RequestAccepted {
-					began++
+					accepted++
 				}
 			} else if e.Kind == RequestAccepted {
 				continue
@@ -218,17 +219,17 @@
 				ended[e.Request] = true
 				ends++
 			} else if e.Kind == FinalResponse || e.Kind == ClientDisconnected {
-				continue // a request has one end
+				continue // a request has one final event
 			}
 			tally.Handle(e)
 			spans := recorder.Handle(e, nil)
 			for n, s := range spans {
 				if n == 0 {
 					if roots[s.ID] {
-						t.Fatalf("a trace was recorded twice: %+v", s)
+						t.Fatalf("a trace was exported twice: %+v", s)
 					}
 					roots[s.ID] = true
-					over++
+					completed++
 					delete(open, id)
 				}
 				if s.Trace != spans[0].Trace || n > 0 && s.Parent != spans[0].ID || s.ID == (SpanID{}) || !(s.End >= s.Start) || s.End > spans[0].End {
@@ -236,12 +237,12 @@
 				}
 			}
 		}
-		if recorder.Sampled != over || recorder.Discarded != 0 {
-			t.Fatalf("%d recorded, %d discarded, %d seen", recorder.Sampled, recorder.Discarded, over)
+		if recorder.Sampled != completed || recorder.Discarded != 0 {
+			t.Fatalf("%d sampled and %d discarded of %d completed", recorder.Sampled, recorder.Discarded, completed)
 		}
-		tries, counted := uint64(0), uint64(0)
+		requests, counted := uint64(0), uint64(0)
 		for i := range tally.Requests {
-			tries += tally.Requests[i]
+			requests += tally.Requests[i]
 			if tally.InitialRequests[i] > tally.Requests[i] {
 				t.Fatalf("%+v", tally)
 			}
@@ -251,13 +252,13 @@
 				counted += n
 			}
 		}
-		if tries != began || counted != ends {
-			t.Fatalf("%d tries of %d, %d ends of %d", tries, began, counted, ends)
+		if requests != accepted || counted != ends {
+			t.Fatalf("%d requests counted of %d, %d ends of %d", requests, accepted, counted, ends)
 		}
 	})
 }
 
-// A histogram's buckets hold every value between their bounds, in bounded room.
+// Each bucket counts at least the values between its bounds, and there are never more than maxBuckets.
 func TestHistogram(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHistogram()
@@ -269,14 +270,14 @@
 		base := math.Exp2(math.Exp2(-float64(h.Scale)))
 		for i, n := range h.Buckets {
 			sum += n
-			low, high, in := math.Pow(base, float64(h.Offset+i)), math.Pow(base, float64(h.Offset+i+1)), uint64(0)
+			low, high, inside := math.Pow(base, float64(h.Offset+i)), math.Pow(base, float64(h.Offset+i+1)), uint64(0)
 			for _, v := range values {
 				if v > low*(1+1e-9) && v <= high*(1-1e-9) {
-					in++
+					inside++
 				}
 			}
-			if in > n {
-				t.Fatalf("bucket %d of (%g, %g] at scale %d has %d of %d values", i, low, high, h.Scale, n, in)
+			if inside > n {
+				t.Fatalf("bucket %d of (%g, %g] at scale %d has %d of %d values", i, low, high, h.Scale, n, inside)
 			}
 		}
 		if sum != h.Count || h.Count != uint64(len(values)) || len(h.Buckets) > maxBuckets {
