--- a/internal/telemetry/deliver.go
+++ b/internal/telemetry/deliver.go
@@ -15,26 +15,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Limits of a delivery, from the specification of OTLP/HTTP:
+// Retry and size limits of a delivery, as the specification of OTLP/HTTP requires:
 // https://opentelemetry.io/docs/specs/otlp/.
 const (
-	initialBackoff = 500 * time.Millisecond
-	maxBackoff     = 30 * time.Second
-	maxRetryAfter  = time.Minute // limit of a Retry-After
-	maxReplyBytes  = 64 << 10    // bytes
+	initialBackoff   = 500 * time.Millisecond
+	maxBackoff       = 30 * time.Second
+	maxRetryAfter    = time.Minute // longer values of Retry-After are cut to this
+	maxResponseBytes = 64 << 10
 )
 
-// deliveryResult is what came of one delivery.
+// deliveryResult is the result of one delivery.
 type deliveryResult int
 
 const (
 	delivered        deliveryResult = iota
-	retryable                       // the batch may be sent again
-	permanentFailure                // the batch must not be sent again
+	retryable                       // the same batch may be sent again
+	permanentFailure                // the batch must be dropped
 )
 
-// classifyHTTPStatus returns what the answer to a delivery means: it may be retried after 429, 502, 503 and 504 and
-// if there was no answer; every other failure is permanent.
+// classifyHTTPStatus returns the result of a delivery. It is retryable after the statuses 429, 502, 503 and 504 and if
+// there was no response; every other failure is permanent.
 func classifyHTTPStatus(status int, err error) deliveryResult {
 	switch {
 	case err != nil:
@@ -48,83 +48,85 @@
 	return permanentFailure
 }
 
-// retryAfter parses the header Retry-After, in seconds or as a date; 0 if there is none that is valid.
-func retryAfter(h http.Header, now time.Time) time.Duration {
-	text := h.Get("Retry-After")
-	if s, err := strconv.Atoi(text); err == nil && s > 0 {
-		return min(time.Duration(s)*time.Second, maxRetryAfter)
+// retryAfter parses the header Retry-After, in seconds or as a date. It returns 0 if there is no valid one.
+func retryAfter(header http.Header, now time.Time) time.Duration {
+	text := header.Get("Retry-After")
+	if seconds, err := strconv.Atoi(text); err == nil && seconds > 0 {
+		return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 	}
-	if at, err := http.ParseTime(text); err == nil {
-		return min(max(at.Sub(now), 0), maxRetryAfter)
+	if date, err := http.ParseTime(text); err == nil {
+		return min(max(date.Sub(now), 0), maxRetryAfter)
 	}
 	return 0
 }
 
-// backoff computes the pause before a retry: it doubles each time and is drawn from its upper half, so that many
-// gateways do not retry at the same time.
-type backoff struct{ pause time.Duration }
+// backoff computes the delays between retries. Their limit doubles each time, and each delay is random in the upper
+// half of its limit, so that many gateways do not retry at the same time.
+type backoff struct{ limit time.Duration }
 
-func (b *backoff) next(advised time.Duration) time.Duration {
-	b.pause = min(max(2*b.pause, initialBackoff), maxBackoff)
-	drawn := b.pause/2 + time.Duration(rand.Int64N(int64(b.pause/2)+1))
-	if advised > 0 {
-		return advised + time.Duration(rand.Int64N(int64(initialBackoff))) // jitter, again so that not all retry at once
+// next returns the delay before the next retry. A delay that the collector requested is used instead of the computed
+// one, with jitter.
+func (b *backoff) next(requestedDelay time.Duration) time.Duration {
+	b.limit = min(max(2*b.limit, initialBackoff), maxBackoff)
+	delay := b.limit/2 + time.Duration(rand.Int64N(int64(b.limit/2)+1))
+	if requestedDelay > 0 {
+		return requestedDelay + time.Duration(rand.Int64N(int64(initialBackoff))) // jitter
 	}
-	return drawn
+	return delay
 }
 
-func (b *backoff) reset() { b.pause = 0 }
+func (b *backoff) reset() { b.limit = 0 }
 
-// exportReply is a collector's answer, which may say that some items were rejected.
-type exportReply interface {
+// exportResponse is a collector's response to an accepted message. It may report that some items were rejected.
+type exportResponse interface {
 	proto.Message
 	rejected() int64
 }
 
 // sender delivers the batches of one signal to the collector.
 type sender struct {
-	url      string
-	headers  map[string]string
-	client   *http.Client
-	grpc     bool // gRPC instead of HTTP; url then names the method
-	timeout  time.Duration
-	queue    *queue
-	reply    func() exportReply
-	sent     atomic.Uint64 // items
-	rejected atomic.Uint64 // items that the collector rejected
-	failures atomic.Uint64 // failed deliveries
+	url         string
+	headers     map[string]string
+	client      *http.Client
+	grpc        bool // gRPC instead of HTTP; url then ends in the method
+	timeout     time.Duration
+	queue       *queue
+	newResponse func() exportResponse
+	sent        atomic.Uint64 // items
+	rejected    atomic.Uint64 // items rejected by the collector
+	failures    atomic.Uint64 // failed deliveries
 }
 
-// newSender makes the sender of the signal whose path or method is target. NewReply makes an empty reply.
-func newSender(set *Settings, target string, client *http.Client, newReply func() exportReply) *sender {
+// newSender returns a sender for the signal whose path or gRPC method is target. NewResponse returns an empty response.
+func newSender(set *Settings, target string, client *http.Client, newResponse func() exportResponse) *sender {
 	return &sender{
-		url:     set.Endpoint + target,
-		headers: set.Headers,
-		client:  client,
-		grpc:    set.GRPC,
-		timeout: set.Timeout,
-		queue:   newQueue(set.QueueBytes),
-		reply:   newReply,
+		url:         set.Endpoint + target,
+		headers:     set.Headers,
+		client:      client,
+		grpc:        set.GRPC,
+		timeout:     set.Timeout,
+		queue:       newQueue(set.QueueBytes),
+		newResponse: newResponse,
 	}
 }
 
-// run delivers batches until ctx ends; drain delivers what is left.
+// run delivers batches until ctx is done. It leaves the remaining ones to drain.
 func (s *sender) run(ctx context.Context) {
-	var pause backoff
+	var retry backoff
 	for {
-		b, ok := s.queue.take()
+		b, ok := s.queue.pop()
 		if !ok {
 			select {
 			case <-ctx.Done():
 				return
-			case <-s.queue.wake:
+			case <-s.queue.added:
 				continue
 			}
 		}
-		v, advised := s.send(ctx, b)
-		switch v {
+		result, requestedDelay := s.send(ctx, b)
+		switch result {
 		case delivered:
-			pause.reset()
+			retry.reset()
 			continue
 		case permanentFailure:
 			continue
@@ -133,65 +135,65 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause.next(advised)):
+		case <-time.After(retry.next(requestedDelay)):
 		}
 	}
 }
 
-// drain tries to deliver each remaining batch once, until ctx ends, and drops the rest.
+// drain tries to deliver each remaining batch once until ctx is done, and drops those that were not delivered.
 func (s *sender) drain(ctx context.Context) {
 	for ctx.Err() == nil {
-		b, ok := s.queue.take()
+		b, ok := s.queue.pop()
 		if !ok {
 			return
 		}
-		if v, _ := s.send(ctx, b); v == retryable {
+		if result, _ := s.send(ctx, b); result == retryable {
 			s.queue.countDropped(b.items)
 		}
 	}
 	s.queue.clear()
 }
 
-// send makes one delivery and counts its result. A retryable batch is left to the caller.
-func (s *sender) send(ctx context.Context, b batch) (v deliveryResult, advised time.Duration) {
+// send makes one delivery and counts its result. The caller must requeue or count a retryable batch.
+func (s *sender) send(ctx context.Context, b batch) (result deliveryResult, requestedDelay time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	var body []byte
 	if s.grpc {
-		v, advised, body = s.sendGRPC(ctx, b.body)
+		result, requestedDelay, body = s.sendGRPC(ctx, b.body)
 	} else {
 		var status int
 		var header http.Header
 		var err error
 		status, header, body, err = s.sendHTTP(ctx, b.body)
-		v, advised = classifyHTTPStatus(status, err), retryAfter(header, time.Now())
+		result, requestedDelay = classifyHTTPStatus(status, err), retryAfter(header, time.Now())
 	}
-	switch v {
+	switch result {
 	case delivered:
-		lost := s.rejectedItems(body, b.items)
-		s.rejected.Add(lost)
-		s.sent.Add(uint64(b.items) - lost)
+		rejected := s.rejectedItems(body, b.items)
+		s.rejected.Add(rejected)
+		s.sent.Add(uint64(b.items) - rejected)
 	case retryable:
 		s.failures.Add(1)
 	case permanentFailure:
 		s.failures.Add(1)
 		s.rejected.Add(uint64(b.items))
 	}
-	return v, advised
+	return result, requestedDelay
 }
 
-// rejectedItems returns how many items of an accepted batch the collector rejected, by its reply. A malformed reply
-// counts as none.
+// rejectedItems returns the number of items of an accepted batch that the collector's response reports as rejected. A
+// malformed response counts as none.
 func (s *sender) rejectedItems(body []byte, items int) uint64 {
-	r := s.reply()
-	if proto.Unmarshal(body, r) != nil {
+	response := s.newResponse()
+	if proto.Unmarshal(body, response) != nil {
 		return 0
 	}
-	return uint64(min(max(r.rejected(), 0), int64(items)))
+	return uint64(min(max(response.rejected(), 0), int64(items)))
 }
 
-// sendHTTP makes one delivery over HTTP and returns the reply's status, headers and body.
-func (s *sender) sendHTTP(ctx context.Context, body []byte) (status int, h http.Header, reply []byte, err error) {
+// sendHTTP makes one delivery over HTTP and returns the status, headers and body of the response.
+func (s *sender) sendHTTP(ctx context.Context, body []byte) (status int, header http.Header, response []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, err
@@ -206,15 +208,15 @@
 		return 0, nil, nil, err
 	}
 	defer resp.Body.Close()
-	reply, err = io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
-	if len(reply) > maxReplyBytes {
-		return resp.StatusCode, resp.Header, nil, nil // the status is valid, the oversized body is ignored
+	response, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if len(response) > maxResponseBytes {
+		return resp.StatusCode, resp.Header, nil, nil // the status counts; the oversized body is ignored
 	}
 	if err != nil && resp.StatusCode < 300 {
-		return 0, resp.Header, nil, fmt.Errorf("reply: %w", err)
+		return 0, resp.Header, nil, fmt.Errorf("read response: %w", err)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		return 0, resp.Header, nil, err
 	}
-	return resp.StatusCode, resp.Header, reply, nil
+	return resp.StatusCode, resp.Header, response, nil
 }
--- a/internal/telemetry/encode.go
+++ b/internal/telemetry/encode.go
@@ -19,14 +19,15 @@
 // scopeName is the instrumentation scope of all signals.
 const scopeName = "elderyard"
 
-// Bits of a span's flags: W3C's sampled bit, and OTLP's bits for whether the parent is in another process.
+// Bits of a span's flags: the sampled bit of W3C Trace Context, and the bits of OTLP for a parent in another process.
 const (
 	flagSampled   = 0x1
 	flagHasRemote = 0x100
 	flagIsRemote  = 0x200
 )
 
-func value(v any) *common.AnyValue {
+// anyValue converts the value of an attribute.
+func anyValue(v any) *common.AnyValue {
 	switch v := v.(type) {
 	case string:
 		return &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: v}}
@@ -37,35 +38,35 @@
 	case float64:
 		return &common.AnyValue{Value: &common.AnyValue_DoubleValue{DoubleValue: v}}
 	}
-	panic(fmt.Sprintf("attribute of type %T", v)) // this program sets no others
+	panic(fmt.Sprintf("unsupported attribute type %T", v)) // no caller sets another type
 }
 
 func attributes(list []traces.Attr) (out []*common.KeyValue) {
 	for _, a := range list {
-		out = append(out, &common.KeyValue{Key: a.Key, Value: value(a.Value)})
+		out = append(out, &common.KeyValue{Key: a.Key, Value: anyValue(a.Value)})
 	}
 	return out
 }
 
-// encoder encodes the messages of one process.
+// encoder encodes OTLP messages with the resource of this process.
 type encoder struct {
 	resource *resource.Resource
 	scope    *common.InstrumentationScope
-	text     []byte       // buffer of the last message, reused
-	zip      *gzip.Writer // reused, as its tables are large
+	buffer   []byte       // the last uncompressed message, reused
+	gzip     *gzip.Writer // reused: its tables are large
 }
 
 func newEncoder(attrs []traces.Attr) *encoder {
-	z, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
+	compressor, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
 	if err != nil {
 		panic(err) // the level is valid
 	}
-	return &encoder{resource: &resource.Resource{Attributes: attributes(attrs)}, scope: &common.InstrumentationScope{Name: scopeName}, zip: z}
+	return &encoder{resource: &resource.Resource{Attributes: attributes(attrs)}, scope: &common.InstrumentationScope{Name: scopeName}, gzip: compressor}
 }
 
-// spans encodes spans as one message.
+// spans encodes spans as one batch.
 func (e *encoder) spans(list []traces.Span) (batch, error) {
-	made := &trace.ScopeSpans{Scope: e.scope}
+	scopeSpans := &trace.ScopeSpans{Scope: e.scope}
 	for i := range list {
 		s := &list[i]
 		span := &trace.Span{TraceId: s.Trace[:], SpanId: s.ID[:], TraceState: s.TraceState, Name: s.Name, Kind: trace.Span_SpanKind(s.Kind),
@@ -83,44 +84,44 @@
 		if s.Failed {
 			span.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: s.Message}
 		}
-		made.Spans = append(made.Spans, span)
+		scopeSpans.Spans = append(scopeSpans.Spans, span)
 	}
-	return e.pack(&coltrace.ExportTraceServiceRequest{ResourceSpans: []*trace.ResourceSpans{{Resource: e.resource, ScopeSpans: []*trace.ScopeSpans{made}}}}, len(list))
+	return e.encode(&coltrace.ExportTraceServiceRequest{ResourceSpans: []*trace.ResourceSpans{{Resource: e.resource, ScopeSpans: []*trace.ScopeSpans{scopeSpans}}}}, len(list))
 }
 
-// metrics encodes metrics as one message.
+// metrics encodes metrics as one batch.
 func (e *encoder) metrics(list []*metrics.Metric) (batch, error) {
 	points := 0
 	for _, m := range list {
 		points += len(m.GetSum().GetDataPoints()) + len(m.GetGauge().GetDataPoints()) + len(m.GetExponentialHistogram().GetDataPoints())
 	}
-	return e.pack(&colmetrics.ExportMetricsServiceRequest{ResourceMetrics: []*metrics.ResourceMetrics{{Resource: e.resource,
+	return e.encode(&colmetrics.ExportMetricsServiceRequest{ResourceMetrics: []*metrics.ResourceMetrics{{Resource: e.resource,
 		ScopeMetrics: []*metrics.ScopeMetrics{{Scope: e.scope, Metrics: list}}}}}, points)
 }
 
-// pack marshals and compresses a message of so many items.
-func (e *encoder) pack(m proto.Message, items int) (b batch, err error) {
-	if e.text, err = (proto.MarshalOptions{}).MarshalAppend(e.text[:0], m); err != nil {
+// encode marshals and compresses a message with the given number of items.
+func (e *encoder) encode(m proto.Message, items int) (b batch, err error) {
+	if e.buffer, err = (proto.MarshalOptions{}).MarshalAppend(e.buffer[:0], m); err != nil {
 		return batch{}, fmt.Errorf("telemetry: %w", err)
 	}
-	var packed bytes.Buffer
-	e.zip.Reset(&packed)
-	e.zip.Write(e.text) // writing to memory can't fail
-	if err := e.zip.Close(); err != nil {
+	var compressed bytes.Buffer
+	e.gzip.Reset(&compressed)
+	e.gzip.Write(e.buffer) // writing to memory cannot fail
+	if err := e.gzip.Close(); err != nil {
 		return batch{}, fmt.Errorf("telemetry: %w", err)
 	}
-	return batch{packed.Bytes(), items}, nil
+	return batch{compressed.Bytes(), items}, nil
 }
 
-// The collector's replies to accepted messages.
+// The responses to accepted messages, by signal.
 type (
-	traceReply struct {
+	traceResponse struct {
 		coltrace.ExportTraceServiceResponse
 	}
-	metricsReply struct {
+	metricsResponse struct {
 		colmetrics.ExportMetricsServiceResponse
 	}
 )
 
-func (r *traceReply) rejected() int64   { return r.GetPartialSuccess().GetRejectedSpans() }
-func (r *metricsReply) rejected() int64 { return r.GetPartialSuccess().GetRejectedDataPoints() }
+func (r *traceResponse) rejected() int64   { return r.GetPartialSuccess().GetRejectedSpans() }
+func (r *metricsResponse) rejected() int64 { return r.GetPartialSuccess().GetRejectedDataPoints() }
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -14,46 +14,46 @@
 	"elderyard/traces"
 )
 
-// Every metric that is exported, with its series: TestThePageHasAllMetrics holds the list to the operators' page.
+// Pins every exported metric with its series. TestMetricsPageIsCurrent compares the list with the operators' page.
 func TestGoldenMetrics(t *testing.T) {
 	set := settings("127.0.0.1:1")
 	set.Tracing.Classes, set.Tracing.LatencyObjectives = []string{"lookup", "booking"}, []float64{0.5, 0.5}
-	x, client := newTelemetry(set, func() float64 { return 100 }, figures, quiet)
+	exporter, client := newExporter(set, func() float64 { return 100 }, testStats, discardLogger)
 	defer client.CloseIdleConnections()
 	self := traces.Context{Trace: traces.TraceID{1}, Span: traces.SpanID{2}}
-	b := &traces.Request{SpanContext: self, Method: "GET", SentAt: 100}
+	req := &traces.Request{SpanContext: self, Method: "GET", SentAt: 100}
 	for _, e := range []traces.Event{{Kind: traces.RequestAccepted, At: 100}, {Kind: traces.AttemptStarted, At: 100, SpanID: traces.SpanID{3}, Backend: "n0"}, {Kind: traces.AttemptEnded, At: 100.25}, {Kind: traces.FinalResponse, At: 100.25, Status: 200}} {
-		e.Request = b
-		x.state.tally.Handle(e)
-		x.state.recorder.Handle(e, nil)
+		e.Request = req
+		exporter.state.tally.Handle(e)
+		exporter.state.recorder.Handle(e, nil)
 	}
-	x.state.figures = GatewayStats{Stats: rules.Stats{ConcurrencyLimit: 4, InFlight: 1, Queued: []int{0, 2}, WaitingForQuota: 3, Healthy: 5, Ejected: 6, Cold: 7, Detached: 8, NotReady: 9, Customers: 10, LeasedUnits: 11.5}}
-	for i := range x.state.figures.CounterCalls {
-		x.state.figures.CounterCalls[i] = uint64(20 + i)
+	exporter.state.stats = GatewayStats{Stats: rules.Stats{ConcurrencyLimit: 4, InFlight: 1, Queued: []int{0, 2}, WaitingForQuota: 3, Healthy: 5, Ejected: 6, Cold: 7, Detached: 8, NotReady: 9, Customers: 10, LeasedUnits: 11.5}}
+	for i := range exporter.state.stats.CounterCalls {
+		exporter.state.stats.CounterCalls[i] = uint64(20 + i)
 	}
-	for i := range x.state.missed {
-		x.state.missed[i] = uint64(40 + i)
+	for i := range exporter.state.droppedEvents {
+		exporter.state.droppedEvents[i] = uint64(40 + i)
 	}
-	if unset := golden.UnsetFields(x.state.figures); len(unset) > 0 {
-		t.Errorf("figures without a value: %v", unset)
+	if unset := golden.UnsetFields(exporter.state.stats); len(unset) > 0 {
+		t.Errorf("statistics without a value: %v", unset)
 	}
 	var out strings.Builder
 	labels := func(list []*common.KeyValue) string {
 		var parts []string
 		for _, a := range list {
-			switch v := a.Value.GetValue().(type) { // its text form differs from build to build
+			switch v := a.Value.GetValue().(type) { // protobuf's text format differs between builds
 			case *common.AnyValue_StringValue:
 				parts = append(parts, fmt.Sprintf("%s=%q", a.Key, v.StringValue))
 			case *common.AnyValue_BoolValue:
 				parts = append(parts, fmt.Sprintf("%s=%t", a.Key, v.BoolValue))
 			default:
-				t.Errorf("%s has a %T", a.Key, v)
+				t.Errorf("attribute %s has the unsupported type %T", a.Key, v)
 			}
 		}
 		return strings.Join(parts, ", ")
 	}
 	exported := map[string]bool{}
-	for _, m := range x.state.metrics(&set.Tracing, 100, 101) {
+	for _, m := range exporter.state.metrics(&set.Tracing, 100, 101) {
 		exported[m.Name] = true
 		fmt.Fprintf(&out, "%s unit %s: %s\n", m.Name, m.Unit, m.Description)
 		if s := m.GetSum(); s != nil {
@@ -84,32 +84,32 @@
 	golden.Text(t, "metrics.txt", out.String())
 }
 
-// The environment variables that are read, the resource's attributes and the collector's paths.
+// Pins the environment variables that are read, the attributes of the resource and the paths at the collector.
 func TestGoldenSettings(t *testing.T) {
 	values := map[string]string{
 		"OTEL_EXPORTER_OTLP_ENDPOINT": "http://127.0.0.1:4318/", "OTEL_EXPORTER_OTLP_PROTOCOL": "grpc", "OTEL_EXPORTER_OTLP_HEADERS": "token=t",
 		"OTEL_EXPORTER_OTLP_TIMEOUT": "250", "OTEL_METRIC_EXPORT_INTERVAL": "500", "OTEL_TRACES_SAMPLER": "traceidratio", "OTEL_TRACES_SAMPLER_ARG": "0.25",
 		"OTEL_RESOURCE_ATTRIBUTES": "team=ops",
 	}
-	var asked []string
+	var names []string
 	set, err := FromSite(site.Defaults().Telemetry, func(name string) string {
-		if !slices.Contains(asked, name) {
-			asked = append(asked, name)
+		if !slices.Contains(names, name) {
+			names = append(names, name)
 		}
 		return values[name]
 	}, "g0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b strings.Builder
-	for _, name := range asked {
-		fmt.Fprintf(&b, "%s=%s\n", name, values[name])
+	var out strings.Builder
+	for _, name := range names {
+		fmt.Fprintf(&out, "%s=%s\n", name, values[name])
 	}
-	fmt.Fprintf(&b, "endpoint %s, gRPC %t, headers %v, timeout %v, interval %v, flush %v, queue %d bytes, sample ratio %g\n",
+	fmt.Fprintf(&out, "endpoint %s, gRPC %t, headers %v, timeout %v, interval %v, flush %v, queue %d bytes, sample ratio %g\n",
 		set.Endpoint, set.GRPC, set.Headers, set.Timeout, set.Interval, set.FlushTimeout, set.QueueBytes, set.Tracing.SampleRatio)
 	for _, a := range set.Resource {
-		fmt.Fprintf(&b, "resource %s=%v\n", a.Key, a.Value)
+		fmt.Fprintf(&out, "resource %s=%v\n", a.Key, a.Value)
 	}
-	fmt.Fprintf(&b, "paths %s %s, gRPC calls %s %s\n", tracesPath, metricsPath, tracesCall, metricsCall)
-	golden.Text(t, "settings.txt", b.String())
+	fmt.Fprintf(&out, "paths %s %s, gRPC calls %s %s\n", tracesPath, metricsPath, tracesCall, metricsCall)
+	golden.Text(t, "settings.txt", out.String())
 }
--- a/internal/telemetry/grpc.go
+++ b/internal/telemetry/grpc.go
@@ -18,16 +18,16 @@
 )
 
 // OTLP over gRPC makes one unary call per message. The HTTP/2 client of the standard library suffices for that; the
-// gRPC library would be larger than the rest of the exporter.
+// gRPC library would be larger than the rest of the exporter. Protocol:
 // https://github.com/grpc/grpc/blob/master/doc/PROTOCOL-HTTP2.md
 
 const (
 	tracesCall     = "/opentelemetry.proto.collector.trace.v1.TraceService/Export"
 	metricsCall    = "/opentelemetry.proto.collector.metrics.v1.MetricsService/Export"
-	frameHeaderLen = 5 // bytes: the compression flag and the length
+	frameHeaderLen = 5 // bytes: 1 for the compression flag, 4 for the length
 )
 
-// retryableGRPCStatus holds the gRPC statuses after which OTLP's specification allows a retry.
+// retryableGRPCStatus holds the gRPC status codes after which the OTLP specification allows a retry.
 var retryableGRPCStatus = map[int]bool{1: true, 4: true, 10: true, 11: true, 14: true, 15: true}
 
 const (
@@ -35,7 +35,7 @@
 	grpcResourceExhausted = 8 // retryable only with a RetryInfo
 )
 
-// classifyGRPCStatus returns what the status of a call means, and the pause that the server asks for.
+// classifyGRPCStatus returns the result of a call with the given status, and the delay that the server requests.
 func classifyGRPCStatus(status int, details string) (deliveryResult, time.Duration) {
 	delay, ok := retryInfo(details)
 	switch {
@@ -48,11 +48,11 @@
 }
 
 // sendGRPC makes one delivery over gRPC.
-func (s *sender) sendGRPC(ctx context.Context, packed []byte) (v deliveryResult, advised time.Duration, reply []byte) {
-	frame := make([]byte, frameHeaderLen, frameHeaderLen+len(packed))
+func (s *sender) sendGRPC(ctx context.Context, compressed []byte) (result deliveryResult, requestedDelay time.Duration, response []byte) {
+	frame := make([]byte, frameHeaderLen, frameHeaderLen+len(compressed))
 	frame[0] = 1
-	binary.BigEndian.PutUint32(frame[1:], uint32(len(packed)))
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(append(frame, packed...)))
+	binary.BigEndian.PutUint32(frame[1:], uint32(len(compressed)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(append(frame, compressed...)))
 	if err != nil {
 		return permanentFailure, 0, nil
 	}
@@ -71,28 +71,28 @@
 	if resp.StatusCode != http.StatusOK {
 		return classifyHTTPStatus(resp.StatusCode, nil), retryAfter(resp.Header, time.Now()), nil
 	}
-	reply, err = readFrame(resp.Body, resp.Header.Get("Grpc-Encoding"))
+	response, err = readFrame(resp.Body, resp.Header.Get("Grpc-Encoding"))
 	if err != nil {
 		return retryable, 0, nil
 	}
-	from := resp.Trailer
+	trailer := resp.Trailer
 	if resp.Header.Get("Grpc-Status") != "" {
-		from = resp.Header // a trailers-only response
+		trailer = resp.Header // a trailers-only response
 	}
-	status, err := strconv.Atoi(from.Get("Grpc-Status"))
+	status, err := strconv.Atoi(trailer.Get("Grpc-Status"))
 	if err != nil {
 		return retryable, 0, nil // the response ended before its status
 	}
-	v, advised = classifyGRPCStatus(status, from.Get("Grpc-Status-Details-Bin"))
-	return v, advised, reply
+	result, requestedDelay = classifyGRPCStatus(status, trailer.Get("Grpc-Status-Details-Bin"))
+	return result, requestedDelay, response
 }
 
-var errMalformedFrame = errors.New("a frame that can't be read")
+var errMalformedFrame = errors.New("malformed gRPC frame")
 
-// readFrame reads a response to its end, after which its trailers are available, and returns its one message, nil
-// if there is none. Servers compress responses like the request, whatever it accepts.
+// readFrame reads a response to its end, after which its trailers are available, and returns its message, nil if there
+// is none. Responses may be compressed: servers use the encoding of the request, whatever it accepts.
 func readFrame(r io.Reader, encoding string) ([]byte, error) {
-	text, err := readBounded(r)
+	text, err := readLimited(r)
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", errMalformedFrame, err)
@@ -110,36 +110,36 @@
 		return nil, fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	defer z.Close()
-	if text, err = readBounded(z); err != nil {
+	if text, err = readLimited(z); err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	return text, nil
 }
 
-// readBounded reads to the end; more than maxReplyBytes is an error.
-func readBounded(r io.Reader) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(r, maxReplyBytes+1))
-	if err == nil && len(text) > maxReplyBytes {
-		err = errors.New("it is too long")
+// readLimited reads to the end. It fails if there are more than maxResponseBytes.
+func readLimited(r io.Reader) ([]byte, error) {
+	text, err := io.ReadAll(io.LimitReader(r, maxResponseBytes+1))
+	if err == nil && len(text) > maxResponseBytes {
+		err = errors.New("message exceeds the size limit")
 	}
 	return text, err
 }
 
-// retryInfo extracts the pause from the details of a status: a google.rpc.Status whose
-// details (field 3) hold an Any (type 1, value 2) of google.rpc.RetryInfo (a Duration in field 1).
+// retryInfo returns the retry delay in the details of a status: a google.rpc.Status whose details (field 3) hold an
+// Any (type 1, value 2) of google.rpc.RetryInfo (a Duration in field 1). It returns false if there is none.
 func retryInfo(details string) (time.Duration, bool) {
 	text, err := base64.RawStdEncoding.DecodeString(strings.TrimRight(details, "="))
 	if err != nil {
 		return 0, false
 	}
-	for _, any := range fields(text, 3) {
-		kind := fields(any, 1)
-		if len(kind) != 1 || !strings.HasSuffix(string(kind[0]), "/google.rpc.RetryInfo") {
+	for _, detail := range bytesFields(text, 3) {
+		typeURL := bytesFields(detail, 1)
+		if len(typeURL) != 1 || !strings.HasSuffix(string(typeURL[0]), "/google.rpc.RetryInfo") {
 			continue
 		}
-		for _, info := range fields(any, 2) {
-			for _, d := range fields(info, 1) {
-				seconds, nanos := number(d, 1), number(d, 2)
+		for _, info := range bytesFields(detail, 2) {
+			for _, delay := range bytesFields(info, 1) {
+				seconds, nanos := varintField(delay, 1), varintField(delay, 2)
 				if seconds > uint64(maxRetryAfter/time.Second) {
 					return maxRetryAfter, true
 				}
@@ -150,18 +150,18 @@
 	return 0, false
 }
 
-// fields returns the values of a bytes field, up to the first malformed field.
-func fields(text []byte, want protowire.Number) (list [][]byte) {
+// bytesFields returns all values of a bytes field in a protobuf message, up to its first malformed field.
+func bytesFields(text []byte, field protowire.Number) (list [][]byte) {
 	for len(text) > 0 {
-		n, kind, size := protowire.ConsumeTag(text)
+		number, wireType, size := protowire.ConsumeTag(text)
 		if size < 0 {
 			return list
 		}
 		text = text[size:]
-		if size = protowire.ConsumeFieldValue(n, kind, text); size < 0 {
+		if size = protowire.ConsumeFieldValue(number, wireType, text); size < 0 {
 			return list
 		}
-		if n == want && kind == protowire.BytesType {
+		if number == field && wireType == protowire.BytesType {
 			v, _ := protowire.ConsumeBytes(text)
 			list = append(list, v)
 		}
@@ -170,18 +170,18 @@
 	return list
 }
 
-// number returns the value of a varint field, 0 if it is absent.
-func number(text []byte, want protowire.Number) uint64 {
+// varintField returns the first value of a varint field in a protobuf message, 0 if it is absent.
+func varintField(text []byte, field protowire.Number) uint64 {
 	for len(text) > 0 {
-		n, kind, size := protowire.ConsumeTag(text)
+		number, wireType, size := protowire.ConsumeTag(text)
 		if size < 0 {
 			return 0
 		}
 		text = text[size:]
-		if size = protowire.ConsumeFieldValue(n, kind, text); size < 0 {
+		if size = protowire.ConsumeFieldValue(number, wireType, text); size < 0 {
 			return 0
 		}
-		if n == want && kind == protowire.VarintType {
+		if number == field && wireType == protowire.VarintType {
 			v, _ := protowire.ConsumeVarint(text)
 			return v
 		}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -12,7 +12,7 @@
 	"elderyard/traces"
 )
 
-// Metric describes one metric. `elderctl site metrics` and the operators' page are generated from these
+// Metric describes one metric. The output of `elderctl site metrics` and the operators' page are generated from these
 // descriptions.
 type Metric struct{ Name, Unit, Kind, Attributes, Description string }
 
@@ -23,7 +23,7 @@
 	kindHistogram = "exponential histogram"
 )
 
-// Metrics lists the metrics that a gateway exports. Sums are cumulative from the start of the process.
+// Metrics returns all metrics of a gateway. Sums are cumulative since the start of the process.
 func Metrics() []Metric {
 	return []Metric{
 		{"elderyard.requests", "{request}", kindSum, "elderyard.class, elderyard.plan, elderyard.first", "tries that were taken in; first: their clients did not mark them as another try"},
@@ -46,31 +46,32 @@
 	}
 }
 
-// exportState is the state from which metrics are made.
+// exportState is the state from which metrics are generated.
 type exportState struct {
-	tally       *traces.Tally
-	recorder    *traces.Recorder
-	figures     GatewayStats
-	missed      [traces.EventKindCount]uint64
-	spanSender  *sender
-	pointSender *sender
+	tally         *traces.Tally
+	recorder      *traces.Recorder
+	stats         GatewayStats
+	droppedEvents [traces.EventKindCount]uint64 // events that found the buffer full
+	spanSender    *sender
+	pointSender   *sender
 }
 
-// GatewayStats are gauges and counters that the owner of the rules module reports.
+// GatewayStats are the statistics that the event loop reports for the decision module.
 type GatewayStats struct {
 	rules.Stats
-	CounterCalls [traces.OutcomeCount]uint64 // calls to the counter, by outcome
+	CounterCalls [traces.OutcomeCount]uint64 // calls to the shared counter, by outcome
 }
 
-// metricBuilder collects the points of one export. Start and now are OTLP times.
+// metricBuilder collects the data points of one export. Start and now are in nanoseconds.
 type metricBuilder struct {
 	start, now uint64
 	list       []*metrics.Metric
-	at         map[string]*metrics.Metric
+	byName     map[string]*metrics.Metric
 }
 
+// metric returns the metric with the given name. It adds the metric on first use.
 func (b *metricBuilder) metric(name string) *metrics.Metric {
-	if m := b.at[name]; m != nil {
+	if m := b.byName[name]; m != nil {
 		return m
 	}
 	for _, d := range Metrics() {
@@ -88,10 +89,10 @@
 				AggregationTemporality: metrics.AggregationTemporality_AGGREGATION_TEMPORALITY_CUMULATIVE}}
 		}
 		b.list = append(b.list, m)
-		b.at[name] = m
+		b.byName[name] = m
 		return m
 	}
-	panic("metric " + name + " is not on the list") // a test exports every metric
+	panic("metric " + name + " is not in Metrics") // cannot happen: a test exports every metric
 }
 
 func (b *metricBuilder) sum(name string, n uint64, attrs ...traces.Attr) {
@@ -100,10 +101,10 @@
 		Value: &metrics.NumberDataPoint_AsInt{AsInt: int64(n)}})
 }
 
-func (b *metricBuilder) gauge(name string, x float64, attrs ...traces.Attr) {
+func (b *metricBuilder) gauge(name string, value float64, attrs ...traces.Attr) {
 	s := b.metric(name).GetGauge()
 	s.DataPoints = append(s.DataPoints, &metrics.NumberDataPoint{Attributes: attributes(attrs), TimeUnixNano: b.now,
-		Value: &metrics.NumberDataPoint_AsDouble{AsDouble: x}})
+		Value: &metrics.NumberDataPoint_AsDouble{AsDouble: value}})
 }
 
 func (b *metricBuilder) histogram(name string, h *traces.Histogram, attrs ...traces.Attr) {
@@ -111,8 +112,8 @@
 		Scale: int32(h.Scale), ZeroCount: h.Zero, Positive: &metrics.ExponentialHistogramDataPoint_Buckets{Offset: int32(h.Offset),
 			BucketCounts: append([]uint64(nil), h.Buckets...)}}
 	if sum := h.Sum; h.Count > 0 {
-		least, most := h.Min, h.Max
-		p.Sum, p.Min, p.Max = &sum, &least, &most
+		lowest, highest := h.Min, h.Max
+		p.Sum, p.Min, p.Max = &sum, &lowest, &highest
 	}
 	if e := h.Exemplar; e.Context.Trace != (traces.TraceID{}) {
 		p.Exemplars = []*metrics.Exemplar{{TimeUnixNano: traces.UnixNanos(e.At), Value: &metrics.Exemplar_AsDouble{AsDouble: e.Value},
@@ -125,20 +126,20 @@
 func attr(key string, v any) traces.Attr { return traces.Attr{Key: key, Value: v} }
 
 // metrics returns the current metrics. Start and now are in seconds.
-func (c *exportState) metrics(set *traces.Settings, start, now float64) []*metrics.Metric {
-	b := &metricBuilder{start: traces.UnixNanos(start), now: traces.UnixNanos(max(now, start)), at: map[string]*metrics.Metric{}}
-	b.addRequests(c.tally, set)
-	b.addFigures(&c.figures)
-	b.addSampling(c.recorder)
-	b.addSignal("traces", c.spanSender)
-	b.addSignal("metrics", c.pointSender)
-	for kind, n := range c.missed {
+func (s *exportState) metrics(set *traces.Settings, start, now float64) []*metrics.Metric {
+	b := &metricBuilder{start: traces.UnixNanos(start), now: traces.UnixNanos(max(now, start)), byName: map[string]*metrics.Metric{}}
+	b.addRequests(s.tally, set)
+	b.addGatewayStats(&s.stats)
+	b.addSampling(s.recorder)
+	b.addSignal("traces", s.spanSender)
+	b.addSignal("metrics", s.pointSender)
+	for kind, n := range s.droppedEvents {
 		b.sum("elderyard.telemetry.missed", n, attr("elderyard.kind", traces.EventKind(kind).String()))
 	}
 	return b.list
 }
 
-// addRequests adds what the tally counted of requests and attempts.
+// addRequests adds the counts of requests and attempts.
 func (b *metricBuilder) addRequests(t *traces.Tally, set *traces.Settings) {
 	for class, className := range set.Classes {
 		byClass := attr("elderyard.class", className)
@@ -159,36 +160,36 @@
 	}
 }
 
-// addFigures adds what the owner reported.
-func (b *metricBuilder) addFigures(f *GatewayStats) {
-	for outcome, n := range f.CounterCalls {
+// addGatewayStats adds the statistics of the event loop.
+func (b *metricBuilder) addGatewayStats(stats *GatewayStats) {
+	for outcome, n := range stats.CounterCalls {
 		b.sum("elderyard.counter.calls", n, attr("elderyard.outcome", callOutcome(rules.Outcome(outcome))))
 	}
-	b.gauge("elderyard.bound", f.ConcurrencyLimit)
-	b.gauge("elderyard.in_flight", float64(f.InFlight))
-	for level, n := range f.Queued {
+	b.gauge("elderyard.bound", stats.ConcurrencyLimit)
+	b.gauge("elderyard.in_flight", float64(stats.InFlight))
+	for level, n := range stats.Queued {
 		b.gauge("elderyard.held", float64(n), attr("elderyard.level", strconv.Itoa(level)))
 	}
-	b.gauge("elderyard.waiting", float64(f.WaitingForQuota))
+	b.gauge("elderyard.waiting", float64(stats.WaitingForQuota))
 	for _, backends := range []struct {
 		health string
 		count  int
-	}{{"well", f.Healthy}, {"left out", f.Ejected}, {"cold", f.Cold}, {"by hand", f.Detached}, {"not ready", f.NotReady}} {
+	}{{"well", stats.Healthy}, {"left out", stats.Ejected}, {"cold", stats.Cold}, {"by hand", stats.Detached}, {"not ready", stats.NotReady}} {
 		b.gauge("elderyard.backends", float64(backends.count), attr("elderyard.health", backends.health))
 	}
-	b.gauge("elderyard.accounts", float64(f.Customers))
-	b.gauge("elderyard.units.leased", f.LeasedUnits)
+	b.gauge("elderyard.accounts", float64(stats.Customers))
+	b.gauge("elderyard.units.leased", stats.LeasedUnits)
 }
 
-// addSampling adds how many traces were exported and how many discarded.
+// addSampling adds the numbers of sampled and discarded traces.
 func (b *metricBuilder) addSampling(r *traces.Recorder) {
 	b.sum("elderyard.stories", uint64(r.Sampled), attr("elderyard.kept", true))
 	b.sum("elderyard.stories", uint64(r.Discarded), attr("elderyard.kept", false))
 }
 
-// addSignal adds what became of the items of one signal.
+// addSignal adds the delivery counts and the queue length of one signal.
 func (b *metricBuilder) addSignal(name string, s *sender) {
-	queued, dropped := s.queue.state()
+	queued, dropped := s.queue.stats()
 	signal := attr("elderyard.signal", name)
 	b.sum("elderyard.telemetry.items", s.sent.Load(), signal, attr("elderyard.state", "sent"))
 	b.sum("elderyard.telemetry.items", dropped, signal, attr("elderyard.state", "dropped"))
@@ -196,7 +197,7 @@
 	b.gauge("elderyard.telemetry.queue", float64(queued), signal)
 }
 
-// callOutcome returns the exported name of the outcome of a call to the counter.
+// callOutcome returns the exported name of the outcome of a call to the shared counter.
 func callOutcome(o rules.Outcome) string {
 	switch o {
 	case rules.Served:
@@ -207,7 +208,7 @@
 	return traces.OutcomeName(o)
 }
 
-// MetricsTable returns the list of metrics as it stands on the operators' page.
+// MetricsTable returns the table of metrics on the operators' page.
 func MetricsTable() string {
 	var b strings.Builder
 	b.WriteString("| metric | unit | kind | attributes | what it is |\n| --- | --- | --- | --- | --- |\n")
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// batch is one encoded message.
+// batch is one encoded OTLP message.
 type batch struct {
 	body  []byte // compressed protobuf
 	items int    // spans or metric points
 }
 
-// queue holds batches that wait for delivery, up to a limit in bytes. When it is full, the oldest are dropped and
-// counted.
+// queue holds the batches that wait for delivery, up to maxBytes. When the limit is exceeded, the oldest are dropped
+// and their items counted.
 type queue struct {
 	maxBytes int
-	wake     chan struct{} // buffered by one: a batch was added
+	added    chan struct{} // has a buffer of one; signals that a batch was added
 
 	mu      sync.Mutex
 	list    []batch
@@ -20,7 +20,7 @@
 	dropped uint64 // items
 }
 
-func newQueue(most int) *queue { return &queue{maxBytes: most, wake: make(chan struct{}, 1)} }
+func newQueue(maxBytes int) *queue { return &queue{maxBytes: maxBytes, added: make(chan struct{}, 1)} }
 
 // add appends a batch.
 func (q *queue) add(b batch) {
@@ -30,12 +30,12 @@
 	q.bytes += len(b.body)
 	q.trim()
 	select {
-	case q.wake <- struct{}{}:
+	case q.added <- struct{}{}:
 	default:
 	}
 }
 
-// requeue puts a batch that could not be delivered back as the oldest.
+// requeue puts back a batch that could not be delivered, as the oldest.
 func (q *queue) requeue(b batch) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -44,7 +44,7 @@
 	q.trim()
 }
 
-// trim drops the oldest batches until the limit is met.
+// trim drops the oldest batches until the limit is met. The caller must hold mu.
 func (q *queue) trim() {
 	for len(q.list) > 0 && q.bytes > q.maxBytes {
 		q.bytes -= len(q.list[0].body)
@@ -54,8 +54,8 @@
 	}
 }
 
-// take removes and returns the oldest batch.
-func (q *queue) take() (b batch, ok bool) {
+// pop removes and returns the oldest batch.
+func (q *queue) pop() (b batch, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.list) == 0 {
@@ -68,15 +68,15 @@
 	return b, true
 }
 
-// countDropped counts items that will not be delivered.
+// countDropped counts items outside the queue that will not be delivered.
 func (q *queue) countDropped(items int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.dropped += uint64(items)
 }
 
-// state returns the bytes that are queued and the number of items dropped so far.
-func (q *queue) state() (bytes int, dropped uint64) {
+// stats returns the number of bytes queued and of items dropped so far.
+func (q *queue) stats() (bytes int, dropped uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.bytes, q.dropped
--- a/internal/telemetry/settings.go
+++ b/internal/telemetry/settings.go
@@ -13,7 +13,7 @@
 	"elderyard/traces"
 )
 
-// Limits of values from the environment; package site checks those of the operators' file.
+// Limits of durations from environment variables; package site checks those of the site file.
 const (
 	minInterval = 100 * time.Millisecond
 	maxInterval = time.Hour
@@ -25,8 +25,8 @@
 	defaultService     = "elderyard"
 )
 
-// FromSite returns the settings of the operators' file, completed from OpenTelemetry's standard environment
-// variables. It returns nil if nothing is to be exported. Name identifies the process.
+// FromSite returns the settings of the site file. If the file has no endpoint, OpenTelemetry's standard environment
+// variables apply. It returns nil if there is no endpoint at all. Name is the process's service.instance.id.
 func FromSite(s site.Telemetry, env func(string) string, name string) (*Settings, error) {
 	if env("OTEL_SDK_DISABLED") == "true" && s.Endpoint == "" {
 		return nil, nil
@@ -41,7 +41,7 @@
 		Timeout:      time.Duration(s.Timeout),
 		FlushTimeout: time.Duration(s.Flush),
 		QueueBytes:   s.QueueKB << 10,
-		Tracing:      traces.Settings{SampleRatio: s.Share, AlwaysSample: keepOf(s.Keep)},
+		Tracing:      traces.Settings{SampleRatio: s.Share, AlwaysSample: alwaysSample(s.Keep)},
 	}
 	if set.Endpoint == "" {
 		set.Endpoint = env("OTEL_EXPORTER_OTLP_ENDPOINT")
@@ -53,11 +53,11 @@
 		}
 	}
 	if u, err := url.Parse(set.Endpoint); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-		return nil, fmt.Errorf("collector: %q is not a URL of http or https", set.Endpoint)
+		return nil, fmt.Errorf("collector endpoint %q is not an http or https URL", set.Endpoint)
 	}
 	set.Endpoint = strings.TrimSuffix(set.Endpoint, "/")
 	maps.Copy(set.Headers, s.Headers)
-	resource, err := resourceOf(s.Service, env, name)
+	resource, err := resourceAttributes(s.Service, env, name)
 	if err != nil {
 		return nil, err
 	}
@@ -65,32 +65,32 @@
 	return set, nil
 }
 
-// keepOf converts the list of the operators' file, which package site has checked.
-func keepOf(list []string) (keep traces.AlwaysSample) {
-	for _, k := range list {
-		switch k {
+// alwaysSample converts the list of the site file, which package site has validated.
+func alwaysSample(list []string) (always traces.AlwaysSample) {
+	for _, name := range list {
+		switch name {
 		case "failed":
-			keep.Failed = true
+			always.Failed = true
 		case "refused":
-			keep.Refused = true
+			always.Refused = true
 		case "late":
-			keep.Late = true
+			always.Late = true
 		case "repeated":
-			keep.Retried = true
+			always.Retried = true
 		}
 	}
-	return keep
+	return always
 }
 
-// resourceOf returns the attributes of a process.
-func resourceOf(service string, env func(string) string, name string) ([]traces.Attr, error) {
+// resourceAttributes returns the attributes of this process. Those of OTEL_RESOURCE_ATTRIBUTES do not override its name.
+func resourceAttributes(service string, env func(string) string, name string) ([]traces.Attr, error) {
 	service = cmp.Or(service, env("OTEL_SERVICE_NAME"), defaultService)
 	resource := []traces.Attr{{Key: serviceNameKey, Value: service}, {Key: serviceInstanceKey, Value: name}}
-	more, err := pairs(env("OTEL_RESOURCE_ATTRIBUTES"))
+	extra, err := parsePairs(env("OTEL_RESOURCE_ATTRIBUTES"))
 	if err != nil {
 		return nil, fmt.Errorf("OTEL_RESOURCE_ATTRIBUTES: %w", err)
 	}
-	for _, p := range more {
+	for _, p := range extra {
 		if p[0] != serviceNameKey && p[0] != serviceInstanceKey {
 			resource = append(resource, traces.Attr{Key: p[0], Value: p[1]})
 		}
@@ -98,16 +98,16 @@
 	return resource, nil
 }
 
-// fromEnv applies the environment variables that go with the endpoint.
+// fromEnv applies the environment variables for the endpoint of the environment.
 func (set *Settings) fromEnv(env func(string) string) error {
 	switch protocol := env("OTEL_EXPORTER_OTLP_PROTOCOL"); protocol {
 	case "", "http/protobuf":
 	case "grpc":
 		set.GRPC = true
 	default:
-		return fmt.Errorf("OTEL_EXPORTER_OTLP_PROTOCOL: %q is neither http/protobuf nor grpc", protocol)
+		return fmt.Errorf("OTEL_EXPORTER_OTLP_PROTOCOL: unsupported protocol %q, want http/protobuf or grpc", protocol)
 	}
-	headers, err := pairs(env("OTEL_EXPORTER_OTLP_HEADERS"))
+	headers, err := parsePairs(env("OTEL_EXPORTER_OTLP_HEADERS"))
 	if err != nil {
 		return fmt.Errorf("OTEL_EXPORTER_OTLP_HEADERS: %w", err)
 	}
@@ -123,7 +123,7 @@
 	return set.samplerFromEnv(env)
 }
 
-// durationFromEnv sets d to a variable's number of milliseconds, unless the variable is empty.
+// durationFromEnv sets d from a variable in milliseconds, unless the variable is empty.
 func durationFromEnv(env func(string) string, name string, d *time.Duration) error {
 	text := env(name)
 	if text == "" {
@@ -132,13 +132,13 @@
 	ms, err := strconv.ParseInt(text, 10, 64)
 	value := time.Duration(ms) * time.Millisecond
 	if err != nil || ms > maxInterval.Milliseconds() || value < minInterval {
-		return fmt.Errorf("%s: %q is not a number of milliseconds from %d to %d", name, text, minInterval.Milliseconds(), maxInterval.Milliseconds())
+		return fmt.Errorf("%s: %q is not a duration from %d to %d milliseconds", name, text, minInterval.Milliseconds(), maxInterval.Milliseconds())
 	}
 	*d = value
 	return nil
 }
 
-// samplerFromEnv sets the sample ratio.
+// samplerFromEnv sets the sample ratio from the standard sampler variables.
 func (set *Settings) samplerFromEnv(env func(string) string) error {
 	switch sampler := env("OTEL_TRACES_SAMPLER"); sampler {
 	case "":
@@ -149,17 +149,17 @@
 	case "traceidratio", "parentbased_traceidratio":
 		ratio, err := strconv.ParseFloat(env("OTEL_TRACES_SAMPLER_ARG"), 64)
 		if err != nil || !(ratio >= 0 && ratio <= 1) {
-			return fmt.Errorf("OTEL_TRACES_SAMPLER_ARG: %q is not a share from 0 to 1", env("OTEL_TRACES_SAMPLER_ARG"))
+			return fmt.Errorf("OTEL_TRACES_SAMPLER_ARG: %q is not a ratio from 0 to 1", env("OTEL_TRACES_SAMPLER_ARG"))
 		}
 		set.Tracing.SampleRatio = ratio
 	default:
-		return fmt.Errorf("OTEL_TRACES_SAMPLER: %q is not known", sampler)
+		return fmt.Errorf("OTEL_TRACES_SAMPLER: unknown sampler %q", sampler)
 	}
 	return nil
 }
 
-// pairs parses a list such as a=1,b=2 with URL-encoded values.
-func pairs(text string) (list [][2]string, err error) {
+// parsePairs parses a list such as a=1,b=2 with URL-encoded values.
+func parsePairs(text string) (list [][2]string, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		part = strings.TrimSpace(part)
 		if part == "" {
@@ -167,7 +167,7 @@
 		}
 		key, value, ok := strings.Cut(part, "=")
 		if key = strings.TrimSpace(key); !ok || key == "" {
-			return nil, fmt.Errorf("%q is not key=value", part)
+			return nil, fmt.Errorf("%q is not of the form key=value", part)
 		}
 		if value, err = url.PathUnescape(strings.TrimSpace(value)); err != nil {
 			return nil, fmt.Errorf("%s: %w", key, err)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package telemetry exports the traces and metrics that package traces makes of requests to a collector, by OTLP
-// over HTTP or gRPC. It never delays a request: events are recorded without blocking, queues are bounded in bytes,
-// and what does not fit is dropped and counted.
+// Package telemetry exports the traces and metrics of package traces to an OpenTelemetry collector, by OTLP over HTTP
+// or gRPC. It never delays a request: events are recorded without blocking, queues are limited in bytes, and data that
+// does not fit is dropped and counted.
 package telemetry
 
 import (
@@ -15,73 +15,73 @@
 )
 
 const (
-	maxEvents          = 1 << 13 // that may wait to be handled
-	maxSpansPerMessage = 64      // larger messages would keep a core from requests for longer
+	maxEvents          = 1 << 13 // limit of the event buffer
+	maxSpansPerMessage = 64      // encoding a larger message would occupy a core for too long
 	eventInterval      = 50 * time.Millisecond
 	spanInterval       = time.Second
-	figuresTimeout     = 200 * time.Millisecond
-	warningInterval    = time.Minute // between log lines about an unreachable collector
+	statsTimeout       = 200 * time.Millisecond
+	failureLogInterval = time.Minute // between log lines about failed deliveries
 	tracesPath         = "/v1/traces"
 	metricsPath        = "/v1/metrics"
 )
 
-// Settings say what is exported, and to which collector.
+// Settings select what is exported, and the collector.
 type Settings struct {
-	Endpoint     string            // URL, to which the paths of the signals are appended
+	Endpoint     string            // base URL; the path of each signal is appended
 	GRPC         bool              // OTLP over gRPC instead of HTTP
-	Headers      map[string]string // of each call
+	Headers      map[string]string // of each request to the collector
 	Resource     []traces.Attr     // attributes of this process
 	Traces       bool
 	Metrics      bool
 	Interval     time.Duration // between exports of metrics
-	Timeout      time.Duration // of a call
-	FlushTimeout time.Duration // how long Close may take to deliver what is queued
+	Timeout      time.Duration // of a delivery
+	FlushTimeout time.Duration // limit of the delivery of queued data in Close
 	QueueBytes   int           // limit of each signal's queue
 	Tracing      traces.Settings
 }
 
-// Exporter is the exporter of one process.
+// Exporter exports the traces and metrics of one process.
 type Exporter struct {
 	settings       Settings
 	now            func() float64
-	readFigures    func(context.Context) (GatewayStats, error)
+	readStats      func(context.Context) (GatewayStats, error)
 	log            *slog.Logger
 	start          float64
 	events         eventBuffer
-	missed         [traces.EventKindCount]atomic.Uint64
+	droppedEvents  [traces.EventKindCount]atomic.Uint64
 	encoder        *encoder
 	state          exportState
-	spare          []traces.Event // the list that is swapped in next
+	spare          []traces.Event // empty list for the next swap of events
 	spans          []traces.Span
 	senders        []*sender
 	stop           context.CancelFunc
-	ended          chan struct{}
-	lastWarning    time.Time // when warnUndelivered last logged
-	warnedFailures uint64    // failed deliveries at that time
+	done           chan struct{}
+	lastLog        time.Time // time of the last line of logFailures
+	loggedFailures uint64    // failed deliveries by then
 }
 
-// Start starts the exporter. Now is the clock of the events, in seconds; readFigures returns the owner's figures
-// and must respect its context. The caller must call Close.
-func Start(set Settings, now func() float64, readFigures func(context.Context) (GatewayStats, error), log *slog.Logger) *Exporter {
-	t, client := newTelemetry(set, now, readFigures, log)
+// Start starts an exporter. Now is the clock of the events, in seconds; readStats returns the statistics of the event
+// loop and must respect its context. The caller must call Close.
+func Start(set Settings, now func() float64, readStats func(context.Context) (GatewayStats, error), log *slog.Logger) *Exporter {
+	t, client := newExporter(set, now, readStats, log)
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
 	go t.run(ctx, client)
 	return t
 }
 
-// newTelemetry makes an exporter whose goroutine is not started.
-func newTelemetry(set Settings, now func() float64, readFigures func(context.Context) (GatewayStats, error), log *slog.Logger) (*Exporter, *http.Client) {
+// newExporter returns an exporter whose goroutine is not running.
+func newExporter(set Settings, now func() float64, readStats func(context.Context) (GatewayStats, error), log *slog.Logger) (*Exporter, *http.Client) {
 	t := &Exporter{
-		settings:    set,
-		now:         now,
-		readFigures: readFigures,
-		log:         log,
-		start:       now(),
-		events:      newEventBuffer(maxEvents),
-		spare:       make([]traces.Event, 0, maxEvents),
-		encoder:     newEncoder(set.Resource),
-		ended:       make(chan struct{}),
+		settings:  set,
+		now:       now,
+		readStats: readStats,
+		log:       log,
+		start:     now(),
+		events:    newEventBuffer(maxEvents),
+		spare:     make([]traces.Event, 0, maxEvents),
+		encoder:   newEncoder(set.Resource),
+		done:      make(chan struct{}),
 	}
 	client := newClient(set.GRPC)
 	tracesTarget, metricsTarget := tracesPath, metricsPath
@@ -91,18 +91,18 @@
 	t.state = exportState{
 		tally:       traces.NewTally(set.Tracing),
 		recorder:    traces.NewRecorder(set.Tracing, uint64(time.Now().UnixNano())),
-		spanSender:  newSender(&set, tracesTarget, client, func() exportReply { return &traceReply{} }),
-		pointSender: newSender(&set, metricsTarget, client, func() exportReply { return &metricsReply{} }),
+		spanSender:  newSender(&set, tracesTarget, client, func() exportResponse { return &traceResponse{} }),
+		pointSender: newSender(&set, metricsTarget, client, func() exportResponse { return &metricsResponse{} }),
 	}
 	t.senders = []*sender{t.state.spanSender, t.state.pointSender}
 	return t, client
 }
 
-// newClient returns the client for both signals. It follows no redirects.
+// newClient returns the HTTP client for both signals. It does not follow redirects.
 func newClient(grpc bool) *http.Client {
 	transport := &http.Transport{MaxConnsPerHost: 2, DisableCompression: true, IdleConnTimeout: time.Minute}
 	if grpc {
-		transport.Protocols = new(http.Protocols) // HTTP/2 alone, also without TLS
+		transport.Protocols = new(http.Protocols) // only HTTP/2, also without TLS
 		transport.Protocols.SetHTTP2(true)
 		transport.Protocols.SetUnencryptedHTTP2(true)
 	}
@@ -110,20 +110,20 @@
 	return &http.Client{Transport: transport, CheckRedirect: noRedirects}
 }
 
-// eventBuffer holds recorded events that have not been handled. They are handled in batches: waking a goroutine
-// for each would cost a request more than the rest of its telemetry.
+// eventBuffer holds the recorded events that have not been handled. They are handled in batches: waking the goroutine
+// for each event would cost a request more than the rest of its telemetry.
 type eventBuffer struct {
-	wake chan struct{} // buffered by one: the buffer is half full
+	halfFull chan struct{} // has a buffer of one; signals that the list is half full
 
-	mu   sync.Mutex // held only to add an event or swap the lists
+	mu   sync.Mutex // locked only to add an event or swap the lists
 	list []traces.Event
 }
 
-func newEventBuffer(most int) eventBuffer {
-	return eventBuffer{wake: make(chan struct{}, 1), list: make([]traces.Event, 0, most)}
+func newEventBuffer(capacity int) eventBuffer {
+	return eventBuffer{halfFull: make(chan struct{}, 1), list: make([]traces.Event, 0, capacity)}
 }
 
-// add appends an event and reports whether there was room.
+// add appends an event. It returns false if the buffer is full.
 func (q *eventBuffer) add(e traces.Event) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -132,39 +132,39 @@
 	}
 	if q.list = append(q.list, e); len(q.list) == cap(q.list)/2 {
 		select {
-		case q.wake <- struct{}{}:
+		case q.halfFull <- struct{}{}:
 		default:
 		}
 	}
 	return true
 }
 
-// swap returns the waiting events and replaces them with an empty list of the same capacity.
-func (q *eventBuffer) swap(empty []traces.Event) []traces.Event {
+// swap returns the buffered events and continues with replacement, an empty list of the same capacity.
+func (q *eventBuffer) swap(replacement []traces.Event) []traces.Event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	full := q.list
-	q.list = empty
+	q.list = replacement
 	return full
 }
 
-// Record hands over an event. It never blocks: an event that does not fit is dropped and counted.
+// Record adds an event to the buffer. It never blocks: if the buffer is full, the event is dropped and counted.
 func (t *Exporter) Record(e traces.Event) {
 	if !t.events.add(e) {
-		t.missed[e.Kind].Add(1)
+		t.droppedEvents[e.Kind].Add(1)
 	}
 }
 
-// Close handles the events recorded so far, delivers what it can within Settings.Flush, and stops the exporter.
-// Record must not be called afterwards.
+// Close handles the events recorded so far, delivers as much as possible within Settings.FlushTimeout, and stops the
+// exporter. Record must not be called afterwards.
 func (t *Exporter) Close() {
 	t.stop()
-	<-t.ended
+	<-t.done
 }
 
-// run is the exporter's goroutine, which owns all of its state but the event buffer and the queues.
+// run is the exporter's goroutine. It owns all state except the event buffer and the queues.
 func (t *Exporter) run(ctx context.Context, client *http.Client) {
-	defer close(t.ended)
+	defer close(t.done)
 	defer client.CloseIdleConnections()
 	var sending sync.WaitGroup
 	sendCtx, stopSending := context.WithCancel(context.Background())
@@ -176,39 +176,39 @@
 	t.handleEvents()
 	t.exportSpans()
 	t.exportMetrics(ctx)
-	stopSending() // a delivery in progress is requeued and flushed with the rest
+	stopSending() // an interrupted delivery is requeued and flushed with the rest
 	sending.Wait()
 	t.drain()
-	if _, lost := t.state.spanSender.queue.state(); lost > 0 {
-		t.log.Warn("spans were dropped for want of room or of a collector", "spans", lost)
+	if _, dropped := t.state.spanSender.queue.stats(); dropped > 0 {
+		t.log.Warn("spans dropped: the queue was full or the collector unavailable", "spans", dropped)
 	}
 }
 
-// export handles events and queues spans and metrics until ctx ends.
+// export handles events and queues spans and metrics until ctx is done.
 func (t *Exporter) export(ctx context.Context) {
-	spans := time.NewTicker(spanInterval)
-	defer spans.Stop()
-	points := time.NewTicker(t.settings.Interval)
-	defer points.Stop()
-	look := time.NewTicker(eventInterval)
-	defer look.Stop()
+	spanTicker := time.NewTicker(spanInterval)
+	defer spanTicker.Stop()
+	metricTicker := time.NewTicker(t.settings.Interval)
+	defer metricTicker.Stop()
+	eventTicker := time.NewTicker(eventInterval)
+	defer eventTicker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-look.C:
+		case <-eventTicker.C:
 			t.handleEvents()
-		case <-t.events.wake:
+		case <-t.events.halfFull:
 			t.handleEvents()
-		case <-spans.C:
+		case <-spanTicker.C:
 			t.exportSpans()
-			t.warnUndelivered()
-		case <-points.C:
+			t.logFailures()
+		case <-metricTicker.C:
 			t.exportMetrics(ctx)
 		}
 	}
 }
 
-// drain delivers what is queued, within the flush time.
+// drain delivers the queued batches within the flush timeout.
 func (t *Exporter) drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), t.settings.FlushTimeout)
 	defer cancel()
@@ -225,10 +225,11 @@
 	for i := range list {
 		t.handle(list[i])
 	}
-	clear(list) // so that the requests can be collected
+	clear(list) // releases the requests to the garbage collector
 	t.spare = list[:0]
 }
 
+// handle counts an event and adds it to the trace of its request.
 func (t *Exporter) handle(e traces.Event) {
 	t.state.tally.Handle(e)
 	if !t.settings.Traces {
@@ -239,13 +240,14 @@
 	}
 }
 
+// exportSpans queues the finished spans as one batch.
 func (t *Exporter) exportSpans() {
 	if len(t.spans) == 0 {
 		return
 	}
 	b, err := t.encoder.spans(t.spans)
 	if err != nil {
-		t.log.Error("spans could not be written", "error", err)
+		t.log.Error("encoding spans failed", "error", err)
 		t.state.spanSender.queue.countDropped(len(t.spans))
 	} else {
 		t.state.spanSender.queue.add(b)
@@ -254,39 +256,38 @@
 	t.spans = t.spans[:0]
 }
 
-// exportMetrics queues the current metrics. If the owner does not return its figures in time, the previous ones
-// are exported again.
+// exportMetrics queues the current metrics. If the event loop does not return its statistics within statsTimeout, the
+// previous ones are exported again.
 func (t *Exporter) exportMetrics(ctx context.Context) {
 	if !t.settings.Metrics {
 		return
 	}
-	within, cancel := context.WithTimeout(ctx, figuresTimeout)
-	if f, err := t.readFigures(within); err == nil {
-		t.state.figures = f
+	statsCtx, cancel := context.WithTimeout(ctx, statsTimeout)
+	if stats, err := t.readStats(statsCtx); err == nil {
+		t.state.stats = stats
 	}
 	cancel()
-	for i := range t.missed {
-		t.state.missed[i] = t.missed[i].Load()
+	for i := range t.droppedEvents {
+		t.state.droppedEvents[i] = t.droppedEvents[i].Load()
 	}
 	list := t.state.metrics(&t.settings.Tracing, t.start, t.now())
 	b, err := t.encoder.metrics(list)
 	if err != nil {
-		t.log.Error("metrics could not be written", "error", err)
+		t.log.Error("encoding metrics failed", "error", err)
 		return
 	}
 	t.state.pointSender.queue.add(b)
 }
 
-// warnUndelivered logs the number of deliveries that failed since its last line, at most once per
-// warningInterval.
-func (t *Exporter) warnUndelivered() {
+// logFailures logs the number of deliveries that failed since its last line, at most once per failureLogInterval.
+func (t *Exporter) logFailures() {
 	failed := uint64(0)
 	for _, s := range t.senders {
 		failed += s.failures.Load()
 	}
-	if failed == t.warnedFailures || time.Since(t.lastWarning) < warningInterval {
+	if failed == t.loggedFailures || time.Since(t.lastLog) < failureLogInterval {
 		return
 	}
-	t.log.Warn("the collector did not take what was sent", "endpoint", t.settings.Endpoint, "sendings", failed-t.warnedFailures)
-	t.lastWarning, t.warnedFailures = time.Now(), failed
+	t.log.Warn("deliveries to the OTLP collector failed", "endpoint", t.settings.Endpoint, "sendings", failed-t.loggedFailures)
+	t.lastLog, t.loggedFailures = time.Now(), failed
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -26,7 +26,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
@@ -47,80 +47,81 @@
 		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyObjectives: []float64{0.5}, SampleRatio: 1}}
 }
 
-func figures(context.Context) (GatewayStats, error) {
+func testStats(context.Context) (GatewayStats, error) {
 	return GatewayStats{Stats: rules.Stats{ConcurrencyLimit: 4, InFlight: 1, Queued: []int{0, 2}, Healthy: 3}, CounterCalls: [traces.OutcomeCount]uint64{7}}, nil
 }
 
-// request records the events of one served request, the nth of the test.
-func request(x *Exporter, n int) {
+// recordRequest records the events of one served request, the nth of the test.
+func recordRequest(exporter *Exporter, n int) {
 	var self traces.Context
 	binary.BigEndian.PutUint64(self.Trace[:8], uint64(n)+1)
-	binary.BigEndian.PutUint64(self.Trace[8:], uint64(n+1)*0x9e3779b97f4a7c15) // as good as random
+	binary.BigEndian.PutUint64(self.Trace[8:], uint64(n+1)*0x9e3779b97f4a7c15) // golden ratio: spreads the IDs like random ones
 	binary.BigEndian.PutUint64(self.Span[:], uint64(n)+1)
 	at := now()
 	b := &traces.Request{SpanContext: self, Method: "GET", SentAt: at, IsRetry: n%4 == 3}
 	span := self.Span
 	span[0] = 1
-	x.Record(traces.Event{Kind: traces.RequestAccepted, At: at, Request: b})
-	x.Record(traces.Event{Kind: traces.AttemptStarted, At: at, Request: b, SpanID: span, Backend: "n0", AdmittedAt: at})
-	x.Record(traces.Event{Kind: traces.AttemptEnded, At: at + 0.01, Request: b, Outcome: rules.Served})
-	x.Record(traces.Event{Kind: traces.FinalResponse, At: at + 0.01, Request: b, Status: 200})
+	exporter.Record(traces.Event{Kind: traces.RequestAccepted, At: at, Request: b})
+	exporter.Record(traces.Event{Kind: traces.AttemptStarted, At: at, Request: b, SpanID: span, Backend: "n0", AdmittedAt: at})
+	exporter.Record(traces.Event{Kind: traces.AttemptEnded, At: at + 0.01, Request: b, Outcome: rules.Served})
+	exporter.Record(traces.Event{Kind: traces.FinalResponse, At: at + 0.01, Request: b, Status: 200})
 }
 
-// idle reports whether all recorded events have been handled, or are about to be.
+// idle reports whether the exporter has fetched all recorded events.
 func (t *Exporter) idle() bool {
 	t.events.mu.Lock()
 	defer t.events.mu.Unlock()
 	return len(t.events.list) == 0
 }
 
-// until waits for something to become true.
-func until(t *testing.T, what string, is func() bool) {
+// waitUntil waits for a condition and fails the test if it does not hold in time.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Patience); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out before %s", what)
 		}
 	}
 }
 
-func noFlaws(t *testing.T, c *collector.Collector) {
+// checkNoViolations fails the test for each violation of the OTLP specification that the collector found.
+func checkNoViolations(t *testing.T, c *collector.Collector) {
 	t.Helper()
 	for _, f := range c.Flaws() {
-		t.Errorf("the specification is broken: %s", f)
+		t.Errorf("the specification is violated: %s", f)
 	}
 }
 
-// All recorded events are exported, and so is every metric of the list.
-func TestAllArrives(t *testing.T) {
+// All recorded events are exported, and so is every metric in Metrics.
+func TestExportsAllEvents(t *testing.T) {
 	c := newCollector(t)
-	x := Start(settings(c.Address("g0")), now, figures, quiet)
+	exporter := Start(settings(c.Address("g0")), now, testStats, discardLogger)
 	const n = 1000
 	for i := range n {
-		request(x, i)
+		recordRequest(exporter, i)
 		if i%100 == 99 {
-			until(t, "the events are taken", x.idle)
+			waitUntil(t, "the events are fetched", exporter.idle)
 		}
 	}
-	x.Close()
+	exporter.Close()
 	if spans := c.Spans(); len(spans) != 2*n {
-		t.Errorf("%d spans of %d", len(spans), 2*n)
+		t.Errorf("%d spans exported of %d", len(spans), 2*n)
 	}
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		metric, attribute string
 		want              float64
 	}{{"elderyard.requests", "elderyard.class=lookup", n}, {"elderyard.requests", "elderyard.first=true", n * 3 / 4},
 		{"elderyard.request.ends", "elderyard.outcome=served", n}, {"elderyard.counter.calls", "elderyard.outcome=answered", 7},
 		{"elderyard.held", "elderyard.level=1", 2}, {"elderyard.attempts", "elderyard.outcome=served", n}} {
-		if got := c.Sum(k.metric, k.attribute); got != k.want {
-			t.Errorf("%s, %s: %g, want %g", k.metric, k.attribute, got, k.want)
+		if got := c.Sum(tc.metric, tc.attribute); got != tc.want {
+			t.Errorf("%s, %s: %g, want %g", tc.metric, tc.attribute, got, tc.want)
 		}
 	}
 	for _, m := range Metrics() {
 		found := false
 		for _, attrs := range []string{"", "elderyard.class=lookup"} {
-			_, here := c.Get("g0", m.Name, attrs)
-			found = found || here
+			_, ok := c.Get("g0", m.Name, attrs)
+			found = found || ok
 		}
 		if !found && c.Sum(m.Name) == 0 && m.Attributes == "" {
 			t.Errorf("%s was not exported", m.Name)
@@ -129,144 +130,142 @@
 	if h, _ := c.Get("g0", "http.server.request.duration", "elderyard.class=lookup"); h.Value != n || len(h.Histogram.Exemplars) != 1 {
 		t.Errorf("%+v", h)
 	}
-	noFlaws(t, c)
+	checkNoViolations(t, c)
 }
 
-// With the collector away nothing waits and no more than the bound is held; when
-// it is back, the items taken and dropped add up to all that were recorded.
-func TestCollectorAwayAndBack(t *testing.T) {
+// During an outage of the collector no request waits and the queue stays within its limit. After the outage, the items
+// received and dropped add up to all that were recorded.
+func TestCollectorOutage(t *testing.T) {
 	c := newCollector(t)
 	set := settings(c.Address("g0"))
 	set.QueueBytes = 16 << 10
-	x := Start(set, now, figures, quiet)
+	exporter := Start(set, now, testStats, discardLogger)
 	c.Links()[0].Down()
 	const n = 6000
 	for i := range n {
-		request(x, i)
+		recordRequest(exporter, i)
 		if i%500 == 499 {
-			until(t, "the events are taken", x.idle)
-			if bytes, _ := x.state.spanSender.queue.state(); bytes > set.QueueBytes {
-				t.Fatalf("%d bytes wait", bytes)
+			waitUntil(t, "the events are fetched", exporter.idle)
+			if bytes, _ := exporter.state.spanSender.queue.stats(); bytes > set.QueueBytes {
+				t.Fatalf("%d bytes are queued", bytes)
 			}
 		}
 	}
-	until(t, "some were dropped", func() bool { _, dropped := x.state.spanSender.queue.state(); return dropped > 0 })
+	waitUntil(t, "spans are dropped", func() bool { _, dropped := exporter.state.spanSender.queue.stats(); return dropped > 0 })
 	if err := c.Links()[0].Up(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the dropped ones are reported", func() bool {
+	waitUntil(t, "the dropped spans are reported", func() bool {
 		return c.Sum("elderyard.telemetry.items", "elderyard.signal=traces", "elderyard.state=dropped") > 0
 	})
-	x.Close()
-	_, dropped := x.state.spanSender.queue.state()
-	missed := uint64(0)
-	for i := range x.missed {
-		missed += x.missed[i].Load()
+	exporter.Close()
+	_, dropped := exporter.state.spanSender.queue.stats()
+	droppedEvents := uint64(0)
+	for i := range exporter.droppedEvents {
+		droppedEvents += exporter.droppedEvents[i].Load()
 	}
-	if taken := len(c.Spans()); missed != 0 || uint64(taken)+dropped != 2*n || taken == 0 {
-		t.Errorf("%d taken and %d dropped of %d; %d events were missed", taken, dropped, 2*n, missed)
+	if received := len(c.Spans()); droppedEvents != 0 || uint64(received)+dropped != 2*n || received == 0 {
+		t.Errorf("%d spans received and %d dropped of %d; %d events dropped", received, dropped, 2*n, droppedEvents)
 	}
 	if got := c.Sum("elderyard.telemetry.items", "elderyard.signal=traces", "elderyard.state=dropped"); got != float64(dropped) {
-		t.Errorf("%g were reported as dropped, %d were", got, dropped)
+		t.Errorf("%g spans reported as dropped, want %d", got, dropped)
 	}
 	if got := c.Sum("elderyard.requests"); got != n {
-		t.Errorf("%g requests are reported of %d", got, n)
+		t.Errorf("%g requests reported of %d", got, n)
 	}
-	noFlaws(t, c)
+	checkNoViolations(t, c)
 }
 
-// A collector that takes and never answers holds nothing up, neither the events nor
-// the end.
-func TestSilentCollector(t *testing.T) {
+// A collector that accepts requests and never responds blocks neither Record nor Close.
+func TestUnresponsiveCollector(t *testing.T) {
 	c := newCollector(t)
 	c.SetTrouble(collector.Trouble{Silent: true})
 	set := settings(c.Address("g0"))
 	set.FlushTimeout = 100 * time.Millisecond
-	x := Start(set, now, figures, quiet)
-	for i := range 3 * maxEvents { // more than there is room for, without a wait
-		request(x, i)
+	exporter := Start(set, now, testStats, discardLogger)
+	for i := range 3 * maxEvents { // more events than the buffer holds, without waiting
+		recordRequest(exporter, i)
 	}
 	done := make(chan struct{})
-	go func() { x.Close(); close(done) }()
-	testpeer.Wait(t, done, "end")
-	_, dropped := x.state.spanSender.queue.state()
-	if dropped == 0 || x.state.spanSender.sent.Load() != 0 {
-		t.Errorf("%d spans were dropped, %d sent", dropped, x.state.spanSender.sent.Load())
+	go func() { exporter.Close(); close(done) }()
+	testpeer.Wait(t, done, "Close")
+	_, dropped := exporter.state.spanSender.queue.stats()
+	if dropped == 0 || exporter.state.spanSender.sent.Load() != 0 {
+		t.Errorf("%d spans dropped, %d sent", dropped, exporter.state.spanSender.sent.Load())
 	}
-	begun := uint64(0)
-	for _, n := range x.state.tally.Requests {
-		begun += n
+	accepted := uint64(0)
+	for _, n := range exporter.state.tally.Requests {
+		accepted += n
 	}
-	if begun+x.missed[traces.RequestAccepted].Load() != 3*maxEvents {
-		t.Errorf("%d requests were counted and %d missed of %d", begun, x.missed[traces.RequestAccepted].Load(), 3*maxEvents)
+	if accepted+exporter.droppedEvents[traces.RequestAccepted].Load() != 3*maxEvents {
+		t.Errorf("%d requests counted and %d dropped of %d", accepted, exporter.droppedEvents[traces.RequestAccepted].Load(), 3*maxEvents)
 	}
 }
 
-// Each answer of a collector, by the specification.
-func TestAnswersOfACollector(t *testing.T) {
-	for name, k := range map[string]struct {
-		trouble                collector.Trouble
-		heals                  bool
-		taken, dropped, refuse uint64 // of two spans
+// Responses of a collector lead to a retry, a drop or a partial success as the OTLP specification requires.
+func TestCollectorResponses(t *testing.T) {
+	for name, tc := range map[string]struct {
+		trouble                     collector.Trouble
+		recovers                    bool
+		received, dropped, rejected uint64 // of two spans
 	}{
-		"full for a while":  {collector.Trouble{Status: 429, RetryAfter: "1"}, true, 2, 0, 0},
-		"down for a while":  {collector.Trouble{Status: 503}, true, 2, 0, 0},
-		"no right":          {collector.Trouble{Status: 401}, false, 0, 0, 2},
-		"bad":               {collector.Trouble{Status: 400}, false, 0, 0, 2},
-		"in part":           {collector.Trouble{Refuse: 1}, false, 1, 0, 1},
-		"no answer":         {collector.Trouble{Lost: 1}, true, 2, 0, 0},
-		"an endless answer": {collector.Trouble{Endless: true}, false, 2, 0, 0},
-		"moved":             {collector.Trouble{Status: 307}, false, 0, 0, 2},
+		"temporarily overloaded":  {collector.Trouble{Status: 429, RetryAfter: "1"}, true, 2, 0, 0},
+		"temporarily unavailable": {collector.Trouble{Status: 503}, true, 2, 0, 0},
+		"unauthorized":            {collector.Trouble{Status: 401}, false, 0, 0, 2},
+		"bad request":             {collector.Trouble{Status: 400}, false, 0, 0, 2},
+		"partial success":         {collector.Trouble{Refuse: 1}, false, 1, 0, 1},
+		"no response":             {collector.Trouble{Lost: 1}, true, 2, 0, 0},
+		"endless response":        {collector.Trouble{Endless: true}, false, 2, 0, 0},
+		"redirect":                {collector.Trouble{Status: 307}, false, 0, 0, 2},
 	} {
 		for _, grpc := range []bool{false, true} {
-			if name == "an endless answer" && grpc {
-				continue // there an answer that does not end has no status
+			if name == "endless response" && grpc {
+				continue // over gRPC, the status follows the end of the response
 			}
 			t.Run(fmt.Sprintf("%s, gRPC %v", name, grpc), func(t *testing.T) {
 				t.Parallel()
 				c := newCollector(t)
-				c.SetTrouble(k.trouble)
+				c.SetTrouble(tc.trouble)
 				set := settings(c.Address("g0"))
 				set.Metrics, set.GRPC = false, grpc
-				x := Start(set, now, figures, quiet)
-				request(x, 0)
-				s := x.state.spanSender
-				until(t, "it was tried", func() bool { return s.failures.Load()+s.sent.Load()+s.rejected.Load() > 0 })
-				if k.heals {
+				exporter := Start(set, now, testStats, discardLogger)
+				recordRequest(exporter, 0)
+				s := exporter.state.spanSender
+				waitUntil(t, "the first delivery ends", func() bool { return s.failures.Load()+s.sent.Load()+s.rejected.Load() > 0 })
+				if tc.recovers {
 					c.SetTrouble(collector.Trouble{})
 				}
-				until(t, "it came to its end", func() bool { return s.sent.Load()+s.rejected.Load() == 2 })
-				x.Close()
-				_, dropped := s.queue.state()
-				if uint64(len(c.Spans())) != k.taken || dropped != k.dropped || s.rejected.Load() != k.refuse {
-					t.Errorf("%d taken, %d dropped, %d refused", len(c.Spans()), dropped, s.rejected.Load())
+				waitUntil(t, "all spans are sent or rejected", func() bool { return s.sent.Load()+s.rejected.Load() == 2 })
+				exporter.Close()
+				_, dropped := s.queue.stats()
+				if uint64(len(c.Spans())) != tc.received || dropped != tc.dropped || s.rejected.Load() != tc.rejected {
+					t.Errorf("%d received, %d dropped, %d rejected", len(c.Spans()), dropped, s.rejected.Load())
 				}
-				noFlaws(t, c)
+				checkNoViolations(t, c)
 			})
 		}
 	}
 }
 
-// Over gRPC all recorded events are exported as well.
-func TestAllArrivesOverGRPC(t *testing.T) {
+// All recorded events are exported over gRPC, too.
+func TestExportsAllEventsOverGRPC(t *testing.T) {
 	c := newCollector(t)
 	set := settings(c.Address("g0"))
 	set.GRPC = true
-	x := Start(set, now, figures, quiet)
+	exporter := Start(set, now, testStats, discardLogger)
 	const n = 200
 	for i := range n {
-		request(x, i)
+		recordRequest(exporter, i)
 	}
-	x.Close()
+	exporter.Close()
 	if spans := len(c.Spans()); spans != 2*n || c.Sum("elderyard.requests") != n {
-		t.Errorf("%d spans of %d, %g requests of %d", spans, 2*n, c.Sum("elderyard.requests"), n)
+		t.Errorf("%d spans exported of %d, %g requests of %d", spans, 2*n, c.Sum("elderyard.requests"), n)
 	}
-	noFlaws(t, c)
+	checkNoViolations(t, c)
 }
 
-// What a call's status means is as OTLP's specification says, with the pause that a
-// collector asks for.
-func TestStatusesOfCalls(t *testing.T) {
+// gRPC statuses are classified as the OTLP specification requires, with the delay that the collector requests.
+func TestClassifyGRPCStatus(t *testing.T) {
 	info := base64.RawStdEncoding.EncodeToString([]byte("\x1a\x30\x0a\x28type.googleapis.com/google.rpc.RetryInfo\x12\x04\x0a\x02\x08\x07"))
 	for status := range 17 {
 		want := permanentFailure
@@ -281,7 +280,7 @@
 		}
 	}
 	if v, d := classifyGRPCStatus(8, info); v != retryable || d != 7*time.Second {
-		t.Errorf("exhausted, with a pause: %v %v", v, d)
+		t.Errorf("resource exhausted with a retry delay: %v %v", v, d)
 	}
 	for _, bad := range []string{"", "!", base64.RawStdEncoding.EncodeToString([]byte("\x1a\xff")), info[:20]} {
 		if v, _ := classifyGRPCStatus(8, bad); v != permanentFailure {
@@ -299,40 +298,40 @@
 	})
 }
 
-// A hundred thousand accounts make no series more.
-func TestAccountsMakeNoSeries(t *testing.T) {
+// The number of series does not depend on the number of accounts, here 100000.
+func TestSeriesDoNotGrowWithAccounts(t *testing.T) {
 	c := newCollector(t)
 	set := settings(c.Address("g0"))
 	set.Tracing.SampleRatio = 0
-	x := Start(set, now, figures, quiet)
+	exporter := Start(set, now, testStats, discardLogger)
 	for i := range 100_000 {
 		at := now()
 		b := &traces.Request{RequestID: fmt.Sprint(i), Method: "GET", SentAt: at}
-		x.Record(traces.Event{Kind: traces.RequestAccepted, At: at, Request: b})
-		x.Record(traces.Event{Kind: traces.FinalResponse, At: at, Request: b, Status: 429})
+		exporter.Record(traces.Event{Kind: traces.RequestAccepted, At: at, Request: b})
+		exporter.Record(traces.Event{Kind: traces.FinalResponse, At: at, Request: b, Status: 429})
 		if i%1000 == 999 {
-			until(t, "the events are taken", x.idle)
+			waitUntil(t, "the events are fetched", exporter.idle)
 		}
 	}
-	x.Close()
+	exporter.Close()
 	if got := c.Sum("elderyard.request.ends", "elderyard.outcome=refused: no quota"); got != 100_000 {
 		t.Errorf("%g refusals", got)
 	}
 	if n := c.SeriesCount(); n > 60 {
 		t.Errorf("%d series", n)
 	}
-	noFlaws(t, c)
+	checkNoViolations(t, c)
 }
 
-// Recording an event allocates nothing.
-func TestRecordAllocatesNothing(t *testing.T) {
-	x := &Exporter{events: newEventBuffer(4)}
+// Recording an event does not allocate.
+func TestRecordDoesNotAllocate(t *testing.T) {
+	exporter := &Exporter{events: newEventBuffer(4)}
 	e := traces.Event{Kind: traces.AttemptEnded}
-	if n := testing.AllocsPerRun(100, func() { x.Record(e) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { exporter.Record(e) }); n != 0 {
 		t.Errorf("%g allocations", n)
 	}
-	if x.missed[traces.AttemptEnded].Load() == 0 {
-		t.Error("events without room were not counted")
+	if exporter.droppedEvents[traces.AttemptEnded].Load() == 0 {
+		t.Error("events that did not fit were not counted")
 	}
 }
 
@@ -341,17 +340,17 @@
 	last := time.Duration(0)
 	for range 20 {
 		d := b.next(0)
-		if d < b.pause/2 || d > b.pause || b.pause > maxBackoff || b.pause < last {
-			t.Fatalf("%v of %v", d, b.pause)
+		if d < b.limit/2 || d > b.limit || b.limit > maxBackoff || b.limit < last {
+			t.Fatalf("%v of %v", d, b.limit)
 		}
-		last = b.pause
+		last = b.limit
 	}
 	if d := b.next(5 * time.Second); d < 5*time.Second || d > 5*time.Second+initialBackoff {
-		t.Errorf("%v where 5s were advised", d)
+		t.Errorf("%v, where the collector requested 5s", d)
 	}
 	b.reset()
-	if b.next(0); b.pause != initialBackoff {
-		t.Errorf("%v after a success", b.pause)
+	if b.next(0); b.limit != initialBackoff {
+		t.Errorf("%v after a success", b.limit)
 	}
 	at := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for text, want := range map[string]time.Duration{"": 0, "7": 7 * time.Second, "99999": maxRetryAfter, "-1": 0, "soon": 0,
@@ -367,7 +366,7 @@
 		}
 	}
 	if classifyHTTPStatus(0, errors.New("x")) != retryable {
-		t.Error("no answer is final")
+		t.Error("a delivery without a response is not retryable")
 	}
 }
 
@@ -375,62 +374,62 @@
 	env := func(list ...string) func(string) string {
 		return func(name string) string {
 			for _, p := range list {
-				if k, v, _ := strings.Cut(p, "="); k == name {
+				if key, v, _ := strings.Cut(p, "="); key == name {
 					return v
 				}
 			}
 			return ""
 		}
 	}
-	off := site.Defaults().Telemetry
-	if s, err := FromSite(off, env(), "g0"); s != nil || err != nil {
-		t.Fatalf("on by default: %+v %v", s, err)
+	disabled := site.Defaults().Telemetry
+	if s, err := FromSite(disabled, env(), "g0"); s != nil || err != nil {
+		t.Fatalf("enabled by default: %+v %v", s, err)
 	}
-	if s, err := FromSite(off, env("OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1", "OTEL_SDK_DISABLED=true"), "g0"); s != nil || err != nil {
+	if s, err := FromSite(disabled, env("OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1", "OTEL_SDK_DISABLED=true"), "g0"); s != nil || err != nil {
 		t.Fatalf("%+v %v", s, err)
 	}
-	s, err := FromSite(off, env("OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1/x/", "OTEL_EXPORTER_OTLP_HEADERS=a=b%20c, d=e", "OTEL_SERVICE_NAME=pl",
+	s, err := FromSite(disabled, env("OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1/x/", "OTEL_EXPORTER_OTLP_HEADERS=a=b%20c, d=e", "OTEL_SERVICE_NAME=pl",
 		"OTEL_RESOURCE_ATTRIBUTES=team=ops,service.name=no", "OTEL_EXPORTER_OTLP_TIMEOUT=250", "OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0.25"), "g0")
 	if err != nil || s.Endpoint != "http://127.0.0.1:1/x" || s.Headers["a"] != "b c" || s.Headers["d"] != "e" || s.Timeout != 250*time.Millisecond ||
 		s.Tracing.SampleRatio != 0.25 || fmt.Sprint(s.Resource) != "[{service.name pl} {service.instance.id g0} {team ops}]" || !s.Tracing.AlwaysSample.Late || s.Tracing.AlwaysSample.Refused {
 		t.Fatalf("%+v %v", s, err)
 	}
-	on := off
-	on.Endpoint, on.Share, on.Service = "https://collector:4318", 0.5, "x"
-	if s, err = FromSite(on, env("OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1", "OTEL_SERVICE_NAME=pl", "OTEL_TRACES_SAMPLER=always_on"), "g0"); err != nil ||
-		s.Endpoint != on.Endpoint || s.Tracing.SampleRatio != 0.5 || s.Resource[0].Value != "x" {
-		t.Errorf("the file comes first: %+v %v", s, err)
+	configured := disabled
+	configured.Endpoint, configured.Share, configured.Service = "https://collector:4318", 0.5, "x"
+	if s, err = FromSite(configured, env("OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1", "OTEL_SERVICE_NAME=pl", "OTEL_TRACES_SAMPLER=always_on"), "g0"); err != nil ||
+		s.Endpoint != configured.Endpoint || s.Tracing.SampleRatio != 0.5 || s.Resource[0].Value != "x" {
+		t.Errorf("the environment overrides the site file: %+v %v", s, err)
 	}
 	for _, bad := range []string{"OTEL_EXPORTER_OTLP_ENDPOINT=ftp://x", "OTEL_EXPORTER_OTLP_PROTOCOL=http/json", "OTEL_EXPORTER_OTLP_HEADERS=a", "OTEL_EXPORTER_OTLP_TIMEOUT=0",
 		"OTEL_METRIC_EXPORT_INTERVAL=x", "OTEL_TRACES_SAMPLER=some", "OTEL_TRACES_SAMPLER=traceidratio", "OTEL_RESOURCE_ATTRIBUTES=a=%zz"} {
-		if s, err := FromSite(off, env(bad, "OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1"), "g0"); err == nil {
-			t.Errorf("%s was taken: %+v", bad, s)
+		if s, err := FromSite(disabled, env(bad, "OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:1"), "g0"); err == nil {
+			t.Errorf("%s was accepted: %+v", bad, s)
 		} else if name, _, _ := strings.Cut(bad, "="); !strings.Contains(err.Error(), name) && name != "OTEL_EXPORTER_OTLP_ENDPOINT" {
 			t.Errorf("%s: %v", bad, err)
 		}
 	}
 }
 
-// The operators' page has the list of metrics as the code has it.
-func TestThePageHasAllMetrics(t *testing.T) {
+// The table of metrics on the operators' page is current.
+func TestMetricsPageIsCurrent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operate/otlp.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(page), MetricsTable()) {
-		t.Errorf("docs/operate/otlp.md lacks the present list:\n%s", MetricsTable())
+		t.Errorf("docs/operate/otlp.md lacks the current table:\n%s", MetricsTable())
 	}
 }
 
-// BenchmarkRecord measures what an event costs the request path, and what it costs in all.
+// BenchmarkRecord measures the cost of the events of a request, including their handling in the exporter.
 func BenchmarkRecord(b *testing.B) {
-	x, _ := newTelemetry(Settings{Endpoint: "http://127.0.0.1:1", Interval: time.Hour, Timeout: time.Second, QueueBytes: 1 << 20, Traces: true,
-		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyObjectives: []float64{0.5}, SampleRatio: 0.01}}, now, figures, quiet)
+	exporter, _ := newExporter(Settings{Endpoint: "http://127.0.0.1:1", Interval: time.Hour, Timeout: time.Second, QueueBytes: 1 << 20, Traces: true,
+		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyObjectives: []float64{0.5}, SampleRatio: 0.01}}, now, testStats, discardLogger)
 	b.ReportAllocs()
 	for i := range b.N {
-		request(x, i)
+		recordRequest(exporter, i)
 		if i%1000 == 999 {
-			x.handleEvents()
+			exporter.handleEvents()
 		}
 	}
 }
