--- a/internal/otlpfile/otlpfile.go
+++ b/internal/otlpfile/otlpfile.go
@@ -1,6 +1,5 @@
-// Package otlpfile reads and writes spans as OpenTelemetry's file exporters do: a
-// message of OTLP's JSON a line, ids in hexadecimal digits
-// (https://opentelemetry.io/docs/specs/otel/protocol/file-exporter/).
+// Package otlpfile reads and writes spans in the format of OpenTelemetry's file exporters: one message of OTLP's JSON per
+// line, with IDs in hexadecimal (https://opentelemetry.io/docs/specs/otel/protocol/file-exporter/).
 package otlpfile
 
 import (
@@ -17,10 +16,10 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-const mostLine = 64 << 20 // bytes
+const maxLineBytes = 64 << 20
 
-// ids are the fields that OTLP's JSON has in hexadecimal digits, where protobuf's has base64.
-var ids = map[string]bool{"traceId": true, "spanId": true, "parentSpanId": true}
+// idFields are the fields that OTLP's JSON encodes in hexadecimal, where protobuf's JSON uses base64.
+var idFields = map[string]bool{"traceId": true, "spanId": true, "parentSpanId": true}
 
 // Write writes spans as one line.
 func Write(w io.Writer, list []*trace.ResourceSpans) error {
@@ -28,7 +27,7 @@
 	if err != nil {
 		return fmt.Errorf("spans: %w", err)
 	}
-	line, err := turn(text, func(id string) (string, error) {
+	line, err := convertIDs(text, func(id string) (string, error) {
 		b, err := base64.StdEncoding.DecodeString(id)
 		return hex.EncodeToString(b), err
 	})
@@ -41,78 +40,79 @@
 	return nil
 }
 
-// Read reads all lines. An error names the line.
+// Read reads the spans of all lines. Its errors contain the line number.
 func Read(r io.Reader) (list []*trace.ResourceSpans, err error) {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, mostLine)
-	n := 0
+	lines.Buffer(nil, maxLineBytes)
+	lineNumber := 0
 	for lines.Scan() {
-		n++
+		lineNumber++
 		line := bytes.TrimSpace(lines.Bytes())
 		if len(line) == 0 {
 			continue
 		}
-		text, err := turn(line, func(id string) (string, error) {
+		text, err := convertIDs(line, func(id string) (string, error) {
 			b, err := hex.DecodeString(id)
 			return base64.StdEncoding.EncodeToString(b), err
 		})
 		if err != nil {
-			return nil, fmt.Errorf("line %d: %w", n, err)
+			return nil, fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 		var m trace.TracesData
 		if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(text, &m); err != nil {
-			return nil, fmt.Errorf("line %d: %w", n, err)
+			return nil, fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 		list = append(list, m.ResourceSpans...)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("line %d: %w", n+1, err)
+		return nil, fmt.Errorf("line %d: %w", lineNumber+1, err)
 	}
 	return list, nil
 }
 
-// turn rewrites the ids of a message.
-func turn(text []byte, id func(string) (string, error)) ([]byte, error) {
+// convertIDs converts the IDs of a JSON message.
+func convertIDs(text []byte, convert func(string) (string, error)) ([]byte, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	var m any
 	if err := d.Decode(&m); err != nil {
 		return nil, err
 	}
-	if err := walk(m, id); err != nil {
+	if err := convertIDsIn(m, convert); err != nil {
 		return nil, err
 	}
 	return json.Marshal(m)
 }
 
-func walk(v any, id func(string) (string, error)) error {
+// convertIDsIn converts the IDs in a decoded JSON value, in place.
+func convertIDsIn(v any, convert func(string) (string, error)) error {
 	switch v := v.(type) {
 	case []any:
-		for _, e := range v {
-			if err := walk(e, id); err != nil {
+		for _, element := range v {
+			if err := convertIDsIn(element, convert); err != nil {
 				return err
 			}
 		}
 	case map[string]any:
-		for key, e := range v {
-			text, is := e.(string)
-			if !is || !ids[key] {
-				if err := walk(e, id); err != nil {
+		for key, element := range v {
+			text, isString := element.(string)
+			if !isString || !idFields[key] {
+				if err := convertIDsIn(element, convert); err != nil {
 					return err
 				}
 				continue
 			}
-			turned, err := id(text)
+			converted, err := convert(text)
 			if err != nil {
 				return fmt.Errorf("%s %.64q: %w", key, text, err)
 			}
-			v[key] = turned
+			v[key] = converted
 		}
 	}
 	return nil
 }
 
-// FormatValue is an attribute's value for people.
+// FormatValue returns the value of an attribute as text, "" for types that this program does not set.
 func FormatValue(v *common.AnyValue) string {
 	switch v := v.GetValue().(type) {
 	case *common.AnyValue_StringValue:
--- a/internal/otlpfile/otlpfile_test.go
+++ b/internal/otlpfile/otlpfile_test.go
@@ -11,7 +11,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func sample() []*trace.ResourceSpans {
+// testSpans returns one span. It has an attribute with the name of an ID field, whose value must not be converted, and
+// an integer that JSON numbers cannot represent exactly.
+func testSpans() []*trace.ResourceSpans {
 	text := func(s string) *common.AnyValue {
 		return &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: s}}
 	}
@@ -21,52 +23,54 @@
 			Attributes: []*common.KeyValue{{Key: "traceId", Value: text("not an id")}, {Key: "n", Value: &common.AnyValue{Value: &common.AnyValue_IntValue{IntValue: 1 << 60}}}}}}}}}}
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
-	var b bytes.Buffer
+// Written spans have the IDs and numbers of OTLP's JSON and are read back unchanged.
+func TestWriteAndRead(t *testing.T) {
+	var out bytes.Buffer
 	for range 2 {
-		if err := Write(&b, sample()); err != nil {
+		if err := Write(&out, testSpans()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, want := range []string{`"traceId":"abababababababababababababababab"`, `"spanId":"0101010101010101"`, `"kind":2`, `"startTimeUnixNano":"1152921504606846976"`} {
-		if !strings.Contains(b.String(), want) {
-			t.Errorf("no %s in %s", want, b.String())
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("no %s in %s", want, out.String())
 		}
 	}
-	list, err := Read(&b)
-	if err != nil || len(list) != 2 || !proto.Equal(list[1], sample()[0]) {
+	list, err := Read(&out)
+	if err != nil || len(list) != 2 || !proto.Equal(list[1], testSpans()[0]) {
 		t.Fatalf("%v %v", err, list)
 	}
 }
 
-func TestBadLinesAreNamed(t *testing.T) {
+// Errors contain the line number and the invalid field. Unknown fields of later versions are ignored.
+func TestReadErrors(t *testing.T) {
 	for text, want := range map[string]string{"\n{\n": "line 2", `{"resourceSpans":[{"scopeSpans":[{"spans":[{"traceId":"xyz"}]}]}]}`: `traceId "xyz"`, "{}\n[]\n": "line 2"} {
 		if _, err := Read(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 	if list, err := Read(strings.NewReader(`{"resourceSpans":[],"later":{"a":1}}`)); err != nil || len(list) != 0 {
-		t.Errorf("a later field: %v", err)
+		t.Errorf("unknown field: %v", err)
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	var b bytes.Buffer
-	if err := Write(&b, sample()); err != nil {
+	var out bytes.Buffer
+	if err := Write(&out, testSpans()); err != nil {
 		f.Fatal(err)
 	}
-	f.Add(b.Bytes())
+	f.Add(out.Bytes())
 	f.Add([]byte(`{"resourceSpans":[{}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		list, err := Read(bytes.NewReader(text))
 		if err != nil || len(list) == 0 {
 			return
 		}
-		var b bytes.Buffer
-		if err := Write(&b, list); err != nil {
+		var out bytes.Buffer
+		if err := Write(&out, list); err != nil {
 			t.Fatal(err)
 		}
-		if again, err := Read(&b); err != nil || len(again) != len(list) {
+		if again, err := Read(&out); err != nil || len(again) != len(list) {
 			t.Fatalf("%v: %d of %d", err, len(again), len(list))
 		}
 	})
--- a/internal/output/output.go
+++ b/internal/output/output.go
@@ -1,13 +1,13 @@
-// Package output reads what a program said before it ended.
+// Package output extracts the cause of a failure from the output of a process.
 package output
 
 import "strings"
 
-// FailureLine is the line that says why: that of a crash, else the last one; "" for
-// nothing.
+// FailureLine returns the line that describes the failure: the first line of a Go crash, else the last line, "" if there
+// is no output.
 func FailureLine(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
-	// A crash of a Go program begins with the line that matters.
+	// The cause of a Go crash is at its start, before the stack traces.
 	for _, line := range lines {
 		if strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
 			return line
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -62,7 +62,7 @@
 	CounterCalls [traces.OutcomeCount]uint64 // calls to the shared counter, by outcome
 }
 
-// metricBuilder collects the data points of one export. Start and now are in nanoseconds.
+// metricBuilder collects the data points of one export. Start and now are in Unix nanoseconds.
 type metricBuilder struct {
 	start, now uint64
 	list       []*metrics.Metric
--- a/internal/telemetry/settings.go
+++ b/internal/telemetry/settings.go
@@ -25,8 +25,9 @@
 	defaultService     = "elderyard"
 )
 
-// FromSite returns the settings of the site file. If the file has no endpoint, OpenTelemetry's standard environment
-// variables apply. It returns nil if there is no endpoint at all. Name is the process's service.instance.id.
+// FromSite returns the settings of the site file. If the file has no endpoint, the endpoint and its options come from
+// OpenTelemetry's standard environment variables; resource attributes may come from them in any case. It returns nil if
+// nothing is to be exported. Name is the process's service.instance.id.
 func FromSite(s site.Telemetry, env func(string) string, name string) (*Settings, error) {
 	if env("OTEL_SDK_DISABLED") == "true" && s.Endpoint == "" {
 		return nil, nil
--- a/rollup/site.go
+++ b/rollup/site.go
@@ -32,24 +32,24 @@
 // Interval is the sum over all gateways in one interval.
 type Interval struct {
 	At     float64            `json:"at"`     // seconds since the first
-	Active int                `json:"active"` // gateways that counted anything
+	Active int                `json:"active"` // gateways with counts in the interval
 	Counts map[string]float64 `json:"counts"` // by counter
 }
 
-// Total says how one counter is spread over time and over gateways.
+// Total describes the distribution of one counter over time and over gateways.
 type Total struct {
 	Counter   string  `json:"kind"`
 	Sum       float64 `json:"sum"`
 	PerSecond float64 `json:"per_s"`
-	Peak      float64 `json:"peak"`    // most in one interval
+	Peak      float64 `json:"peak"`    // highest sum of an interval
 	PeakAt    float64 `json:"peak_at"` // seconds since the first interval
 	// Dispersion is the variance of the counts per interval over their mean (the index of dispersion): 1 for
 	// independent events, more for events that come in bursts, 0 if there are none.
 	Dispersion float64 `json:"in_step"`
 	// PeakToMean is the busiest gateway's sum over the mean of all gateways' sums.
 	PeakToMean float64 `json:"uneven"`
-	// SpreadTime is the time in seconds from the first gateway's first count to that by which nine in ten of the
-	// gateways that ever counted had their first.
+	// SpreadTime is the time in seconds from the first count of any gateway until 90 % of the gateways with a count
+	// have had their first.
 	SpreadTime float64 `json:"reached_s"`
 }
 
@@ -61,11 +61,11 @@
 	Intervals []Interval `json:"spans"`
 }
 
-// MaxIntervals is how many intervals a sum may have.
+// MaxIntervals is the limit of intervals in a Site.
 const MaxIntervals = 1_000_000
 
-// Sum adds up the lines of any gateways, in any order, in intervals of the given length in seconds. It fails if the
-// lines lie more than MaxIntervals apart: then a clock is wrong, or the files are of different days.
+// Sum aggregates the lines of all gateways, in any order, into intervals of the given length in seconds. It fails if the
+// lines span MaxIntervals or more: then a clock is wrong, or the files are of different days.
 func Sum(lines []Line, interval float64) (Site, error) {
 	if len(lines) == 0 {
 		return Site{}, nil
@@ -85,14 +85,14 @@
 	return s.site(), nil
 }
 
-// counterSums holds one value for each counter that is not 0, by the counter's name.
+// counterSums holds the sums of the counters that are not 0, by name.
 type counterSums map[string]float64
 
-// summary is a sum under construction.
+// summary is a Site under construction.
 type summary struct {
-	first, interval float64 // seconds
-	sums            []counterSums
-	active          []map[string]bool             // gateways, by interval
+	first, interval float64                       // seconds
+	sums            []counterSums                 // by interval
+	active          []map[string]bool             // names of gateways, by interval
 	byGateway       map[string]counterSums        // by gateway
 	firstCounts     map[string]map[string]float64 // time of the first count, by counter and gateway
 }
@@ -109,36 +109,37 @@
 }
 
 // add adds one line.
-func (s *summary) add(l *Line) {
-	i := int((l.At - s.first) / s.interval)
+func (s *summary) add(line *Line) {
+	i := int((line.At - s.first) / s.interval)
 	if s.sums[i] == nil {
 		s.sums[i], s.active[i] = counterSums{}, map[string]bool{}
 	}
-	if s.byGateway[l.Gateway] == nil {
-		s.byGateway[l.Gateway] = counterSums{}
+	if s.byGateway[line.Gateway] == nil {
+		s.byGateway[line.Gateway] = counterSums{}
 	}
-	s.active[i][l.Gateway] = true
+	s.active[i][line.Gateway] = true
 	for _, counter := range Counters {
-		value := counter.value(&l.Counts)
+		value := counter.value(&line.Counts)
 		if value == 0 {
 			continue
 		}
 		s.sums[i][counter.Name] += value
-		s.byGateway[l.Gateway][counter.Name] += value
-		s.noteFirst(counter.Name, l)
+		s.byGateway[line.Gateway][counter.Name] += value
+		s.updateFirst(counter.Name, line)
 	}
 }
 
-// noteFirst notes the time of a line that may be the gateway's first with a counter.
-func (s *summary) noteFirst(counter string, l *Line) {
+// updateFirst updates the time of the gateway's first count of a counter.
+func (s *summary) updateFirst(counter string, line *Line) {
 	if s.firstCounts[counter] == nil {
 		s.firstCounts[counter] = map[string]float64{}
 	}
-	if earliest, ok := s.firstCounts[counter][l.Gateway]; !ok || l.At < earliest {
-		s.firstCounts[counter][l.Gateway] = l.At
+	if earliest, ok := s.firstCounts[counter][line.Gateway]; !ok || line.At < earliest {
+		s.firstCounts[counter][line.Gateway] = line.At
 	}
 }
 
+// site returns the Site of all lines added.
 func (s *summary) site() Site {
 	site := Site{Gateways: len(s.byGateway), Seconds: float64(len(s.sums)) * s.interval}
 	for i, sums := range s.sums {
@@ -152,7 +153,7 @@
 	return site
 }
 
-// total returns how one counter is spread.
+// total returns the Total of one counter.
 func (s *summary) total(counter string) Total {
 	t := Total{Counter: counter}
 	intervals, squares := float64(len(s.sums)), 0.0
@@ -169,22 +170,22 @@
 		t.Dispersion = (squares/intervals - mean*mean) / mean
 	}
 	if t.Sum > 0 {
-		t.PeakToMean = s.busiest(counter) * float64(len(s.byGateway)) / t.Sum
+		t.PeakToMean = s.maxPerGateway(counter) * float64(len(s.byGateway)) / t.Sum
 	}
 	t.SpreadTime = spreadTime(s.firstCounts[counter])
 	return t
 }
 
-// busiest returns the largest sum that a gateway has of a counter, at least 0.
-func (s *summary) busiest(counter string) float64 {
-	most := 0.0
+// maxPerGateway returns the largest sum of a counter on one gateway, at least 0.
+func (s *summary) maxPerGateway(counter string) float64 {
+	largest := 0.0
 	for _, sums := range s.byGateway {
-		most = max(most, sums[counter])
+		largest = max(largest, sums[counter])
 	}
-	return most
+	return largest
 }
 
-// spreadTime returns how long after the first of some times nine in ten of them had passed, 0 for none.
+// spreadTime returns the time from the earliest of some times to their 90th percentile, 0 if there are none.
 func spreadTime(times map[string]float64) float64 {
 	if len(times) == 0 {
 		return 0
