--- a/internal/telemetry/deliver.go
+++ b/internal/telemetry/deliver.go
@@ -66,11 +66,11 @@
 
 // next returns the delay before the next retry. A delay that the collector requested is used instead of the computed
 // one, with jitter.
-func (b *backoff) next(requestedDelay time.Duration) time.Duration {
+func (b *backoff) next(advisedDelay time.Duration) time.Duration {
 	b.limit = min(max(2*b.limit, initialBackoff), maxBackoff)
 	delay := b.limit/2 + time.Duration(rand.Int64N(int64(b.limit/2)+1))
-	if requestedDelay > 0 {
-		return requestedDelay + time.Duration(rand.Int64N(int64(initialBackoff))) // jitter
+	if advisedDelay > 0 {
+		return advisedDelay + time.Duration(rand.Int64N(int64(initialBackoff))) // jitter
 	}
 	return delay
 }
@@ -123,7 +123,7 @@
 				continue
 			}
 		}
-		result, requestedDelay := s.send(ctx, b)
+		result, advisedDelay := s.send(ctx, b)
 		switch result {
 		case delivered:
 			retry.reset()
@@ -135,7 +135,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(retry.next(requestedDelay)):
+		case <-time.After(retry.next(advisedDelay)):
 		}
 	}
 }
@@ -155,31 +155,31 @@
 }
 
 // send makes one delivery and counts its result. The caller must requeue or count a retryable batch.
-func (s *sender) send(ctx context.Context, b batch) (result deliveryResult, requestedDelay time.Duration) {
+func (s *sender) send(ctx context.Context, b batch) (result deliveryResult, advisedDelay time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	var body []byte
 	if s.grpc {
-		result, requestedDelay, body = s.sendGRPC(ctx, b.body)
+		result, advisedDelay, body = s.sendGRPC(ctx, b.body)
 	} else {
 		var status int
 		var header http.Header
 		var err error
 		status, header, body, err = s.sendHTTP(ctx, b.body)
-		result, requestedDelay = classifyHTTPStatus(status, err), retryAfter(header, time.Now())
+		result, advisedDelay = classifyHTTPStatus(status, err), retryAfter(header, time.Now())
 	}
 	switch result {
 	case delivered:
-		rejected := s.rejectedItems(body, b.items)
-		s.rejected.Add(rejected)
-		s.sent.Add(uint64(b.items) - rejected)
+		lost := s.rejectedItems(body, b.items)
+		s.rejected.Add(lost)
+		s.sent.Add(uint64(b.items) - lost)
 	case retryable:
 		s.failures.Add(1)
 	case permanentFailure:
 		s.failures.Add(1)
 		s.rejected.Add(uint64(b.items))
 	}
-	return result, requestedDelay
+	return result, advisedDelay
 }
 
 // rejectedItems returns the number of items of an accepted batch that the collector's response reports as rejected. A
@@ -193,7 +193,7 @@
 }
 
 // sendHTTP makes one delivery over HTTP and returns the status, headers and body of the response.
-func (s *sender) sendHTTP(ctx context.Context, body []byte) (status int, header http.Header, response []byte, err error) {
+func (s *sender) sendHTTP(ctx context.Context, body []byte) (status int, header http.Header, replyBody []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, err
@@ -208,8 +208,8 @@
 		return 0, nil, nil, err
 	}
 	defer resp.Body.Close()
-	response, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
-	if len(response) > maxResponseBytes {
+	replyBody, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if len(replyBody) > maxResponseBytes {
 		return resp.StatusCode, resp.Header, nil, nil // the status counts; the oversized body is ignored
 	}
 	if err != nil && resp.StatusCode < 300 {
@@ -218,5 +218,5 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		return 0, resp.Header, nil, err
 	}
-	return resp.StatusCode, resp.Header, response, nil
+	return resp.StatusCode, resp.Header, replyBody, nil
 }
--- a/internal/telemetry/encode.go
+++ b/internal/telemetry/encode.go
@@ -57,16 +57,16 @@
 }
 
 func newEncoder(attrs []traces.Attr) *encoder {
-	compressor, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
+	writer, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
 	if err != nil {
 		panic(err) // the level is valid
 	}
-	return &encoder{resource: &resource.Resource{Attributes: attributes(attrs)}, scope: &common.InstrumentationScope{Name: scopeName}, gzip: compressor}
+	return &encoder{resource: &resource.Resource{Attributes: attributes(attrs)}, scope: &common.InstrumentationScope{Name: scopeName}, gzip: writer}
 }
 
 // spans encodes spans as one batch.
 func (e *encoder) spans(list []traces.Span) (batch, error) {
-	scopeSpans := &trace.ScopeSpans{Scope: e.scope}
+	out := &trace.ScopeSpans{Scope: e.scope}
 	for i := range list {
 		s := &list[i]
 		span := &trace.Span{TraceId: s.Trace[:], SpanId: s.ID[:], TraceState: s.TraceState, Name: s.Name, Kind: trace.Span_SpanKind(s.Kind),
@@ -84,9 +84,9 @@
 		if s.Failed {
 			span.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: s.Message}
 		}
-		scopeSpans.Spans = append(scopeSpans.Spans, span)
+		out.Spans = append(out.Spans, span)
 	}
-	return e.encode(&coltrace.ExportTraceServiceRequest{ResourceSpans: []*trace.ResourceSpans{{Resource: e.resource, ScopeSpans: []*trace.ScopeSpans{scopeSpans}}}}, len(list))
+	return e.encode(&coltrace.ExportTraceServiceRequest{ResourceSpans: []*trace.ResourceSpans{{Resource: e.resource, ScopeSpans: []*trace.ScopeSpans{out}}}}, len(list))
 }
 
 // metrics encodes metrics as one batch.
--- a/internal/telemetry/grpc.go
+++ b/internal/telemetry/grpc.go
@@ -48,11 +48,11 @@
 }
 
 // sendGRPC makes one delivery over gRPC.
-func (s *sender) sendGRPC(ctx context.Context, compressed []byte) (result deliveryResult, requestedDelay time.Duration, response []byte) {
-	frame := make([]byte, frameHeaderLen, frameHeaderLen+len(compressed))
+func (s *sender) sendGRPC(ctx context.Context, payload []byte) (v deliveryResult, advisedDelay time.Duration, replyBody []byte) {
+	frame := make([]byte, frameHeaderLen, frameHeaderLen+len(payload))
 	frame[0] = 1
-	binary.BigEndian.PutUint32(frame[1:], uint32(len(compressed)))
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(append(frame, compressed...)))
+	binary.BigEndian.PutUint32(frame[1:], uint32(len(payload)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(append(frame, payload...)))
 	if err != nil {
 		return permanentFailure, 0, nil
 	}
@@ -71,20 +71,20 @@
 	if resp.StatusCode != http.StatusOK {
 		return classifyHTTPStatus(resp.StatusCode, nil), retryAfter(resp.Header, time.Now()), nil
 	}
-	response, err = readFrame(resp.Body, resp.Header.Get("Grpc-Encoding"))
+	replyBody, err = readFrame(resp.Body, resp.Header.Get("Grpc-Encoding"))
 	if err != nil {
 		return retryable, 0, nil
 	}
-	trailer := resp.Trailer
+	grpcHeader := resp.Trailer
 	if resp.Header.Get("Grpc-Status") != "" {
-		trailer = resp.Header // a trailers-only response
+		grpcHeader = resp.Header // a trailers-only response
 	}
-	status, err := strconv.Atoi(trailer.Get("Grpc-Status"))
+	status, err := strconv.Atoi(grpcHeader.Get("Grpc-Status"))
 	if err != nil {
 		return retryable, 0, nil // the response ended before its status
 	}
-	result, requestedDelay = classifyGRPCStatus(status, trailer.Get("Grpc-Status-Details-Bin"))
-	return result, requestedDelay, response
+	v, advisedDelay = classifyGRPCStatus(status, grpcHeader.Get("Grpc-Status-Details-Bin"))
+	return v, advisedDelay, replyBody
 }
 
 var errMalformedFrame = errors.New("malformed gRPC frame")
@@ -132,12 +132,12 @@
 	if err != nil {
 		return 0, false
 	}
-	for _, detail := range bytesFields(text, 3) {
-		typeURL := bytesFields(detail, 1)
-		if len(typeURL) != 1 || !strings.HasSuffix(string(typeURL[0]), "/google.rpc.RetryInfo") {
+	for _, anyMessage := range bytesFields(text, 3) {
+		messageType := bytesFields(anyMessage, 1)
+		if len(messageType) != 1 || !strings.HasSuffix(string(messageType[0]), "/google.rpc.RetryInfo") {
 			continue
 		}
-		for _, info := range bytesFields(detail, 2) {
+		for _, info := range bytesFields(anyMessage, 2) {
 			for _, delay := range bytesFields(info, 1) {
 				seconds, nanos := varintField(delay, 1), varintField(delay, 2)
 				if seconds > uint64(maxRetryAfter/time.Second) {
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -20,7 +20,9 @@
 	dropped uint64 // items
 }
 
-func newQueue(maxBytes int) *queue { return &queue{maxBytes: maxBytes, added: make(chan struct{}, 1)} }
+func newQueue(queueBytes int) *queue {
+	return &queue{maxBytes: queueBytes, added: make(chan struct{}, 1)}
+}
 
 // add appends a batch.
 func (q *queue) add(b batch) {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -119,8 +119,8 @@
 	list []traces.Event
 }
 
-func newEventBuffer(capacity int) eventBuffer {
-	return eventBuffer{halfFull: make(chan struct{}, 1), list: make([]traces.Event, 0, capacity)}
+func newEventBuffer(maxLen int) eventBuffer {
+	return eventBuffer{halfFull: make(chan struct{}, 1), list: make([]traces.Event, 0, maxLen)}
 }
 
 // add appends an event. It returns false if the buffer is full.
--- a/traces/histogram.go
+++ b/traces/histogram.go
@@ -34,35 +34,35 @@
 }
 
 // index returns the bucket of a positive value; bucket i holds (base^i, base^(i+1)].
-func (h *Histogram) index(value float64) int {
-	return int(math.Ceil(math.Log2(value)*math.Exp2(float64(h.Scale)))) - 1
+func (h *Histogram) index(x float64) int {
+	return int(math.Ceil(math.Log2(x)*math.Exp2(float64(h.Scale)))) - 1
 }
 
 // Add counts a value measured at the given time in seconds. The largest value of the last exemplarLifetime becomes
 // the exemplar. NaN and infinite values are ignored.
-func (h *Histogram) Add(value float64, traceContext Context, at float64) {
-	if math.IsNaN(value) || math.IsInf(value, 0) {
+func (h *Histogram) Add(x float64, traceContext Context, at float64) {
+	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return
 	}
 	h.Count++
-	h.Sum += value
-	h.Min, h.Max = min(h.Min, value), max(h.Max, value)
-	if traceContext.Trace != (TraceID{}) && (value >= h.Exemplar.Value || at-h.Exemplar.At > exemplarLifetime) {
-		h.Exemplar = Exemplar{Value: value, At: at, Context: traceContext}
+	h.Sum += x
+	h.Min, h.Max = min(h.Min, x), max(h.Max, x)
+	if traceContext.Trace != (TraceID{}) && (x >= h.Exemplar.Value || at-h.Exemplar.At > exemplarLifetime) {
+		h.Exemplar = Exemplar{Value: x, At: at, Context: traceContext}
 	}
-	if value <= 0 {
+	if x <= 0 {
 		h.Zero++
 		return
 	}
-	h.addToBucket(value)
+	h.addToBucket(x)
 }
 
 // addToBucket counts a positive value. It lowers the scale until the value fits, then adds missing buckets.
-func (h *Histogram) addToBucket(value float64) {
-	i := h.index(value)
+func (h *Histogram) addToBucket(x float64) {
+	i := h.index(x)
 	for !h.fits(i) && h.Scale > minScale {
 		h.downscale()
-		i = h.index(value)
+		i = h.index(x)
 	}
 	if len(h.Buckets) == 0 {
 		h.Offset = i
@@ -88,10 +88,10 @@
 // downscale lowers the scale by one, which halves the resolution, by merging neighbouring buckets.
 func (h *Histogram) downscale() {
 	h.Scale--
-	offset := h.Offset >> 1
-	merged := make([]uint64, (h.Offset+len(h.Buckets)-1)>>1-offset+1)
+	first := h.Offset >> 1
+	merged := make([]uint64, (h.Offset+len(h.Buckets)-1)>>1-first+1)
 	for i, n := range h.Buckets {
-		merged[(h.Offset+i)>>1-offset] += n
+		merged[(h.Offset+i)>>1-first] += n
 	}
-	h.Offset, h.Buckets = offset, merged
+	h.Offset, h.Buckets = first, merged
 }
--- a/traces/tally.go
+++ b/traces/tally.go
@@ -111,16 +111,16 @@
 }
 
 func (t *Tally) countEnd(e Event) {
-	req := e.Request
+	accepted := e.Request
 	end := endOf(e)
-	t.Ends[req.Class][end]++
+	t.Ends[accepted.Class][end]++
 	if end != EndServed {
 		return
 	}
-	latency := e.At - req.SentAt
-	t.Latency[req.Class].Add(latency, req.SpanContext, e.At)
-	if latency <= t.latencyObjectives[req.Class] {
-		t.WithinObjective[t.Index(req.Class, req.Plan)]++
+	latency := e.At - accepted.SentAt
+	t.Latency[accepted.Class].Add(latency, accepted.SpanContext, e.At)
+	if latency <= t.latencyObjectives[accepted.Class] {
+		t.WithinObjective[t.Index(accepted.Class, accepted.Plan)]++
 	}
 }
 
