--- a/internal/telemetry/deliver.go
+++ b/internal/telemetry/deliver.go
@@ -193,7 +193,7 @@
 }
 
 // sendHTTP makes one delivery over HTTP and returns the status, headers and body of the response.
-func (s *sender) sendHTTP(ctx context.Context, body []byte) (status int, header http.Header, replyBody []byte, err error) {
+func (s *sender) sendHTTP(ctx context.Context, body []byte) (status int, h http.Header, replyBody []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, err
