--- a/cmd/elderctl/agent.go
+++ b/cmd/elderctl/agent.go
@@ -43,7 +43,7 @@
 
 func newLogger(out io.Writer) *slog.Logger { return slog.New(slog.NewTextHandler(out, nil)) }
 
-// newAgent holds the flags of 'agent init'.
+// newAgent holds the flags of 'elderctl agent init'.
 type newAgent struct {
 	name      string
 	gateway   string   // program; "": the one beside the tool
@@ -77,8 +77,8 @@
 	return cmd
 }
 
-// write creates the agent's file, with its folder. A file that the agent would reject is removed again, and one that
-// exists stays.
+// write creates the agent's file and its folder. It does not replace an existing file, and removes the new one if the
+// agent would reject it.
 func (a *newAgent) write(path string) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		return usageError(fmt.Errorf("%s is there already", path))
--- a/cmd/elderctl/apply.go
+++ b/cmd/elderctl/apply.go
@@ -15,11 +15,11 @@
 	"elderyard/revisions"
 )
 
-// applyTimeout bounds the call of an apply, which is repeated while its response is lost, and the time that a rollout is
-// followed without a leader.
+// applyTimeout limits the call that applies a revision, which is retried after a lost response, and the time for which
+// a rollout is followed without a leader.
 const applyTimeout = 2 * time.Minute
 
-// applyOptions are the flags of the verbs that make a revision.
+// applyOptions are the flags of the commands that create a revision.
 type applyOptions struct {
 	parent  uint64
 	message string
@@ -33,7 +33,7 @@
 	cmd.Flags().BoolVar(&o.noWait, "no-wait", false, "do not follow the rollout to its end")
 }
 
-// request returns a request with the parent and the message that the flags give, or else with these.
+// request returns a request with the parent and the message of the flags; newest and message are the defaults.
 func (o *applyOptions) request(cmd *cobra.Command, newest uint64, message string) agentapi.ApplyRequest {
 	request := agentapi.ApplyRequest{Parent: newest, Message: cmp.Or(o.message, message)}
 	if cmd.Flags().Changed("parent") {
@@ -70,8 +70,8 @@
 	return cmd
 }
 
-// send makes the revision and, unless the flags say otherwise, follows its rollout to the end. The file names the
-// content in a diff.
+// send creates the revision and, unless --no-wait is set, follows its rollout to the end. In a diff, the content
+// appears under the name file.
 func (o *applyOptions) send(cmd *cobra.Command, client *agentapi.Client, request agentapi.ApplyRequest, file string) error {
 	var err error
 	if request.Request, err = newRequestID(); err != nil {
@@ -97,6 +97,7 @@
 	return report.finish(exitRefused, fmt.Errorf("%s; nothing was changed", result.Answer))
 }
 
+// requestApply calls the agent. An unknown outcome is an error with its own message and exit status.
 func requestApply(ctx context.Context, client *agentapi.Client, request agentapi.ApplyRequest) (agentapi.ApplyResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
@@ -108,7 +109,7 @@
 	return result, err
 }
 
-// applyReport prints what became of an apply: text as it goes on, or with --json one value at the end.
+// applyReport prints the result of an apply: text while it proceeds, or with --json one value at the end.
 type applyReport struct {
 	cmd    *cobra.Command
 	out    io.Writer      // of the text; discards it with --json
@@ -124,7 +125,7 @@
 	return r
 }
 
-// finish prints the JSON, if it is wanted, and returns the error for the exit status: nil for exitOK.
+// finish prints the JSON if --json is set, and returns the error for the exit status, nil for exitOK.
 func (r *applyReport) finish(status int, cause error) error {
 	if wantsJSON(r.cmd) {
 		if err := writeJSON(r.cmd.OutOrStdout(), "-", r.values); err != nil {
@@ -151,7 +152,7 @@
 	return r.finish(rolloutExitStatus(status))
 }
 
-// unchanged reports that the newest revision has this content already. It is an error if that revision was rolled back.
+// unchanged reports that the newest revision already has this content. It is an error if that revision was rolled back.
 func (r *applyReport) unchanged(client *agentapi.Client, newest uint64) error {
 	fmt.Fprintf(r.out, "revision %d says this already; nothing was changed\n", newest)
 	status, err := client.Status(r.cmd.Context())
@@ -161,7 +162,7 @@
 	return r.finish(exitOK, nil)
 }
 
-// conflict reports the revision that came first, with its difference to the rejected content.
+// conflict reports the revision that was accepted first, with a diff to the rejected content.
 func (r *applyReport) conflict(request agentapi.ApplyRequest, result agentapi.ApplyResult, file string) error {
 	first := result.Revision
 	fmt.Fprintf(r.out, "revision %d came first: by %s at %s: %s\n", first.Number, first.Author, first.At.Local().Format(time.DateTime), orDash(first.Message))
--- a/cmd/elderctl/ca.go
+++ b/cmd/elderctl/ca.go
@@ -11,7 +11,7 @@
 	"elderyard/internal/pki"
 )
 
-// authorityName is the file name of the authority's own certificate, which no other may have.
+// authorityName is the file name of the authority's own certificate. No other certificate may have it.
 const authorityName = "ca"
 
 func caCommand() *cobra.Command {
@@ -45,7 +45,7 @@
 		func(name string, days int) error { return pki.Renew(*dir, name, days) })
 }
 
-// certificateCommand returns a verb that writes the certificate and the key of one name.
+// certificateCommand returns a command that writes the certificate and the key for one name.
 func certificateCommand(use, short, example string, dir *string, write func(name string, days int) error) *cobra.Command {
 	var days int
 	cmd := &cobra.Command{Use: use, Short: short, Args: exactArgs(1), Example: example,
--- a/cmd/elderctl/capacity.go
+++ b/cmd/elderctl/capacity.go
@@ -12,13 +12,13 @@
 	"elderyard/internal/files"
 )
 
-// Paths of the size and the slopes in a checkout.
+// Paths of the files with the size and the slopes in a checkout.
 const (
 	defaultSize   = "docs/capacity/size.toml"
 	defaultSlopes = "docs/capacity/slopes.json"
 )
 
-// capacityCommand returns the verb that computes whether a site can carry a size.
+// capacityCommand returns the command that computes the requirements of a site of a given size.
 func capacityCommand() *cobra.Command {
 	var sizePath, slopesPath, page, curves string
 	var asJSON, all bool
@@ -65,7 +65,7 @@
 	return cmd
 }
 
-// readPlan computes the plan of a size and slopes, each from a file.
+// readPlan computes the plan from a file with the size and one with the slopes.
 func readPlan(sizePath, slopesPath string) (*capacity.Plan, error) {
 	text, err := os.ReadFile(sizePath)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return &plan, nil
 }
 
-// fillPage writes the tables into a page, which is replaced atomically.
+// fillPage writes the tables into a page. The file is replaced atomically.
 func fillPage(path string, plan *capacity.Plan) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return operationError(files.Replace(path, []byte(filled), 0o644))
 }
 
-// defaultTables names the tables that are printed without --all.
+// defaultTables are the tables that are printed without --all.
 var defaultTables = map[string]bool{"roles": true, "records": true, "not-carried": true, "placement": true}
 
 func printPlan(out io.Writer, plan *capacity.Plan, all bool) {
--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -51,8 +51,8 @@
 	return cmd
 }
 
-// probeContent prints what each instance would do with a content, which no agent stores. It is an error if an instance
-// would reject it, or an agent did not answer.
+// probeContent does a dry run of a content on all agents and prints what each instance would do. No agent stores the
+// content. It is an error if an instance would reject it or an agent did not respond.
 func probeContent(cmd *cobra.Command, client *agentapi.Client, path string, overlays []string, withDiff bool) error {
 	ctx := cmd.Context()
 	newest, status, err := newestRevision(ctx, client)
@@ -96,7 +96,7 @@
 	})
 }
 
-// probeError returns the exit status of the probes: a rejection counts for more than a silent agent.
+// probeError returns the exit status of a dry run. A rejection takes precedence over a silent agent.
 func probeError(probes []agentapi.Probe) error {
 	rejected, silent := 0, 0
 	for _, probe := range probes {
--- a/cmd/elderctl/command.go
+++ b/cmd/elderctl/command.go
@@ -8,17 +8,18 @@
 	"github.com/spf13/cobra"
 )
 
+// noArgs is the check of a command without arguments.
 func noArgs(cmd *cobra.Command, args []string) error { return usageError(cobra.NoArgs(cmd, args)) }
 
 // exactArgs returns the check of a command that accepts exactly n arguments.
 func exactArgs(n int) cobra.PositionalArgs { return checkArgs(cobra.ExactArgs(n)) }
 
-// checkArgs makes an error of a check of arguments a usage error.
+// checkArgs returns a check whose errors are usage errors.
 func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error { return usageError(check(cmd, args)) }
 }
 
-// commandGroup returns a command that only holds others. Called by itself it is a usage error.
+// commandGroup returns a command that only has subcommands. Running it without one is a usage error.
 func commandGroup(use, short string, parts ...*cobra.Command) *cobra.Command {
 	var names []string
 	for _, part := range parts {
@@ -51,7 +52,7 @@
 	})
 }
 
-// keyLine is one key of a configuration file, as the keys verbs list them.
+// keyLine is one key of a configuration file in the output of the keys commands.
 type keyLine struct {
 	Key   string `json:"key"`
 	About string `json:"about"`
--- a/cmd/elderctl/connection.go
+++ b/cmd/elderctl/connection.go
@@ -18,7 +18,7 @@
 // agentVariable is the environment variable that names the agent to call.
 const agentVariable = "ELDERCTL_AGENT"
 
-// fleetHelp documents how the agent is found, and the exit statuses, in the help of verbs that call one.
+// fleetHelp is the part of the help of commands that call an agent: how to select the agent, and the exit statuses.
 const fleetHelp = `
 The agent to ask is named by --agent or the variable ELDERCTL_AGENT: the path of
 its local socket, or host:port with --ca, --cert and --key (or ELDERCTL_CA,
@@ -30,7 +30,7 @@
 or leader can be reached, or it is not known whether a change was taken, 130
 interrupted (what was accepted goes on).`
 
-// connection is the address of the agent that a verb calls, with the credentials for it.
+// connection is the address of the agent to call, with the credentials.
 type connection struct {
 	agent string
 	plain bool
@@ -47,7 +47,7 @@
 	flags.StringVar(&c.files.Key, "key", os.Getenv("ELDERCTL_KEY"), "its key")
 }
 
-// open returns a client of the agent, which the caller closes. It does not connect yet.
+// open returns a client for the agent. It does not connect yet. The caller must close the client.
 func (c *connection) open() (*agentapi.Client, error) {
 	if c.agent == "" {
 		return nil, usageError(fmt.Errorf("no agent is named: set --agent or %s", agentVariable))
@@ -63,7 +63,7 @@
 	return client, nil
 }
 
-// agentVerb returns a command that calls one agent. The error of do gets its exit status from callError.
+// agentVerb returns a command that calls one agent. CallError sets the exit status of the error of do.
 func agentVerb(use, short, example string, args cobra.PositionalArgs, do func(*cobra.Command, *agentapi.Client, []string) error) *cobra.Command {
 	var c connection
 	cmd := &cobra.Command{
@@ -82,7 +82,7 @@
 	return cmd
 }
 
-// agentQuery returns a command without arguments that prints what one call to an agent returns, as text or as JSON.
+// agentQuery returns a command without arguments that prints the result of one call to an agent, as text or as JSON.
 func agentQuery[T any](use, short, example string, query func(*agentapi.Client, context.Context) (T, error), printText func(io.Writer, T)) *cobra.Command {
 	return withJSON(agentVerb(use, short, example, cobra.NoArgs,
 		func(cmd *cobra.Command, client *agentapi.Client, _ []string) error {
@@ -94,7 +94,7 @@
 		}))
 }
 
-// newRequestID returns a random key for a change. A repeat of a call under the same key does not change anything twice.
+// newRequestID returns a random idempotency key for a change: a retry with the same key is not applied again.
 func newRequestID() (string, error) {
 	id := make([]byte, 16)
 	if _, err := rand.Read(id); err != nil {
--- a/cmd/elderctl/content.go
+++ b/cmd/elderctl/content.go
@@ -15,7 +15,7 @@
 	"elderyard/revisions"
 )
 
-// addOverlayFlag adds the flag whose values readContent lays over the parent's overlays.
+// addOverlayFlag adds the flag --overlay, whose values readContent merges into the parent's overlays.
 func addOverlayFlag(cmd *cobra.Command, overlays *[]string) {
 	cmd.Flags().StringArrayVar(overlays, "overlay", nil, "an instance's overlay as NAME=FILE; NAME= takes it away, and others stay as they are")
 }
@@ -50,7 +50,7 @@
 	return content, usageError(document.Check(path, content))
 }
 
-// readBounded reads a file that an agent would accept by its size.
+// readBounded reads a file of at most revisions.MaxFileBytes, the limit of agents.
 func readBounded(path string) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return string(text), nil
 }
 
-// diffContents returns a unified diff of two contents, with the names that they have in it; "" if they are equal.
+// diffContents returns a unified diff of two contents under the given names, "" if they are equal.
 func diffContents(fromName, toName string, from, to revisions.Content) string {
 	text := udiff.Unified(fromName, toName, from.File, to.File)
 	overlays := maps.Clone(from.Overlays)
@@ -87,7 +87,7 @@
 	return text
 }
 
-// printDiff prints a unified diff with its lines in colours.
+// printDiff prints a unified diff, with added and removed lines in colour.
 func printDiff(out io.Writer, text string) {
 	if text == "" {
 		fmt.Fprintln(out, "no difference")
--- a/cmd/elderctl/follow.go
+++ b/cmd/elderctl/follow.go
@@ -26,11 +26,11 @@
 }
 
 // followRollout prints the progress of a rollout until it ends or another revision replaces it, and returns the status
-// at that moment. The rollout does not depend on the tool: a leader that can't be reached is waited for, for
-// applyTimeout at most.
+// at that time. The rollout does not depend on the tool: if no leader can be reached, the tool waits up to
+// applyTimeout.
 func followRollout(ctx context.Context, client *agentapi.Client, out io.Writer, revision uint64) (agentapi.Status, error) {
 	progress := newProgressPrinter(out)
-	var leaderlessSince time.Time // zero: a leader answers
+	var leaderlessSince time.Time // zero: a leader responds
 	for {
 		status, err := client.Status(ctx)
 		switch {
@@ -51,18 +51,18 @@
 				return status, nil
 			}
 		}
-		wait.For(ctx, followInterval) // an end of ctx is found after the next call
+		wait.For(ctx, followInterval) // the next call notices that ctx is done
 	}
 }
 
-// Subjects of a progressPrinter, beside the names of instances.
+// Subjects of a progressPrinter other than the names of instances.
 const (
 	leaderKey  = "leader"
 	rolloutKey = "rollout"
 )
 
-// progressPrinter prints lines about subjects, each with the time since its start, and only if it differs from the last
-// line about the same subject.
+// progressPrinter prints lines about subjects, with the time since its start. It omits a line that repeats the last one
+// about the same subject.
 type progressPrinter struct {
 	out   io.Writer
 	start time.Time
@@ -81,11 +81,11 @@
 	}
 }
 
-// forget has the next line about the subject printed even if it repeats the last.
+// forget makes print repeat the last line about the subject.
 func (p *progressPrinter) forget(subject string) { delete(p.last, subject) }
 
-// printRollout prints what is new in the leader's status of a revision's rollout, and reports whether there is nothing
-// more to follow.
+// printRollout prints the changes in the leader's status of a revision's rollout. It returns true if the rollout has
+// ended or another revision has replaced it.
 func (p *progressPrinter) printRollout(status agentapi.Status, revision uint64) (ended bool) {
 	if status.Rollout.New != revision {
 		p.print(rolloutKey, "another revision, %d, has taken its place", status.Rollout.New)
@@ -100,7 +100,7 @@
 			updated++
 		}
 	}
-	if status.Waves == 0 { // a new leader collects the agents' reports first
+	if status.Waves == 0 { // a new leader first collects the agents' reports
 		p.print(rolloutKey, "%s; the leader hears what the agents have", status.Rollout.State)
 		return false
 	}
--- a/cmd/elderctl/import.go
+++ b/cmd/elderctl/import.go
@@ -17,8 +17,8 @@
 	"elderyard/revisions"
 )
 
-// importCommand returns the verb that turns the configurations of gateways that run without a fleet into a revision's
-// file and overlays.
+// importCommand returns the command that converts the configurations of gateways that run without a fleet to a
+// revision's file and overlays.
 func importCommand() *cobra.Command {
 	var dir string
 	cmd := &cobra.Command{
@@ -48,7 +48,7 @@
 	text []byte
 }
 
-// writeNewFiles writes files of a folder and prints their paths. If one of them exists already, none is written.
+// writeNewFiles writes files to a folder and prints their paths. If one of them exists already, it writes none.
 func writeNewFiles(out io.Writer, dir string, files []importedFile) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return operationError(err)
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// importConfigs reads the configurations, the first of which becomes the revision's file, and checks the content that
-// they make. It writes nothing; apply is the command that applies what it returns.
+// importConfigs reads the configurations and validates the resulting content. The first configuration becomes the
+// revision's file. It writes nothing; apply is the command line that applies the returned files.
 func importConfigs(dir string, paths []string) (files []importedFile, apply string, err error) {
 	var base map[string]any
 	content := revisions.Content{Overlays: map[string]string{}}
@@ -111,7 +111,7 @@
 	return files, apply, document.Check(basePath, content)
 }
 
-// readConfig reads a gateway's configuration, without the keys that are the instance's own or change while it runs.
+// readConfig reads a gateway's configuration, without the keys that are specific to the instance or change at runtime.
 func readConfig(path string) (name string, config map[string]any, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -130,8 +130,8 @@
 	return name, config, nil
 }
 
-// overlayOf returns the tables and keys that, laid over base, make it the other configuration. An overlay can't remove
-// a key, so one that only base has is an error.
+// overlayOf returns the overlay that turns base into the other configuration. An overlay can't remove a key, so a key
+// that only base has is an error.
 func overlayOf(base, other map[string]any) (map[string]any, error) {
 	overlay := map[string]any{}
 	for key, value := range other {
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -19,12 +19,12 @@
 	"elderyard/internal/otlpfile"
 )
 
-// labFlags are the flags of `elderctl lab`.
+// labFlags are the flags of 'elderctl lab'.
 type labFlags struct {
 	scenario  string // name or file
 	site      lab.Site
 	json      string // path; "-": standard output
-	trace     string // path; "": traces are not collected
+	trace     string // path; "": no traces are collected
 	rollupDir string // "": no rollups
 }
 
@@ -56,7 +56,7 @@
 	return cmd
 }
 
-// merge returns the scenario's site with the flags that were given in place of its values.
+// merge returns the scenario's site, with values overridden by the flags that were set.
 func (f *labFlags) merge(cmd *cobra.Command, site lab.Site) lab.Site {
 	given := cmd.Flags().Changed
 	if given("gateways") {
@@ -79,7 +79,7 @@
 	return site
 }
 
-// openSite returns the scenario and the site to run, with the folder for its rollups. Errors are usage errors.
+// openSite returns the scenario and the site to run, and creates the folder for its rollups. Errors are usage errors.
 func (f *labFlags) openSite(cmd *cobra.Command) (lab.Scenario, lab.Site, error) {
 	scenario, err := lab.FindScenario(f.scenario)
 	if err != nil {
@@ -134,7 +134,8 @@
 	return verdictError(verdict.State())
 }
 
-// playWithView plays the lab's load and faults to their end, with the view following. It returns after the last drawing.
+// playWithView runs the lab's load and faults to their end while the view shows them. It returns after the last update
+// of the view.
 func playWithView(ctx context.Context, l *lab.Lab, view *labView) error {
 	following, stop := context.WithCancel(ctx)
 	ended := make(chan struct{})
@@ -148,7 +149,7 @@
 	return err
 }
 
-// verdictError returns the exit status of a verdict's state. The verdict itself has been printed.
+// verdictError returns the exit status for a verdict's state. The caller has printed the verdict.
 func verdictError(state string) error {
 	switch state {
 	case "broken":
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// labReport is what --json writes.
+// labReport is the output of --json.
 type labReport struct {
 	Scenario string        `json:"scenario"`
 	Seed     uint64        `json:"seed"`
@@ -176,7 +177,7 @@
 	return labReport{scenario, site.Seed, site.Gateways, site.Nodes, site.Rate, site.For, verdict.State(), cost, verdict}
 }
 
-// writeTraces writes the collector's traces to a file, and prints the one with the most spans.
+// writeTraces writes the collector's traces to a file and prints the trace with the most spans.
 func writeTraces(out io.Writer, ended *lab.Lab, path string) error {
 	var encoded bytes.Buffer
 	if err := ended.Collector().Write(&encoded, ""); err != nil {
--- a/cmd/elderctl/lab_bench.go
+++ b/cmd/elderctl/lab_bench.go
@@ -59,7 +59,7 @@
 	return cmd
 }
 
-// printRatios prints each figure of both programs with their ratio.
+// printRatios prints each metric of both programs with their ratio.
 func printRatios(out io.Writer, result *lab.Result) {
 	unserved, late := 0, 0
 	for _, turn := range result.Turns {
--- a/cmd/elderctl/lab_list.go
+++ b/cmd/elderctl/lab_list.go
@@ -9,7 +9,7 @@
 	"elderyard/internal/lab"
 )
 
-// scenarioLine is one scenario of `elderctl lab list`.
+// scenarioLine is one scenario in the output of 'elderctl lab list'.
 type scenarioLine struct {
 	Name     string `json:"name"`
 	About    string `json:"about"`
--- a/cmd/elderctl/lab_read.go
+++ b/cmd/elderctl/lab_read.go
@@ -19,7 +19,7 @@
 
 const maxRollupLineBytes = 4 << 10
 
-// readFlags are the flags of `elderctl lab read`. Times are since the first line; an until of 0 means the end.
+// readFlags are the flags of 'elderctl lab read'. From and until are relative to the first line; until 0 means the end.
 type readFlags struct {
 	every time.Duration
 	from  time.Duration
@@ -69,7 +69,7 @@
 	return operationError(printRollup(cmd.OutOrStdout(), &site))
 }
 
-// selectLines returns the lines from one time and, unless the other is 0, before that: in seconds after the first line.
+// selectLines returns the lines in the interval [from, until) in seconds after the first line. Until 0 means no limit.
 func selectLines(lines []rollup.Line, from, until float64) (selected []rollup.Line) {
 	if len(lines) == 0 {
 		return nil
@@ -86,7 +86,7 @@
 	return selected
 }
 
-// readRollups reads the files of all gateways in a folder.
+// readRollups reads the rollup files of all gateways in a folder.
 func readRollups(dir string) (lines []rollup.Line, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.moments"))
 	if err != nil {
@@ -103,8 +103,8 @@
 	return lines, nil
 }
 
-// readRollupFile appends the lines of one file. A last line without its end is left out: the gateway was killed while it
-// wrote it.
+// readRollupFile appends the lines of one file. It ignores an incomplete last line, which a gateway leaves if it is
+// killed while writing.
 func readRollupFile(lines []rollup.Line, path string) ([]rollup.Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/elderctl/lab_sweep.go
+++ b/cmd/elderctl/lab_sweep.go
@@ -9,8 +9,9 @@
 	"elderyard/internal/lab"
 )
 
-// labSweepCommand returns the hidden verb that a lab starts to clean up after itself if it is killed. It reads its input,
-// a pipe that ends with the lab's process, and then kills the processes that the lab's agents left running in DIR.
+// labSweepCommand returns the hidden command that a lab starts for its cleanup in case it is killed. It reads standard
+// input, a pipe that closes when the lab's process ends, and then kills the processes that the lab's agents left
+// running in DIR.
 func labSweepCommand() *cobra.Command {
 	return &cobra.Command{Use: "lab-keeper DIR", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
--- a/cmd/elderctl/lab_verdict.go
+++ b/cmd/elderctl/lab_verdict.go
@@ -9,7 +9,7 @@
 	"elderyard/internal/lab/audit"
 )
 
-// printVerdict prints the auditor's verdict on a lab that has ended, and what the lab itself consumed.
+// printVerdict prints the auditor's verdict on a finished lab, and the resources that the lab itself used.
 func printVerdict(out io.Writer, verdict *audit.Verdict, cost lab.Cost) {
 	printService(out, verdict)
 	printOutcomes(out, &verdict.Counts)
@@ -25,7 +25,7 @@
 	fmt.Fprintf(out, "the lab itself took %.1f s of CPU (%.2f cores) and %.0f MB\nverdict: %s\n", cost.CPU.Seconds(), cost.Cores, cost.PeakMB, verdict.State())
 }
 
-// printService prints the level of service, in all and by class and plan.
+// printService prints the service level in total, by class and by plan.
 func printService(out io.Writer, verdict *audit.Verdict) {
 	fmt.Fprintf(out, "\nservice %.3f of the worth asked for inside the quotas\n", verdict.Service)
 	for _, list := range [][]audit.Service{verdict.Classes, verdict.Plans} {
@@ -36,7 +36,7 @@
 	}
 }
 
-// printOutcomes prints how requests and limit commands ended.
+// printOutcomes prints the outcomes of requests and limit commands.
 func printOutcomes(out io.Writer, counts *audit.Counts) {
 	fmt.Fprintf(out, "%d first tries, %d tries, %d attempts; ", counts.First, counts.Tries, counts.Attempts)
 	for _, outcome := range []audit.Outcome{audit.Served, audit.Refused, audit.Failed, audit.NoAnswer, audit.Closed, audit.NotTaken, audit.Unfinished} {
@@ -50,7 +50,7 @@
 	}
 }
 
-// printOveruse prints the account that exceeded its quota the most, and what use beyond the quotas cost.
+// printOveruse prints the account that exceeded its quota the most, and the cost of use beyond the quotas.
 func printOveruse(out io.Writer, verdict *audit.Verdict) {
 	if worst := verdict.Worst; worst.Plan != "" && worst.Units > 0 {
 		fmt.Fprintf(out, "furthest beyond a quota: account %016x (%s), %.1f units or %.0f%% of the %.1f allowed between %.1f and %.1f s\n",
@@ -66,8 +66,8 @@
 	fmt.Fprintf(out, "they cost %.4f of the worth asked for inside\n", cost)
 }
 
-// printProcessesAndRules prints the gateways' use of the machine and the state of each rule, in one table: its second
-// part aligns by itself, since an empty line ends a column.
+// printProcessesAndRules prints the resource usage of the gateways and the state of each rule in one table. The two
+// parts are aligned independently, since an empty line ends a column.
 func printProcessesAndRules(out io.Writer, verdict *audit.Verdict) {
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "gateway\ttaken\tCPU\ta request\tpeak MB\tdescriptors")
@@ -96,7 +96,7 @@
 	return "kept"
 }
 
-// printEvidence prints where rules were broken, and where the auditor could not decide.
+// printEvidence prints the evidence for broken rules, and the cases that the auditor could not decide.
 func printEvidence(out io.Writer, findings []audit.Finding) {
 	for _, finding := range findings {
 		for _, e := range finding.Evidence {
--- a/cmd/elderctl/lab_view.go
+++ b/cmd/elderctl/lab_view.go
@@ -16,15 +16,14 @@
 )
 
 const (
-	screenInterval = 250 * time.Millisecond // between two drawings of the screen
-	lineInterval   = 2 * time.Second        // between two lines where there is no screen
-	maxEvents      = 8                      // on the screen
+	screenInterval = 250 * time.Millisecond // between updates of the screen
+	lineInterval   = 2 * time.Second        // between lines without a screen
+	maxEvents      = 8                      // shown on the screen
 	barWidth       = 30                     // characters of the progress bar
-	defaultWidth   = 100                    // characters of a screen whose size is unknown
+	defaultWidth   = 100                    // characters, if the size of the screen is unknown
 )
 
-// labView shows a running lab: one screen that is drawn again in a terminal, lines elsewhere. Its methods may be called
-// by several goroutines.
+// labView shows a running lab: a screen that is redrawn in a terminal, lines elsewhere. It is safe for concurrent use.
 type labView struct {
 	out    io.Writer
 	screen bool
@@ -34,7 +33,7 @@
 
 	mu     sync.Mutex
 	events []string
-	drawn  int // lines that the last drawing occupies
+	drawn  int // number of lines of the last redraw
 }
 
 func newLabView(out io.Writer, name, about string) *labView {
@@ -48,7 +47,7 @@
 	return v
 }
 
-// event shows a line about what happened, with the time since the start.
+// event shows a line about an event, with the time since the start.
 func (v *labView) event(format string, args ...any) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -62,7 +61,7 @@
 	}
 }
 
-// follow shows snapshots until ctx ends, and a last one then.
+// follow shows snapshots until ctx is done, and then a last one.
 func (v *labView) follow(ctx context.Context, snapshot func() lab.Snapshot) {
 	interval := lineInterval
 	if v.screen {
@@ -81,7 +80,7 @@
 	}
 }
 
-// show draws the screen again, or prints a line.
+// show redraws the screen or prints a line.
 func (v *labView) show(s lab.Snapshot) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -94,7 +93,7 @@
 	v.redraw(v.draw(s))
 }
 
-// redraw writes a text over the one that it wrote last.
+// redraw replaces the text that it wrote last.
 func (v *labView) redraw(text string) {
 	if v.drawn > 0 {
 		fmt.Fprintf(v.out, "\x1b[%dA", v.drawn)
@@ -103,7 +102,7 @@
 	width := screenWidth(v.out)
 	for _, line := range lines {
 		if r := []rune(line); len(r) >= width {
-			line = string(r[:width-1]) // a line that wraps would move the screen
+			line = string(r[:width-1]) // a wrapped line would shift the screen
 		}
 		fmt.Fprintf(v.out, "\x1b[2K%s\n", line)
 	}
@@ -123,7 +122,7 @@
 	return defaultWidth
 }
 
-// formatLimitCommands counts the limit commands, or returns "" if there were none.
+// formatLimitCommands formats the number of limit commands, "" if there were none.
 func formatLimitCommands(p load.Progress) string {
 	if p.Takes == 0 {
 		return ""
@@ -146,7 +145,7 @@
 	return "; on: " + strings.Join(faults, ", ")
 }
 
-// percentOf formats a part of a total in percent, or a dash if the total is 0.
+// percentOf formats n as a percentage of a total, or as a dash if the total is 0.
 func percentOf(n, of int) string {
 	if of == 0 {
 		return "    -"
--- a/cmd/elderctl/main.go
+++ b/cmd/elderctl/main.go
@@ -1,23 +1,23 @@
-// Elderctl is the operators' tool. It changes and watches a fleet through any one of its agents, shows what gateways
-// report of each other, runs an agent, and tries a site out on this machine in a lab. It keeps no state of its own: a
-// change that an agent has accepted goes on without the tool.
+// Elderctl is the operators' command-line tool. It changes and monitors a fleet through any one of its agents, shows
+// what gateways report about each other, runs an agent, and runs a site on this machine in a lab. It keeps no state: a
+// change that an agent has accepted continues without the tool.
 //
-// # How it is built
+// # Structure
 //
-// A verb, or a group of verbs, has a file and a function that returns its command; rootCommand adds them. Shared are
-// exit.go (exit statuses), command.go (builders of commands), connection.go (the agent that a verb calls) and output.go
-// (tables, JSON and colours).
+// Each command, or group of commands, has a file and a function that returns it; rootCommand adds them. Shared code is
+// in exit.go (exit statuses), command.go (builders of commands), connection.go (the connection to an agent) and
+// output.go (tables, JSON and colours).
 //
-// A verb returns an error that bears its exit status: usageError before anything is sent or started, operationError for
-// work that fails later, callError for an agent's answer (agentVerb applies it), an exitError where the verb documents a
-// status of its own. An error that bears none counts as wrong usage. Only run prints errors, and only main exits: a verb
-// that did either would skip the cleanup of a lab.
+// A command returns an error with an exit status: usageError before anything is sent or started, operationError for
+// work that fails later, callError for the response of an agent (agentVerb applies it), and an exitError where the
+// command documents a status of its own. An error without a status counts as wrong usage. Only run prints errors, and
+// only main exits: a command that did either would skip the cleanup of a lab.
 //
-// Results are written by printResult, as text or with --json as one JSON value, to the command's standard output. A verb
-// that reports progress leaves it out, or sends it to standard error, where standard output carries JSON.
+// Results are written by printResult to the command's standard output, as text or, with --json, as one JSON value.
+// Where standard output carries JSON, progress is omitted or written to standard error.
 //
-// Verbs, flags, exit statuses, printed texts and JSON keys are the tool's interface: the golden files in testdata hold
-// them.
+// Command names, flags, exit statuses, printed texts and JSON keys are the tool's interface. The golden files in
+// testdata pin them.
 package main
 
 import (
@@ -41,7 +41,7 @@
 	os.Exit(status)
 }
 
-// rootCommand returns the tool with all its verbs.
+// rootCommand returns the root command with all others added.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "elderctl",
@@ -56,7 +56,7 @@
 	return root
 }
 
-// run executes the command line and returns the exit status. It prints the error, if there is one to print.
+// run executes the command line and returns the exit status. It prints the error unless the command has printed it.
 func run(ctx context.Context, args []string) int {
 	root := rootCommand()
 	root.SetArgs(args)
@@ -74,12 +74,12 @@
 		}
 		return exit.status
 	}
-	// Cobra's own error about arguments that fit no command.
+	// An error of cobra itself, for arguments that match no command.
 	fmt.Fprintln(os.Stderr, "elderctl:", err)
 	return exitUsage
 }
 
-// fleetCommands returns the verbs that operate a fleet.
+// fleetCommands returns the commands that operate a fleet.
 func fleetCommands() []*cobra.Command {
 	return []*cobra.Command{
 		agentCommand(), caCommand(), importCommand(),
--- a/cmd/elderctl/members.go
+++ b/cmd/elderctl/members.go
@@ -19,7 +19,7 @@
 	return agentQuery("list", "List the voters and the agents", "  elderctl members list", (*agentapi.Client).Members, printMembers)
 }
 
-// printMembers prints the agents, then the voters of which no agent has reported.
+// printMembers prints the agents, then the voters without a report from their agent.
 func printMembers(out io.Writer, members agentapi.Members) {
 	printStale(out, members.Stale)
 	unlisted := map[string]string{}
@@ -80,7 +80,7 @@
 			request := agentapi.ChangeRequest{Name: args[0]}
 			isVoter := slices.ContainsFunc(members.Voters, func(voter agentapi.Member) bool { return voter.Name == request.Name })
 			var change agentapi.MemberChange
-			if isVoter || !removeAgent { // else the name is an agent's alone, and no voter's to remove
+			if isVoter || !removeAgent { // otherwise only the agent is removed, which is no voter
 				if change, err = client.RemoveMember(cmd.Context(), request); err != nil {
 					return err
 				}
@@ -96,8 +96,8 @@
 	return cmd
 }
 
-// reportMemberChange prints that a majority has agreed to a change of the voters. Voters that have not confirmed it yet
-// make it an error: until they do, the site tolerates the loss of one voter fewer.
+// reportMemberChange prints that a majority has committed a change of the voters. It is an error if some voters have
+// not confirmed the change: until they do, the site tolerates the loss of one voter fewer.
 func reportMemberChange(cmd *cobra.Command, change agentapi.MemberChange) error {
 	fmt.Fprintln(cmd.OutOrStdout(), "done")
 	if len(change.Behind) == 0 {
--- a/cmd/elderctl/output.go
+++ b/cmd/elderctl/output.go
@@ -13,7 +13,7 @@
 	"elderyard/internal/files"
 )
 
-// withJSON adds the flag that printResult and wantsJSON read.
+// withJSON adds the flag --json, which printResult and wantsJSON read.
 func withJSON(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().Bool("json", false, "as JSON")
 	return cmd
@@ -44,8 +44,8 @@
 // newTable returns a writer that aligns cells which end with tabs. It writes to out when it is flushed.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
 
-// progressOut returns where a command shows its progress while it writes JSON to a path: standard error if that path is
-// "-", standard output else.
+// progressOut returns the writer for the progress of a command that writes JSON to a path: standard error if the path
+// is "-", otherwise standard output.
 func progressOut(cmd *cobra.Command, jsonPath string) io.Writer {
 	if jsonPath == "-" {
 		return cmd.ErrOrStderr()
@@ -53,7 +53,7 @@
 	return cmd.OutOrStdout()
 }
 
-// printStale warns that what follows may be old, with the reason; an empty reason means that it is not.
+// printStale warns that the data below may be stale, with the reason. An empty reason means that it is current.
 func printStale(out io.Writer, why string) {
 	if why != "" {
 		fmt.Fprintf(out, "%s\n", paint(out, yellow, "STALE: no leader answers ("+why+"); this is what the asked agent knows"))
@@ -67,7 +67,7 @@
 	yellow = "33"
 )
 
-// paint returns the text in a colour where out shows colours, and unchanged elsewhere.
+// paint returns the text in a colour if out shows colours, otherwise unchanged.
 func paint(out io.Writer, colour, text string) string {
 	if !showsColours(out) {
 		return text
@@ -75,7 +75,7 @@
 	return "\x1b[" + colour + "m" + text + "\x1b[0m"
 }
 
-// showsColours reports whether out is a terminal whose user wants escape sequences.
+// showsColours reports whether out is a terminal, and NO_COLOR and TERM do not disable colours.
 func showsColours(out io.Writer) bool {
 	file, isFile := out.(*os.File)
 	return isFile && os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && term.IsTerminal(int(file.Fd()))
--- a/cmd/elderctl/peers.go
+++ b/cmd/elderctl/peers.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	peersVariable = "ELDERCTL_PEERS"       // names the addresses where --at does not
+	peersVariable = "ELDERCTL_PEERS"       // default for --at, comma-separated
 	ageResolution = 100 * time.Millisecond // of printed ages
 )
 
@@ -30,7 +30,7 @@
 Exit status: 0 all that were asked agree, 2 wrong usage, 8 nobody answered, 9 the
 pictures differ or some gateways did not answer.`
 
-// peersCommand returns the verbs that query gateways of elderyard-peers. They call no agent.
+// peersCommand returns the commands that query gateways of elderyard-peers. They call no agent.
 func peersCommand() *cobra.Command {
 	var at []string
 	cmd := commandGroup("peers", "Show what gateways know of each other, and where their pictures differ")
@@ -55,7 +55,7 @@
 	return cmd
 }
 
-// peerAddresses returns the addresses that the flag lists, or else those of the environment variable.
+// peerAddresses returns the addresses of the flag, or by default those of the environment variable.
 func peerAddresses(flag []string) ([]string, error) {
 	addresses := flag
 	if len(addresses) == 0 && os.Getenv(peersVariable) != "" {
@@ -72,7 +72,7 @@
 	return addresses, nil
 }
 
-// peersExitError returns the exit status of the results: nil if all gateways answered and their views agree.
+// peersExitError returns the exit status for the results, nil if all gateways responded and their views agree.
 func peersExitError(all []peers.QueryResult) error {
 	views, silent := splitResults(all)
 	switch {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// splitResults returns the views of the gateways that answered, and the others with the reasons.
+// splitResults returns the views of the gateways that responded, and the other gateways with the reasons.
 func splitResults(all []peers.QueryResult) (views []members.View, silent []string) {
 	for _, result := range all {
 		if result.Status != nil {
@@ -98,10 +98,10 @@
 	return views, silent
 }
 
-// nameOrAddress returns the gateway's name, or the address that was queried if the name is not known.
+// nameOrAddress returns the gateway's name, or the queried address if the name is unknown.
 func nameOrAddress(result peers.QueryResult) string { return cmp.Or(result.Name, result.Address) }
 
-// formatAge formats how long ago a moment on the gateway's clock was; the zero time means never.
+// formatAge formats the age of a time on the gateway's clock. The zero time means never.
 func formatAge(now, then members.Time) string {
 	if then == 0 {
 		return "never"
@@ -197,7 +197,7 @@
 		traffic.PacketsOut, traffic.BytesOut, traffic.PacketsIn, traffic.BytesIn, traffic.Foreign, traffic.Undecryptable, traffic.Oversized, traffic.QueueFull, traffic.RateLimited)
 }
 
-// viewDifferences is what diff writes with --json.
+// viewDifferences is the JSON output of 'elderctl peers diff'.
 type viewDifferences struct {
 	Queried     int                  `json:"asked"`
 	Silent      []string             `json:"silent"`
--- a/cmd/elderctl/peers_evidence.go
+++ b/cmd/elderctl/peers_evidence.go
@@ -13,14 +13,14 @@
 	"elderyard/members"
 )
 
-// evidenceLine is one thing that a gateway learned of a member.
+// evidenceLine is one piece of evidence that a gateway has about a member.
 type evidenceLine struct {
 	Age         time.Duration       `json:"ago_ns"`
 	LearnedBy   string              `json:"learned_by"`
 	Name        string              `json:"name"`
 	Incarnation members.Incarnation `json:"life,omitempty"`
 	What        string              `json:"what"`
-	Source      string              `json:"by,omitempty"` // the member that it came from
+	Source      string              `json:"by,omitempty"` // the member that reported it
 }
 
 func whyPeer(cmd *cobra.Command, addresses, args []string) error {
@@ -40,7 +40,7 @@
 	return cmp.Or(err, peersExitError(all))
 }
 
-// evidenceLines returns the evidence of all gateways, the newest first. Ages are by each gateway's own clock.
+// evidenceLines returns the evidence of all gateways, newest first. Ages are measured by each gateway's own clock.
 func evidenceLines(all []peers.QueryResult) []evidenceLine {
 	lines := []evidenceLine{}
 	for _, result := range all {
--- a/cmd/elderctl/peers_watch.go
+++ b/cmd/elderctl/peers_watch.go
@@ -13,10 +13,10 @@
 	"elderyard/members"
 )
 
-// watchInterval is the time between two queries of all gateways.
+// watchInterval is the time between queries of all gateways.
 const watchInterval = 500 * time.Millisecond
 
-// peerChange is one line of watch.
+// peerChange is one line of 'elderctl peers watch'.
 type peerChange struct {
 	At      time.Time       `json:"at"`
 	Name    string          `json:"name"`
@@ -47,7 +47,7 @@
 	}
 }
 
-// newPeerChange describes a gateway's state in one line; the caller sets the time.
+// newPeerChange returns a line with the state of a gateway. The caller sets the time.
 func newPeerChange(result peers.QueryResult) peerChange {
 	if result.Status == nil {
 		return peerChange{Name: nameOrAddress(result), What: "no answer", Verdict: members.Unsure}
--- a/cmd/elderctl/quota_test.go
+++ b/cmd/elderctl/quota_test.go
@@ -15,9 +15,9 @@
 var quotaFor = flag.Duration("quota-for", 8*time.Second, "load of the test of one quota over requests and limit commands")
 
 // One account uses 7.8 times its quota, by requests through three gateways and by limit commands through two agents,
-// among others that stay within theirs. All processes together exceed no account's quota by more than the design allows,
-// in bursts: one for leases, another for a window of the counter that ends and begins with a full store, and a third for
-// local quotas while the counter is unreachable.
+// among others that stay within theirs. All processes together exceed no account's quota by more than the design
+// allows, in bursts: one for leases, another for a window of the counter that ends and begins with a full store, and a
+// third for local quotas while the counter is unreachable.
 func TestQuotaAcrossRequestsAndLimitCommands(t *testing.T) {
 	for _, k := range []struct {
 		name      string
--- a/cmd/elderctl/records.go
+++ b/cmd/elderctl/records.go
@@ -13,7 +13,7 @@
 	"elderyard/records"
 )
 
-// defaultVersions is how many changes 'records versions' lists without --limit.
+// defaultVersions is the number of changes that 'records versions' lists without --limit.
 const defaultVersions = 20
 
 func recordsCommand() *cobra.Command {
@@ -79,7 +79,7 @@
 func diffRecordsCommand() *cobra.Command {
 	return withJSON(agentVerb("diff VERSION [VERSION]", "Show which records changed since a version, or between two", "  elderctl records diff 812\n  elderctl records diff 812 830", cobra.RangeArgs(1, 2),
 		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
-			var versions [2]uint64 // a second of 0 asks for the newest
+			var versions [2]uint64 // a second version of 0 means the newest
 			for i, text := range args {
 				var err error
 				if versions[i], err = parseRecordsVersion(text); err != nil {
@@ -94,7 +94,7 @@
 		}))
 }
 
-// parseRecordsVersion reads a version's number; 0 is the version before the first change.
+// parseRecordsVersion parses a version number. 0 is the version before the first change.
 func parseRecordsVersion(text string) (uint64, error) {
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
--- a/cmd/elderctl/records_change.go
+++ b/cmd/elderctl/records_change.go
@@ -16,10 +16,10 @@
 	"elderyard/records"
 )
 
-// recordsChangeTimeout bounds the call of a change, which is repeated while its response is lost.
+// recordsChangeTimeout limits the call of a change, which is retried after a lost response.
 const recordsChangeTimeout = 30 * time.Second
 
-// recordsChange holds the flags of the verbs that change records.
+// recordsChange holds the flags of the commands that change records.
 type recordsChange struct {
 	condition uint64
 	message   string
@@ -36,7 +36,7 @@
 	flags.DurationVar(&c.wait, "wait", 0, "wait so long until the change is in force at every agent; 0: do not wait")
 }
 
-// conditionOf returns the version that the record must be at for the change, or nil without --if.
+// conditionOf returns the version that the record must have for the change, nil without --if.
 func (c *recordsChange) conditionOf(cmd *cobra.Command) *uint64 {
 	if !cmd.Flags().Changed("if") {
 		return nil
@@ -44,7 +44,7 @@
 	return &c.condition
 }
 
-// send makes the change, prints its result and, with --wait, waits until it is in force.
+// send sends the change, prints its result and, with --wait, waits until it is in force.
 func (c *recordsChange) send(cmd *cobra.Command, client *agentapi.Client, operations []records.Operation) error {
 	if c.request == "" {
 		var err error
@@ -99,15 +99,14 @@
 	return cmd
 }
 
-// putSource holds the flags of 'records put' that say where values are read from.
+// putSource holds the flags of 'records put' for the source of the values.
 type putSource struct {
 	value string // JSON
 	file  string // with one value
 	from  string // with a list of operations
 }
 
-// operations returns the operations of a put: those of the file that --from names, or one write of the record that the
-// argument names.
+// operations returns the operations of a put: those in the file of --from, or one write of the record in the argument.
 func (s *putSource) operations(cmd *cobra.Command, args []string, change *recordsChange) ([]records.Operation, error) {
 	if s.from != "" {
 		if len(args) > 0 || s.value != "" || s.file != "" || cmd.Flags().Changed("if") {
@@ -135,13 +134,13 @@
 	return []records.Operation{{Key: key, Value: value, IfVersion: change.conditionOf(cmd)}}, nil
 }
 
-// checkJSON returns the error that keeps a text from being one JSON value.
+// checkJSON returns an error unless the text is one JSON value.
 func checkJSON(text []byte) error {
 	var value json.RawMessage
 	return json.Unmarshal(text, &value)
 }
 
-// readOperations reads a file with a JSON list of operations. An error names the operation, counted from 1.
+// readOperations reads a file with a JSON list of operations. Its errors contain the number of the operation, from 1.
 func readOperations(path string) ([]records.Operation, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/elderctl/records_lag.go
+++ b/cmd/elderctl/records_lag.go
@@ -15,7 +15,7 @@
 
 const (
 	lagPollInterval = 200 * time.Millisecond
-	maxNamedAgents  = 5 // of those that lack a version, in an error
+	maxNamedAgents  = 5 // in the error about agents that lack a version
 )
 
 func recordsLagCommand() *cobra.Command {
@@ -59,9 +59,9 @@
 	fmt.Fprintf(out, "version %d, digest %s: in force at %d of %d agents\n", lag.Version, lag.Digest, lag.InForce, len(lag.Agents))
 }
 
-// awaitVersion polls until every agent that reports on its records has the version in force. After the timeout it
-// returns the error of the last call, or else one that names the agents that lack it; without a timeout it returns nil
-// at once.
+// awaitVersion polls until the version is in force at every agent that reports its records. After the timeout it
+// returns the error of the last call, or one that lists the agents that lack the version. Without a timeout it returns
+// nil immediately.
 func awaitVersion(ctx context.Context, client *agentapi.Client, version uint64, timeout time.Duration) error {
 	if timeout <= 0 {
 		return nil
@@ -83,7 +83,8 @@
 	}
 }
 
-// agentsBehind names the agents that are not known to have a version: the first maxNamedAgents, and how many more.
+// agentsBehind lists the agents that are not known to have a version: the first maxNamedAgents, then the number of
+// others.
 func agentsBehind(lag agentapi.RecordsLag, version uint64) (names []string) {
 	unnamed := 0
 	for _, row := range lag.Agents {
--- a/cmd/elderctl/reverse_proxy.go
+++ b/cmd/elderctl/reverse_proxy.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 )
 
-// reverseProxyCommand returns the hidden verb that is the baseline of `elderctl lab bench`: the standard library's proxy,
-// on one core.
+// reverseProxyCommand returns the hidden command that is the baseline of 'elderctl lab bench': the reverse proxy of the
+// standard library on one core.
 func reverseProxyCommand() *cobra.Command {
 	var listen string
 	var backends []string
@@ -36,7 +36,7 @@
 	return cmd
 }
 
-// baselineProxy returns a proxy that sends requests to the backends in turn, and answers the readiness check itself.
+// baselineProxy returns a round-robin proxy for the backends that answers the readiness check itself.
 func baselineProxy(backends []string) http.Handler {
 	var urls []*url.URL
 	for _, backend := range backends {
@@ -54,7 +54,7 @@
 	return mux
 }
 
-// serveUntilDone serves until the context ends, which closes the server and is no error.
+// serveUntilDone serves until ctx is done, and then closes the server and returns nil.
 func serveUntilDone(ctx context.Context, server *http.Server) error {
 	closed := make(chan struct{})
 	go func() { // ends with ctx
--- a/cmd/elderctl/revisions.go
+++ b/cmd/elderctl/revisions.go
@@ -76,7 +76,7 @@
 		}))
 }
 
-// parseRevisionNumber reads the number of a revision that exists or may: 0 stands for none.
+// parseRevisionNumber parses a revision number. 0 is invalid, since it stands for no revision.
 func parseRevisionNumber(text string) (uint64, error) {
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || number == 0 {
@@ -85,8 +85,8 @@
 	return number, nil
 }
 
-// newestRevision returns the newest revision with its content, and the status that names it; the revision's number is 0
-// on a site that has none. Without a leader it fails: an agent's own copy may lack the newest.
+// newestRevision returns the newest revision with its content, and the status it was taken from. On a site without
+// revisions, the number is 0. It fails without a leader, since an agent's own copy may lack the newest revision.
 func newestRevision(ctx context.Context, client *agentapi.Client) (revisions.Revision, agentapi.Status, error) {
 	status, err := client.Status(ctx)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return newest, status, err
 }
 
-// noLeaderError is the error of a verb that needs the leader, with the reason why none answers.
+// noLeaderError returns the error of a command that needs the leader, with the reason why none responds.
 func noLeaderError(why string) error {
 	return &exitError{exitUnreachable, fmt.Errorf("no leader answers: %s", why)}
 }
--- a/cmd/elderctl/rollback.go
+++ b/cmd/elderctl/rollback.go
@@ -35,8 +35,8 @@
 	return cmd
 }
 
-// revisionBefore returns the revision that was wanted before the wanted one, or 0 for none. After a rollout that was
-// rolled back, the previous revision is the wanted one itself, and the one before that counts.
+// revisionBefore returns the desired revision before the current one, 0 if there is none. After a rollback, the
+// previous revision of the rollout is the desired one itself; then it is the number before that.
 func revisionBefore(status agentapi.Status) uint64 {
 	if status.Wanted == status.Rollout.Previous && status.Wanted > 1 {
 		return status.Wanted - 1
@@ -63,7 +63,7 @@
 			if err != nil {
 				return err
 			}
-			// A generation that neither revision has: the content differs from both, and every instance restarts.
+			// Neither revision has this generation, so the content differs from both and every instance restarts.
 			wanted.Content.RestartGeneration = max(wanted.Content.RestartGeneration, newest.Content.RestartGeneration) + 1
 			request := options.request(cmd, newest.Number, "restart")
 			request.Content = &wanted.Content
--- a/cmd/elderctl/roster_test.go
+++ b/cmd/elderctl/roster_test.go
@@ -64,9 +64,9 @@
 	return list
 }
 
-// Three agents with a gateway each: the voters agree on the roster and the gateways receive it; a gateway that dies with
-// its agent is unreachable for the others; one that is removed from the site is in no gateway's roster, also after a
-// restart.
+// Three agents with a gateway each: the voters agree on the roster and the gateways receive it; a gateway that dies
+// with its agent is unreachable for the others; one that is removed from the site is in no gateway's roster, also after
+// a restart.
 func TestVotersAgreeOnRoster(t *testing.T) {
 	t.Parallel()
 	s := openRosterSite(t)
--- a/cmd/elderctl/site.go
+++ b/cmd/elderctl/site.go
@@ -22,7 +22,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return usageError(err) // unlike for a gateway, which runs without the file
+				return usageError(err) // unlike a gateway, which runs without the file
 			}
 			if _, err := site.Parse(args[0], text); err != nil {
 				return usageError(err)
--- a/cmd/elderctl/snapshot.go
+++ b/cmd/elderctl/snapshot.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return usageError(err)
 			}
-			var decoded fleet.State // decoded here as well, so that a damaged file is a usage error and nothing is sent
+			var decoded fleet.State // decoded here too: a damaged file is a usage error, and nothing is sent
 			if err := decoded.Restore(snapshot); err != nil {
 				return usageError(fmt.Errorf("%s: %w", args[0], err))
 			}
--- a/cmd/elderctl/status.go
+++ b/cmd/elderctl/status.go
@@ -13,10 +13,10 @@
 	"elderyard/internal/wait"
 )
 
-// statusInterval is the time between two calls of 'status --watch'.
+// statusInterval is the time between updates of 'status --watch'.
 const statusInterval = time.Second
 
-// clearScreen moves a terminal's cursor to its first place and clears the screen.
+// clearScreen moves the cursor of a terminal to the top left and clears the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
 func statusCommand() *cobra.Command {
@@ -46,7 +46,7 @@
 	return cmd
 }
 
-// statusError returns the exit status of a site's state. Instances that differ from the wanted revision are an error
+// statusError returns the exit status for a site's status. Instances that do not run the desired revision are an error
 // only after the rollout has ended.
 func statusError(status agentapi.Status) error {
 	if status.Stale != "" {
@@ -104,7 +104,8 @@
 	return string(instance.State)
 }
 
-// instanceReasons returns why the instance is in its state, what it reports of the others and who can't reach it.
+// instanceReasons returns the reason for the instance's state, its view of the others and the gateways that can't reach
+// it.
 func instanceReasons(instance agentapi.InstanceStatus) string {
 	var reasons []string
 	for _, reason := range []string{instance.Why, instance.MembershipView} {
--- a/cmd/elderctl/trace.go
+++ b/cmd/elderctl/trace.go
@@ -57,8 +57,8 @@
 	return cmd
 }
 
-// readTraces reads the spans whose trace id begins with the id among the arguments, or all without an id: from the
-// address if there is one, else from the file among the arguments.
+// readTraces reads the spans whose trace ID starts with the ID in the arguments, or all spans without an ID. It reads
+// from the address if there is one, otherwise from the file in the arguments.
 func readTraces(ctx context.Context, from string, args []string) (list []*trace.ResourceSpans, id string, err error) {
 	maxArgs := 2
 	if from != "" {
@@ -88,7 +88,7 @@
 	return filterByID(list, id), id, nil
 }
 
-// fetchTraces requests the spans from a collector.
+// fetchTraces fetches the spans from a collector.
 func fetchTraces(ctx context.Context, from, id string) ([]*trace.ResourceSpans, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -112,7 +112,7 @@
 	return list, nil
 }
 
-// filterByID removes the spans whose trace id does not begin with the id, and scopes and resources that have no others.
+// filterByID removes the spans whose trace ID does not start with id, and scopes and resources without other spans.
 func filterByID(list []*trace.ResourceSpans, id string) (matching []*trace.ResourceSpans) {
 	for _, rs := range list {
 		for _, ss := range rs.ScopeSpans {
--- a/cmd/elderctl/trace_print.go
+++ b/cmd/elderctl/trace_print.go
@@ -11,7 +11,7 @@
 	"elderyard/internal/otlpfile"
 )
 
-// printTraces prints a list of traces, or the tree of one if an id was given and no other begins with it.
+// printTraces prints a list of traces, or the tree of the trace if an ID was given and only one matches.
 func printTraces(out io.Writer, all []*traceTree, id string) error {
 	if len(all) == 0 {
 		if id == "" {
@@ -34,7 +34,7 @@
 	return operationError(w.Flush())
 }
 
-// formatSeconds formats the time between two moments in nanoseconds; 0 if the second comes before the first.
+// formatSeconds formats the duration between two times in nanoseconds, 0 if to is before from.
 func formatSeconds(from, to uint64) string {
 	return fmt.Sprintf("%.3f s", float64(max(to, from)-from)/1e9)
 }
@@ -49,7 +49,7 @@
 	return w.Flush()
 }
 
-// printSpan prints a span behind its branch, and its children below it behind the indent.
+// printSpan prints a span prefixed with branch, and below it its children prefixed with indent.
 func printSpan(w io.Writer, start uint64, span *spanNode, branch, indent string) {
 	fmt.Fprintf(w, "+%s\t%s\t%s\t%s%s\t%s\n", formatSeconds(start, span.StartTimeUnixNano), formatSeconds(span.StartTimeUnixNano, span.EndTimeUnixNano), span.process,
 		branch, plainText(span.Name), strings.Join(spanDetails(span), ", "))
@@ -62,7 +62,7 @@
 	}
 }
 
-// spanDetails returns the attributes of a span that its line shows.
+// spanDetails returns the attributes of a span for its line.
 func spanDetails(span *spanNode) (list []string) {
 	add := func(key, format string) {
 		if v := attribute(span.Attributes, key); v != "" && v != "false" && v != "0" {
@@ -86,7 +86,7 @@
 	return list
 }
 
-// attribute returns a span's attribute as text without control characters, or "" if it has none.
+// attribute returns the value of an attribute as text without control characters, "" if it is missing.
 func attribute(attrs []*common.KeyValue, key string) string {
 	for _, a := range attrs {
 		if a.Key == key {
@@ -96,7 +96,7 @@
 	return ""
 }
 
-// plainText replaces control characters, which would move a terminal's cursor: spans may hold what clients sent.
+// plainText replaces control characters, which would move a terminal's cursor: spans may contain text from clients.
 func plainText(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0 {
--- a/cmd/elderctl/trace_tree.go
+++ b/cmd/elderctl/trace_tree.go
@@ -8,26 +8,26 @@
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 )
 
-// spanNode is a span with the process that it is from, and its children in order of time.
+// spanNode is a span with its process and its children, ordered by start.
 type spanNode struct {
 	*trace.Span
 	process  string
 	children []*spanNode
 }
 
-// traceTree is all spans of a trace. Times are in nanoseconds since 1970, as in the spans.
+// traceTree holds all spans of a trace. Times are in Unix nanoseconds, as in the spans.
 type traceTree struct {
 	id        string
 	from, to  uint64
 	spans     int
 	processes []string
-	roots     []*spanNode // whose parent was not exported, in order of time
+	roots     []*spanNode // spans whose parent was not exported, ordered by start
 	request   string      // name of the last root
 	outcome   string      // of the last root
 }
 
-// buildTraces groups spans by trace, the longest trace first. Of spans with one id the first counts, and a span that is
-// its own ancestor becomes a root.
+// buildTraces groups spans by trace, the longest trace first. Of spans with the same ID the first is kept, and a span
+// that is its own ancestor becomes a root.
 func buildTraces(list []*trace.ResourceSpans) (all []*traceTree) {
 	traces := map[string]*traceTree{}
 	spans, order := uniqueSpans(list)
@@ -45,17 +45,17 @@
 	return all
 }
 
-// spanIndex finds spans by the ids of their trace and of themselves.
+// spanIndex finds spans by trace ID and span ID.
 type spanIndex map[string]*spanNode
 
 func spanKey(traceID, spanID []byte) string { return string(traceID) + string(spanID) }
 
-// parent returns the parent of a span, or nil if it is not among the spans.
+// parent returns the parent of a span, nil if it is not in the index.
 func (x spanIndex) parent(span *spanNode) *spanNode {
 	return x[spanKey(span.TraceId, span.ParentSpanId)]
 }
 
-// uniqueSpans returns the spans, each once, with their index, in order of their start.
+// uniqueSpans returns the spans without duplicates, ordered by start, and their index.
 func uniqueSpans(list []*trace.ResourceSpans) (index spanIndex, order []*spanNode) {
 	index = spanIndex{}
 	for _, rs := range list {
@@ -76,7 +76,7 @@
 	return index, order
 }
 
-// add puts a span that starts no earlier than those before it below its parent, or among the roots.
+// add adds a span below its parent or as a root. Spans must be added in order of their start.
 func (t *traceTree) add(span *spanNode, index spanIndex) {
 	t.spans++
 	t.to = max(t.to, span.EndTimeUnixNano)
@@ -92,8 +92,8 @@
 	parent.children = append(parent.children, span)
 }
 
-// isAncestor reports whether a span is another itself or an ancestor of it. Spans come from files, so parents may form a
-// ring: one that does not contain the span counts as well, since nothing above it is a root.
+// isAncestor reports whether span is the span of, or an ancestor of it. Spans come from files, so parents may form a
+// cycle. A cycle that does not contain the span also gives true, since no ancestor of the span is a root then.
 func (x spanIndex) isAncestor(span, of *spanNode) bool {
 	for range len(x) {
 		if of == nil {
--- a/internal/otlpfile/otlpfile.go
+++ b/internal/otlpfile/otlpfile.go
@@ -1,5 +1,5 @@
-// Package otlpfile reads and writes spans in the format of OpenTelemetry's file exporters: one message of OTLP's JSON per
-// line, with IDs in hexadecimal (https://opentelemetry.io/docs/specs/otel/protocol/file-exporter/).
+// Package otlpfile reads and writes spans in the format of OpenTelemetry's file exporters: one message of OTLP's JSON
+// per line, with IDs in hexadecimal (https://opentelemetry.io/docs/specs/otel/protocol/file-exporter/).
 package otlpfile
 
 import (
--- a/internal/telemetry/settings.go
+++ b/internal/telemetry/settings.go
@@ -83,7 +83,8 @@
 	return always
 }
 
-// resourceAttributes returns the attributes of this process. Those of OTEL_RESOURCE_ATTRIBUTES do not override its name.
+// resourceAttributes returns the attributes of this process. Those of OTEL_RESOURCE_ATTRIBUTES do not override its
+// name.
 func resourceAttributes(service string, env func(string) string, name string) ([]traces.Attr, error) {
 	service = cmp.Or(service, env("OTEL_SERVICE_NAME"), defaultService)
 	resource := []traces.Attr{{Key: serviceNameKey, Value: service}, {Key: serviceInstanceKey, Value: name}}
--- a/rollup/site.go
+++ b/rollup/site.go
@@ -64,8 +64,8 @@
 // MaxIntervals is the limit of intervals in a Site.
 const MaxIntervals = 1_000_000
 
-// Sum aggregates the lines of all gateways, in any order, into intervals of the given length in seconds. It fails if the
-// lines span MaxIntervals or more: then a clock is wrong, or the files are of different days.
+// Sum aggregates the lines of all gateways, in any order, into intervals of the given length in seconds. It fails if
+// the lines span MaxIntervals or more: then a clock is wrong, or the files are of different days.
 func Sum(lines []Line, interval float64) (Site, error) {
 	if len(lines) == 0 {
 		return Site{}, nil
