--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -31,7 +31,7 @@
 				return err
 			}
 			defer client.Close()
-			return callError(probeContent(cmd, client, args[0], overlays, false))
+			return callError(dryRunContent(cmd, client, args[0], overlays, false))
 		},
 	}
 	cmd.Flags().BoolVar(&all, "all", false, "have every agent check it")
@@ -45,15 +45,15 @@
 	cmd := withJSON(agentVerb("plan FILE", "Show what would change, and what each instance would have to do; nothing is taken",
 		"  elderctl plan site.toml\n  elderctl plan site.toml --overlay g1=g1.toml", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, client *agentapi.Client, args []string) error {
-			return probeContent(cmd, client, args[0], overlays, true)
+			return dryRunContent(cmd, client, args[0], overlays, true)
 		}))
 	addOverlayFlag(cmd, &overlays)
 	return cmd
 }
 
-// probeContent does a dry run of a content on all agents and prints what each instance would do. No agent stores the
+// dryRunContent does a dry run of a content on all agents and prints what each instance would do. No agent stores the
 // content. It is an error if an instance would reject it or an agent did not respond.
-func probeContent(cmd *cobra.Command, client *agentapi.Client, path string, overlays []string, withDiff bool) error {
+func dryRunContent(cmd *cobra.Command, client *agentapi.Client, path string, overlays []string, withDiff bool) error {
 	ctx := cmd.Context()
 	newest, status, err := newestRevision(ctx, client)
 	if err != nil {
@@ -73,15 +73,15 @@
 			printDiff(out, diff)
 			fmt.Fprintln(out)
 		}
-		printProbes(out, probes)
+		printDryRun(out, probes)
 	})
 	if err != nil {
 		return err
 	}
-	return probeError(probes)
+	return dryRunError(probes)
 }
 
-func printProbes(out io.Writer, probes []agentapi.Probe) {
+func printDryRun(out io.Writer, probes []agentapi.Probe) {
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "instance\tagent\twould")
 		for _, probe := range probes {
@@ -96,8 +96,8 @@
 	})
 }
 
-// probeError returns the exit status of a dry run. A rejection takes precedence over a silent agent.
-func probeError(probes []agentapi.Probe) error {
+// dryRunError returns the exit status of a dry run. A rejection takes precedence over a silent agent.
+func dryRunError(probes []agentapi.Probe) error {
 	rejected, silent := 0, 0
 	for _, probe := range probes {
 		switch {
@@ -111,7 +111,7 @@
 	case rejected > 0:
 		return &exitError{exitRefused, fmt.Errorf("%d of %d would refuse it", rejected, len(probes))}
 	case silent > 0:
-		return &exitError{exitPartly, fmt.Errorf("%d agents are silent", silent)}
+		return &exitError{exitPartial, fmt.Errorf("%d agents are silent", silent)}
 	}
 	return nil
 }
--- a/cmd/elderctl/command.go
+++ b/cmd/elderctl/command.go
@@ -54,8 +54,8 @@
 
 // keyLine is one key of a configuration file in the output of the keys commands.
 type keyLine struct {
-	Key   string `json:"key"`
-	About string `json:"about"`
+	Key         string `json:"key"`
+	Description string `json:"about"`
 }
 
 // keysCommand returns a command that lists the keys of a configuration file.
@@ -70,7 +70,7 @@
 		func(out io.Writer, lines []keyLine) error {
 			printTable(out, func(w io.Writer) {
 				for _, line := range lines {
-					fmt.Fprintf(w, "%s\t%s\n", line.Key, line.About)
+					fmt.Fprintf(w, "%s\t%s\n", line.Key, line.Description)
 				}
 			})
 			return nil
--- a/cmd/elderctl/exit.go
+++ b/cmd/elderctl/exit.go
@@ -11,13 +11,13 @@
 	exitOK          = 0
 	exitFailed      = 1   // the operation failed after it had started
 	exitUsage       = 2   // a flag, an argument or a file is invalid; nothing was started
-	exitRule        = 3   // the lab found a broken rule
-	exitVoid        = 4   // the machine was overloaded, so the lab has no verdict
+	exitRuleBroken  = 3   // the lab found a broken rule
+	exitNoVerdict   = 4   // the machine could not keep up, so the lab has no verdict
 	exitRefused     = 5   // the site rejected a change, or rolled it back
 	exitConflict    = 6   // another change was accepted first
-	exitPartly      = 7   // done, but some instances or agents are silent or not updated yet
+	exitPartial     = 7   // done, but some instances or agents are silent or not updated yet
 	exitUnreachable = 8   // no agent or leader responds, or the outcome of a change is unknown
-	exitDiffer      = 9   // gateways' views of each other differ, or some gateways did not respond
+	exitViewsDiffer = 9   // gateways' views of each other differ, or some gateways did not respond
 	exitInterrupted = 130 // by SIGINT or SIGTERM; every process that the tool started has ended
 )
 
--- a/cmd/elderctl/fleet_test.go
+++ b/cmd/elderctl/fleet_test.go
@@ -51,7 +51,7 @@
 	s.waitForInstance("one is assigned the revision", func(g agentapi.InstanceStatus) bool { return g.Assigned == 2 })
 	s.must(s.KillAgent(last))
 	s.must(s.KillGateway(last))
-	if status := <-done; status != exitPartly {
+	if status := <-done; status != exitPartial {
 		s.t.Fatalf("status %d", status)
 	}
 	s.waitForState(last, rollout.PartlyApplied, 2)
@@ -66,7 +66,7 @@
 	done := s.startApply((leader+1)%s.gateways, s.revision("third", 350))
 	s.waitForInstance("one runs the revision", func(g agentapi.InstanceStatus) bool { return g.Running == 3 })
 	s.must(s.KillAgent(leader))
-	if status := <-done; status != exitOK && status != exitPartly {
+	if status := <-done; status != exitOK && status != exitPartial {
 		s.t.Fatalf("status %d", status)
 	}
 	s.must(s.StartAgent(leader))
@@ -84,7 +84,7 @@
 	s.must(err)
 	s.waitFor("another leads", func() bool { st := s.status(at); return st.Stale == "" && st.Leader != s.AgentName(leader) })
 	s.must(resume())
-	if status := <-done; status != exitOK && status != exitPartly {
+	if status := <-done; status != exitOK && status != exitPartial {
 		s.t.Fatalf("status %d", status)
 	}
 	s.waitForState(noInstance, rollout.Applied, 4)
--- a/cmd/elderctl/follow.go
+++ b/cmd/elderctl/follow.go
@@ -20,7 +20,7 @@
 	case rollout.Applied:
 		return exitOK, nil
 	case rollout.PartlyApplied:
-		return exitPartly, errors.New(status.Rollout.Reason)
+		return exitPartial, errors.New(status.Rollout.Reason)
 	}
 	return exitRefused, fmt.Errorf("%s: %s", status.Rollout.State, status.Rollout.Reason)
 }
--- a/cmd/elderctl/golden_test.go
+++ b/cmd/elderctl/golden_test.go
@@ -25,7 +25,7 @@
 	s := newSession(t)
 	s.patterns = append(s.patterns, pattern{elapsedTime, "  ELAPSED  "})
 	fmt.Fprintf(&s.transcript, "ok %d, failed %d, usage %d, rule %d, void %d, refused %d, conflict %d, partly %d, unreachable %d, differ %d, interrupted %d\n",
-		exitOK, exitFailed, exitUsage, exitRule, exitVoid, exitRefused, exitConflict, exitPartly, exitUnreachable, exitDiffer, exitInterrupted)
+		exitOK, exitFailed, exitUsage, exitRuleBroken, exitNoVerdict, exitRefused, exitConflict, exitPartial, exitUnreachable, exitViewsDiffer, exitInterrupted)
 	status := func(name string) map[string][]reply {
 		return map[string][]reply{"GET /v1/status": ok("@" + name)}
 	}
--- a/cmd/elderctl/import.go
+++ b/cmd/elderctl/import.go
@@ -88,7 +88,7 @@
 		if isBase {
 			base = config
 		} else {
-			if table, err = overlayOf(base, config); err != nil {
+			if table, err = computeOverlay(base, config); err != nil {
 				return nil, "", fmt.Errorf("%s: %w", path, err)
 			}
 			if len(table) == 0 {
@@ -130,16 +130,16 @@
 	return name, config, nil
 }
 
-// overlayOf returns the overlay that turns base into the other configuration. An overlay can't remove a key, so a key
-// that only base has is an error.
-func overlayOf(base, other map[string]any) (map[string]any, error) {
+// computeOverlay returns the overlay that turns base into the other configuration. An overlay can't remove a key, so a
+// key that only base has is an error.
+func computeOverlay(base, other map[string]any) (map[string]any, error) {
 	overlay := map[string]any{}
 	for key, value := range other {
 		baseTable, inBase := base[key].(map[string]any)
 		table, isTable := value.(map[string]any)
 		switch {
 		case inBase && isTable:
-			inner, err := overlayOf(baseTable, table)
+			inner, err := computeOverlay(baseTable, table)
 			if err != nil {
 				return nil, fmt.Errorf("%s.%w", key, err)
 			}
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -153,9 +153,9 @@
 func verdictError(state string) error {
 	switch state {
 	case "broken":
-		return &exitError{exitRule, nil}
+		return &exitError{exitRuleBroken, nil}
 	case "void":
-		return &exitError{exitVoid, nil}
+		return &exitError{exitNoVerdict, nil}
 	}
 	return nil
 }
--- a/cmd/elderctl/lab_list.go
+++ b/cmd/elderctl/lab_list.go
@@ -11,9 +11,9 @@
 
 // scenarioLine is one scenario in the output of 'elderctl lab list'.
 type scenarioLine struct {
-	Name     string `json:"name"`
-	About    string `json:"about"`
-	Provokes string `json:"provokes"`
+	Name        string `json:"name"`
+	Description string `json:"about"`
+	Provokes    string `json:"provokes"`
 }
 
 func labListCommand() *cobra.Command {
@@ -27,7 +27,7 @@
 		},
 		func(out io.Writer, lines []scenarioLine) error {
 			for _, s := range lines {
-				if _, err := fmt.Fprintf(out, "%-16s %s\n%-16s provokes: %s\n", s.Name, s.About, "", s.Provokes); err != nil {
+				if _, err := fmt.Fprintf(out, "%-16s %s\n%-16s provokes: %s\n", s.Name, s.Description, "", s.Provokes); err != nil {
 					return err
 				}
 			}
--- a/cmd/elderctl/lab_test.go
+++ b/cmd/elderctl/lab_test.go
@@ -15,7 +15,7 @@
 func TestLabWritesVerdict(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "verdict.json")
 	status, out, errs := tool(t, "lab", "--gateway", gateway(t), "--gateways", "2", "--nodes", "4", "--rate", "30", "--for", "2s", "--json", path)
-	if status != exitOK && status != exitVoid || !strings.Contains(out, "verdict: ") {
+	if status != exitOK && status != exitNoVerdict || !strings.Contains(out, "verdict: ") {
 		t.Fatalf("status %d\n%s\n%s", status, out, errs)
 	}
 	text, err := os.ReadFile(path)
--- a/cmd/elderctl/lab_view.go
+++ b/cmd/elderctl/lab_view.go
@@ -25,19 +25,19 @@
 
 // labView shows a running lab: a screen that is redrawn in a terminal, lines elsewhere. It is safe for concurrent use.
 type labView struct {
-	out    io.Writer
-	screen bool
-	name   string
-	about  string
-	start  time.Time
-
-	mu     sync.Mutex
-	events []string
-	drawn  int // number of lines of the last redraw
+	out         io.Writer
+	screen      bool
+	name        string
+	description string
+	start       time.Time
+
+	mu         sync.Mutex
+	events     []string
+	drawnLines int // number of lines of the last redraw
 }
 
 func newLabView(out io.Writer, name, about string) *labView {
-	v := &labView{out: out, name: name, about: about, start: time.Now()}
+	v := &labView{out: out, name: name, description: about, start: time.Now()}
 	if f, ok := out.(*os.File); ok {
 		v.screen = term.IsTerminal(int(f.Fd())) && os.Getenv("TERM") != "dumb"
 	}
@@ -95,8 +95,8 @@
 
 // redraw replaces the text that it wrote last.
 func (v *labView) redraw(text string) {
-	if v.drawn > 0 {
-		fmt.Fprintf(v.out, "\x1b[%dA", v.drawn)
+	if v.drawnLines > 0 {
+		fmt.Fprintf(v.out, "\x1b[%dA", v.drawnLines)
 	}
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
 	width := screenWidth(v.out)
@@ -106,10 +106,10 @@
 		}
 		fmt.Fprintf(v.out, "\x1b[2K%s\n", line)
 	}
-	for range max(0, v.drawn-len(lines)) {
+	for range max(0, v.drawnLines-len(lines)) {
 		fmt.Fprint(v.out, "\x1b[2K\n")
 	}
-	v.drawn = max(v.drawn, len(lines))
+	v.drawnLines = max(v.drawnLines, len(lines))
 }
 
 // screenWidth returns the width of a terminal in characters.
@@ -153,8 +153,8 @@
 	return fmt.Sprintf("%4.0f%%", 100*float64(n)/float64(of))
 }
 
-// bar returns a progress bar.
-func bar(done, of time.Duration) string {
+// progressBar returns a progress bar that shows done of a total.
+func progressBar(done, of time.Duration) string {
 	n := 0
 	if of > 0 {
 		n = int(float64(barWidth) * done.Seconds() / of.Seconds())
@@ -167,7 +167,7 @@
 func (v *labView) draw(snapshot lab.Snapshot) string {
 	var b strings.Builder
 	p := snapshot.Progress
-	fmt.Fprintf(&b, "elderyard lab  %s  %s %.0f of %.0f s\n%s\n\n", v.name, bar(snapshot.At, snapshot.Of), snapshot.At.Seconds(), snapshot.Of.Seconds(), v.about)
+	fmt.Fprintf(&b, "elderyard lab  %s  %s %.0f of %.0f s\n%s\n\n", v.name, progressBar(snapshot.At, snapshot.Of), snapshot.At.Seconds(), snapshot.Of.Seconds(), v.description)
 	fmt.Fprintf(&b, "asked %d   served %d   refused %d   failed %d   no answer %d   retries %d   late %d%s\n\n",
 		p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, snapshot.Late, formatLimitCommands(p))
 	w := newTable(&b)
--- a/cmd/elderctl/members.go
+++ b/cmd/elderctl/members.go
@@ -103,6 +103,6 @@
 	if len(change.Behind) == 0 {
 		return nil
 	}
-	return &exitError{exitPartly, fmt.Errorf("%s: not heard to have noted it; until then the site bears the loss of one voter fewer, so let no other voter end (see %q on the operators' page)",
+	return &exitError{exitPartial, fmt.Errorf("%s: not heard to have noted it; until then the site bears the loss of one voter fewer, so let no other voter end (see %q on the operators' page)",
 		strings.Join(change.Behind, ", "), "Voters come and go")}
 }
--- a/cmd/elderctl/peers.go
+++ b/cmd/elderctl/peers.go
@@ -79,9 +79,9 @@
 	case len(views) == 0:
 		return &exitError{exitUnreachable, fmt.Errorf("nobody answered: %s", all[0].Error)}
 	case len(silent) > 0:
-		return &exitError{exitDiffer, fmt.Errorf("no answer from %s", strings.Join(silent, "; "))}
+		return &exitError{exitViewsDiffer, fmt.Errorf("no answer from %s", strings.Join(silent, "; "))}
 	case len(members.Differences(views)) > 0:
-		return &exitError{exitDiffer, errors.New("the pictures differ; see elderctl peers diff")}
+		return &exitError{exitViewsDiffer, errors.New("the pictures differ; see elderctl peers diff")}
 	}
 	return nil
 }
--- a/cmd/elderctl/peers_test.go
+++ b/cmd/elderctl/peers_test.go
@@ -46,17 +46,17 @@
 		t.Fatal(err)
 	}
 	// Each of g0 and g1 notices the cut by its own probes; both do.
-	if out := until("g0 g1: not there", exitDiffer, "diff"); !strings.Contains(out, "g2: a way between gateways is cut") {
+	if out := until("g0 g1: not there", exitViewsDiffer, "diff"); !strings.Contains(out, "g2: a way between gateways is cut") {
 		t.Errorf("%s", out)
 	}
-	if out := until("did not answer a probe", exitDiffer, "why", "g2"); !strings.Contains(out, "its silence has lasted") {
+	if out := until("did not answer a probe", exitViewsDiffer, "why", "g2"); !strings.Contains(out, "its silence has lasted") {
 		t.Errorf("%s", out)
 	}
 	until("the pictures of 3 gateways are one", exitOK, "diff")
 	if err := l.Kill("g1"); err != nil {
 		t.Fatal(err)
 	}
-	until("g1 gone", exitDiffer, "list")
+	until("g1 gone", exitViewsDiffer, "list")
 	// The only address is that of the gateway that was killed.
 	at, err = l.Desk("g1")
 	if err != nil {
--- a/cmd/elderctl/records_change.go
+++ b/cmd/elderctl/records_change.go
@@ -36,8 +36,8 @@
 	flags.DurationVar(&c.wait, "wait", 0, "wait so long until the change is in force at every agent; 0: do not wait")
 }
 
-// conditionOf returns the version that the record must have for the change, nil without --if.
-func (c *recordsChange) conditionOf(cmd *cobra.Command) *uint64 {
+// ifVersion returns the version that the record must have for the change, nil without --if.
+func (c *recordsChange) ifVersion(cmd *cobra.Command) *uint64 {
 	if !cmd.Flags().Changed("if") {
 		return nil
 	}
@@ -131,7 +131,7 @@
 	if err := checkJSON(value); err != nil {
 		return nil, fmt.Errorf("%s: %w", origin, err)
 	}
-	return []records.Operation{{Key: key, Value: value, IfVersion: change.conditionOf(cmd)}}, nil
+	return []records.Operation{{Key: key, Value: value, IfVersion: change.ifVersion(cmd)}}, nil
 }
 
 // checkJSON returns an error unless the text is one JSON value.
@@ -174,7 +174,7 @@
 				if err != nil {
 					return usageError(err)
 				}
-				operations = append(operations, records.Operation{Key: key, Delete: true, IfVersion: change.conditionOf(cmd)})
+				operations = append(operations, records.Operation{Key: key, Delete: true, IfVersion: change.ifVersion(cmd)})
 			}
 			return change.send(cmd, client, operations)
 		}))
--- a/cmd/elderctl/records_lag.go
+++ b/cmd/elderctl/records_lag.go
@@ -33,7 +33,7 @@
 				return noLeaderError(lag.Stale)
 			}
 			if !lag.Everywhere() {
-				return &exitError{exitPartly, fmt.Errorf("version %d is not in force everywhere", lag.Version)}
+				return &exitError{exitPartial, fmt.Errorf("version %d is not in force everywhere", lag.Version)}
 			}
 			return nil
 		}))
@@ -78,7 +78,7 @@
 			if err != nil {
 				return err
 			}
-			return &exitError{exitPartly, fmt.Errorf("version %d is accepted, and not yet in force at %s", version, strings.Join(behind, ", "))}
+			return &exitError{exitPartial, fmt.Errorf("version %d is accepted, and not yet in force at %s", version, strings.Join(behind, ", "))}
 		}
 	}
 }
--- a/cmd/elderctl/records_test.go
+++ b/cmd/elderctl/records_test.go
@@ -46,7 +46,7 @@
 	for end := time.Now().Add(testTimeout); ; time.Sleep(50 * time.Millisecond) {
 		// Until its first report the leader lists no agent, and a wait for all agents ends at once.
 		status, out, errs := tool(t, "records", "lag", "--agent", socket)
-		if (status == exitOK || status == exitPartly) && strings.Contains(out, "of 1 agents") {
+		if (status == exitOK || status == exitPartial) && strings.Contains(out, "of 1 agents") {
 			return socket
 		} else if time.Now().After(end) {
 			t.Fatalf("no agent answers: %s", errs)
--- a/cmd/elderctl/status.go
+++ b/cmd/elderctl/status.go
@@ -59,7 +59,7 @@
 		}
 	}
 	if missing > 0 && status.Rollout.Ended() && status.Wanted != 0 {
-		return &exitError{exitPartly, fmt.Errorf("%d of %d instances are silent, or do not run revision %d", missing, len(status.Instances), status.Wanted)}
+		return &exitError{exitPartial, fmt.Errorf("%d of %d instances are silent, or do not run revision %d", missing, len(status.Instances), status.Wanted)}
 	}
 	return nil
 }
--- a/cmd/elderctl/trace_print.go
+++ b/cmd/elderctl/trace_print.go
@@ -29,7 +29,7 @@
 			fmt.Fprintf(w, "and %d more\n", len(all)-i)
 			break
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", tree.id, formatSeconds(tree.from, tree.to), tree.spans, strings.Join(tree.processes, " "), plainText(tree.request), tree.outcome)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", tree.id, formatSeconds(tree.start, tree.end), tree.spans, strings.Join(tree.processes, " "), plainText(tree.request), tree.outcome)
 	}
 	return operationError(w.Flush())
 }
@@ -41,10 +41,10 @@
 
 // printTrace prints a trace as a tree, with times since its start.
 func printTrace(out io.Writer, tree *traceTree) error {
-	fmt.Fprintf(out, "trace %s: %s, %d spans of %s\n", tree.id, formatSeconds(tree.from, tree.to), tree.spans, strings.Join(tree.processes, " and "))
+	fmt.Fprintf(out, "trace %s: %s, %d spans of %s\n", tree.id, formatSeconds(tree.start, tree.end), tree.spans, strings.Join(tree.processes, " and "))
 	w := newTable(out)
 	for _, root := range tree.roots {
-		printSpan(w, tree.from, root, "", "")
+		printSpan(w, tree.start, root, "", "")
 	}
 	return w.Flush()
 }
--- a/cmd/elderctl/trace_tree.go
+++ b/cmd/elderctl/trace_tree.go
@@ -17,13 +17,13 @@
 
 // traceTree holds all spans of a trace. Times are in Unix nanoseconds, as in the spans.
 type traceTree struct {
-	id        string
-	from, to  uint64
-	spans     int
-	processes []string
-	roots     []*spanNode // spans whose parent was not exported, ordered by start
-	request   string      // name of the last root
-	outcome   string      // of the last root
+	id         string
+	start, end uint64
+	spans      int
+	processes  []string
+	roots      []*spanNode // spans whose parent was not exported, ordered by start
+	request    string      // name of the last root
+	outcome    string      // of the last root
 }
 
 // buildTraces groups spans by trace, the longest trace first. Of spans with the same ID the first is kept, and a span
@@ -35,13 +35,13 @@
 		id := hex.EncodeToString(span.TraceId)
 		tree := traces[id]
 		if tree == nil {
-			tree = &traceTree{id: id, from: span.StartTimeUnixNano}
+			tree = &traceTree{id: id, start: span.StartTimeUnixNano}
 			traces[id] = tree
 			all = append(all, tree)
 		}
 		tree.add(span, spans)
 	}
-	slices.SortStableFunc(all, func(a, b *traceTree) int { return cmp.Compare(b.to-b.from, a.to-a.from) })
+	slices.SortStableFunc(all, func(a, b *traceTree) int { return cmp.Compare(b.end-b.start, a.end-a.start) })
 	return all
 }
 
@@ -79,7 +79,7 @@
 // add adds a span below its parent or as a root. Spans must be added in order of their start.
 func (t *traceTree) add(span *spanNode, index spanIndex) {
 	t.spans++
-	t.to = max(t.to, span.EndTimeUnixNano)
+	t.end = max(t.end, span.EndTimeUnixNano)
 	if !slices.Contains(t.processes, span.process) {
 		t.processes = append(t.processes, span.process)
 	}
