--- a/internal/process/spawn.go
+++ b/internal/process/spawn.go
@@ -92,7 +92,7 @@
 	}
 	text := make([]byte, maxTailBytes)
 	n, _ := f.Read(text)
-	if line := output.Telling(string(text[:n])); line != "" {
+	if line := output.FailureLine(string(text[:n])); line != "" {
 		return ": " + line
 	}
 	return ""
