--- a/internal/counter/size_test.go
+++ b/internal/counter/size_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, err := counter.Start(counter.Config{Parts: 1, Conns: pipelineCount * maxPipelineConns, Idle: testpeer.Patience, MostRecords: 1}, listener)
+	server, err := counter.Start(counter.Config{Parts: 1, Conns: pipelineCount * maxPipelineConns, Idle: testpeer.Patience, MaxRecords: 1}, listener)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/counter.go
+++ b/internal/lab/counter.go
@@ -12,10 +12,10 @@
 // sharedCounter is what holds the site's counts, and what can be done to it.
 type sharedCounter interface {
 	Links() []*link.Link
-	SetTrouble(counter.Trouble)
+	SetFaults(counter.Faults)
 	Split(half map[string]int)
-	Join(keep int)
-	Forget()
+	Heal(keep int)
+	Reset()
 	Close()
 }
 
@@ -29,7 +29,7 @@
 		return &store{respstore.Over(nil, "", s.Seed, listeners...), ways}, nil
 	}
 	return counter.Start(counter.Config{PerSecond: max(950, 10*s.Rate), Parts: 2, Service: time.Millisecond, Conns: 32,
-		Idle: 10 * time.Second, Seed: s.Seed, MostRecords: maxCounterRecords}, ways...)
+		Idle: 10 * time.Second, Seed: s.Seed, MaxRecords: maxCounterRecords}, ways...)
 }
 
 // store is a RESP store in the counter's place.
@@ -41,8 +41,8 @@
 // Links returns the links that lead to the store.
 func (s *store) Links() []*link.Link { return s.ways }
 
-// SetTrouble sets the faults that the store injects into its answers.
-func (s *store) SetTrouble(t counter.Trouble) { s.Store.SetTrouble(respstore.Trouble(t)) }
+// SetFaults sets the faults that the store injects into its answers.
+func (s *store) SetFaults(t counter.Faults) { s.Store.SetRandomFaults(respstore.RandomFaults(t)) }
 
-// Forget deletes all counters.
-func (s *store) Forget() { s.Empty() }
+// Reset deletes all counters.
+func (s *store) Reset() { s.Empty() }
--- a/internal/lab/fault_kinds.go
+++ b/internal/lab/fault_kinds.go
@@ -43,7 +43,7 @@
 
 	// The faults that the stand-ins inject for a size, for kinds that work so.
 	backendFault func(size float64) backend.Trouble
-	counterFault func(size float64) counter.Trouble
+	counterFault func(size float64) counter.Faults
 	linkFault    func(f *faultproxy.Fault, size float64)
 }
 
@@ -75,11 +75,11 @@
 		{name: "counter-silent", scope: scopeCounter, needsDuration: true, description: "the counter answers the targets no more; connections stay open", apply: counterSilent},
 		{name: "counter-split", scope: scopeCounter, untargeted: true, needsDuration: true, description: "two halves of the gateways see counters that don't hear of each other; then one is kept", apply: counterSplit},
 		{name: "counter-empty", scope: scopeCounter, instant: true, untargeted: true, description: "the counter has forgotten everything", apply: counterEmpty},
-		{name: "counter-double", scope: scopeCounter, untargeted: true, description: "amounts are added twice", defaultSize: 0.3, minSize: 0, maxSize: 1, unit: "share of calls", apply: counterMisbehave, counterFault: func(size float64) counter.Trouble { return counter.Trouble{Double: size} }},
-		{name: "counter-late", scope: scopeCounter, untargeted: true, description: "answers come late", defaultSize: 80, minSize: 1, maxSize: 10000, unit: "ms", apply: counterMisbehave, counterFault: func(size float64) counter.Trouble { return counter.Trouble{Late: milliseconds(size)} }},
-		{name: "counter-refuse", scope: scopeCounter, untargeted: true, description: "calls are turned away", defaultSize: 0.5, minSize: 0, maxSize: 1, unit: "share of calls", apply: counterMisbehave, counterFault: func(size float64) counter.Trouble { return counter.Trouble{Refuse: size} }},
-		{name: "counter-spoil", scope: scopeCounter, untargeted: true, description: "answers have no number in them", defaultSize: 0.1, minSize: 0, maxSize: 1, unit: "share of calls", apply: counterMisbehave, counterFault: func(size float64) counter.Trouble { return counter.Trouble{Spoil: size} }},
-		{name: "counter-endless", scope: scopeCounter, untargeted: true, description: "answers have no end", defaultSize: 0.05, minSize: 0, maxSize: 1, unit: "share of calls", apply: counterMisbehave, counterFault: func(size float64) counter.Trouble { return counter.Trouble{Endless: size} }},
+		{name: "counter-double", scope: scopeCounter, untargeted: true, description: "amounts are added twice", defaultSize: 0.3, minSize: 0, maxSize: 1, unit: "share of calls", apply: counterMisbehave, counterFault: func(size float64) counter.Faults { return counter.Faults{Double: size} }},
+		{name: "counter-late", scope: scopeCounter, untargeted: true, description: "answers come late", defaultSize: 80, minSize: 1, maxSize: 10000, unit: "ms", apply: counterMisbehave, counterFault: func(size float64) counter.Faults { return counter.Faults{Delay: milliseconds(size)} }},
+		{name: "counter-refuse", scope: scopeCounter, untargeted: true, description: "calls are turned away", defaultSize: 0.5, minSize: 0, maxSize: 1, unit: "share of calls", apply: counterMisbehave, counterFault: func(size float64) counter.Faults { return counter.Faults{Refuse: size} }},
+		{name: "counter-spoil", scope: scopeCounter, untargeted: true, description: "answers have no number in them", defaultSize: 0.1, minSize: 0, maxSize: 1, unit: "share of calls", apply: counterMisbehave, counterFault: func(size float64) counter.Faults { return counter.Faults{Malformed: size} }},
+		{name: "counter-endless", scope: scopeCounter, untargeted: true, description: "answers have no end", defaultSize: 0.05, minSize: 0, maxSize: 1, unit: "share of calls", apply: counterMisbehave, counterFault: func(size float64) counter.Faults { return counter.Faults{Endless: size} }},
 
 		{name: "registry-silent", scope: scopeRegistry, needsDuration: true, description: "discovery answers the targets no more", apply: registrySilent},
 		{name: "registry-stale", scope: scopeRegistry, needsDuration: true, description: "discovery goes on answering from the list of that moment", apply: registryStale},
--- a/internal/lab/fault_state.go
+++ b/internal/lab/fault_state.go
@@ -49,22 +49,22 @@
 	}
 	l.counter.Split(half)
 	return func() error {
-		l.counter.Join(0)
+		l.counter.Heal(0)
 		return nil
 	}, nil
 }
 
 func counterEmpty(_ context.Context, l *Lab, _ *Fault, _ []int) (func() error, error) {
-	l.counter.Forget()
+	l.counter.Reset()
 	return nil, nil
 }
 
 func counterMisbehave(_ context.Context, l *Lab, f *Fault, _ []int) (func() error, error) {
 	remove := l.counterFaults.add(faultKindNamed(f.Kind).counterFault(f.size()))
-	l.counter.SetTrouble(l.counterFaults.worst())
+	l.counter.SetFaults(l.counterFaults.worst())
 	return func() error {
 		remove()
-		l.counter.SetTrouble(l.counterFaults.worst())
+		l.counter.SetFaults(l.counterFaults.worst())
 		return nil
 	}, nil
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -73,7 +73,7 @@
 	agents      []*agentProcess      // of a fleet, each with the gateway of the same index
 	aliveFile   *os.File             // open while the lab is alive
 
-	counterFaults overlappingFaults[counter.Trouble]
+	counterFaults overlappingFaults[counter.Faults]
 
 	ctx    context.Context // of all that the lab does
 	cancel context.CancelFunc
--- a/internal/standin/counter/counter.go
+++ b/internal/standin/counter/counter.go
@@ -35,51 +35,51 @@
 
 // Config states what a counter bears.
 type Config struct {
-	PerSecond   float64       // calls a second, shared evenly by the parts; 0: no bound
-	Parts       int           // 1 or 2, split by name
-	Service     time.Duration // that a call takes beside waiting
-	Conns       int           // of one caller; further ones are reset
-	Idle        time.Duration
-	Seed        uint64
-	MostRecords int // calls recorded one by one; what comes beyond is in the sums only
+	PerSecond  float64       // calls a second, shared evenly by the parts; 0: no bound
+	Parts      int           // 1 or 2, split by name
+	Service    time.Duration // that a call takes beside waiting
+	Conns      int           // of one caller; further ones are reset
+	Idle       time.Duration
+	Seed       uint64
+	MaxRecords int // calls recorded one by one; what comes beyond is in the sums only
 }
 
-// Trouble is what a counter can be told to do wrong. The zero value is none.
-type Trouble struct {
-	Late    time.Duration // answers come so much later
-	Refuse  float64       // share turned away
-	Spoil   float64       // share added but answered without a number
-	Endless float64       // share added whose answer has no end
-	Double  float64       // share added twice
+// Faults is what a counter can be told to do wrong. The zero value is none.
+type Faults struct {
+	Delay     time.Duration // answers come so much later
+	Refuse    float64       // share turned away
+	Malformed float64       // share added but answered without a number
+	Endless   float64       // share added whose answer has no end
+	Double    float64       // share added twice
 }
 
-// End is what became of a call.
-type End string
+// Outcome is what became of a call.
+type Outcome string
 
 // The ends.
 const (
-	Added      End = "added"
-	Doubled    End = "added twice"
-	TurnedAway End = "turned away"
-	Bad        End = "bad call"
+	Added      Outcome = "added"
+	Doubled    Outcome = "added twice"
+	Refused    Outcome = "turned away"
+	BadRequest Outcome = "bad call"
 )
 
 // Call is one call that the counter took in.
 type Call struct {
-	Peer   string
-	Name   string
-	Amount float64
-	Total  float64
-	At     time.Time // of its turn
-	End    End
-	Told   bool // its answer had the total in it
-	Half   int  // of a split counter
+	Peer      string
+	Name      string
+	Amount    float64
+	Total     float64
+	At        time.Time // of its turn
+	Outcome   Outcome
+	TotalSent bool // its answer had the total in it
+	Half      int  // of a split counter
 }
 
 // Sums counts the calls of one caller by their end.
 type Sums struct {
-	Calls map[End]int
-	Lost  int // calls recorded in the sums alone
+	Calls      map[Outcome]int
+	Unrecorded int // calls recorded in the sums alone
 }
 
 type number struct {
@@ -95,7 +95,7 @@
 
 	mu      sync.Mutex
 	links   []*link.Link
-	trouble Trouble
+	trouble Faults
 	split   map[string]int       // the half that a caller sees; nil: all see one
 	halves  [2]map[string]number // the second is used while split alone
 	free    []time.Time          // when a part has its next turn free
@@ -107,7 +107,7 @@
 
 // Start runs a counter behind the given links, one for each caller, until Close.
 func Start(c Config, links ...*link.Link) (*Counter, error) {
-	if c.Parts < 1 || c.Parts > 2 || c.Conns < 1 || c.MostRecords < 0 || c.PerSecond < 0 {
+	if c.Parts < 1 || c.Parts > 2 || c.Conns < 1 || c.MaxRecords < 0 || c.PerSecond < 0 {
 		return nil, errors.New("counter: parts must be 1 or 2, connections above 0, the rest not below it")
 	}
 	k := &Counter{c: c, links: links, halves: [2]map[string]number{{}, {}}, free: make([]time.Time, c.Parts),
@@ -138,8 +138,8 @@
 // Links returns the sockets, for faults of the network.
 func (k *Counter) Links() []*link.Link { return k.links }
 
-// SetTrouble replaces what goes wrong from now on.
-func (k *Counter) SetTrouble(t Trouble) {
+// SetFaults replaces what goes wrong from now on.
+func (k *Counter) SetFaults(t Faults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.trouble = t
@@ -160,16 +160,16 @@
 	}
 }
 
-// Join ends a split. The totals of the given half stay; the other's are lost.
-func (k *Counter) Join(keep int) {
+// Heal ends a split. The totals of the given half stay; the other's are lost.
+func (k *Counter) Heal(keep int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.split = nil
 	k.halves = [2]map[string]number{k.halves[keep&1], {}}
 }
 
-// Forget empties the counter, as one that was replaced.
-func (k *Counter) Forget() {
+// Reset empties the counter, as one that was replaced.
+func (k *Counter) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.halves = [2]map[string]number{{}, {}}
@@ -181,11 +181,11 @@
 	defer k.mu.Unlock()
 	sums := map[string]Sums{}
 	for peer, s := range k.sums {
-		calls := map[End]int{}
+		calls := map[Outcome]int{}
 		for e, n := range s.Calls {
 			calls[e] = n
 		}
-		sums[peer] = Sums{calls, s.Lost}
+		sums[peer] = Sums{calls, s.Unrecorded}
 	}
 	return append([]Call(nil), k.records...), sums
 }
@@ -318,7 +318,7 @@
 	if k.c.PerSecond > 0 {
 		*part = at.Add(time.Duration(float64(time.Second) * float64(k.c.Parts) / k.c.PerSecond))
 	}
-	return at.Add(k.c.Service + k.trouble.Late), false
+	return at.Add(k.c.Service + k.trouble.Delay), false
 }
 
 func (k *Counter) chance(share float64) bool { return share > 0 && k.rng.Float64() < share }
@@ -353,15 +353,15 @@
 	defer k.mu.Unlock()
 	switch {
 	case a.bad:
-		k.record(Call{Peer: peer, At: time.Now(), End: Bad})
+		k.record(Call{Peer: peer, At: time.Now(), Outcome: BadRequest})
 		io.WriteString(w, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	case a.refused:
-		k.record(Call{Peer: peer, Name: a.call.name, Amount: a.call.amount, At: time.Now(), End: TurnedAway})
+		k.record(Call{Peer: peer, Name: a.call.name, Amount: a.call.amount, At: time.Now(), Outcome: Refused})
 		io.WriteString(w, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	done := Call{Peer: peer, Name: a.call.name, Amount: a.call.amount, At: time.Now(), End: Added, Told: true, Half: k.split[peer]}
+	done := Call{Peer: peer, Name: a.call.name, Amount: a.call.amount, At: time.Now(), Outcome: Added, TotalSent: true, Half: k.split[peer]}
 	half := k.halves[done.Half]
 	n, here := half[a.call.name]
 	if !here || !done.At.Before(n.until) {
@@ -370,34 +370,34 @@
 	n.total += a.call.amount
 	if k.chance(k.trouble.Double) {
 		n.total += a.call.amount
-		done.End = Doubled
+		done.Outcome = Doubled
 	}
 	half[a.call.name], done.Total = n, n.total
 	switch {
-	case k.chance(k.trouble.Spoil):
-		done.Told = false
+	case k.chance(k.trouble.Malformed):
+		done.TotalSent = false
 		io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nNaN?!\n")
 	case k.chance(k.trouble.Endless):
-		done.Told = false
+		done.TotalSent = false
 		io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n1")
 	default:
 		total := strconv.FormatFloat(n.total, 'g', 15, 64)
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(total), total)
 	}
 	k.record(done)
-	return done.Told
+	return done.TotalSent
 }
 
 func (k *Counter) record(c Call) {
 	s := k.sums[c.Peer]
 	if s == nil {
-		s = &Sums{Calls: map[End]int{}}
+		s = &Sums{Calls: map[Outcome]int{}}
 		k.sums[c.Peer] = s
 	}
-	s.Calls[c.End]++
-	if len(k.records) < k.c.MostRecords {
+	s.Calls[c.Outcome]++
+	if len(k.records) < k.c.MaxRecords {
 		k.records = append(k.records, c)
 	} else {
-		s.Lost++
+		s.Unrecorded++
 	}
 }
--- a/internal/standin/counter/counter_test.go
+++ b/internal/standin/counter/counter_test.go
@@ -35,7 +35,7 @@
 	return k
 }
 
-func config() Config { return Config{Parts: 2, Conns: 2, MostRecords: 100} }
+func config() Config { return Config{Parts: 2, Conns: 2, MaxRecords: 100} }
 
 type caller struct {
 	net.Conn
@@ -137,28 +137,28 @@
 	if x, y := a.add(t, "n", 1), b.add(t, "n", 2); x != "11" || y != "12" {
 		t.Fatalf("halves say %s and %s", x, y)
 	}
-	k.Join(1)
+	k.Heal(1)
 	if x := a.add(t, "n", 1); x != "13" {
 		t.Fatalf("after the join %s", x)
 	}
-	k.Forget()
+	k.Reset()
 	if x := a.add(t, "n", 1); x != "1" {
 		t.Fatalf("after all was forgotten %s", x)
 	}
 }
 
 func TestTroubles(t *testing.T) {
-	k := start(t, Config{Parts: 1, Conns: 8, MostRecords: 100})
+	k := start(t, Config{Parts: 1, Conns: 8, MaxRecords: 100})
 	c := dial(t, k, "g0")
-	k.SetTrouble(Trouble{Double: 1})
+	k.SetFaults(Faults{Double: 1})
 	if got := c.add(t, "n", 2); got != "4" {
 		t.Fatalf("added twice: %s", got)
 	}
-	k.SetTrouble(Trouble{Refuse: 1})
+	k.SetFaults(Faults{Refuse: 1})
 	if got := c.add(t, "n", 1); got != "503" {
 		t.Fatalf("refused: %s", got)
 	}
-	k.SetTrouble(Trouble{Endless: 1})
+	k.SetFaults(Faults{Endless: 1})
 	c.send(t, "n?add=1&ttl_ms=60000")
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if resp, err := http.ReadResponse(c.r, nil); err == nil {
@@ -167,17 +167,17 @@
 		}
 	}
 	c.Close()
-	k.SetTrouble(Trouble{Spoil: 1})
+	k.SetFaults(Faults{Malformed: 1})
 	c = dial(t, k, "g0")
 	if got := c.add(t, "n", 1); got != "NaN?!\n" {
 		t.Fatalf("spoilt: %q", got)
 	}
-	k.SetTrouble(Trouble{})
+	k.SetFaults(Faults{})
 	if got := dial(t, k, "g0").add(t, "n", 1); got != "7" {
 		t.Fatalf("what could not be read was not added: %s", got)
 	}
 	calls, sums := k.Record()
-	if s := sums["g0"]; s.Calls[Doubled] != 1 || s.Calls[TurnedAway] != 1 || s.Calls[Added] != 3 || len(calls) != 5 {
+	if s := sums["g0"]; s.Calls[Doubled] != 1 || s.Calls[Refused] != 1 || s.Calls[Added] != 3 || len(calls) != 5 {
 		t.Fatalf("%+v %+v", sums, calls)
 	}
 }
--- a/internal/standin/respstore/respstore.go
+++ b/internal/standin/respstore/respstore.go
@@ -30,14 +30,14 @@
 	Delay             time.Duration // before each answer to EXEC
 }
 
-// Trouble is what the store does wrong to a share of the transactions. The zero
+// RandomFaults is what the store does wrong to a share of the transactions. The zero
 // value is none.
-type Trouble struct {
-	Late    time.Duration // answers come so much later
-	Refuse  float64       // share turned away: it loads
-	Spoil   float64       // share added but answered without a number
-	Endless float64       // share added whose answer has no end
-	Double  float64       // share added twice
+type RandomFaults struct {
+	Delay     time.Duration // answers come so much later
+	Refuse    float64       // share turned away: it loads
+	Malformed float64       // share added but answered without a number
+	Endless   float64       // share added whose answer has no end
+	Double    float64       // share added twice
 }
 
 // Store is one store.
@@ -49,7 +49,7 @@
 	mu      sync.Mutex
 	closed  bool
 	fault   Fault
-	trouble Trouble
+	trouble RandomFaults
 	rng     *rand.Rand
 	split   map[string]int      // the half that a caller sees; nil: all see one
 	halves  [2]map[string]*item // the second is used while split alone
@@ -105,8 +105,8 @@
 	s.wg.Wait()
 }
 
-// SetTrouble replaces what goes wrong from now on.
-func (s *Store) SetTrouble(t Trouble) {
+// SetRandomFaults replaces what goes wrong from now on.
+func (s *Store) SetRandomFaults(t RandomFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trouble = t
@@ -125,8 +125,8 @@
 	}
 }
 
-// Join ends a split. The numbers of the given half stay; the other's are lost.
-func (s *Store) Join(keep int) {
+// Heal ends a split. The numbers of the given half stay; the other's are lost.
+func (s *Store) Heal(keep int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.split = nil
@@ -305,14 +305,14 @@
 	trouble := s.trouble
 	double := s.chance(trouble.Double)
 	endless := s.chance(trouble.Endless)
-	if s.chance(trouble.Spoil) {
+	if s.chance(trouble.Malformed) {
 		fault.Spoilt = true
 	}
 	if s.chance(trouble.Refuse) {
 		fault.Exec = "LOADING the dataset is being read"
 	}
 	s.mu.Unlock()
-	time.Sleep(time.Until(c.came().Add(trouble.Late)))
+	time.Sleep(time.Until(c.came().Add(trouble.Delay)))
 	switch {
 	case c.failed:
 		c.w.Error("EXECABORT Transaction discarded because of previous errors.")
