--- a/internal/standin/counter/counter.go
+++ b/internal/standin/counter/counter.go
@@ -1,7 +1,7 @@
-// Package counter is a stand-in for the shared counter: names with lives, to
-// which callers add and whose totals they get back. It takes a stated number of
-// calls a second, and can be told to vanish, split, forget, add twice, answer
-// late or answer what can't be read. It keeps an exact account of what it did.
+// Package counter is a stand-in for the shared counter: an HTTP server with one expiring counter per name. Callers add
+// to a counter and get its total back. It serves a configured number of calls per second. Faults can be injected: it
+// can disappear, split into two halves, lose its state, add twice, answer late or answer with an unparsable body. It
+// keeps an exact record of what it did.
 package counter
 
 import (
@@ -25,38 +25,38 @@
 )
 
 const (
-	path      = "/v1/count/"
-	mostName  = 64
-	mostAdd   = 1e9
-	mostLife  = 60 * time.Second
-	mostQueue = 256 // answers that wait on one connection; a caller that sends more is not read
-	sweepGap  = time.Second
+	path             = "/v1/count/"
+	maxNameLen       = 64
+	maxAmount        = 1e9
+	maxTTL           = 60 * time.Second
+	maxQueuedAnswers = 256 // queued answers per connection; while the queue is full, nothing more is read
+	sweepInterval    = time.Second
 )
 
-// Config states what a counter bears.
+// Config sets the capacity and limits of a counter.
 type Config struct {
-	PerSecond  float64       // calls a second, shared evenly by the parts; 0: no bound
-	Parts      int           // 1 or 2, split by name
-	Service    time.Duration // that a call takes beside waiting
-	Conns      int           // of one caller; further ones are reset
+	PerSecond  float64       // calls per second, shared evenly by the parts; 0: no limit
+	Parts      int           // 1 or 2; names are distributed among them by hash
+	Service    time.Duration // service time of a call, without queueing
+	Conns      int           // limit per caller; further connections are reset
 	Idle       time.Duration
 	Seed       uint64
-	MaxRecords int // calls recorded one by one; what comes beyond is in the sums only
+	MaxRecords int // calls recorded one by one; later ones are counted in the sums only
 }
 
-// Faults is what a counter can be told to do wrong. The zero value is none.
+// Faults are the faults that a counter injects. The zero value injects none.
 type Faults struct {
-	Delay     time.Duration // answers come so much later
-	Refuse    float64       // share turned away
-	Malformed float64       // share added but answered without a number
-	Endless   float64       // share added whose answer has no end
-	Double    float64       // share added twice
+	Delay     time.Duration // added to the time of each answer
+	Refuse    float64       // fraction of calls refused
+	Malformed float64       // fraction added but answered without a number
+	Endless   float64       // fraction added, with an answer that is never completed
+	Double    float64       // fraction added twice
 }
 
-// Outcome is what became of a call.
+// Outcome is the result of a call.
 type Outcome string
 
-// The ends.
+// The outcomes of a call.
 const (
 	Added      Outcome = "added"
 	Doubled    Outcome = "added twice"
@@ -64,27 +64,28 @@
 	BadRequest Outcome = "bad call"
 )
 
-// Call is one call that the counter took in.
+// Call is the record of one call.
 type Call struct {
 	Peer      string
 	Name      string
 	Amount    float64
 	Total     float64
-	At        time.Time // of its turn
+	At        time.Time // when the call was carried out
 	Outcome   Outcome
-	TotalSent bool // its answer had the total in it
-	Half      int  // of a split counter
+	TotalSent bool // whether the answer contained the total
+	Half      int  // which half of a split counter served it
 }
 
-// Sums counts the calls of one caller by their end.
+// Sums counts the calls of one caller by outcome.
 type Sums struct {
 	Calls      map[Outcome]int
-	Unrecorded int // calls recorded in the sums alone
+	Unrecorded int // calls that are counted here but not recorded one by one
 }
 
-type number struct {
-	total float64
-	until time.Time
+// entry is the total of one name.
+type entry struct {
+	total     float64
+	expiresAt time.Time
 }
 
 // Counter is a running stand-in.
@@ -93,24 +94,24 @@
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 
-	mu      sync.Mutex
-	links   []*link.Link
-	trouble Faults
-	split   map[string]int       // the half that a caller sees; nil: all see one
-	halves  [2]map[string]number // the second is used while split alone
-	free    []time.Time          // when a part has its next turn free
-	conns   map[string]int
-	records []Call
-	sums    map[string]*Sums
-	rng     *rand.Rand
+	mu       sync.Mutex
+	links    []*link.Link
+	faults   Faults
+	halfOf   map[string]int      // which half each caller uses; nil: not split
+	halves   [2]map[string]entry // the second is used only while the counter is split
+	nextFree []time.Time         // when each part can start its next call
+	conns    map[string]int
+	records  []Call
+	sums     map[string]*Sums
+	rng      *rand.Rand
 }
 
-// Start runs a counter behind the given links, one for each caller, until Close.
+// Start runs a counter on the given links, one for each caller, until Close.
 func Start(c Config, links ...*link.Link) (*Counter, error) {
 	if c.Parts < 1 || c.Parts > 2 || c.Conns < 1 || c.MaxRecords < 0 || c.PerSecond < 0 {
-		return nil, errors.New("counter: parts must be 1 or 2, connections above 0, the rest not below it")
+		return nil, errors.New("counter: Parts must be 1 or 2, Conns positive, MaxRecords and PerSecond not negative")
 	}
-	k := &Counter{c: c, links: links, halves: [2]map[string]number{{}, {}}, free: make([]time.Time, c.Parts),
+	k := &Counter{c: c, links: links, halves: [2]map[string]entry{{}, {}}, nextFree: make([]time.Time, c.Parts),
 		conns: map[string]int{}, sums: map[string]*Sums{}, rng: rand.New(rand.NewPCG(c.Seed, 7))}
 	ctx, stop := context.WithCancel(context.Background())
 	k.stop = stop
@@ -121,7 +122,7 @@
 	return k, nil
 }
 
-// Close ends the counter and waits for all that it started.
+// Close stops the counter and waits for its goroutines.
 func (k *Counter) Close() {
 	k.stop()
 	for _, l := range k.links {
@@ -130,52 +131,52 @@
 	k.wg.Wait()
 }
 
-// Address returns where a caller finds it.
+// Address returns the address at which a caller reaches the counter.
 func (k *Counter) Address(peer string) string {
 	return link.AddressFor(k.links, peer)
 }
 
-// Links returns the sockets, for faults of the network.
+// Links returns the links, on which network faults can be injected.
 func (k *Counter) Links() []*link.Link { return k.links }
 
-// SetFaults replaces what goes wrong from now on.
+// SetFaults replaces the injected faults.
 func (k *Counter) SetFaults(t Faults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.trouble = t
+	k.faults = t
 }
 
-// Split gives each caller one of two halves, which go on from the same totals
-// and do not hear of each other. A caller that is not named sees half 0.
+// Split assigns each caller to one of two halves, which start from the same totals and don't exchange updates. A
+// caller that is not in the map uses half 0.
 func (k *Counter) Split(half map[string]int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.split = map[string]int{}
+	k.halfOf = map[string]int{}
 	for peer, h := range half {
-		k.split[peer] = h & 1
+		k.halfOf[peer] = h & 1
 	}
-	k.halves[1] = map[string]number{}
+	k.halves[1] = map[string]entry{}
 	for name, n := range k.halves[0] {
 		k.halves[1][name] = n
 	}
 }
 
-// Heal ends a split. The totals of the given half stay; the other's are lost.
+// Heal ends a split. The totals of the given half are kept; those of the other are lost.
 func (k *Counter) Heal(keep int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.split = nil
-	k.halves = [2]map[string]number{k.halves[keep&1], {}}
+	k.halfOf = nil
+	k.halves = [2]map[string]entry{k.halves[keep&1], {}}
 }
 
-// Reset empties the counter, as one that was replaced.
+// Reset deletes all totals, as if the counter had been replaced by an empty one.
 func (k *Counter) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.halves = [2]map[string]number{{}, {}}
+	k.halves = [2]map[string]entry{{}, {}}
 }
 
-// Record returns the calls recorded one by one, and the sums of all for each caller.
+// Record returns the recorded calls, and for each caller the sums of all its calls.
 func (k *Counter) Record() ([]Call, map[string]Sums) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -190,9 +191,9 @@
 	return append([]Call(nil), k.records...), sums
 }
 
-// sweep forgets names whose life is over.
+// sweep deletes expired names periodically.
 func (k *Counter) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepGap)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -202,7 +203,7 @@
 			k.mu.Lock()
 			for _, half := range k.halves {
 				for name, n := range half {
-					if !now.Before(n.until) {
+					if !now.Before(n.expiresAt) {
 						delete(half, name)
 					}
 				}
@@ -230,26 +231,27 @@
 	})
 }
 
-// answer is what a call gets, when it has had its turn.
+// answer is a queued answer, due at the end of the call's service time.
 type answer struct {
-	call    *pending
+	call    *request
 	at      time.Time
 	refused bool
-	bad     bool
+	invalid bool
 }
 
-type pending struct {
+// request is a parsed call that has not been carried out yet.
+type request struct {
 	name   string
 	amount float64
-	life   time.Duration
+	ttl    time.Duration
 }
 
-// serve reads calls, which may come one behind another, and answers them in order.
+// serve reads calls, which may be pipelined, and answers them in order.
 func (k *Counter) serve(ctx context.Context, c *link.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	answers := make(chan answer, mostQueue)
+	answers := make(chan answer, maxQueuedAnswers)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
@@ -271,9 +273,9 @@
 			return
 		}
 		p, ok := parse(req)
-		a := answer{call: p, bad: !ok}
+		a := answer{call: p, invalid: !ok}
 		if ok {
-			a.at, a.refused = k.turn(p.name)
+			a.at, a.refused = k.schedule(p.name)
 		}
 		select {
 		case answers <- a:
@@ -283,34 +285,34 @@
 	}
 }
 
-// parse reads a call.
-func parse(r *http.Request) (*pending, bool) {
+// parse parses a call, and reports false if it is invalid.
+func parse(r *http.Request) (*request, bool) {
 	name, found := strings.CutPrefix(r.URL.EscapedPath(), path)
 	q, err := url.ParseQuery(r.URL.RawQuery)
-	if r.Method != http.MethodPost || !found || err != nil || name == "" || len(name) > mostName || strings.Contains(name, "/") {
+	if r.Method != http.MethodPost || !found || err != nil || name == "" || len(name) > maxNameLen || strings.Contains(name, "/") {
 		return nil, false
 	}
 	amount, err := strconv.ParseFloat(q.Get("add"), 64)
-	if err != nil || math.IsNaN(amount) || math.Abs(amount) > mostAdd {
+	if err != nil || math.IsNaN(amount) || math.Abs(amount) > maxAmount {
 		return nil, false
 	}
 	ms, err := strconv.ParseInt(q.Get("ttl_ms"), 10, 64)
 	if err != nil || ms < 1 {
 		return nil, false
 	}
-	return &pending{name, amount, min(time.Duration(min(ms, mostLife.Milliseconds()))*time.Millisecond, mostLife)}, true
+	return &request{name, amount, min(time.Duration(min(ms, maxTTL.Milliseconds()))*time.Millisecond, maxTTL)}, true
 }
 
-// turn gives a call its turn at the part that has its name.
-func (k *Counter) turn(name string) (at time.Time, refused bool) {
+// schedule reserves the next free slot of the part that owns the name, and returns when the answer is due.
+func (k *Counter) schedule(name string) (at time.Time, refused bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.chance(k.trouble.Refuse) {
+	if k.happens(k.faults.Refuse) {
 		return time.Now(), true
 	}
 	h := fnv.New32a()
 	io.WriteString(h, name)
-	part := &k.free[int(h.Sum32()>>3)%k.c.Parts]
+	part := &k.nextFree[int(h.Sum32()>>3)%k.c.Parts]
 	at = time.Now()
 	if part.After(at) {
 		at = *part
@@ -318,11 +320,12 @@
 	if k.c.PerSecond > 0 {
 		*part = at.Add(time.Duration(float64(time.Second) * float64(k.c.Parts) / k.c.PerSecond))
 	}
-	return at.Add(k.c.Service + k.trouble.Delay), false
+	return at.Add(k.c.Service + k.faults.Delay), false
 }
 
-func (k *Counter) chance(share float64) bool { return share > 0 && k.rng.Float64() < share }
+func (k *Counter) happens(fraction float64) bool { return fraction > 0 && k.rng.Float64() < fraction }
 
+// write sends the answers when they are due, and flushes before each wait.
 func (k *Counter) write(ctx context.Context, c *link.Conn, answers <-chan answer) {
 	w := bufio.NewWriter(c)
 	for a := range answers {
@@ -335,7 +338,7 @@
 			}
 		}
 		if !k.reply(c.Peer(), w, a) {
-			// Of no further use, but it stays open until its caller leaves.
+			// The connection is no longer usable, but stays open until the caller closes it.
 			w.Flush()
 			<-ctx.Done()
 			return
@@ -346,13 +349,12 @@
 	}
 }
 
-// reply carries a call out and writes its answer. It returns false for one that
-// spoils the connection.
+// reply carries out a call and writes its answer. It returns false if the answer leaves the connection unusable.
 func (k *Counter) reply(peer string, w io.Writer, a answer) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case a.bad:
+	case a.invalid:
 		k.record(Call{Peer: peer, At: time.Now(), Outcome: BadRequest})
 		io.WriteString(w, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -361,31 +363,31 @@
 		io.WriteString(w, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	done := Call{Peer: peer, Name: a.call.name, Amount: a.call.amount, At: time.Now(), Outcome: Added, TotalSent: true, Half: k.split[peer]}
-	half := k.halves[done.Half]
-	n, here := half[a.call.name]
-	if !here || !done.At.Before(n.until) {
-		n = number{until: done.At.Add(a.call.life)}
+	call := Call{Peer: peer, Name: a.call.name, Amount: a.call.amount, At: time.Now(), Outcome: Added, TotalSent: true, Half: k.halfOf[peer]}
+	half := k.halves[call.Half]
+	n, found := half[a.call.name]
+	if !found || !call.At.Before(n.expiresAt) {
+		n = entry{expiresAt: call.At.Add(a.call.ttl)}
 	}
 	n.total += a.call.amount
-	if k.chance(k.trouble.Double) {
+	if k.happens(k.faults.Double) {
 		n.total += a.call.amount
-		done.Outcome = Doubled
+		call.Outcome = Doubled
 	}
-	half[a.call.name], done.Total = n, n.total
+	half[a.call.name], call.Total = n, n.total
 	switch {
-	case k.chance(k.trouble.Malformed):
-		done.TotalSent = false
+	case k.happens(k.faults.Malformed):
+		call.TotalSent = false
 		io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nNaN?!\n")
-	case k.chance(k.trouble.Endless):
-		done.TotalSent = false
+	case k.happens(k.faults.Endless):
+		call.TotalSent = false
 		io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n1")
 	default:
 		total := strconv.FormatFloat(n.total, 'g', 15, 64)
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(total), total)
 	}
-	k.record(done)
-	return done.TotalSent
+	k.record(call)
+	return call.TotalSent
 }
 
 func (k *Counter) record(c Call) {
--- a/internal/standin/counter/counter_test.go
+++ b/internal/standin/counter/counter_test.go
@@ -15,7 +15,7 @@
 	"elderyard/internal/standin/link"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func start(t *testing.T, c Config) *Counter {
 	t.Helper()
@@ -37,6 +37,7 @@
 
 func config() Config { return Config{Parts: 2, Conns: 2, MaxRecords: 100} }
 
+// caller is a client connection to the counter.
 type caller struct {
 	net.Conn
 	r *bufio.Reader
@@ -44,12 +45,12 @@
 
 func dial(t *testing.T, k *Counter, peer string) *caller {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", k.Address(peer), patience)
+	c, err := net.DialTimeout("tcp", k.Address(peer), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &caller{c, bufio.NewReader(c)}
 }
 
@@ -64,6 +65,7 @@
 	}
 }
 
+// total reads one answer: its body, or the status code if that is not 200.
 func (c *caller) total(t *testing.T) string {
 	t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
@@ -96,11 +98,11 @@
 		}
 	}
 	if got := dial(t, k, "g1").add(t, "a", 1); got != "2" {
-		t.Fatalf("another caller has total %s", got)
+		t.Fatalf("another caller got total %s, want 2", got)
 	}
 }
 
-func TestBadCallsAddNothing(t *testing.T) {
+func TestInvalidCallsAddNothing(t *testing.T) {
 	c := dial(t, start(t, config()), "g0")
 	for _, call := range []string{"a?add=x&ttl_ms=5", "a?add=1", "a?add=1&ttl_ms=0", "?add=1&ttl_ms=5", "a?add=NaN&ttl_ms=5",
 		"a?add=2e9&ttl_ms=5", strings.Repeat("n", 65) + "?add=1&ttl_ms=5", "a/b?add=1&ttl_ms=5"} {
@@ -110,71 +112,71 @@
 		}
 	}
 	if got := c.add(t, "a", 1); got != "1" {
-		t.Errorf("then %s", got)
+		t.Errorf("total after the invalid calls: %s, want 1", got)
 	}
 }
 
-func TestNamesAreForgottenAfterTheirLife(t *testing.T) {
+func TestNamesExpireAfterTheirTTL(t *testing.T) {
 	c := dial(t, start(t, config()), "g0")
 	c.send(t, "a?add=5&ttl_ms=1")
 	c.total(t)
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		c.send(t, "a?add=1&ttl_ms=1")
 		if c.total(t) == "1" {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the name outlived its life")
+			t.Fatal("the name did not expire after its TTL")
 		}
 	}
 }
 
-func TestSplitHalvesDisagreeAndJoinKeepsOne(t *testing.T) {
+func TestSplitHalvesDisagreeAndHealKeepsOne(t *testing.T) {
 	k := start(t, config())
 	a, b := dial(t, k, "g0"), dial(t, k, "g1")
 	a.add(t, "n", 10)
 	k.Split(map[string]int{"g0": 0, "g1": 1})
 	if x, y := a.add(t, "n", 1), b.add(t, "n", 2); x != "11" || y != "12" {
-		t.Fatalf("halves say %s and %s", x, y)
+		t.Fatalf("the halves have totals %s and %s, want 11 and 12", x, y)
 	}
 	k.Heal(1)
 	if x := a.add(t, "n", 1); x != "13" {
-		t.Fatalf("after the join %s", x)
+		t.Fatalf("total after healing the split: %s, want 13", x)
 	}
 	k.Reset()
 	if x := a.add(t, "n", 1); x != "1" {
-		t.Fatalf("after all was forgotten %s", x)
+		t.Fatalf("total after the reset: %s, want 1", x)
 	}
 }
 
-func TestTroubles(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	k := start(t, Config{Parts: 1, Conns: 8, MaxRecords: 100})
 	c := dial(t, k, "g0")
 	k.SetFaults(Faults{Double: 1})
 	if got := c.add(t, "n", 2); got != "4" {
-		t.Fatalf("added twice: %s", got)
+		t.Fatalf("total after an amount was added twice: %s, want 4", got)
 	}
 	k.SetFaults(Faults{Refuse: 1})
 	if got := c.add(t, "n", 1); got != "503" {
-		t.Fatalf("refused: %s", got)
+		t.Fatalf("answer to a refused call: %s, want 503", got)
 	}
 	k.SetFaults(Faults{Endless: 1})
 	c.send(t, "n?add=1&ttl_ms=60000")
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if resp, err := http.ReadResponse(c.r, nil); err == nil {
 		if _, err = io.ReadAll(resp.Body); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("an endless answer ended: %v", err)
+			t.Fatalf("an endless answer was completed: %v", err)
 		}
 	}
 	c.Close()
 	k.SetFaults(Faults{Malformed: 1})
 	c = dial(t, k, "g0")
 	if got := c.add(t, "n", 1); got != "NaN?!\n" {
-		t.Fatalf("spoilt: %q", got)
+		t.Fatalf("malformed answer: %q", got)
 	}
 	k.SetFaults(Faults{})
 	if got := dial(t, k, "g0").add(t, "n", 1); got != "7" {
-		t.Fatalf("what could not be read was not added: %s", got)
+		t.Fatalf("total %s, want 7: a call with an unreadable answer must still be added", got)
 	}
 	calls, sums := k.Record()
 	if s := sums["g0"]; s.Calls[Doubled] != 1 || s.Calls[Refused] != 1 || s.Calls[Added] != 3 || len(calls) != 5 {
@@ -196,23 +198,23 @@
 	for range calls {
 		conn.total(t)
 	}
-	// A lower bound: a busy machine only makes it longer.
+	// This is a lower bound: a busy machine only makes the calls slower.
 	if took := time.Since(began); took < 90*time.Millisecond {
-		t.Fatalf("10 calls at 100 a second took %v", took)
+		t.Fatalf("10 calls at 100 per second took %v, want at least 90ms", took)
 	}
 }
 
-func TestConnectionsOfACallerAreBounded(t *testing.T) {
+func TestConnectionsPerCallerAreLimited(t *testing.T) {
 	k := start(t, config())
 	for range 2 {
 		dial(t, k, "g0").add(t, "n", 1)
 	}
-	// The reset may come before the connection is known to be up.
+	// The reset may arrive before Dial returns.
 	if third, err := net.Dial("tcp", k.Address("g0")); err == nil {
 		defer third.Close()
-		third.SetReadDeadline(time.Now().Add(patience))
+		third.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := third.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("a third connection stands: %v", err)
+			t.Fatalf("a third connection was accepted: %v", err)
 		}
 	}
 	dial(t, k, "g1").add(t, "n", 1)
@@ -226,7 +228,7 @@
 		if err != nil {
 			return
 		}
-		if p, ok := parse(req); ok && (p.name == "" || len(p.name) > mostName || p.life < time.Millisecond || p.life > mostLife || p.amount != p.amount) {
+		if p, ok := parse(req); ok && (p.name == "" || len(p.name) > maxNameLen || p.ttl < time.Millisecond || p.ttl > maxTTL || p.amount != p.amount) {
 			t.Fatalf("%+v", p)
 		}
 	})
