--- a/cmd/elderyard/restart_test.go
+++ b/cmd/elderyard/restart_test.go
@@ -216,14 +216,14 @@
 	}
 	s.allReady(t)
 	s.startLoad(t)
-	overload := registry.Crowd{Serving: 2, Waiting: 8, Service: 50 * time.Millisecond, Patience: 2 * time.Second, NoWatch: true}
+	overload := registry.Overload{MaxServing: 2, MaxWaiting: 8, Service: 50 * time.Millisecond, WaitTimeout: 2 * time.Second, NoWatch: true}
 	for _, step := range []struct {
 		name   string
 		stop   func() // no gateway gets a response from now on
 		resume func(t *testing.T)
 	}{
 		{"silent", func() { s.setSilent(true) }, func(*testing.T) { s.setSilent(false) }},
-		{"crowded", func() { s.setSilent(true); s.registry.SetCrowd(overload) }, func(*testing.T) { s.setSilent(false) }},
+		{"crowded", func() { s.setSilent(true); s.registry.SetOverload(overload) }, func(*testing.T) { s.setSilent(false) }},
 		{"down", func() { s.down() }, func(t *testing.T) { s.up(t) }},
 	} {
 		t.Run(step.name, func(t *testing.T) {
@@ -243,7 +243,7 @@
 			step.resume(t)
 			for end := time.Now().Add(3 * testpeer.Patience); s.informedGateways(step.name) < restartedGateways; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("only %d have received the new backend; calls: %+v", s.informedGateways(step.name), s.registry.Crowded())
+					t.Fatalf("only %d have received the new backend; calls: %+v", s.informedGateways(step.name), s.registry.CallCounts())
 				}
 			}
 			s.allServe(t)
--- a/internal/discovery/watcher_fleet_test.go
+++ b/internal/discovery/watcher_fleet_test.go
@@ -23,7 +23,7 @@
 }
 
 // newFleet runs watchers of a registry that is overloaded as given.
-func newFleet(t *testing.T, size int, overload registry.Crowd) *fleet {
+func newFleet(t *testing.T, size int, overload registry.Overload) *fleet {
 	t.Helper()
 	f := &fleet{changed: make(chan struct{}, 1), known: map[string]map[string]string{}}
 	var links []*link.Link
@@ -39,7 +39,7 @@
 	}
 	f.registry = registry.Start(func(_, id string) string { return id + ":1" }, 1<<16, links...)
 	t.Cleanup(f.registry.Close)
-	f.registry.SetCrowd(overload)
+	f.registry.SetOverload(overload)
 	ctx, cancel := context.WithCancel(context.Background())
 	var watchers sync.WaitGroup
 	t.Cleanup(func() { cancel(); watchers.Wait() })
@@ -80,7 +80,7 @@
 		select {
 		case <-f.changed:
 		case <-timeout:
-			t.Fatalf("%v do not know that %s is %s; calls: %+v", outdated, id, lifecycle, f.registry.Crowded())
+			t.Fatalf("%v do not know that %s is %s; calls: %+v", outdated, id, lifecycle, f.registry.CallCounts())
 		}
 	}
 }
@@ -147,9 +147,9 @@
 // drains included, while few calls are refused. The same holds after discovery was silent.
 func TestFleetOfOverloadedDiscovery(t *testing.T) {
 	t.Parallel()
-	for size, overload := range map[int]registry.Crowd{
-		20: {Serving: 1, Waiting: 4, Service: 100 * time.Millisecond, Patience: 2 * time.Second, Late: 300 * time.Millisecond, NoWatch: true},
-		60: {Serving: 4, Waiting: 10, Service: 150 * time.Millisecond, Patience: 2 * time.Second, NoWatch: true},
+	for size, overload := range map[int]registry.Overload{
+		20: {MaxServing: 1, MaxWaiting: 4, Service: 100 * time.Millisecond, WaitTimeout: 2 * time.Second, Delay: 300 * time.Millisecond, NoWatch: true},
+		60: {MaxServing: 4, MaxWaiting: 10, Service: 150 * time.Millisecond, WaitTimeout: 2 * time.Second, NoWatch: true},
 	} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
@@ -182,14 +182,14 @@
 // further calls is refused.
 func (f *fleet) waitRefused(t *testing.T, more int) {
 	t.Helper()
-	before := f.registry.Crowded()
+	before := f.registry.CallCounts()
 	t.Logf("%+v", before)
-	if before.Full+before.InVain > maxRefused*before.Taken {
+	if before.QueueFull+before.TimedOut > maxRefused*before.Admitted {
 		t.Errorf("too many calls were refused: %+v", before)
 	}
 	for end := time.Now().Add(3 * testpeer.Patience); ; time.Sleep(10 * time.Millisecond) {
-		now := f.registry.Crowded()
-		if now.Full+now.InVain-before.Full-before.InVain >= more {
+		now := f.registry.CallCounts()
+		if now.QueueFull+now.TimedOut-before.QueueFull-before.TimedOut >= more {
 			return
 		}
 		if time.Now().After(end) {
@@ -201,7 +201,7 @@
 // Responses that arrive after the hedge delay of a call for the list are still applied.
 func TestFleetOfSlowDiscovery(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, 5, registry.Crowd{Serving: 100, Late: listTimeout + 500*time.Millisecond})
+	f := newFleet(t, 5, registry.Overload{MaxServing: 100, Delay: listTimeout + 500*time.Millisecond})
 	f.set("a", registry.Ready)
 	f.waitKnown(t, "a", registry.Ready)
 	f.set("a", registry.Terminating)
@@ -213,10 +213,10 @@
 func TestFleetReturnsToWatches(t *testing.T) {
 	t.Parallel()
 	const size = 20
-	f := newFleet(t, size, registry.Crowd{Serving: 1, Waiting: 4, Service: 100 * time.Millisecond, Patience: 2 * time.Second, NoWatch: true})
+	f := newFleet(t, size, registry.Overload{MaxServing: 1, MaxWaiting: 4, Service: 100 * time.Millisecond, WaitTimeout: 2 * time.Second, NoWatch: true})
 	f.set("a", registry.Ready)
 	f.waitKnown(t, "a", registry.Ready)
-	f.registry.SetCrowd(registry.Crowd{})
+	f.registry.SetOverload(registry.Overload{})
 	for end := time.Now().Add(3 * testpeer.Patience); f.registry.Watching() < size; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d watches are open", f.registry.Watching())
--- a/internal/standin/registry/crowd.go
+++ b/internal/standin/registry/crowd.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Crowd bounds what the registry does for all its callers together. The zero value
+// Overload bounds what the registry does for all its callers together. The zero value
 // bounds nothing.
 //
 // A call holds a place from when it is taken until its answer is ready, a watch while it
 // waits for news as well. Calls wait for a place in the order in which they came.
-type Crowd struct {
-	Serving  int           // calls served at once; 0: any number, and no other field holds
-	Waiting  int           // calls that may wait for a place; a further one is refused at once
-	Service  time.Duration // how long an answer takes to make
-	Patience time.Duration // a call that has waited so long for a place is refused
-	Late     time.Duration // from when an answer is ready, and its place free, until it is written
-	NoWatch  bool          // a call that may wait gets no place: it waits in vain
+type Overload struct {
+	MaxServing  int           // calls served at once; 0: any number, and no other field holds
+	MaxWaiting  int           // calls that may wait for a place; a further one is refused at once
+	Service     time.Duration // how long an answer takes to make
+	WaitTimeout time.Duration // a call that has waited so long for a place is refused
+	Delay       time.Duration // from when an answer is ready, and its place free, until it is written
+	NoWatch     bool          // a call that may wait gets no place: it waits in vain
 }
 
-// CrowdCount is what became of the calls to a crowded registry.
-type CrowdCount struct {
-	Taken  int // got a place
-	Full   int // refused at once, since no more calls may wait
-	InVain int // refused after Patience
-	Left   int // whose caller left while they waited
+// CallCounts is what became of the calls to a crowded registry.
+type CallCounts struct {
+	Admitted  int // got a place
+	QueueFull int // refused at once, since no more calls may wait
+	TimedOut  int // refused after WaitTimeout
+	Canceled  int // whose caller left while they waited
 }
 
 // room hands out the places. It is safe for concurrent use.
 type room struct {
 	mu      sync.Mutex
-	crowd   Crowd
+	crowd   Overload
 	serving int
 	waiting []*waiter // in the order in which they came
-	count   CrowdCount
+	count   CallCounts
 }
 
 // waiter is a call that waits for a place.
@@ -44,16 +44,16 @@
 	called chan struct{} // closed when it gets a place
 }
 
-// SetCrowd sets the bounds. Calls that wait already keep the patience that they came with.
-func (r *Registry) SetCrowd(c Crowd) {
+// SetOverload sets the bounds. Calls that wait already keep the patience that they came with.
+func (r *Registry) SetOverload(c Overload) {
 	r.room.mu.Lock()
 	defer r.room.mu.Unlock()
 	r.room.crowd = c
 	r.room.callLocked()
 }
 
-// Crowded returns what became of the calls so far.
-func (r *Registry) Crowded() CrowdCount {
+// CallCounts returns what became of the calls so far.
+func (r *Registry) CallCounts() CallCounts {
 	r.room.mu.Lock()
 	defer r.room.mu.Unlock()
 	return r.room.count
@@ -66,14 +66,14 @@
 // call that is refused, or whose caller has left.
 func (r *room) enter(ctx context.Context, mayWait bool) bool {
 	r.mu.Lock()
-	w := &waiter{inVain: mayWait && r.crowd.Serving > 0 && r.crowd.NoWatch, called: make(chan struct{})}
-	full := len(r.waiting) >= r.crowd.Waiting
-	patience := time.NewTimer(r.crowd.Patience)
+	w := &waiter{inVain: mayWait && r.crowd.MaxServing > 0 && r.crowd.NoWatch, called: make(chan struct{})}
+	full := len(r.waiting) >= r.crowd.MaxWaiting
+	patience := time.NewTimer(r.crowd.WaitTimeout)
 	defer patience.Stop()
 	r.waiting = append(r.waiting, w)
 	r.callLocked()
 	if full && r.removeLocked(w) {
-		r.count.Full++
+		r.count.QueueFull++
 		r.mu.Unlock()
 		return false
 	}
@@ -82,9 +82,9 @@
 	case <-w.called:
 		return true
 	case <-patience.C:
-		return r.giveUp(w, &r.count.InVain)
+		return r.giveUp(w, &r.count.TimedOut)
 	case <-ctx.Done():
-		return r.giveUp(w, &r.count.Left)
+		return r.giveUp(w, &r.count.Canceled)
 	}
 }
 
@@ -119,7 +119,7 @@
 
 // callLocked gives the free places to those that wait.
 func (r *room) callLocked() {
-	for r.crowd.Serving == 0 || r.serving < r.crowd.Serving {
+	for r.crowd.MaxServing == 0 || r.serving < r.crowd.MaxServing {
 		at := slices.IndexFunc(r.waiting, func(w *waiter) bool { return !w.inVain })
 		if at < 0 {
 			return
@@ -127,7 +127,7 @@
 		close(r.waiting[at].called)
 		r.waiting = slices.Delete(r.waiting, at, at+1)
 		r.serving++
-		r.count.Taken++
+		r.count.Admitted++
 	}
 }
 
@@ -135,10 +135,10 @@
 func (r *room) crowdTimes() (service, late time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.crowd.Serving == 0 {
+	if r.crowd.MaxServing == 0 {
 		return 0, 0
 	}
-	return r.crowd.Service, r.crowd.Late
+	return r.crowd.Service, r.crowd.Delay
 }
 
 // pause waits, and reports false if the context ends first.
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -50,8 +50,8 @@
 	Instances  []Instance `json:"instances"`
 }
 
-// Told is one gateway that has been told of one change.
-type Told struct {
+// Notification is one gateway that has been told of one change.
+type Notification struct {
 	Peer      string
 	Instance  string
 	Lifecycle string
@@ -79,7 +79,7 @@
 	changes []change // generation n is changes[n-1-dropped]
 	dropped int
 	base    map[string]Instance // of what was dropped
-	told    []Told
+	told    []Notification
 	beyond  int
 	most    int
 }
@@ -174,7 +174,7 @@
 }
 
 // Record returns who was told of what, and how much more was not recorded.
-func (r *Registry) Record() ([]Told, int) {
+func (r *Registry) Record() ([]Notification, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.told), r.beyond
@@ -334,7 +334,7 @@
 			r.beyond++
 			return
 		}
-		r.told = append(r.told, Told{peer, i.ID, i.Lifecycle, i.StartedAt, now})
+		r.told = append(r.told, Notification{peer, i.ID, i.Lifecycle, i.StartedAt, now})
 	}
 	listed := map[string]bool{}
 	for _, i := range l.Instances {
