--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -1,7 +1,6 @@
-// Package registry is a stand-in for discovery: it tells each gateway, after
-// that gateway's own delay, which backends there are and what changed, answers
-// watches, and can fall silent, go on answering from an old list or be crowded. It records
-// when it told whom of what, since the rule on drains counts from then.
+// Package registry is a stand-in for service discovery. It serves lists of backends and watches for changes; each
+// gateway sees changes after a delay of its own. It can stop answering, answer from a stale list, or be overloaded. It
+// records which change was sent to which gateway when: the grace period of the rule on drains starts at that time.
 package registry
 
 import (
@@ -20,9 +19,9 @@
 )
 
 const (
-	listPath = "/registry/instances"
-	mostWait = 60 * time.Second
-	mostKept = 4096 // changes that a watch can go back to; an older one gets the whole list
+	listPath   = "/registry/instances"
+	maxWait    = 60 * time.Second
+	maxChanges = 4096 // changes kept for watches; a watch from an older generation gets the whole list
 )
 
 // Lifecycles of an instance.
@@ -35,7 +34,7 @@
 // Instance is one backend.
 type Instance struct {
 	ID        string  `json:"instanceId"`
-	HostPort  string  `json:"hostPort"` // as one gateway sees it; filled in when told
+	HostPort  string  `json:"hostPort"` // per gateway; set when a list is built
 	Zone      string  `json:"zone"`
 	Type      string  `json:"machineType"`
 	Cell      int     `json:"cell"`
@@ -44,13 +43,14 @@
 	StartedAt int64   `json:"startedAtMs"`
 }
 
+// listing is the answer to a call.
 type listing struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
 
-// Notification is one gateway that has been told of one change.
+// Notification records that one change was sent to one gateway.
 type Notification struct {
 	Peer      string
 	Instance  string
@@ -66,37 +66,37 @@
 
 // Registry is a running stand-in.
 type Registry struct {
-	address func(peer string, id string) string
-	servers []*http.Server
-	views   map[string]*view
-	links   []*link.Link
-	wg      sync.WaitGroup
-	room    room
-
-	watching atomic.Int64 // watches that hold a place
-
-	mu      sync.Mutex
-	changes []change // generation n is changes[n-1-dropped]
-	dropped int
-	base    map[string]Instance // of what was dropped
-	told    []Notification
-	beyond  int
-	most    int
+	address   func(peer string, id string) string
+	servers   []*http.Server
+	views     map[string]*view // by gateway
+	links     []*link.Link
+	wg        sync.WaitGroup
+	admission admission
+
+	watching atomic.Int64 // watches that occupy a slot
+
+	mu               sync.Mutex
+	changes          []change // generation n is changes[n-1-dropped]
+	dropped          int
+	base             map[string]Instance // state after the dropped changes
+	notifications    []Notification
+	unrecorded       int // notifications not recorded, since maxNotifications were reached
+	maxNotifications int
 }
 
-// view is what one gateway sees.
+// view is the state of the registry for one gateway.
 type view struct {
-	delay   time.Duration // guarded by the registry's mu, as are the others
-	silent  bool
-	stale   bool
-	frozen  int64 // the generation that a stale view stays at
-	changed chan struct{}
+	delay    time.Duration // guarded by the registry's mu, like the other fields
+	silent   bool
+	stale    bool
+	frozenAt int64 // the generation of a stale view
+	changed  chan struct{}
 }
 
-// Start runs a registry behind the given links, one for each gateway. Address
-// tells where a gateway finds a backend. At most so many records are kept.
-func Start(address func(peer, id string) string, most int, links ...*link.Link) *Registry {
-	r := &Registry{address: address, links: links, views: map[string]*view{}, base: map[string]Instance{}, most: most}
+// Start runs a registry on the given links, one for each gateway. Address returns the address at which a gateway
+// reaches a backend. At most the given number of notifications is recorded.
+func Start(address func(peer, id string) string, maxNotifications int, links ...*link.Link) *Registry {
+	r := &Registry{address: address, links: links, views: map[string]*view{}, base: map[string]Instance{}, maxNotifications: maxNotifications}
 	for _, l := range links {
 		r.views[l.Peer()] = &view{changed: make(chan struct{})}
 	}
@@ -108,7 +108,7 @@
 	return r
 }
 
-// Close ends the registry and waits for all that it started.
+// Close stops the registry and waits for its goroutines.
 func (r *Registry) Close() {
 	for i, s := range r.servers {
 		s.Close()
@@ -117,20 +117,20 @@
 	r.wg.Wait()
 }
 
-// Address returns where a gateway finds the registry.
+// Address returns the address at which a gateway reaches the registry.
 func (r *Registry) Address(peer string) string {
 	return link.AddressFor(r.links, peer)
 }
 
-// Links returns the sockets, for faults of the network.
+// Links returns the links, on which network faults can be injected.
 func (r *Registry) Links() []*link.Link { return r.links }
 
-// Set makes an instance known, or changed, from now on.
+// Set adds or replaces an instance.
 func (r *Registry) Set(i Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.changes = append(r.changes, change{time.Now(), i})
-	if len(r.changes) > mostKept {
+	if len(r.changes) > maxChanges {
 		r.base[r.changes[0].instance.ID] = r.changes[0].instance
 		r.changes = r.changes[1:]
 		r.dropped++
@@ -140,31 +140,31 @@
 	}
 }
 
+// wake makes waiting calls check the view again.
 func (v *view) wake() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// SetDelay makes a gateway hear of changes so much later.
+// SetDelay sets the delay after which a gateway sees changes.
 func (r *Registry) SetDelay(peer string, d time.Duration) {
-	r.with(peer, func(v *view) { v.delay = d })
+	r.updateView(peer, func(v *view) { v.delay = d })
 }
 
-// SetSilent makes the registry answer a gateway no more, or again.
+// SetSilent sets whether the registry leaves the calls of a gateway unanswered.
 func (r *Registry) SetSilent(peer string, on bool) {
-	r.with(peer, func(v *view) { v.silent = on })
+	r.updateView(peer, func(v *view) { v.silent = on })
 }
 
-// SetStale makes the registry answer a gateway from the list of this moment, or
-// from the present one again.
+// SetStale freezes the list that a gateway sees, or ends the freeze.
 func (r *Registry) SetStale(peer string, on bool) {
-	r.with(peer, func(v *view) {
-		v.frozen = r.visibleLocked(v, time.Now())
+	r.updateView(peer, func(v *view) {
+		v.frozenAt = r.visibleLocked(v, time.Now())
 		v.stale = on
 	})
 }
 
-func (r *Registry) with(peer string, do func(*view)) {
+func (r *Registry) updateView(peer string, do func(*view)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v := r.views[peer]; v != nil {
@@ -173,17 +173,17 @@
 	}
 }
 
-// Record returns who was told of what, and how much more was not recorded.
+// Record returns the recorded notifications, and how many more were not recorded.
 func (r *Registry) Record() ([]Notification, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.told), r.beyond
+	return slices.Clone(r.notifications), r.unrecorded
 }
 
-// visibleLocked is the generation that a view has reached.
+// visibleLocked returns the generation that a view has reached.
 func (r *Registry) visibleLocked(v *view, now time.Time) int64 {
 	if v.stale {
-		return v.frozen
+		return v.frozenAt
 	}
 	n := len(r.changes)
 	for n > 0 && now.Before(r.changes[n-1].at.Add(v.delay)) {
@@ -192,11 +192,11 @@
 	return int64(n + r.dropped)
 }
 
-// nextLocked is when a view will reach a further generation, if by waiting alone.
+// nextLocked returns the time until a view reaches the next generation by delay alone, or the longest wait if none is due.
 func (r *Registry) nextLocked(v *view, now time.Time) time.Duration {
 	n := int(r.visibleLocked(v, now)) - r.dropped
 	if v.stale || n >= len(r.changes) {
-		return mostWait
+		return maxWait
 	}
 	return max(r.changes[n].at.Add(v.delay).Sub(now), time.Millisecond)
 }
@@ -208,22 +208,22 @@
 }
 
 func (r *Registry) answer(peer string, w http.ResponseWriter, q *http.Request) {
-	since, wait, err := watch(q)
+	since, wait, err := parseQuery(q)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !r.room.enter(q.Context(), wait > 0) {
+	if !r.admission.enter(q.Context(), wait > 0) {
 		http.Error(w, "crowded", http.StatusServiceUnavailable)
 		return
 	}
-	l, late, ok := r.serve(q.Context(), peer, since, wait)
-	if !ok || !pause(q.Context(), late) {
+	l, delay, ok := r.serve(q.Context(), peer, since, wait)
+	if !ok || !pause(q.Context(), delay) {
 		return
 	}
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // the type has nothing that could fail
+		panic(err) // can't happen: every field of listing can be encoded
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -231,27 +231,27 @@
 		return
 	}
 	http.NewResponseController(w).Flush()
-	r.note(peer, l)
+	r.recordNotifications(peer, l)
 }
 
-// serve makes the answer to a call that has a place, and gives the place back. The answer
-// is to be written so much later. It fails when the caller leaves.
-func (r *Registry) serve(ctx context.Context, peer string, since int64, wait time.Duration) (l listing, late time.Duration, ok bool) {
-	defer r.room.leave()
+// serve prepares the answer to an admitted call and releases its slot. It returns the answer and the delay before
+// writing it, or false if the caller closes the call.
+func (r *Registry) serve(ctx context.Context, peer string, since int64, wait time.Duration) (l listing, delay time.Duration, ok bool) {
+	defer r.admission.leave()
 	if wait > 0 {
 		r.watching.Add(1)
 		defer r.watching.Add(-1)
 	}
-	service, late := r.room.crowdTimes()
+	service, delay := r.admission.latencies()
 	if !pause(ctx, service) {
 		return listing{}, 0, false
 	}
 	l, ok = r.wait(ctx, peer, since, wait)
-	return l, late, ok
+	return l, delay, ok
 }
 
-// watch reads the query of a call. A since of -1 asks for the whole list.
-func watch(q *http.Request) (since int64, wait time.Duration, err error) {
+// watch parses the query of a call. A since of -1 asks for the whole list.
+func parseQuery(q *http.Request) (since int64, wait time.Duration, err error) {
 	text := q.URL.Query().Get("since")
 	if text == "" {
 		return -1, 0, nil
@@ -263,10 +263,10 @@
 	if err != nil || ms < 0 {
 		return 0, 0, errors.New("timeout_ms is not a time in milliseconds")
 	}
-	return since, time.Duration(min(ms, mostWait.Milliseconds())) * time.Millisecond, nil
+	return since, time.Duration(min(ms, maxWait.Milliseconds())) * time.Millisecond, nil
 }
 
-// wait returns what a call gets, when it gets it. It fails when the caller leaves.
+// wait waits until a call can be answered, and returns its answer, or false if the caller closes the call.
 func (r *Registry) wait(ctx context.Context, peer string, since int64, wait time.Duration) (listing, bool) {
 	until := time.Now().Add(wait)
 	for {
@@ -274,14 +274,14 @@
 		v := r.views[peer]
 		now := time.Now()
 		visible, changed, next := r.visibleLocked(v, now), v.changed, r.nextLocked(v, now)
-		over := since < 0 || visible > since || visible < since || !now.Before(until)
-		if over && !v.silent {
+		due := since < 0 || visible > since || visible < since || !now.Before(until)
+		if due && !v.silent {
 			l := r.listLocked(peer, since, visible)
 			r.mu.Unlock()
 			return l, true
 		}
 		r.mu.Unlock()
-		if !over {
+		if !due {
 			next = min(next, time.Until(until))
 		}
 		t := time.NewTimer(max(next, time.Millisecond))
@@ -296,7 +296,7 @@
 	}
 }
 
-// listLocked is the whole list, or what changed since a generation that is kept.
+// listLocked returns the changes since a generation that is kept, otherwise the whole list.
 func (r *Registry) listLocked(peer string, since, visible int64) listing {
 	l := listing{Generation: visible, Instances: []Instance{}}
 	state := map[string]Instance{}
@@ -323,18 +323,17 @@
 	return l
 }
 
-// note records what an answer told. A whole list tells of those that are gone by
-// leaving them out.
-func (r *Registry) note(peer string, l listing) {
+// note records the changes that an answer contained. A whole list reports instances that are gone by omitting them.
+func (r *Registry) recordNotifications(peer string, l listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	add := func(i Instance) {
-		if len(r.told) >= r.most {
-			r.beyond++
+		if len(r.notifications) >= r.maxNotifications {
+			r.unrecorded++
 			return
 		}
-		r.told = append(r.told, Notification{peer, i.ID, i.Lifecycle, i.StartedAt, now})
+		r.notifications = append(r.notifications, Notification{peer, i.ID, i.Lifecycle, i.StartedAt, now})
 	}
 	listed := map[string]bool{}
 	for _, i := range l.Instances {
@@ -351,20 +350,20 @@
 	}
 }
 
-// goneLocked returns the instances that are gone by a generation.
+// goneLocked returns the instances that are gone at a generation.
 func (r *Registry) goneLocked(generation int64) map[string]Instance {
 	gone := map[string]Instance{}
-	look := func(i Instance) {
+	apply := func(i Instance) {
 		delete(gone, i.ID)
 		if i.Lifecycle == Gone {
 			gone[i.ID] = i
 		}
 	}
 	for _, i := range r.base {
-		look(i)
+		apply(i)
 	}
 	for _, c := range r.changes[:max(0, int(generation)-r.dropped)] {
-		look(c.instance)
+		apply(c.instance)
 	}
 	return gone
 }
--- a/internal/standin/registry/registry_test.go
+++ b/internal/standin/registry/registry_test.go
@@ -11,7 +11,7 @@
 	"elderyard/internal/standin/link"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func start(t *testing.T) *Registry {
 	t.Helper()
@@ -47,9 +47,9 @@
 	return l, json.NewDecoder(resp.Body).Decode(&l)
 }
 
-func must(t *testing.T, r *Registry, peer, query string) listing {
+func mustAsk(t *testing.T, r *Registry, peer, query string) listing {
 	t.Helper()
-	l, err := ask(t, r, peer, query, patience)
+	l, err := ask(t, r, peer, query, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,63 +60,63 @@
 	r := start(t)
 	r.Set(Instance{ID: "a", Lifecycle: Ready})
 	r.Set(Instance{ID: "b", Lifecycle: Ready})
-	l := must(t, r, "g0", "")
+	l := mustAsk(t, r, "g0", "")
 	if !l.Reset || l.Generation != 2 || len(l.Instances) != 2 || l.Instances[0].HostPort != "g0.a:1" {
 		t.Fatalf("%+v", l)
 	}
-	news := make(chan listing, 1)
+	watched := make(chan listing, 1)
 	go func() {
-		l, _ := ask(t, r, "g0", "?since=2&timeout_ms=20000", patience)
-		news <- l
+		l, _ := ask(t, r, "g0", "?since=2&timeout_ms=20000", testTimeout)
+		watched <- l
 	}()
 	r.Set(Instance{ID: "b", Lifecycle: Terminating})
-	if l := <-news; l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != Terminating {
+	if l := <-watched; l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != Terminating {
 		t.Fatalf("%+v", l)
 	}
-	if l := must(t, r, "g0", "?since=3&timeout_ms=1"); l.Reset || len(l.Instances) != 0 {
-		t.Fatalf("an empty watch: %+v", l)
+	if l := mustAsk(t, r, "g0", "?since=3&timeout_ms=1"); l.Reset || len(l.Instances) != 0 {
+		t.Fatalf("a watch without changes: %+v", l)
 	}
-	if _, err := ask(t, r, "g0", "?since=x", patience); err == nil {
-		t.Fatal("a generation that is no number was taken")
+	if _, err := ask(t, r, "g0", "?since=x", testTimeout); err == nil {
+		t.Fatal("a non-numeric generation was accepted")
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		told, _ := r.Record()
-		if n := len(told); n == 3 && told[2].Instance == "b" && told[2].Lifecycle == Terminating && told[2].Peer == "g0" {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		notifications, _ := r.Record()
+		if n := len(notifications); n == 3 && notifications[2].Instance == "b" && notifications[2].Lifecycle == Terminating && notifications[2].Peer == "g0" {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%+v", told)
+			t.Fatalf("%+v", notifications)
 		}
 	}
 }
 
-func TestAWholeListTellsOfThoseThatAreGone(t *testing.T) {
+func TestWholeListReportsGoneInstances(t *testing.T) {
 	r := start(t)
 	r.Set(Instance{ID: "a", Lifecycle: Ready})
 	r.Set(Instance{ID: "a", Lifecycle: Gone})
-	if l := must(t, r, "g0", "?since=99&timeout_ms=1"); !l.Reset || len(l.Instances) != 0 {
+	if l := mustAsk(t, r, "g0", "?since=99&timeout_ms=1"); !l.Reset || len(l.Instances) != 0 {
 		t.Fatalf("%+v", l)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		if told, _ := r.Record(); len(told) == 1 && told[0].Lifecycle == Gone {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		if notifications, _ := r.Record(); len(notifications) == 1 && notifications[0].Lifecycle == Gone {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("not recorded as told")
+			t.Fatal("the removal was not recorded as sent")
 		}
 	}
 }
 
-func TestDelayStaleAndSilenceAreOfOneGatewayAlone(t *testing.T) {
+func TestDelayStaleAndSilentAffectOneGateway(t *testing.T) {
 	r := start(t)
 	r.Set(Instance{ID: "a", Lifecycle: Ready})
 	r.SetStale("g0", true)
 	r.SetDelay("g1", time.Hour)
 	r.Set(Instance{ID: "a", Lifecycle: Gone})
-	if l := must(t, r, "g0", ""); l.Generation != 1 || len(l.Instances) != 1 {
+	if l := mustAsk(t, r, "g0", ""); l.Generation != 1 || len(l.Instances) != 1 {
 		t.Fatalf("stale: %+v", l)
 	}
-	if l := must(t, r, "g1", ""); l.Generation != 0 || len(l.Instances) != 0 {
+	if l := mustAsk(t, r, "g1", ""); l.Generation != 0 || len(l.Instances) != 0 {
 		t.Fatalf("delayed: %+v", l)
 	}
 	r.SetDelay("g1", 0)
@@ -127,23 +127,23 @@
 	r.SetSilent("g1", false)
 	r.SetStale("g0", false)
 	for _, peer := range []string{"g0", "g1"} {
-		if l := must(t, r, peer, ""); l.Generation != 2 || len(l.Instances) != 0 {
+		if l := mustAsk(t, r, peer, ""); l.Generation != 2 || len(l.Instances) != 0 {
 			t.Fatalf("%s afterwards: %+v", peer, l)
 		}
 	}
 }
 
-func TestChangesAreBoundedAndAnOldWatchGetsTheWholeList(t *testing.T) {
+func TestChangesAreLimitedAndOldWatchGetsWholeList(t *testing.T) {
 	r := start(t)
 	r.Set(Instance{ID: "old", Lifecycle: Ready})
-	for i := range mostKept + 10 {
+	for i := range maxChanges + 10 {
 		r.Set(Instance{ID: "b", Lifecycle: Ready, StartedAt: int64(i)})
 	}
-	l := must(t, r, "g0", "?since=1&timeout_ms=0")
-	if !l.Reset || len(l.Instances) != 2 || l.Instances[0].StartedAt != mostKept+9 || l.Instances[1].ID != "old" {
+	l := mustAsk(t, r, "g0", "?since=1&timeout_ms=0")
+	if !l.Reset || len(l.Instances) != 2 || l.Instances[0].StartedAt != maxChanges+9 || l.Instances[1].ID != "old" {
 		t.Fatalf("%+v", l)
 	}
-	if len(r.changes) != mostKept {
+	if len(r.changes) != maxChanges {
 		t.Fatalf("%d changes kept", len(r.changes))
 	}
 }
