--- a/internal/counter/resp_test.go
+++ b/internal/counter/resp_test.go
@@ -85,13 +85,13 @@
 		{"not authenticated", respstore.Fault{Queue: "NOAUTH Authentication required."}, rules.ConnectFailed, false, 2},
 		{"no permission", respstore.Fault{Queue: "NOPERM no"}, rules.ConnectFailed, false, 2},
 		{"unknown command", respstore.Fault{Queue: "ERR unknown command"}, rules.ConnectFailed, false, 1},
-		{"connection closed after the addition", respstore.Fault{Lost: true}, rules.ConnectionBroken, true, 2},
-		{"reply truncated after the addition", respstore.Fault{Cut: true}, rules.ConnectionBroken, true, 2},
-		{"total is not a number", respstore.Fault{Spoilt: true}, rules.Errored, true, 2},
+		{"connection closed after the addition", respstore.Fault{NoReply: true}, rules.ConnectionBroken, true, 2},
+		{"reply truncated after the addition", respstore.Fault{Truncated: true}, rules.ConnectionBroken, true, 2},
+		{"total is not a number", respstore.Fault{Malformed: true}, rules.Errored, true, 2},
 	} {
 		s := newStore(t, nil, "")
 		_, add, results := startRESPClient(t, RESPConfig{Address: s.Address()})
-		s.Set(c.fault)
+		s.SetFault(c.fault)
 		add(2, time.Minute)
 		if got := testpeer.Wait(t, results, "result"); got.outcome != c.outcome {
 			t.Errorf("%s: outcome %d, want %d", c.name, got.outcome, c.outcome)
@@ -99,7 +99,7 @@
 		if total, _ := s.Total(storeKey); (total == 2) != c.added {
 			t.Errorf("%s: the stored total is %g", c.name, total)
 		}
-		s.Set(respstore.Fault{})
+		s.SetFault(respstore.Fault{})
 		add(1, time.Minute)
 		want := 1.0
 		if c.added {
@@ -119,7 +119,7 @@
 func TestRESPRedirects(t *testing.T) {
 	configured, moved := newStore(t, nil, ""), newStore(t, nil, "")
 	_, add, results := startRESPClient(t, RESPConfig{Address: configured.Address()})
-	configured.Set(respstore.Fault{Queue: "MOVED 7 " + moved.Address()})
+	configured.SetFault(respstore.Fault{Queue: "MOVED 7 " + moved.Address()})
 	add(1, time.Minute)
 	if got := testpeer.Wait(t, results, "result"); got.outcome != rules.Overloaded {
 		t.Errorf("redirected call: %+v", got)
@@ -131,7 +131,7 @@
 	if total, _ := moved.Total(storeKey); total != 1 {
 		t.Errorf("the total at the new address is %g, want 1", total)
 	}
-	configured.Set(respstore.Fault{})
+	configured.SetFault(respstore.Fault{})
 	moved.Close()
 	for range 2 * maxRedirects {
 		add(1, time.Minute)
@@ -149,11 +149,11 @@
 	_, add, results := startRESPClient(t, RESPConfig{Address: s.Address()})
 	add(1, time.Minute)
 	testpeer.Wait(t, results, "result")
-	s.Set(respstore.Fault{Delay: 300 * time.Millisecond})
+	s.SetFault(respstore.Fault{Delay: 300 * time.Millisecond})
 	stalled := add(2, time.Minute)
 	time.Sleep(50 * time.Millisecond) // the call is in transit
 	stalled.Abandon()
-	s.Set(respstore.Fault{})
+	s.SetFault(respstore.Fault{})
 	add(4, time.Minute)
 	got := testpeer.Wait(t, results, "result")
 	if got.amount != 4 || got.outcome != rules.Served {
--- a/internal/lab/counter.go
+++ b/internal/lab/counter.go
@@ -26,7 +26,7 @@
 		for i, w := range ways {
 			listeners[i] = w
 		}
-		return &store{respstore.Over(nil, "", s.Seed, listeners...), ways}, nil
+		return &store{respstore.NewWithListeners(nil, "", s.Seed, listeners...), ways}, nil
 	}
 	return counter.Start(counter.Config{PerSecond: max(950, 10*s.Rate), Parts: 2, Service: time.Millisecond, Conns: 32,
 		Idle: 10 * time.Second, Seed: s.Seed, MaxRecords: maxCounterRecords}, ways...)
@@ -45,4 +45,4 @@
 func (s *store) SetFaults(t counter.Faults) { s.Store.SetRandomFaults(respstore.RandomFaults(t)) }
 
 // Reset deletes all counters.
-func (s *store) Reset() { s.Empty() }
+func (s *store) Reset() { s.DeleteAll() }
--- a/internal/standin/respstore/respstore.go
+++ b/internal/standin/respstore/respstore.go
@@ -24,9 +24,9 @@
 	// Queue answers INCRBYFLOAT in a transaction, which drops the transaction; Exec answers EXEC, and
 	// nothing is added. Both are whole errors such as "OOM no room".
 	Queue, Exec string
-	// Lost adds and ends the connection without an answer to EXEC; Cut answers half of it; Spoilt answers
+	// NoReply adds and ends the connection without an answer to EXEC; Truncated answers half of it; Malformed answers
 	// it with what is no number.
-	Lost, Cut, Spoilt bool
+	NoReply, Truncated, Malformed bool
 	Delay             time.Duration // before each answer to EXEC
 }
 
@@ -70,13 +70,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return Over(set, password, 1, l), nil
+	return NewWithListeners(set, password, 1, l), nil
 }
 
-// Over opens a store behind listeners that the caller has made. Where their
+// NewWithListeners opens a store behind listeners that the caller has made. Where their
 // connections tell whose they are (Peer), the store can be split by caller. Seed draws which
 // transactions have trouble.
-func Over(set *tls.Config, password string, seed uint64, listeners ...net.Listener) *Store {
+func NewWithListeners(set *tls.Config, password string, seed uint64, listeners ...net.Listener) *Store {
 	s := &Store{password: password, listeners: listeners, halves: [2]map[string]*item{{}, {}}, conns: map[net.Conn]struct{}{},
 		rng: rand.New(rand.NewPCG(seed, 8))}
 	for _, l := range listeners {
@@ -133,15 +133,15 @@
 	s.halves = [2]map[string]*item{s.halves[keep&1], {}}
 }
 
-// Set switches faults.
-func (s *Store) Set(f Fault) {
+// SetFault switches faults.
+func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Empty forgets all numbers.
-func (s *Store) Empty() {
+// DeleteAll forgets all numbers.
+func (s *Store) DeleteAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.halves[0])
@@ -306,7 +306,7 @@
 	double := s.chance(trouble.Double)
 	endless := s.chance(trouble.Endless)
 	if s.chance(trouble.Malformed) {
-		fault.Spoilt = true
+		fault.Malformed = true
 	}
 	if s.chance(trouble.Refuse) {
 		fault.Exec = "LOADING the dataset is being read"
@@ -335,13 +335,13 @@
 	switch {
 	case endless:
 		c.w.Buf, c.stuck = []byte("*2\r\n$1000\r\n1"), true
-	case fault.Lost:
+	case fault.NoReply:
 		c.w.Buf = nil
 		return false
-	case fault.Cut:
+	case fault.Truncated:
 		c.w.Buf = c.w.Buf[:len(c.w.Buf)/2]
 		return false
-	case fault.Spoilt:
+	case fault.Malformed:
 		c.w.Buf = []byte("*2\r\n$4\r\nmuch\r\n:1\r\n")
 	}
 	return true
