--- a/internal/standin/respstore/respstore.go
+++ b/internal/standin/respstore/respstore.go
@@ -1,6 +1,5 @@
-// Package respstore is a store that speaks RESP, as far as a shared counter needs
-// one: numbers that grow, ends of life, transactions, a login. Written from the published
-// protocol, for tests; its faults can be switched while it runs.
+// Package respstore is a stand-in for a RESP server, for tests. It implements what a shared counter needs of the
+// published protocol: increments, expiry, transactions and AUTH. Faults can be changed while it runs.
 package respstore
 
 import (
@@ -19,79 +18,78 @@
 	"elderyard/internal/resp"
 )
 
-// Fault is what the store does to transactions.
+// Fault is a fault that the store injects into transactions.
 type Fault struct {
-	// Queue answers INCRBYFLOAT in a transaction, which drops the transaction; Exec answers EXEC, and
-	// nothing is added. Both are whole errors such as "OOM no room".
+	// Queue is the error reply to INCRBYFLOAT in a transaction, which discards the transaction. Exec is the error reply
+	// to EXEC; nothing is added. Both are complete errors such as "OOM no room".
 	Queue, Exec string
-	// NoReply adds and ends the connection without an answer to EXEC; Truncated answers half of it; Malformed answers
-	// it with what is no number.
+	// These add the amount. NoReply then closes the connection without a reply to EXEC; Truncated sends half of the
+	// reply before that; Malformed sends a reply without a number.
 	NoReply, Truncated, Malformed bool
-	Delay             time.Duration // before each answer to EXEC
+	Delay                         time.Duration // before each reply to EXEC
 }
 
-// RandomFaults is what the store does wrong to a share of the transactions. The zero
-// value is none.
+// RandomFaults are the faults that the store injects into a fraction of the transactions. The zero value injects none.
 type RandomFaults struct {
-	Delay     time.Duration // answers come so much later
-	Refuse    float64       // share turned away: it loads
-	Malformed float64       // share added but answered without a number
-	Endless   float64       // share added whose answer has no end
-	Double    float64       // share added twice
+	Delay     time.Duration // added to the time of each reply
+	Refuse    float64       // fraction refused with a LOADING error
+	Malformed float64       // fraction added but answered without a number
+	Endless   float64       // fraction added, with a reply that is never completed
+	Double    float64       // fraction added twice
 }
 
-// Store is one store.
+// Store is a running stand-in.
 type Store struct {
 	password  string
 	listeners []net.Listener // one for each caller, or one for all
 	wg        sync.WaitGroup
 
-	mu      sync.Mutex
-	closed  bool
-	fault   Fault
-	trouble RandomFaults
-	rng     *rand.Rand
-	split   map[string]int      // the half that a caller sees; nil: all see one
-	halves  [2]map[string]*item // the second is used while split alone
-	conns   map[net.Conn]struct{}
-	calls   int // transactions that added
-	dials   int
+	mu           sync.Mutex
+	closed       bool
+	fault        Fault
+	randomFaults RandomFaults
+	rng          *rand.Rand
+	halfOf       map[string]int      // which half each caller uses; nil: not split
+	halves       [2]map[string]*item // the second is used only while the store is split
+	conns        map[net.Conn]struct{}
+	transactions int // transactions that added
+	connections  int
 }
 
+// item is one number.
 type item struct {
-	total float64
-	ends  time.Time // zero: never
+	total     float64
+	expiresAt time.Time // zero: never
 }
 
-// New opens a store on a loopback address. Set is for TLS, or nil; an empty
-// password lets everybody in.
-func New(set *tls.Config, password string) (*Store, error) {
+// New starts a store on a loopback address, with TLS if a configuration is given. An empty password disables
+// authentication.
+func New(config *tls.Config, password string) (*Store, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	return NewWithListeners(set, password, 1, l), nil
+	return NewWithListeners(config, password, 1, l), nil
 }
 
-// NewWithListeners opens a store behind listeners that the caller has made. Where their
-// connections tell whose they are (Peer), the store can be split by caller. Seed draws which
-// transactions have trouble.
-func NewWithListeners(set *tls.Config, password string, seed uint64, listeners ...net.Listener) *Store {
+// NewWithListeners starts a store on existing listeners. If their connections have a Peer method that names the
+// caller, the store can be split by caller. Seed determines which transactions random faults affect.
+func NewWithListeners(config *tls.Config, password string, seed uint64, listeners ...net.Listener) *Store {
 	s := &Store{password: password, listeners: listeners, halves: [2]map[string]*item{{}, {}}, conns: map[net.Conn]struct{}{},
 		rng: rand.New(rand.NewPCG(seed, 8))}
 	for _, l := range listeners {
-		if set != nil {
-			l = tls.NewListener(l, set)
+		if config != nil {
+			l = tls.NewListener(l, config)
 		}
 		s.wg.Go(func() { s.accept(l) })
 	}
 	return s
 }
 
-// Address is where it listens, the first of its listeners.
+// Address returns the address of its first listener.
 func (s *Store) Address() string { return s.listeners[0].Addr().String() }
 
-// Close ends it with all connections.
+// Close stops the store and closes its connections.
 func (s *Store) Close() {
 	for _, l := range s.listeners {
 		l.Close()
@@ -105,42 +103,42 @@
 	s.wg.Wait()
 }
 
-// SetRandomFaults replaces what goes wrong from now on.
+// SetRandomFaults replaces the random faults.
 func (s *Store) SetRandomFaults(t RandomFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
+	s.randomFaults = t
 }
 
-// Split gives each caller one of two halves, which go on from the same numbers and
-// do not hear of each other. A caller that is not named sees half 0.
+// Split assigns each caller to one of two halves, which start from the same numbers and don't exchange updates. A
+// caller that is not in the map uses half 0.
 func (s *Store) Split(half map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.split = maps.Clone(half)
+	s.halfOf = maps.Clone(half)
 	s.halves[1] = map[string]*item{}
 	for name, it := range s.halves[0] {
-		same := *it
-		s.halves[1][name] = &same
+		copied := *it
+		s.halves[1][name] = &copied
 	}
 }
 
-// Heal ends a split. The numbers of the given half stay; the other's are lost.
+// Heal ends a split. The numbers of the given half are kept; those of the other are lost.
 func (s *Store) Heal(keep int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.split = nil
+	s.halfOf = nil
 	s.halves = [2]map[string]*item{s.halves[keep&1], {}}
 }
 
-// SetFault switches faults.
+// SetFault replaces the fault of all transactions.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// DeleteAll forgets all numbers.
+// DeleteAll deletes all numbers.
 func (s *Store) DeleteAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,39 +146,38 @@
 	clear(s.halves[1])
 }
 
-// Put sets a number, which never ends.
+// Put sets a number without expiry.
 func (s *Store) Put(name string, total float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.halves[0][name] = &item{total: total}
 }
 
-// Total is a number's present value, and how long it still has; 0: for ever, or
-// it is not there.
-func (s *Store) Total(name string) (total float64, left time.Duration) {
+// Total returns the value of a number and its remaining time to live, which is 0 if it has no expiry or doesn't exist.
+func (s *Store) Total(name string) (total float64, ttl time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	it := s.item(0, name)
 	if it == nil {
 		return 0, 0
 	}
-	if !it.ends.IsZero() {
-		left = time.Until(it.ends)
+	if !it.expiresAt.IsZero() {
+		ttl = time.Until(it.expiresAt)
 	}
-	return it.total, left
+	return it.total, ttl
 }
 
-// Counts are how many transactions added, and how many connections there were.
-func (s *Store) Counts() (calls, dials int) {
+// Counts returns the number of transactions that were executed and of connections accepted.
+func (s *Store) Counts() (transactions, connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls, s.dials
+	return s.transactions, s.connections
 }
 
-// item returns what lives under a name of a half, or nil. The lock is held.
+// item returns the number with a name in a half, or nil if there is none or it has expired. The caller holds mu.
 func (s *Store) item(half int, name string) *item {
 	it := s.halves[half][name]
-	if it != nil && !it.ends.IsZero() && !time.Now().Before(it.ends) {
+	if it != nil && !it.expiresAt.IsZero() && !time.Now().Before(it.expiresAt) {
 		delete(s.halves[half], name)
 		return nil
 	}
@@ -200,7 +197,7 @@
 			return
 		}
 		s.conns[conn] = struct{}{}
-		s.dials++
+		s.connections++
 		s.mu.Unlock()
 		s.wg.Go(func() {
 			s.serve(conn)
@@ -212,26 +209,26 @@
 	}
 }
 
-// client is one connection.
+// client is the state of one connection.
 type client struct {
-	w      resp.Writer
-	in     bool // logged in
-	multi  bool
-	failed bool // what was queued has an error
-	queue  [][]string
-	stuck  bool   // its last answer has no end
-	peer   string // whose connection it is, where that is known
-	came   func() time.Time
+	w             resp.Writer
+	authenticated bool // authenticated, or no password is set
+	multi         bool
+	queueFailed   bool // a queued command was answered with an error, so EXEC is refused
+	queue         [][]string
+	unfinished    bool             // its last reply is never completed
+	peer          string           // the caller, "" if unknown
+	arrivedAt     func() time.Time // when the last read data arrived
 }
 
 func (s *Store) serve(conn net.Conn) {
 	r := resp.NewReader(conn, resp.Limits{Args: 64, Bulk: 64 << 10, Total: 256 << 10})
-	c := &client{in: s.password == "", w: resp.Writer{Version: 2}, came: time.Now}
-	if whose, ok := conn.(interface {
+	c := &client{authenticated: s.password == "", w: resp.Writer{Version: 2}, arrivedAt: time.Now}
+	if peerConn, ok := conn.(interface {
 		Peer() string
 		Came() time.Time
 	}); ok {
-		c.peer, c.came = whose.Peer(), whose.Came
+		c.peer, c.arrivedAt = peerConn.Peer(), peerConn.Came
 	}
 	for {
 		words, _, err := r.Command(nil, nil)
@@ -246,18 +243,18 @@
 			args[i] = string(word)
 		}
 		c.w.Buf = c.w.Buf[:0]
-		goOn := s.command(c, args)
-		if _, err := conn.Write(c.w.Buf); err != nil || !goOn {
+		keepOpen := s.command(c, args)
+		if _, err := conn.Write(c.w.Buf); err != nil || !keepOpen {
 			return
 		}
-		if c.stuck {
-			io.Copy(io.Discard, conn) // of no further use, but it stays open until its caller leaves
+		if c.unfinished {
+			io.Copy(io.Discard, conn) // no longer usable, but stays open until the caller closes it
 			return
 		}
 	}
 }
 
-// command answers one command. It returns false to end the connection.
+// command handles one command. It returns false to end the connection.
 func (s *Store) command(c *client, args []string) bool {
 	name := strings.ToUpper(args[0])
 	s.mu.Lock()
@@ -268,20 +265,20 @@
 		if subtle.ConstantTimeCompare([]byte(args[len(args)-1]), []byte(s.password)) != 1 {
 			c.w.Error("WRONGPASS invalid username-password pair or user is disabled.")
 		} else {
-			c.in = true
+			c.authenticated = true
 			c.w.Simple("OK")
 		}
-	case !c.in:
+	case !c.authenticated:
 		c.w.Error("NOAUTH Authentication required.")
 	case name == "MULTI":
-		c.multi, c.failed, c.queue = true, false, nil
+		c.multi, c.queueFailed, c.queue = true, false, nil
 		c.w.Simple("OK")
 	case name == "EXEC" && !c.multi:
 		c.w.Error("ERR EXEC without MULTI")
 	case name == "EXEC":
 		return s.exec(c, fault)
 	case c.multi && name == "INCRBYFLOAT" && fault.Queue != "":
-		c.failed = true
+		c.queueFailed = true
 		c.w.Error(fault.Queue)
 	case c.multi:
 		c.queue = append(c.queue, args)
@@ -291,30 +288,31 @@
 	default:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.run(&c.w, s.split[c.peer], args)
+		s.run(&c.w, s.halfOf[c.peer], args)
 	}
 	return true
 }
 
-func (s *Store) chance(share float64) bool { return share > 0 && s.rng.Float64() < share }
+func (s *Store) happens(fraction float64) bool { return fraction > 0 && s.rng.Float64() < fraction }
 
+// exec executes the queued commands of a transaction. It returns false to end the connection.
 func (s *Store) exec(c *client, fault Fault) bool {
 	c.multi = false
 	time.Sleep(fault.Delay)
 	s.mu.Lock()
-	trouble := s.trouble
-	double := s.chance(trouble.Double)
-	endless := s.chance(trouble.Endless)
-	if s.chance(trouble.Malformed) {
+	randomFaults := s.randomFaults
+	double := s.happens(randomFaults.Double)
+	endless := s.happens(randomFaults.Endless)
+	if s.happens(randomFaults.Malformed) {
 		fault.Malformed = true
 	}
-	if s.chance(trouble.Refuse) {
+	if s.happens(randomFaults.Refuse) {
 		fault.Exec = "LOADING the dataset is being read"
 	}
 	s.mu.Unlock()
-	time.Sleep(time.Until(c.came().Add(trouble.Delay)))
+	time.Sleep(time.Until(c.arrivedAt().Add(randomFaults.Delay)))
 	switch {
-	case c.failed:
+	case c.queueFailed:
 		c.w.Error("EXECABORT Transaction discarded because of previous errors.")
 		return true
 	case fault.Exec != "":
@@ -323,9 +321,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls++
+	s.transactions++
 	c.w.Array(len(c.queue))
-	half := s.split[c.peer]
+	half := s.halfOf[c.peer]
 	for _, args := range c.queue {
 		if double {
 			s.run(&resp.Writer{Version: 2}, half, args)
@@ -334,7 +332,7 @@
 	}
 	switch {
 	case endless:
-		c.w.Buf, c.stuck = []byte("*2\r\n$1000\r\n1"), true
+		c.w.Buf, c.unfinished = []byte("*2\r\n$1000\r\n1"), true
 	case fault.NoReply:
 		c.w.Buf = nil
 		return false
@@ -347,7 +345,7 @@
 	return true
 }
 
-// run answers what works on numbers. The lock is held.
+// run executes a command on a number. The caller holds mu.
 func (s *Store) run(w *resp.Writer, half int, args []string) {
 	switch name := strings.ToUpper(args[0]); {
 	case name == "INCRBYFLOAT" && len(args) == 3:
@@ -369,10 +367,10 @@
 		switch {
 		case err != nil:
 			w.Error("ERR value is not an integer or out of range")
-		case it == nil || !it.ends.IsZero():
+		case it == nil || !it.expiresAt.IsZero():
 			w.Int(0)
 		default:
-			it.ends = time.Now().Add(time.Duration(n) * time.Millisecond)
+			it.expiresAt = time.Now().Add(time.Duration(n) * time.Millisecond)
 			w.Int(1)
 		}
 	default:
