--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -167,7 +167,7 @@
 // If the collector never responds, requests are served as usual and the gateway ends in time.
 func TestSilentCollectorDelaysNothing(t *testing.T) {
 	c, backend := newCollector(t), newPeer(t)
-	c.SetTrouble(collector.Trouble{Silent: true})
+	c.SetFaults(collector.Faults{Silent: true})
 	set := exporting(c, "g0")
 	set.Flush = 100 * time.Millisecond
 	gw := startExportingGateway(t, set, unchanged, backend)
--- a/internal/lab/fault_state.go
+++ b/internal/lab/fault_state.go
@@ -95,9 +95,9 @@
 }
 
 func collectorSilent(_ context.Context, l *Lab, _ *Fault, _ []int) (func() error, error) {
-	l.collector.SetTrouble(collector.Trouble{Silent: true})
+	l.collector.SetFaults(collector.Faults{Silent: true})
 	return func() error {
-		l.collector.SetTrouble(collector.Trouble{})
+		l.collector.SetFaults(collector.Faults{})
 		return nil
 	}, nil
 }
--- a/internal/standin/collector/collector.go
+++ b/internal/standin/collector/collector.go
@@ -37,14 +37,14 @@
 	endlessGap  = 20 * time.Millisecond
 )
 
-// Trouble is what a collector can be told to do wrong. The zero value is none.
-type Trouble struct {
-	Late       time.Duration // answers come so much later
+// Faults is what a collector can be told to do wrong. The zero value is none.
+type Faults struct {
+	Delay      time.Duration // answers come so much later
 	Silent     bool          // it takes what is sent and never answers
 	Status     int           // every message gets this status, over gRPC the one that stands for it, and is not taken
 	RetryAfter string        // seconds, with that status
 	Refuse     float64       // share of the messages of which one item is refused
-	Lost       float64       // share taken whose connection ends without an answer
+	NoReply    float64       // share taken whose connection ends without an answer
 	Endless    bool          // answers have no end
 }
 
@@ -63,7 +63,7 @@
 	wg     sync.WaitGroup
 
 	mu       sync.Mutex
-	trouble  Trouble
+	trouble  Faults
 	rng      *rand.Rand
 	spans    map[string]Span // by id: a message may come twice
 	order    []string
@@ -81,7 +81,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/traces", c.take(c.takeTraces))
 	mux.HandleFunc("POST /v1/metrics", c.take(c.takeMetrics))
-	mux.HandleFunc("GET "+StoriesPath, c.tell)
+	mux.HandleFunc("GET "+TracesPath, c.tell)
 	mux.HandleFunc("POST /opentelemetry.proto.collector.trace.v1.TraceService/Export", c.takeCall(c.takeTraces))
 	mux.HandleFunc("POST /opentelemetry.proto.collector.metrics.v1.MetricsService/Export", c.takeCall(c.takeMetrics))
 	protocols := new(http.Protocols)
@@ -94,9 +94,9 @@
 	return c
 }
 
-// StoriesPath is where people read what was taken: the stories whose id begins with the
+// TracesPath is where people read what was taken: the stories whose id begins with the
 // parameter id, as lines of OTLP's JSON.
-const StoriesPath = "/stories"
+const TracesPath = "/stories"
 
 func (c *Collector) tell(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -141,18 +141,18 @@
 // Links returns the sockets, for faults of the network.
 func (c *Collector) Links() []*link.Link { return c.links }
 
-// SetTrouble replaces what goes wrong from now on.
-func (c *Collector) SetTrouble(t Trouble) {
+// SetFaults replaces what goes wrong from now on.
+func (c *Collector) SetFaults(t Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.trouble = t
 }
 
 // draw returns the present trouble, and what of it strikes the next message.
-func (c *Collector) draw() (t Trouble, refuse, lost bool) {
+func (c *Collector) draw() (t Faults, refuse, lost bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.trouble, c.rng.Float64() < c.trouble.Refuse, c.rng.Float64() < c.trouble.Lost
+	return c.trouble, c.rng.Float64() < c.trouble.Refuse, c.rng.Float64() < c.trouble.NoReply
 }
 
 // endless writes an answer that has no end, until its reader has left.
@@ -189,7 +189,7 @@
 			w.WriteHeader(t.Status)
 			return
 		}
-		wait.For(r.Context(), t.Late)
+		wait.For(r.Context(), t.Delay)
 		refused, err := keep(body, refuse)
 		if err != nil {
 			c.flaw("a message that can't be decoded: %v", err)
@@ -347,8 +347,8 @@
 	c.broken++
 }
 
-// BrokenOff is how many calls their callers broke off before they had come whole.
-func (c *Collector) BrokenOff() int {
+// Aborted is how many calls their callers broke off before they had come whole.
+func (c *Collector) Aborted() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.broken
--- a/internal/standin/collector/collector_test.go
+++ b/internal/standin/collector/collector_test.go
@@ -68,7 +68,7 @@
 			if len(spans) != 2 || spans[0].Name != "below" || spans[0].Instance != "i" || !bytes.Equal(spans[0].ParentSpanId, spans[1].SpanId) || len(c.Flaws()) > 0 {
 				t.Errorf("%v %v", spans, c.Flaws())
 			}
-			resp, err := http.Get("http://" + c.Address("x") + StoriesPath + "?id=" + root.SpanContext().TraceID().String())
+			resp, err := http.Get("http://" + c.Address("x") + TracesPath + "?id=" + root.SpanContext().TraceID().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -224,16 +224,16 @@
 			if err := <-done; err == nil {
 				t.Error("it was answered")
 			}
-			for end := time.Now().Add(testpeer.Patience); c.BrokenOff() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testpeer.Patience); c.Aborted() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
-			if c.BrokenOff() != 1 || len(c.Flaws()) != 0 {
-				t.Errorf("%d broken off, flaws %q", c.BrokenOff(), c.Flaws())
+			if c.Aborted() != 1 || len(c.Flaws()) != 0 {
+				t.Errorf("%d broken off, flaws %q", c.Aborted(), c.Flaws())
 			}
 			if err := call(context.Background(), bytes.NewReader([]byte{0, 0, 0, 0, 9, 1})); err != nil {
 				t.Fatal(err)
 			}
-			if c.BrokenOff() != 1 || len(c.Flaws()) != 1 {
-				t.Errorf("after one that can't be read: %d broken off, flaws %q", c.BrokenOff(), c.Flaws())
+			if c.Aborted() != 1 || len(c.Flaws()) != 1 {
+				t.Errorf("after one that can't be read: %d broken off, flaws %q", c.Aborted(), c.Flaws())
 			}
 		})
 	}
--- a/internal/standin/collector/grpc.go
+++ b/internal/standin/collector/grpc.go
@@ -13,7 +13,7 @@
 	"elderyard/internal/wait"
 )
 
-// calls are the statuses of gRPC that stand for those of HTTP in a Trouble.
+// calls are the statuses of gRPC that stand for those of HTTP in a Faults.
 var calls = map[int]int{http.StatusTooManyRequests: 8, http.StatusServiceUnavailable: 14, http.StatusBadGateway: 14, http.StatusGatewayTimeout: 4,
 	http.StatusBadRequest: 3, http.StatusUnauthorized: 16, http.StatusForbidden: 7, http.StatusTemporaryRedirect: 12}
 
@@ -48,7 +48,7 @@
 			end(calls[t.Status], details)
 			return
 		}
-		wait.For(r.Context(), t.Late)
+		wait.For(r.Context(), t.Delay)
 		refused, err := keep(body, refuse)
 		if err != nil {
 			c.flaw("a call that can't be decoded: %v", err)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -179,7 +179,7 @@
 // the end.
 func TestSilentCollector(t *testing.T) {
 	c := newCollector(t)
-	c.SetTrouble(collector.Trouble{Silent: true})
+	c.SetFaults(collector.Faults{Silent: true})
 	set := settings(c.Address("g0"))
 	set.Flush = 100 * time.Millisecond
 	x := Start(set, now, figures, quiet)
@@ -205,18 +205,18 @@
 // Each answer of a collector, by the specification.
 func TestAnswersOfACollector(t *testing.T) {
 	for name, k := range map[string]struct {
-		trouble                collector.Trouble
+		trouble                collector.Faults
 		heals                  bool
 		taken, dropped, refuse uint64 // of two spans
 	}{
-		"full for a while":  {collector.Trouble{Status: 429, RetryAfter: "1"}, true, 2, 0, 0},
-		"down for a while":  {collector.Trouble{Status: 503}, true, 2, 0, 0},
-		"no right":          {collector.Trouble{Status: 401}, false, 0, 0, 2},
-		"bad":               {collector.Trouble{Status: 400}, false, 0, 0, 2},
-		"in part":           {collector.Trouble{Refuse: 1}, false, 1, 0, 1},
-		"no answer":         {collector.Trouble{Lost: 1}, true, 2, 0, 0},
-		"an endless answer": {collector.Trouble{Endless: true}, false, 2, 0, 0},
-		"moved":             {collector.Trouble{Status: 307}, false, 0, 0, 2},
+		"full for a while":  {collector.Faults{Status: 429, RetryAfter: "1"}, true, 2, 0, 0},
+		"down for a while":  {collector.Faults{Status: 503}, true, 2, 0, 0},
+		"no right":          {collector.Faults{Status: 401}, false, 0, 0, 2},
+		"bad":               {collector.Faults{Status: 400}, false, 0, 0, 2},
+		"in part":           {collector.Faults{Refuse: 1}, false, 1, 0, 1},
+		"no answer":         {collector.Faults{NoReply: 1}, true, 2, 0, 0},
+		"an endless answer": {collector.Faults{Endless: true}, false, 2, 0, 0},
+		"moved":             {collector.Faults{Status: 307}, false, 0, 0, 2},
 	} {
 		for _, grpc := range []bool{false, true} {
 			if name == "an endless answer" && grpc {
@@ -225,7 +225,7 @@
 			t.Run(fmt.Sprintf("%s, gRPC %v", name, grpc), func(t *testing.T) {
 				t.Parallel()
 				c := newCollector(t)
-				c.SetTrouble(k.trouble)
+				c.SetFaults(k.trouble)
 				set := settings(c.Address("g0"))
 				set.Metrics, set.GRPC = false, grpc
 				x := Start(set, now, figures, quiet)
@@ -233,7 +233,7 @@
 				s := x.state.spanSender
 				until(t, "it was tried", func() bool { return s.failures.Load()+s.sent.Load()+s.rejected.Load() > 0 })
 				if k.heals {
-					c.SetTrouble(collector.Trouble{})
+					c.SetFaults(collector.Faults{})
 				}
 				until(t, "it came to its end", func() bool { return s.sent.Load()+s.rejected.Load() == 2 })
 				x.Close()
