--- a/internal/standin/collector/collector.go
+++ b/internal/standin/collector/collector.go
@@ -1,7 +1,6 @@
-// Package collector is a stand-in for a collector of OpenTelemetry, written from the
-// specification of OTLP over HTTP with protobuf. It can be told to be slow, silent, full, in part
-// unwilling or without an end; it checks what it is sent against the specification's rules and
-// hands it to tests.
+// Package collector is a stand-in for an OpenTelemetry collector, written from the specification of OTLP over HTTP with
+// protobuf, and over gRPC. It can be made to answer late, never, with an error status, with a partial success or
+// without end. It checks what it receives against the rules of the specification and makes it available to tests.
 package collector
 
 import (
@@ -32,23 +31,23 @@
 )
 
 const (
-	mostMessage = 16 << 20 // bytes, unpacked
-	mostFlaws   = 50
-	endlessGap  = 20 * time.Millisecond
+	maxMessageLen   = 16 << 20 // bytes, after decompression
+	maxFlaws        = 50
+	endlessInterval = 20 * time.Millisecond
 )
 
-// Faults is what a collector can be told to do wrong. The zero value is none.
+// Faults are the faults that a collector injects. The zero value injects none.
 type Faults struct {
-	Delay      time.Duration // answers come so much later
-	Silent     bool          // it takes what is sent and never answers
-	Status     int           // every message gets this status, over gRPC the one that stands for it, and is not taken
-	RetryAfter string        // seconds, with that status
-	Refuse     float64       // share of the messages of which one item is refused
-	NoReply    float64       // share taken whose connection ends without an answer
-	Endless    bool          // answers have no end
+	Delay      time.Duration // added to the time of each answer
+	Silent     bool          // reads each message and never answers
+	Status     int           // answers every message with this status, over gRPC with the equivalent one, and discards it
+	RetryAfter string        // seconds, sent along with Status
+	Refuse     float64       // fraction of messages of which one item is refused
+	NoReply    float64       // fraction accepted whose connection is closed without an answer
+	Endless    bool          // answers are never completed
 }
 
-// Span is one that was taken, with who sent it.
+// Span is an accepted span and its sender.
 type Span struct {
 	*trace.Span
 	Instance string // service.instance.id of its process
@@ -63,27 +62,27 @@
 	wg     sync.WaitGroup
 
 	mu       sync.Mutex
-	trouble  Faults
+	faults   Faults
 	rng      *rand.Rand
-	spans    map[string]Span // by id: a message may come twice
+	spans    map[string]Span // by id: a message may arrive twice
 	order    []string
 	points   map[Series]Point
 	messages int
 	refused  int // items
-	broken   int // calls that their callers broke off
+	aborted  int // calls that the caller ended before the body was complete
 	flaws    []string
 }
 
-// Start runs a collector behind listeners, until Close.
+// Start runs a collector on the given links until Close.
 func Start(seed uint64, links ...*link.Link) *Collector {
 	ctx, stop := context.WithCancel(context.Background())
 	c := &Collector{links: links, stop: stop, rng: rand.New(rand.NewPCG(seed, 12)), spans: map[string]Span{}, points: map[Series]Point{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/traces", c.take(c.takeTraces))
-	mux.HandleFunc("POST /v1/metrics", c.take(c.takeMetrics))
-	mux.HandleFunc("GET "+TracesPath, c.tell)
-	mux.HandleFunc("POST /opentelemetry.proto.collector.trace.v1.TraceService/Export", c.takeCall(c.takeTraces))
-	mux.HandleFunc("POST /opentelemetry.proto.collector.metrics.v1.MetricsService/Export", c.takeCall(c.takeMetrics))
+	mux.HandleFunc("POST /v1/traces", c.handleHTTP(c.acceptTraces))
+	mux.HandleFunc("POST /v1/metrics", c.handleHTTP(c.acceptMetrics))
+	mux.HandleFunc("GET "+TracesPath, c.serveTraces)
+	mux.HandleFunc("POST /opentelemetry.proto.collector.trace.v1.TraceService/Export", c.handleGRPC(c.acceptTraces))
+	mux.HandleFunc("POST /opentelemetry.proto.collector.metrics.v1.MetricsService/Export", c.handleGRPC(c.acceptMetrics))
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -94,17 +93,16 @@
 	return c
 }
 
-// TracesPath is where people read what was taken: the stories whose id begins with the
-// parameter id, as lines of OTLP's JSON.
+// TracesPath serves the accepted traces whose id begins with the parameter id, as lines of OTLP JSON.
 const TracesPath = "/stories"
 
-func (c *Collector) tell(w http.ResponseWriter, r *http.Request) {
+// serveTraces answers a GET of TracesPath.
+func (c *Collector) serveTraces(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	c.Write(w, r.URL.Query().Get("id")) // an error means that the reader has left
+	c.Write(w, r.URL.Query().Get("id")) // an error means that the client closed the connection
 }
 
-// Write writes the stories whose id begins so as lines of OTLP's JSON, one for each
-// process.
+// Write writes the traces whose id begins with a prefix as lines of OTLP JSON, one line for each process.
 func (c *Collector) Write(w io.Writer, id string) error {
 	var order []string
 	by := map[string]*trace.ResourceSpans{}
@@ -125,7 +123,7 @@
 	return nil
 }
 
-// Close ends it with all connections.
+// Close stops the collector and closes its connections.
 func (c *Collector) Close() {
 	c.stop()
 	c.server.Close()
@@ -135,48 +133,48 @@
 	c.wg.Wait()
 }
 
-// Address returns where a caller finds it.
+// Address returns the address at which a caller reaches the collector.
 func (c *Collector) Address(peer string) string { return link.AddressFor(c.links, peer) }
 
-// Links returns the sockets, for faults of the network.
+// Links returns the links, on which network faults can be injected.
 func (c *Collector) Links() []*link.Link { return c.links }
 
-// SetFaults replaces what goes wrong from now on.
+// SetFaults replaces the injected faults.
 func (c *Collector) SetFaults(t Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.trouble = t
+	c.faults = t
 }
 
-// draw returns the present trouble, and what of it strikes the next message.
-func (c *Collector) draw() (t Faults, refuse, lost bool) {
+// draw returns the current faults, and draws which of the random ones affect the next message.
+func (c *Collector) draw() (t Faults, refuse, noReply bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.trouble, c.rng.Float64() < c.trouble.Refuse, c.rng.Float64() < c.trouble.NoReply
+	return c.faults, c.rng.Float64() < c.faults.Refuse, c.rng.Float64() < c.faults.NoReply
 }
 
-// endless writes an answer that has no end, until its reader has left.
+// endless writes an answer without end, until the client closes the connection.
 func endless(w http.ResponseWriter, r *http.Request) {
 	for r.Context().Err() == nil {
 		if _, err := w.Write(make([]byte, 1<<10)); err != nil {
 			return
 		}
 		w.(http.Flusher).Flush()
-		wait.For(r.Context(), endlessGap)
+		wait.For(r.Context(), endlessInterval)
 	}
 }
 
-// take answers one message.
-func (c *Collector) take(keep func(body []byte, refuse bool) (refused int, err error)) http.HandlerFunc {
+// handleHTTP returns the handler of one kind of message over HTTP.
+func (c *Collector) handleHTTP(accept func(body []byte, refuse bool) (refused int, err error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		t, refuse, lost := c.draw()
+		t, refuse, noReply := c.draw()
 		body, err := read(r)
 		switch {
-		case errors.Is(err, errBrokenOff):
-			c.brokeOff()
+		case errors.Is(err, errAborted):
+			c.countAborted()
 			panic(http.ErrAbortHandler)
 		case err != nil:
-			c.flaw("a message that can't be read: %v", err)
+			c.addFlaw("a message that can't be read: %v", err)
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		case t.Silent:
@@ -190,13 +188,13 @@
 			return
 		}
 		wait.For(r.Context(), t.Delay)
-		refused, err := keep(body, refuse)
+		refused, err := accept(body, refuse)
 		if err != nil {
-			c.flaw("a message that can't be decoded: %v", err)
+			c.addFlaw("a message that can't be decoded: %v", err)
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if lost {
+		if noReply {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set("Content-Type", "application/x-protobuf")
@@ -208,8 +206,8 @@
 	}
 }
 
-// reply is an export's response: empty, or with partial_success (field 1) whose
-// field 1 is how many items were refused, alike for all signals.
+// reply encodes the response to an export: empty, or with partial_success (field 1) whose field 1 is the number of
+// refused items. It is the same for all signals.
 func reply(refused int) []byte {
 	if refused == 0 {
 		return nil
@@ -223,7 +221,7 @@
 	if got := r.Header.Get("Content-Type"); got != "application/x-protobuf" {
 		return nil, fmt.Errorf("content type %q", got)
 	}
-	body, err := bodyOf(r)
+	body, err := readBody(r)
 	if err != nil {
 		return nil, err
 	}
@@ -231,47 +229,48 @@
 	case "":
 		return body, nil
 	case "gzip":
-		return unpack(body)
+		return decompress(body)
 	default:
 		return nil, fmt.Errorf("content encoding %q", got)
 	}
 }
 
-// errBrokenOff is what a body comes to that its caller did not send to its end. That
-// breaks nothing: a caller may give up, and an exporter that ends does so.
-var errBrokenOff = errors.New("it was broken off")
+// errAborted means that the caller did not send the whole body. This violates no rule: a caller may cancel a call, and
+// an exporter does so when it shuts down.
+var errAborted = errors.New("the caller ended the call before its body was complete")
 
-// bodyOf reads a body as it came. Danger: one that was broken off must be told from one
-// that came whole and makes no sense, so nothing is unpacked before all of it is there.
-func bodyOf(r *http.Request) ([]byte, error) {
-	body, err := whole(r.Body)
+// readBody reads a body without decompressing it. The whole body must be read before any of it is decompressed: otherwise
+// an aborted call can't be distinguished from a complete but invalid body.
+func readBody(r *http.Request) ([]byte, error) {
+	body, err := readLimited(r.Body)
 	if err != nil && !errors.Is(err, errTooLong) {
-		err = fmt.Errorf("%w: %w", errBrokenOff, err)
+		err = fmt.Errorf("%w: %w", errAborted, err)
 	}
 	return body, err
 }
 
-func unpack(packed []byte) ([]byte, error) {
-	z, err := gzip.NewReader(bytes.NewReader(packed))
+func decompress(compressed []byte) ([]byte, error) {
+	z, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
 	defer z.Close()
-	return whole(z)
+	return readLimited(z)
 }
 
-var errTooLong = fmt.Errorf("more than %d bytes", mostMessage)
+var errTooLong = fmt.Errorf("more than %d bytes", maxMessageLen)
 
-func whole(r io.Reader) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(r, mostMessage+1))
-	if len(text) > mostMessage {
+// readLimited reads at most maxMessageLen bytes, and fails if there are more.
+func readLimited(r io.Reader) ([]byte, error) {
+	text, err := io.ReadAll(io.LimitReader(r, maxMessageLen+1))
+	if len(text) > maxMessageLen {
 		return nil, errTooLong
 	}
 	return text, err
 }
 
-// takeTraces takes an ExportTraceServiceRequest, which is on the wire what TracesData is.
-func (c *Collector) takeTraces(body []byte, refuse bool) (refused int, err error) {
+// acceptTraces accepts an ExportTraceServiceRequest, which has the same encoding as TracesData.
+func (c *Collector) acceptTraces(body []byte, refuse bool) (refused int, err error) {
 	var m trace.TracesData
 	if err := proto.Unmarshal(body, &m); err != nil {
 		return 0, err
@@ -289,10 +288,10 @@
 					continue
 				}
 				for _, f := range spanFlaws(s) {
-					c.flawLocked("span %q: %s", s.Name, f)
+					c.addFlawLocked("span %q: %s", s.Name, f)
 				}
 				id := hex.EncodeToString(s.SpanId)
-				if _, here := c.spans[id]; !here {
+				if _, known := c.spans[id]; !known {
 					c.order = append(c.order, id)
 				}
 				c.spans[id] = Span{s, instance, rs.Resource}
@@ -302,8 +301,8 @@
 	return refused, nil
 }
 
-// takeMetrics takes an ExportMetricsServiceRequest, which is on the wire what MetricsData is.
-func (c *Collector) takeMetrics(body []byte, refuse bool) (refused int, err error) {
+// acceptMetrics accepts an ExportMetricsServiceRequest, which has the same encoding as MetricsData.
+func (c *Collector) acceptMetrics(body []byte, refuse bool) (refused int, err error) {
 	var m metrics.MetricsData
 	if err := proto.Unmarshal(body, &m); err != nil {
 		return 0, err
@@ -320,8 +319,8 @@
 					c.refused++
 					continue
 				}
-				for _, f := range c.takeMetric(instance, metric) {
-					c.flawLocked("metric %s of %s: %s", metric.Name, instance, f)
+				for _, f := range c.acceptMetric(instance, metric) {
+					c.addFlawLocked("metric %s of %s: %s", metric.Name, instance, f)
 				}
 			}
 		}
@@ -329,46 +328,47 @@
 	return refused, nil
 }
 
-func (c *Collector) flaw(format string, a ...any) {
+// addFlaw records a violation of the specification.
+func (c *Collector) addFlaw(format string, a ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.flawLocked(format, a...)
+	c.addFlawLocked(format, a...)
 }
 
-func (c *Collector) flawLocked(format string, a ...any) {
-	if len(c.flaws) < mostFlaws {
+func (c *Collector) addFlawLocked(format string, a ...any) {
+	if len(c.flaws) < maxFlaws {
 		c.flaws = append(c.flaws, fmt.Sprintf(format, a...))
 	}
 }
 
-func (c *Collector) brokeOff() {
+func (c *Collector) countAborted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken++
+	c.aborted++
 }
 
-// Aborted is how many calls their callers broke off before they had come whole.
+// Aborted returns how many calls the caller ended before the body was complete.
 func (c *Collector) Aborted() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.broken
+	return c.aborted
 }
 
-// Flaws are what broke the specification's rules.
+// Flaws returns the violations of the specification that were found.
 func (c *Collector) Flaws() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.flaws)
 }
 
-// Counts are how many messages were taken, and how many items of them refused.
+// Counts returns how many messages were accepted, and how many of their items were refused.
 func (c *Collector) Counts() (messages, refused int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.messages, c.refused
 }
 
-// Spans are all that were taken, each once, in the order in which they came.
+// Spans returns the accepted spans, each once, in order of arrival.
 func (c *Collector) Spans() (list []Span) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -378,7 +378,7 @@
 	return list
 }
 
-// Trace are the spans of the stories whose id begins so.
+// Trace returns the spans of the traces whose id begins with a prefix.
 func (c *Collector) Trace(id string) (list []Span) {
 	for _, s := range c.Spans() {
 		if strings.HasPrefix(hex.EncodeToString(s.TraceId), strings.ToLower(id)) {
--- a/internal/standin/collector/collector_test.go
+++ b/internal/standin/collector/collector_test.go
@@ -38,8 +38,8 @@
 	return c
 }
 
-// The published exporters take the stand-in for a collector, over HTTP and gRPC, and
-// what they send keeps to its rules.
+// The exporters of the OpenTelemetry SDK can export to the stand-in over HTTP and gRPC, and what they send violates none
+// of the rules that it checks.
 func TestPublishedExporters(t *testing.T) {
 	for name, open := range map[string]func(address string) (*otlptrace.Exporter, error){
 		"http": func(a string) (*otlptrace.Exporter, error) {
@@ -58,8 +58,8 @@
 			p := sdktrace.NewTracerProvider(sdktrace.WithSyncer(e), sdktrace.WithResource(resource.NewSchemaless(
 				attribute.String("service.name", "s"), attribute.String("service.instance.id", "i"))))
 			ctx, root := p.Tracer("t").Start(context.Background(), "root")
-			_, below := p.Tracer("t").Start(ctx, "below")
-			below.End()
+			_, child := p.Tracer("t").Start(ctx, "below")
+			child.End()
 			root.End()
 			if err := p.Shutdown(context.Background()); err != nil {
 				t.Fatal(err)
@@ -84,31 +84,31 @@
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: value}}}
 }
 
-// Each rule of the specification that the stand-in holds spans to can be broken.
+// Each rule that the stand-in checks for spans reports its violation.
 func TestFlawsOfSpans(t *testing.T) {
-	good := func() *trace.Span {
+	valid := func() *trace.Span {
 		return &trace.Span{TraceId: bytes.Repeat([]byte{1}, 16), SpanId: bytes.Repeat([]byte{2}, 8), ParentSpanId: bytes.Repeat([]byte{3}, 8), Name: "x",
 			Kind: trace.Span_SPAN_KIND_SERVER, StartTimeUnixNano: 1, EndTimeUnixNano: 2, TraceState: "a=1", Attributes: []*common.KeyValue{pair("k", "v")}}
 	}
-	if f := spanFlaws(good()); len(f) > 0 {
+	if f := spanFlaws(valid()); len(f) > 0 {
 		t.Fatal(f)
 	}
-	for want, spoil := range map[string]func(*trace.Span){
+	for want, corrupt := range map[string]func(*trace.Span){
 		"trace id": func(s *trace.Span) { s.TraceId = make([]byte, 16) }, "span id": func(s *trace.Span) { s.SpanId = s.SpanId[:7] },
 		"parent's id": func(s *trace.Span) { s.ParentSpanId = make([]byte, 8) }, "its own parent": func(s *trace.Span) { s.ParentSpanId = s.SpanId },
 		"no name": func(s *trace.Span) { s.Name = "" }, "kind": func(s *trace.Span) { s.Kind = 0 }, "times": func(s *trace.Span) { s.EndTimeUnixNano = 0 },
 		"tracestate": func(s *trace.Span) { s.TraceState = "A=1" }, "stands twice": func(s *trace.Span) { s.Attributes = append(s.Attributes, pair("k", "w")) },
 		"a message without": func(s *trace.Span) { s.Status = &trace.Status{Message: "x"} },
 	} {
-		s := good()
-		spoil(s)
+		s := valid()
+		corrupt(s)
 		if f := spanFlaws(s); len(f) != 1 || !strings.Contains(f[0], want) {
 			t.Errorf("%s: %v", want, f)
 		}
 	}
 }
 
-// So can each that it holds metrics to.
+// Each rule that the stand-in checks for metrics reports its violation.
 func TestFlawsOfMetrics(t *testing.T) {
 	cumulative := metrics.AggregationTemporality_AGGREGATION_TEMPORALITY_CUMULATIVE
 	sum := func(n int64, from, at uint64) *metrics.Metric {
@@ -139,7 +139,7 @@
 		var flaws []string
 		for _, m := range k.list {
 			c.mu.Lock()
-			flaws = append(flaws, c.takeMetric("i", m)...)
+			flaws = append(flaws, c.acceptMetric("i", m)...)
 			c.mu.Unlock()
 		}
 		if k.want == "" && len(flaws) > 0 || k.want != "" && (len(flaws) != 1 || !strings.Contains(flaws[0], k.want)) {
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestWhatIsNoMessageIsTurnedDown(t *testing.T) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	c := start(t)
 	text, err := proto.Marshal(&trace.TracesData{})
 	if err != nil {
@@ -181,9 +181,9 @@
 	}
 }
 
-// Who breaks off a call half way breaks no rule, over HTTP as over gRPC; one that came
-// whole and can't be read does, and so does one that says less than it holds.
-func TestBrokenOffIsNoFlaw(t *testing.T) {
+// A call that its caller aborts half way is not reported as a violation, neither over HTTP nor over gRPC. A complete
+// body that can't be decoded is reported, and so is a gRPC frame whose length does not match.
+func TestAbortedCallIsNoFlaw(t *testing.T) {
 	for name, k := range map[string]struct{ path, kind string }{
 		"http": {"/v1/traces", "application/x-protobuf"},
 		"grpc": {"/opentelemetry.proto.collector.trace.v1.TraceService/Export", "application/grpc"},
@@ -202,7 +202,7 @@
 				}
 				req.Header.Set("Content-Type", k.kind)
 				req.Header.Set("Te", "trailers")
-				req.Header.Set("Expect", "100-continue") // it comes when the body is read
+				req.Header.Set("Expect", "100-continue") // the server sends 100 when the handler reads the body
 				resp, err := transport.RoundTrip(req)
 				if err == nil {
 					_, err = io.Copy(io.Discard, resp.Body)
@@ -212,28 +212,28 @@
 			}
 			reading := make(chan struct{})
 			ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{Got100Continue: func() { close(reading) }})
-			half, rest := io.Pipe()
-			defer rest.Close()
+			bodyReader, bodyWriter := io.Pipe()
+			defer bodyWriter.Close()
 			done := make(chan error, 1)
-			go func() { done <- call(ctx, half) }()
-			testpeer.Wait(t, reading, "look at the body")
-			if _, err := rest.Write([]byte{0, 0}); err != nil {
+			go func() { done <- call(ctx, bodyReader) }()
+			testpeer.Wait(t, reading, "read the body")
+			if _, err := bodyWriter.Write([]byte{0, 0}); err != nil {
 				t.Fatal(err)
 			}
-			rest.CloseWithError(errors.New("given up"))
+			bodyWriter.CloseWithError(errors.New("aborted"))
 			if err := <-done; err == nil {
-				t.Error("it was answered")
+				t.Error("an aborted call was answered")
 			}
 			for end := time.Now().Add(testpeer.Patience); c.Aborted() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 			if c.Aborted() != 1 || len(c.Flaws()) != 0 {
-				t.Errorf("%d broken off, flaws %q", c.Aborted(), c.Flaws())
+				t.Errorf("%d aborted, flaws %q", c.Aborted(), c.Flaws())
 			}
 			if err := call(context.Background(), bytes.NewReader([]byte{0, 0, 0, 0, 9, 1})); err != nil {
 				t.Fatal(err)
 			}
 			if c.Aborted() != 1 || len(c.Flaws()) != 1 {
-				t.Errorf("after one that can't be read: %d broken off, flaws %q", c.Aborted(), c.Flaws())
+				t.Errorf("after an invalid message: %d aborted, flaws %q", c.Aborted(), c.Flaws())
 			}
 		})
 	}
--- a/internal/standin/collector/grpc.go
+++ b/internal/standin/collector/grpc.go
@@ -13,14 +13,14 @@
 	"elderyard/internal/wait"
 )
 
-// calls are the statuses of gRPC that stand for those of HTTP in a Faults.
-var calls = map[int]int{http.StatusTooManyRequests: 8, http.StatusServiceUnavailable: 14, http.StatusBadGateway: 14, http.StatusGatewayTimeout: 4,
+// grpcStatus maps the HTTP status of Faults to the equivalent gRPC status.
+var grpcStatus = map[int]int{http.StatusTooManyRequests: 8, http.StatusServiceUnavailable: 14, http.StatusBadGateway: 14, http.StatusGatewayTimeout: 4,
 	http.StatusBadRequest: 3, http.StatusUnauthorized: 16, http.StatusForbidden: 7, http.StatusTemporaryRedirect: 12}
 
-// takeCall answers one unary call of gRPC.
-func (c *Collector) takeCall(keep func(body []byte, refuse bool) (refused int, err error)) http.HandlerFunc {
+// handleGRPC returns the handler of one kind of message as a unary gRPC call.
+func (c *Collector) handleGRPC(accept func(body []byte, refuse bool) (refused int, err error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		t, refuse, lost := c.draw()
+		t, refuse, noReply := c.draw()
 		w.Header().Set("Content-Type", "application/grpc")
 		end := func(status int, details []byte) {
 			w.Header().Set(http.TrailerPrefix+"Grpc-Status", strconv.Itoa(status))
@@ -30,11 +30,11 @@
 		}
 		body, err := readCall(r)
 		switch {
-		case errors.Is(err, errBrokenOff):
-			c.brokeOff()
+		case errors.Is(err, errAborted):
+			c.countAborted()
 			panic(http.ErrAbortHandler)
 		case err != nil:
-			c.flaw("a call that can't be read: %v", err)
+			c.addFlaw("a call that can't be read: %v", err)
 			end(13, nil)
 			return
 		case t.Silent:
@@ -45,17 +45,17 @@
 			if seconds, err := strconv.Atoi(t.RetryAfter); err == nil {
 				details = retryInfo(seconds)
 			}
-			end(calls[t.Status], details)
+			end(grpcStatus[t.Status], details)
 			return
 		}
 		wait.For(r.Context(), t.Delay)
-		refused, err := keep(body, refuse)
+		refused, err := accept(body, refuse)
 		if err != nil {
-			c.flaw("a call that can't be decoded: %v", err)
+			c.addFlaw("a call that can't be decoded: %v", err)
 			end(3, nil)
 			return
 		}
-		if lost {
+		if noReply {
 			panic(http.ErrAbortHandler)
 		}
 		if t.Endless {
@@ -69,7 +69,7 @@
 	}
 }
 
-// retryInfo is a google.rpc.Status with the detail google.rpc.RetryInfo.
+// retryInfo encodes a google.rpc.Status with the detail google.rpc.RetryInfo.
 func retryInfo(seconds int) []byte {
 	field := func(n protowire.Number, v []byte) []byte {
 		return protowire.AppendBytes(protowire.AppendTag(nil, n, protowire.BytesType), v)
@@ -79,22 +79,23 @@
 	return field(3, detail)
 }
 
+// readCall reads the message of a unary gRPC call.
 func readCall(r *http.Request) ([]byte, error) {
 	if r.ProtoMajor != 2 || r.Header.Get("Content-Type") != "application/grpc" || r.Header.Get("Te") != "trailers" {
-		return nil, fmt.Errorf("%s with %q and %q is no call of gRPC", r.Proto, r.Header.Get("Content-Type"), r.Header.Get("Te"))
+		return nil, fmt.Errorf("%s with content type %q and TE %q is not a gRPC call", r.Proto, r.Header.Get("Content-Type"), r.Header.Get("Te"))
 	}
-	frame, err := bodyOf(r)
+	frame, err := readBody(r)
 	if err != nil {
 		return nil, err
 	}
 	if len(frame) < 5 || int(binary.BigEndian.Uint32(frame[1:])) != len(frame)-5 {
-		return nil, errors.New("a frame whose length is another")
+		return nil, errors.New("the length of the frame does not match the body")
 	}
 	switch body := frame[5:]; {
 	case frame[0] == 0:
 		return body, nil
 	case frame[0] == 1 && r.Header.Get("Grpc-Encoding") == "gzip":
-		return unpack(body)
+		return decompress(body)
 	}
-	return nil, errors.New("a frame that is packed in no way that was told")
+	return nil, errors.New("the compression of the frame is unknown or was not announced")
 }
--- a/internal/standin/collector/rules.go
+++ b/internal/standin/collector/rules.go
@@ -14,18 +14,17 @@
 	"elderyard/traces"
 )
 
-// Series is one stream of points: a metric of a process with its attributes, written
-// key=value in order of the keys.
+// Series identifies a time series: a metric of a process with its attributes, written as key=value in order of the keys.
 type Series struct{ Instance, Metric, Attributes string }
 
 // Point is the newest value of a series.
 type Point struct {
-	Value       float64 // of a sum or a gauge; the count of a histogram
+	Value       float64 // of a sum or a gauge; for a histogram its count
 	Start, Time uint64
 	Histogram   *metrics.ExponentialHistogramDataPoint
 }
 
-// Get returns the newest value of a series, with attributes written as in Series.
+// Get returns the newest point of a series, with attributes written as in Series.
 func (c *Collector) Get(instance, metric, attributes string) (Point, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,8 +32,8 @@
 	return p, ok
 }
 
-// Sum adds up the newest values of a metric's series, of all processes, that have all
-// the attributes named, each written key=value.
+// Sum adds up the newest values of a metric's series, over all processes, that have all of the given attributes, each
+// written as key=value.
 func (c *Collector) Sum(metric string, attributes ...string) (sum float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,14 +46,14 @@
 	return sum
 }
 
-// SeriesCount is how many series there are.
+// SeriesCount returns the number of series.
 func (c *Collector) SeriesCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.points)
 }
 
-// instance checks a resource's attributes and returns whose they are. The lock is held.
+// instance checks the attributes of a resource and returns its service.instance.id. The caller holds mu.
 func (c *Collector) instance(attrs []*common.KeyValue) (name string) {
 	service := ""
 	for _, a := range attrs {
@@ -66,19 +65,20 @@
 		}
 	}
 	if name == "" || service == "" {
-		c.flawLocked("a resource without service.name or service.instance.id: %v", attrs)
+		c.addFlawLocked("a resource without service.name or service.instance.id: %v", attrs)
 	}
 	return name
 }
 
-func write(attrs []*common.KeyValue) (text string, flaws []string) {
-	seen := map[string]bool{}
+// formatAttributes formats attributes as in Series, and returns the rules that they violate.
+func formatAttributes(attrs []*common.KeyValue) (text string, flaws []string) {
+	seenKeys := map[string]bool{}
 	var parts []string
 	for _, a := range attrs {
-		if a.Key == "" || seen[a.Key] || a.Value.GetValue() == nil {
+		if a.Key == "" || seenKeys[a.Key] || a.Value.GetValue() == nil {
 			flaws = append(flaws, fmt.Sprintf("attribute %q has no name or value, or stands twice", a.Key))
 		}
-		seen[a.Key] = true
+		seenKeys[a.Key] = true
 		parts = append(parts, a.Key+"="+otlpfile.Text(a.Value))
 	}
 	slices.Sort(parts)
@@ -87,50 +87,50 @@
 
 func anySet(id []byte) bool { return slices.ContainsFunc(id, func(b byte) bool { return b != 0 }) }
 
-// spanFlaws holds a span to the specification.
+// spanFlaws returns the rules of the specification that a span violates.
 func spanFlaws(s *trace.Span) (flaws []string) {
-	flaw := func(bad bool, what string) {
-		if bad {
+	check := func(failed bool, what string) {
+		if failed {
 			flaws = append(flaws, what)
 		}
 	}
-	flaw(len(s.TraceId) != 16 || !anySet(s.TraceId), "trace id")
-	flaw(len(s.SpanId) != 8 || !anySet(s.SpanId), "span id")
-	flaw(len(s.ParentSpanId) != 0 && (len(s.ParentSpanId) != 8 || !anySet(s.ParentSpanId)), "parent's id")
-	flaw(slices.Equal(s.ParentSpanId, s.SpanId), "its own parent")
-	flaw(s.Name == "", "no name")
-	flaw(s.Kind < trace.Span_SPAN_KIND_INTERNAL || s.Kind > trace.Span_SPAN_KIND_CONSUMER, "kind")
-	flaw(s.StartTimeUnixNano == 0 || s.EndTimeUnixNano < s.StartTimeUnixNano, "times")
-	flaw(s.Status != nil && s.Status.Code != trace.Status_STATUS_CODE_ERROR && s.Status.Message != "", "a message without an error")
+	check(len(s.TraceId) != 16 || !anySet(s.TraceId), "trace id")
+	check(len(s.SpanId) != 8 || !anySet(s.SpanId), "span id")
+	check(len(s.ParentSpanId) != 0 && (len(s.ParentSpanId) != 8 || !anySet(s.ParentSpanId)), "parent's id")
+	check(slices.Equal(s.ParentSpanId, s.SpanId), "its own parent")
+	check(s.Name == "", "no name")
+	check(s.Kind < trace.Span_SPAN_KIND_INTERNAL || s.Kind > trace.Span_SPAN_KIND_CONSUMER, "kind")
+	check(s.StartTimeUnixNano == 0 || s.EndTimeUnixNano < s.StartTimeUnixNano, "times")
+	check(s.Status != nil && s.Status.Code != trace.Status_STATUS_CODE_ERROR && s.Status.Message != "", "a message without an error")
 	if s.TraceState != "" {
 		c, _ := traces.ParseContext([]string{"00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"}, []string{s.TraceState})
-		flaw(c.State != s.TraceState, "tracestate")
+		check(c.State != s.TraceState, "tracestate")
 	}
-	_, bad := write(s.Attributes)
-	return append(flaws, bad...)
+	_, violations := formatAttributes(s.Attributes)
+	return append(flaws, violations...)
 }
 
-// takeMetric holds a metric to the specification and keeps its points. The lock is held.
-func (c *Collector) takeMetric(instance string, m *metrics.Metric) (flaws []string) {
-	flaw := func(bad bool, format string, a ...any) {
-		if bad {
+// acceptMetric checks a metric against the specification and stores its points. The caller holds mu.
+func (c *Collector) acceptMetric(instance string, m *metrics.Metric) (flaws []string) {
+	check := func(failed bool, format string, a ...any) {
+		if failed {
 			flaws = append(flaws, fmt.Sprintf(format, a...))
 		}
 	}
-	flaw(m.Name == "" || len(m.Name) > 255, "name")
+	check(m.Name == "" || len(m.Name) > 255, "name")
 	cumulative := metrics.AggregationTemporality_AGGREGATION_TEMPORALITY_CUMULATIVE
-	keep := func(attrs []*common.KeyValue, p Point, sum bool) {
-		text, bad := write(attrs)
-		flaws = append(flaws, bad...)
+	store := func(attrs []*common.KeyValue, p Point, sum bool) {
+		text, violations := formatAttributes(attrs)
+		flaws = append(flaws, violations...)
 		k := Series{instance, m.Name, text}
-		old, known := c.points[k]
-		flaw(p.Time == 0, "no time")
+		previous, known := c.points[k]
+		check(p.Time == 0, "no time")
 		if sum {
-			flaw(p.Start == 0 || p.Start > p.Time, "start time of %s", text)
-			flaw(known && p.Start == old.Start && p.Time >= old.Time && p.Value < old.Value, "the sum of %s went down from %g to %g", text, old.Value, p.Value)
-			flaw(known && p.Start < old.Start && p.Time > old.Time, "the start of %s went back", text)
+			check(p.Start == 0 || p.Start > p.Time, "start time of %s", text)
+			check(known && p.Start == previous.Start && p.Time >= previous.Time && p.Value < previous.Value, "the sum of %s went down from %g to %g", text, previous.Value, p.Value)
+			check(known && p.Start < previous.Start && p.Time > previous.Time, "the start of %s went back", text)
 		}
-		if !known || p.Time >= old.Time { // an older message may come late
+		if !known || p.Time >= previous.Time { // an older message may arrive late
 			c.points[k] = p
 		}
 	}
@@ -139,43 +139,43 @@
 			return float64(v.AsInt)
 		}
 		x := n.GetAsDouble()
-		flaw(n.Value == nil || math.IsNaN(x), "a point without a number")
+		check(n.Value == nil || math.IsNaN(x), "a point without a number")
 		return x
 	}
 	switch d := m.Data.(type) {
 	case *metrics.Metric_Sum:
-		flaw(d.Sum.AggregationTemporality != cumulative, "temporality")
-		flaw(len(d.Sum.DataPoints) == 0, "no points")
+		check(d.Sum.AggregationTemporality != cumulative, "temporality")
+		check(len(d.Sum.DataPoints) == 0, "no points")
 		for _, p := range d.Sum.DataPoints {
 			x := number(p)
-			flaw(d.Sum.IsMonotonic && x < 0, "a monotonic sum below 0")
-			keep(p.Attributes, Point{Value: x, Start: p.StartTimeUnixNano, Time: p.TimeUnixNano}, d.Sum.IsMonotonic)
+			check(d.Sum.IsMonotonic && x < 0, "a monotonic sum below 0")
+			store(p.Attributes, Point{Value: x, Start: p.StartTimeUnixNano, Time: p.TimeUnixNano}, d.Sum.IsMonotonic)
 		}
 	case *metrics.Metric_Gauge:
-		flaw(len(d.Gauge.DataPoints) == 0, "no points")
+		check(len(d.Gauge.DataPoints) == 0, "no points")
 		for _, p := range d.Gauge.DataPoints {
-			keep(p.Attributes, Point{Value: number(p), Time: p.TimeUnixNano}, false)
+			store(p.Attributes, Point{Value: number(p), Time: p.TimeUnixNano}, false)
 		}
 	case *metrics.Metric_ExponentialHistogram:
-		flaw(d.ExponentialHistogram.AggregationTemporality != cumulative, "temporality")
+		check(d.ExponentialHistogram.AggregationTemporality != cumulative, "temporality")
 		for _, p := range d.ExponentialHistogram.DataPoints {
-			in := p.ZeroCount
+			bucketTotal := p.ZeroCount
 			for _, n := range append(slices.Clone(p.GetPositive().GetBucketCounts()), p.GetNegative().GetBucketCounts()...) {
-				in += n
+				bucketTotal += n
 			}
-			flaw(in != p.Count, "buckets hold %d of %d", in, p.Count)
-			flaw(p.Scale < -10 || p.Scale > 20, "scale %d", p.Scale)
-			flaw(p.Count > 0 && (p.Sum == nil || p.Min == nil || p.Max == nil || p.GetMin() > p.GetMax() ||
+			check(bucketTotal != p.Count, "buckets hold %d of %d", bucketTotal, p.Count)
+			check(p.Scale < -10 || p.Scale > 20, "scale %d", p.Scale)
+			check(p.Count > 0 && (p.Sum == nil || p.Min == nil || p.Max == nil || p.GetMin() > p.GetMax() ||
 				p.GetSum() > p.GetMax()*float64(p.Count)*(1+1e-9) || p.GetSum() < p.GetMin()*float64(p.Count)*(1-1e-9)), "sum, least and most")
 			for _, e := range p.Exemplars {
-				flaw(len(e.TraceId) != 16 || len(e.SpanId) != 8 || e.TimeUnixNano == 0, "exemplar")
+				check(len(e.TraceId) != 16 || len(e.SpanId) != 8 || e.TimeUnixNano == 0, "exemplar")
 				x := e.GetAsDouble()
-				flaw(x < p.GetMin() || x > p.GetMax(), "an exemplar of %g outside", x)
+				check(x < p.GetMin() || x > p.GetMax(), "an exemplar of %g outside", x)
 			}
-			keep(p.Attributes, Point{Value: float64(p.Count), Start: p.StartTimeUnixNano, Time: p.TimeUnixNano, Histogram: p}, true)
+			store(p.Attributes, Point{Value: float64(p.Count), Start: p.StartTimeUnixNano, Time: p.TimeUnixNano, Histogram: p}, true)
 		}
 	default:
-		flaw(true, "data of no known kind")
+		check(true, "data of no known kind")
 	}
 	return flaws
 }
