--- a/internal/lab/cold_test.go
+++ b/internal/lab/cold_test.go
@@ -84,9 +84,9 @@
 func (l *Lab) fullest(n *node) (worst coldWindow, all int) {
 	var came []time.Duration // since its start
 	attempts, _, _ := n.Record()
-	born := n.Born()
+	born := n.StartedAt()
 	for _, a := range attempts {
-		if age := a.First.Sub(born); a.Life > 0 && age < coldFor {
+		if age := a.FirstByte.Sub(born); a.Restarts > 0 && age < coldFor {
 			came = append(came, max(age, 0))
 		}
 	}
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	for _, n := range l.nodes {
-		if n.Born().IsZero() {
+		if n.StartedAt().IsZero() {
 			continue
 		}
 		w, count := l.fullest(n)
--- a/internal/lab/fault_kinds.go
+++ b/internal/lab/fault_kinds.go
@@ -42,7 +42,7 @@
 	apply         applyFunc // nil for a surge, which is part of the load
 
 	// The faults that the stand-ins inject for a size, for kinds that work so.
-	backendFault func(size float64) backend.Trouble
+	backendFault func(size float64) backend.Faults
 	counterFault func(size float64) counter.Faults
 	linkFault    func(f *faultproxy.Fault, size float64)
 }
@@ -62,13 +62,13 @@
 		{name: "node-vanish", scope: scopeNode, needsDuration: true, description: "the backend goes silent, and is back cold after the time, its connections reset", apply: nodeVanish},
 		{name: "node-cut", scope: scopeNode, needsDuration: true, description: "a partition: silence, and then what was held back goes on its way", apply: nodeCut},
 		{name: "node-reset", scope: scopeNode, description: "open connections are reset, again and again through the time", defaultSize: 1, minSize: 0.2, maxSize: 20, unit: "times a second", apply: nodeReset},
-		{name: "node-slow", scope: scopeNode, description: "work takes longer", defaultSize: 2, minSize: 1, maxSize: 100, unit: "times as long", apply: nodeMisbehave, backendFault: func(size float64) backend.Trouble { return backend.Trouble{Slow: size} }},
+		{name: "node-slow", scope: scopeNode, description: "work takes longer", defaultSize: 2, minSize: 1, maxSize: 100, unit: "times as long", apply: nodeMisbehave, backendFault: func(size float64) backend.Faults { return backend.Faults{Slow: size} }},
 		{name: "node-pause", scope: scopeNode, needsDuration: true, description: "stands still, again and again, every two seconds", defaultSize: 300, minSize: 10, maxSize: 1900, unit: "ms", apply: nodePause},
-		{name: "node-errors", scope: scopeNode, description: "answers 500 at once", defaultSize: 0.6, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Trouble { return backend.Trouble{Errors: size} }},
-		{name: "node-spoil", scope: scopeNode, description: "answers what can't be read", defaultSize: 0.1, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Trouble { return backend.Trouble{Spoil: size} }},
-		{name: "node-endless", scope: scopeNode, description: "answers without an end", defaultSize: 0.05, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Trouble { return backend.Trouble{Endless: size} }},
-		{name: "node-copies", scope: scopeNode, description: "sends its answer twice", defaultSize: 0.3, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Trouble { return backend.Trouble{Copies: size} }},
-		{name: "node-refuse", scope: scopeNode, description: "turns requests away unprocessed", defaultSize: 0.5, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Trouble { return backend.Trouble{Refusing: size} }},
+		{name: "node-errors", scope: scopeNode, description: "answers 500 at once", defaultSize: 0.6, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Faults { return backend.Faults{Errors: size} }},
+		{name: "node-spoil", scope: scopeNode, description: "answers what can't be read", defaultSize: 0.1, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Faults { return backend.Faults{Malformed: size} }},
+		{name: "node-endless", scope: scopeNode, description: "answers without an end", defaultSize: 0.05, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Faults { return backend.Faults{Endless: size} }},
+		{name: "node-copies", scope: scopeNode, description: "sends its answer twice", defaultSize: 0.3, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Faults { return backend.Faults{Duplicate: size} }},
+		{name: "node-refuse", scope: scopeNode, description: "turns requests away unprocessed", defaultSize: 0.5, minSize: 0, maxSize: 1, unit: "share of requests", apply: nodeMisbehave, backendFault: func(size float64) backend.Faults { return backend.Faults{Refuse: size} }},
 		{name: "node-drain", scope: scopeNode, needsDuration: true, description: "is taken out by the registry, ends, and starts cold after the time", apply: nodeDrain},
 
 		{name: "counter-gone", scope: scopeCounter, untargeted: true, description: "the counter's process is dead: connections are refused", apply: counterGone},
--- a/internal/lab/fault_node.go
+++ b/internal/lab/fault_node.go
@@ -74,7 +74,7 @@
 }
 
 // injectNodeFault adds a fault to nodes and returns the function that removes it.
-func (l *Lab) injectNodeFault(targets []int, trouble backend.Trouble) (undo func() error) {
+func (l *Lab) injectNodeFault(targets []int, trouble backend.Faults) (undo func() error) {
 	var undos []func() error
 	for _, i := range targets {
 		undos = append(undos, l.nodes[i].injectFault(trouble))
@@ -86,7 +86,7 @@
 	pause := milliseconds(f.size())
 	return l.runUntilUndone(ctx, func(ctx context.Context) {
 		for ctx.Err() == nil {
-			resume := l.injectNodeFault(targets, backend.Trouble{Still: true})
+			resume := l.injectNodeFault(targets, backend.Faults{Stalled: true})
 			wait.For(ctx, pause)
 			resume()
 			wait.For(ctx, pauseInterval-pause)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -100,7 +100,7 @@
 		t.Errorf("%+v %+v", v.Findings, v.Counts)
 	}
 	_, _, falls := l.nodes[1].Record()
-	if l.nodes[1].Born().IsZero() || len(falls) > 0 {
+	if l.nodes[1].StartedAt().IsZero() || len(falls) > 0 {
 		t.Error("n1 was not killed, or fell")
 	}
 	if l.gateways[1].starts != 2 {
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -27,17 +27,17 @@
 // node is a backend with the faults that are active at it.
 type node struct {
 	*backend.Backend
-	faults overlappingFaults[backend.Trouble]
+	faults overlappingFaults[backend.Faults]
 	zone   string
 }
 
 // injectFault adds a fault and returns the function that removes it.
-func (n *node) injectFault(fault backend.Trouble) (undo func() error) {
+func (n *node) injectFault(fault backend.Faults) (undo func() error) {
 	remove := n.faults.add(fault)
-	n.SetTrouble(n.faults.worst())
+	n.SetFaults(n.faults.worst())
 	return func() error {
 		remove()
-		n.SetTrouble(n.faults.worst())
+		n.SetFaults(n.faults.worst())
 		return nil
 	}
 }
@@ -187,24 +187,24 @@
 		multiple = 0
 	}
 	return backend.Config{
-		ID:           fmt.Sprint("n", number),
-		Cell:         cell,
-		Cores:        s.Cores,
-		Speed:        1,
-		Queue:        nodeQueuePerCore * s.Cores,
-		Conns:        maxNodeConnections,
-		Work:         s.work(),
-		Keyed:        map[string]bool{"booking": true},
-		Drops:        dedupe,
-		Idle:         keepAlive,
-		Handshake:    time.Millisecond,
-		Report:       nodeReportInterval,
-		Seed:         s.Seed,
-		ColdFrom:     coldFrom,
-		ColdFor:      coldFor,
-		FallMultiple: multiple,
-		FallFor:      fallFor,
-		MostRecords:  maxNodeRecords,
+		ID:             fmt.Sprint("n", number),
+		Cell:           cell,
+		Cores:          s.Cores,
+		Speed:          1,
+		Queue:          nodeQueuePerCore * s.Cores,
+		Conns:          maxNodeConnections,
+		Work:           s.work(),
+		Keyed:          map[string]bool{"booking": true},
+		Dedupe:         dedupe,
+		Idle:           keepAlive,
+		Handshake:      time.Millisecond,
+		ReportInterval: nodeReportInterval,
+		Seed:           s.Seed,
+		ColdSpeed:      coldFrom,
+		WarmUp:         coldFor,
+		FallMultiple:   multiple,
+		FallFor:        fallFor,
+		MaxRecords:     maxNodeRecords,
 	}
 }
 
@@ -248,7 +248,7 @@
 // announceNode sets a node's state in the registry.
 func (l *Lab) announceNode(n *node, lifecycle string) {
 	started := int64(0)
-	if born := n.Born(); !born.IsZero() {
+	if born := n.StartedAt(); !born.IsZero() {
 		started = born.UnixMilli()
 	}
 	l.registry.Set(registry.Instance{ID: n.ID(), Zone: n.zone, Type: "std-2core", Cell: n.Cell(), Lifecycle: lifecycle, Weight: 1, StartedAt: started})
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -25,70 +25,70 @@
 
 // Config states what a backend is.
 type Config struct {
-	ID    string
-	Cell  int
-	Cores int
-	Speed float64 // of a core; 1: a second of work takes a second
-	Queue int     // requests that wait
-	Conns int     // connections that it holds; further ones are reset
-	Work  map[string]Work
-	Keyed map[string]bool // classes whose repeats are dropped by key
-	Drops *Dedupe         // of its cell
-
-	Idle      time.Duration // a connection idle for so long is closed
-	Handshake time.Duration // the first answer on a connection comes so much later
-	Report    time.Duration // load reports are refreshed so often; 0: none
-	Seed      uint64
-
-	ColdFrom     float64       // share of its speed just after a cold start
-	ColdFor      time.Duration // warm after this
+	ID     string
+	Cell   int
+	Cores  int
+	Speed  float64 // of a core; 1: a second of work takes a second
+	Queue  int     // requests that wait
+	Conns  int     // connections that it holds; further ones are reset
+	Work   map[string]Work
+	Keyed  map[string]bool // classes whose repeats are dropped by key
+	Dedupe *Dedupe         // of its cell
+
+	Idle           time.Duration // a connection idle for so long is closed
+	Handshake      time.Duration // the first answer on a connection comes so much later
+	ReportInterval time.Duration // load reports are refreshed so often; 0: none
+	Seed           uint64
+
+	ColdSpeed    float64       // share of its speed just after a cold start
+	WarmUp       time.Duration // warm after this
 	FallMultiple float64       // sent more than this many times what it can do while cold
 	FallFor      time.Duration // for this long, it falls over
-	MostRecords  int           // requests recorded; what comes beyond is counted only
+	MaxRecords   int           // requests recorded; what comes beyond is counted only
 }
 
-// Trouble is what a backend can be told to do wrong. The zero value is none.
-type Trouble struct {
-	Slow     float64 // work takes this many times as long; 0 and 1: as usual
-	Still    bool    // works on nothing
-	Errors   float64 // share answered 500 at once
-	Spoil    float64 // share whose answer can't be read
-	Endless  float64 // share whose answer never ends
-	Copies   float64 // share with a second answer right behind the first
-	Refusing float64 // share turned away unprocessed
+// Faults is what a backend can be told to do wrong. The zero value is none.
+type Faults struct {
+	Slow      float64 // work takes this many times as long; 0 and 1: as usual
+	Stalled   bool    // works on nothing
+	Errors    float64 // share answered 500 at once
+	Malformed float64 // share whose answer can't be read
+	Endless   float64 // share whose answer never ends
+	Duplicate float64 // share with a second answer right behind the first
+	Refuse    float64 // share turned away unprocessed
 }
 
-// End is what became of a request at a backend.
-type End string
+// Outcome is what became of a request at a backend.
+type Outcome string
 
 // The ends.
 const (
-	Served     End = "served"      // its answer was written
-	Repeat     End = "repeat"      // known by its key: answered without running again
-	Failed     End = "error"       // 500
-	TurnedAway End = "turned away" // never ran
-	Spoilt     End = "spoilt"      // ran; the answer can't be read
-	Left       End = "left"        // the gateway ended the connection first
-	Died       End = "died"        // with the backend
-	Unread     End = "unread"      // answered 400: no usable request
+	Served    Outcome = "served"      // its answer was written
+	Repeat    Outcome = "repeat"      // known by its key: answered without running again
+	Failed    Outcome = "error"       // 500
+	Refused   Outcome = "turned away" // never ran
+	Malformed Outcome = "spoilt"      // ran; the answer can't be read
+	Canceled  Outcome = "left"        // the gateway ended the connection first
+	Died      Outcome = "died"        // with the backend
+	Invalid   Outcome = "unread"      // answered 400: no usable request
 )
 
 // Attempt is one request that reached a backend whole.
 type Attempt struct {
-	Backend string
-	Life    int // starts of the backend before this one
-	Cell    int
-	Peer    string // the gateway whose link it came over
-	ID      string
-	Key     string
-	Class   string
-	Left    time.Duration // that the gateway says it will wait
-	First   time.Time     // its first byte
-	Whole   time.Time     // its last byte
-	Over    time.Time
-	End     End
-	Ran     bool   // its work was done, so it took effect
-	Sum     uint64 // of the body that was made for it; 0: none
+	Backend   string
+	Restarts  int // starts of the backend before this one
+	Cell      int
+	Peer      string // the gateway whose link it came over
+	ID        string
+	Key       string
+	Class     string
+	TimeLeft  time.Duration // that the gateway says it will wait
+	FirstByte time.Time     // its first byte
+	Received  time.Time     // its last byte
+	Ended     time.Time
+	Outcome   Outcome
+	Ran       bool   // its work was done, so it took effect
+	Sum       uint64 // of the body that was made for it; 0: none
 }
 
 // Fall is a cold backend that was pushed over.
@@ -109,7 +109,7 @@
 
 	mu       sync.Mutex
 	links    []*link.Link
-	trouble  Trouble
+	trouble  Faults
 	born     time.Time // of the present life; zero: long ago
 	life     int
 	lifeCtx  context.Context
@@ -137,9 +137,9 @@
 // Start runs a backend behind the given links, one for each gateway, until Close.
 func Start(c Config, links ...*link.Link) (*Backend, error) {
 	switch {
-	case c.Cores < 1 || c.Speed <= 0 || c.Queue < 0 || c.Conns < 1 || c.MostRecords < 1:
+	case c.Cores < 1 || c.Speed <= 0 || c.Queue < 0 || c.Conns < 1 || c.MaxRecords < 1:
 		return nil, fmt.Errorf("backend %s: cores, speed, connections and records must be above 0", c.ID)
-	case len(c.Work) == 0 || c.Drops == nil:
+	case len(c.Work) == 0 || c.Dedupe == nil:
 		return nil, fmt.Errorf("backend %s: no work or no cell", c.ID)
 	}
 	b := &Backend{c: c, cpu: newProcessor(c.Cores, c.Queue, c.Speed), links: links,
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// Born returns when the present life began; the zero time is long ago.
-func (b *Backend) Born() time.Time {
+// StartedAt returns when the present life began; the zero time is long ago.
+func (b *Backend) StartedAt() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.born
@@ -243,8 +243,8 @@
 	b.draining = on
 }
 
-// SetTrouble replaces what goes wrong from now on.
-func (b *Backend) SetTrouble(t Trouble) {
+// SetFaults replaces what goes wrong from now on.
+func (b *Backend) SetFaults(t Faults) {
 	b.mu.Lock()
 	b.trouble = t
 	b.mu.Unlock()
@@ -283,7 +283,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rate := b.c.Speed * b.warmth(time.Now())
-	if b.trouble.Still {
+	if b.trouble.Stalled {
 		return 0
 	}
 	if b.trouble.Slow > 1 {
@@ -294,10 +294,10 @@
 
 // warmth is the share of its speed that a backend has reached.
 func (b *Backend) warmth(now time.Time) float64 {
-	if b.born.IsZero() || b.c.ColdFor <= 0 {
+	if b.born.IsZero() || b.c.WarmUp <= 0 {
 		return 1
 	}
-	return min(1, b.c.ColdFrom+(1-b.c.ColdFrom)*now.Sub(b.born).Seconds()/b.c.ColdFor.Seconds())
+	return min(1, b.c.ColdSpeed+(1-b.c.ColdSpeed)*now.Sub(b.born).Seconds()/b.c.WarmUp.Seconds())
 }
 
 // warm follows a cold start until it is over.
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -16,9 +16,9 @@
 const patience = 10 * time.Second
 
 func config(change func(*Config)) Config {
-	c := Config{ID: "n0", Cell: 1, Cores: 1, Speed: 1, Queue: 1, Conns: 100, Idle: time.Minute, MostRecords: 1000,
+	c := Config{ID: "n0", Cell: 1, Cores: 1, Speed: 1, Queue: 1, Conns: 100, Idle: time.Minute, MaxRecords: 1000,
 		Work:  map[string]Work{"lookup": {Mean: 2 * time.Millisecond}, "booking": {Mean: 2 * time.Millisecond}},
-		Keyed: map[string]bool{"booking": true}, Drops: NewDedupe(time.Minute), Report: time.Nanosecond}
+		Keyed: map[string]bool{"booking": true}, Dedupe: NewDedupe(time.Minute), ReportInterval: time.Nanosecond}
 	if change != nil {
 		change(&c)
 	}
@@ -94,8 +94,8 @@
 		t.Fatalf("%s %v", resp.Status, resp.Header)
 	}
 	got := record(b)
-	if len(got) != 1 || got[0].ID != "a1" || got[0].Peer != "g0" || got[0].Left != 700*time.Millisecond || !got[0].Ran ||
-		got[0].End != Served || got[0].Sum != Sum([]byte(body)) || got[0].Whole.Before(got[0].First) {
+	if len(got) != 1 || got[0].ID != "a1" || got[0].Peer != "g0" || got[0].TimeLeft != 700*time.Millisecond || !got[0].Ran ||
+		got[0].Outcome != Served || got[0].Sum != Sum([]byte(body)) || got[0].Received.Before(got[0].FirstByte) {
 		t.Fatalf("record %+v, body %s", got, body)
 	}
 }
@@ -107,31 +107,31 @@
 		send(t, c, "booking", fmt.Sprint("a", i), "k")
 		receive(t, c)
 	}
-	if got := record(b); got[0].End != Served || got[1].End != Repeat || got[1].Ran {
+	if got := record(b); got[0].Outcome != Served || got[1].Outcome != Repeat || got[1].Ran {
 		t.Fatalf("%+v", got)
 	}
 }
 
 func TestRepeatWaitsForTheOneThatRunsAndRunsWhereThatDoesNot(t *testing.T) {
 	b := start(t, config(nil))
-	b.SetTrouble(Trouble{Still: true})
+	b.SetFaults(Faults{Stalled: true})
 	first, second := dial(t, b), dial(t, b)
 	send(t, first, "booking", "a1", "k")
 	until(t, "the first", func() bool { return len(record(b)) == 1 })
 	send(t, second, "booking", "a2", "k")
 	until(t, "the second", func() bool { return len(record(b)) == 2 })
 	first.Close()
-	until(t, "the first's end", func() bool { return record(b)[0].End == Left })
-	b.SetTrouble(Trouble{})
+	until(t, "the first's end", func() bool { return record(b)[0].Outcome == Canceled })
+	b.SetFaults(Faults{})
 	receive(t, second)
-	if got := record(b); got[0].Ran || got[1].End != Served || !got[1].Ran {
+	if got := record(b); got[0].Ran || got[1].Outcome != Served || !got[1].Ran {
 		t.Fatalf("%+v", got)
 	}
 }
 
 func TestQueueIsBounded(t *testing.T) {
 	b := start(t, config(nil))
-	b.SetTrouble(Trouble{Still: true})
+	b.SetFaults(Faults{Stalled: true})
 	for i := range 2 {
 		send(t, dial(t, b), "lookup", fmt.Sprint("a", i), "")
 	}
@@ -146,13 +146,13 @@
 
 func TestWorkStopsWhenItsConnectionEnds(t *testing.T) {
 	b := start(t, config(nil))
-	b.SetTrouble(Trouble{Still: true})
+	b.SetFaults(Faults{Stalled: true})
 	c := dial(t, b)
 	send(t, c, "lookup", "a1", "")
 	until(t, "a job", func() bool { held, _ := b.cpu.load(); return held == 1 })
 	c.Close()
 	until(t, "an empty backend", func() bool { held, _ := b.cpu.load(); return held == 0 })
-	until(t, "its end", func() bool { return record(b)[0].End == Left })
+	until(t, "its end", func() bool { return record(b)[0].Outcome == Canceled })
 	if record(b)[0].Ran {
 		t.Fatal("it ran")
 	}
@@ -178,7 +178,7 @@
 
 func TestColdBackendFallsWhenPushed(t *testing.T) {
 	c := config(func(c *Config) {
-		c.ColdFrom, c.ColdFor, c.FallMultiple, c.FallFor, c.Queue = 0.2, time.Hour, 2, 300*time.Millisecond, 1000
+		c.ColdSpeed, c.WarmUp, c.FallMultiple, c.FallFor, c.Queue = 0.2, time.Hour, 2, 300*time.Millisecond, 1000
 		c.Work["lookup"] = Work{Mean: 10 * time.Millisecond}
 	})
 	for _, pushed := range []bool{false, true} {
@@ -213,7 +213,7 @@
 
 func TestKilledBackendRefusesAndComesBackInAnotherLife(t *testing.T) {
 	b := start(t, config(nil))
-	b.SetTrouble(Trouble{Still: true})
+	b.SetFaults(Faults{Stalled: true})
 	c := dial(t, b)
 	send(t, c, "lookup", "a1", "")
 	until(t, "a job", func() bool { held, _ := b.cpu.load(); return held == 1 })
@@ -221,7 +221,7 @@
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Fatal("it answered")
 	}
-	b.SetTrouble(Trouble{})
+	b.SetFaults(Faults{})
 	if err := b.Restart(); err != nil {
 		t.Fatal(err)
 	}
@@ -229,34 +229,34 @@
 	send(t, c, "lookup", "a2", "")
 	receive(t, c)
 	got := record(b)
-	if got[0].End != Died || got[1].Life != 1 || b.Born().IsZero() {
+	if got[0].Outcome != Died || got[1].Restarts != 1 || b.StartedAt().IsZero() {
 		t.Fatalf("%+v", got)
 	}
 }
 
 func TestTroubles(t *testing.T) {
 	for name, k := range map[string]struct {
-		trouble Trouble
-		end     End
+		trouble Faults
+		end     Outcome
 		ran     bool
 		unread  bool
 		status  int
 	}{
-		"errors":   {Trouble{Errors: 1}, Failed, false, false, 500},
-		"refusing": {Trouble{Refusing: 1}, TurnedAway, false, false, 503},
-		"spoilt":   {Trouble{Spoil: 1}, Spoilt, true, true, 0},
-		"endless":  {Trouble{Endless: 1}, Spoilt, true, true, 0},
-		"copies":   {Trouble{Copies: 1}, Served, true, false, 200},
-		"slow":     {Trouble{Slow: 3}, Served, true, false, 200},
+		"errors":   {Faults{Errors: 1}, Failed, false, false, 500},
+		"refusing": {Faults{Refuse: 1}, Refused, false, false, 503},
+		"spoilt":   {Faults{Malformed: 1}, Malformed, true, true, 0},
+		"endless":  {Faults{Endless: 1}, Malformed, true, true, 0},
+		"copies":   {Faults{Duplicate: 1}, Served, true, false, 200},
+		"slow":     {Faults{Slow: 3}, Served, true, false, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := start(t, config(nil))
-			b.SetTrouble(k.trouble)
+			b.SetFaults(k.trouble)
 			c := dial(t, b)
 			send(t, c, "lookup", "a1", "")
 			r := bufio.NewReader(c)
-			until(t, "an end", func() bool { got := record(b); return len(got) == 1 && got[0].End != "" })
-			if got := record(b)[0]; got.End != k.end || got.Ran != k.ran {
+			until(t, "an end", func() bool { got := record(b); return len(got) == 1 && got[0].Outcome != "" })
+			if got := record(b)[0]; got.Outcome != k.end || got.Ran != k.ran {
 				t.Fatalf("%+v", got)
 			}
 			if k.unread {
@@ -274,7 +274,7 @@
 				t.Fatalf("%v %v", resp, err)
 			}
 			io.Copy(io.Discard, resp.Body)
-			if k.trouble.Copies > 0 {
+			if k.trouble.Duplicate > 0 {
 				if resp, err = http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
 					t.Fatalf("no copy: %v", err)
 				}
@@ -284,7 +284,7 @@
 }
 
 func TestRecordIsBounded(t *testing.T) {
-	b := start(t, config(func(c *Config) { c.MostRecords = 2 }))
+	b := start(t, config(func(c *Config) { c.MaxRecords = 2 }))
 	c := dial(t, b)
 	for i := range 3 {
 		send(t, c, "lookup", fmt.Sprint(i), "")
--- a/internal/standin/backend/serve.go
+++ b/internal/standin/backend/serve.go
@@ -79,7 +79,7 @@
 			return
 		}
 		c.SetReadDeadline(time.Time{})
-		if !b.handle(life, c, r, &Attempt{Backend: b.c.ID, Cell: b.c.Cell, Peer: c.Peer(), First: began, Whole: whole},
+		if !b.handle(life, c, r, &Attempt{Backend: b.c.ID, Cell: b.c.Cell, Peer: c.Peer(), FirstByte: began, Received: whole},
 			req, len(body), n == 0) {
 			return
 		}
@@ -106,7 +106,7 @@
 // fate is what is to become of a request, drawn when it comes. The zero value
 // is work as usual.
 type fate struct {
-	end     End // not "": at once, without any work
+	end     Outcome // not "": at once, without any work
 	spoil   bool
 	endless bool
 	copies  bool
@@ -119,7 +119,7 @@
 	a.Class, _, _ = strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	left, err := strconv.Atoi(req.Header.Get("X-Time-Left-Ms"))
 	if err == nil {
-		a.Left = time.Duration(left) * time.Millisecond
+		a.TimeLeft = time.Duration(left) * time.Millisecond
 	}
 	if a.ID == "" {
 		io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
@@ -137,10 +137,10 @@
 	if f.end == "" {
 		unwatch := watch(ctx, cancel, c, r)
 		f.end, f.ran = b.perform(ctx, a, f, work, fresh)
-		if f.end == Left && life.Err() != nil {
+		if f.end == Canceled && life.Err() != nil {
 			f.end = Died
 		}
-		if f.end == Left || f.end == Died {
+		if f.end == Canceled || f.end == Died {
 			b.finish(a, f, 0)
 			c.Close()
 			unwatch()
@@ -174,31 +174,31 @@
 }
 
 // perform does the work of one request and says how it ended.
-func (b *Backend) perform(ctx context.Context, a *Attempt, f fate, work float64, fresh bool) (end End, ran bool) {
+func (b *Backend) perform(ctx context.Context, a *Attempt, f fate, work float64, fresh bool) (end Outcome, ran bool) {
 	if fresh && b.c.Handshake > 0 {
 		wait.For(ctx, b.c.Handshake)
 	}
 	if b.c.Keyed[a.Class] && a.Key != "" {
-		e, mine := b.c.Drops.claim(ctx, a.Key)
+		e, mine := b.c.Dedupe.claim(ctx, a.Key)
 		switch {
 		case ctx.Err() != nil:
 			if mine {
-				b.c.Drops.settle(a.Key, e, false)
+				b.c.Dedupe.settle(a.Key, e, false)
 			}
-			return Left, false
+			return Canceled, false
 		case !mine:
 			return Repeat, false
 		}
-		defer func() { b.c.Drops.settle(a.Key, e, ran) }()
+		defer func() { b.c.Dedupe.settle(a.Key, e, ran) }()
 	}
 	if !b.run(ctx, work) {
 		if ctx.Err() != nil {
-			return Left, false
+			return Canceled, false
 		}
-		return TurnedAway, false
+		return Refused, false
 	}
 	if f.spoil || f.endless {
-		return Spoilt, true
+		return Malformed, true
 	}
 	return Served, true
 }
@@ -207,8 +207,8 @@
 func (b *Backend) admit(a *Attempt, work float64) (f fate, fell bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.Life = b.life
-	if len(b.records) < b.c.MostRecords {
+	a.Restarts = b.life
+	if len(b.records) < b.c.MaxRecords {
 		b.records = append(b.records, a)
 	} else {
 		b.beyond++
@@ -216,20 +216,20 @@
 	t := &b.trouble
 	switch {
 	case work == 0:
-		f.end = Unread
-	case b.draining || b.chance(t.Refusing):
-		f.end = TurnedAway
+		f.end = Invalid
+	case b.draining || b.chance(t.Refuse):
+		f.end = Refused
 	case b.chance(t.Errors):
 		f.end = Failed
-	case b.chance(t.Spoil):
+	case b.chance(t.Malformed):
 		f.spoil = true
 	case b.chance(t.Endless):
 		f.endless = true
 	default:
-		f.copies = b.chance(t.Copies)
+		f.copies = b.chance(t.Duplicate)
 	}
 	if f.end == "" {
-		fell = b.pushLocked(a.Whole, work, a.Peer)
+		fell = b.pushLocked(a.Received, work, a.Peer)
 	}
 	return f, fell
 }
@@ -237,7 +237,7 @@
 func (b *Backend) finish(a *Attempt, f fate, sum uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.End, a.Ran, a.Sum, a.Over = f.end, f.ran, sum, time.Now()
+	a.Outcome, a.Ran, a.Sum, a.Ended = f.end, f.ran, sum, time.Now()
 }
 
 // run does the work. It tells whether it was done.
@@ -258,7 +258,7 @@
 // answer writes what the request gets. It tells whether the connection may go on.
 func (b *Backend) answer(ctx context.Context, c *link.Conn, a *Attempt, f fate, length int) bool {
 	switch f.end {
-	case TurnedAway:
+	case Refused:
 		b.finish(a, f, 0)
 		_, err := fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\n%sContent-Length: 0\r\n\r\n", b.report())
 		return err == nil
@@ -266,16 +266,16 @@
 		b.finish(a, f, 0)
 		_, err := fmt.Fprintf(c, "HTTP/1.1 500 Internal Server Error\r\n%sContent-Length: 0\r\n\r\n", b.report())
 		return err == nil
-	case Unread:
+	case Invalid:
 		b.finish(a, f, 0)
 		_, err := io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
-	case Spoilt:
+	case Malformed:
 		b.finish(a, f, 0)
 		b.spoil(ctx, c, f.endless)
 		return false
 	}
-	body := fmt.Appendf(nil, `{"id":%q,"node":%q,"life":%d,"bytes":%d}`, a.ID, a.Backend, a.Life, length)
+	body := fmt.Appendf(nil, `{"id":%q,"node":%q,"life":%d,"bytes":%d}`, a.ID, a.Backend, a.Restarts, length)
 	b.finish(a, f, Sum(body)) // before the client can have it
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n", b.report(), len(body))
 	text := head + string(body)
@@ -316,14 +316,14 @@
 
 // report is the load report, as old as reports are.
 func (b *Backend) report() string {
-	if b.c.Report <= 0 {
+	if b.c.ReportInterval <= 0 {
 		return ""
 	}
 	now := time.Now()
 	held, queued := b.cpu.load()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Sub(b.reported) >= b.c.Report {
+	if now.Sub(b.reported) >= b.c.ReportInterval {
 		b.reported, b.held, b.queued = now, held, queued
 	}
 	return fmt.Sprintf("X-Backend-Load: {\"inflight\":%d,\"queue\":%d}\r\n", b.held, b.queued)
