--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -1,8 +1,7 @@
-// Package backend is a stand-in for a backend: it speaks the gateway's side of
-// HTTP/1.1, works at a stated speed on a stated number of cores, starts cold,
-// drains, drops keyed repeats, reports its load, and can be told to fail in the
-// ways in which backends do. It keeps a record of every request that reached
-// it, for the auditor.
+// Package backend is a stand-in for a backend. It serves the HTTP/1.1 that gateways send, simulates work at a
+// configured speed on a configured number of cores, starts cold, drains, deduplicates requests by idempotency key and
+// reports its load. Faults of real backends can be injected. It records every request that it received, for the
+// auditor.
 package backend
 
 import (
@@ -17,87 +16,87 @@
 	"elderyard/internal/standin/link"
 )
 
-// Work is how long requests of a class take on one core at full speed.
+// Work is the service time of the requests of a class on one core at full speed.
 type Work struct {
 	Mean time.Duration
-	CV   float64 // deviation over mean; 1 is near an exponential, 0 is always the mean
+	CV   float64 // coefficient of variation; 1 is close to an exponential distribution, 0 always gives the mean
 }
 
-// Config states what a backend is.
+// Config is the configuration of a backend.
 type Config struct {
 	ID     string
 	Cell   int
 	Cores  int
-	Speed  float64 // of a core; 1: a second of work takes a second
-	Queue  int     // requests that wait
-	Conns  int     // connections that it holds; further ones are reset
+	Speed  float64 // of a core; at 1, a second of work takes a second
+	Queue  int     // waiting requests, at most
+	Conns  int     // open connections, at most; further ones are reset
 	Work   map[string]Work
-	Keyed  map[string]bool // classes whose repeats are dropped by key
-	Dedupe *Dedupe         // of its cell
+	Keyed  map[string]bool // classes that are deduplicated by key
+	Dedupe *Dedupe         // shared by the cell
 
-	Idle           time.Duration // a connection idle for so long is closed
-	Handshake      time.Duration // the first answer on a connection comes so much later
-	ReportInterval time.Duration // load reports are refreshed so often; 0: none
+	Idle           time.Duration // idle timeout of a connection
+	Handshake      time.Duration // added to the first answer on a connection
+	ReportInterval time.Duration // how often load reports are refreshed; 0: none are sent
 	Seed           uint64
 
-	ColdSpeed    float64       // share of its speed just after a cold start
-	WarmUp       time.Duration // warm after this
-	FallMultiple float64       // sent more than this many times what it can do while cold
-	FallFor      time.Duration // for this long, it falls over
-	MaxRecords   int           // requests recorded; what comes beyond is counted only
+	ColdSpeed    float64       // fraction of its speed right after a cold start
+	WarmUp       time.Duration // time until it reaches full speed
+	FallMultiple float64       // if a cold backend is sent more than this multiple of its capacity
+	FallFor      time.Duration // for this long, it breaks down
+	MaxRecords   int           // requests recorded; further ones are only counted
 }
 
-// Faults is what a backend can be told to do wrong. The zero value is none.
+// Faults are the faults that a backend injects. The zero value injects none.
 type Faults struct {
-	Slow      float64 // work takes this many times as long; 0 and 1: as usual
-	Stalled   bool    // works on nothing
-	Errors    float64 // share answered 500 at once
-	Malformed float64 // share whose answer can't be read
-	Endless   float64 // share whose answer never ends
-	Duplicate float64 // share with a second answer right behind the first
-	Refuse    float64 // share turned away unprocessed
+	Slow      float64 // factor on service times; 0 and 1: none
+	Stalled   bool    // no work progresses
+	Errors    float64 // fraction answered 500 at once
+	Malformed float64 // fraction with an unparsable answer
+	Endless   float64 // fraction whose answer is never completed
+	Duplicate float64 // fraction answered twice in a row
+	Refuse    float64 // fraction refused unprocessed
 }
 
-// Outcome is what became of a request at a backend.
+// Outcome is the result of a request at a backend.
 type Outcome string
 
-// The ends.
+// The outcomes of a request.
 const (
-	Served    Outcome = "served"      // its answer was written
-	Repeat    Outcome = "repeat"      // known by its key: answered without running again
+	Served    Outcome = "served"      // the answer was written
+	Repeat    Outcome = "repeat"      // duplicate by its key: answered without running again
 	Failed    Outcome = "error"       // 500
-	Refused   Outcome = "turned away" // never ran
-	Malformed Outcome = "spoilt"      // ran; the answer can't be read
-	Canceled  Outcome = "left"        // the gateway ended the connection first
-	Died      Outcome = "died"        // with the backend
-	Invalid   Outcome = "unread"      // answered 400: no usable request
+	Refused   Outcome = "turned away" // did not run
+	Malformed Outcome = "spoilt"      // ran; the answer is unparsable or never completed
+	Canceled  Outcome = "left"        // the gateway closed the connection first
+	Died      Outcome = "died"        // the backend was killed
+	Invalid   Outcome = "unread"      // answered 400: unknown class
 )
 
-// Attempt is one request that reached a backend whole.
+// Attempt is the record of one request that a backend received completely.
 type Attempt struct {
 	Backend   string
-	Restarts  int // starts of the backend before this one
+	Restarts  int // restarts of the backend before the request
 	Cell      int
-	Peer      string // the gateway whose link it came over
+	Peer      string // the gateway
 	ID        string
 	Key       string
 	Class     string
-	TimeLeft  time.Duration // that the gateway says it will wait
-	FirstByte time.Time     // its first byte
-	Received  time.Time     // its last byte
+	TimeLeft  time.Duration // until the gateway's deadline, as it stated
+	FirstByte time.Time     // when its first byte arrived
+	Received  time.Time     // when its last byte arrived
 	Ended     time.Time
 	Outcome   Outcome
-	Ran       bool   // its work was done, so it took effect
-	Sum       uint64 // of the body that was made for it; 0: none
+	Ran       bool   // its work was completed, so it took effect
+	Sum       uint64 // checksum of the body of its answer; 0: none
 }
 
-// Fall is a cold backend that was pushed over.
+// Fall records that a cold backend broke down under overload.
 type Fall struct {
 	Backend string
 	At      time.Time
-	Sent    float64 // seconds of work that were sent in the window
-	Could   float64 // seconds of work that it could have done in it
-	From    map[string]int
+	Sent    float64        // seconds of work received in the window
+	Could   float64        // seconds of work that it had capacity for in the window
+	From    map[string]int // requests in the window, by gateway
 }
 
 // Backend is a running stand-in.
@@ -107,44 +106,45 @@
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 
-	mu       sync.Mutex
-	links    []*link.Link
-	trouble  Faults
-	born     time.Time // of the present life; zero: long ago
-	life     int
-	lifeCtx  context.Context
-	endLife  context.CancelFunc
-	down     bool
-	fallen   bool
-	draining bool
-	conns    int
-	pushed   []push // while cold
-	reported time.Time
-	held     int // in the last report
-	queued   int
-	records  []*Attempt
-	beyond   int
-	falls    []Fall
-	rng      *rand.Rand
-}
-
-type push struct {
+	mu         sync.Mutex
+	links      []*link.Link
+	faults     Faults
+	startedAt  time.Time // last restart; zero: warm from the start
+	restarts   int
+	processCtx context.Context
+	endProcess context.CancelFunc
+	down       bool
+	fallen     bool
+	draining   bool
+	conns      int
+	received   []coldWork // work received in the window, while cold
+	reported   time.Time
+	inFlight   int // in the last load report, as is queued
+	queued     int
+	records    []*Attempt
+	unrecorded int
+	falls      []Fall
+	rng        *rand.Rand
+}
+
+// coldWork is work that a cold backend received.
+type coldWork struct {
 	at   time.Time
 	work float64
 	peer string
 }
 
-// Start runs a backend behind the given links, one for each gateway, until Close.
+// Start runs a backend on the given links, one for each gateway, until Close.
 func Start(c Config, links ...*link.Link) (*Backend, error) {
 	switch {
 	case c.Cores < 1 || c.Speed <= 0 || c.Queue < 0 || c.Conns < 1 || c.MaxRecords < 1:
-		return nil, fmt.Errorf("backend %s: cores, speed, connections and records must be above 0", c.ID)
+		return nil, fmt.Errorf("backend %s: Cores, Speed, Conns and MaxRecords must be positive, Queue not negative", c.ID)
 	case len(c.Work) == 0 || c.Dedupe == nil:
-		return nil, fmt.Errorf("backend %s: no work or no cell", c.ID)
+		return nil, fmt.Errorf("backend %s: Work or Dedupe is missing", c.ID)
 	}
 	b := &Backend{c: c, cpu: newProcessor(c.Cores, c.Queue, c.Speed), links: links,
 		rng: rand.New(rand.NewPCG(c.Seed, hash(c.ID)))}
-	b.lifeCtx, b.endLife = context.WithCancel(context.Background())
+	b.processCtx, b.endProcess = context.WithCancel(context.Background())
 	ctx, stop := context.WithCancel(context.Background())
 	b.stop = stop
 	for _, l := range links {
@@ -154,7 +154,7 @@
 	return b, nil
 }
 
-// Close ends the backend and waits for all that it started.
+// Close stops the backend and waits for its goroutines.
 func (b *Backend) Close() {
 	b.stop()
 	b.Kill()
@@ -164,22 +164,22 @@
 	b.wg.Wait()
 }
 
-// ID returns its name.
+// ID returns the backend's name.
 func (b *Backend) ID() string { return b.c.ID }
 
-// Cell returns the number of the cell that drops its repeats.
+// Cell returns the number of the cell within which the backend's requests are deduplicated.
 func (b *Backend) Cell() int { return b.c.Cell }
 
-// Address returns where a gateway finds it.
+// Address returns the address at which a gateway reaches the backend.
 func (b *Backend) Address(peer string) string {
 	return link.AddressFor(b.links, peer)
 }
 
-// Kill ends the process: connections are reset, new ones refused, work lost.
+// Kill simulates the death of the process: connections are reset, new ones refused, and work in progress is lost.
 func (b *Backend) Kill() {
 	b.mu.Lock()
 	b.down = true
-	b.endLife()
+	b.endProcess()
 	b.mu.Unlock()
 	for _, l := range b.links {
 		l.Down()
@@ -187,12 +187,12 @@
 	b.cpu.clear()
 }
 
-// Restart starts a killed backend anew, cold.
+// Restart restarts a killed backend, which is cold then.
 func (b *Backend) Restart() error {
 	b.mu.Lock()
-	b.life++
-	b.lifeCtx, b.endLife = context.WithCancel(context.Background())
-	b.born, b.down, b.fallen, b.draining, b.pushed = time.Now(), false, false, false, nil
+	b.restarts++
+	b.processCtx, b.endProcess = context.WithCancel(context.Background())
+	b.startedAt, b.down, b.fallen, b.draining, b.received = time.Now(), false, false, false, nil
 	b.mu.Unlock()
 	b.cpu.setRate(b.rate())
 	for _, l := range b.links {
@@ -203,25 +203,25 @@
 	return nil
 }
 
-// StartedAt returns when the present life began; the zero time is long ago.
+// StartedAt returns the time of the last restart, zero if there was none.
 func (b *Backend) StartedAt() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.born
+	return b.startedAt
 }
 
-// Cut makes the backend silent towards the named gateways, or all of them.
-func (b *Backend) Cut(peers ...string) { b.each(peers, (*link.Link).Cut) }
+// Cut partitions the backend from the named gateways, or from all if none is named.
+func (b *Backend) Cut(peers ...string) { b.forEachLink(peers, (*link.Link).Cut) }
 
-// Heal ends a Cut.
+// Heal ends a Cut, and resets the open connections if reset is set.
 func (b *Backend) Heal(reset bool, peers ...string) {
-	b.each(peers, func(l *link.Link) { l.Heal(reset) })
+	b.forEachLink(peers, func(l *link.Link) { l.Heal(reset) })
 }
 
-// Reset resets open connections.
-func (b *Backend) Reset(peers ...string) { b.each(peers, (*link.Link).Reset) }
+// Reset resets the open connections of the named gateways, or of all if none is named.
+func (b *Backend) Reset(peers ...string) { b.forEachLink(peers, (*link.Link).Reset) }
 
-func (b *Backend) each(peers []string, do func(*link.Link)) {
+func (b *Backend) forEachLink(peers []string, do func(*link.Link)) {
 	var wg sync.WaitGroup
 	for _, l := range b.links {
 		for _, p := range peers {
@@ -236,73 +236,71 @@
 	wg.Wait()
 }
 
-// Drain makes the backend turn new work away; what it has is finished.
+// Drain sets whether the backend refuses new work. It finishes the work that it has.
 func (b *Backend) Drain(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = on
 }
 
-// SetFaults replaces what goes wrong from now on.
+// SetFaults replaces the injected faults.
 func (b *Backend) SetFaults(t Faults) {
 	b.mu.Lock()
-	b.trouble = t
+	b.faults = t
 	b.mu.Unlock()
 	b.cpu.setRate(b.rate())
 }
 
-// Record returns what reached the backend so far, how many requests more were
-// not recorded for want of room, and its falls.
-func (b *Backend) Record() (attempts []Attempt, beyond int, falls []Fall) {
+// Record returns the recorded requests, how many more were received above MaxRecords, and the breakdowns.
+func (b *Backend) Record() (attempts []Attempt, unrecorded int, falls []Fall) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, a := range b.records {
 		attempts = append(attempts, *a)
 	}
-	return attempts, b.beyond, append(falls, b.falls...)
+	return attempts, b.unrecorded, append(falls, b.falls...)
 }
 
-// Fallen tells whether the backend was pushed over.
+// Fallen reports whether the backend broke down under overload and was not restarted since.
 func (b *Backend) Fallen() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.fallen
 }
 
-// Load returns how many requests are held, how many of them wait, and whether
-// the backend is down.
-func (b *Backend) Load() (held, waiting int, down bool) {
-	held, waiting = b.cpu.load()
+// Load returns how many requests are in flight, how many of them are queued, and whether the backend is down.
+func (b *Backend) Load() (inFlight, waiting int, down bool) {
+	inFlight, waiting = b.cpu.load()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return held, waiting, b.down
+	return inFlight, waiting, b.down
 }
 
-// rate is the speed of a core at this moment.
+// rate returns the current speed of a core.
 func (b *Backend) rate() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rate := b.c.Speed * b.warmth(time.Now())
-	if b.trouble.Stalled {
+	if b.faults.Stalled {
 		return 0
 	}
-	if b.trouble.Slow > 1 {
-		rate /= b.trouble.Slow
+	if b.faults.Slow > 1 {
+		rate /= b.faults.Slow
 	}
 	return rate
 }
 
-// warmth is the share of its speed that a backend has reached.
+// warmth returns the fraction of its speed that a backend has reached.
 func (b *Backend) warmth(now time.Time) float64 {
-	if b.born.IsZero() || b.c.WarmUp <= 0 {
+	if b.startedAt.IsZero() || b.c.WarmUp <= 0 {
 		return 1
 	}
-	return min(1, b.c.ColdSpeed+(1-b.c.ColdSpeed)*now.Sub(b.born).Seconds()/b.c.WarmUp.Seconds())
+	return min(1, b.c.ColdSpeed+(1-b.c.ColdSpeed)*now.Sub(b.startedAt).Seconds()/b.c.WarmUp.Seconds())
 }
 
-// warm follows a cold start until it is over.
+// warm updates the speed of the processor while the backend warms up.
 func (b *Backend) warm(ctx context.Context) {
-	tick := time.NewTicker(replan)
+	tick := time.NewTicker(rateInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -314,36 +312,36 @@
 	}
 }
 
-// pushLocked notes work that was sent to a cold backend, and tells whether it fell.
-func (b *Backend) pushLocked(now time.Time, work float64, peer string) bool {
+// recordColdWorkLocked records work received by a cold backend, and returns true if the backend breaks down under it.
+func (b *Backend) recordColdWorkLocked(now time.Time, work float64, peer string) bool {
 	if b.c.FallMultiple <= 0 || b.fallen || b.warmth(now) >= 1 {
-		b.pushed = nil
+		b.received = nil
 		return false
 	}
 	from := now.Add(-b.c.FallFor)
-	for len(b.pushed) > 0 && b.pushed[0].at.Before(from) {
-		b.pushed = b.pushed[1:]
+	for len(b.received) > 0 && b.received[0].at.Before(from) {
+		b.received = b.received[1:]
 	}
-	b.pushed = append(b.pushed, push{now, work, peer})
-	if b.born.After(from) {
-		return false // it has not yet been sent too much for the whole time
+	b.received = append(b.received, coldWork{now, work, peer})
+	if b.startedAt.After(from) {
+		return false // the backend has been up for less than FallFor
 	}
 	sent, peers := 0.0, map[string]int{}
-	for _, p := range b.pushed {
+	for _, p := range b.received {
 		sent += p.work
 		peers[p.peer]++
 	}
 	warmth := (b.warmth(now) + b.warmth(from)) / 2
-	could := b.c.Speed * warmth * float64(b.c.Cores) * b.c.FallFor.Seconds()
-	if sent <= b.c.FallMultiple*could {
+	capacity := b.c.Speed * warmth * float64(b.c.Cores) * b.c.FallFor.Seconds()
+	if sent <= b.c.FallMultiple*capacity {
 		return false
 	}
 	b.fallen = true
-	b.falls = append(b.falls, Fall{Backend: b.c.ID, At: now, Sent: sent, Could: could, From: peers})
+	b.falls = append(b.falls, Fall{Backend: b.c.ID, At: now, Sent: sent, Could: capacity, From: peers})
 	return true
 }
 
-// work draws how long a request takes. Attempts of one request take equally long.
+// work draws the service time of a request, in seconds. All attempts of one request get the same time.
 func (b *Backend) work(class, id string) float64 {
 	w, known := b.c.Work[class]
 	if !known {
@@ -353,13 +351,13 @@
 		return w.Mean.Seconds()
 	}
 	r := rand.New(rand.NewPCG(b.c.Seed, hash(id)))
-	// Log-normal with the wanted mean and deviation.
+	// A log-normal distribution with the configured mean and deviation.
 	s2 := math.Log(1 + w.CV*w.CV)
 	return w.Mean.Seconds() * math.Exp(r.NormFloat64()*math.Sqrt(s2)-s2/2)
 }
 
-func (b *Backend) chance(share float64) bool {
-	return share > 0 && b.rng.Float64() < share
+func (b *Backend) happens(fraction float64) bool {
+	return fraction > 0 && b.rng.Float64() < fraction
 }
 
 func hash(s string) uint64 {
@@ -368,45 +366,45 @@
 	return h.Sum64()
 }
 
-// Sum is the checksum by which an answer's body is told from others.
+// Sum returns the checksum that identifies the body of an answer.
 func Sum(body []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(body)
 	return h.Sum64() | 1 // 0 means none
 }
 
-// Dedupe is a cell's memory of keyed requests. It is safe for concurrent use.
+// Dedupe stores the idempotency keys of a cell's recent requests. It is safe for concurrent use.
 type Dedupe struct {
 	window time.Duration
 
 	mu   sync.Mutex
 	seen map[string]*keyed
-	next time.Time // of the next clearing
+	next time.Time // when expired keys are deleted next
 }
 
-// keyed is a request that has run, or runs.
+// keyed is a request that has run or is running.
 type keyed struct {
 	at   time.Time
-	over chan struct{} // closed when it is known whether it ran
-	ran  bool          // valid then
+	done chan struct{} // closed once ran is valid
+	ran  bool          // whether it ran
 }
 
-// NewDedupe returns the memory of one cell. It holds the keys of the last
-// window, and so no more than arrive in it.
+// NewDedupe returns an empty Dedupe. It keeps the keys of the last window, so its size is bounded by the requests of
+// that time.
 func NewDedupe(window time.Duration) *Dedupe {
 	return &Dedupe{window: window, seen: map[string]*keyed{}}
 }
 
-// claim lets one request of a key run. It tells whether that is this one; where
-// it is not, another has run within the window. It waits for one that runs.
-func (d *Dedupe) claim(ctx context.Context, key string) (e *keyed, mine bool) {
+// claim reserves a key. It returns true if this request is to run, and false if another request with the key has run
+// within the window. If another one is running, claim waits for its result.
+func (d *Dedupe) claim(ctx context.Context, key string) (e *keyed, claimed bool) {
 	for ctx.Err() == nil {
 		now := time.Now()
 		d.mu.Lock()
 		d.clearLocked(now)
 		e := d.seen[key]
 		if e == nil || now.Sub(e.at) > d.window {
-			e = &keyed{at: now, over: make(chan struct{})}
+			e = &keyed{at: now, done: make(chan struct{})}
 			d.seen[key] = e
 			d.mu.Unlock()
 			return e, true
@@ -414,7 +412,7 @@
 		d.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-e.over:
+		case <-e.done:
 			if e.ran {
 				return e, false
 			}
@@ -423,6 +421,7 @@
 	return nil, false
 }
 
+// clearLocked deletes the expired keys, once per window.
 func (d *Dedupe) clearLocked(now time.Time) {
 	if now.Before(d.next) {
 		return
@@ -435,13 +434,12 @@
 	}
 }
 
-// settle tells whether the request that claimed the key ran. One that did not
-// leaves the key to the next.
+// settle ends a claim. If the request did not run, the key is released for the next one.
 func (d *Dedupe) settle(key string, e *keyed, ran bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e.ran = ran
-	close(e.over)
+	close(e.done)
 	if !ran && d.seen[key] == e {
 		delete(d.seen, key)
 	}
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -13,7 +13,7 @@
 	"elderyard/internal/standin/link"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func config(change func(*Config)) Config {
 	c := Config{ID: "n0", Cell: 1, Cores: 1, Speed: 1, Queue: 1, Conns: 100, Idle: time.Minute, MaxRecords: 1000,
@@ -41,12 +41,12 @@
 
 func dial(t *testing.T, b *Backend) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", b.Address("g0"), patience)
+	c, err := net.DialTimeout("tcp", b.Address("g0"), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
@@ -70,12 +70,12 @@
 	return resp, string(body)
 }
 
-// until waits for an event that the record shows.
-func until(t *testing.T, what string, seen func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !seen(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never seen: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestDropsRepeatsByKeyInItsCell(t *testing.T) {
+func TestDeduplicatesByKey(t *testing.T) {
 	b := start(t, config(nil))
 	for i := range 2 {
 		c := dial(t, b)
@@ -112,16 +112,16 @@
 	}
 }
 
-func TestRepeatWaitsForTheOneThatRunsAndRunsWhereThatDoesNot(t *testing.T) {
+func TestDuplicateWaitsForRunningRequestAndRunsIfThatIsCanceled(t *testing.T) {
 	b := start(t, config(nil))
 	b.SetFaults(Faults{Stalled: true})
 	first, second := dial(t, b), dial(t, b)
 	send(t, first, "booking", "a1", "k")
-	until(t, "the first", func() bool { return len(record(b)) == 1 })
+	waitUntil(t, "the first", func() bool { return len(record(b)) == 1 })
 	send(t, second, "booking", "a2", "k")
-	until(t, "the second", func() bool { return len(record(b)) == 2 })
+	waitUntil(t, "the second", func() bool { return len(record(b)) == 2 })
 	first.Close()
-	until(t, "the first's end", func() bool { return record(b)[0].Outcome == Canceled })
+	waitUntil(t, "the cancellation of the first", func() bool { return record(b)[0].Outcome == Canceled })
 	b.SetFaults(Faults{})
 	receive(t, second)
 	if got := record(b); got[0].Ran || got[1].Outcome != Served || !got[1].Ran {
@@ -129,13 +129,13 @@
 	}
 }
 
-func TestQueueIsBounded(t *testing.T) {
+func TestQueueIsLimited(t *testing.T) {
 	b := start(t, config(nil))
 	b.SetFaults(Faults{Stalled: true})
 	for i := range 2 {
 		send(t, dial(t, b), "lookup", fmt.Sprint("a", i), "")
 	}
-	until(t, "two jobs", func() bool { held, _ := b.cpu.load(); return held == 2 })
+	waitUntil(t, "two jobs", func() bool { inFlight, _ := b.cpu.load(); return inFlight == 2 })
 	c := dial(t, b)
 	send(t, c, "lookup", "a2", "")
 	resp, _ := receive(t, c)
@@ -149,16 +149,16 @@
 	b.SetFaults(Faults{Stalled: true})
 	c := dial(t, b)
 	send(t, c, "lookup", "a1", "")
-	until(t, "a job", func() bool { held, _ := b.cpu.load(); return held == 1 })
+	waitUntil(t, "a job", func() bool { inFlight, _ := b.cpu.load(); return inFlight == 1 })
 	c.Close()
-	until(t, "an empty backend", func() bool { held, _ := b.cpu.load(); return held == 0 })
-	until(t, "its end", func() bool { return record(b)[0].Outcome == Canceled })
+	waitUntil(t, "an empty backend", func() bool { inFlight, _ := b.cpu.load(); return inFlight == 0 })
+	waitUntil(t, "its cancellation", func() bool { return record(b)[0].Outcome == Canceled })
 	if record(b)[0].Ran {
-		t.Fatal("it ran")
+		t.Fatal("the canceled request ran")
 	}
 }
 
-func TestDrainTurnsNewWorkAway(t *testing.T) {
+func TestDrainRefusesNewWork(t *testing.T) {
 	b := start(t, config(nil))
 	b.Drain(true)
 	c := dial(t, b)
@@ -172,27 +172,27 @@
 		t.Fatal(resp.Status)
 	}
 	if got := record(b); !got[1].Ran {
-		t.Fatal("a key that was turned away was taken for a repeat")
+		t.Fatal("the key of a refused request counted as a duplicate")
 	}
 }
 
-func TestColdBackendFallsWhenPushed(t *testing.T) {
+func TestColdBackendBreaksDownUnderOverload(t *testing.T) {
 	c := config(func(c *Config) {
 		c.ColdSpeed, c.WarmUp, c.FallMultiple, c.FallFor, c.Queue = 0.2, time.Hour, 2, 300*time.Millisecond, 1000
 		c.Work["lookup"] = Work{Mean: 10 * time.Millisecond}
 	})
-	for _, pushed := range []bool{false, true} {
+	for _, overloaded := range []bool{false, true} {
 		b := start(t, c)
 		b.Kill()
 		if err := b.Restart(); err != nil {
 			t.Fatal(err)
 		}
-		// It can do 60 ms of work in the window, and bears 120.
+		// It has capacity for 60 ms of work in the window, and breaks down above 120 ms.
 		n := 1
-		if pushed {
+		if overloaded {
 			n = 60
 		}
-		time.Sleep(2 * c.FallFor) // falls are ruled on over a whole window of its life
+		time.Sleep(2 * c.FallFor) // a backend breaks down only after it has been up for a whole window
 		conns := make([]net.Conn, n)
 		for i := range conns {
 			conns[i] = dial(t, b)
@@ -200,26 +200,26 @@
 		for i, conn := range conns {
 			fmt.Fprintf(conn, "GET /lookup HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: a%d\r\n\r\n", i)
 		}
-		if pushed {
-			until(t, "the fall", b.Fallen)
+		if overloaded {
+			waitUntil(t, "the breakdown", b.Fallen)
 			if _, _, falls := b.Record(); len(falls) != 1 || falls[0].Sent <= 2*falls[0].Could || falls[0].From["g0"] == 0 {
 				t.Fatalf("%+v", falls)
 			}
 		} else if receive(t, conns[0]); b.Fallen() {
-			t.Fatal("one request pushed it over")
+			t.Fatal("a single request made it break down")
 		}
 	}
 }
 
-func TestKilledBackendRefusesAndComesBackInAnotherLife(t *testing.T) {
+func TestKilledBackendRefusesUntilRestarted(t *testing.T) {
 	b := start(t, config(nil))
 	b.SetFaults(Faults{Stalled: true})
 	c := dial(t, b)
 	send(t, c, "lookup", "a1", "")
-	until(t, "a job", func() bool { held, _ := b.cpu.load(); return held == 1 })
+	waitUntil(t, "a job", func() bool { inFlight, _ := b.cpu.load(); return inFlight == 1 })
 	b.Kill()
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Fatal("it answered")
+		t.Fatal("a killed backend answered")
 	}
 	b.SetFaults(Faults{})
 	if err := b.Restart(); err != nil {
@@ -234,37 +234,37 @@
 	}
 }
 
-func TestTroubles(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	for name, k := range map[string]struct {
-		trouble Faults
-		end     Outcome
-		ran     bool
-		unread  bool
-		status  int
+		faults     Faults
+		outcome    Outcome
+		ran        bool
+		unparsable bool
+		status     int
 	}{
-		"errors":   {Faults{Errors: 1}, Failed, false, false, 500},
-		"refusing": {Faults{Refuse: 1}, Refused, false, false, 503},
-		"spoilt":   {Faults{Malformed: 1}, Malformed, true, true, 0},
-		"endless":  {Faults{Endless: 1}, Malformed, true, true, 0},
-		"copies":   {Faults{Duplicate: 1}, Served, true, false, 200},
-		"slow":     {Faults{Slow: 3}, Served, true, false, 200},
+		"errors":    {Faults{Errors: 1}, Failed, false, false, 500},
+		"refused":   {Faults{Refuse: 1}, Refused, false, false, 503},
+		"malformed": {Faults{Malformed: 1}, Malformed, true, true, 0},
+		"endless":   {Faults{Endless: 1}, Malformed, true, true, 0},
+		"duplicate": {Faults{Duplicate: 1}, Served, true, false, 200},
+		"slow":      {Faults{Slow: 3}, Served, true, false, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := start(t, config(nil))
-			b.SetFaults(k.trouble)
+			b.SetFaults(k.faults)
 			c := dial(t, b)
 			send(t, c, "lookup", "a1", "")
 			r := bufio.NewReader(c)
-			until(t, "an end", func() bool { got := record(b); return len(got) == 1 && got[0].Outcome != "" })
-			if got := record(b)[0]; got.Outcome != k.end || got.Ran != k.ran {
+			waitUntil(t, "an outcome", func() bool { got := record(b); return len(got) == 1 && got[0].Outcome != "" })
+			if got := record(b)[0]; got.Outcome != k.outcome || got.Ran != k.ran {
 				t.Fatalf("%+v", got)
 			}
-			if k.unread {
+			if k.unparsable {
 				c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 				resp, err := http.ReadResponse(r, nil)
 				if err == nil {
 					if _, err = io.ReadAll(io.LimitReader(resp.Body, 1<<20)); err == nil {
-						t.Fatal("the answer can be read")
+						t.Fatal("the answer is valid")
 					}
 				}
 				return
@@ -274,37 +274,37 @@
 				t.Fatalf("%v %v", resp, err)
 			}
 			io.Copy(io.Discard, resp.Body)
-			if k.trouble.Duplicate > 0 {
+			if k.faults.Duplicate > 0 {
 				if resp, err = http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 {
-					t.Fatalf("no copy: %v", err)
+					t.Fatalf("no second answer: %v", err)
 				}
 			}
 		})
 	}
 }
 
-func TestRecordIsBounded(t *testing.T) {
+func TestRecordIsLimited(t *testing.T) {
 	b := start(t, config(func(c *Config) { c.MaxRecords = 2 }))
 	c := dial(t, b)
 	for i := range 3 {
 		send(t, c, "lookup", fmt.Sprint(i), "")
 		receive(t, c)
 	}
-	if a, beyond, _ := b.Record(); len(a) != 2 || beyond != 1 {
-		t.Fatalf("%d recorded, %d beyond", len(a), beyond)
+	if a, unrecorded, _ := b.Record(); len(a) != 2 || unrecorded != 1 {
+		t.Fatalf("%d recorded, %d not recorded", len(a), unrecorded)
 	}
 }
 
-func TestConnectionsAreBoundedAndIdleOnesClose(t *testing.T) {
+func TestConnectionsAreLimitedAndIdleOnesClosed(t *testing.T) {
 	b := start(t, config(func(c *Config) { c.Conns, c.Idle = 1, 30*time.Millisecond }))
 	first := dial(t, b)
-	until(t, "a connection", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.conns == 1 })
-	// It may be reset so early that dialling it fails already.
+	waitUntil(t, "a connection", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.conns == 1 })
+	// The reset may arrive before Dial returns.
 	if second, err := net.Dial("tcp", b.Address("g0")); err == nil {
 		defer second.Close()
-		second.SetDeadline(time.Now().Add(patience))
+		second.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := second.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-			t.Fatalf("a second connection stands: %v", err)
+			t.Fatalf("a second connection was accepted: %v", err)
 		}
 	}
 	if _, err := first.Read(make([]byte, 1)); err != io.EOF {
@@ -312,15 +312,15 @@
 	}
 }
 
-func TestSlowTakesLonger(t *testing.T) {
+func TestRateChangeAppliesToRunningJobs(t *testing.T) {
 	p := newProcessor(1, 0, 1)
 	done := make(chan struct{})
 	j := &job{work: 3600, done: func() { close(done) }}
 	p.add(j)
-	p.setRate(1e7) // what is left goes on at the new speed
+	p.setRate(1e7) // the rest of the work continues at the new speed
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Fatal("a job kept the speed that it began with")
+	case <-time.After(testTimeout):
+		t.Fatal("a job kept the speed at which it started")
 	}
 }
--- a/internal/standin/backend/processor.go
+++ b/internal/standin/backend/processor.go
@@ -5,44 +5,43 @@
 	"time"
 )
 
-// replan is how often a processor that is getting warm takes its new speed
-// into account.
-const replan = 100 * time.Millisecond
+// rateInterval is how often the speed of a processor is updated while it warms up.
+const rateInterval = 100 * time.Millisecond
 
-// processor runs jobs on a few cores, first come, first served. Its speed may
-// change while jobs run: each keeps the work that it has left.
+// processor simulates a few cores that run jobs in order of arrival. If its speed changes while jobs run, the rest of
+// their work continues at the new speed.
 type processor struct {
-	cores int
-	bound int // jobs that wait
+	cores      int
+	maxWaiting int // waiting jobs, at most
 
 	mu      sync.Mutex
-	rate    float64 // seconds of work a core does in a second
+	rate    float64 // seconds of work that a core completes per second
 	running map[*job]struct{}
 	waiting []*job
 }
 
 // job is work for a processor.
 type job struct {
-	work  float64 // seconds left
+	work  float64 // remaining seconds
 	since time.Time
 	timer *time.Timer
-	done  func() // called once, when the work is done; not after a cancel
-	over  bool
-	ran   bool // its work is done
+	done  func() // called once when the work is complete; not after cancel or clear
+	ended bool
+	ran   bool // its work was completed
 }
 
-func newProcessor(cores, bound int, rate float64) *processor {
-	return &processor{cores: cores, bound: bound, rate: rate, running: map[*job]struct{}{}}
+func newProcessor(cores, maxWaiting int, rate float64) *processor {
+	return &processor{cores: cores, maxWaiting: maxWaiting, rate: rate, running: map[*job]struct{}{}}
 }
 
-// add takes a job in, or tells that there is no room.
+// add starts or queues a job, or returns false if the queue is full.
 func (p *processor) add(j *job) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case len(p.running) < p.cores:
 		p.startLocked(j)
-	case len(p.waiting) < p.bound:
+	case len(p.waiting) < p.maxWaiting:
 		p.waiting = append(p.waiting, j)
 	default:
 		return false
@@ -52,19 +51,20 @@
 
 func (p *processor) startLocked(j *job) {
 	p.running[j] = struct{}{}
-	p.planLocked(j)
+	p.startTimerLocked(j)
 }
 
-func (p *processor) planLocked(j *job) {
+// startTimerLocked sets the timer for the end of a running job.
+func (p *processor) startTimerLocked(j *job) {
 	j.since = time.Now()
 	if p.rate <= 0 {
-		return // setRate plans it anew
+		return // setRate sets the timer
 	}
 	j.timer = time.AfterFunc(time.Duration(j.work/p.rate*float64(time.Second)), func() { p.finish(j) })
 }
 
-// bankLocked takes off what a running job has done so far.
-func (p *processor) bankLocked(j *job) {
+// stopTimerLocked stops a running job's timer and subtracts the work done since it was set.
+func (p *processor) stopTimerLocked(j *job) {
 	if j.timer != nil {
 		j.timer.Stop()
 		j.timer = nil
@@ -76,13 +76,13 @@
 
 func (p *processor) finish(j *job) {
 	p.mu.Lock()
-	if _, here := p.running[j]; !here || j.over || j.timer == nil {
+	if _, running := p.running[j]; !running || j.ended || j.timer == nil {
 		p.mu.Unlock()
 		return
 	}
-	p.bankLocked(j)
+	p.stopTimerLocked(j)
 	if j.work > 1e-6 {
-		p.planLocked(j) // it was planned at another speed
+		p.startTimerLocked(j) // the timer was set at another speed
 		p.mu.Unlock()
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 func (p *processor) endLocked(j *job) {
-	j.over = true
+	j.ended = true
 	delete(p.running, j)
 	for len(p.running) < p.cores && len(p.waiting) > 0 {
 		next := p.waiting[0]
@@ -102,15 +102,15 @@
 	}
 }
 
-// cancel gives a job up. It tells whether that came before its work was done. Danger: a job that clear gave up is over
-// as well, and has not run; were it taken for one that has, a killed backend would be on record with an effect.
+// cancel cancels a job, and returns true if its work was not completed. A job that clear has dropped must count as not
+// run, although it has ended: otherwise the record would show an effect for a request that died with its backend.
 func (p *processor) cancel(j *job) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if j.over {
+	if j.ended {
 		return !j.ran
 	}
-	j.over = true
+	j.ended = true
 	for i, w := range p.waiting {
 		if w == j {
 			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
@@ -124,7 +124,7 @@
 	return true
 }
 
-// setRate changes the speed of all cores; 0 stands still.
+// setRate changes the speed of all cores; at 0 no work progresses.
 func (p *processor) setRate(rate float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,31 +132,31 @@
 		return
 	}
 	for j := range p.running {
-		p.bankLocked(j)
+		p.stopTimerLocked(j)
 	}
 	p.rate = rate
 	for j := range p.running {
-		p.planLocked(j)
+		p.startTimerLocked(j)
 	}
 }
 
-// load returns how many jobs are here, and how many of them wait.
-func (p *processor) load() (held, waiting int) {
+// load returns how many jobs are running or queued, and how many of them are queued.
+func (p *processor) load() (inFlight, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.running) + len(p.waiting), len(p.waiting)
 }
 
-// clear gives up all jobs.
+// clear drops all jobs.
 func (p *processor) clear() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, j := range p.waiting {
-		j.over = true
+		j.ended = true
 	}
 	p.waiting = nil
 	for j := range p.running {
-		j.over = true
+		j.ended = true
 		if j.timer != nil {
 			j.timer.Stop()
 		}
--- a/internal/standin/backend/serve.go
+++ b/internal/standin/backend/serve.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	mostBody   = 64 << 10
-	endlessFor = 5 * time.Second // an endless answer comes in drops for so long, unless its reader leaves
-	endlessGap = 20 * time.Millisecond
+	maxBodyLen      = 64 << 10
+	endlessFor      = 5 * time.Second // duration of an endless answer, unless the client closes the connection
+	endlessInterval = 20 * time.Millisecond
 )
 
 func (b *Backend) accept(ctx context.Context, l *link.Link) {
@@ -31,9 +31,9 @@
 			return nil
 		}
 		b.conns++
-		life := b.lifeCtx
+		processCtx := b.processCtx
 		return func(c *link.Conn) {
-			b.serve(life, c)
+			b.serve(processCtx, c)
 			c.Close()
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -42,7 +42,7 @@
 	})
 }
 
-// firstByte notes when the first byte of a request came to this machine.
+// firstByte is a connection that records when the first byte of a request arrived.
 type firstByte struct {
 	*link.Conn
 	at time.Time
@@ -56,10 +56,9 @@
 	return n, err
 }
 
-// serve answers the requests of one connection, one after another, until it
-// ends, stands idle too long or the life of the backend is over.
-func (b *Backend) serve(life context.Context, c *link.Conn) {
-	defer context.AfterFunc(life, func() { c.Close() })()
+// serve answers the requests of one connection in order, until it is closed or idle too long, or the backend is killed.
+func (b *Backend) serve(processCtx context.Context, c *link.Conn) {
+	defer context.AfterFunc(processCtx, func() { c.Close() })()
 	first := &firstByte{Conn: c}
 	r := bufio.NewReaderSize(first, 4096)
 	for n := 0; ; n++ {
@@ -69,8 +68,8 @@
 		}
 		c.SetReadDeadline(time.Now().Add(b.c.Idle))
 		req, body, err := read(r)
-		whole := time.Now()
-		began := first.at
+		received := time.Now()
+		firstByteAt := first.at
 		first.at = time.Time{}
 		if err != nil {
 			if !gone(err) {
@@ -79,13 +78,14 @@
 			return
 		}
 		c.SetReadDeadline(time.Time{})
-		if !b.handle(life, c, r, &Attempt{Backend: b.c.ID, Cell: b.c.Cell, Peer: c.Peer(), FirstByte: began, Received: whole},
+		if !b.handle(processCtx, c, r, &Attempt{Backend: b.c.ID, Cell: b.c.Cell, Peer: c.Peer(), FirstByte: firstByteAt, Received: received},
 			req, len(body), n == 0) {
 			return
 		}
 	}
 }
 
+// gone reports whether an error means that the connection ended or timed out.
 func gone(err error) bool {
 	var ne net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &ne)
@@ -96,48 +96,47 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(req.Body, mostBody+1))
-	if err == nil && len(body) > mostBody {
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodyLen+1))
+	if err == nil && len(body) > maxBodyLen {
 		err = errors.New("the body is too long")
 	}
 	return req, body, err
 }
 
-// fate is what is to become of a request, drawn when it comes. The zero value
-// is work as usual.
-type fate struct {
-	end     Outcome // not "": at once, without any work
-	spoil   bool
-	endless bool
-	copies  bool
-	ran     bool // its work was done
+// plannedOutcome is the outcome of a request, drawn on admission. The zero value means normal processing.
+type plannedOutcome struct {
+	end       Outcome // if not "", the request ends at once with it
+	malformed bool
+	endless   bool
+	duplicate bool
+	ran       bool // its work was completed
 }
 
-// handle sees one request through. It tells whether the connection may go on.
-func (b *Backend) handle(life context.Context, c *link.Conn, r *bufio.Reader, a *Attempt, req *http.Request, length int, fresh bool) bool {
+// handle processes one request. It returns whether the connection can be used further.
+func (b *Backend) handle(processCtx context.Context, c *link.Conn, r *bufio.Reader, a *Attempt, req *http.Request, length int, fresh bool) bool {
 	a.ID, a.Key = req.Header.Get("X-Correlation-Id"), req.Header.Get("Idempotency-Key")
 	a.Class, _, _ = strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
-	left, err := strconv.Atoi(req.Header.Get("X-Time-Left-Ms"))
+	timeLeft, err := strconv.Atoi(req.Header.Get("X-Time-Left-Ms"))
 	if err == nil {
-		a.TimeLeft = time.Duration(left) * time.Millisecond
+		a.TimeLeft = time.Duration(timeLeft) * time.Millisecond
 	}
 	if a.ID == "" {
 		io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
 	work := b.work(a.Class, a.ID)
-	f, fell := b.admit(a, work)
-	if fell {
+	f, broken := b.admit(a, work)
+	if broken {
 		b.wg.Go(b.Kill)
-		b.finish(a, fate{end: Died}, 0)
+		b.finish(a, plannedOutcome{end: Died}, 0)
 		return false
 	}
-	ctx, cancel := context.WithCancel(life)
+	ctx, cancel := context.WithCancel(processCtx)
 	defer cancel()
 	if f.end == "" {
 		unwatch := watch(ctx, cancel, c, r)
 		f.end, f.ran = b.perform(ctx, a, f, work, fresh)
-		if f.end == Canceled && life.Err() != nil {
+		if f.end == Canceled && processCtx.Err() != nil {
 			f.end = Died
 		}
 		if f.end == Canceled || f.end == Died {
@@ -146,7 +145,7 @@
 			unwatch()
 			return false
 		}
-		if !f.endless && !f.spoil {
+		if !f.endless && !f.malformed {
 			unwatch()
 		} else {
 			defer func() { c.Close(); unwatch() }()
@@ -155,9 +154,8 @@
 	return b.answer(ctx, c, a, f, length)
 }
 
-// watch ends ctx when the other side gives its request up by closing the
-// connection, since work stops then. The function that it returns ends the
-// watch and leaves the reader to its owner.
+// watch cancels ctx when the client closes the connection, so that work on the request stops. The returned function
+// ends the watch; only then may the caller use the reader again.
 func watch(ctx context.Context, cancel context.CancelFunc, c *link.Conn, r *bufio.Reader) func() {
 	watched := make(chan struct{})
 	go func() {
@@ -173,20 +171,20 @@
 	}
 }
 
-// perform does the work of one request and says how it ended.
-func (b *Backend) perform(ctx context.Context, a *Attempt, f fate, work float64, fresh bool) (end Outcome, ran bool) {
+// perform does the work of one request and returns its outcome.
+func (b *Backend) perform(ctx context.Context, a *Attempt, f plannedOutcome, work float64, fresh bool) (end Outcome, ran bool) {
 	if fresh && b.c.Handshake > 0 {
 		wait.For(ctx, b.c.Handshake)
 	}
 	if b.c.Keyed[a.Class] && a.Key != "" {
-		e, mine := b.c.Dedupe.claim(ctx, a.Key)
+		e, claimed := b.c.Dedupe.claim(ctx, a.Key)
 		switch {
 		case ctx.Err() != nil:
-			if mine {
+			if claimed {
 				b.c.Dedupe.settle(a.Key, e, false)
 			}
 			return Canceled, false
-		case !mine:
+		case !claimed:
 			return Repeat, false
 		}
 		defer func() { b.c.Dedupe.settle(a.Key, e, ran) }()
@@ -197,50 +195,51 @@
 		}
 		return Refused, false
 	}
-	if f.spoil || f.endless {
+	if f.malformed || f.endless {
 		return Malformed, true
 	}
 	return Served, true
 }
 
-// admit draws what becomes of a request and records it.
-func (b *Backend) admit(a *Attempt, work float64) (f fate, fell bool) {
+// admit records a request and draws its planned outcome. It returns true if the backend breaks down under it.
+func (b *Backend) admit(a *Attempt, work float64) (f plannedOutcome, broken bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.Restarts = b.life
+	a.Restarts = b.restarts
 	if len(b.records) < b.c.MaxRecords {
 		b.records = append(b.records, a)
 	} else {
-		b.beyond++
+		b.unrecorded++
 	}
-	t := &b.trouble
+	t := &b.faults
 	switch {
 	case work == 0:
 		f.end = Invalid
-	case b.draining || b.chance(t.Refuse):
+	case b.draining || b.happens(t.Refuse):
 		f.end = Refused
-	case b.chance(t.Errors):
+	case b.happens(t.Errors):
 		f.end = Failed
-	case b.chance(t.Malformed):
-		f.spoil = true
-	case b.chance(t.Endless):
+	case b.happens(t.Malformed):
+		f.malformed = true
+	case b.happens(t.Endless):
 		f.endless = true
 	default:
-		f.copies = b.chance(t.Duplicate)
+		f.duplicate = b.happens(t.Duplicate)
 	}
 	if f.end == "" {
-		fell = b.pushLocked(a.Received, work, a.Peer)
+		broken = b.recordColdWorkLocked(a.Received, work, a.Peer)
 	}
-	return f, fell
+	return f, broken
 }
 
-func (b *Backend) finish(a *Attempt, f fate, sum uint64) {
+// finish completes the record of a request.
+func (b *Backend) finish(a *Attempt, f plannedOutcome, sum uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a.Outcome, a.Ran, a.Sum, a.Ended = f.end, f.ran, sum, time.Now()
 }
 
-// run does the work. It tells whether it was done.
+// run runs work on the processor, and returns whether it was completed.
 func (b *Backend) run(ctx context.Context, work float64) bool {
 	done := make(chan struct{})
 	j := &job{work: work, done: func() { close(done) }}
@@ -255,8 +254,8 @@
 	}
 }
 
-// answer writes what the request gets. It tells whether the connection may go on.
-func (b *Backend) answer(ctx context.Context, c *link.Conn, a *Attempt, f fate, length int) bool {
+// answer writes the answer to a request. It returns whether the connection can be used further.
+func (b *Backend) answer(ctx context.Context, c *link.Conn, a *Attempt, f plannedOutcome, length int) bool {
 	switch f.end {
 	case Refused:
 		b.finish(a, f, 0)
@@ -272,25 +271,25 @@
 		return err == nil
 	case Malformed:
 		b.finish(a, f, 0)
-		b.spoil(ctx, c, f.endless)
+		b.writeMalformed(ctx, c, f.endless)
 		return false
 	}
 	body := fmt.Appendf(nil, `{"id":%q,"node":%q,"life":%d,"bytes":%d}`, a.ID, a.Backend, a.Restarts, length)
-	b.finish(a, f, Sum(body)) // before the client can have it
+	b.finish(a, f, Sum(body)) // before the client can receive it
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n%sContent-Length: %d\r\n\r\n", b.report(), len(body))
 	text := head + string(body)
-	if f.copies {
+	if f.duplicate {
 		text += text
 	}
 	_, err := io.WriteString(c, text)
 	return err == nil
 }
 
-// spoil answers with what can't be read, in one of several ways.
-func (b *Backend) spoil(ctx context.Context, c *link.Conn, endless bool) {
+// writeMalformed writes an answer that is malformed in one of several ways, or never completed.
+func (b *Backend) writeMalformed(ctx context.Context, c *link.Conn, endless bool) {
 	if endless {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
-		for end := time.Now().Add(endlessFor); time.Now().Before(end) && ctx.Err() == nil; wait.For(ctx, endlessGap) {
+		for end := time.Now().Add(endlessFor); time.Now().Before(end) && ctx.Err() == nil; wait.For(ctx, endlessInterval) {
 			if _, err := io.WriteString(c, strings.Repeat("x", 512)); err != nil {
 				return
 			}
@@ -310,21 +309,21 @@
 	case 3:
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nshort")
 	}
-	// The connection stays open and is of no further use, until its reader leaves.
+	// The connection is no longer usable, but stays open until the client closes it or endlessFor has passed.
 	wait.For(ctx, endlessFor)
 }
 
-// report is the load report, as old as reports are.
+// report returns the header with the load report, which is up to ReportInterval old.
 func (b *Backend) report() string {
 	if b.c.ReportInterval <= 0 {
 		return ""
 	}
 	now := time.Now()
-	held, queued := b.cpu.load()
+	inFlight, queued := b.cpu.load()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Sub(b.reported) >= b.c.ReportInterval {
-		b.reported, b.held, b.queued = now, held, queued
+		b.reported, b.inFlight, b.queued = now, inFlight, queued
 	}
-	return fmt.Sprintf("X-Backend-Load: {\"inflight\":%d,\"queue\":%d}\r\n", b.held, b.queued)
+	return fmt.Sprintf("X-Backend-Load: {\"inflight\":%d,\"queue\":%d}\r\n", b.inFlight, b.queued)
 }
