--- a/internal/standin/backend/serve.go
+++ b/internal/standin/backend/serve.go
@@ -51,7 +51,7 @@
 func (f *firstByte) Read(p []byte) (int, error) {
 	n, err := f.Conn.Read(p)
 	if n > 0 && f.at.IsZero() {
-		f.at = f.Came()
+		f.at = f.ArrivedAt()
 	}
 	return n, err
 }
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -317,9 +317,9 @@
 	dying bool // to be closed as soon as the other side may hear of it
 }
 
-// Came returns when what was read last had arrived, before the link held it
+// ArrivedAt returns when what was read last had arrived, before the link held it
 // back. It belongs to the goroutine that reads.
-func (c *Conn) Came() time.Time { return c.came }
+func (c *Conn) ArrivedAt() time.Time { return c.came }
 
 // Peer returns the name of the caller.
 func (c *Conn) Peer() string { return c.link.peer }
--- a/internal/standin/respstore/respstore.go
+++ b/internal/standin/respstore/respstore.go
@@ -226,9 +226,9 @@
 	c := &client{authenticated: s.password == "", w: resp.Writer{Version: 2}, arrivedAt: time.Now}
 	if peerConn, ok := conn.(interface {
 		Peer() string
-		Came() time.Time
+		ArrivedAt() time.Time
 	}); ok {
-		c.peer, c.arrivedAt = peerConn.Peer(), peerConn.Came
+		c.peer, c.arrivedAt = peerConn.Peer(), peerConn.ArrivedAt
 	}
 	for {
 		words, _, err := r.Command(nil, nil)
