--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -1,8 +1,6 @@
-// Package link gives a stand-in its sockets: one listener for each pair of a
-// caller and a stand-in, on loopback, with switches for what a network and a
-// dying machine do to it. Because every pair has a listener of its own, a
-// partition can be played for one gateway alone, and the stand-in knows whose
-// connection it holds without believing what comes over it.
+// Package link provides the listeners of a stand-in: one on loopback for each pair of a caller and a stand-in, into which
+// faults of a network or a dying machine can be injected. Because every pair has its own listener, a partition can be
+// simulated for a single gateway, and the stand-in knows the caller of a connection without trusting what it sends.
 package link
 
 import (
@@ -19,34 +17,34 @@
 )
 
 const (
-	backlog     = 1024
-	fillWait    = 40 * time.Millisecond // for a connection that is to wait in the full backlog
-	mostFills   = 4
-	pendingWait = 2 * time.Millisecond   // to find that nothing waits in the backlog any more
-	reopenFor   = 500 * time.Millisecond // tries to get the old port back
+	backlog      = 1024
+	fillTimeout  = 40 * time.Millisecond // dial timeout of a connection that fills the backlog
+	maxFillers   = 4
+	emptyTimeout = 2 * time.Millisecond   // after which the backlog counts as empty
+	reopenFor    = 500 * time.Millisecond // how long Up tries to listen on the old port
 )
 
-// ErrClosed is what calls on a closed link return.
+// ErrClosed is returned by calls on a closed link.
 var ErrClosed = errors.New("link: closed")
 
 // Link is one listener with its connections. It is safe for concurrent use.
 type Link struct {
 	peer string
 
-	mu      sync.Mutex
-	changed *sync.Cond // on mu: any of what follows has changed
-	ln      *net.TCPListener
-	addr    string
-	conns   map[*Conn]struct{}
-	cut     bool
-	closed  bool
-	fills   map[string]bool // our own connections that keep a backlog full
-	filling []net.Conn
+	mu          sync.Mutex
+	changed     *sync.Cond // on mu: one of the fields below has changed
+	ln          *net.TCPListener
+	addr        string
+	conns       map[*Conn]struct{}
+	cut         bool
+	closed      bool
+	fillers     map[string]bool // local addresses of our own connections that keep the backlog full
+	fillerConns []net.Conn
 }
 
-// Listen opens a link on a free loopback port. Peer names who will call.
+// Listen opens a link on a free loopback port. Peer is the name of the caller that will use it.
 func Listen(peer string) (*Link, error) {
-	l := &Link{peer: peer, conns: map[*Conn]struct{}{}, fills: map[string]bool{}}
+	l := &Link{peer: peer, conns: map[*Conn]struct{}{}, fillers: map[string]bool{}}
 	l.changed = sync.NewCond(&l.mu)
 	if err := l.open(loopback.Host() + ":0"); err != nil {
 		return nil, err
@@ -66,7 +64,7 @@
 // Peer returns the name of the caller that the link is for.
 func (l *Link) Peer() string { return l.peer }
 
-// Address returns where the link listens, or last did.
+// Address returns the address that the link listens on, or last listened on.
 func (l *Link) Address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,8 +82,7 @@
 // String returns the address as host:port.
 func (a address) String() string { return string(a) }
 
-// Accept waits for the next connection. While the link is cut off or down it
-// returns none; once it is closed it returns ErrClosed.
+// Accept waits for the next connection. It blocks while the link is cut or down, and returns ErrClosed once it is closed.
 func (l *Link) Accept() (net.Conn, error) {
 	for {
 		l.mu.Lock()
@@ -101,7 +98,7 @@
 		tcp, err := ln.AcceptTCP()
 		if err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
-				continue // the link was cut off or taken down; the wait above decides
+				continue // the link was cut, taken down or closed, which the loop above handles
 			}
 			return nil, fmt.Errorf("link for %s: %w", l.peer, err)
 		}
@@ -111,9 +108,8 @@
 	}
 }
 
-// Serve serves each connection in a goroutine of its own, until the link ends
-// and the last of these has. Admit is asked for each one what is to serve it; one
-// that it has nothing for is reset.
+// Serve serves each connection in a goroutine of its own. It returns once the link is closed and these goroutines have
+// ended. Admit is called for each connection and returns the function that serves it, or nil to reset the connection.
 func (l *Link) Serve(admit func() func(*Conn)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -132,8 +128,7 @@
 	}
 }
 
-// AddressFor returns where a caller finds a stand-in that has the given links:
-// the first that is for it, or "".
+// AddressFor returns the address of the first of a stand-in's links that is for a caller, or "" if there is none.
 func AddressFor(links []*Link, peer string) string {
 	for _, l := range links {
 		if l.Peer() == peer {
@@ -143,12 +138,14 @@
 	return ""
 }
 
+// admit registers an accepted connection. It resets one that fills the backlog, or that came up while the link was taken
+// down.
 func (l *Link) admit(tcp *net.TCPConn) *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	remote := tcp.RemoteAddr().String()
-	if l.closed || l.ln == nil || l.fills[remote] {
-		delete(l.fills, remote)
+	if l.closed || l.ln == nil || l.fillers[remote] {
+		delete(l.fillers, remote)
 		reset(tcp)
 		return nil
 	}
@@ -157,8 +154,8 @@
 	return c
 }
 
-// Cut makes the link silent, as a machine that has vanished is: open
-// connections stay open and carry nothing, new ones never come up.
+// Cut simulates a machine that has disappeared from the network: open connections stay open but carry no data, and new
+// ones are never established.
 func (l *Link) Cut() {
 	l.mu.Lock()
 	if l.cut || l.closed || l.ln == nil {
@@ -172,11 +169,10 @@
 
 	ln.SetDeadline(time.Unix(1, 0))
 	setBacklog(ln, 0)
-	// A listener without room in its backlog drops what asks for a connection,
-	// so the caller sees the silence that it would see from a machine that is
-	// gone. The room is taken by connections of our own.
-	for range mostFills {
-		conn, err := net.DialTimeout("tcp", addr, fillWait)
+	// A listener with a full backlog drops connection requests, so the caller gets no response, as from a machine that has
+	// disappeared. The backlog is filled with connections of our own.
+	for range maxFillers {
+		conn, err := net.DialTimeout("tcp", addr, fillTimeout)
 		if err != nil {
 			return
 		}
@@ -186,15 +182,14 @@
 			conn.Close()
 			return
 		}
-		l.fills[conn.LocalAddr().String()] = true
-		l.filling = append(l.filling, conn)
+		l.fillers[conn.LocalAddr().String()] = true
+		l.fillerConns = append(l.fillerConns, conn)
 		l.mu.Unlock()
 	}
 }
 
-// Heal ends a cut. What was held back on open connections goes on its way, or,
-// with reset, those connections are reset, as by a machine that is back but has
-// forgotten them.
+// Heal ends a cut. Data held back on open connections is delivered; with resetOpen, the connections are reset instead, as
+// by a machine that has lost their state.
 func (l *Link) Heal(resetOpen bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,17 +204,17 @@
 	}
 	l.cut = false
 	for c := range l.conns {
-		if c.dying {
-			c.gone = true
+		if c.closePending {
+			c.closed = true
 			c.TCPConn.Close()
 			delete(l.conns, c)
 		}
 	}
-	for _, c := range l.filling {
+	for _, c := range l.fillerConns {
 		c.Close()
 	}
-	l.filling = nil
-	clear(l.fills)
+	l.fillerConns = nil
+	clear(l.fillers)
 	if l.ln != nil {
 		setBacklog(l.ln, backlog)
 		l.ln.SetDeadline(time.Time{})
@@ -227,12 +222,11 @@
 	l.changed.Broadcast()
 }
 
-// dropPendingLocked resets the connections that nobody has accepted: our own
-// that filled the backlog, and any that slipped in while the link was being cut
-// off. Danger: nobody knows when what these have to say was sent, and the record
-// would have it sent at the end of the cut.
+// dropPendingLocked resets the connections that have not been accepted: our own that filled the backlog, and any that were
+// established while the link was being cut. These must not be accepted after the cut: the time at which their data was
+// sent is unknown, and the record would show the end of the cut.
 func (l *Link) dropPendingLocked() {
-	l.ln.SetDeadline(time.Now().Add(pendingWait))
+	l.ln.SetDeadline(time.Now().Add(emptyTimeout))
 	for {
 		c, err := l.ln.AcceptTCP()
 		if err != nil {
@@ -242,7 +236,7 @@
 	}
 }
 
-// Reset resets all open connections; new ones come up.
+// Reset resets all open connections. New ones are accepted.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,13 +246,13 @@
 
 func (l *Link) resetLocked() {
 	for c := range l.conns {
-		c.gone = true
+		c.closed = true
 		reset(c.TCPConn)
 		delete(l.conns, c)
 	}
 }
 
-// Down is a process that has died: open connections are reset, new ones refused.
+// Down simulates the death of the process: open connections are reset, new ones refused.
 func (l *Link) Down() {
 	l.Heal(true)
 	l.mu.Lock()
@@ -271,8 +265,7 @@
 	l.changed.Broadcast()
 }
 
-// Up listens again after Down, at the old address or, where another socket has
-// taken that meanwhile, at a new one; Address tells.
+// Up listens again after Down, on the old address or, if that is in use, on a new one, which Address returns.
 func (l *Link) Up() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -291,7 +284,7 @@
 	return l.open(loopback.Host() + ":0")
 }
 
-// Close ends the link and resets its connections.
+// Close closes the link and resets its connections.
 func (l *Link) Close() error {
 	l.Heal(true)
 	l.mu.Lock()
@@ -309,81 +302,80 @@
 // Conn is a connection of a link.
 type Conn struct {
 	*net.TCPConn
-	link *Link
-	came time.Time // owned by the reader
+	link      *Link
+	arrivedAt time.Time // when the last data was read; owned by the reader
 
 	// Guarded by the link's mu:
-	gone  bool // closed at this end
-	dying bool // to be closed as soon as the other side may hear of it
+	closed       bool // closed on this side
+	closePending bool // closed during a cut: the socket is closed when the link heals
 }
 
-// ArrivedAt returns when what was read last had arrived, before the link held it
-// back. It belongs to the goroutine that reads.
-func (c *Conn) ArrivedAt() time.Time { return c.came }
+// ArrivedAt returns when the data read last had arrived, before the link held it back. Only the goroutine that reads may
+// call it.
+func (c *Conn) ArrivedAt() time.Time { return c.arrivedAt }
 
 // Peer returns the name of the caller.
 func (c *Conn) Peer() string { return c.link.peer }
 
-// pass waits while the link is cut off. It fails once the connection is closed.
-func (c *Conn) pass() error {
+// waitUncut waits while the link is cut. It returns an error once the connection is closed.
+func (c *Conn) waitUncut() error {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
-	for c.link.cut && !c.gone && !c.dying {
+	for c.link.cut && !c.closed && !c.closePending {
 		c.link.changed.Wait()
 	}
-	if c.gone || c.dying {
+	if c.closed || c.closePending {
 		return net.ErrClosed
 	}
 	return nil
 }
 
-// Read hands on what has arrived, the end of the connection among it, once the
-// link lets it through.
+// Read returns received data, or the end of the connection, once the link is not cut.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	c.came = time.Now()
+	c.arrivedAt = time.Now()
 	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		return n, err // of our own end: the network has no part in it
+		return n, err // our own deadline does not depend on the network
 	}
-	if gone := c.pass(); gone != nil {
-		return 0, gone
+	if closedErr := c.waitUncut(); closedErr != nil {
+		return 0, closedErr
 	}
 	return n, err
 }
 
-// Write sends once the link lets it through.
+// Write sends once the link is not cut.
 func (c *Conn) Write(b []byte) (int, error) {
-	if err := c.pass(); err != nil {
+	if err := c.waitUncut(); err != nil {
 		return 0, err
 	}
 	return c.TCPConn.Write(b)
 }
 
-// ReadFrom keeps io.Copy on Write, and so on the link's switches.
+// ReadFrom makes io.Copy use Write, so that a cut applies to it.
 func (c *Conn) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
 
-// Close ends the connection. While the link is cut off the other side does not
-// hear of it: the socket is closed when the link heals or ends.
+// Close closes the connection. While the link is cut the other side does not notice: the socket is closed when the link
+// heals or is closed.
 func (c *Conn) Close() error {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
-	if c.gone {
+	if c.closed {
 		return nil
 	}
 	if c.link.cut {
-		c.dying = true
+		c.closePending = true
 		c.link.changed.Broadcast()
 		return nil
 	}
-	c.gone = true
+	c.closed = true
 	delete(c.link.conns, c)
 	c.link.changed.Broadcast()
 	return c.TCPConn.Close()
 }
 
-// Reset ends the connection with a reset.
+// Reset resets the connection.
 func (c *Conn) Reset() {
 	c.TCPConn.SetLinger(0)
 	c.Close()
@@ -397,7 +389,7 @@
 func setBacklog(ln *net.TCPListener, n int) {
 	raw, err := ln.SyscallConn()
 	if err != nil {
-		return // the listener is closed, and so needs no backlog
+		return // the listener is closed and has no backlog
 	}
 	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 }
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func listen(t *testing.T) *Link {
 	t.Helper()
@@ -21,8 +21,8 @@
 	return l
 }
 
-// pair returns both ends of a connection over l.
-func pair(t *testing.T, l *Link) (caller net.Conn, here *Conn) {
+// connect opens a connection over a link and returns both ends.
+func connect(t *testing.T, l *Link) (caller net.Conn, server *Conn) {
 	t.Helper()
 	got := make(chan net.Conn, 1)
 	go func() {
@@ -30,7 +30,7 @@
 			got <- c
 		}
 	}()
-	caller, err := net.DialTimeout("tcp", l.Address(), patience)
+	caller, err := net.DialTimeout("tcp", l.Address(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,40 +38,40 @@
 	select {
 	case c := <-got:
 		return caller, c.(*Conn)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no connection was accepted")
 		return nil, nil
 	}
 }
 
-func TestCutHoldsBackAndHealDelivers(t *testing.T) {
+func TestCutHoldsDataBackAndHealDeliversIt(t *testing.T) {
 	l := listen(t)
-	caller, here := pair(t, l)
+	caller, server := connect(t, l)
 	l.Cut()
 	if _, err := caller.Write([]byte("x")); err != nil {
-		t.Fatalf("a cut must be silent, and the write failed: %v", err)
+		t.Fatalf("a write on a cut link must succeed: %v", err)
 	}
 	read := make(chan byte, 1)
 	go func() {
 		var b [1]byte
-		if _, err := io.ReadFull(here, b[:]); err == nil {
+		if _, err := io.ReadFull(server, b[:]); err == nil {
 			read <- b[0]
 		}
 	}()
 	select {
 	case <-read:
-		t.Fatal("a byte came through a cut link")
+		t.Fatal("a byte passed a cut link")
 	case <-time.After(50 * time.Millisecond):
 	}
 	l.Heal(false)
 	select {
 	case <-read:
-	case <-time.After(patience):
-		t.Fatal("the byte did not come after the cut")
+	case <-time.After(testTimeout):
+		t.Fatal("the byte did not arrive after the cut")
 	}
 }
 
-func TestCutKeepsNewConnectionsDown(t *testing.T) {
+func TestCutPreventsNewConnections(t *testing.T) {
 	l := listen(t)
 	go func() {
 		for {
@@ -84,45 +84,45 @@
 	c, err := net.DialTimeout("tcp", l.Address(), 150*time.Millisecond)
 	if err == nil {
 		c.Close()
-		t.Fatal("a connection came up while the link was cut off")
+		t.Fatal("a connection was established while the link was cut")
 	}
 	if ne := net.Error(nil); !errors.As(err, &ne) || !ne.Timeout() {
-		t.Fatalf("a cut link must not refuse: %v", err)
+		t.Fatalf("a dial to a cut link must time out: %v", err)
 	}
 	l.Heal(true)
-	if c, err = net.DialTimeout("tcp", l.Address(), patience); err != nil {
-		t.Fatalf("after the cut: %v", err)
+	if c, err = net.DialTimeout("tcp", l.Address(), testTimeout); err != nil {
+		t.Fatalf("dialing after the cut: %v", err)
 	}
 	c.Close()
 }
 
-func TestHealWithResetEndsOpenConnections(t *testing.T) {
+func TestHealWithResetResetsOpenConnections(t *testing.T) {
 	l := listen(t)
-	caller, _ := pair(t, l)
+	caller, _ := connect(t, l)
 	l.Cut()
 	l.Heal(true)
-	caller.SetReadDeadline(time.Now().Add(patience))
+	caller.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := caller.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the connection still stands: %v", err)
+		t.Fatalf("the connection was not reset: %v", err)
 	}
 }
 
 func TestDownRefusesAndUpServesAgain(t *testing.T) {
 	l := listen(t)
-	caller, _ := pair(t, l)
+	caller, _ := connect(t, l)
 	l.Down()
-	caller.SetReadDeadline(time.Now().Add(patience))
+	caller.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := caller.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the connection outlived its process: %v", err)
+		t.Fatalf("the connection was not reset with its process: %v", err)
 	}
-	if c, err := net.DialTimeout("tcp", l.Address(), patience); err == nil {
+	if c, err := net.DialTimeout("tcp", l.Address(), testTimeout); err == nil {
 		c.Close()
 		t.Fatal("a dead process accepted a connection")
 	}
 	if err := l.Up(); err != nil {
 		t.Fatal(err)
 	}
-	pair(t, l)
+	connect(t, l)
 }
 
 func TestCloseEndsAccept(t *testing.T) {
@@ -135,28 +135,28 @@
 		if !errors.Is(err, ErrClosed) {
 			t.Fatal(err)
 		}
-	case <-time.After(patience):
-		t.Fatal("Accept outlived the link")
+	case <-time.After(testTimeout):
+		t.Fatal("Accept did not return after Close")
 	}
 	if err := l.Up(); !errors.Is(err, ErrClosed) {
 		t.Fatalf("Up on a closed link: %v", err)
 	}
 }
 
-// TestHealDropsWhatSlippedIn has a connection in the backlog that came up before
-// the cut and that nobody accepted: when its bytes were sent can't be told.
-func TestHealDropsWhatSlippedIn(t *testing.T) {
+// TestHealDropsPendingConnections guards against accepting a connection after a cut that was established before it: the time at
+// which its data was sent is unknown.
+func TestHealDropsPendingConnections(t *testing.T) {
 	l := listen(t)
-	c, err := net.DialTimeout("tcp", l.Address(), patience)
+	c, err := net.DialTimeout("tcp", l.Address(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	l.Cut()
 	l.Heal(false)
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("it still stands: %v", err)
+		t.Fatalf("the pending connection was not reset: %v", err)
 	}
-	pair(t, l)
+	connect(t, l)
 }
