--- a/internal/standin/faultproxy/connections.go
+++ b/internal/standin/faultproxy/connections.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// track registers a connection, so that Close closes it, and reports whether there was room.
+// track registers a connection, so that Close closes it. It returns false at the limit of connections, or once the proxy
+// is closed.
 func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,7 +40,7 @@
 	return true
 }
 
-// release closes a connection that was tracked.
+// release closes and unregisters a tracked connection.
 func (p *Proxy) release(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
@@ -71,7 +72,7 @@
 	copying.Wait()
 }
 
-// newestTarget returns where the member's newest process listens.
+// newestTarget returns the address of the member's newest process.
 func (e *endpoint) newestTarget() string {
 	e.proxy.mu.Lock()
 	defer e.proxy.mu.Unlock()
@@ -121,14 +122,13 @@
 	return !p.closed
 }
 
-// chunkDelay draws how long a chunk of a connection takes in a direction: the delay, and one retransmission for each
-// loss.
+// chunkDelay draws the latency of a chunk in a direction: the delay, and a retransmission for each loss.
 func (p *Proxy) chunkDelay(from, to string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.faults[direction{from, to}]
 	delay := f.Delay
-	for p.chance(f.Loss) && delay < maxRetransmits*retransmitDelay {
+	for p.happens(f.Loss) && delay < maxRetransmits*retransmitDelay {
 		delay += retransmitDelay
 	}
 	return delay
--- a/internal/standin/faultproxy/datagrams.go
+++ b/internal/standin/faultproxy/datagrams.go
@@ -16,7 +16,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the member does not listen at present
+			continue // an earlier datagram was refused, because the member does not listen at present
 		}
 		if from := e.proxy.sender(source); from != "" {
 			e.forward(from, slices.Clone(buffer[:n]))
@@ -46,14 +46,14 @@
 	}
 }
 
-// admit decides what becomes of a datagram: it returns the delay of each copy that is to be sent, and where to. It
+// admit applies the fault of a direction to a datagram: it returns the delay of each copy to send, and the targets. It
 // counts the copies as in flight, and a datagram that the fault drops as dropped.
 func (e *endpoint) admit(from string) (delays []time.Duration, targets []string) {
 	p := e.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.faults[direction{from, e.name}]
-	if f.Cut || p.chance(f.Loss) {
+	if f.Cut || p.happens(f.Loss) {
 		p.dropped++
 		return nil, nil
 	}
@@ -61,7 +61,7 @@
 		return nil, nil
 	}
 	copies := 1
-	if p.chance(f.Duplicate) {
+	if p.happens(f.Duplicate) {
 		copies = 2
 	}
 	for range copies {
@@ -71,8 +71,8 @@
 	return delays, slices.Clone(e.targets)
 }
 
-// chance draws true with a probability. The caller holds mu.
-func (p *Proxy) chance(probability float64) bool {
+// happens returns true with the given probability. The caller holds mu.
+func (p *Proxy) happens(probability float64) bool {
 	return probability > 0 && p.rng.Float64() < probability
 }
 
@@ -80,15 +80,15 @@
 func (p *Proxy) delay(f *Fault) time.Duration {
 	delay := f.Delay
 	if f.Delay > 0 {
-		delay += time.Duration(p.rng.Float64() * float64(f.Delay) * jitterShare)
+		delay += time.Duration(p.rng.Float64() * float64(f.Delay) * jitterFraction)
 	}
-	if p.chance(f.Reorder) {
+	if p.happens(f.Reorder) {
 		delay += max(reorderFactor*f.Delay, minReorderDelay)
 	}
 	return delay
 }
 
-// send sends a datagram to addresses. Errors are ignored: a network does not report what it drops.
+// send sends a datagram to each address. Errors are ignored: a network does not report what it drops.
 func (e *endpoint) send(datagram []byte, addresses []string) {
 	for _, address := range addresses {
 		if to, err := net.ResolveUDPAddr("udp", address); err == nil {
--- a/internal/standin/faultproxy/proxy.go
+++ b/internal/standin/faultproxy/proxy.go
@@ -1,7 +1,7 @@
 // Package faultproxy is a network proxy between the members of a site. It forwards datagrams and connections, and
 // injects faults into the link from one member to another, in each direction separately: a direction can be cut, and
-// it can lose, delay, duplicate and reorder. All others reach a member at one address of the proxy. The proxy knows a
-// sender by its host, so every member must have a loopback address of its own and send from it.
+// it can lose, delay, duplicate and reorder. All others reach a member at one address of the proxy. The proxy identifies
+// a sender by its host, so every member must have a loopback address of its own and send from it.
 package faultproxy
 
 import (
@@ -17,26 +17,26 @@
 
 const (
 	maxDatagramLen  = 64 << 10
-	maxInFlight     = 1 << 13 // datagrams that are delayed, of all links
-	maxConnections  = 1 << 10 // of all links
+	maxInFlight     = 1 << 13 // delayed datagrams, over all links
+	maxConnections  = 1 << 10 // over all links
 	retransmitDelay = 200 * time.Millisecond
 	maxRetransmits  = 5
-	chunkLen        = 16 << 10 // bytes of a connection that are forwarded at a time
+	chunkLen        = 16 << 10 // bytes of a connection forwarded at a time
 	dialTimeout     = time.Second
-	jitterShare     = 0.2 // of the delay, added at random
-	reorderFactor   = 3   // times the delay that a reordered datagram waits in addition
+	jitterFraction  = 0.2 // of the delay, as the upper bound of a random addition
+	reorderFactor   = 3   // of the delay, added for a reordered datagram
 	minReorderDelay = 30 * time.Millisecond
 	listenAttempts  = 5
 	randomStream    = 0x3a75
 )
 
-// Fault is what is wrong with one direction of a link.
+// Fault is the fault of one direction of a link.
 type Fault struct {
 	Cut       bool
-	Loss      float64       // share of datagrams
+	Loss      float64       // fraction of datagrams lost, and of chunks retransmitted
 	Delay     time.Duration // of each datagram and chunk; datagrams get random jitter on top
-	Duplicate float64       // share of datagrams that arrive twice
-	Reorder   float64       // share of datagrams that arrive after later ones
+	Duplicate float64       // fraction of datagrams that arrive twice
+	Reorder   float64       // fraction of datagrams that arrive after later ones
 }
 
 // direction is one direction of a link, by the members' names.
@@ -57,11 +57,11 @@
 	wg        sync.WaitGroup
 }
 
-// endpoint is where the others reach a member.
+// endpoint is the address of the proxy at which the others reach a member.
 type endpoint struct {
 	proxy   *Proxy
 	name    string
-	targets []string // where the member's processes listen, the newest last
+	targets []string // addresses of the member's processes, the newest last
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
 }
@@ -91,7 +91,7 @@
 	defer p.mu.Unlock()
 	p.hosts[host] = name
 	if e := p.endpoints[name]; e != nil {
-		e.targets = append(slices.DeleteFunc(e.targets, func(old string) bool { return old == address }), address)
+		e.targets = append(slices.DeleteFunc(e.targets, func(target string) bool { return target == address }), address)
 		return e.udp.LocalAddr().String(), nil
 	}
 	e := &endpoint{proxy: p, name: name, targets: []string{address}}
@@ -107,7 +107,7 @@
 // listen opens one port for both UDP and TCP.
 func (e *endpoint) listen() error {
 	var lastErr error
-	for range listenAttempts { // another process may hold the TCP port of the UDP port that we get
+	for range listenAttempts { // another process may listen on the TCP port with the number of the chosen UDP port
 		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(loopback.Host())})
 		if err != nil {
 			return err
@@ -126,10 +126,10 @@
 
 // SetFault sets the fault of the direction from one member to another; the zero Fault heals it.
 func (p *Proxy) SetFault(from, to string, f Fault) {
-	p.UpdateFault(from, to, func(old *Fault) { *old = f })
+	p.UpdateFault(from, to, func(current *Fault) { *current = f })
 }
 
-// UpdateFault lets update change the fault of a direction.
+// UpdateFault calls update to change the fault of a direction.
 func (p *Proxy) UpdateFault(from, to string, update func(*Fault)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +164,7 @@
 	return p.dropped
 }
 
-// sender returns the member that sends from an address, "" if there is none.
+// sender returns the member that sends from an address, or "" if there is none.
 func (p *Proxy) sender(a net.Addr) string {
 	host, _, err := net.SplitHostPort(a.String())
 	if err != nil {
--- a/internal/standin/faultproxy/proxy_test.go
+++ b/internal/standin/faultproxy/proxy_test.go
@@ -8,7 +8,7 @@
 	"elderyard/internal/loopback"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // member is a member of the site: a UDP socket and a TCP listener on one address.
 type member struct {
@@ -64,13 +64,13 @@
 	return p, add(t, p, "a"), add(t, p, "b")
 }
 
-// waitDropped waits until n datagrams have been dropped: goroutines read the proxy's sockets, so a datagram may reach
-// the proxy after its direction has healed.
+// waitDropped waits until n datagrams have been dropped. A datagram that was sent during a fault may be read by the proxy
+// only after the fault has ended, because goroutines read its sockets.
 func waitDropped(t *testing.T, p *Proxy, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); p.Dropped() < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); p.Dropped() < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d were dropped of %d", p.Dropped(), n)
+			t.Fatalf("%d of %d datagrams were dropped", p.Dropped(), n)
 		}
 	}
 }
@@ -80,13 +80,13 @@
 	p.SetFault("a", "b", Fault{Cut: true})
 	a.send(t, b, "one")
 	b.send(t, a, "two")
-	if got := a.receive(patience); got != "two" {
+	if got := a.receive(testTimeout); got != "two" {
 		t.Errorf("the reverse direction delivered %q", got)
 	}
 	waitDropped(t, p, 1)
 	p.SetFault("a", "b", Fault{})
 	a.send(t, b, "three")
-	if got := b.receive(patience); got != "three" {
+	if got := b.receive(testTimeout); got != "three" {
 		t.Errorf("after the cut %q arrived: what was sent during it must be dropped, and what was sent after it must not", got)
 	}
 }
@@ -97,12 +97,12 @@
 	began := time.Now()
 	a.send(t, b, "x")
 	for range 2 {
-		if b.receive(patience) != "x" {
-			t.Error("it did not arrive twice")
+		if b.receive(testTimeout) != "x" {
+			t.Error("the datagram did not arrive twice")
 		}
 	}
 	if time.Since(began) < 30*time.Millisecond {
-		t.Error("it arrived before its delay")
+		t.Error("the datagram arrived before its delay had passed")
 	}
 }
 
@@ -111,9 +111,9 @@
 	p.SetFault("a", "b", Fault{Loss: 0.5})
 	const sent = 200
 	n := 0
-	for i := range sent { // one at a time: each is dropped or arrives before the next is sent
+	for i := range sent { // each datagram is dropped or arrives before the next is sent
 		a.send(t, b, "x")
-		for end := time.Now().Add(patience); n+p.Dropped() <= i; {
+		for end := time.Now().Add(testTimeout); n+p.Dropped() <= i; {
 			if b.receive(time.Millisecond) == "x" {
 				n++
 			}
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestConnectionIsHeldByACut(t *testing.T) {
+func TestCutHoldsConnectionData(t *testing.T) {
 	p, a, b := twoMembers(t)
 	got := make(chan string, 1)
 	go func() {
@@ -160,7 +160,7 @@
 		if text != "x" {
 			t.Errorf("%q arrived", text)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("nothing arrived after the cut")
 	}
 }
@@ -172,7 +172,7 @@
 		return // on a busy machine it is rejected before Dial sees it established
 	}
 	defer c.Close()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Error("an unknown sender was accepted")
 	}
