--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -377,9 +377,9 @@
 type Dedupe struct {
 	window time.Duration
 
-	mu   sync.Mutex
-	seen map[string]*keyed
-	next time.Time // when expired keys are deleted next
+	mu    sync.Mutex
+	byKey map[string]*keyed
+	next  time.Time // when expired keys are deleted next
 }
 
 // keyed is a request that has run or is running.
@@ -392,7 +392,7 @@
 // NewDedupe returns an empty Dedupe. It keeps the keys of the last window, so its size is bounded by the requests of
 // that time.
 func NewDedupe(window time.Duration) *Dedupe {
-	return &Dedupe{window: window, seen: map[string]*keyed{}}
+	return &Dedupe{window: window, byKey: map[string]*keyed{}}
 }
 
 // claim reserves a key. It returns true if this request is to run, and false if another request with the key has run
@@ -402,10 +402,10 @@
 		now := time.Now()
 		d.mu.Lock()
 		d.clearLocked(now)
-		e := d.seen[key]
+		e := d.byKey[key]
 		if e == nil || now.Sub(e.at) > d.window {
 			e = &keyed{at: now, done: make(chan struct{})}
-			d.seen[key] = e
+			d.byKey[key] = e
 			d.mu.Unlock()
 			return e, true
 		}
@@ -427,9 +427,9 @@
 		return
 	}
 	d.next = now.Add(d.window)
-	for k, e := range d.seen {
+	for k, e := range d.byKey {
 		if now.Sub(e.at) > d.window {
-			delete(d.seen, k)
+			delete(d.byKey, k)
 		}
 	}
 }
@@ -440,7 +440,7 @@
 	defer d.mu.Unlock()
 	e.ran = ran
 	close(e.done)
-	if !ran && d.seen[key] == e {
-		delete(d.seen, key)
+	if !ran && d.byKey[key] == e {
+		delete(d.byKey, key)
 	}
 }
--- a/internal/standin/backend/serve.go
+++ b/internal/standin/backend/serve.go
@@ -48,6 +48,7 @@
 	at time.Time
 }
 
+// Read reads from the connection, and records the arrival of the first byte.
 func (f *firstByte) Read(p []byte) (int, error) {
 	n, err := f.Conn.Read(p)
 	if n > 0 && f.at.IsZero() {
@@ -72,7 +73,7 @@
 		firstByteAt := first.at
 		first.at = time.Time{}
 		if err != nil {
-			if !gone(err) {
+			if !connectionEnded(err) {
 				io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			}
 			return
@@ -85,8 +86,8 @@
 	}
 }
 
-// gone reports whether an error means that the connection ended or timed out.
-func gone(err error) bool {
+// connectionEnded reports whether an error means that the connection ended or timed out.
+func connectionEnded(err error) bool {
 	var ne net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &ne)
 }
--- a/internal/standin/counter/counter.go
+++ b/internal/standin/counter/counter.go
@@ -162,11 +162,11 @@
 }
 
 // Heal ends a split. The totals of the given half are kept; those of the other are lost.
-func (k *Counter) Heal(keep int) {
+func (k *Counter) Heal(half int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.halfOf = nil
-	k.halves = [2]map[string]entry{k.halves[keep&1], {}}
+	k.halves = [2]map[string]entry{k.halves[half&1], {}}
 }
 
 // Reset deletes all totals, as if the counter had been replaced by an empty one.
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -20,7 +20,7 @@
 	backlog      = 1024
 	fillTimeout  = 40 * time.Millisecond // dial timeout of a connection that fills the backlog
 	maxFillers   = 4
-	emptyTimeout = 2 * time.Millisecond   // after which the backlog counts as empty
+	drainTimeout = 2 * time.Millisecond   // after which the backlog counts as empty
 	reopenFor    = 500 * time.Millisecond // how long Up tries to listen on the old port
 )
 
@@ -226,7 +226,7 @@
 // established while the link was being cut. These must not be accepted after the cut: the time at which their data was
 // sent is unknown, and the record would show the end of the cut.
 func (l *Link) dropPendingLocked() {
-	l.ln.SetDeadline(time.Now().Add(emptyTimeout))
+	l.ln.SetDeadline(time.Now().Add(drainTimeout))
 	for {
 		c, err := l.ln.AcceptTCP()
 		if err != nil {
--- a/internal/standin/respstore/respstore.go
+++ b/internal/standin/respstore/respstore.go
@@ -124,11 +124,11 @@
 }
 
 // Heal ends a split. The numbers of the given half are kept; those of the other are lost.
-func (s *Store) Heal(keep int) {
+func (s *Store) Heal(half int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.halfOf = nil
-	s.halves = [2]map[string]*item{s.halves[keep&1], {}}
+	s.halves = [2]map[string]*item{s.halves[half&1], {}}
 }
 
 // SetFault replaces the fault of all transactions.
