--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -179,7 +179,7 @@
 // A collector that accepts requests and never responds blocks neither Record nor Close.
 func TestUnresponsiveCollector(t *testing.T) {
 	c := newCollector(t)
-	c.SetTrouble(collector.Trouble{Silent: true})
+	c.SetFaults(collector.Faults{Silent: true})
 	set := settings(c.Address("g0"))
 	set.FlushTimeout = 100 * time.Millisecond
 	exporter := Start(set, now, testStats, discardLogger)
@@ -205,18 +205,18 @@
 // Responses of a collector lead to a retry, a drop or a partial success as the OTLP specification requires.
 func TestCollectorResponses(t *testing.T) {
 	for name, tc := range map[string]struct {
-		trouble                     collector.Trouble
+		trouble                     collector.Faults
 		recovers                    bool
 		received, dropped, rejected uint64 // of two spans
 	}{
-		"temporarily overloaded":  {collector.Trouble{Status: 429, RetryAfter: "1"}, true, 2, 0, 0},
-		"temporarily unavailable": {collector.Trouble{Status: 503}, true, 2, 0, 0},
-		"unauthorized":            {collector.Trouble{Status: 401}, false, 0, 0, 2},
-		"bad request":             {collector.Trouble{Status: 400}, false, 0, 0, 2},
-		"partial success":         {collector.Trouble{Refuse: 1}, false, 1, 0, 1},
-		"no response":             {collector.Trouble{Lost: 1}, true, 2, 0, 0},
-		"endless response":        {collector.Trouble{Endless: true}, false, 2, 0, 0},
-		"redirect":                {collector.Trouble{Status: 307}, false, 0, 0, 2},
+		"temporarily overloaded":  {collector.Faults{Status: 429, RetryAfter: "1"}, true, 2, 0, 0},
+		"temporarily unavailable": {collector.Faults{Status: 503}, true, 2, 0, 0},
+		"unauthorized":            {collector.Faults{Status: 401}, false, 0, 0, 2},
+		"bad request":             {collector.Faults{Status: 400}, false, 0, 0, 2},
+		"partial success":         {collector.Faults{Refuse: 1}, false, 1, 0, 1},
+		"no response":             {collector.Faults{NoReply: 1}, true, 2, 0, 0},
+		"endless response":        {collector.Faults{Endless: true}, false, 2, 0, 0},
+		"redirect":                {collector.Faults{Status: 307}, false, 0, 0, 2},
 	} {
 		for _, grpc := range []bool{false, true} {
 			if name == "endless response" && grpc {
@@ -225,7 +225,7 @@
 			t.Run(fmt.Sprintf("%s, gRPC %v", name, grpc), func(t *testing.T) {
 				t.Parallel()
 				c := newCollector(t)
-				c.SetTrouble(tc.trouble)
+				c.SetFaults(tc.trouble)
 				set := settings(c.Address("g0"))
 				set.Metrics, set.GRPC = false, grpc
 				exporter := Start(set, now, testStats, discardLogger)
@@ -233,7 +233,7 @@
 				s := exporter.state.spanSender
 				waitUntil(t, "the first delivery ends", func() bool { return s.failures.Load()+s.sent.Load()+s.rejected.Load() > 0 })
 				if tc.recovers {
-					c.SetTrouble(collector.Trouble{})
+					c.SetFaults(collector.Faults{})
 				}
 				waitUntil(t, "all spans are sent or rejected", func() bool { return s.sent.Load()+s.rejected.Load() == 2 })
 				exporter.Close()
