--- a/internal/scale/catalog.go
+++ b/internal/scale/catalog.go
@@ -9,72 +9,71 @@
 )
 
 const (
-	services = 200
-	plans    = 20
-	// routesShare of the routes and tenants are routes: 14,000 of 26,000.
-	routesShare = 14.0 / 26.0
+	serviceCount = 200
+	planCount    = 20
+	// routeFraction is the fraction of routes among routes and tenants: 14,000 of 26,000.
+	routeFraction = 14.0 / 26.0
 )
 
-// Catalog makes the records of a site and changes of them, the same for the same
-// seed.
+// Catalog generates the records of a site and changes to them, deterministically for a seed.
 type Catalog struct {
 	routes, tenants int
 	random          *rand.Rand
 	edits           int
 }
 
-// NewCatalog describes a site of so many routes and tenants.
+// NewCatalog returns the catalog of a site with size routes and tenants in total.
 func NewCatalog(size int, seed uint64) *Catalog {
-	routes := int(float64(size) * routesShare)
+	routes := int(float64(size) * routeFraction)
 	return &Catalog{routes: routes, tenants: size - routes, random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-func put(kind records.Kind, name string, value any) records.Operation {
-	text, err := json.Marshal(value)
+func putOperation(kind records.Kind, name string, value any) records.Operation {
+	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // a plain struct
+		panic(err) // unreachable: the values are plain structs
 	}
-	return records.Operation{Key: records.Key{Kind: kind, Name: name}, Value: text}
+	return records.Operation{Key: records.Key{Kind: kind, Name: name}, Value: encoded}
 }
 
-func route(i, timeout int) records.Operation {
-	return put(records.Route, fmt.Sprintf("route-%05d", i), records.RouteValue{Service: fmt.Sprintf("service-%03d", i%services),
-		Host: fmt.Sprintf("h%05d.shop.example", i), Prefix: fmt.Sprintf("/v1/%d", i%7), TimeoutMillis: timeout, Retries: i % 3})
+func routeOperation(i, timeoutMillis int) records.Operation {
+	return putOperation(records.Route, fmt.Sprintf("route-%05d", i), records.RouteValue{Service: fmt.Sprintf("service-%03d", i%serviceCount),
+		Host: fmt.Sprintf("h%05d.shop.example", i), Prefix: fmt.Sprintf("/v1/%d", i%7), TimeoutMillis: timeoutMillis, Retries: i % 3})
 }
 
-func tenant(i, rate int) records.Operation {
-	return put(records.Tenant, fmt.Sprintf("tenant-%05d", i), records.TenantValue{Plan: fmt.Sprintf("plan-%02d", i%plans), RequestsPerSecond: rate, Burst: 2 * rate})
+func tenantOperation(i, requestsPerSecond int) records.Operation {
+	return putOperation(records.Tenant, fmt.Sprintf("tenant-%05d", i), records.TenantValue{Plan: fmt.Sprintf("plan-%02d", i%planCount), RequestsPerSecond: requestsPerSecond, Burst: 2 * requestsPerSecond})
 }
 
-// Initial returns the operations of the whole site, in as many changes as bounds
-// make it.
+// Initial returns the operations that create all records of the site, split into changes of at most
+// records.MaxOperations.
 func (c *Catalog) Initial() (changes [][]records.Operation) {
-	var all []records.Operation
-	for i := range services {
-		all = append(all, put(records.Service, fmt.Sprintf("service-%03d", i), records.ServiceValue{Class: "standard"}))
+	var operations []records.Operation
+	for i := range serviceCount {
+		operations = append(operations, putOperation(records.Service, fmt.Sprintf("service-%03d", i), records.ServiceValue{Class: "standard"}))
 	}
-	for i := range plans {
-		all = append(all, put(records.Plan, fmt.Sprintf("plan-%02d", i), records.PlanValue{PriceWeight: 1, RequestsPerSecond: 100}))
+	for i := range planCount {
+		operations = append(operations, putOperation(records.Plan, fmt.Sprintf("plan-%02d", i), records.PlanValue{PriceWeight: 1, RequestsPerSecond: 100}))
 	}
 	for i := range c.routes {
-		all = append(all, route(i, 1000))
+		operations = append(operations, routeOperation(i, 1000))
 	}
 	for i := range c.tenants {
-		all = append(all, tenant(i, 100))
+		operations = append(operations, tenantOperation(i, 100))
 	}
-	for len(all) > 0 {
-		n := min(len(all), records.MaxOperations)
-		changes = append(changes, all[:n])
-		all = all[n:]
+	for len(operations) > 0 {
+		n := min(len(operations), records.MaxOperations)
+		changes = append(changes, operations[:n])
+		operations = operations[n:]
 	}
 	return changes
 }
 
-// Edit returns a change of one record that differs from all before.
+// Edit returns a change of one record that differs from all earlier ones.
 func (c *Catalog) Edit() []records.Operation {
 	c.edits++
-	if c.random.Float64() < routesShare {
-		return []records.Operation{route(c.random.IntN(c.routes), 1000+c.edits)}
+	if c.random.Float64() < routeFraction {
+		return []records.Operation{routeOperation(c.random.IntN(c.routes), 1000+c.edits)}
 	}
-	return []records.Operation{tenant(c.random.IntN(c.tenants), 100+c.edits)}
+	return []records.Operation{tenantOperation(c.random.IntN(c.tenants), 100+c.edits)}
 }
--- a/internal/scale/cluster_linux.go
+++ b/internal/scale/cluster_linux.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	configFile  = "agent.toml"
-	socketFile  = "agent.sock"
-	startWithin = time.Minute
-	pollEvery   = 50 * time.Millisecond
+	configFile   = "agent.toml"
+	socketFile   = "agent.sock"
+	startTimeout = time.Minute
+	pollInterval = 50 * time.Millisecond
 )
 
-// ClusterOptions describe the control machines of a site.
+// ClusterOptions configure the control machines of a site.
 type ClusterOptions struct {
 	Program   string // elderctl
-	Dir       string // folder of all processes; a short path, since that of a socket is bounded
+	Dir       string // directory of all processes; its path must be short because the length of a socket path is limited
 	Voters    int
-	Replicas  int            // further control machines without a vote
+	Replicas  int            // additional control machines without a vote
 	Heartbeat time.Duration  // 0: the agent's default
 	Settle    time.Duration  // 0: the agent's default
-	Extra     map[string]any // further keys of each agent's file
+	Extra     map[string]any // additional keys of each agent's configuration file
 }
 
-// Cluster is the control machines of a site, each a process of its own.
+// Cluster is the control machines of a site, each in its own process.
 type Cluster struct {
-	Processes []*ControlProcess // the founder first
+	Processes []*ControlProcess // the process that bootstraps the site comes first
 }
 
-// StartCluster founds a site and adds the other voters, one by one. On an error
-// nothing is left running.
+// StartCluster bootstraps a site and adds the other control machines one at a time. On an error it stops all
+// processes that it has started.
 func StartCluster(ctx context.Context, o ClusterOptions) (_ *Cluster, err error) {
-	ctx, cancel := context.WithTimeout(ctx, startWithin)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	c := &Cluster{}
 	defer func() {
@@ -55,13 +55,13 @@
 			return nil, fmt.Errorf("cluster: %w", err)
 		}
 		if err := c.join(ctx, p, i < o.Voters); err != nil {
-			return nil, fmt.Errorf("cluster: %s joins: %w", p.Name, err)
+			return nil, fmt.Errorf("cluster: add %s: %w", p.Name, err)
 		}
 	}
 	return c, nil
 }
 
-// add prepares one more process.
+// add writes the configuration of process i and appends it to the cluster without starting it.
 func (c *Cluster) add(o ClusterOptions, i int) (*ControlProcess, error) {
 	address, err := loopback.FreeAddress()
 	if err != nil {
@@ -94,40 +94,40 @@
 	return p, nil
 }
 
-// join makes a started process a voter, or a replica without a vote, and waits
-// until all have noted it.
-func (c *Cluster) join(ctx context.Context, p *ControlProcess, votes bool) error {
-	founder := c.Processes[0]
-	if p == founder {
+// join adds a started process as a voter, or as a replica without a vote, and waits until all members have
+// recorded it.
+func (c *Cluster) join(ctx context.Context, p *ControlProcess, voter bool) error {
+	bootstrap := c.Processes[0]
+	if p == bootstrap {
 		return c.AwaitLeader(ctx)
 	}
-	add := founder.Client.AddMember
-	if !votes {
-		add = founder.Client.AddNonVoter
+	add := bootstrap.Client.AddMember
+	if !voter {
+		add = bootstrap.Client.AddNonVoter
 	}
-	return until(ctx, func() error {
+	return pollUntil(ctx, func() error {
 		change, err := add(ctx, agentapi.ChangeRequest{Name: p.Name, Address: p.Address})
 		if err == nil && len(change.Behind) > 0 {
-			err = fmt.Errorf("%v have yet to note it", change.Behind)
+			err = fmt.Errorf("members %v have not recorded the change yet", change.Behind)
 		}
 		return err
 	})
 }
 
-// AwaitLeader waits until a running process answers with the site's present state.
+// AwaitLeader waits until a running process returns the current state of the site.
 func (c *Cluster) AwaitLeader(ctx context.Context) error {
-	return until(ctx, func() error {
+	return pollUntil(ctx, func() error {
 		_, err := c.Status(ctx)
 		return err
 	})
 }
 
-// errNoLeader says that no running process knows the site's present state.
+// errNoLeader means that no running process has the current state of the site.
 var errNoLeader = errors.New("no leader")
 
-// Status asks the running processes for the site's state, until one has it.
+// Status queries the running processes in turn and returns the first status that is not stale.
 func (c *Cluster) Status(ctx context.Context) (agentapi.Status, error) {
-	last := error(errNoLeader)
+	lastErr := error(errNoLeader)
 	for _, p := range c.Processes {
 		if !p.Running() {
 			continue
@@ -137,14 +137,14 @@
 			return status, nil
 		}
 		if err == nil {
-			err = fmt.Errorf("%w: %s says %s", errNoLeader, p.Name, status.Stale)
+			err = fmt.Errorf("%w: status of %s is stale: %s", errNoLeader, p.Name, status.Stale)
 		}
-		last = err
+		lastErr = err
 	}
-	return agentapi.Status{}, last
+	return agentapi.Status{}, lastErr
 }
 
-// Leader returns the process that leads, and those that run and do not.
+// Leader returns the leading process and the other running processes.
 func (c *Cluster) Leader(ctx context.Context) (leader *ControlProcess, others []*ControlProcess, err error) {
 	status, err := c.Status(ctx)
 	if err != nil {
@@ -159,36 +159,36 @@
 		}
 	}
 	if leader == nil {
-		return nil, nil, fmt.Errorf("%w: %q leads", errNoLeader, status.Leader)
+		return nil, nil, fmt.Errorf("%w: leader %q is no process of the cluster", errNoLeader, status.Leader)
 	}
 	return leader, others, nil
 }
 
-// Addresses of all processes, whether they run or not.
+// Addresses returns the addresses of all processes, running or not.
 func (c *Cluster) Addresses() []string {
-	var list []string
+	var addresses []string
 	for _, p := range c.Processes {
-		list = append(list, p.Address)
+		addresses = append(addresses, p.Address)
 	}
-	return list
+	return addresses
 }
 
-// Stop ends all processes that run.
+// Stop ends all running processes.
 func (c *Cluster) Stop() error {
-	var failed []error
+	var errs []error
 	for _, p := range c.Processes {
 		if p.Running() {
-			failed = append(failed, p.Stop())
+			errs = append(errs, p.Stop())
 		}
 		if p.Client != nil {
 			p.Client.Close()
 		}
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
 
-// until repeats a step until it succeeds, and returns its last error when ctx ends.
-func until(ctx context.Context, step func() error) error {
+// pollUntil calls step until it succeeds. When ctx ends, it returns the last error of step.
+func pollUntil(ctx context.Context, step func() error) error {
 	for {
 		err := step()
 		if err == nil {
@@ -197,6 +197,6 @@
 		if ctx.Err() != nil {
 			return err
 		}
-		wait.For(ctx, pollEvery)
+		wait.For(ctx, pollInterval)
 	}
 }
--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	fileHead = `
+	siteFileHeader = `
 [gateway]
 discovery = "127.0.0.1:1"
 counter = "127.0.0.1:9"
@@ -30,22 +30,22 @@
 classes = [{ name = "lookup", deadlineS = 1.0, objectiveS = 0.4, points = 1.0 }]
 packages = [
 `
-	fileTail  = "]\n"
-	fileEntry = `{ name = "tenant-%05d", pays = 1.0, unitsPerS = %7.1f, depth = 20000.0, atOnce = 100.0, overWorth = 0.001 },` + "\n"
+	siteFileFooter     = "]\n"
+	packageEntryFormat = `{ name = "tenant-%05d", pays = 1.0, unitsPerS = %7.1f, depth = 20000.0, atOnce = 100.0, overWorth = 0.001 },` + "\n"
 )
 
-// WholeFile is a site's file with many entries of some 110 bytes. It goes out to
-// all gateways at once and without soak. Another edit changes one entry.
-func WholeFile(gateways, entries, edit int) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, fileHead, gateways, gateways)
+// SiteFile returns the configuration file of a site with the given number of package entries of some 110 bytes
+// each. Its rollout covers all gateways in one wave and has no soak time. Another edit number changes one entry.
+func SiteFile(gateways, entries, edit int) string {
+	var file strings.Builder
+	fmt.Fprintf(&file, siteFileHeader, gateways, gateways)
 	for i := range entries {
 		rate := 100.0
 		if i == edit%entries {
 			rate += float64(edit)
 		}
-		fmt.Fprintf(&b, fileEntry, i, rate)
+		fmt.Fprintf(&file, packageEntryFormat, i, rate)
 	}
-	b.WriteString(fileTail)
-	return b.String()
+	file.WriteString(siteFileFooter)
+	return file.String()
 }
--- a/internal/scale/copy.go
+++ b/internal/scale/copy.go
@@ -15,45 +15,44 @@
 	"elderyard/internal/recordsync"
 )
 
-// CopyOptions describe a gateway's copy of the records.
-type CopyOptions struct {
-	Servers        []string // addresses of the control machines, any of which may be asked
+// RecordsCopyOptions configure a gateway's copy of the records.
+type RecordsCopyOptions struct {
+	Servers        []string // addresses of the control machines, each of which serves records
 	Dir            string
-	BytesPerSecond int // budget; 0: the default
+	BytesPerSecond int // bandwidth limit; 0: the default
 }
 
-// Copy is a hollow gateway's copy of the records, with the follower that real
-// agents use, and the history of its runs. Its zero value follows nothing; its
-// methods may be called by several goroutines.
-type Copy struct {
-	Traffic Traffic // of all runs
+// RecordsCopy is the copy of the records at a simulated gateway. It uses the same follower as real agents and
+// records the history of its runs. Its zero value follows no server. Its methods are safe for concurrent use.
+type RecordsCopy struct {
+	Traffic Traffic // summed over all runs
 
 	name    string
-	options CopyOptions
+	options RecordsCopyOptions
 	dialer  *dialer
 
-	restarts sync.Mutex
+	restartMu sync.Mutex
 
-	mu       sync.Mutex
-	follower *recordsync.Follower // nil: it does not run
-	stop     context.CancelFunc
-	running  sync.WaitGroup
-	lives    []Life
-	damaged  bool // the next run may begin anew
+	mu         sync.Mutex
+	follower   *recordsync.Follower // nil: not running
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+	runs       []Run
+	corrupted  bool // the next run may start with an older version or none
 }
 
-var errRuns = errors.New("it runs already")
+var errAlreadyRunning = errors.New("already running")
 
-// Start opens the copy with what is on disk and follows the records.
-func (c *Copy) Start() error {
+// Start opens the copy with its files on disk and follows the records.
+func (c *RecordsCopy) Start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.follower != nil {
-		return fmt.Errorf("records of %s: %w", c.name, errRuns)
+		return fmt.Errorf("records of %s: %w", c.name, errAlreadyRunning)
 	}
 	_, err := os.Stat(c.options.Dir)
-	life := Life{Empty: c.damaged || errors.Is(err, os.ErrNotExist), From: time.Now()}
-	c.damaged = false
+	run := Run{ColdStart: c.corrupted || errors.Is(err, os.ErrNotExist), Start: time.Now()}
+	c.corrupted = false
 	follower, err := recordsync.Open(recordsync.Options{Name: c.name, Servers: c.options.Servers, Dir: c.options.Dir,
 		BytesPerSecond: c.options.BytesPerSecond, Dial: c.dialer.dial,
 		BaseURL: func(server string) string { return "http://" + server },
@@ -62,20 +61,20 @@
 		return fmt.Errorf("records of %s: %w", c.name, err)
 	}
 	status := follower.Status()
-	life.Advances = []Advance{{At: time.Now(), Version: status.Version, Digest: status.Digest}}
-	c.lives = append(c.lives, life)
+	run.Activations = []Activation{{At: time.Now(), Version: status.Version, Digest: status.Digest}}
+	c.runs = append(c.runs, run)
 	ctx, cancel := context.WithCancel(context.Background())
 	c.follower, c.stop = follower, cancel
-	c.running.Go(func() { follower.Run(ctx) })
-	c.running.Go(func() { c.watch(ctx, follower) })
+	c.goroutines.Go(func() { follower.Run(ctx) })
+	c.goroutines.Go(func() { c.watch(ctx, follower) })
 	return nil
 }
 
-// watch notes each version that comes into force.
-func (c *Copy) watch(ctx context.Context, follower *recordsync.Follower) {
+// watch records each version that comes into force.
+func (c *RecordsCopy) watch(ctx context.Context, follower *recordsync.Follower) {
 	for {
 		changed := follower.Changed()
-		c.note(follower)
+		c.recordActivation(follower)
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -84,20 +83,19 @@
 	}
 }
 
-func (c *Copy) note(follower *recordsync.Follower) {
+func (c *RecordsCopy) recordActivation(follower *recordsync.Follower) {
 	status := follower.Status()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	life := &c.lives[len(c.lives)-1]
-	last := life.Advances[len(life.Advances)-1]
+	run := &c.runs[len(c.runs)-1]
+	last := run.Activations[len(run.Activations)-1]
 	if last.Version != status.Version || last.Digest != status.Digest {
-		life.Advances = append(life.Advances, Advance{At: time.Now(), Version: status.Version, Digest: status.Digest})
+		run.Activations = append(run.Activations, Activation{At: time.Now(), Version: status.Version, Digest: status.Digest})
 	}
 }
 
-// Stop ends the follower; what it has on disk stays. A copy that does not run is
-// left as it is.
-func (c *Copy) Stop() {
+// Stop ends the follower and keeps its files on disk. It has no effect on a copy that is not running.
+func (c *RecordsCopy) Stop() {
 	c.mu.Lock()
 	follower, stop := c.follower, c.stop
 	c.follower = nil
@@ -106,18 +104,18 @@
 		return
 	}
 	stop()
-	c.running.Wait()
-	c.note(follower)
+	c.goroutines.Wait()
+	c.recordActivation(follower)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lives[len(c.lives)-1].To = time.Now()
+	c.runs[len(c.runs)-1].End = time.Now()
 }
 
-// Restart ends a run and begins the next one, with its disk or without. Only one
-// restart is under way at a time.
-func (c *Copy) Restart(erase bool) error {
-	c.restarts.Lock()
-	defer c.restarts.Unlock()
+// Restart ends the current run and starts the next one, with the files on disk or without. Restarts are
+// serialized.
+func (c *RecordsCopy) Restart(erase bool) error {
+	c.restartMu.Lock()
+	defer c.restartMu.Unlock()
 	c.Stop()
 	if erase {
 		if err := c.Erase(); err != nil {
@@ -127,30 +125,30 @@
 	return c.Start()
 }
 
-// NoteDamage says that files of a stopped copy have been damaged: its next run may
-// begin with an older version, or with none.
-func (c *Copy) NoteDamage() {
+// MarkCorrupted records that files of a stopped copy were corrupted: its next run may start with an older version
+// or with none.
+func (c *RecordsCopy) MarkCorrupted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.damaged = true
+	c.corrupted = true
 }
 
-// Erase takes a stopped copy off the disk, as the loss of a machine does.
-func (c *Copy) Erase() error { return os.RemoveAll(c.options.Dir) }
+// Erase deletes the files of a stopped copy, as the loss of a machine does.
+func (c *RecordsCopy) Erase() error { return os.RemoveAll(c.options.Dir) }
 
-// Lives returns the history of the copy's runs.
-func (c *Copy) Lives() []Life {
+// Runs returns the history of the copy's runs.
+func (c *RecordsCopy) Runs() []Run {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lives := slices.Clone(c.lives)
-	for i := range lives {
-		lives[i].Advances = slices.Clone(lives[i].Advances)
+	runs := slices.Clone(c.runs)
+	for i := range runs {
+		runs[i].Activations = slices.Clone(runs[i].Activations)
 	}
-	return lives
+	return runs
 }
 
-// Version returns the version in force; false: the copy does not run.
-func (c *Copy) Version() (uint64, bool) {
+// Version returns the version in force, and false if the copy is not running.
+func (c *RecordsCopy) Version() (uint64, bool) {
 	follower := c.current()
 	if follower == nil {
 		return 0, false
@@ -158,28 +156,29 @@
 	return follower.Status().Version, true
 }
 
-func (c *Copy) current() *recordsync.Follower {
+func (c *RecordsCopy) current() *recordsync.Follower {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.follower
 }
 
-// reported is what the agent reports of the copy; nil: it does not run.
-func (c *Copy) reported() *agentapi.RecordsStatus {
+// statusReport returns the copy's status as the agent reports it, or nil if the copy is not running.
+func (c *RecordsCopy) statusReport() *agentapi.RecordsStatus {
 	follower := c.current()
 	if follower == nil {
 		return nil
 	}
 	status := follower.Status()
-	reported := &agentapi.RecordsStatus{State: status.State, Version: status.Version, Digest: status.Digest, Why: status.Reason}
-	if age, known := status.Age(time.Now()); known {
+	report := &agentapi.RecordsStatus{State: status.State, Version: status.Version, Digest: status.Digest, Why: status.Reason}
+	if age, ok := status.Age(time.Now()); ok {
 		seconds := age.Seconds()
-		reported.AgeSeconds = &seconds
+		report.AgeSeconds = &seconds
 	}
-	return reported
+	return report
 }
 
-func (c *Copy) tellHead(version uint64) {
+// notifyHead passes the newest version that the leader announced to the follower.
+func (c *RecordsCopy) notifyHead(version uint64) {
 	if follower := c.current(); follower != nil {
 		follower.NotifyHead(version)
 	}
--- a/internal/scale/day.go
+++ b/internal/scale/day.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// What a day brings to a site of dayGateways gateways.
+// Events per day at a site of dayGateways gateways.
 const (
 	dayGateways = 610
 	dayChanges  = 510
-	dayFailures = 38   // machines that are lost with their disk
-	dayRestarts = 1100 // of agents that keep their disk
+	dayFailures = 38   // machines lost with their disk
+	dayRestarts = 1100 // restarts of agents that keep their disk
 )
 
-// DayEvent is what happens at a time of the day.
+// DayEvent is an event at an offset from the start of a day.
 type DayEvent struct {
-	At      time.Duration // from the day's beginning
+	At      time.Duration // offset from the start of the day
 	Kind    DayEventKind
-	Gateway int // of a restart or a failure
+	Gateway int // index of the gateway that restarts or fails
 }
 
-// DayEventKind tells events of a day apart.
+// DayEventKind is the kind of a day's event.
 type DayEventKind string
 
-// The kinds of events.
+// Kinds of events.
 const (
 	ChangeEvent  DayEventKind = "change"
 	FailureEvent DayEventKind = "failure"
 	RestartEvent DayEventKind = "restart"
 )
 
-// Day returns the events of a day that is pressed into a shorter time. Failures and
-// restarts go with the number of gateways; changes do not. Same seed, same day.
-func Day(gateways int, pressed time.Duration, seed uint64) []DayEvent {
+// Day returns the events of a day, compressed into the given duration. The numbers of failures and restarts are
+// proportional to the number of gateways; the number of changes is not. The same seed gives the same events.
+func Day(gateways int, duration time.Duration, seed uint64) []DayEvent {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var events []DayEvent
 	add := func(kind DayEventKind, count int) {
 		for range count {
-			events = append(events, DayEvent{time.Duration(random.Int64N(int64(pressed))), kind, random.IntN(gateways)})
+			events = append(events, DayEvent{time.Duration(random.Int64N(int64(duration))), kind, random.IntN(gateways)})
 		}
 	}
 	add(ChangeEvent, dayChanges)
--- a/internal/scale/faults_linux_test.go
+++ b/internal/scale/faults_linux_test.go
@@ -16,30 +16,30 @@
 
 var faultSeeds = flag.Int("scale-fault-seeds", 1, "seeds of random faults, from -scale-seed on")
 
-const zones = 3
+const zoneCount = 3
 
-// zone returns the gateways of a zone.
-func (s *recordsSite) zone(zone int) (list []*Gateway) {
+// zoneGateways returns the gateways of a zone.
+func (s *recordsSite) zoneGateways(zone int) (gateways []*Gateway) {
 	for i, g := range s.fleet.Gateways {
-		if i%zones == zone {
-			list = append(list, g)
+		if i%zoneCount == zone {
+			gateways = append(gateways, g)
 		}
 	}
-	return list
+	return gateways
 }
 
-// versions counts the copies that run by the version that they have in force.
-func (s *recordsSite) versions() map[uint64]int {
+// versionCounts returns the number of running copies by the version in force.
+func (s *recordsSite) versionCounts() map[uint64]int {
 	counts := map[uint64]int{}
 	for _, g := range s.fleet.Gateways {
-		if version, runs := g.Records.Version(); runs {
+		if version, running := g.Records.Version(); running {
 			counts[version]++
 		}
 	}
 	return counts
 }
 
-// followers returns control processes that do not lead.
+// followers returns count running control processes that are not the leader.
 func (s *recordsSite) followers(count int) []*ControlProcess {
 	s.t.Helper()
 	_, others, err := s.cluster.Leader(s.t.Context())
@@ -49,50 +49,51 @@
 	return others[:count]
 }
 
-const changesInFault = 20 // one every changePause
-const changePause = 500 * time.Millisecond
+const changesPerFault = 20
+const changeInterval = 500 * time.Millisecond
 
-func (s *recordsSite) changes(count int) {
+// applyChanges makes count changes, one every changeInterval.
+func (s *recordsSite) applyChanges(count int) {
 	s.t.Helper()
 	for range count {
-		s.change(s.catalog.Edit())
-		wait.For(s.t.Context(), changePause)
+		s.applyChange(s.catalog.Edit())
+		wait.For(s.t.Context(), changeInterval)
 	}
 }
 
-// loseZone ends a third of the gateways and two control processes at once, and
-// starts them again, all in one instant.
+// loseZone ends the gateways of one zone, a third of all, and two control processes, makes changes, and restarts all
+// of them at once.
 func (s *recordsSite) loseZone() {
 	s.t.Helper()
-	lost := s.followers(2)
-	for _, p := range lost {
-		s.must(p.Kill())
+	killed := s.followers(2)
+	for _, p := range killed {
+		s.requireNoError(p.Kill())
 	}
-	s.stopCopies(s.zone(0))
-	s.changes(changesInFault)
-	others := s.awaitHead()
-	for _, p := range lost {
-		s.must(p.Start())
+	s.stopCopies(s.zoneGateways(0))
+	s.applyChanges(changesPerFault)
+	survivorsTook := s.awaitHead()
+	for _, p := range killed {
+		s.requireNoError(p.Start())
 	}
 	began := time.Now()
-	s.startCopies(s.zone(0))
+	s.startCopies(s.zoneGateways(0))
 	s.awaitHead()
-	s.t.Logf("a zone lost (%d gateways, 2 control processes): the others had all of %d changes %v after the last; started again, all are one after %v",
-		len(s.zone(0)), changesInFault, others.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
-	s.audit()
+	s.t.Logf("zone lost (%d gateways, 2 control processes): the other gateways had all of %d changes %v after the last one; after the restart, all gateways converged in %v",
+		len(s.zoneGateways(0)), changesPerFault, survivorsTook.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
+	s.checkHistories()
 }
 
-func (s *recordsSite) stopCopies(list []*Gateway) {
+func (s *recordsSite) stopCopies(gateways []*Gateway) {
 	var stops sync.WaitGroup
-	for _, g := range list {
+	for _, g := range gateways {
 		stops.Go(g.Records.Stop)
 	}
 	stops.Wait()
 }
 
-func (s *recordsSite) startCopies(list []*Gateway) {
+func (s *recordsSite) startCopies(gateways []*Gateway) {
 	var starts sync.WaitGroup
-	for _, g := range list {
+	for _, g := range gateways {
 		starts.Go(func() {
 			if err := g.Records.Start(); err != nil {
 				s.t.Error(err)
@@ -102,18 +103,18 @@
 	starts.Wait()
 }
 
-func (s *recordsSite) must(err error) {
+func (s *recordsSite) requireNoError(err error) {
 	s.t.Helper()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// loseLeader kills the leader while a change is on its way.
+// loseLeader kills the leader while a change is in progress.
 func (s *recordsSite) loseLeader() {
 	s.t.Helper()
 	leader, _, err := s.cluster.Leader(s.t.Context())
-	s.must(err)
+	s.requireNoError(err)
 	var killing sync.WaitGroup
 	killing.Go(func() {
 		wait.For(s.t.Context(), time.Millisecond)
@@ -121,91 +122,91 @@
 			s.t.Error(err)
 		}
 	})
-	accepted := s.change(s.catalog.Edit())
+	accepted := s.applyChange(s.catalog.Edit())
 	killing.Wait()
 	took := s.awaitHead()
-	s.must(leader.Start())
-	s.must(s.cluster.AwaitLeader(s.t.Context()))
-	s.t.Logf("the leader killed in the middle of a change: acknowledged after %v, in force everywhere %v after that", accepted.At.Sub(accepted.Asked).Round(time.Millisecond), took.Round(time.Millisecond))
-	s.audit()
+	s.requireNoError(leader.Start())
+	s.requireNoError(s.cluster.AwaitLeader(s.t.Context()))
+	s.t.Logf("leader killed during a change: acknowledged after %v, in force at all gateways %v later", accepted.AcknowledgedAt.Sub(accepted.RequestedAt).Round(time.Millisecond), took.Round(time.Millisecond))
+	s.checkHistories()
 }
 
-// cutRegion has two control processes stand still and takes a third of the gateways
-// off all the others, so that these have nobody who answers.
-func (s *recordsSite) cutRegion() {
+// partitionRegion suspends two control processes and blocks the gateways of one zone, a third of all, from all control
+// processes, so that these gateways reach no server.
+func (s *recordsSite) partitionRegion() {
 	s.t.Helper()
-	inside := s.followers(2)
-	for _, p := range inside {
-		s.must(p.Suspend())
+	suspended := s.followers(2)
+	for _, p := range suspended {
+		s.requireNoError(p.Suspend())
 	}
-	for _, g := range s.zone(1) {
-		g.Link.Cut(s.cluster.Addresses()...)
+	for _, g := range s.zoneGateways(1) {
+		g.Link.Block(s.cluster.Addresses()...)
 	}
-	s.t.Logf("a region cut (%d gateways, 2 control processes): versions %v", len(s.zone(1)), s.versions())
+	s.t.Logf("region partitioned (%d gateways, 2 control processes): versions %v", len(s.zoneGateways(1)), s.versionCounts())
 	began := time.Now()
-	for time.Since(began) < *cutFor {
-		s.change(s.catalog.Edit())
-		wait.For(s.t.Context(), changePause)
+	for time.Since(began) < *partitionDuration {
+		s.applyChange(s.catalog.Edit())
+		wait.For(s.t.Context(), changeInterval)
 	}
-	s.t.Logf("after %v: versions %v", time.Since(began).Round(time.Second), s.versions())
-	for _, p := range inside {
-		s.must(p.Resume())
+	s.t.Logf("after %v: versions %v", time.Since(began).Round(time.Second), s.versionCounts())
+	for _, p := range suspended {
+		s.requireNoError(p.Resume())
 	}
-	for _, g := range s.zone(1) {
+	for _, g := range s.zoneGateways(1) {
 		g.Link.Heal()
 	}
-	s.t.Logf("healed: all are one after %v", s.awaitHead().Round(time.Millisecond))
-	s.audit()
+	s.t.Logf("partition healed: all gateways converged in %v", s.awaitHead().Round(time.Millisecond))
+	s.checkHistories()
 }
 
-// fault is one random fault and what ends it.
+// fault is an active random fault and the function that ends it.
 type fault struct {
 	name string
 	heal func()
 }
 
-// TestRecordsRandomFaults has random faults beside changes, and rules from records
-// alone that nothing acknowledged is lost, none is half in force, none goes back,
-// and all are one after the last fault.
+// TestRecordsRandomFaults makes changes during random faults and checks the histories: no acknowledged change is lost,
+// no version is partly in force, no gateway goes back to an earlier version, and all gateways converge after the last
+// fault.
 func TestRecordsRandomFaults(t *testing.T) {
-	for seed := *daySeed; seed < *daySeed+uint64(*faultSeeds); seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playFaults(t, seed) })
+	for seed := *randomSeed; seed < *randomSeed+uint64(*faultSeeds); seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomFaults(t, seed) })
 	}
 }
 
-func playFaults(t *testing.T, seed uint64) {
-	const gateways, count, steps, mostFaults = 20, 300, 40, 4
-	s := startRecordsSite(t, ClusterOptions{Voters: 5, Replicas: 1}, FleetOptions{Size: gateways, ReportEvery: 100 * time.Millisecond, RecordBytes: 200_000}, count)
+func runRandomFaults(t *testing.T, seed uint64) {
+	const gateways, count, steps, maxFaults = 20, 300, 40, 4
+	s := startRecordsSite(t, ClusterOptions{Voters: 5, Replicas: 1}, FleetOptions{Size: gateways, ReportInterval: 100 * time.Millisecond, RecordsBytesPerSecond: 200_000}, count)
 	if err := s.fleet.StartRecords(); err != nil {
 		t.Fatal(err)
 	}
 	s.awaitHead()
 	random := rand.New(rand.NewPCG(seed, 2))
-	var open []fault
+	var active []fault
 	counts := map[string]int{}
 	for range steps {
-		s.change(s.catalog.Edit())
-		if len(open) == mostFaults || len(open) > 0 && random.IntN(3) == 0 {
-			i := random.IntN(len(open))
-			open[i].heal()
-			open = append(open[:i], open[i+1:]...)
+		s.applyChange(s.catalog.Edit())
+		if len(active) == maxFaults || len(active) > 0 && random.IntN(3) == 0 {
+			i := random.IntN(len(active))
+			active[i].heal()
+			active = append(active[:i], active[i+1:]...)
 		}
 		if f := s.randomFault(random); f.name != "" {
 			counts[f.name]++
-			open = append(open, f)
+			active = append(active, f)
 		}
 	}
-	for _, f := range open {
+	for _, f := range active {
 		f.heal()
 	}
-	s.change(s.catalog.Edit())
+	s.applyChange(s.catalog.Edit())
 	took := s.awaitHead()
-	s.audit()
-	t.Logf("seed %d: %v; all are one %v after the last fault", seed, counts, took.Round(time.Millisecond))
+	s.checkHistories()
+	t.Logf("seed %d: %v; all gateways converged %v after the last fault", seed, counts, took.Round(time.Millisecond))
 }
 
-// randomFault begins a fault; one without a name is none, where the site could bear
-// no more.
+// randomFault starts a fault. It returns one without a name if the drawn fault is impossible now: the gateway is
+// stopped already, or the site cannot lose another control process.
 func (s *recordsSite) randomFault(random *rand.Rand) fault {
 	g := s.fleet.Gateways[random.IntN(len(s.fleet.Gateways))]
 	p := s.cluster.Processes[random.IntN(len(s.cluster.Processes))]
@@ -215,85 +216,85 @@
 	case 1:
 		return s.suspendProcess(p)
 	case 2:
-		g.Link.Cut(s.cluster.Addresses()...)
-		return fault{"gateway cut off", g.Link.Heal}
+		g.Link.Block(s.cluster.Addresses()...)
+		return fault{"gateway partitioned", g.Link.Heal}
 	case 6:
-		g.Link.Damage()
-		return fault{"gateway's answers damaged", g.Link.Heal}
+		g.Link.Corrupt()
+		return fault{"gateway's responses corrupted", g.Link.Heal}
 	case 3:
-		if _, runs := g.Records.Version(); !runs {
+		if _, running := g.Records.Version(); !running {
 			return fault{}
 		}
 		g.Records.Stop()
-		return fault{"gateway stopped", func() { s.must(g.Records.Start()) }}
+		return fault{"gateway stopped", func() { s.requireNoError(g.Records.Start()) }}
 	case 4:
-		if _, runs := g.Records.Version(); !runs {
+		if _, running := g.Records.Version(); !running {
 			return fault{}
 		}
 		g.Records.Stop()
-		s.must(g.Records.Erase())
-		return fault{"gateway lost its disk", func() { s.must(g.Records.Start()) }}
+		s.requireNoError(g.Records.Erase())
+		return fault{"gateway lost its disk", func() { s.requireNoError(g.Records.Start()) }}
 	default:
-		if _, runs := g.Records.Version(); !runs {
+		if _, running := g.Records.Version(); !running {
 			return fault{}
 		}
 		g.Records.Stop()
-		s.damage(random, g)
-		return fault{"gateway's disk damaged", func() { s.must(g.Records.Start()) }}
+		s.corruptDisk(random, g)
+		return fault{"gateway's disk corrupted", func() { s.requireNoError(g.Records.Start()) }}
 	}
 }
 
-// mostAway is how many of the six control processes may be away at once: with two
-// of five voters away the others can still change something.
-const mostAway = 2
+// maxUnavailable is how many of the six control processes may be unavailable at once: without two of its five voters
+// the site still has a majority and accepts changes.
+const maxUnavailable = 2
 
-func (s *recordsSite) mayLose(p *ControlProcess) bool {
-	away := 0
+func (s *recordsSite) canLose(p *ControlProcess) bool {
+	unavailable := 0
 	for _, other := range s.cluster.Processes {
 		if !other.Running() || other.Suspended() {
-			away++
+			unavailable++
 		}
 	}
-	return away < mostAway && p.Running() && !p.Suspended()
+	return unavailable < maxUnavailable && p.Running() && !p.Suspended()
 }
 
 func (s *recordsSite) killProcess(p *ControlProcess) fault {
-	if !s.mayLose(p) {
+	if !s.canLose(p) {
 		return fault{}
 	}
-	s.must(p.Kill())
-	return fault{"control process killed", func() { s.must(p.Start()) }}
+	s.requireNoError(p.Kill())
+	return fault{"control process killed", func() { s.requireNoError(p.Start()) }}
 }
 
 func (s *recordsSite) suspendProcess(p *ControlProcess) fault {
-	if !s.mayLose(p) {
+	if !s.canLose(p) {
 		return fault{}
 	}
-	s.must(p.Suspend())
-	return fault{"control process stands still", func() { s.must(p.Resume()) }}
+	s.requireNoError(p.Suspend())
+	return fault{"control process suspended", func() { s.requireNoError(p.Resume()) }}
 }
 
-// damage changes or cuts off a file of a stopped copy. What a gateway then takes up
-// is older at most: the ledger is told that it begins anew.
-func (s *recordsSite) damage(random *rand.Rand, g *Gateway) {
+// corruptDisk alters or truncates a file of a stopped copy. The copy may then start with an older version, so the next
+// run is recorded as a cold start.
+func (s *recordsSite) corruptDisk(random *rand.Rand, g *Gateway) {
 	s.t.Helper()
 	files, err := os.ReadDir(s.fleet.copyDir(g))
 	if errors.Is(err, os.ErrNotExist) || len(files) == 0 {
 		return
 	}
-	s.must(err)
+	s.requireNoError(err)
 	path := filepath.Join(s.fleet.copyDir(g), files[random.IntN(len(files))].Name())
-	text, err := os.ReadFile(path)
-	s.must(err)
-	if len(text) == 0 {
+	content, err := os.ReadFile(path)
+	s.requireNoError(err)
+	if len(content) == 0 {
 		return
 	}
-	at := random.IntN(len(text))
+	offset := random.IntN(len(content))
 	if random.IntN(2) == 0 {
-		text = text[:at]
+		content = content[:offset]
 	} else {
-		text[at] ^= 0x55
+		content[offset] ^= 0x55
 	}
-	s.must(os.WriteFile(path, text, 0o600))
-	g.Records.NoteDamage()
+	s.requireNoError(os.WriteFile(path, content, 0o600))
+	g.Records.MarkCorrupted()
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -8,58 +8,58 @@
 	"time"
 )
 
-// mostFetches is how many gateways of a fleet read a whole file at once. Real
-// ones would all do so, each on its own machine.
-const mostFetches = 64
+// maxConcurrentFetches is the number of gateways of a fleet that fetch a revision concurrently. Real gateways all
+// fetch at once, each on its own machine.
+const maxConcurrentFetches = 64
 
-// FleetOptions describe the hollow gateways of a site.
+// FleetOptions configure the simulated gateways of a site.
 type FleetOptions struct {
-	Size        int
-	Servers     []string // addresses of the control machines
-	ReportEvery time.Duration
-	RecordsDir  string // folder of the gateways' copies of the records; "": they keep none
-	RecordBytes int    // budget of a copy in bytes a second; 0: the default
+	Size                  int
+	Servers               []string // addresses of the control machines
+	ReportInterval        time.Duration
+	RecordsDir            string // directory of the gateways' copies of the records; "": no copies
+	RecordsBytesPerSecond int    // bandwidth limit of each copy; 0: the default
 }
 
-// Fleet is many hollow gateways in this process.
+// Fleet is a set of simulated gateways in this process.
 type Fleet struct {
 	Gateways []*Gateway
 
-	options FleetOptions
-	fetches chan struct{}
-	stop    context.CancelFunc
-	running sync.WaitGroup
+	options    FleetOptions
+	fetchSlots chan struct{}
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	inForce map[uint64]*arrival // by revision
+	mu       sync.Mutex
+	progress map[uint64]*revisionProgress // by revision
 }
 
-// arrival is how far a revision has come.
-type arrival struct {
-	gateways   int
-	everywhere chan struct{} // closed when all gateways have it
-	at         time.Time     // when it was
+// revisionProgress tracks at how many gateways a revision is in force.
+type revisionProgress struct {
+	activated   int
+	complete    chan struct{} // closed when the revision is in force at all gateways
+	completedAt time.Time     // when complete was closed
 }
 
-// StartFleet starts the gateways. Their first reports spread over one interval.
-// Copies of the records are started by StartRecords.
+// StartFleet starts the gateways. Their first reports are spread evenly over one report interval. StartRecords starts
+// their copies of the records.
 func StartFleet(o FleetOptions) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Fleet{options: o, fetches: make(chan struct{}, mostFetches), stop: cancel, inForce: map[uint64]*arrival{}}
+	f := &Fleet{options: o, fetchSlots: make(chan struct{}, maxConcurrentFetches), stop: cancel, progress: map[uint64]*revisionProgress{}}
 	for i := range o.Size {
 		f.Gateways = append(f.Gateways, newGateway(f, i))
 	}
 	for i, g := range f.Gateways {
-		first := o.ReportEvery * time.Duration(i) / time.Duration(o.Size)
-		f.running.Go(func() { g.run(ctx, first) })
+		initialDelay := o.ReportInterval * time.Duration(i) / time.Duration(o.Size)
+		f.goroutines.Go(func() { g.run(ctx, initialDelay) })
 	}
 	return f
 }
 
-// copyDir is the folder of a gateway's copy of the records.
+// copyDir returns the directory of a gateway's copy of the records.
 func (f *Fleet) copyDir(g *Gateway) string { return filepath.Join(f.options.RecordsDir, g.Name) }
 
-// StartRecords starts all copies of the records at once.
+// StartRecords starts the copies of the records of all gateways.
 func (f *Fleet) StartRecords() error {
 	for _, g := range f.Gateways {
 		if err := g.Records.Start(); err != nil {
@@ -69,78 +69,78 @@
 	return nil
 }
 
-// Stop ends the gateways.
+// Stop ends all gateways and their copies of the records.
 func (f *Fleet) Stop() {
 	f.stop()
 	for _, g := range f.Gateways {
-		f.running.Go(g.Records.Stop)
+		f.goroutines.Go(g.Records.Stop)
 	}
-	f.running.Wait()
+	f.goroutines.Wait()
 }
 
-// Histories returns the lives of all copies of the records, by gateway.
-func (f *Fleet) Histories() map[string][]Life {
-	histories := map[string][]Life{}
+// Histories returns the runs of all copies of the records, by gateway.
+func (f *Fleet) Histories() map[string][]Run {
+	histories := map[string][]Run{}
 	for _, g := range f.Gateways {
-		histories[g.Name] = g.Records.Lives()
+		histories[g.Name] = g.Records.Runs()
 	}
 	return histories
 }
 
-func (f *Fleet) arrivalOf(revision uint64) *arrival {
-	a := f.inForce[revision]
-	if a == nil {
-		a = &arrival{everywhere: make(chan struct{})}
-		f.inForce[revision] = a
+// progressOf returns the progress of a revision. The caller must hold f.mu.
+func (f *Fleet) progressOf(revision uint64) *revisionProgress {
+	progress := f.progress[revision]
+	if progress == nil {
+		progress = &revisionProgress{complete: make(chan struct{})}
+		f.progress[revision] = progress
 	}
-	return a
+	return progress
 }
 
-func (f *Fleet) noteInForce(revision uint64) {
+func (f *Fleet) recordActivation(revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	a := f.arrivalOf(revision)
-	a.gateways++
-	if a.gateways == len(f.Gateways) {
-		a.at = time.Now()
-		close(a.everywhere)
+	progress := f.progressOf(revision)
+	progress.activated++
+	if progress.activated == len(f.Gateways) {
+		progress.completedAt = time.Now()
+		close(progress.complete)
 	}
 }
 
-// AwaitRevision waits until all gateways have a revision in force, and returns
-// when that was.
+// AwaitRevision waits until a revision is in force at all gateways and returns the time at which it was.
 func (f *Fleet) AwaitRevision(ctx context.Context, revision uint64) (time.Time, error) {
 	f.mu.Lock()
-	a := f.arrivalOf(revision)
+	progress := f.progressOf(revision)
 	f.mu.Unlock()
 	select {
-	case <-a.everywhere:
+	case <-progress.complete:
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return a.at, nil
+		return progress.completedAt, nil
 	case <-ctx.Done():
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return time.Time{}, fmt.Errorf("revision %d is in force at %d of %d gateways: %w", revision, a.gateways, len(f.Gateways), ctx.Err())
+		return time.Time{}, fmt.Errorf("revision %d is in force at %d of %d gateways: %w", revision, progress.activated, len(f.Gateways), ctx.Err())
 	}
 }
 
-// Counts are sums over all gateways.
+// Counts are traffic sums over all gateways.
 type Counts struct {
 	Received int64 // bytes
 	Sent     int64 // bytes
-	Messages int64 // calls that were answered
+	Messages int64 // calls with a successful response
 }
 
-// Bytes returns all bytes.
+// Bytes returns the bytes received and sent.
 func (c Counts) Bytes() int64 { return c.Received + c.Sent }
 
-// Minus returns what has been counted since an earlier count.
-func (c Counts) Minus(before Counts) Counts {
+// Sub returns the difference to an earlier count.
+func (c Counts) Sub(before Counts) Counts {
 	return Counts{c.Received - before.Received, c.Sent - before.Sent, c.Messages - before.Messages}
 }
 
-// Counts returns what has been counted since the start.
+// Counts returns the traffic since the start.
 func (f *Fleet) Counts() (sum Counts) {
 	for _, g := range f.Gateways {
 		sum.Received += g.Traffic.Received()
--- a/internal/scale/history.go
+++ b/internal/scale/history.go
@@ -9,58 +9,58 @@
 	"elderyard/records"
 )
 
-// Advance is a version of the records that came into force at a gateway.
-type Advance struct {
+// Activation records that a version of the records came into force at a gateway.
+type Activation struct {
 	At      time.Time
 	Version uint64
 	Digest  records.Digest
 }
 
-// Life is one run of a gateway's agent.
-type Life struct {
-	Empty    bool // it began with an empty disk
-	From     time.Time
-	To       time.Time // zero: it runs
-	Advances []Advance // the first is what it began with
+// Run is the history of one run of a gateway's agent.
+type Run struct {
+	ColdStart   bool // started without a usable copy on disk
+	Start       time.Time
+	End         time.Time    // zero: still running
+	Activations []Activation // the first is the version at the start
 }
 
-// inForce returns when a life came to a version; false: it has not.
-func (l *Life) inForce(version uint64) (time.Time, bool) {
-	i, _ := slices.BinarySearchFunc(l.Advances, version, func(a Advance, version uint64) int {
+// activatedAt returns the time at which a version or a later one came into force, and false if none did.
+func (r *Run) activatedAt(version uint64) (time.Time, bool) {
+	i, _ := slices.BinarySearchFunc(r.Activations, version, func(a Activation, version uint64) int {
 		if a.Version < version {
 			return -1
 		}
 		return 1
 	})
-	if i == len(l.Advances) {
+	if i == len(r.Activations) {
 		return time.Time{}, false
 	}
-	return l.Advances[i].At, true
+	return r.Activations[i].At, true
 }
 
-// runs tells whether a life runs at a time.
-func (l *Life) runs(at time.Time) bool {
-	return !l.From.After(at) && (l.To.IsZero() || l.To.After(at))
+// activeAt reports whether the agent was running at a time.
+func (r *Run) activeAt(at time.Time) bool {
+	return !r.Start.After(at) && (r.End.IsZero() || r.End.After(at))
 }
 
-// Accepted is a change that the site has acknowledged.
-type Accepted struct {
-	Asked   time.Time
-	At      time.Time // of the answer
-	Version uint64
+// AcceptedChange is a change that the site acknowledged.
+type AcceptedChange struct {
+	RequestedAt    time.Time
+	AcknowledgedAt time.Time
+	Version        uint64
 }
 
-// Ledger is all that the site has acknowledged, and the state that must come of
-// it. It may be used by several goroutines.
+// Ledger records all changes that the site acknowledged and the state that must result from them. It is safe for
+// concurrent use.
 type Ledger struct {
 	mu        sync.Mutex
 	reference records.Store
 	digests   map[uint64]records.Digest
-	accepted  []Accepted
+	accepted  []AcceptedChange
 }
 
-// Accept notes an acknowledged change. Changes come in the order of their versions.
-func (l *Ledger) Accept(accepted Accepted, change records.Change) error {
+// Accept records an acknowledged change. Changes must be passed in the order of their versions.
+func (l *Ledger) Accept(accepted AcceptedChange, change records.Change) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.digests == nil {
@@ -71,7 +71,7 @@
 		return fmt.Errorf("ledger: version %d: %w", accepted.Version, err)
 	}
 	if result.Status != records.Accepted {
-		return fmt.Errorf("ledger: version %d was acknowledged, and what came before makes it %s: %w", accepted.Version, result.Status, result.Problem)
+		return fmt.Errorf("ledger: version %d was acknowledged, but applied to the earlier versions it is %s: %w", accepted.Version, result.Status, result.Problem)
 	}
 	l.digests[accepted.Version] = l.reference.Digest()
 	l.accepted = append(l.accepted, accepted)
@@ -79,7 +79,7 @@
 }
 
 // Accepted returns the acknowledged changes in the order of their versions.
-func (l *Ledger) Accepted() []Accepted {
+func (l *Ledger) Accepted() []AcceptedChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.accepted)
@@ -92,161 +92,160 @@
 	return l.reference.Version(), l.reference.Digest()
 }
 
-// Violation is a rule that a gateway's history breaks.
+// Violation is a breach of a rule in the history of a gateway.
 type Violation struct {
 	Gateway string
 	Rule    Rule
 	Text    string
 }
 
-// Rule is what must hold of each gateway's history.
+// Rule is an invariant of each gateway's history.
 type Rule string
 
-// The rules.
+// Rules that Check verifies.
 const (
-	NeverBack    Rule = "no gateway goes back"
-	Whole        Rule = "a version is in force whole"
-	Acknowledged Rule = "what was acknowledged is not lost"
-	Agreement    Rule = "all are one in the end"
+	NoRollback  Rule = "versions never decrease"
+	Integrity   Rule = "a version in force is complete and unaltered"
+	Durability  Rule = "acknowledged changes are not lost"
+	Convergence Rule = "all gateways converge"
 )
 
-// Audit rules on the histories of gateways from what the ledger holds. Atomic
-// rules hold at all times; that all are one holds where settled is true.
-func (l *Ledger) Audit(histories map[string][]Life, settled bool) (violations []Violation) {
+// Check verifies the histories of gateways against the acknowledged changes. NoRollback and Integrity hold at all
+// times; Durability and Convergence are verified only if settled is true.
+func (l *Ledger) Check(histories map[string][]Run, settled bool) (violations []Violation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, lives := range histories {
-		found := func(rule Rule, format string, arguments ...any) {
+	for name, runs := range histories {
+		report := func(rule Rule, format string, arguments ...any) {
 			violations = append(violations, Violation{name, rule, fmt.Sprintf(format, arguments...)})
 		}
-		var before uint64
-		for i, life := range lives {
-			if life.Empty {
-				before = 0
+		var previous uint64
+		for i, run := range runs {
+			if run.ColdStart {
+				previous = 0
 			}
-			for _, advance := range life.Advances {
-				if advance.Version < before {
-					found(NeverBack, "run %d: version %d after %d", i, advance.Version, before)
+			for _, activation := range run.Activations {
+				if activation.Version < previous {
+					report(NoRollback, "run %d: version %d after %d", i, activation.Version, previous)
 				}
-				before = advance.Version
-				if digest, known := l.digests[advance.Version]; !known {
-					found(Whole, "run %d: version %d was never acknowledged", i, advance.Version)
-				} else if digest != advance.Digest {
-					found(Whole, "run %d: version %d has the digest %s, and %s is right", i, advance.Version, advance.Digest, digest)
+				previous = activation.Version
+				if digest, ok := l.digests[activation.Version]; !ok {
+					report(Integrity, "run %d: version %d was never acknowledged", i, activation.Version)
+				} else if digest != activation.Digest {
+					report(Integrity, "run %d: version %d has digest %s, want %s", i, activation.Version, activation.Digest, digest)
 				}
 			}
 		}
 		if !settled {
 			continue
 		}
-		if head := l.reference.Version(); before < head {
-			found(Acknowledged, "version %d in the end, and %d was acknowledged", before, head)
-		} else if before > head {
-			found(Agreement, "version %d in the end, and %d is the newest", before, head)
+		if head := l.reference.Version(); previous < head {
+			report(Durability, "final version %d, but %d was acknowledged", previous, head)
+		} else if previous > head {
+			report(Convergence, "final version %d, but %d is the newest acknowledged", previous, head)
 		}
 	}
 	return violations
 }
 
-// Spread is how long changes, or starts, took.
-type Spread struct {
-	Changes int             // or starts, that were counted
-	Missing int             // that are not over, at a gateway that runs
-	Times   []time.Duration // sorted
+// Durations are how long changes took to come into force, or runs to catch up.
+type Durations struct {
+	Count      int             // changes or runs in the sample
+	Incomplete int             // not complete at a gateway that is still running
+	Sorted     []time.Duration // in ascending order
 }
 
-// Quantile returns the time that a share of the changes did not exceed.
-func (s Spread) Quantile(share float64) time.Duration {
-	if len(s.Times) == 0 {
+// Quantile returns the duration that a fraction of the sample does not exceed.
+func (d Durations) Quantile(fraction float64) time.Duration {
+	if len(d.Sorted) == 0 {
 		return 0
 	}
-	return s.Times[min(int(share*float64(len(s.Times))), len(s.Times)-1)]
-}
-
-// Everywhere returns how long each acknowledged change, of those asked for since a
-// time, took from then until in force at every gateway whose start was over by then
-// and that ran on until it had the change. Starts has the starts themselves. A
-// change that no gateway is counted for is left out.
-func (l *Ledger) Everywhere(histories map[string][]Life, since time.Time) (spread Spread) {
-	list := l.Accepted()
-	var started []startedLife
-	for _, lives := range histories {
-		for i := range lives {
-			if at, came := startOver(&lives[i], list); came {
-				started = append(started, startedLife{&lives[i], at})
+	return d.Sorted[min(int(fraction*float64(len(d.Sorted))), len(d.Sorted)-1)]
+}
+
+// PropagationTimes returns how long each acknowledged change requested since a time took from its request until it
+// was in force at every gateway that had caught up by the request and kept running until it had the change. Runs
+// that were still catching up are measured by CatchUpTimes. A change without such a gateway is not in the sample.
+func (l *Ledger) PropagationTimes(histories map[string][]Run, since time.Time) (durations Durations) {
+	accepted := l.Accepted()
+	var caughtUp []caughtUpRun
+	for _, runs := range histories {
+		for i := range runs {
+			if at, ok := caughtUpAt(&runs[i], accepted); ok {
+				caughtUp = append(caughtUp, caughtUpRun{&runs[i], at})
 			}
 		}
 	}
-	for _, accepted := range list {
-		if accepted.Asked.Before(since) {
+	for _, change := range accepted {
+		if change.RequestedAt.Before(since) {
 			continue
 		}
-		took, came, lacking := slowest(started, accepted)
+		slowest, activated, pending := slowestActivation(caughtUp, change)
 		switch {
-		case lacking > 0:
-			spread.Missing++
-		case came > 0:
-			spread.Changes++
-			spread.Times = append(spread.Times, took)
+		case pending > 0:
+			durations.Incomplete++
+		case activated > 0:
+			durations.Count++
+			durations.Sorted = append(durations.Sorted, slowest)
 		}
 	}
-	slices.Sort(spread.Times)
-	return spread
+	slices.Sort(durations.Sorted)
+	return durations
 }
 
-// startedLife is a life and when its start was over.
-type startedLife struct {
-	*Life
-	over time.Time
+// caughtUpRun is a run and the time at which it had caught up.
+type caughtUpRun struct {
+	*Run
+	caughtUpAt time.Time
 }
 
-// startOver returns when a life had the newest version that had been acknowledged
-// when it began.
-func startOver(life *Life, list []Accepted) (time.Time, bool) {
-	n, _ := slices.BinarySearchFunc(list, life.From, func(a Accepted, from time.Time) int { return a.At.Compare(from) })
+// caughtUpAt returns when a run had the newest version that was acknowledged before its start, and false if it never
+// did.
+func caughtUpAt(run *Run, accepted []AcceptedChange) (time.Time, bool) {
+	n, _ := slices.BinarySearchFunc(accepted, run.Start, func(a AcceptedChange, start time.Time) int { return a.AcknowledgedAt.Compare(start) })
 	if n == 0 {
-		return life.From, true
+		return run.Start, true
 	}
-	return life.inForce(list[n-1].Version)
+	return run.activatedAt(accepted[n-1].Version)
 }
 
-// slowest returns how long a change took at most, how many lives it came to, and how
-// many run without it.
-func slowest(started []startedLife, accepted Accepted) (most time.Duration, came, lacking int) {
-	for _, life := range started {
-		if life.over.After(accepted.Asked) || !life.runs(accepted.Asked) {
+// slowestActivation returns the longest time that a change took, the number of runs in which it came into force, and
+// the number of unfinished runs in which it has not. Runs that had not caught up at the request do not count.
+func slowestActivation(runs []caughtUpRun, change AcceptedChange) (slowest time.Duration, activated, pending int) {
+	for _, run := range runs {
+		if run.caughtUpAt.After(change.RequestedAt) || !run.activeAt(change.RequestedAt) {
 			continue
 		}
-		at, inForce := life.inForce(accepted.Version)
+		at, inForce := run.activatedAt(change.Version)
 		switch {
 		case inForce:
-			came++
-			most = max(most, at.Sub(accepted.Asked))
-		case life.To.IsZero():
-			lacking++
+			activated++
+			slowest = max(slowest, at.Sub(change.RequestedAt))
+		case run.End.IsZero():
+			pending++
 		}
 	}
-	return most, came, lacking
+	return slowest, activated, pending
 }
 
-// Starts returns how long each life, of those that began with an empty disk or of
-// the others, took from its start until the start was over.
-func (l *Ledger) Starts(histories map[string][]Life, empty bool) (spread Spread) {
-	list := l.Accepted()
-	for _, lives := range histories {
-		for i := range lives {
-			life := &lives[i]
-			if life.Empty != empty {
+// CatchUpTimes returns how long each run that was a cold start, or each other run, took to catch up with the newest
+// version acknowledged before its start.
+func (l *Ledger) CatchUpTimes(histories map[string][]Run, coldStart bool) (durations Durations) {
+	accepted := l.Accepted()
+	for _, runs := range histories {
+		for i := range runs {
+			run := &runs[i]
+			if run.ColdStart != coldStart {
 				continue
 			}
-			if at, came := startOver(life, list); came {
-				spread.Changes++
-				spread.Times = append(spread.Times, max(0, at.Sub(life.From)))
-			} else if life.To.IsZero() {
-				spread.Missing++
+			if at, ok := caughtUpAt(run, accepted); ok {
+				durations.Count++
+				durations.Sorted = append(durations.Sorted, max(0, at.Sub(run.Start)))
+			} else if run.End.IsZero() {
+				durations.Incomplete++
 			}
 		}
 	}
-	slices.Sort(spread.Times)
-	return spread
+	slices.Sort(durations.Sorted)
+	return durations
 }
--- a/internal/scale/members_linux_test.go
+++ b/internal/scale/members_linux_test.go
@@ -23,11 +23,11 @@
 var memberSizes = flag.String("scale-members", "50,100,200,400", "numbers of members in one process, for -scale-long")
 
 const (
-	memberSeeds  = 4
-	membersCalm  = 30 * time.Second // what the starts set going has gone round by then
-	memberStops  = 3
-	memberRate   = 256 << 10 // bytes a second, the site's default
-	memberPeriod = time.Second
+	memberSeeds         = 4
+	settleTime          = 30 * time.Second // until the gossip of the starts has spread
+	memberStops         = 3
+	memberRate          = 256 << 10 // bytes per second, the default of a site
+	memberProbeInterval = time.Second
 )
 
 // member is one member in this process.
@@ -43,7 +43,7 @@
 	members []*member
 }
 
-func startMembers(t testing.TB, n int, every time.Duration) *membersSite {
+func startMembers(t testing.TB, n int, probeInterval time.Duration) *membersSite {
 	t.Helper()
 	dir := t.TempDir()
 	roster := "epoch = 1\n"
@@ -64,20 +64,20 @@
 	}
 	s := &membersSite{t: t}
 	for i, address := range addresses {
-		own := filepath.Join(dir, memberName(i))
-		if err := os.Mkdir(own, 0o700); err != nil {
+		memberDir := filepath.Join(dir, memberName(i))
+		if err := os.Mkdir(memberDir, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		s.start(peers.Settings{Self: memberName(i), Site: "scale", Listen: address, Advertise: address, Dir: own, KeyFile: filepath.Join(dir, "keys"),
-			RosterFile: filepath.Join(dir, "roster.toml"), Seeds: seedsOf(addresses, i), AddressOverrides: map[string]string{}, ProbeInterval: every, MaxBytesPerSecond: memberRate,
+		s.start(peers.Settings{Self: memberName(i), Site: "scale", Listen: address, Advertise: address, Dir: memberDir, KeyFile: filepath.Join(dir, "keys"),
+			RosterFile: filepath.Join(dir, "roster.toml"), Seeds: seedAddresses(addresses, i), AddressOverrides: map[string]string{}, ProbeInterval: probeInterval, MaxBytesPerSecond: memberRate,
 			Log: slog.New(slog.DiscardHandler)})
 	}
 	return s
 }
 
-// seedsOf spreads the members that are asked first: where all ask the same few, these
-// turn most away, and a large site takes minutes to be whole.
-func seedsOf(addresses []string, i int) (seeds []string) {
+// seedAddresses spreads the seeds over all members: if all join through the same few, these reject most of them, and a
+// large site takes minutes to become complete.
+func seedAddresses(addresses []string, i int) (seeds []string) {
 	for k := range memberSeeds {
 		seeds = append(seeds, addresses[(i+1+k*len(addresses)/memberSeeds)%len(addresses)])
 	}
@@ -100,21 +100,21 @@
 	s.members = append(s.members, m)
 }
 
-// takes waits until all members satisfy a condition, and returns how long that took.
-func (s *membersSite) takes(what string, satisfies func(*members.View) bool) time.Duration {
+// awaitAll waits until the views of all members satisfy a condition, and returns how long that took.
+func (s *membersSite) awaitAll(what string, satisfies func(*members.View) bool) time.Duration {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(s.t.Context(), waitTimeout)
 	defer cancel()
 	began := time.Now()
-	err := until(ctx, func() error {
-		not := 0
+	err := pollUntil(ctx, func() error {
+		unsatisfied := 0
 		for _, m := range s.members {
-			if picture := m.View(); !satisfies(&picture) {
-				not++
+			if view := m.View(); !satisfies(&view) {
+				unsatisfied++
 			}
 		}
-		if not > 0 {
-			return fmt.Errorf("%d of %d members do not", not, len(s.members))
+		if unsatisfied > 0 {
+			return fmt.Errorf("%d of %d members do not satisfy it", unsatisfied, len(s.members))
 		}
 		return nil
 	})
@@ -124,19 +124,19 @@
 	return time.Since(began)
 }
 
-func whole(p *members.View) bool { return p.Verdict == members.Complete }
+func isComplete(view *members.View) bool { return view.Verdict == members.Complete }
 
-// stopLast ends the last member, and returns how long all others took to know.
+// stopLast stops the last member and returns how long all others took to learn of it.
 func (s *membersSite) stopLast() time.Duration {
 	s.t.Helper()
-	gone := s.members[len(s.members)-1]
+	stopped := s.members[len(s.members)-1]
 	s.members = s.members[:len(s.members)-1]
 	var stopping sync.WaitGroup
-	stopping.Go(gone.stop) // it waits until its last word has gone round
+	stopping.Go(stopped.stop) // returns when its departure notice has spread
 	defer stopping.Wait()
-	return s.takes(gone.name+" has gone", func(p *members.View) bool {
+	return s.awaitAll(stopped.name+" is known to have left", func(p *members.View) bool {
 		for _, view := range p.Members {
-			if view.Name == gone.name {
+			if view.Name == stopped.name {
 				return !view.State.Alive()
 			}
 		}
@@ -153,21 +153,21 @@
 	return datagrams, bytes
 }
 
-// TestMembers has members of a small site agree on who is there, and on who stops.
+// TestMembers checks that the members of a small site agree on the membership and on a member that stops.
 func TestMembers(t *testing.T) {
 	s := startMembers(t, 8, 200*time.Millisecond)
-	s.takes("all are whole", whole)
+	s.awaitAll("all views are complete", isComplete)
 	s.stopLast()
 	if datagrams, bytes := s.traffic(); datagrams == 0 || bytes == 0 {
 		t.Errorf("%d datagrams, %d bytes", datagrams, bytes)
 	}
 }
 
-// TestMembersScale measures larger sites. Their members leave in order: one that is
-// killed is measured by internal/lab, with processes.
+// TestMembersScale measures larger sites. Their members leave in order; internal/lab measures killed members, with
+// separate processes.
 func TestMembersScale(t *testing.T) {
-	if !*long {
-		t.Skip("figures are asked for by -scale-long")
+	if !*longRun {
+		t.Skip("measurements need -scale-long")
 	}
 	results := newResults(t)
 	for _, text := range strings.Split(*memberSizes, ",") {
@@ -180,31 +180,31 @@
 }
 
 func measureMembers(t *testing.T, r *Results, n int) {
-	empty := mustUsage(t)
-	s := startMembers(t, n, memberPeriod)
-	took := s.takes("all are whole", whole)
-	wait.For(t.Context(), membersCalm)
-	before, began := mustUsage(t), time.Now()
+	baseline := processUsage(t)
+	s := startMembers(t, n, memberProbeInterval)
+	took := s.awaitAll("all views are complete", isComplete)
+	wait.For(t.Context(), settleTime)
+	before, began := processUsage(t), time.Now()
 	datagramsBefore, bytesBefore := s.traffic()
-	wait.For(t.Context(), *idleFor)
-	after, seconds := mustUsage(t), time.Since(began).Seconds()
+	wait.For(t.Context(), *idleDuration)
+	after, seconds := processUsage(t), time.Since(began).Seconds()
 	datagrams, bytes := s.traffic()
 	size := float64(n)
 	r.Add("members.bytes_per_second", "B/s", size, float64(bytes-bytesBefore)/size/seconds)
 	r.Add("members.datagrams_per_second", "1/s", size, float64(datagrams-datagramsBefore)/size/seconds)
 	r.Add("members.cpu_cores", "cores", size, (after.CPU-before.CPU).Seconds()/size/seconds)
-	r.Add("members.added_memory_mb", "MB", size, float64(after.ResidentBytes-empty.ResidentBytes)/megabyte/size)
-	t.Logf("%d members: whole after %v; at rest each sends %.1f datagrams and %.0f bytes a second and takes %.2f ms of CPU a second; %.2f MB each", n, took.Round(time.Millisecond),
+	r.Add("members.added_memory_mb", "MB", size, float64(after.ResidentBytes-baseline.ResidentBytes)/megabyte/size)
+	t.Logf("%d members: views complete after %v; at rest each sends %.1f datagrams and %.0f bytes per second and uses %.2f ms of CPU per second; %.2f MB each", n, took.Round(time.Millisecond),
 		float64(datagrams-datagramsBefore)/size/seconds, float64(bytes-bytesBefore)/size/seconds, (after.CPU-before.CPU).Seconds()*1000/size/seconds,
-		float64(after.ResidentBytes-empty.ResidentBytes)/megabyte/size)
+		float64(after.ResidentBytes-baseline.ResidentBytes)/megabyte/size)
 	for range memberStops {
 		stopped := s.stopLast()
 		r.Add("members.departed_seconds", "s", size, stopped.Seconds())
-		t.Logf("%d members: one stopped is known to all after %v", n, stopped.Round(time.Millisecond))
+		t.Logf("%d members: all know of a stopped member after %v", n, stopped.Round(time.Millisecond))
 	}
 }
 
-func mustUsage(t testing.TB) Usage {
+func processUsage(t testing.TB) Usage {
 	t.Helper()
 	usage, err := readUsage(os.Getpid())
 	if err != nil {
--- a/internal/scale/process_linux.go
+++ b/internal/scale/process_linux.go
@@ -17,33 +17,33 @@
 	"elderyard/internal/agentapi"
 )
 
-// ControlProcess is one control machine: an agent without gateways, in a process
-// of its own. It belongs to one goroutine.
+// ControlProcess is one control machine: an agent without gateways, in its own process. It is not safe for concurrent
+// use.
 type ControlProcess struct {
 	Name    string
 	Address string // for other agents
 	Client  *agentapi.Client
 
-	program string
-	dir     string
-	command *exec.Cmd // nil: it does not run
-	stopped bool      // it is suspended
+	program   string
+	dir       string
+	command   *exec.Cmd // nil: not running
+	suspended bool      // by Suspend, until Resume
 }
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
-	CPU           time.Duration // user and system time since its start
+	CPU           time.Duration // user and system time since the start
 	ResidentBytes int64
-	PeakBytes     int64 // largest resident memory since its start, or since ResetPeak
-	IOBytes       int64 // that it has read and written by system calls: sockets and files
+	PeakBytes     int64 // peak resident memory since the start or the last ResetPeak
+	IOBytes       int64 // read and written by system calls, on sockets and files
 }
 
-// errNotRunning says that a control process has been stopped or killed.
-var errNotRunning = errors.New("control process does not run")
+// errNotRunning means that a control process was stopped or killed.
+var errNotRunning = errors.New("control process is not running")
 
-const clockTick = 10 * time.Millisecond // unit of CPU time in /proc
+const clockTick = 10 * time.Millisecond // unit of CPU time in /proc/PID/stat
 
-// Start runs the process. It keeps what an earlier run left in its folder.
+// Start runs the process with the files that an earlier run left in its directory.
 func (p *ControlProcess) Start() error {
 	log, err := os.OpenFile(filepath.Join(p.dir, "agent.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -56,17 +56,17 @@
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
-	p.command, p.stopped = command, false
+	p.command, p.suspended = command, false
 	return nil
 }
 
-// Kill ends the process at once, as the loss of the machine would.
-func (p *ControlProcess) Kill() error { return p.end(syscall.SIGKILL) }
+// Kill sends SIGKILL, which simulates the loss of the machine, and waits for the process to end.
+func (p *ControlProcess) Kill() error { return p.signalAndWait(syscall.SIGKILL) }
 
-// Stop asks the process to end, and waits for that.
-func (p *ControlProcess) Stop() error { return p.end(syscall.SIGTERM) }
+// Stop sends SIGTERM and waits for the process to end.
+func (p *ControlProcess) Stop() error { return p.signalAndWait(syscall.SIGTERM) }
 
-func (p *ControlProcess) end(signal syscall.Signal) error {
+func (p *ControlProcess) signalAndWait(signal syscall.Signal) error {
 	if p.command == nil {
 		return fmt.Errorf("end %s: %w", p.Name, errNotRunning)
 	}
@@ -86,23 +86,23 @@
 	return nil
 }
 
-// Running tells whether the process has been started and not ended.
+// Running reports whether the process was started and has not been ended.
 func (p *ControlProcess) Running() bool { return p.command != nil }
 
-// Suspend has the process stand still until Resume.
+// Suspend halts the process until Resume.
 func (p *ControlProcess) Suspend() error {
-	p.stopped = true
+	p.suspended = true
 	return p.signal(syscall.SIGSTOP)
 }
 
-// Resume lets a suspended process go on.
+// Resume continues a suspended process.
 func (p *ControlProcess) Resume() error {
-	p.stopped = false
+	p.suspended = false
 	return p.signal(syscall.SIGCONT)
 }
 
-// Suspended tells whether the process stands still.
-func (p *ControlProcess) Suspended() bool { return p.stopped }
+// Suspended reports whether the process is suspended.
+func (p *ControlProcess) Suspended() bool { return p.suspended }
 
 func (p *ControlProcess) signal(signal syscall.Signal) error {
 	if p.command == nil {
@@ -111,7 +111,7 @@
 	return p.command.Process.Signal(signal)
 }
 
-// Usage reads what the process has used.
+// Usage returns the resource usage of the process.
 func (p *ControlProcess) Usage() (Usage, error) {
 	if p.command == nil {
 		return Usage{}, fmt.Errorf("usage of %s: %w", p.Name, errNotRunning)
@@ -123,7 +123,7 @@
 	return usage, nil
 }
 
-// ResetPeak has PeakBytes begin anew at the present resident memory.
+// ResetPeak restarts PeakBytes at the current resident memory.
 func (p *ControlProcess) ResetPeak() error {
 	if p.command == nil {
 		return fmt.Errorf("reset peak of %s: %w", p.Name, errNotRunning)
@@ -155,15 +155,15 @@
 
 // readCPU reads user and system time from /proc/PID/stat.
 func readCPU(pid int) (time.Duration, error) {
-	text, err := os.ReadFile(procPath(pid, "stat"))
+	content, err := os.ReadFile(procPath(pid, "stat"))
 	if err != nil {
 		return 0, err
 	}
-	// The program's name, in parentheses, may hold spaces.
-	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
+	// The program name, in parentheses, may contain spaces.
+	fields := strings.Fields(string(content[bytes.LastIndexByte(content, ')')+1:]))
 	const userField, systemField = 11, 12
 	if len(fields) <= systemField {
-		return 0, fmt.Errorf("%s has %d fields", procPath(pid, "stat"), len(fields))
+		return 0, fmt.Errorf("%s: unexpected format with %d fields", procPath(pid, "stat"), len(fields))
 	}
 	ticks := 0
 	for _, field := range []string{fields[userField], fields[systemField]} {
@@ -176,14 +176,14 @@
 	return time.Duration(ticks) * clockTick, nil
 }
 
-// readFields reads the numbers of a file with lines such as "VmRSS: 12 kB".
+// readFields returns the numeric values of a file with lines such as "VmRSS: 12 kB".
 func readFields(path string) (map[string]int64, error) {
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	fields := map[string]int64{}
-	for line := range strings.Lines(string(text)) {
+	for line := range strings.Lines(string(content)) {
 		name, rest, found := strings.Cut(line, ":")
 		words := strings.Fields(rest)
 		if !found || len(words) == 0 {
@@ -196,14 +196,14 @@
 	return fields, nil
 }
 
-// writeConfig writes the agent's file.
+// writeConfig writes the configuration file of the agent.
 func (p *ControlProcess) writeConfig(config map[string]any) error {
-	text, err := toml.Marshal(config)
+	content, err := toml.Marshal(config)
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(p.dir, 0o700); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(p.dir, configFile), text, 0o600)
+	return os.WriteFile(filepath.Join(p.dir, configFile), content, 0o600)
 }
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -8,25 +8,24 @@
 	"elderyard/internal/wait"
 )
 
-// Recorder notes every second how many bytes each gateway has sent and received,
-// for reports and records together.
+// Recorder samples every second how many bytes each gateway has sent and received, for reports and records together.
 type Recorder struct {
-	fleet   *Fleet
-	stop    context.CancelFunc
-	running sync.WaitGroup
-	samples [][]int64 // by second, then by gateway
+	fleet      *Fleet
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+	samples    [][]int64 // bytes so far, by second, then by gateway
 }
 
-const sampleEvery = time.Second
+const sampleInterval = time.Second
 
-// StartRecorder begins to note.
+// StartRecorder starts sampling the traffic of a fleet.
 func StartRecorder(f *Fleet) *Recorder {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Recorder{fleet: f, stop: cancel}
-	r.running.Go(func() {
-		for began := time.Now(); ctx.Err() == nil; {
+	r.goroutines.Go(func() {
+		for start := time.Now(); ctx.Err() == nil; {
 			r.sample()
-			next := began.Add(time.Duration(len(r.samples)) * sampleEvery)
+			next := start.Add(time.Duration(len(r.samples)) * sampleInterval)
 			wait.For(ctx, time.Until(next))
 		}
 	})
@@ -41,21 +40,21 @@
 	r.samples = append(r.samples, row)
 }
 
-// Stop ends the notes, and returns the mean of all gateways and the worst minute of
-// any one, in bytes a second. Of a shorter time than a minute, the worst is that of
-// the whole time.
+// Stop ends sampling and returns the mean rate over all gateways and the highest rate of any gateway over a minute,
+// both in bytes per second. If less than a minute was sampled, the highest rate is that over the whole time.
 func (r *Recorder) Stop() (mean, worstMinute float64) {
 	r.stop()
-	r.running.Wait()
+	r.goroutines.Wait()
 	return rates(r.samples)
 }
 
+// rates returns the mean rate over all gateways and the highest rate of any gateway over a minute.
 func rates(samples [][]int64) (mean, worstMinute float64) {
 	seconds := len(samples) - 1
 	if seconds < 1 {
 		return 0, 0
 	}
-	window := min(seconds, int(time.Minute/sampleEvery))
+	window := min(seconds, int(time.Minute/sampleInterval))
 	first, last := samples[0], samples[seconds]
 	for i := range first {
 		mean += float64(last[i]-first[i]) / float64(seconds) / float64(len(first))
--- a/internal/scale/results.go
+++ b/internal/scale/results.go
@@ -8,25 +8,25 @@
 	"strings"
 )
 
-// Point is one figure at one size.
+// Point is one measured value at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Series is one measure at several sizes, in the form that elderctl capacity reads.
+// Series is one measured quantity at several sizes, in the format that elderctl capacity reads.
 type Series struct {
 	Measure  string  `json:"measure"`
 	Unit     string  `json:"unit"`
 	Command  string  `json:"command"`
-	Measured string  `json:"measured"` // the day, as 2026-12-02
-	Beside   string  `json:"beside"`   // what else ran on the machine
+	Measured string  `json:"measured"` // date, such as 2026-12-02
+	Beside   string  `json:"beside"`   // other load on the machine
 	Trial    bool    `json:"trial"`
 	Note     string  `json:"note,omitempty"`
 	Points   []Point `json:"points"`
 }
 
-// Results collect the figures of one run. They belong to one goroutine.
+// Results collects the measurements of one run. It is not safe for concurrent use.
 type Results struct {
 	Command  string
 	Measured string
@@ -35,7 +35,7 @@
 	series   []Series
 }
 
-// Add notes a figure.
+// Add appends a value to the series of a measured quantity.
 func (r *Results) Add(measure, unit string, size, value float64) {
 	i := slices.IndexFunc(r.series, func(s Series) bool { return s.Measure == measure })
 	if i < 0 {
@@ -45,20 +45,20 @@
 	r.series[i].Points = append(r.series[i].Points, Point{size, value})
 }
 
-// Series returns what has been noted, by the measure's name.
+// Series returns all series, sorted by the name of the quantity.
 func (r *Results) Series() []Series {
 	list := slices.Clone(r.series)
 	slices.SortFunc(list, func(a, b Series) int { return strings.Compare(a.Measure, b.Measure) })
 	return list
 }
 
-// WriteFile writes the series as a JSON list.
+// WriteFile writes all series as a JSON list.
 func (r *Results) WriteFile(path string) error {
-	text, err := json.MarshalIndent(r.Series(), "", "  ")
+	encoded, err := json.MarshalIndent(r.Series(), "", "  ")
 	if err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
-	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
+	if err := os.WriteFile(path, append(encoded, '\n'), 0o644); err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
 	return nil
--- a/internal/scale/scale_linux_test.go
+++ b/internal/scale/scale_linux_test.go
@@ -18,25 +18,26 @@
 )
 
 var (
-	long      = flag.Bool("scale-long", false, "measure at the sizes of -scale-sizes; without it the tests run small and rule on counts and states")
-	sizesText = flag.String("scale-sizes", "152,305,610,1220", "numbers of gateways, for -scale-long")
-	voters    = flag.Int("scale-voters", 5, "control processes, for -scale-long")
-	entries   = flag.Int("scale-entries", 2300, "entries of some 110 bytes in the whole file, for -scale-long")
-	changes   = flag.Int("scale-changes", 3, "changes of the whole file that are measured, for -scale-long")
-	idleFor   = flag.Duration("scale-idle", 30*time.Second, "time at rest that is measured, for -scale-long")
-	outPath   = flag.String("scale-out", "", "file to write the figures to, in the form of elderctl capacity")
-	beside    = flag.String("scale-beside", "not told", "what else ran on the machine, for -scale-out")
-	trial     = flag.Bool("scale-trial", false, "mark the figures as a trial, for -scale-out")
+	longRun      = flag.Bool("scale-long", false, "measure at the sizes of -scale-sizes; without it the tests run small and rule on counts and states")
+	sizesText    = flag.String("scale-sizes", "152,305,610,1220", "numbers of gateways, for -scale-long")
+	voters       = flag.Int("scale-voters", 5, "control processes, for -scale-long")
+	entryCount   = flag.Int("scale-entries", 2300, "entries of some 110 bytes in the whole file, for -scale-long")
+	changeCount  = flag.Int("scale-changes", 3, "changes of the whole file that are measured, for -scale-long")
+	idleDuration = flag.Duration("scale-idle", 30*time.Second, "time at rest that is measured, for -scale-long")
+	outPath      = flag.String("scale-out", "", "file to write the figures to, in the form of elderctl capacity")
+	otherLoad    = flag.String("scale-beside", "not told", "what else ran on the machine, for -scale-out")
+	trial        = flag.Bool("scale-trial", false, "mark the figures as a trial, for -scale-out")
 )
 
 const (
-	patience = 5 * time.Minute
-	megabyte = 1 << 20
+	waitTimeout = 5 * time.Minute
+	megabyte    = 1 << 20
 )
 
-// program is elderctl, built once for all tests of this package.
+// program is the path of elderctl, built once for all tests of this package.
 var program string
 
+// TestMain builds elderctl before it runs the tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	code, err := runTests(m)
@@ -60,7 +61,7 @@
 	return m.Run(), nil
 }
 
-// site is a cluster with its fleet in a test.
+// site is a cluster and its fleet in a test.
 type site struct {
 	t       testing.TB
 	cluster *Cluster
@@ -69,14 +70,14 @@
 	edits   int
 }
 
-func startSite(t testing.TB, voters, gateways int, reportEvery time.Duration) *site {
+func startSite(t testing.TB, voters, gateways int, reportInterval time.Duration) *site {
 	t.Helper()
-	return startSiteWith(t, ClusterOptions{Voters: voters}, FleetOptions{Size: gateways, ReportEvery: reportEvery})
+	return startSiteWith(t, ClusterOptions{Voters: voters}, FleetOptions{Size: gateways, ReportInterval: reportInterval})
 }
 
 func startSiteWith(t testing.TB, c ClusterOptions, f FleetOptions) *site {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "scale") // short: a socket's path is bounded
+	dir, err := os.MkdirTemp("", "scale") // short because the length of a socket path is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,12 +95,12 @@
 	f.Servers = cluster.Addresses()
 	s := &site{t: t, cluster: cluster, fleet: StartFleet(f)}
 	t.Cleanup(s.fleet.Stop)
-	s.await("all gateways are heard", func(status agentapi.Status) bool { return len(heard(status)) == f.Size })
+	s.await("all gateways report", func(status agentapi.Status) bool { return len(reportingInstances(status)) == f.Size })
 	return s
 }
 
-// heard lists the instances that the leader has heard of.
-func heard(status agentapi.Status) (names []string) {
+// reportingInstances returns the instances from which the leader receives reports.
+func reportingInstances(status agentapi.Status) (names []string) {
 	for _, i := range status.Instances {
 		if !i.ReportedAt.IsZero() && !i.Silent {
 			names = append(names, i.Name)
@@ -113,47 +114,47 @@
 // await waits until the site's status satisfies a condition.
 func (s *site) await(what string, satisfies func(agentapi.Status) bool) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(s.t.Context(), waitTimeout)
 	defer cancel()
 	var last agentapi.Status
-	err := until(ctx, func() (err error) {
+	err := pollUntil(ctx, func() (err error) {
 		if last, err = s.cluster.Status(ctx); err == nil && !satisfies(last) {
 			err = errNotYet
 		}
 		return err
 	})
 	if err != nil {
-		s.t.Fatalf("%s: %v; the leader has heard %d of %d; rollout %+v", what, err, len(heard(last)), len(last.Instances), last.Rollout)
+		s.t.Fatalf("%s: %v; the leader has reports of %d of %d instances; rollout %+v", what, err, len(reportingInstances(last)), len(last.Instances), last.Rollout)
 	}
 }
 
-// apply puts a new edit of the whole file in force, and returns how long it took
-// until all gateways had it, from when it was accepted.
+// apply applies a new revision of the site file and returns the time from its acceptance until it was in force at all
+// gateways.
 func (s *site) apply(entries int) time.Duration {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(s.t.Context(), waitTimeout)
 	defer cancel()
 	s.edits++
-	file := WholeFile(len(s.fleet.Gateways), entries, s.edits)
-	call := agentapi.ApplyRequest{Request: fmt.Sprintf("edit-%d", s.edits), Parent: s.head, Content: &revisions.Content{File: file}}
+	file := SiteFile(len(s.fleet.Gateways), entries, s.edits)
+	request := agentapi.ApplyRequest{Request: fmt.Sprintf("edit-%d", s.edits), Parent: s.head, Content: &revisions.Content{File: file}}
 	leader, _, err := s.cluster.Leader(ctx)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	applied, err := leader.Client.Apply(ctx, call)
+	applied, err := leader.Client.Apply(ctx, request)
 	if err != nil || applied.Answer != revisions.Accepted {
-		s.t.Fatalf("apply of %d bytes: %v, %v %s", len(file), err, applied.Answer, applied.Why)
+		s.t.Fatalf("apply a file of %d bytes: %v, %v %s", len(file), err, applied.Answer, applied.Why)
 	}
 	accepted := time.Now()
 	s.head = applied.Revision.Number
-	everywhere, err := s.fleet.AwaitRevision(ctx, s.head)
+	activatedAt, err := s.fleet.AwaitRevision(ctx, s.head)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.await("the rollout ends", func(status agentapi.Status) bool {
 		return status.Rollout.New == s.head && status.Rollout.State == "applied"
 	})
-	return everywhere.Sub(accepted)
+	return activatedAt.Sub(accepted)
 }
 
 func sizes(t testing.TB) (list []int) {
@@ -161,16 +162,17 @@
 	for _, text := range strings.Split(*sizesText, ",") {
 		n, err := strconv.Atoi(text)
 		if err != nil || n <= 0 {
-			t.Fatalf("-scale-sizes: %q is no number of gateways", text)
+			t.Fatalf("-scale-sizes: %q is not a positive number of gateways", text)
 		}
 		list = append(list, n)
 	}
 	return list
 }
 
-// newResults says of figures where they come from.
+// newResults returns results that record the command, the date and the load under which they are measured. When the
+// test ends, it logs them and writes them to -scale-out.
 func newResults(t testing.TB) *Results {
-	r := &Results{Command: "go test ./internal/scale -run " + t.Name() + " " + strings.Join(givenFlags(), " "), Measured: time.Now().UTC().Format(time.DateOnly), Beside: *beside, Trial: *trial}
+	r := &Results{Command: "go test ./internal/scale -run " + t.Name() + " " + strings.Join(setFlags(), " "), Measured: time.Now().UTC().Format(time.DateOnly), Beside: *otherLoad, Trial: *trial}
 	t.Cleanup(func() {
 		for _, s := range r.Series() {
 			t.Logf("%s (%s): %v", s.Measure, s.Unit, s.Points)
@@ -185,7 +187,8 @@
 	return r
 }
 
-func givenFlags() (list []string) {
+// setFlags returns the flags on the command line that affect the measurements.
+func setFlags() (list []string) {
 	flag.Visit(func(f *flag.Flag) {
 		if strings.HasPrefix(f.Name, "scale-") && f.Name != "scale-out" && f.Name != "scale-beside" {
 			list = append(list, "-"+f.Name+"="+f.Value.String())
@@ -194,8 +197,8 @@
 	return list
 }
 
-// TestWholeFile has every gateway of small sites take whole files, each once.
-func TestWholeFile(t *testing.T) {
+// TestSiteFileReachesAllGateways checks that every gateway of a small site receives each of several site files.
+func TestSiteFileReachesAllGateways(t *testing.T) {
 	for _, voters := range []int{1, 3} {
 		t.Run(fmt.Sprintf("%d voters", voters), func(t *testing.T) {
 			const gateways, entries, applies = 20, 50, 3
@@ -204,12 +207,12 @@
 			if err != nil || len(status.Instances) != gateways {
 				t.Fatalf("%v, %d instances", err, len(status.Instances))
 			}
-			file := int64(len(WholeFile(gateways, entries, 1)))
+			file := int64(len(SiteFile(gateways, entries, 1)))
 			for range applies {
 				before := s.fleet.Counts()
 				s.apply(entries)
-				if got := s.fleet.Counts().Minus(before).Received; got < gateways*file {
-					t.Errorf("%d gateways took %d bytes of a file of %d", gateways, got, file)
+				if got := s.fleet.Counts().Sub(before).Received; got < gateways*file {
+					t.Errorf("%d gateways received %d bytes of a file of %d", gateways, got, file)
 				}
 			}
 			for _, g := range s.fleet.Gateways {
@@ -221,9 +224,9 @@
 	}
 }
 
-// TestLostLeader kills the leader under a small fleet: the next one hears all
-// gateways, and they take its orders.
-func TestLostLeader(t *testing.T) {
+// TestLeaderFailover kills the leader of a small site: the next leader must receive the reports of all gateways, and
+// they must follow its orders.
+func TestLeaderFailover(t *testing.T) {
 	const gateways, entries = 20, 20
 	s := startSite(t, 3, gateways, 100*time.Millisecond)
 	s.apply(entries)
@@ -234,13 +237,14 @@
 	if err := leader.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	s.await("another leader hears all", func(status agentapi.Status) bool {
-		return status.Leader != leader.Name && len(heard(status)) == gateways
+	s.await("all gateways report to another leader", func(status agentapi.Status) bool {
+		return status.Leader != leader.Name && len(reportingInstances(status)) == gateways
 	})
 	s.apply(entries)
 }
 
-// TestUsageOfAControlProcess reads what the kernel counts, and forgets a peak.
+// TestUsageOfAControlProcess checks that usage is read from the kernel, that a peak can be reset, and that a killed
+// process has no usage.
 func TestUsageOfAControlProcess(t *testing.T) {
 	s := startSite(t, 1, 1, 100*time.Millisecond)
 	p := s.cluster.Processes[0]
@@ -260,5 +264,5 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.await("it has come back", func(agentapi.Status) bool { return true })
+	s.await("the restarted process leads", func(agentapi.Status) bool { return true })
 }
--- a/internal/scale/traffic.go
+++ b/internal/scale/traffic.go
@@ -9,30 +9,29 @@
 	"sync/atomic"
 )
 
-// Traffic counts the bytes of connections as TCP's payload. Its zero value is
-// ready; it may be used by several goroutines.
+// Traffic counts the TCP payload bytes of connections. Its zero value is ready to use. It is safe for concurrent use.
 type Traffic struct{ received, sent atomic.Int64 }
 
-// Received returns how many bytes have come in.
+// Received returns the number of bytes received.
 func (t *Traffic) Received() int64 { return t.received.Load() }
 
-// Sent returns how many bytes have gone out.
+// Sent returns the number of bytes sent.
 func (t *Traffic) Sent() int64 { return t.sent.Load() }
 
-// Total returns how many bytes have come in and gone out.
+// Total returns the number of bytes received and sent.
 func (t *Traffic) Total() int64 { return t.Received() + t.Sent() }
 
-// Link is a gateway's way to the control machines. Its zero value lets all
-// through; it may be used by several goroutines.
+// Link simulates the network between a gateway and the control machines. Its zero value passes all traffic. It is safe
+// for concurrent use.
 type Link struct {
-	mu      sync.Mutex
-	blocked map[string]bool // addresses that can't be reached
-	damaged bool            // a byte of whatever is read is changed
+	mu         sync.Mutex
+	blocked    map[string]bool // unreachable addresses
+	corrupting bool            // flip one bit in each read
 }
 
-// Cut has an address answer no more, until Heal. What crosses an open connection
-// to it is lost without a word, and that connection stays dead.
-func (l *Link) Cut(addresses ...string) {
+// Block makes addresses unreachable until Heal. Data on an open connection to them is silently dropped, and a
+// connection used meanwhile stays unusable after Heal.
+func (l *Link) Block(addresses ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.blocked == nil {
@@ -43,39 +42,39 @@
 	}
 }
 
-// Damage changes a byte of whatever is read at once, until Heal.
-func (l *Link) Damage() {
+// Corrupt flips one bit in each read until Heal.
+func (l *Link) Corrupt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.damaged = true
+	l.corrupting = true
 }
 
-// damage changes a byte where that is wanted.
-func (l *Link) damage(read []byte) {
+// corruptRead flips one random bit if corruption is on.
+func (l *Link) corruptRead(data []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.damaged && len(read) > 0 {
-		read[rand.IntN(len(read))] ^= 1 << rand.IntN(8)
+	if l.corrupting && len(data) > 0 {
+		data[rand.IntN(len(data))] ^= 1 << rand.IntN(8)
 	}
 }
 
-// Heal lets all through again.
+// Heal ends blocking and corruption.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.blocked)
-	l.damaged = false
+	l.corrupting = false
 }
 
-func (l *Link) cut(address string) bool {
+func (l *Link) isBlocked(address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.blocked[address]
 }
 
-var errCut = errors.New("the address does not answer")
+var errBlocked = errors.New("address is unreachable")
 
-// dialer opens connections over a link, and counts what crosses them.
+// dialer opens connections over a simulated link and counts their traffic.
 type dialer struct {
 	net.Dialer
 	link    *Link
@@ -83,50 +82,53 @@
 }
 
 func (d *dialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if d.link.cut(address) {
+	if d.link.isBlocked(address) {
 		ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 		defer cancel()
 		<-ctx.Done()
-		return nil, &net.OpError{Op: "dial", Net: network, Err: errCut}
+		return nil, &net.OpError{Op: "dial", Net: network, Err: errBlocked}
 	}
 	connection, err := d.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConnection{Conn: connection, address: address, link: d.link, traffic: d.traffic, closed: make(chan struct{})}, nil
+	return &meteredConn{Conn: connection, address: address, link: d.link, traffic: d.traffic, closed: make(chan struct{})}, nil
 }
 
-type countedConnection struct {
+// meteredConn counts the traffic of a connection and applies the faults of its link.
+type meteredConn struct {
 	net.Conn
 	address string
 	link    *Link
 	traffic *Traffic
-	dead    atomic.Bool // it has been used while the link was cut
+	severed atomic.Bool // used while its address was blocked
 	once    sync.Once
 	closed  chan struct{}
 }
 
-// lost tells whether the connection has been cut.
-func (c *countedConnection) lost() bool {
-	if c.link.cut(c.address) {
-		c.dead.Store(true)
+// checkSevered reports whether the connection has been used while its address was blocked.
+func (c *meteredConn) checkSevered() bool {
+	if c.link.isBlocked(c.address) {
+		c.severed.Store(true)
 	}
-	return c.dead.Load()
+	return c.severed.Load()
 }
 
-func (c *countedConnection) Read(p []byte) (int, error) {
+// Read blocks until Close on a severed connection, as on one whose peer no longer responds.
+func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.lost() {
+	if c.checkSevered() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
 	c.traffic.received.Add(int64(n))
-	c.link.damage(p[:n])
+	c.link.corruptRead(p[:n])
 	return n, err
 }
 
-func (c *countedConnection) Write(p []byte) (int, error) {
-	if c.lost() {
+// Write discards data on a severed connection and reports success, as a send buffer does.
+func (c *meteredConn) Write(p []byte) (int, error) {
+	if c.checkSevered() {
 		return len(p), nil
 	}
 	n, err := c.Conn.Write(p)
@@ -134,8 +136,8 @@
 	return n, err
 }
 
-// Close closes the connection; it may be called more than once.
-func (c *countedConnection) Close() error {
+// Close closes the connection and unblocks Read. It may be called more than once.
+func (c *meteredConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/internal/scale/traffic_test.go
+++ b/internal/scale/traffic_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// echo answers what it is sent, on loopback.
-func echo(t *testing.T) (address string) {
+// startEchoServer starts a server on loopback that returns what it receives.
+func startEchoServer(t *testing.T) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,8 +32,8 @@
 	return listener.Addr().String()
 }
 
-// ask sends one byte and reads the answer.
-func ask(t *testing.T, connection net.Conn, sent byte) byte {
+// exchangeByte sends one byte and returns the byte that comes back.
+func exchangeByte(t *testing.T, connection net.Conn, sent byte) byte {
 	t.Helper()
 	if _, err := connection.Write([]byte{sent}); err != nil {
 		t.Fatal(err)
@@ -45,31 +45,33 @@
 	return got[0]
 }
 
-func TestLinkCountsCutsAndDamages(t *testing.T) {
+// TestLinkCountsBlocksAndCorrupts checks the byte counts and simulated faults of a link: dropped bytes do not count, and
+// a severed connection stays unusable after Heal while a new one works.
+func TestLinkCountsBlocksAndCorrupts(t *testing.T) {
 	var link Link
 	var traffic Traffic
-	address := echo(t)
+	address := startEchoServer(t)
 	d := &dialer{Dialer: net.Dialer{Timeout: 50 * time.Millisecond}, link: &link, traffic: &traffic}
 	connection, err := d.dial(t.Context(), "tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := ask(t, connection, 'a'); got != 'a' || traffic.Sent() != 1 || traffic.Received() != 1 || traffic.Total() != 2 {
-		t.Fatalf("%q came back; sent %d, received %d", got, traffic.Sent(), traffic.Received())
+	if got := exchangeByte(t, connection, 'a'); got != 'a' || traffic.Sent() != 1 || traffic.Received() != 1 || traffic.Total() != 2 {
+		t.Fatalf("echoed %q; sent %d, received %d bytes", got, traffic.Sent(), traffic.Received())
 	}
 
-	link.Damage()
-	if got := ask(t, connection, 'a'); bits.OnesCount8(got^'a') != 1 {
-		t.Errorf("%08b came back for %08b", got, 'a')
+	link.Corrupt()
+	if got := exchangeByte(t, connection, 'a'); bits.OnesCount8(got^'a') != 1 {
+		t.Errorf("echoed %08b for %08b, want one flipped bit", got, 'a')
 	}
 	link.Heal()
 
-	link.Cut(address)
-	if _, err := d.dial(t.Context(), "tcp", address); !errors.Is(err, errCut) {
-		t.Errorf("dialed over a cut: %v", err)
+	link.Block(address)
+	if _, err := d.dial(t.Context(), "tcp", address); !errors.Is(err, errBlocked) {
+		t.Errorf("dial of a blocked address: %v", err)
 	}
 	if n, err := connection.Write([]byte("lost")); n != 4 || err != nil {
-		t.Errorf("written over a cut: %d %v", n, err)
+		t.Errorf("write to a blocked address: %d, %v", n, err)
 	}
 	link.Heal()
 	read := make(chan error, 1)
@@ -77,20 +79,20 @@
 		_, err := connection.Read(make([]byte, 1))
 		read <- err
 	}()
-	connection.Close() // what was cut stays dead, and ends when it is closed
+	connection.Close() // the severed connection stays unusable after Heal, and Close unblocks Read
 	if err := <-read; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("read from what was cut: %v", err)
+		t.Errorf("read from a severed connection: %v", err)
 	}
 	if traffic.Sent() != 2 {
-		t.Errorf("%d bytes sent: what was lost counts", traffic.Sent())
+		t.Errorf("%d bytes sent, want 2 without dropped bytes", traffic.Sent())
 	}
 
-	again, err := d.dial(t.Context(), "tcp", address)
+	reconnected, err := d.dial(t.Context(), "tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	if got := ask(t, again, 'b'); got != 'b' {
-		t.Errorf("%q came back", got)
+	defer reconnected.Close()
+	if got := exchangeByte(t, reconnected, 'b'); got != 'b' {
+		t.Errorf("echoed %q", got)
 	}
 }
