--- a/internal/scale/traffic_test.go
+++ b/internal/scale/traffic_test.go
@@ -45,8 +45,8 @@
 	return got[0]
 }
 
-// TestLinkCountsBlocksAndCorrupts checks the byte counts and simulated faults of a link: dropped bytes do not count, and
-// a severed connection stays unusable after Heal while a new one works.
+// TestLinkCountsBlocksAndCorrupts checks the byte counts and simulated faults of a link: dropped bytes do not count,
+// and a severed connection stays unusable after Heal while a new one works.
 func TestLinkCountsBlocksAndCorrupts(t *testing.T) {
 	var link Link
 	var traffic Traffic
