--- a/internal/agentapi/golden_test.go
+++ b/internal/agentapi/golden_test.go
@@ -19,7 +19,7 @@
 	"elderyard/supervise"
 )
 
-// unsetFields lists the fields below v that have their zero value.
+// unsetFields returns the paths of all fields of v, also nested ones, that are zero.
 func unsetFields(v reflect.Value, path string) (unset []string) {
 	if _, isText := v.Interface().(encoding.TextMarshaler); isText && v.Kind() != reflect.Pointer {
 		if v.IsZero() {
@@ -59,8 +59,8 @@
 	return unset
 }
 
-// checkMessage compares the encoded message with its golden file, and that file decoded
-// with the message.
+// checkMessage compares the encoded message with its golden file, and the decoded file with
+// the message.
 func checkMessage[T any](t *testing.T, name string, message T) {
 	t.Helper()
 	encoded, err := json.Marshal(message)
@@ -84,7 +84,7 @@
 func checkFullMessage[T any](t *testing.T, name string, message T) {
 	t.Helper()
 	if unset := unsetFields(reflect.ValueOf(message), reflect.TypeFor[T]().Name()); len(unset) > 0 {
-		t.Errorf("fields without a value in the golden message: %v", unset)
+		t.Errorf("fields of the golden message that are not set: %v", unset)
 	}
 	checkMessage(t, name, message)
 }
@@ -99,15 +99,15 @@
 func ptr[T any](v T) *T { return &v }
 
 func goldenStatus() RecordsStatus {
-	return RecordsStatus{State: records.Following, Version: 7, Digest: goldenDigest, AgeSeconds: ptr(1.5), Why: "the disk is full"}
+	return RecordsStatus{State: records.Following, Version: 7, Digest: goldenDigest, AgeSeconds: ptr(1.5), Reason: "the disk is full"}
 }
 
 func goldenReport() Report {
 	status := goldenStatus()
 	return Report{
 		Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
-		Instances: []Observed{{Name: "g0", Running: 3, Content: "c3", Target: 4, State: supervise.Ready, Why: "it ended", Crashes: 2, PID: 4711,
-			Refused: 5, Refusal: "revision 5: no such key", MembershipView: "3 of 4 there", Unreachable: []string{"g7"}}},
+		Instances: []Observed{{Name: "g0", Running: 3, ContentChecksum: "c3", Target: 4, State: supervise.Ready, Reason: "it ended", Crashes: 2, PID: 4711,
+			Rejected: 5, RejectionReason: "revision 5: no such key", MembershipView: "3 of 4 there", Unreachable: []string{"g7"}}},
 		WantsRoster: true, RosterEpoch: 9, Records: &status,
 	}
 }
@@ -122,7 +122,7 @@
 func TestGoldenMessages(t *testing.T) {
 	checkFullMessage(t, "report.json", goldenReport())
 	checkFullMessage(t, "orders.json", goldenOrders())
-	checkFullMessage(t, "records-change.json", RecordsChange{Request: "r1", Message: "why",
+	checkFullMessage(t, "records-change.json", RecordsChange{IdempotencyKey: "r1", Message: "why",
 		Operations: []records.Operation{{Key: goldenKey, Delete: true, Value: goldenValue, IfVersion: ptr(uint64(6))}}})
 	checkFullMessage(t, "records-list.json", RecordsList{Version: 7, Digest: goldenDigest, Total: 12,
 		Records: []records.Record{{Key: goldenKey, Version: 5, Value: goldenValue}}})
@@ -130,24 +130,24 @@
 		Changes: []records.ChangeInfo{{Version: 7, Author: "ann", Message: "why", At: goldenTime, Operations: 2}}})
 	checkFullMessage(t, "records-diff.json", RecordsDiff{From: 5, To: 7,
 		Changes: []records.KeyChange{{Key: goldenKey, Version: 6, Record: &records.Record{Key: goldenKey, Version: 6, Value: goldenValue}, SupersededBy: 7}}})
-	checkFullMessage(t, "records-lag.json", RecordsLag{Stale: "no leader is known", Version: 8, Digest: goldenDigest, InForce: 3,
-		Agents: []AgentRecords{{Agent: "a1", State: RecordsBehind, Status: goldenStatus(), Since: ptr(goldenTime), ReportedAt: ptr(goldenTime.Add(time.Second))}}})
+	checkFullMessage(t, "records-lag.json", RecordsLag{Stale: "no leader is known", Version: 8, Digest: goldenDigest, UpToDate: 3,
+		Agents: []AgentRecords{{Agent: "a1", State: RecordsBehind, Status: goldenStatus(), BehindSince: ptr(goldenTime), ReportedAt: ptr(goldenTime.Add(time.Second))}}})
 }
 
-// The messages of a site without gateways, records and rosters: what has no value is
-// left out where the key is optional and written where it is not.
+// In the messages of a site without gateways, records and rosters, an optional key without
+// a value is omitted, and any other is written.
 func TestGoldenMessagesWithoutOptionalFields(t *testing.T) {
 	checkMessage(t, "report-minimal.json", Report{Agent: fleet.Agent{Name: "a1", Instances: []string{}}})
 	checkMessage(t, "report-instance-minimal.json", Report{Agent: fleet.Agent{Name: "a1", Address: "10.0.0.1:7946", Instances: []string{"g0"}},
 		Instances: []Observed{{Name: "g0", State: supervise.Down}}})
 	checkMessage(t, "orders-minimal.json", Orders{Leader: "a2", Address: "10.0.0.2:7946", Orders: map[string]Order{"g0": {}}})
-	checkMessage(t, "records-change-minimal.json", RecordsChange{Request: "r1"})
+	checkMessage(t, "records-change-minimal.json", RecordsChange{IdempotencyKey: "r1"})
 	checkMessage(t, "records-list-minimal.json", RecordsList{Records: []records.Record{}})
 	checkMessage(t, "records-lag-minimal.json", RecordsLag{Agents: []AgentRecords{{Agent: "a1", State: RecordsSilent}}})
 }
 
-// A report of an agent from before rosters and records is accepted, and a key that the
-// leader does not know refuses the report as it always did.
+// A report of an agent of a release without rosters and records must be accepted. A report
+// with an unknown key must be rejected, as in those releases.
 func TestReportOfOlderAgent(t *testing.T) {
 	oldReport := []byte(`{"agent":{"name":"a1","address":"10.0.0.1:7946","instances":["g0"]},` +
 		`"instances":[{"name":"g0","running":3,"taking":4,"state":"starting","crashes":2}]}`)
@@ -167,8 +167,8 @@
 	}
 }
 
-// Orders of a leader from before rosters and records are accepted, and so are those of
-// a later one with keys that this agent does not know.
+// Orders from a leader of a release without rosters and records must be accepted, and so
+// must those of a later release with unknown keys.
 func TestOrdersOfOlderAndNewerLeader(t *testing.T) {
 	want := Orders{Leader: "a2", Address: "10.0.0.2:7946", Orders: map[string]Order{"g0": {Revision: 4}}}
 	for name, text := range map[string]string{
@@ -186,7 +186,7 @@
 	if ReportPath != "/v1/report" || HopHeader != "X-Elderyard-Hop" || HopMayForward != "0" {
 		t.Errorf("%q %q %q", ReportPath, HopHeader, HopMayForward)
 	}
-	states := []RecordsState{RecordsInForce, RecordsBehind, RecordsDiffer, RecordsSilent, RecordsNoReports, RecordsUnknown}
+	states := []RecordsState{RecordsUpToDate, RecordsBehind, RecordsDiverged, RecordsSilent, RecordsNoReports, RecordsUnknown}
 	if want := []RecordsState{"in force", "behind", "differs", "silent", "off", "unknown"}; !slices.Equal(states, want) {
 		t.Errorf("%q, want %q", states, want)
 	}
--- a/internal/scale/copy.go
+++ b/internal/scale/copy.go
@@ -169,7 +169,7 @@
 		return nil
 	}
 	status := follower.Status()
-	report := &agentapi.RecordsStatus{State: status.State, Version: status.Version, Digest: status.Digest, Why: status.Reason}
+	report := &agentapi.RecordsStatus{State: status.State, Version: status.Version, Digest: status.Digest, Reason: status.Reason}
 	if age, ok := status.Age(time.Now()); ok {
 		seconds := age.Seconds()
 		report.AgeSeconds = &seconds
--- a/internal/scale/records_linux_test.go
+++ b/internal/scale/records_linux_test.go
@@ -53,14 +53,14 @@
 	ctx, cancel := context.WithTimeout(s.t.Context(), waitTimeout)
 	defer cancel()
 	s.edits++
-	change := agentapi.RecordsChange{Request: fmt.Sprintf("change-%d", s.edits), Operations: operations}
+	change := agentapi.RecordsChange{IdempotencyKey: fmt.Sprintf("change-%d", s.edits), Operations: operations}
 	requestedAt := time.Now()
 	result, err := s.sendChange(ctx, change)
 	if err != nil || result.Status != records.Accepted {
 		s.t.Fatalf("change %d: %v, %+v", s.edits, err, result)
 	}
 	accepted := AcceptedChange{RequestedAt: requestedAt, AcknowledgedAt: time.Now(), Version: result.Version}
-	if err := s.ledger.Accept(accepted, records.Change{IdempotencyKey: change.Request, Author: ledgerAuthor, Operations: operations}); err != nil {
+	if err := s.ledger.Accept(accepted, records.Change{IdempotencyKey: change.IdempotencyKey, Author: ledgerAuthor, Operations: operations}); err != nil {
 		s.t.Fatal(err)
 	}
 	return accepted
@@ -169,8 +169,8 @@
 		t.Errorf("%d changes came into force at all gateways and %d did not, of %d", durations.Count, durations.Incomplete, changes)
 	}
 	lag, err := s.awaitReportedHead()
-	if err != nil || lag.InForce < gateways {
-		t.Errorf("%v, leader reports the newest version at %d agents", err, lag.InForce)
+	if err != nil || lag.UpToDate < gateways {
+		t.Errorf("%v, leader reports the newest version at %d agents", err, lag.UpToDate)
 	}
 }
 
@@ -186,7 +186,7 @@
 		if lag, err = leader.Client.RecordsLag(ctx); err != nil {
 			return err
 		}
-		if lag.InForce < len(s.fleet.Gateways) {
+		if lag.UpToDate < len(s.fleet.Gateways) {
 			return errNotYet
 		}
 		return nil
