--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -116,7 +116,7 @@
 	}
 	order, ordered := orders.Orders[g.Name]
 	observed := &g.report.Instances[0]
-	if !ordered || order.Revision == 0 || order.Revision == observed.Running && order.Checksum == observed.Content {
+	if !ordered || order.Revision == 0 || order.Revision == observed.Running && order.Checksum == observed.ContentChecksum {
 		return nil
 	}
 	return g.take(ctx, order)
@@ -129,7 +129,7 @@
 		return err
 	}
 	observed := &g.report.Instances[0]
-	observed.Running, observed.Target, observed.Content = order.Revision, order.Revision, order.Checksum
+	observed.Running, observed.Target, observed.ContentChecksum = order.Revision, order.Revision, order.Checksum
 	observed.State = supervise.Ready
 	g.mu.Lock()
 	g.revision = order.Revision
@@ -149,7 +149,7 @@
 	if err := g.call(ctx, fetchWithin, http.MethodGet, fmt.Sprintf("/v1/revisions/%d", order.Revision), nil, &revision); err != nil {
 		return err
 	}
-	if revision.Number != order.Revision || revision.Checksum != order.Checksum || revision.Content.Sum() != order.Checksum {
+	if revision.Number != order.Revision || revision.Checksum != order.Checksum || revision.Content.Checksum() != order.Checksum {
 		return fmt.Errorf("%s: revision %d came damaged", g.Name, order.Revision)
 	}
 	return nil
--- a/revisions/golden_test.go
+++ b/revisions/golden_test.go
@@ -9,8 +9,8 @@
 	"elderyard/internal/golden"
 )
 
-// The golden files of this package are what the voters' logs and snapshots of
-// existing sites contain, and what the agents' interface answers.
+// The golden files of this package pin the format of the replicated log and snapshots of existing sites, and of the
+// responses of the agents' interface.
 
 var goldenTime = time.Date(2026, 12, 1, 9, 8, 7, 123456789, time.UTC)
 
@@ -20,14 +20,14 @@
 
 func goldenCommands() (withContent, withRestore Command) {
 	content := goldenContent()
-	withContent = Command{Request: "r-1", Parent: 4, Content: &content, Author: "ann", Message: "why & what", At: goldenTime}
-	withRestore = Command{Request: "r-2", Parent: 5, Restore: 2, Author: "bob", Message: "back", At: goldenTime}
+	withContent = Command{IdempotencyKey: "r-1", Parent: 4, Content: &content, Author: "ann", Message: "why & what", At: goldenTime}
+	withRestore = Command{IdempotencyKey: "r-2", Parent: 5, Restore: 2, Author: "bob", Message: "back", At: goldenTime}
 	return withContent, withRestore
 }
 
 func goldenRevision() Revision {
 	content := goldenContent()
-	return Revision{Number: 5, Parent: 4, Content: content, Checksum: content.Sum(), Author: "ann", Message: "why", At: goldenTime}
+	return Revision{Number: 5, Parent: 4, Content: content, Checksum: content.Checksum(), Author: "ann", Message: "why", At: goldenTime}
 }
 
 func TestGoldenCommands(t *testing.T) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestUnknownKeyIsRejected: a voter that skipped a key would reach another state than
-// one that knows it.
+// TestUnknownKeyIsRejected checks that no voter ignores an unknown key: it would reach a different state than a voter
+// that knows the key.
 func TestUnknownKeyIsRejected(t *testing.T) {
 	golden.Decode(t, "command-content.json", func(text []byte) error {
 		if _, err := Decode(append([]byte(`{"later":1,`), text[1:]...)); err == nil {
@@ -81,19 +81,19 @@
 	})
 }
 
-// goldenHistory has revisions with and without a parent, one that was restored, and a
-// result of each kind.
+// goldenHistory returns a history with revisions with and without a parent, one with restored content, and a result of
+// each kind.
 func goldenHistory(t *testing.T) *History {
 	t.Helper()
 	content := goldenContent()
 	history := &History{}
 	for _, command := range []Command{
-		{Request: "first", Content: &Content{File: "a"}, Author: "ann", At: goldenTime},
-		{Request: "second", Parent: 1, Content: &content, Author: "bob", Message: "more", At: goldenTime.Add(time.Second)},
-		{Request: "same", Parent: 2, Content: &content, Author: "bob", At: goldenTime.Add(2 * time.Second)},
-		{Request: "late", Parent: 1, Content: &Content{File: "c"}, Author: "eve", At: goldenTime.Add(3 * time.Second)},
-		{Request: "lost", Parent: 2, Restore: 9, Author: "eve", At: goldenTime.Add(4 * time.Second)},
-		{Request: "back", Parent: 2, Restore: 1, Author: "ann", Message: "as it was", At: goldenTime.Add(5 * time.Second)},
+		{IdempotencyKey: "first", Content: &Content{File: "a"}, Author: "ann", At: goldenTime},
+		{IdempotencyKey: "second", Parent: 1, Content: &content, Author: "bob", Message: "more", At: goldenTime.Add(time.Second)},
+		{IdempotencyKey: "same", Parent: 2, Content: &content, Author: "bob", At: goldenTime.Add(2 * time.Second)},
+		{IdempotencyKey: "late", Parent: 1, Content: &Content{File: "c"}, Author: "eve", At: goldenTime.Add(3 * time.Second)},
+		{IdempotencyKey: "lost", Parent: 2, Restore: 9, Author: "eve", At: goldenTime.Add(4 * time.Second)},
+		{IdempotencyKey: "back", Parent: 2, Restore: 1, Author: "ann", Message: "as it was", At: goldenTime.Add(5 * time.Second)},
 	} {
 		if _, err := history.Apply(command); err != nil {
 			t.Fatal(err)
@@ -109,9 +109,9 @@
 		t.Fatal(err)
 	}
 	golden.File(t, "history.json", encoded)
-	var form snapshot
-	golden.Decode(t, "history.json", func(text []byte) error { return json.Unmarshal(text, &form) })
-	golden.Complete(t, form)
+	var decoded snapshot
+	golden.Decode(t, "history.json", func(text []byte) error { return json.Unmarshal(text, &decoded) })
+	golden.Complete(t, decoded)
 	var restored History
 	golden.Decode(t, "history.json", restored.Restore)
 	if !reflect.DeepEqual(&restored, history) {
