--- a/cmd/elderctl/answers_test.go
+++ b/cmd/elderctl/answers_test.go
@@ -13,9 +13,10 @@
 	"elderyard/revisions"
 )
 
-// The fixed answers set every field of the messages that the tool reads, and each is read and written again as it was.
-func TestPreparedAnswersSetEveryField(t *testing.T) {
-	for _, k := range []struct {
+// The prepared responses in testdata/answers set every field of the messages that the tool decodes, and each file
+// equals the encoding of its decoded value.
+func TestPreparedResponsesSetEveryField(t *testing.T) {
+	for _, tc := range []struct {
 		value any
 		files []string
 	}{
@@ -36,9 +37,9 @@
 		{&peers.EvidenceReport{}, []string{"why-g0.json", "why-g1.json"}},
 	} {
 		var values []any
-		for _, name := range k.files {
+		for _, name := range tc.files {
 			text := reply{body: "@" + name}.text(t)
-			v := reflect.New(reflect.TypeOf(k.value).Elem())
+			v := reflect.New(reflect.TypeOf(tc.value).Elem())
 			d := json.NewDecoder(bytes.NewReader(text))
 			d.DisallowUnknownFields()
 			if err := d.Decode(v.Interface()); err != nil {
@@ -47,12 +48,12 @@
 			}
 			again, err := json.MarshalIndent(v.Interface(), "", "  ")
 			if err != nil || string(again)+"\n" != string(text) {
-				t.Errorf("%s is written as (%v)\n%s", name, err, again)
+				t.Errorf("%s is encoded as (%v)\n%s", name, err, again)
 			}
 			values = append(values, v.Elem().Interface())
 		}
 		for _, field := range golden.UnsetFields(values...) {
-			t.Errorf("%s is set in none of %v", field, k.files)
+			t.Errorf("field %s is set in none of %v", field, tc.files)
 		}
 	}
 }
--- a/cmd/elderctl/capacity_test.go
+++ b/cmd/elderctl/capacity_test.go
@@ -16,10 +16,10 @@
 
 func capacityTool(t *testing.T, args ...string) (status int, out, errs string) {
 	t.Helper()
-	return tool(t, append(append([]string{"capacity"}, capacityFiles...), args...)...)
+	return runTool(t, append(append([]string{"capacity"}, capacityFiles...), args...)...)
 }
 
-// The page has the tables that the command computes.
+// The tables on the page are current.
 func TestCapacityPageIsCurrent(t *testing.T) {
 	page := readFile(t, capacityPage)
 	copied := writeFile(t, "page.md", page)
@@ -29,34 +29,34 @@
 	filled := strings.Split(readFile(t, copied), "\n")
 	for i, line := range strings.Split(page, "\n") {
 		if i >= len(filled) || line != filled[i] {
-			t.Fatalf("docs/CAPACITY.md:%d: the command computes something else; write it with `elderctl capacity --page docs/CAPACITY.md`\npage:    %s\ncommand: %s", i+1, line, append(filled, "")[min(i, len(filled))])
+			t.Fatalf("docs/CAPACITY.md:%d: the table is out of date; update it with `elderctl capacity --page docs/CAPACITY.md`\npage:    %s\ncommand: %s", i+1, line, append(filled, "")[min(i, len(filled))])
 		}
 	}
 }
 
-// The figure on the page is the one that the command draws.
+// The figure on the page is current.
 func TestCapacityCurvesAreCurrent(t *testing.T) {
 	drawn := filepath.Join(t.TempDir(), "curves.svg")
 	if status, out, errs := capacityTool(t, "--curves", drawn); status != exitOK || out != "" {
 		t.Fatalf("status %d: %s%s", status, out, errs)
 	}
 	if readFile(t, "../../docs/capacity/curves.svg") != readFile(t, drawn) {
-		t.Error("docs/capacity/curves.svg is another picture; draw it with `elderctl capacity --curves docs/capacity/curves.svg`")
+		t.Error("docs/capacity/curves.svg is out of date; update it with `elderctl capacity --curves docs/capacity/curves.svg`")
 	}
 	if !strings.Contains(readFile(t, capacityPage), "](capacity/curves.svg)") {
-		t.Error("the page does not show the picture")
+		t.Error("the page does not include the figure")
 	}
 }
 
-// The figures in the page's short answer are those of its tables.
+// The numbers in the summary of the page are those of its tables.
 func TestCapacitySummaryMatchesTables(t *testing.T) {
 	page := readFile(t, capacityPage)
 	_, rest, found := strings.Cut(page, "## The answer in short")
-	short, _, ends := strings.Cut(rest, "\n## ")
+	summary, _, ends := strings.Cut(rest, "\n## ")
 	if !found || !ends {
-		t.Fatal("the page has no short answer")
+		t.Fatal("the page has no summary")
 	}
-	short = strings.Join(strings.Fields(short), " ")
+	summary = strings.Join(strings.Fields(summary), " ")
 	plan, err := readPlan("../../"+defaultSize, "../../"+defaultSlopes)
 	if err != nil {
 		t.Fatal(err)
@@ -66,15 +66,16 @@
 		tables.WriteString(table.Markdown())
 	}
 	for _, figure := range []string{"2.86 MB", "262 kB", "499 s", "1,280 s", "12.8 s", "401 B", "1.39 times", "1.49 MB", "249 s", "170,000", "0.176 cores", "0.63 ms", "0.0335 ms", "0.0827 cores", "53.7 MB", "512", "118", "64 MB"} {
-		if !strings.Contains(short, figure) {
-			t.Errorf("the short answer does not say %s any more: change this list with it", figure)
+		if !strings.Contains(summary, figure) {
+			t.Errorf("the summary no longer contains %s: update this list", figure)
 		}
 		if !strings.Contains(tables.String(), figure) {
-			t.Errorf("the short answer says %s, and no table does", figure)
+			t.Errorf("%s is in the summary and in no table", figure)
 		}
 	}
 }
 
+// The command prints the requirements as tables and as JSON.
 func TestCapacityPrints(t *testing.T) {
 	status, out, errs := capacityTool(t)
 	if status != exitOK || !strings.Contains(out, "gateway: membership") || !strings.Contains(out, "over their budget") || strings.Contains(out, "Measures\n") {
@@ -93,6 +94,7 @@
 	}
 }
 
+// The command computes the requirements of the size in --size.
 func TestCapacityOfAnotherSize(t *testing.T) {
 	size := strings.Replace(readFile(t, "../../"+defaultSize), "routes = 14000", "routes = 1400", 1)
 	size = strings.Replace(size, "tenants = 12000", "tenants = 400", 1)
@@ -101,10 +103,10 @@
 	if err := json.Unmarshal([]byte(out), &plan); status != exitOK || err != nil {
 		t.Fatalf("status %d: %v: %s", status, err, errs)
 	}
-	for _, l := range plan.Lines {
-		if l.Role == capacity.Configuration && l.Kind == capacity.State && strings.HasPrefix(l.Item, "whole file") {
-			if l.Verdict != capacity.Carried || *l.Value != 1800*110 {
-				t.Errorf("%+v", l)
+	for _, line := range plan.Lines {
+		if line.Role == capacity.Configuration && line.Kind == capacity.State && strings.HasPrefix(line.Item, "whole file") {
+			if line.Verdict != capacity.Carried || *line.Value != 1800*110 {
+				t.Errorf("%+v", line)
 			}
 			return
 		}
@@ -112,11 +114,12 @@
 	t.Error("no line about the whole file")
 }
 
-func TestCapacityOfWrongFiles(t *testing.T) {
+// Invalid files, pages and flags are usage errors that name the file and the fault.
+func TestCapacityOfInvalidFiles(t *testing.T) {
 	wrongSize := writeFile(t, "size.toml", "[site]\ngatways = 5\n")
 	wrongSlopes := writeFile(t, "slopes.json", "[\n {\"measure\": \"agent.cpu\"}\n]\n")
 	page := readFile(t, capacityPage)
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		args []string
 		want string
 	}{
@@ -134,9 +137,9 @@
 		{[]string{"--curves", "x", "--json"}, "none of the others can be"},
 		{[]string{"more"}, "unknown command"},
 	} {
-		status, out, errs := capacityTool(t, c.args...)
-		if status != exitUsage || out != "" || !strings.Contains(errs, c.want) {
-			t.Errorf("%v: status %d: %s%s; want %s", c.args, status, out, errs, c.want)
+		status, out, errs := capacityTool(t, tc.args...)
+		if status != exitUsage || out != "" || !strings.Contains(errs, tc.want) {
+			t.Errorf("%v: status %d: %s%s; want %s", tc.args, status, out, errs, tc.want)
 		}
 	}
 }
--- a/cmd/elderctl/fake_server_test.go
+++ b/cmd/elderctl/fake_server_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// reply is one answer of a fake server. A body that begins with @ names a file of testdata/answers.
+// reply is one response of a fakeServer. A body that starts with @ is the name of a file in testdata/answers.
 type reply struct {
 	status int
 	body   string
@@ -33,16 +33,16 @@
 	return text
 }
 
-// fakeServer answers calls, by method and URI, from lists of replies, of which the last is repeated, and records
-// the calls.
+// fakeServer responds to calls from lists of replies by method and URI, and records the calls. The last reply of a list
+// is repeated.
 type fakeServer struct {
 	t       *testing.T
 	address string // of its listener
 
-	mu      sync.Mutex
-	replies map[string][]reply
-	calls   []string
-	count   int
+	mu        sync.Mutex
+	replies   map[string][]reply
+	calls     []string
+	callCount int
 }
 
 func newFakeServer(t *testing.T, l net.Listener) *fakeServer {
@@ -58,10 +58,10 @@
 	return s
 }
 
-// fakeAgent is a server on a local socket.
+// fakeAgent returns a server on a local socket.
 func fakeAgent(t *testing.T) *fakeServer {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "golden") // short: a socket's path is bounded
+	dir, err := os.MkdirTemp("", "golden") // short: the path of a socket has a length limit
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	return newFakeServer(t, l)
 }
 
-// fakeGateway is a server on a loopback address.
+// fakeGateway returns a server on a loopback address.
 func fakeGateway(t *testing.T, replies map[string][]reply) *fakeServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,7 +85,7 @@
 	return s
 }
 
-// ServeHTTP answers with the next prepared reply, and records the call.
+// ServeHTTP sends the next prepared reply and records the call.
 func (s *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -97,53 +97,53 @@
 	if len(body) > 0 {
 		line += " " + string(body)
 	}
-	if !slices.Contains(s.calls, line) { // a state that is polled for is listed once
+	if !slices.Contains(s.calls, line) { // polling calls are recorded once
 		s.calls = append(s.calls, line)
 	}
-	s.count++
+	s.callCount++
 	list := s.replies[call]
-	answer := reply{http.StatusNotFound, `{"code":"not found","error":"no answer was prepared for ` + call + `"}`}
+	response := reply{http.StatusNotFound, `{"code":"not found","error":"no answer was prepared for ` + call + `"}`}
 	if len(list) > 0 {
-		answer = list[0]
+		response = list[0]
 	}
 	if len(list) > 1 {
 		s.replies[call] = list[1:]
 	}
 	s.mu.Unlock()
-	w.WriteHeader(answer.status)
-	w.Write(answer.text(s.t))
+	w.WriteHeader(response.status)
+	w.Write(response.text(s.t))
 }
 
-// prepare sets the replies of the next runs and discards the recorded calls.
+// prepare sets the replies for the next runs and discards the recorded calls.
 func (s *fakeServer) prepare(replies map[string][]reply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.replies, s.calls, s.count = replies, nil, 0
+	s.replies, s.calls, s.callCount = replies, nil, 0
 }
 
-func (s *fakeServer) forgetCalls() {
+func (s *fakeServer) resetCalls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls, s.count = nil, 0
+	s.calls, s.callCount = nil, 0
 }
 
-// waitForCalls waits until so many calls have come.
-func (s *fakeServer) waitForCalls(count int) {
+// waitForCalls waits until the given number of calls was received.
+func (s *fakeServer) waitForCalls(callCount int) {
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		s.mu.Lock()
-		came := s.count
+		received := s.callCount
 		s.mu.Unlock()
-		if came >= count {
+		if received >= callCount {
 			return
 		}
 		if time.Now().After(end) {
-			s.t.Errorf("%d calls of %d", came, count)
+			s.t.Errorf("%d calls received of %d", received, callCount)
 			return
 		}
 	}
 }
 
-func (s *fakeServer) sent() []string {
+func (s *fakeServer) recordedCalls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
--- a/cmd/elderctl/fleet_site_test.go
+++ b/cmd/elderctl/fleet_site_test.go
@@ -23,23 +23,23 @@
 )
 
 const (
-	// asPoisoned has this test binary run the gateway that the next variable names,
-	// and kill it some time later if its operator's file condition a certain figure: a
-	// revision that passes every check and ends the gateway after it was ready.
-	asPoisoned  = "ELDERCTL_TEST_AS_POISONED"
-	poison      = 401
-	poisonAfter = 700 * time.Millisecond
+	// runAsCrashingGateway makes this test binary run the gateway program in the variable's value, and kill it after
+	// crashDelay if its site file contains crashHeapGrow: a revision that passes every check and crashes the gateway
+	// once it is ready.
+	runAsCrashingGateway = "ELDERCTL_TEST_AS_POISONED"
+	crashHeapGrow        = 401
+	crashDelay           = 700 * time.Millisecond
 )
 
-// runPoisoned becomes the gateway.
-func runPoisoned() error {
-	program := os.Getenv(asPoisoned)
+// runCrashingGateway replaces this process with the gateway.
+func runCrashingGateway() error {
+	program := os.Getenv(runAsCrashingGateway)
 	text, err := os.ReadFile(os.Getenv("ELDERYARD_SITE"))
 	if err != nil {
 		return err
 	}
-	if strings.Contains(string(text), strconv.Itoa(poison)) {
-		killer := exec.Command("/bin/sh", "-c", fmt.Sprintf("sleep %g; kill -9 %d", poisonAfter.Seconds(), os.Getpid()))
+	if strings.Contains(string(text), strconv.Itoa(crashHeapGrow)) {
+		killer := exec.Command("/bin/sh", "-c", fmt.Sprintf("sleep %g; kill -9 %d", crashDelay.Seconds(), os.Getpid()))
 		if err := killer.Start(); err != nil {
 			return err
 		}
@@ -47,27 +47,27 @@
 	return syscall.Exec(program, []string{program}, os.Environ())
 }
 
-// fleetSite is a fleet under load.
+// fleetSite is a fleet under load in a lab.
 type fleetSite struct {
 	t *testing.T
 	*lab.Lab
 	gateways int // each with an agent
 }
 
-// noInstance is the index of no instance.
+// noInstance is an index that no instance has.
 const noInstance = -1
 
-// openFleet starts a fleet with so many gateways and voters, and ends it with the test.
-func openFleet(t *testing.T, gateways, voters int) *fleetSite {
+// startFleet starts a fleet with the given numbers of gateways and voters, and stops it at the end of the test.
+func startFleet(t *testing.T, gateways, voters int) *fleetSite {
 	t.Helper()
 	program := gateway(t)
-	l, err := lab.OpenFleet(t.Context(), lab.Site{Gateways: gateways, Nodes: 6, Rate: *fleetRate, For: 10 * time.Minute, Log: t.Logf},
+	testLab, err := lab.OpenFleet(t.Context(), lab.Site{Gateways: gateways, Nodes: 6, Rate: *fleetRate, For: 10 * time.Minute, Log: t.Logf},
 		lab.Fleet{Voters: voters, Gateway: os.Args[0],
 			Tool: func(args ...string) *exec.Cmd {
 				cmd := exec.Command(os.Args[0], args...)
-				cmd.Env = append(os.Environ(), asTool+"=1", asPoisoned+"=")
-				if len(args) > 1 && args[0] == "agent" { // its gateways are the poisoned one
-					cmd.Env = append(os.Environ(), asTool+"=1", asPoisoned+"="+program)
+				cmd.Env = append(os.Environ(), runAsTool+"=1", runAsCrashingGateway+"=")
+				if len(args) > 1 && args[0] == "agent" { // its gateways run as crashing gateways
+					cmd.Env = append(os.Environ(), runAsTool+"=1", runAsCrashingGateway+"="+program)
 				}
 				return cmd
 			},
@@ -75,11 +75,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
-	return &fleetSite{t, l, gateways}
+	t.Cleanup(testLab.Close)
+	return &fleetSite{t, testLab, gateways}
 }
 
-// revision writes a revision whose heap_grow is so many percent, and returns the arguments that apply it.
+// revision writes a revision with the given heap_grow in percent, and returns the arguments that apply it.
 func (s *fleetSite) revision(name string, grow int) []string {
 	s.t.Helper()
 	path, overlays, err := s.WriteRevision(name, func(file map[string]any) {
@@ -91,50 +91,50 @@
 	return append([]string{"apply", path}, overlays...)
 }
 
-// status returns what an agent says of the site, or the zero status if it does not answer.
-func (s *fleetSite) status(at int) (st agentapi.Status) {
+// status returns the status of the site from an agent, the zero status if the agent does not respond.
+func (s *fleetSite) status(at int) (status agentapi.Status) {
 	out, _ := s.Tool(s.t.Context(), at, "status", "--json")
 	out, _, _ = strings.Cut(out, "\nelderctl:")
-	json.Unmarshal([]byte(out), &st)
-	return st
+	json.Unmarshal([]byte(out), &status)
+	return status
 }
 
-// waitFor polls until the condition condition.
+// waitFor polls until the condition is true.
 func (s *fleetSite) waitFor(what string, condition func() bool) {
 	s.t.Helper()
 	for limit := time.Now().Add(testTimeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(limit) {
-			s.t.Fatalf("never: %s\n%+v\n%s", what, s.status(0), s.AgentOutput(0))
+			s.t.Fatalf("timed out before %s\n%+v\n%s", what, s.status(0), s.AgentOutput(0))
 		}
 	}
 }
 
-// waitForState waits until every agent, but for one that is down, reports the state of the rollout and every other
-// instance ready with the revision.
+// waitForState waits until every agent except the one that is down reports the state of the rollout, and all other
+// instances ready with the revision.
 func (s *fleetSite) waitForState(down int, want rollout.State, running uint64) {
 	s.t.Helper()
 	for i := range s.gateways {
 		if i == down {
 			continue
 		}
-		var st agentapi.Status
-		s.waitFor(fmt.Sprintf("agent %d says %s", i, want), func() bool {
-			st = s.status(i)
-			for _, g := range st.Instances {
-				if at, _ := strconv.Atoi(g.Name[1:]); at != down && (g.Running != running || !g.Ready) {
+		var status agentapi.Status
+		s.waitFor(fmt.Sprintf("agent %d reports %s", i, want), func() bool {
+			status = s.status(i)
+			for _, instance := range status.Instances {
+				if at, _ := strconv.Atoi(instance.Name[1:]); at != down && (instance.Running != running || !instance.Ready) {
 					return false
 				}
 			}
-			return st.Stale == "" && st.Rollout.State == want && len(st.Instances) == s.gateways
+			return status.Stale == "" && status.Rollout.State == want && len(status.Instances) == s.gateways
 		})
-		if st.Wanted != running {
-			s.t.Fatalf("agent %d: %d is wanted, not %d", i, st.Wanted, running)
+		if status.Wanted != running {
+			s.t.Fatalf("agent %d: desired revision %d, want %d", i, status.Wanted, running)
 		}
 	}
 }
 
-// must fails the test on an error.
-func (s *fleetSite) must(err error) {
+// mustSucceed fails the test on an error.
+func (s *fleetSite) mustSucceed(err error) {
 	s.t.Helper()
 	if err != nil {
 		s.t.Fatal(err)
@@ -148,7 +148,7 @@
 	return list
 }
 
-// startApply runs an apply at an agent while the test goes on, and sends its exit status.
+// startApply starts an apply at an agent and returns a channel that receives its exit status.
 func (s *fleetSite) startApply(at int, args []string) <-chan int {
 	done := make(chan int, 1)
 	go func() {
@@ -159,12 +159,12 @@
 	return done
 }
 
-// waitForInstance waits until the condition condition for one instance, by the last agent's status.
+// waitForInstance waits until the condition is true for an instance in the last agent's status.
 func (s *fleetSite) waitForInstance(what string, condition func(agentapi.InstanceStatus) bool) {
 	s.t.Helper()
 	s.waitFor(what, func() bool {
-		for _, g := range s.status(s.gateways - 1).Instances {
-			if condition(g) {
+		for _, instance := range s.status(s.gateways - 1).Instances {
+			if condition(instance) {
 				return true
 			}
 		}
@@ -176,9 +176,9 @@
 func (s *fleetSite) leader() int {
 	name := ""
 	s.waitFor("an agent leads", func() bool {
-		st := s.status(s.gateways - 1)
-		name = st.Leader
-		return st.Stale == "" && name != ""
+		status := s.status(s.gateways - 1)
+		name = status.Leader
+		return status.Stale == "" && name != ""
 	})
 	i, err := strconv.Atoi(name[1:])
 	if err != nil {
--- a/cmd/elderctl/fleet_usage_test.go
+++ b/cmd/elderctl/fleet_usage_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// TestFleetVerbsRejectInvalidInput checks that each wrong argument or file has a clear error and the documented status,
-// and that nothing is written.
-func TestFleetVerbsRejectInvalidInput(t *testing.T) {
+// TestFleetCommandsRejectInvalidInput checks that each invalid argument or file gives a clear error and the documented
+// status, and that nothing is written.
+func TestFleetCommandsRejectInvalidInput(t *testing.T) {
 	dir := t.TempDir()
 	huge := writeFile(t, "huge", strings.Repeat("#", 300<<10))
 	hostile := writeFile(t, "hostile", "[gateway.settings]\nrank = \"\x00\"\n")
 	wrongKey := writeFile(t, "wrong", "[gateway]\ndiscvery = 'x'\n")
 	nobody := filepath.Join(dir, "none.sock")
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		status int
 		want   string
 		args   []string
@@ -49,18 +49,18 @@
 		{exitUsage, "a name has letters", []string{"ca", "issue", "../x", "--dir", dir, "--role", "viewer"}},
 		{exitUsage, "no such file", []string{"ca", "renew", "x", "--dir", dir}},
 	} {
-		status, out, errs := tool(t, c.args...)
-		if status != c.status || !strings.Contains(errs, c.want) || strings.Contains(errs, "panic") {
-			t.Errorf("%v: status %d, want %d; %q, want %q\n%s", c.args, status, c.status, errs, c.want, out)
+		status, out, errs := runTool(t, tc.args...)
+		if status != tc.status || !strings.Contains(errs, tc.want) || strings.Contains(errs, "panic") {
+			t.Errorf("%v: status %d, want %d; %q, want %q\n%s", tc.args, status, tc.status, errs, tc.want, out)
 		}
 	}
 	list, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range list {
-		if strings.HasSuffix(e.Name(), ".pem") || strings.HasSuffix(e.Name(), "agent.toml") {
-			t.Errorf("%s was left", e.Name())
+	for _, entry := range list {
+		if strings.HasSuffix(entry.Name(), ".pem") || strings.HasSuffix(entry.Name(), "agent.toml") {
+			t.Errorf("%s was left behind", entry.Name())
 		}
 	}
 }
--- a/cmd/elderctl/fleet_verbs_test.go
+++ b/cmd/elderctl/fleet_verbs_test.go
@@ -19,10 +19,10 @@
 	}
 }
 
-// TestFleetVerbs runs every verb of the fleet against a small site.
-func TestFleetVerbs(t *testing.T) {
+// TestFleetCommands runs every fleet command against a small site.
+func TestFleetCommands(t *testing.T) {
 	t.Parallel()
-	s := openFleet(t, 2, 1)
+	s := startFleet(t, 2, 1)
 	run := func(want int, args ...string) string {
 		t.Helper()
 		out, status := s.Tool(t.Context(), 0, args...)
@@ -53,7 +53,7 @@
 	before := s.pids()
 	run(exitOK, "restart", "--rolling")
 	s.waitForState(noInstance, rollout.Applied, 3)
-	s.waitFor("both have other processes", func() bool { now := s.pids(); return now[0] != before[0] && now[1] != before[1] })
+	s.waitFor("both gateways have new processes", func() bool { now := s.pids(); return now[0] != before[0] && now[1] != before[1] })
 	run(exitOK, "rollback", "1")
 	s.waitForState(noInstance, rollout.Applied, 4)
 	mustContain(t, run(exitOK, "diff", "1", "4"), "no difference")
@@ -69,7 +69,7 @@
 	run(exitOK, "snapshot", "restore", saved)
 	s.waitForState(noInstance, rollout.Applied, 2)
 	mustContain(t, run(exitOK, "audit"), "larger heap", "a saved state was restored", "refused: ")
-	if status, out, _ := tool(t, "completion", "bash"); status != exitOK || !strings.Contains(out, "elderctl") {
+	if status, out, _ := runTool(t, "completion", "bash"); status != exitOK || !strings.Contains(out, "elderctl") {
 		t.Fatal(out)
 	}
 }
--- a/cmd/elderctl/golden_local_test.go
+++ b/cmd/elderctl/golden_local_test.go
@@ -8,12 +8,12 @@
 	"elderyard/internal/golden"
 )
 
-// What the tool prints of files on this machine.
+// Pins the output of the commands that read and write local files only.
 func TestGoldenLocalVerbs(t *testing.T) {
 	t.Parallel()
 	s := newSession(t)
 	dir := t.TempDir()
-	s.hide = append(s.hide, [2]string{dir, "TMP"})
+	s.replacements = append(s.replacements, [2]string{dir, "TMP"})
 	for _, flags := range [][]string{nil, {"--json"}} {
 		for _, verb := range [][]string{{"site", "keys"}, {"agent", "keys"}, {"lab", "list"}, {"lab", "faults"}, {"lab", "read", "testdata/moments", "--every", "1s"}} {
 			s.run("a list", append(verb, flags...)...)
--- a/cmd/elderctl/golden_peers_test.go
+++ b/cmd/elderctl/golden_peers_test.go
@@ -9,18 +9,19 @@
 	"elderyard/internal/golden"
 )
 
+// Pins the output of the peers commands, for views that agree and that differ.
 func TestGoldenPeers(t *testing.T) {
 	t.Parallel()
 	s := newSession(t)
 	s.patterns = append(s.patterns, pattern{clockTime, "TIME  "}, pattern{watchTime, `${1}TIME"`})
 	gateway := func(name string) *fakeServer {
 		g := fakeGateway(t, map[string][]reply{"GET /_peers": ok("@peer-" + name + ".json"), "GET /_peers/why?name=g2": ok("@why-" + name + ".json")})
-		s.hide = append(s.hide, [2]string{g.address, "ADDRESS-OF-" + name})
+		s.replacements = append(s.replacements, [2]string{g.address, "ADDRESS-OF-" + name})
 		return g
 	}
 	g0, g1, g2, joining := gateway("g0"), gateway("g1"), gateway("g2"), gateway("g2-joining")
 	none := fakeGateway(t, nil)
-	s.hide = append(s.hide, [2]string{none.address, "ADDRESS-OF-none"})
+	s.replacements = append(s.replacements, [2]string{none.address, "ADDRESS-OF-none"})
 	run := func(about string, at []*fakeServer, args ...string) {
 		t.Helper()
 		args = append([]string{"peers"}, args...)
@@ -46,10 +47,10 @@
 	run("nobody answers", []*fakeServer{none}, "diff")
 	run("no address", nil, "list")
 	for _, flags := range [][]string{nil, {"--json"}} {
-		g0.forgetCalls()
+		g0.resetCalls()
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		s.finish("until interrupted", s.command(ctx, append([]string{"peers", "watch", "--at", g0.address}, flags...)...), func(cmd *exec.Cmd) {
-			g0.waitForCalls(2) // what the first showed has been printed
+			g0.waitForCalls(2) // the first result has been printed
 			cmd.Process.Signal(syscall.SIGINT)
 		})
 		cancel()
--- a/cmd/elderctl/golden_records_test.go
+++ b/cmd/elderctl/golden_records_test.go
@@ -10,12 +10,13 @@
 	"elderyard/internal/golden"
 )
 
+// Pins the output and the calls of the records commands.
 func TestGoldenRecords(t *testing.T) {
 	t.Parallel()
 	s := newSession(t)
 	read := func(uri, name string, args ...string) {
 		t.Helper()
-		s.with(map[string][]reply{"GET /v1/records/" + uri: ok("@" + name)}, name, append([]string{"records"}, args...)...)
+		s.runWith(map[string][]reply{"GET /v1/records/" + uri: ok("@" + name)}, name, append([]string{"records"}, args...)...)
 	}
 	for _, flags := range [][]string{nil, {"--json"}} {
 		read("get?key=tenant%2Facme", "record.json", append([]string{"get", "tenant/acme"}, flags...)...)
@@ -31,7 +32,7 @@
 	read("lag", "records-lag-good.json", "lag", "--json")
 	change := func(name string, args ...string) {
 		t.Helper()
-		s.with(map[string][]reply{"POST /v1/records/change": ok("@" + name), "GET /v1/records/lag": ok("@records-lag-behind.json")}, name, append([]string{"records"}, args...)...)
+		s.runWith(map[string][]reply{"POST /v1/records/change": ok("@" + name), "GET /v1/records/lag": ok("@records-lag-behind.json")}, name, append([]string{"records"}, args...)...)
 	}
 	for _, flags := range [][]string{nil, {"--json"}} {
 		change("result-accepted.json", append([]string{"put", "tenant/acme", "--value", `{"plan":"gold"}`, "--if", "812", "--message", "m", "--request", "k1"}, flags...)...)
--- a/cmd/elderctl/golden_test.go
+++ b/cmd/elderctl/golden_test.go
@@ -15,11 +15,11 @@
 	"elderyard/internal/golden"
 )
 
-// The golden files in testdata/golden hold the tool's interface: verbs, flags, exit statuses, printed texts, --json
-// and what is sent to an agent. The agent's and the gateways' answers are the files in testdata/answers.
+// The golden files in testdata/golden pin the tool's interface: commands, flags, exit statuses, printed texts, --json
+// output and calls to an agent. The responses of agents and gateways are in testdata/answers.
 
-// Each exit status with an error that leads to it. Those of a broken rule and of a late machine (3 and 4) need a
-// complete lab, and are pinned by their numbers alone.
+// Pins each exit status with an error that leads to it. Those of a broken rule and of a machine that could not keep up
+// (3 and 4) need a complete lab; only their numbers are pinned.
 func TestGoldenExitStatuses(t *testing.T) {
 	t.Parallel()
 	s := newSession(t)
@@ -29,41 +29,41 @@
 	status := func(name string) map[string][]reply {
 		return map[string][]reply{"GET /v1/status": ok("@" + name)}
 	}
-	s.with(nil, "no verb", "--help")
-	s.with(nil, "an unknown verb", "statuss")
-	s.with(nil, "an unknown flag", "status", "--what")
-	s.with(nil, "a wrong flag", "records", "list", "tenant", "--limit", "x")
-	s.with(nil, "a group without a verb", "members")
-	s.with(nil, "too few arguments", "diff", "1")
-	s.with(nil, "too many arguments", "rollback", "1", "2")
-	s.with(nil, "too few arguments", "import")
-	s.with(nil, "no agent is named", "status", "--agent", "")
-	s.with(nil, "an agent without certificates", "status", "--agent", "127.0.0.1:1")
-	s.with(nil, "an address without TLS that is not loopback", "status", "--agent", "192.0.2.1:1", "--plain")
-	s.with(nil, "a folder that can't be written", "capacity", "--size", "testdata/size.toml", "--slopes", "testdata/slopes.json", "--curves", "testdata/none/x.svg")
-	s.with(nil, "no server", "status", "--agent", "testdata/none.sock")
-	s.with(status("status-stale.json"), "no leader", "status")
-	s.with(status("status-partly.json"), "a silent instance", "status")
-	s.with(nil, "a missing file", "check", "testdata/none.toml")
-	s.with(nil, "a wrong overlay", "check", "testdata/site.toml", "--overlay", "x")
-	s.with(nil, "no operations", "records", "put", "tenant/acme")
-	s.with(nil, "a wrong version", "records", "diff", "yesterday")
-	s.with(nil, "one condition for two", "records", "delete", "plan/a", "plan/b", "--if", "1")
+	s.runWith(nil, "no verb", "--help")
+	s.runWith(nil, "an unknown verb", "statuss")
+	s.runWith(nil, "an unknown flag", "status", "--what")
+	s.runWith(nil, "a wrong flag", "records", "list", "tenant", "--limit", "x")
+	s.runWith(nil, "a group without a verb", "members")
+	s.runWith(nil, "too few arguments", "diff", "1")
+	s.runWith(nil, "too many arguments", "rollback", "1", "2")
+	s.runWith(nil, "too few arguments", "import")
+	s.runWith(nil, "no agent is named", "status", "--agent", "")
+	s.runWith(nil, "an agent without certificates", "status", "--agent", "127.0.0.1:1")
+	s.runWith(nil, "an address without TLS that is not loopback", "status", "--agent", "192.0.2.1:1", "--plain")
+	s.runWith(nil, "a folder that can't be written", "capacity", "--size", "testdata/size.toml", "--slopes", "testdata/slopes.json", "--curves", "testdata/none/x.svg")
+	s.runWith(nil, "no server", "status", "--agent", "testdata/none.sock")
+	s.runWith(status("status-stale.json"), "no leader", "status")
+	s.runWith(status("status-partly.json"), "a silent instance", "status")
+	s.runWith(nil, "a missing file", "check", "testdata/none.toml")
+	s.runWith(nil, "a wrong overlay", "check", "testdata/site.toml", "--overlay", "x")
+	s.runWith(nil, "no operations", "records", "put", "tenant/acme")
+	s.runWith(nil, "a wrong version", "records", "diff", "yesterday")
+	s.runWith(nil, "one condition for two", "records", "delete", "plan/a", "plan/b", "--if", "1")
 
-	// What was accepted goes on when the tool is interrupted.
+	// An accepted change continues when the tool is interrupted.
 	s.agent.prepare(map[string][]reply{"GET /v1/status": ok("@status-before.json", "@status-advancing.json"), "GET /v1/revisions/11": ok("@revision-11.json"),
 		"POST /v1/apply": ok("@applied-accepted.json")})
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	s.finish("interrupted", s.command(ctx, "apply", "testdata/site.toml"), func(cmd *exec.Cmd) {
-		s.agent.waitForCalls(5) // status, revision, apply, and the status twice: what the first showed has been printed
+		s.agent.waitForCalls(5) // status, revision, apply and two polls of the status: the first poll has been printed
 		cmd.Process.Signal(syscall.SIGINT)
 	})
 	golden.Text(t, "exit.txt", s.transcript.String())
 }
 
-// The tree of verbs with all their flags. Where a default comes from the machine a placeholder stands; cobra's own
-// verbs, help and completion, are left out.
+// Pins the tree of commands with all flags. A placeholder replaces a default that depends on the machine. Cobra's own
+// commands, help and completion, are omitted.
 func TestGoldenCommandTree(t *testing.T) {
 	for _, name := range []string{"ELDERCTL_AGENT", "ELDERCTL_CA", "ELDERCTL_CERT", "ELDERCTL_KEY"} {
 		t.Setenv(name, "")
--- a/cmd/elderctl/lab_test.go
+++ b/cmd/elderctl/lab_test.go
@@ -12,9 +12,10 @@
 	"time"
 )
 
+// A lab prints its verdict and writes it as JSON.
 func TestLabWritesVerdict(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "verdict.json")
-	status, out, errs := tool(t, "lab", "--gateway", gateway(t), "--gateways", "2", "--nodes", "4", "--rate", "30", "--for", "2s", "--json", path)
+	status, out, errs := runTool(t, "lab", "--gateway", gateway(t), "--gateways", "2", "--nodes", "4", "--rate", "30", "--for", "2s", "--json", path)
 	if status != exitOK && status != exitNoVerdict || !strings.Contains(out, "verdict: ") {
 		t.Fatalf("status %d\n%s\n%s", status, out, errs)
 	}
@@ -22,13 +23,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r labReport
-	if err := json.Unmarshal(text, &r); err != nil || r.Gateways != 2 || r.Verdict.Counts.First == 0 || len(r.Verdict.Processes) != 2 {
-		t.Fatalf("%v %+v", err, r)
+	var report labReport
+	if err := json.Unmarshal(text, &report); err != nil || report.Gateways != 2 || report.Verdict.Counts.First == 0 || len(report.Verdict.Processes) != 2 {
+		t.Fatalf("%v %+v", err, report)
 	}
 }
 
-// TestInterruptedLabLeavesNoProcess interrupts the tool under load.
+// TestInterruptedLabLeavesNoProcess interrupts and kills the tool under load. The gateways must end in both cases.
 func TestInterruptedLabLeavesNoProcess(t *testing.T) {
 	for _, sig := range []os.Signal{os.Interrupt, os.Kill} {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -43,7 +44,7 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		// The first line about the load means that the gateways are up.
+		// The first line about the load shows that the gateways have started.
 		seen := ""
 		for buf := make([]byte, 1024); !strings.Contains(seen, "asked"); {
 			n, err := out.Read(buf)
@@ -53,7 +54,7 @@
 		}
 		children := childrenOf(t, cmd.Process.Pid)
 		if len(children) != 2 {
-			t.Fatalf("%d gateways run", len(children))
+			t.Fatalf("%d gateways are running", len(children))
 		}
 		if err := cmd.Process.Signal(sig); err != nil {
 			t.Fatal(err)
@@ -84,7 +85,7 @@
 	for _, path := range all {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended
+			continue // the process has ended
 		}
 		_, rest, _ := strings.Cut(string(text), ") ")
 		if f := strings.Fields(rest); len(f) > 1 && f[1] == strconv.Itoa(pid) {
--- a/cmd/elderctl/main_test.go
+++ b/cmd/elderctl/main_test.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	asTool      = "ELDERCTL_TEST_AS_TOOL" // this test binary is to be the tool
+	runAsTool   = "ELDERCTL_TEST_AS_TOOL" // makes this test binary run as the tool
 	testTimeout = 2 * time.Minute
 )
 
+// TestMain runs the tests, or the tool or a crashing gateway in a child process.
 func TestMain(m *testing.M) {
-	if os.Getenv("EDGE_CONFIG") != "" && os.Getenv(asPoisoned) != "" {
-		fmt.Fprintln(os.Stderr, runPoisoned())
+	if os.Getenv("EDGE_CONFIG") != "" && os.Getenv(runAsCrashingGateway) != "" {
+		fmt.Fprintln(os.Stderr, runCrashingGateway())
 		os.Exit(1)
 	}
-	if os.Getenv(asTool) != "" {
+	if os.Getenv(runAsTool) != "" {
 		main()
 	}
 	code := m.Run()
@@ -31,8 +32,8 @@
 	os.Exit(code)
 }
 
-// tool runs the tool as a process of its own.
-func tool(t *testing.T, args ...string) (status int, out, errs string) {
+// runTool runs the tool in a child process.
+func runTool(t *testing.T, args ...string) (status int, out, errs string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -47,7 +48,7 @@
 
 func command(ctx context.Context, args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(ctx, os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asTool+"=1")
+	cmd.Env = append(os.Environ(), runAsTool+"=1")
 	return cmd
 }
 
@@ -60,7 +61,7 @@
 	return path
 }
 
-// writeFile writes a file of this test.
+// writeFile writes a file to a temporary folder and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
--- a/cmd/elderctl/records_test.go
+++ b/cmd/elderctl/records_test.go
@@ -17,10 +17,10 @@
 	"elderyard/records"
 )
 
-// recordsAgent runs an agent without gateways that keeps records, and returns its socket.
+// recordsAgent starts an agent without gateways that serves records, and returns its socket.
 func recordsAgent(t *testing.T) string {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "records") // short: a socket's path is bounded
+	dir, err := os.MkdirTemp("", "records") // short: the path of a socket has a length limit
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,20 +44,20 @@
 	})
 	socket := filepath.Join(dir, "agent.sock")
 	for end := time.Now().Add(testTimeout); ; time.Sleep(50 * time.Millisecond) {
-		// Until its first report the leader lists no agent, and a wait for all agents ends at once.
-		status, out, errs := tool(t, "records", "lag", "--agent", socket)
+		// Before its first report the leader lists no agent, and a wait for all agents would return immediately.
+		status, out, errs := runTool(t, "records", "lag", "--agent", socket)
 		if (status == exitOK || status == exitPartial) && strings.Contains(out, "of 1 agents") {
 			return socket
 		} else if time.Now().After(end) {
-			t.Fatalf("no agent answers: %s", errs)
+			t.Fatalf("the agent does not respond: %s", errs)
 		}
 	}
 }
 
-// runRecords runs a verb of records, checks its exit status and that it prints a text, and returns its output.
+// runRecords runs a records command, checks its exit status and that it prints a text, and returns its output.
 func runRecords(t *testing.T, socket string, want int, text string, args ...string) string {
 	t.Helper()
-	status, out, errs := tool(t, append(append([]string{"records"}, args...), "--agent", socket)...)
+	status, out, errs := runTool(t, append(append([]string{"records"}, args...), "--agent", socket)...)
 	if status != want || !strings.Contains(out+errs, text) {
 		t.Fatalf("%v: status %d, want %d with %q\n%s%s", args, status, want, text, out, errs)
 	}
@@ -72,7 +72,8 @@
 	return lag
 }
 
-func TestRecordsVerbs(t *testing.T) {
+// Runs every records command against an agent, including conflicts, rejections and a retry with the same key.
+func TestRecordsCommands(t *testing.T) {
 	t.Parallel()
 	socket := recordsAgent(t)
 	run := func(want int, text string, args ...string) string {
@@ -118,8 +119,8 @@
 	checkRecordsUsage(t, socket, first, value)
 }
 
-// checkRecordsUsage runs verbs with wrong arguments and files: each is a usage error, and no record changes. The files
-// are one of operations and one of a value, both valid.
+// checkRecordsUsage runs commands with invalid arguments and files: each is a usage error, and no record changes.
+// Operations and value are valid files.
 func checkRecordsUsage(t *testing.T, socket, operations, value string) {
 	t.Helper()
 	version := recordsLag(t, socket).Version
@@ -141,10 +142,11 @@
 	}
 }
 
+// Without an agent, each records command ends with exitUnreachable.
 func TestRecordsWithoutAgent(t *testing.T) {
 	t.Parallel()
 	for _, args := range [][]string{{"get", "plan/gold"}, {"lag"}, {"put", "plan/gold", "--value", "{}"}} {
-		status, _, errs := tool(t, append(append([]string{"records"}, args...), "--agent", filepath.Join(t.TempDir(), "none.sock"))...)
+		status, _, errs := runTool(t, append(append([]string{"records"}, args...), "--agent", filepath.Join(t.TempDir(), "none.sock"))...)
 		if status != exitUnreachable {
 			t.Fatalf("%v: status %d: %s", args, status, errs)
 		}
--- a/cmd/elderctl/roster_test.go
+++ b/cmd/elderctl/roster_test.go
@@ -21,20 +21,20 @@
 	*lab.Lab
 }
 
-func openRosterSite(t *testing.T) *rosterSite {
+func startRosterSite(t *testing.T) *rosterSite {
 	t.Helper()
 	program, err := lab.FindPeers("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := lab.OpenFleet(t.Context(), lab.Site{Gateways: 3, Nodes: 1, Peers: true, Every: 200 * time.Millisecond, For: time.Minute, Log: t.Logf},
+	testLab, err := lab.OpenFleet(t.Context(), lab.Site{Gateways: 3, Nodes: 1, Peers: true, Every: 200 * time.Millisecond, For: time.Minute, Log: t.Logf},
 		lab.Fleet{Voters: 1, Gateway: program, Rollout: map[string]any{"waves": []float64{1}, "most_away": 3, "ready_within": "30s", "soak_for": "1s"},
 			Tool: func(args ...string) *exec.Cmd { return command(context.Background(), args...) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
-	return &rosterSite{t, l}
+	t.Cleanup(testLab.Close)
+	return &rosterSite{t, testLab}
 }
 
 // waitFor polls until the condition holds.
@@ -48,7 +48,7 @@
 	}
 }
 
-// reports returns a condition on what a gateway answers.
+// reports returns a function that checks a condition on the status of a gateway.
 func (s *rosterSite) reports(name string, condition func(*peers.Status) bool) func() bool {
 	return func() bool {
 		status, err := s.Answer(s.t.Context(), name)
@@ -64,12 +64,12 @@
 	return list
 }
 
-// Three agents with a gateway each: the voters agree on the roster and the gateways receive it; a gateway that dies
-// with its agent is unreachable for the others; one that is removed from the site is in no gateway's roster, also after
+// With three agents and a gateway each, the voters agree on the roster and the gateways receive it. A gateway that dies
+// with its agent is unreachable for the others. One that is removed from the site is in no gateway's roster, also after
 // a restart.
 func TestVotersAgreeOnRoster(t *testing.T) {
 	t.Parallel()
-	s := openRosterSite(t)
+	s := startRosterSite(t)
 	var epoch uint64
 	for _, name := range []string{"g0", "g1", "g2"} {
 		s.waitFor(name+" has a complete view of all three", s.reports(name, func(status *peers.Status) bool {
--- a/cmd/elderctl/session_test.go
+++ b/cmd/elderctl/session_test.go
@@ -11,33 +11,33 @@
 	"testing"
 )
 
-// session runs the tool and writes down the command, what it sent, its exit status and all that it printed.
+// session runs the tool and records the command, the calls to the agent, the exit status and the output.
 type session struct {
 	t          *testing.T
 	agent      *fakeServer
 	transcript strings.Builder
 
-	// What differs from run to run, and its placeholder.
-	hide     [][2]string
-	patterns []pattern
+	// Texts and patterns that differ between runs, with their placeholders.
+	replacements [][2]string
+	patterns     []pattern
 }
 
 type pattern struct {
-	what *regexp.Regexp
-	with string
+	regex       *regexp.Regexp
+	placeholder string
 }
 
 func newSession(t *testing.T) *session {
 	t.Helper()
 	s := &session{t: t, agent: fakeAgent(t)}
-	s.hide = append(s.hide, [2]string{filepath.Dir(s.agent.address), "DIR"})
+	s.replacements = append(s.replacements, [2]string{filepath.Dir(s.agent.address), "DIR"})
 	s.patterns = []pattern{{requestID, `"request":"REQUEST"`}, {tempFile, "/TEMPORARY"}}
 	return s
 }
 
 var (
 	elapsedTime = regexp.MustCompile(`(?m)^ *\d+\.\ds  `)        // since a rollout's start
-	requestID   = regexp.MustCompile(`"request":"[0-9a-f]{32}"`) // drawn for each change
+	requestID   = regexp.MustCompile(`"request":"[0-9a-f]{32}"`) // random for each change
 	clockTime   = regexp.MustCompile(`(?m)^\d\d:\d\d:\d\d  `)    // of a line of peers watch
 	watchTime   = regexp.MustCompile(`(?m)^(  "at": ")[^"]*"`)   // the same as JSON
 	tempFile    = regexp.MustCompile(`/\.next-\d+`)              // of a file that is replaced atomically
@@ -50,15 +50,15 @@
 	s.finish(about, s.command(ctx, args...), nil)
 }
 
-// command is the tool with the fake agent and in a fixed time zone.
+// command returns the command of the tool with the fake agent and a fixed time zone.
 func (s *session) command(ctx context.Context, args ...string) *exec.Cmd {
 	cmd := command(ctx, args...)
 	cmd.Env = append(cmd.Env, "TZ=UTC", "ELDERCTL_AGENT="+s.agent.address, "ELDERCTL_CA=", "ELDERCTL_CERT=", "ELDERCTL_KEY=", "ELDERCTL_PEERS=",
-		"GORACE=atexit_sleep_ms=0") // else each command of a test with the race detector sleeps for a second
+		"GORACE=atexit_sleep_ms=0") // otherwise each command sleeps for a second with the race detector
 	return cmd
 }
 
-// finish runs a command and writes it down. During, if set, is called while it runs.
+// finish runs a command and records it in the transcript. During, if not nil, is called while it runs.
 func (s *session) finish(about string, cmd *exec.Cmd, during func(*exec.Cmd)) {
 	s.t.Helper()
 	var out, errs bytes.Buffer
@@ -69,32 +69,32 @@
 	if during != nil {
 		during(cmd)
 	}
-	cmd.Wait() // its status is written down
-	fmt.Fprintf(&s.transcript, "=== %s\n$ elderctl %s\n", about, s.normal(strings.Join(cmd.Args[1:], " ")))
-	for _, call := range s.agent.sent() {
-		fmt.Fprintf(&s.transcript, "sent %s\n", s.normal(call))
+	cmd.Wait() // the exit status is recorded below
+	fmt.Fprintf(&s.transcript, "=== %s\n$ elderctl %s\n", about, s.normalize(strings.Join(cmd.Args[1:], " ")))
+	for _, call := range s.agent.recordedCalls() {
+		fmt.Fprintf(&s.transcript, "sent %s\n", s.normalize(call))
 	}
 	fmt.Fprintf(&s.transcript, "status %d\n", cmd.ProcessState.ExitCode())
 	for _, part := range []struct{ name, text string }{{"stdout", out.String()}, {"stderr", errs.String()}} {
 		if part.text != "" {
-			fmt.Fprintf(&s.transcript, "--- %s\n%s", part.name, s.normal(part.text))
+			fmt.Fprintf(&s.transcript, "--- %s\n%s", part.name, s.normalize(part.text))
 		}
 	}
 }
 
-// normal puts placeholders in the place of what differs from run to run.
-func (s *session) normal(text string) string {
-	for _, h := range s.hide {
+// normalize replaces the parts of a text that differ between runs by placeholders.
+func (s *session) normalize(text string) string {
+	for _, h := range s.replacements {
 		text = strings.ReplaceAll(text, h[0], h[1])
 	}
 	for _, p := range s.patterns {
-		text = p.what.ReplaceAllString(text, p.with)
+		text = p.regex.ReplaceAllString(text, p.placeholder)
 	}
 	return text
 }
 
-// with runs the tool against an agent that has these answers.
-func (s *session) with(replies map[string][]reply, about string, args ...string) {
+// runWith runs the tool with these replies of the fake agent.
+func (s *session) runWith(replies map[string][]reply, about string, args ...string) {
 	s.t.Helper()
 	s.agent.prepare(replies)
 	s.run(about, args...)
--- a/cmd/elderctl/trace_test.go
+++ b/cmd/elderctl/trace_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-// tracesFile writes two traces, one of two processes with a span that was exported twice.
+// tracesFile writes two traces: one of two processes with a duplicate span, one with an orphan and a cycle of parents.
 func tracesFile(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "stories.jsonl")
@@ -50,15 +50,16 @@
 	return path
 }
 
+// A trace is printed as a tree without duplicates and control characters. Orphans and cycles appear as roots.
 func TestTracePrintsSpanTree(t *testing.T) {
 	path := tracesFile(t)
-	status, out, errs := tool(t, "trace", path, "AAAA")
+	status, out, errs := runTool(t, "trace", path, "AAAA")
 	if status != exitOK {
 		t.Fatal(status, errs)
 	}
 	var lines []string
-	for _, l := range strings.Split(strings.TrimSpace(out), "\n") {
-		lines = append(lines, strings.Join(strings.Fields(l), " "))
+	for _, line := range strings.Split(strings.TrimSpace(out), "\n") {
+		lines = append(lines, strings.Join(strings.Fields(line), " "))
 	}
 	want := []string{"trace aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa: 0.700 s, 4 spans of g0 and g1",
 		"+0.000 s 0.400 s g0 POST /booking failed", "+0.000 s 0.100 s g0 ├ wait for quota", "+0.100 s 0.300 s g0 └ attempt backend n1?[2J",
@@ -66,24 +67,25 @@
 	if strings.Join(lines, "\n") != strings.Join(want, "\n") {
 		t.Errorf("%s", out)
 	}
-	if status, out, _ = tool(t, "trace", path); status != exitOK || !strings.Contains(out, strings.Repeat("bb", 16)) || strings.Index(out, "aaaa") > strings.Index(out, "bbbb") {
+	if status, out, _ = runTool(t, "trace", path); status != exitOK || !strings.Contains(out, strings.Repeat("bb", 16)) || strings.Index(out, "aaaa") > strings.Index(out, "bbbb") {
 		t.Errorf("%d\n%s", status, out)
 	}
-	if status, out, _ = tool(t, "trace", path, "bb"); status != exitOK || strings.Count(out, "ring") != 2 || !strings.Contains(out, "orphan") {
+	if status, out, _ = runTool(t, "trace", path, "bb"); status != exitOK || strings.Count(out, "ring") != 2 || !strings.Contains(out, "orphan") {
 		t.Errorf("%d\n%s", status, out)
 	}
-	if status, out, _ = tool(t, "trace", path, "aa", "--json"); status != exitOK || strings.Count(out, `"traceId"`) != 5 {
+	if status, out, _ = runTool(t, "trace", path, "aa", "--json"); status != exitOK || strings.Count(out, `"traceId"`) != 5 {
 		t.Errorf("%d\n%s", status, out)
 	}
 }
 
+// Invalid arguments, files and addresses end with the documented status.
 func TestTraceRejectsInvalidInput(t *testing.T) {
 	path := tracesFile(t)
 	bad := filepath.Join(t.TempDir(), "bad")
 	if err := os.WriteFile(bad, []byte("{}\n{\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		status int
 		want   string
 		args   []string
@@ -93,8 +95,8 @@
 		{exitUsage, "32 hexadecimal digits", []string{"trace", path, "xyz"}}, {exitFailed, "no story whose id begins with cc", []string{"trace", path, "cc"}},
 		{exitUnreachable, "refused", []string{"trace", "--from", "127.0.0.1:1", "aa"}},
 	} {
-		if status, _, errs := tool(t, k.args...); status != k.status || !strings.Contains(errs, k.want) {
-			t.Errorf("%v: %d %q", k.args, status, errs)
+		if status, _, errs := runTool(t, tc.args...); status != tc.status || !strings.Contains(errs, tc.want) {
+			t.Errorf("%v: %d %q", tc.args, status, errs)
 		}
 	}
 }
--- a/cmd/elderctl/usage_test.go
+++ b/cmd/elderctl/usage_test.go
@@ -8,12 +8,13 @@
 	"testing"
 )
 
+// Usage errors name the invalid argument, or the line and key of a file.
 func TestUsageErrorsNameTheFault(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("about = 'x'\nprovokes = 'y'\n[[fault]]\nkind = 'node-kil'\nat = '1s'\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		args []string
 		want string
 	}{
@@ -28,26 +29,27 @@
 		{[]string{"site", "check"}, "accepts 1 arg"},
 		{[]string{"site", "check", bad}, ":1: about: there is no such key"},
 	} {
-		status, out, errs := tool(t, k.args...)
-		if status != exitUsage || !strings.Contains(errs, k.want) || out != "" {
-			t.Errorf("%v: status %d, output %q, errors %q", k.args, status, out, errs)
+		status, out, errs := runTool(t, tc.args...)
+		if status != exitUsage || !strings.Contains(errs, tc.want) || out != "" {
+			t.Errorf("%v: status %d, output %q, errors %q", tc.args, status, out, errs)
 		}
 	}
 }
 
+// The commands that print lists support --json, and the shipped site file is valid.
 func TestListsAsTableAndJSON(t *testing.T) {
 	for _, args := range [][]string{{"lab", "list"}, {"lab", "faults"}, {"site", "keys"}} {
-		status, out, errs := tool(t, args...)
+		status, out, errs := runTool(t, args...)
 		if status != exitOK || len(strings.Split(out, "\n")) < 5 {
 			t.Errorf("%v: %d %q %q", args, status, out, errs)
 		}
-		status, out, _ = tool(t, append(args, "--json")...)
+		status, out, _ = runTool(t, append(args, "--json")...)
 		var list []map[string]any
 		if err := json.Unmarshal([]byte(out), &list); status != exitOK || err != nil || len(list) < 5 {
 			t.Errorf("%v as JSON: %d %v", args, status, err)
 		}
 	}
-	if status, out, errs := tool(t, "site", "check", "../../deploy/site.toml"); status != exitOK || !strings.Contains(out, "good") {
+	if status, out, errs := runTool(t, "site", "check", "../../deploy/site.toml"); status != exitOK || !strings.Contains(out, "good") {
 		t.Errorf("%d %q %q", status, out, errs)
 	}
 }
