--- a/cmd/elderctl/check.go
+++ b/cmd/elderctl/check.go
@@ -63,12 +63,12 @@
 	if err != nil {
 		return err
 	}
-	probes, err := client.Probe(ctx, content)
+	probes, err := client.DryRun(ctx, content)
 	if err != nil {
 		return err
 	}
 	diff := diffContents(fmt.Sprintf("revision %d", newest.Number), path, newest.Content, content)
-	err = printResult(cmd, map[string]any{"parent": newest.Number, "wanted": status.Wanted, "diff": diff, "instances": probes}, func(out io.Writer) {
+	err = printResult(cmd, map[string]any{"parent": newest.Number, "wanted": status.Desired, "diff": diff, "instances": probes}, func(out io.Writer) {
 		if withDiff {
 			printDiff(out, diff)
 			fmt.Fprintln(out)
@@ -81,7 +81,7 @@
 	return dryRunError(probes)
 }
 
-func printDryRun(out io.Writer, probes []agentapi.Probe) {
+func printDryRun(out io.Writer, probes []agentapi.DryRunResult) {
 	printTable(out, func(w io.Writer) {
 		fmt.Fprintln(w, "instance\tagent\twould")
 		for _, probe := range probes {
@@ -97,7 +97,7 @@
 }
 
 // dryRunError returns the exit status of a dry run. A rejection takes precedence over a silent agent.
-func dryRunError(probes []agentapi.Probe) error {
+func dryRunError(probes []agentapi.DryRunResult) error {
 	rejected, silent := 0, 0
 	for _, probe := range probes {
 		switch {
--- a/cmd/elderctl/fleet_site_test.go
+++ b/cmd/elderctl/fleet_site_test.go
@@ -127,8 +127,8 @@
 			}
 			return status.Stale == "" && status.Rollout.State == want && len(status.Instances) == s.gateways
 		})
-		if status.Wanted != running {
-			s.t.Fatalf("agent %d: desired revision %d, want %d", i, status.Wanted, running)
+		if status.Desired != running {
+			s.t.Fatalf("agent %d: desired revision %d, want %d", i, status.Desired, running)
 		}
 	}
 }
