--- a/internal/standin/collector/collector.go
+++ b/internal/standin/collector/collector.go
@@ -147,7 +147,7 @@
 }
 
 // draw returns the current faults, and draws which of the random ones affect the next message.
-func (c *Collector) draw() (t Faults, refuse, noReply bool) {
+func (c *Collector) draw() (t Faults, refuse, loseReply bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.faults, c.rng.Float64() < c.faults.Refuse, c.rng.Float64() < c.faults.NoReply
@@ -165,9 +165,9 @@
 }
 
 // handleHTTP returns the handler of one kind of message over HTTP.
-func (c *Collector) handleHTTP(accept func(body []byte, refuse bool) (refused int, err error)) http.HandlerFunc {
+func (c *Collector) handleHTTP(handle func(body []byte, refuse bool) (refused int, err error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		t, refuse, noReply := c.draw()
+		t, refuse, loseReply := c.draw()
 		body, err := read(r)
 		switch {
 		case errors.Is(err, errAborted):
@@ -188,13 +188,13 @@
 			return
 		}
 		wait.For(r.Context(), t.Delay)
-		refused, err := accept(body, refuse)
+		refused, err := handle(body, refuse)
 		if err != nil {
 			c.addFlaw("a message that can't be decoded: %v", err)
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if noReply {
+		if loseReply {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set("Content-Type", "application/x-protobuf")
@@ -239,8 +239,8 @@
 // an exporter does so when it shuts down.
 var errAborted = errors.New("the caller ended the call before its body was complete")
 
-// readBody reads a body without decompressing it. The whole body must be read before any of it is decompressed: otherwise
-// an aborted call can't be distinguished from a complete but invalid body.
+// readBody reads a body without decompressing it. The whole body must be read before any of it is decompressed:
+// otherwise an aborted call can't be distinguished from a complete but invalid body.
 func readBody(r *http.Request) ([]byte, error) {
 	body, err := readLimited(r.Body)
 	if err != nil && !errors.Is(err, errTooLong) {
--- a/internal/standin/collector/collector_test.go
+++ b/internal/standin/collector/collector_test.go
@@ -38,8 +38,8 @@
 	return c
 }
 
-// The exporters of the OpenTelemetry SDK can export to the stand-in over HTTP and gRPC, and what they send violates none
-// of the rules that it checks.
+// The exporters of the OpenTelemetry SDK can export to the stand-in over HTTP and gRPC, and what they send violates
+// none of the rules that it checks.
 func TestPublishedExporters(t *testing.T) {
 	for name, open := range map[string]func(address string) (*otlptrace.Exporter, error){
 		"http": func(a string) (*otlptrace.Exporter, error) {
--- a/internal/standin/collector/grpc.go
+++ b/internal/standin/collector/grpc.go
@@ -18,9 +18,9 @@
 	http.StatusBadRequest: 3, http.StatusUnauthorized: 16, http.StatusForbidden: 7, http.StatusTemporaryRedirect: 12}
 
 // handleGRPC returns the handler of one kind of message as a unary gRPC call.
-func (c *Collector) handleGRPC(accept func(body []byte, refuse bool) (refused int, err error)) http.HandlerFunc {
+func (c *Collector) handleGRPC(handle func(body []byte, refuse bool) (refused int, err error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		t, refuse, noReply := c.draw()
+		t, refuse, loseReply := c.draw()
 		w.Header().Set("Content-Type", "application/grpc")
 		end := func(status int, details []byte) {
 			w.Header().Set(http.TrailerPrefix+"Grpc-Status", strconv.Itoa(status))
@@ -49,13 +49,13 @@
 			return
 		}
 		wait.For(r.Context(), t.Delay)
-		refused, err := accept(body, refuse)
+		refused, err := handle(body, refuse)
 		if err != nil {
 			c.addFlaw("a call that can't be decoded: %v", err)
 			end(3, nil)
 			return
 		}
-		if noReply {
+		if loseReply {
 			panic(http.ErrAbortHandler)
 		}
 		if t.Endless {
--- a/internal/standin/collector/rules.go
+++ b/internal/standin/collector/rules.go
@@ -14,7 +14,8 @@
 	"elderyard/traces"
 )
 
-// Series identifies a time series: a metric of a process with its attributes, written as key=value in order of the keys.
+// Series identifies a time series: a metric of a process with its attributes, written as key=value in order of the
+// keys.
 type Series struct{ Instance, Metric, Attributes string }
 
 // Point is the newest value of a series.
@@ -106,8 +107,8 @@
 		c, _ := traces.ParseContext([]string{"00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"}, []string{s.TraceState})
 		check(c.State != s.TraceState, "tracestate")
 	}
-	_, violations := formatAttributes(s.Attributes)
-	return append(flaws, violations...)
+	_, attrsFlaws := formatAttributes(s.Attributes)
+	return append(flaws, attrsFlaws...)
 }
 
 // acceptMetric checks a metric against the specification and stores its points. The caller holds mu.
@@ -120,17 +121,17 @@
 	check(m.Name == "" || len(m.Name) > 255, "name")
 	cumulative := metrics.AggregationTemporality_AGGREGATION_TEMPORALITY_CUMULATIVE
 	store := func(attrs []*common.KeyValue, p Point, sum bool) {
-		text, violations := formatAttributes(attrs)
-		flaws = append(flaws, violations...)
+		text, attrsFlaws := formatAttributes(attrs)
+		flaws = append(flaws, attrsFlaws...)
 		k := Series{instance, m.Name, text}
-		previous, known := c.points[k]
+		last, known := c.points[k]
 		check(p.Time == 0, "no time")
 		if sum {
 			check(p.Start == 0 || p.Start > p.Time, "start time of %s", text)
-			check(known && p.Start == previous.Start && p.Time >= previous.Time && p.Value < previous.Value, "the sum of %s went down from %g to %g", text, previous.Value, p.Value)
-			check(known && p.Start < previous.Start && p.Time > previous.Time, "the start of %s went back", text)
+			check(known && p.Start == last.Start && p.Time >= last.Time && p.Value < last.Value, "the sum of %s went down from %g to %g", text, last.Value, p.Value)
+			check(known && p.Start < last.Start && p.Time > last.Time, "the start of %s went back", text)
 		}
-		if !known || p.Time >= previous.Time { // an older message may arrive late
+		if !known || p.Time >= last.Time { // an older message may arrive late
 			c.points[k] = p
 		}
 	}
--- a/internal/standin/counter/counter.go
+++ b/internal/standin/counter/counter.go
@@ -365,8 +365,8 @@
 	}
 	call := Call{Peer: peer, Name: a.call.name, Amount: a.call.amount, At: time.Now(), Outcome: Added, TotalSent: true, Half: k.halfOf[peer]}
 	half := k.halves[call.Half]
-	n, found := half[a.call.name]
-	if !found || !call.At.Before(n.expiresAt) {
+	n, hasEntry := half[a.call.name]
+	if !hasEntry || !call.At.Before(n.expiresAt) {
 		n = entry{expiresAt: call.At.Add(a.call.ttl)}
 	}
 	n.total += a.call.amount
--- a/internal/standin/faultproxy/connections.go
+++ b/internal/standin/faultproxy/connections.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// track registers a connection, so that Close closes it. It returns false at the limit of connections, or once the proxy
-// is closed.
+// track registers a connection, so that Close closes it. It returns false at the limit of connections, or once the
+// proxy is closed.
 func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/faultproxy/proxy.go
+++ b/internal/standin/faultproxy/proxy.go
@@ -1,7 +1,7 @@
 // Package faultproxy is a network proxy between the members of a site. It forwards datagrams and connections, and
-// injects faults into the link from one member to another, in each direction separately: a direction can be cut, and
-// it can lose, delay, duplicate and reorder. All others reach a member at one address of the proxy. The proxy identifies
-// a sender by its host, so every member must have a loopback address of its own and send from it.
+// injects faults into the link from one member to another, in each direction separately: a direction can be cut, and it
+// can lose, delay, duplicate and reorder. All others reach a member at one address of the proxy. The proxy identifies a
+// sender by its host, so every member must have a loopback address of its own and send from it.
 package faultproxy
 
 import (
--- a/internal/standin/faultproxy/proxy_test.go
+++ b/internal/standin/faultproxy/proxy_test.go
@@ -64,8 +64,8 @@
 	return p, add(t, p, "a"), add(t, p, "b")
 }
 
-// waitDropped waits until n datagrams have been dropped. A datagram that was sent during a fault may be read by the proxy
-// only after the fault has ended, because goroutines read its sockets.
+// waitDropped waits until n datagrams have been dropped. A datagram that was sent during a fault may be read by the
+// proxy only after the fault has ended, because goroutines read its sockets.
 func waitDropped(t *testing.T, p *Proxy, n int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); p.Dropped() < n; time.Sleep(time.Millisecond) {
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -1,6 +1,7 @@
-// Package link provides the listeners of a stand-in: one on loopback for each pair of a caller and a stand-in, into which
-// faults of a network or a dying machine can be injected. Because every pair has its own listener, a partition can be
-// simulated for a single gateway, and the stand-in knows the caller of a connection without trusting what it sends.
+// Package link provides the listeners of a stand-in: one on loopback for each pair of a caller and a stand-in, into
+// which faults of a network or a dying machine can be injected. Because every pair has its own listener, a partition
+// can be simulated for a single gateway, and the stand-in knows the caller of a connection without trusting what it
+// sends.
 package link
 
 import (
@@ -82,7 +83,8 @@
 // String returns the address as host:port.
 func (a address) String() string { return string(a) }
 
-// Accept waits for the next connection. It blocks while the link is cut or down, and returns ErrClosed once it is closed.
+// Accept waits for the next connection. It blocks while the link is cut or down, and returns ErrClosed once it is
+// closed.
 func (l *Link) Accept() (net.Conn, error) {
 	for {
 		l.mu.Lock()
@@ -138,8 +140,8 @@
 	return ""
 }
 
-// admit registers an accepted connection. It resets one that fills the backlog, or that came up while the link was taken
-// down.
+// admit registers an accepted connection. It resets one that fills the backlog, or that came up while the link was
+// taken down.
 func (l *Link) admit(tcp *net.TCPConn) *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,8 +171,8 @@
 
 	ln.SetDeadline(time.Unix(1, 0))
 	setBacklog(ln, 0)
-	// A listener with a full backlog drops connection requests, so the caller gets no response, as from a machine that has
-	// disappeared. The backlog is filled with connections of our own.
+	// A listener with a full backlog drops connection requests, so the caller gets no response, as from a machine that
+	// has disappeared. The backlog is filled with connections of our own.
 	for range maxFillers {
 		conn, err := net.DialTimeout("tcp", addr, fillTimeout)
 		if err != nil {
@@ -188,8 +190,8 @@
 	}
 }
 
-// Heal ends a cut. Data held back on open connections is delivered; with resetOpen, the connections are reset instead, as
-// by a machine that has lost their state.
+// Heal ends a cut. Data held back on open connections is delivered; with resetOpen, the connections are reset instead,
+// as by a machine that has lost their state.
 func (l *Link) Heal(resetOpen bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,9 +224,9 @@
 	l.changed.Broadcast()
 }
 
-// dropPendingLocked resets the connections that have not been accepted: our own that filled the backlog, and any that were
-// established while the link was being cut. These must not be accepted after the cut: the time at which their data was
-// sent is unknown, and the record would show the end of the cut.
+// dropPendingLocked resets the connections that have not been accepted: our own that filled the backlog, and any that
+// were established while the link was being cut. These must not be accepted after the cut: the time at which their data
+// was sent is unknown, and the record would show the end of the cut.
 func (l *Link) dropPendingLocked() {
 	l.ln.SetDeadline(time.Now().Add(drainTimeout))
 	for {
@@ -310,8 +312,8 @@
 	closePending bool // closed during a cut: the socket is closed when the link heals
 }
 
-// ArrivedAt returns when the data read last had arrived, before the link held it back. Only the goroutine that reads may
-// call it.
+// ArrivedAt returns when the data read last had arrived, before the link held it back. Only the goroutine that reads
+// may call it.
 func (c *Conn) ArrivedAt() time.Time { return c.arrivedAt }
 
 // Peer returns the name of the caller.
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestHealDropsPendingConnections guards against accepting a connection after a cut that was established before it: the time at
-// which its data was sent is unknown.
+// TestHealDropsPendingConnections guards against accepting a connection after a cut that was established before it: the
+// time at which its data was sent is unknown.
 func TestHealDropsPendingConnections(t *testing.T) {
 	l := listen(t)
 	c, err := net.DialTimeout("tcp", l.Address(), testTimeout)
--- a/internal/standin/registry/overload.go
+++ b/internal/standin/registry/overload.go
@@ -61,7 +61,8 @@
 // Watching returns how many watches occupy a slot.
 func (r *Registry) Watching() int { return int(r.watching.Load()) }
 
-// enter waits for a slot, which the caller must release with leave. It returns false if the call is refused or ctx ends.
+// enter waits for a slot, which the caller must release with leave. It returns false if the call is refused or ctx
+// ends.
 func (a *admission) enter(ctx context.Context, mayWait bool) bool {
 	a.mu.Lock()
 	w := &waiter{never: mayWait && a.overload.MaxServing > 0 && a.overload.NoWatch, admitted: make(chan struct{})}
@@ -86,7 +87,8 @@
 	}
 }
 
-// cancelWait removes a waiting call and increments count, or returns true if the call has been admitted in the meantime.
+// cancelWait removes a waiting call and increments count, or returns true if the call has been admitted in the
+// meantime.
 func (a *admission) cancelWait(w *waiter, count *int) (admitted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -192,7 +192,8 @@
 	return int64(n + r.dropped)
 }
 
-// nextLocked returns the time until a view reaches the next generation by delay alone, or the longest wait if none is due.
+// nextLocked returns the time until a view reaches the next generation by delay alone, or the longest wait if none is
+// due.
 func (r *Registry) nextLocked(v *view, now time.Time) time.Duration {
 	n := int(r.visibleLocked(v, now)) - r.dropped
 	if v.stale || n >= len(r.changes) {
--- a/internal/standin/respstore/respstore.go
+++ b/internal/standin/respstore/respstore.go
@@ -224,11 +224,11 @@
 func (s *Store) serve(conn net.Conn) {
 	r := resp.NewReader(conn, resp.Limits{Args: 64, Bulk: 64 << 10, Total: 256 << 10})
 	c := &client{authenticated: s.password == "", w: resp.Writer{Version: 2}, arrivedAt: time.Now}
-	if peerConn, ok := conn.(interface {
+	if withPeer, ok := conn.(interface {
 		Peer() string
 		ArrivedAt() time.Time
 	}); ok {
-		c.peer, c.arrivedAt = peerConn.Peer(), peerConn.ArrivedAt
+		c.peer, c.arrivedAt = withPeer.Peer(), withPeer.ArrivedAt
 	}
 	for {
 		words, _, err := r.Command(nil, nil)
@@ -243,8 +243,8 @@
 			args[i] = string(word)
 		}
 		c.w.Buf = c.w.Buf[:0]
-		keepOpen := s.command(c, args)
-		if _, err := conn.Write(c.w.Buf); err != nil || !keepOpen {
+		holdOpen := s.command(c, args)
+		if _, err := conn.Write(c.w.Buf); err != nil || !holdOpen {
 			return
 		}
 		if c.unfinished {
