--- a/internal/standin/counter/counter.go
+++ b/internal/standin/counter/counter.go
@@ -84,8 +84,8 @@
 
 // entry is the total of one name.
 type entry struct {
-	total     float64
-	expiresAt time.Time
+	total      float64
+	validUntil time.Time
 }
 
 // Counter is a running stand-in.
@@ -203,7 +203,7 @@
 			k.mu.Lock()
 			for _, half := range k.halves {
 				for name, n := range half {
-					if !now.Before(n.expiresAt) {
+					if !now.Before(n.validUntil) {
 						delete(half, name)
 					}
 				}
@@ -366,8 +366,8 @@
 	call := Call{Peer: peer, Name: a.call.name, Amount: a.call.amount, At: time.Now(), Outcome: Added, TotalSent: true, Half: k.halfOf[peer]}
 	half := k.halves[call.Half]
 	n, hasEntry := half[a.call.name]
-	if !hasEntry || !call.At.Before(n.expiresAt) {
-		n = entry{expiresAt: call.At.Add(a.call.ttl)}
+	if !hasEntry || !call.At.Before(n.validUntil) {
+		n = entry{validUntil: call.At.Add(a.call.ttl)}
 	}
 	n.total += a.call.amount
 	if k.happens(k.faults.Double) {
