--- a/capacity/curves.go
+++ b/capacity/curves.go
@@ -19,10 +19,10 @@
 	axisRoom     = 1.08 // axes reach so far beyond the largest value
 )
 
-// Curves is an SVG picture of every slope that has two sizes or more: a panel
+// CurvesSVG is an SVG picture of every slope that has two sizes or more: a panel
 // each with its points (hollow for trials), the fit (dashed beyond the largest size measured, as
 // far as it is trusted) and the size of the site (a dotted line).
-func (p *Plan) Curves() string {
+func (p *Plan) CurvesSVG() string {
 	var shown []*SlopeLine
 	for i := range p.Slopes {
 		if s := &p.Slopes[i]; s.hasSizes() {
--- a/capacity/curves_test.go
+++ b/capacity/curves_test.go
@@ -37,7 +37,7 @@
 		slopeOf(t, CounterCalls, Point{5, 0}, Point{50, 0}),
 		trial,
 	})
-	picture := plan.Curves()
+	picture := plan.CurvesSVG()
 	counts := countElements(t, picture)
 	if counts["circle"] != 3+2+2 {
 		t.Errorf("%d points", counts["circle"])
@@ -52,7 +52,7 @@
 	if strings.Contains(picture, "NaN") || strings.Contains(picture, "Inf") {
 		t.Error("a place that is no number")
 	}
-	if got := countElements(t, (&Plan{}).Curves()); got["circle"] != 0 || got["svg"] != 1 {
+	if got := countElements(t, (&Plan{}).CurvesSVG()); got["circle"] != 0 || got["svg"] != 1 {
 		t.Errorf("%v", got)
 	}
 }
--- a/capacity/decode_test.go
+++ b/capacity/decode_test.go
@@ -152,13 +152,13 @@
 			return
 		}
 		plan := Compute(size, slopes)
-		if len(plan.Lines) == 0 || len(plan.Slopes) != len(slopes) {
-			t.Fatalf("%d lines, %d slopes of %d", len(plan.Lines), len(plan.Slopes), len(slopes))
+		if len(plan.Requirements) == 0 || len(plan.Slopes) != len(slopes) {
+			t.Fatalf("%d lines, %d slopes of %d", len(plan.Requirements), len(plan.Slopes), len(slopes))
 		}
 		for _, table := range plan.Tables() {
 			table.Markdown()
 		}
-		if picture := plan.Curves(); strings.Contains(picture, "NaN") || strings.Contains(picture, "Inf") {
+		if picture := plan.CurvesSVG(); strings.Contains(picture, "NaN") || strings.Contains(picture, "Inf") {
 			t.Fatal("a place in the picture that is no number")
 		}
 	})
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -12,7 +12,7 @@
 	Title  string
 	Header []string
 	Rows   [][]string
-	Empty  string // said in place of a table without rows
+	EmptyText  string // said in place of a table without rows
 }
 
 // Tables are all tables of a plan.
@@ -21,7 +21,7 @@
 		p.sizeTable("site", "The site", "site"),
 		p.sizeTable("budget", "What may be spent", "budget"),
 		p.sizeTable("assumptions", "What is assumed", "assumptions"),
-		p.rolesTable("roles", "Roles", func(l *Line) bool { return !isRecords(l) }),
+		p.rolesTable("roles", "Roles", func(l *Requirement) bool { return !isRecords(l) }),
 		p.rolesTable("records", "Configuration as records", isRecords),
 		p.notCarriedTable(),
 		p.unknownTable(),
@@ -33,7 +33,7 @@
 }
 
 // isRecords tells whether a line is about configuration as records.
-func isRecords(l *Line) bool {
+func isRecords(l *Requirement) bool {
 	return slices.ContainsFunc(l.Measures, func(name string) bool { return strings.HasPrefix(name, "records.") }) ||
 		strings.HasPrefix(l.Item, "records: ")
 }
@@ -48,11 +48,11 @@
 	return t
 }
 
-func (p *Plan) rolesTable(name, title string, want func(*Line) bool) Table {
+func (p *Plan) rolesTable(name, title string, want func(*Requirement) bool) Table {
 	t := Table{Name: name, Title: title, Header: []string{"role", "mechanism", "what", "at the size", "with the fit's worst residual", "budget", "verdict", "from"}}
-	var last Line
-	for i := range p.Lines {
-		l := &p.Lines[i]
+	var last Requirement
+	for i := range p.Requirements {
+		l := &p.Requirements[i]
 		if !want(l) {
 			continue
 		}
@@ -70,7 +70,7 @@
 }
 
 // what names a line's kind and item, with its note.
-func (l *Line) what() string {
+func (l *Requirement) what() string {
 	text := fmt.Sprintf("%s: %s", l.Kind, l.Item)
 	if l.Note != "" {
 		text += " (" + l.Note + ")"
@@ -78,7 +78,7 @@
 	return text
 }
 
-func (l *Line) figure(v *float64) string {
+func (l *Requirement) figure(v *float64) string {
 	if v == nil {
 		return "-"
 	}
@@ -86,7 +86,7 @@
 }
 
 // atSize is the value at the size, or its known part.
-func (l *Line) atSize() string {
+func (l *Requirement) atSize() string {
 	if l.AtLeast != nil {
 		return "at least " + l.figure(l.AtLeast)
 	}
@@ -94,25 +94,25 @@
 }
 
 // figureIfOther is the upper value where it differs from the value.
-func (l *Line) figureIfOther() string {
+func (l *Requirement) figureIfOther() string {
 	if l.Upper == nil || *l.Upper == *l.Value {
 		return "-"
 	}
 	return l.figure(l.Upper)
 }
 
-func (l *Line) verdictText() string {
+func (l *Requirement) verdictText() string {
 	switch {
-	case l.Verdict == Over:
+	case l.Verdict == OverBudget:
 		return "over, " + number(*l.Factor) + " times"
-	case l.Verdict == Carried:
+	case l.Verdict == WithinBudget:
 		return fmt.Sprintf("carried, %s%%", number(100**l.Factor))
 	}
 	return string(l.Verdict)
 }
 
 // basis names the measures that a line comes from.
-func (l *Line) basis() string {
+func (l *Requirement) basis() string {
 	if len(l.Measures) == 0 {
 		return "arithmetic"
 	}
@@ -125,23 +125,23 @@
 
 func (p *Plan) notCarriedTable() Table {
 	t := Table{Name: "not-carried", Title: "Not carried, by factor", Header: []string{"over by", "role", "what", "at the size", "budget", "mechanism today", "planned"},
-		Empty: "Everything with a budget and a slope is carried."}
-	for _, l := range p.NotCarried() {
+		EmptyText: "Everything with a budget and a slope is carried."}
+	for _, l := range p.RequirementsOverBudget() {
 		t.Rows = append(t.Rows, []string{number(*l.Factor), string(l.Role), l.what(), l.atSize(), l.figure(l.Budget), l.Mechanism, dash(l.Planned)})
 	}
 	return t
 }
 
 func (p *Plan) unknownTable() Table {
-	t := Table{Name: "not-known", Title: "Not known", Header: []string{"role", "what", "budget", "why"}, Empty: "Nothing is unknown."}
-	for _, l := range p.Unknown() {
+	t := Table{Name: "not-known", Title: "Not known", Header: []string{"role", "what", "budget", "why"}, EmptyText: "Nothing is unknown."}
+	for _, l := range p.UnknownRequirements() {
 		t.Rows = append(t.Rows, []string{string(l.Role), l.what(), l.figure(l.Budget), l.Why})
 	}
 	return t
 }
 
 func (p *Plan) slopesTable() Table {
-	t := Table{Name: "slopes", Title: "Slopes", Header: []string{"measure", "over n =", "points", "fit", "residual, RMS and worst", "at the size", "measured", "command"}, Empty: "No slope has been measured."}
+	t := Table{Name: "slopes", Title: "Slopes", Header: []string{"measure", "over n =", "points", "fit", "residual, RMS and worst", "at the size", "measured", "command"}, EmptyText: "No slope has been measured."}
 	for i := range p.Slopes {
 		s := &p.Slopes[i]
 		t.Rows = append(t.Rows, []string{s.Measure + ", " + s.Unit, string(s.Dimension), s.pointsText(), s.Fit,
@@ -225,7 +225,7 @@
 // Markdown is the table as a page has it.
 func (t *Table) Markdown() string {
 	if len(t.Rows) == 0 {
-		return t.Empty + "\n"
+		return t.EmptyText + "\n"
 	}
 	var b strings.Builder
 	row := func(cells []string) {
@@ -251,10 +251,10 @@
 	markClose = " -->"
 )
 
-// Fill writes the plan's tables between their markers on a page. Each table must
+// FillPage writes the plan's tables between their markers on a page. Each table must
 // have its block once; a block that no table has, or that does not end, is an
 // error that names its line.
-func (p *Plan) Fill(page string) (string, error) {
+func (p *Plan) FillPage(page string) (string, error) {
 	missing := map[string]Table{}
 	for _, t := range p.Tables() {
 		missing[t.Name] = t
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -10,9 +10,9 @@
 
 // The verdicts.
 const (
-	Carried  Verdict = "carried"
-	Over     Verdict = "over"
-	NotKnown Verdict = "not known" // a slope is missing, or does not reach so far
+	WithinBudget  Verdict = "carried"
+	OverBudget     Verdict = "over"
+	Unknown Verdict = "not known" // a slope is missing, or does not reach so far
 	NoBudget Verdict = "no budget" // nothing says what it may be
 )
 
@@ -47,8 +47,8 @@
 	Time     Kind = "time"
 )
 
-// Line is one requirement of a role at the size.
-type Line struct {
+// Requirement is one requirement of a role at the size.
+type Requirement struct {
 	Role      Role     `json:"role"`
 	Kind      Kind     `json:"kind"`
 	Item      string   `json:"item"`
@@ -85,7 +85,7 @@
 // Plan is all that is worked out for a size.
 type Plan struct {
 	Size       Size        `json:"size"`
-	Lines      []Line      `json:"lines"`
+	Requirements      []Requirement      `json:"lines"`
 	Slopes     []SlopeLine `json:"slopes"`
 	Unmeasured []string    `json:"unmeasured"` // measures without a slope
 	Placement  Placement   `json:"placement"`
@@ -106,29 +106,29 @@
 	b.counter()
 	b.registry()
 	b.tool()
-	plan := Plan{Size: size, Lines: b.lines, Placement: Place(size.Budget.ControlMachines, size.Site.Regions, size.Site.Zones)}
+	plan := Plan{Size: size, Requirements: b.lines, Placement: Place(size.Budget.ControlMachines, size.Site.Regions, size.Site.Zones)}
 	plan.Slopes, plan.Unmeasured = b.slopeLines(slopes)
 	plan.Failures = b.failures(plan.Placement)
 	return plan
 }
 
-// NotCarried are the lines that are over their budget, by factor, largest first.
-func (p *Plan) NotCarried() []Line {
-	var over []Line
-	for _, l := range p.Lines {
-		if l.Verdict == Over {
+// RequirementsOverBudget are the lines that are over their budget, by factor, largest first.
+func (p *Plan) RequirementsOverBudget() []Requirement {
+	var over []Requirement
+	for _, l := range p.Requirements {
+		if l.Verdict == OverBudget {
 			over = append(over, l)
 		}
 	}
-	slices.SortStableFunc(over, func(a, b Line) int { return cmp.Compare(*b.Factor, *a.Factor) })
+	slices.SortStableFunc(over, func(a, b Requirement) int { return cmp.Compare(*b.Factor, *a.Factor) })
 	return over
 }
 
-// Unknown are the lines for which a slope is missing.
-func (p *Plan) Unknown() []Line {
-	var list []Line
-	for _, l := range p.Lines {
-		if l.Verdict == NotKnown {
+// UnknownRequirements are the lines for which a slope is missing.
+func (p *Plan) UnknownRequirements() []Requirement {
+	var list []Requirement
+	for _, l := range p.Requirements {
+		if l.Verdict == Unknown {
 			list = append(list, l)
 		}
 	}
@@ -139,11 +139,11 @@
 type builder struct {
 	size      Size
 	estimates estimates
-	lines     []Line
+	lines     []Requirement
 }
 
-// requirement is a line before its verdict.
-type requirement struct {
+// requirementSpec is a line before its verdict.
+type requirementSpec struct {
 	role      Role
 	kind      Kind
 	item      string
@@ -155,8 +155,8 @@
 	note      string
 }
 
-func (b *builder) add(r requirement) {
-	line := Line{
+func (b *builder) add(r requirementSpec) {
+	line := Requirement{
 		Role: r.role, Kind: r.kind, Item: r.item, Mechanism: r.mechanism, Planned: r.planned, Unit: r.unit,
 		Note: r.note, Measures: r.value.from, Trial: r.value.trial, Why: r.value.unknown,
 	}
@@ -174,23 +174,23 @@
 
 // verdict sets the factor and rules by it. A sum of which a part is not known is
 // over its budget if the known part is.
-func verdict(line *Line) Verdict {
+func verdict(line *Requirement) Verdict {
 	switch {
 	case line.Value == nil && line.Budget != nil && line.AtLeast != nil && *line.AtLeast > *line.Budget:
 		factor := *line.AtLeast / *line.Budget
 		line.Factor = &factor
-		return Over
+		return OverBudget
 	case line.Value == nil:
-		return NotKnown
+		return Unknown
 	case line.Budget == nil:
 		return NoBudget
 	}
 	factor := *line.Upper / *line.Budget
 	line.Factor = &factor
 	if factor > 1 {
-		return Over
+		return OverBudget
 	}
-	return Carried
+	return WithinBudget
 }
 
 // slopeLines are the slopes in the order of the measures, and the measures
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -17,13 +17,13 @@
 }
 
 // lineOf is the line of a plan whose item begins so.
-func lineOf(t *testing.T, plan Plan, role Role, item string) Line {
+func lineOf(t *testing.T, plan Plan, role Role, item string) Requirement {
 	t.Helper()
-	i := slices.IndexFunc(plan.Lines, func(l Line) bool { return l.Role == role && strings.HasPrefix(l.Item, item) })
+	i := slices.IndexFunc(plan.Requirements, func(l Requirement) bool { return l.Role == role && strings.HasPrefix(l.Item, item) })
 	if i < 0 {
 		t.Fatalf("no line %s: %s", role, item)
 	}
-	return plan.Lines[i]
+	return plan.Requirements[i]
 }
 
 func TestVerdicts(t *testing.T) {
@@ -36,13 +36,13 @@
 		factor  float64
 		why     string
 	}{
-		{"within the budget", []Point{{305, 3000}, {610, 3000}}, Carried, 3000, 0.5, ""},
-		{"exactly the budget", []Point{{610, 6000}}, Carried, 6000, 1, ""},
-		{"over the budget", []Point{{610, 12000}}, Over, 12000, 2, ""},
-		{"the fit's worst residual is over it", []Point{{305, 5000}, {610, 6900}}, Over, 5950, 1.15, ""},
-		{"half the size measured: trusted", []Point{{305, 600}}, Carried, 600, 0.1, ""},
-		{"less than half of it measured: not", []Point{{100, 600}, {304, 600}}, NotKnown, 0, 0, "agent.bytes_per_second is measured up to 304 alone"},
-		{"not measured", nil, NotKnown, 0, 0, "agent.bytes_per_second is not measured"},
+		{"within the budget", []Point{{305, 3000}, {610, 3000}}, WithinBudget, 3000, 0.5, ""},
+		{"exactly the budget", []Point{{610, 6000}}, WithinBudget, 6000, 1, ""},
+		{"over the budget", []Point{{610, 12000}}, OverBudget, 12000, 2, ""},
+		{"the fit's worst residual is over it", []Point{{305, 5000}, {610, 6900}}, OverBudget, 5950, 1.15, ""},
+		{"half the size measured: trusted", []Point{{305, 600}}, WithinBudget, 600, 0.1, ""},
+		{"less than half of it measured: not", []Point{{100, 600}, {304, 600}}, Unknown, 0, 0, "agent.bytes_per_second is measured up to 304 alone"},
+		{"not measured", nil, Unknown, 0, 0, "agent.bytes_per_second is not measured"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var slopes []Slope
@@ -53,7 +53,7 @@
 			if l.Verdict != c.verdict || l.Why != c.why {
 				t.Fatalf("%s (%s), want %s (%s)", l.Verdict, l.Why, c.verdict, c.why)
 			}
-			if c.verdict == NotKnown {
+			if c.verdict == Unknown {
 				if l.Value != nil || l.Factor != nil {
 					t.Errorf("a figure that is not known: %+v", l)
 				}
@@ -89,22 +89,22 @@
 			t.Errorf("%s: %+v; want %g, factor %g", c.item, l, c.value, c.factor)
 		}
 	}
-	over := plan.NotCarried()
+	over := plan.RequirementsOverBudget()
 	for i := 1; i < len(over); i++ {
 		if *over[i].Factor > *over[i-1].Factor {
 			t.Errorf("%s (%g) stands behind %s (%g)", over[i].Item, *over[i].Factor, over[i-1].Item, *over[i-1].Factor)
 		}
 	}
 	rollout := lineOf(t, plan, Configuration, "whole file: one change by waves, with the default policy")
-	if rollout.Verdict != Over || rollout.Value != nil || *rollout.AtLeast != 1280 {
+	if rollout.Verdict != OverBudget || rollout.Value != nil || *rollout.AtLeast != 1280 {
 		t.Errorf("%+v", rollout)
 	}
 	// A sum of which a part is missing is over if its known part is.
 	total := lineOf(t, plan, GatewayTotal, "configuration as whole files")
-	if total.Verdict != Over || total.Value != nil || !near(*total.AtLeast, 320+2.97e6*510/86400) {
+	if total.Verdict != OverBudget || total.Value != nil || !near(*total.AtLeast, 320+2.97e6*510/86400) {
 		t.Errorf("%+v", total)
 	}
-	if total := lineOf(t, plan, GatewayTotal, "configuration as records"); total.Verdict != NotKnown || !near(*total.AtLeast, 320) {
+	if total := lineOf(t, plan, GatewayTotal, "configuration as records"); total.Verdict != Unknown || !near(*total.AtLeast, 320) {
 		t.Errorf("%+v", total)
 	}
 }
@@ -117,19 +117,19 @@
 	}
 	size.Assumptions.QuotaCallsAreControl = true
 	size.Assumptions.GatewaysPerTenant = 5
-	i := slices.IndexFunc(Compute(size, slopes).Lines, func(l Line) bool { return l.Role == Quotas && l.Kind == Bytes })
-	l := Compute(size, slopes).Lines[i]
-	if want := 0.25 * 150 * 170_000 / 610.0; l.Verdict != Over || !near(*l.Value, want) {
+	i := slices.IndexFunc(Compute(size, slopes).Requirements, func(l Requirement) bool { return l.Role == Quotas && l.Kind == Bytes })
+	l := Compute(size, slopes).Requirements[i]
+	if want := 0.25 * 150 * 170_000 / 610.0; l.Verdict != OverBudget || !near(*l.Value, want) {
 		t.Errorf("%+v, want %g", l, want)
 	}
 }
 
 func TestNothingIsInventedWithoutSlopes(t *testing.T) {
 	plan := Compute(goodSize(t), nil)
-	for _, l := range plan.Lines {
-		if len(l.Measures) > 0 && (l.Verdict != NotKnown || l.Value != nil || l.AtLeast != nil) {
+	for _, l := range plan.Requirements {
+		if len(l.Measures) > 0 && (l.Verdict != Unknown || l.Value != nil || l.AtLeast != nil) {
 			// The soak of a rollout is arithmetic, and the known part of its sum.
-			if l.Verdict == Over && l.AtLeast != nil && *l.AtLeast == defaultWaves*defaultSoak {
+			if l.Verdict == OverBudget && l.AtLeast != nil && *l.AtLeast == defaultWaves*defaultSoak {
 				continue
 			}
 			t.Errorf("%+v", l)
@@ -142,7 +142,7 @@
 
 func TestEveryMeasureIsUsed(t *testing.T) {
 	used := map[string]bool{}
-	for _, l := range Compute(goodSize(t), nil).Lines {
+	for _, l := range Compute(goodSize(t), nil).Requirements {
 		for _, name := range l.Measures {
 			used[name] = true
 		}
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -46,7 +46,7 @@
 
 func (b *builder) requestPath() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, planned, note string) {
-		b.add(requirement{RequestPath, kind, item, "rules/, one pure module a gateway", planned, unit, value, budget, note})
+		b.add(requirementSpec{RequestPath, kind, item, "rules/, one pure module a gateway", planned, unit, value, budget, note})
 	}
 	rate := b.requestsPerGateway()
 	add(Messages, "requests at the peak, evenly spread", "1/s", arithmetic(rate), 0, "", "")
@@ -69,7 +69,7 @@
 
 func (b *builder) membership() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirement{Membership, kind, item, swim, "", unit, value, budget, note})
+		b.add(requirementSpec{Membership, kind, item, swim, "", unit, value, budget, note})
 	}
 	add(State, "members that a gateway knows", "", arithmetic(float64(b.size.Site.Gateways)), members.MaxRosterSize, "the budget is the largest roster that is accepted today")
 	add(Messages, "datagrams", "1/s", b.of(MembersMessages), 0, "")
@@ -82,7 +82,7 @@
 
 func (b *builder) discovery() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, planned, note string) {
-		b.add(requirement{Discovery, kind, item, "the whole list at a start, then changes", planned, unit, value, budget, note})
+		b.add(requirementSpec{Discovery, kind, item, "the whole list at a start, then changes", planned, unit, value, budget, note})
 	}
 	list := b.of(DiscoveryListBytes)
 	add(State, "backends in a gateway's list", "", arithmetic(float64(b.size.Site.Backends)), 0, "", "")
@@ -127,7 +127,7 @@
 
 func (b *builder) configurationByFile() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirement{Configuration, kind, "whole file: " + item, wholeFile, plannedRecords, unit, value, budget, note})
+		b.add(requirementSpec{Configuration, kind, "whole file: " + item, wholeFile, plannedRecords, unit, value, budget, note})
 	}
 	budget := &b.size.Budget
 	change := b.of(FileBytesByRecords)
@@ -145,7 +145,7 @@
 
 func (b *builder) configurationByRecords() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirement{Configuration, kind, "records: " + item, plannedRecords, "", unit, value, budget, note})
+		b.add(requirementSpec{Configuration, kind, "records: " + item, plannedRecords, "", unit, value, budget, note})
 	}
 	budget := &b.size.Budget
 	add(State, "records in a gateway's replica", "", arithmetic(float64(b.size.Entries())), 0, "")
@@ -194,7 +194,7 @@
 
 func (b *builder) quotas() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirement{Quotas, kind, item, "calls to the shared counter; local shares while it is away", plannedQuota, unit, value, budget, note})
+		b.add(requirementSpec{Quotas, kind, item, "calls to the shared counter; local shares while it is away", plannedQuota, unit, value, budget, note})
 	}
 	calls := b.of(CounterCalls).times(b.requestsPerGateway())
 	bytes := b.quotaBytesPerSecond()
@@ -217,7 +217,7 @@
 
 func (b *builder) agent() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64) {
-		b.add(requirement{Agent, kind, item, reportsAndOrder, "", unit, value, budget, "without records"})
+		b.add(requirementSpec{Agent, kind, item, reportsAndOrder, "", unit, value, budget, "without records"})
 	}
 	budget := &b.size.Budget
 	add(State, "gateways of its machine", "", arithmetic(1), 0)
@@ -236,7 +236,7 @@
 		bytes = bytes.plus(b.quotaBytesPerSecond())
 	}
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirement{GatewayTotal, kind, item, "the sum of the roles above", "", unit, value, budget, note})
+		b.add(requirementSpec{GatewayTotal, kind, item, "the sum of the roles above", "", unit, value, budget, note})
 	}
 	add(Bytes, "configuration as whole files", "B/s", bytes.plus(b.fileBytesPerSecond()), budget.GatewayBytesPerSecond, "mean of the day")
 	add(Bytes, "configuration as records", "B/s", bytes.plus(b.of(RecordsBytes)), budget.GatewayBytesPerSecond, "mean of the day")
@@ -246,7 +246,7 @@
 
 func (b *builder) voter() {
 	add := func(kind Kind, item, mechanism, planned, unit string, value quantity, budget float64, note string) {
-		b.add(requirement{Voter, kind, item, mechanism, planned, unit, value, budget, note})
+		b.add(requirementSpec{Voter, kind, item, mechanism, planned, unit, value, budget, note})
 	}
 	machine := &b.size.Assumptions
 	const raft = "raft among the voters; the leader hears all agents"
@@ -279,7 +279,7 @@
 
 func (b *builder) counter() {
 	add := func(kind Kind, item, unit string, value quantity, note string) {
-		b.add(requirement{Counter, kind, item, "one counter for all gateways", plannedQuota, unit, value, 0, note})
+		b.add(requirementSpec{Counter, kind, item, "one counter for all gateways", plannedQuota, unit, value, 0, note})
 	}
 	calls := b.counterCallsPerSecond()
 	add(State, "tenants with a window each", "", arithmetic(float64(b.size.Site.Tenants)), "")
@@ -290,7 +290,7 @@
 
 func (b *builder) registry() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirement{Registry, kind, item, "one watch a gateway", plannedList, unit, value, budget, note})
+		b.add(requirementSpec{Registry, kind, item, "one watch a gateway", plannedList, unit, value, budget, note})
 	}
 	watches := float64(b.size.Site.Gateways)
 	burst := b.of(DiscoveryListBytes).times(b.restartBurst())
@@ -302,7 +302,7 @@
 
 func (b *builder) tool() {
 	add := func(kind Kind, item, unit string, value quantity) {
-		b.add(requirement{Tool, kind, item, "one call to any agent, which has the leader answer", "", unit, value, 0, ""})
+		b.add(requirementSpec{Tool, kind, item, "one call to any agent, which has the leader answer", "", unit, value, 0, ""})
 	}
 	add(State, "gateways in one answer", "", arithmetic(float64(b.size.Site.Gateways)))
 	add(Bytes, "elderctl instances --json", "B", b.of(OperatorStatusBytes))
--- a/cmd/elderctl/capacity.go
+++ b/cmd/elderctl/capacity.go
@@ -37,7 +37,7 @@
 				return usageError(err)
 			}
 			if curves != "" {
-				if err := files.Replace(curves, []byte(plan.Curves()), 0o644); err != nil {
+				if err := files.Replace(curves, []byte(plan.CurvesSVG()), 0o644); err != nil {
 					return operationError(fmt.Errorf("curves: %w", err))
 				}
 			}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return usageError(fmt.Errorf("page: %w", err))
 	}
-	filled, err := plan.Fill(string(text))
+	filled, err := plan.FillPage(string(text))
 	if err != nil {
 		return usageError(fmt.Errorf("%s: %w", path, err))
 	}
@@ -109,7 +109,7 @@
 		}
 		fmt.Fprintf(out, "%s\n\n", table.Title)
 		if len(table.Rows) == 0 {
-			fmt.Fprintln(out, table.Empty)
+			fmt.Fprintln(out, table.EmptyText)
 		} else {
 			printTable(out, func(w io.Writer) {
 				fmt.Fprintln(w, strings.Join(table.Header, "\t"))
@@ -120,6 +120,6 @@
 		}
 		fmt.Fprintln(out)
 	}
-	over, unknown := len(plan.NotCarried()), len(plan.Unknown())
-	fmt.Fprintf(out, "%d requirements: %d over their budget, %d not known\n", len(plan.Lines), over, unknown)
+	over, unknown := len(plan.RequirementsOverBudget()), len(plan.UnknownRequirements())
+	fmt.Fprintf(out, "%d requirements: %d over their budget, %d not known\n", len(plan.Requirements), over, unknown)
 }
--- a/cmd/elderctl/capacity_test.go
+++ b/cmd/elderctl/capacity_test.go
@@ -88,8 +88,8 @@
 	if err := json.Unmarshal([]byte(out), &plan); status != exitOK || err != nil {
 		t.Fatalf("status %d: %v: %s", status, err, errs)
 	}
-	if plan.Size.Site.Gateways != 610 || len(plan.Lines) == 0 || len(plan.Placement.Machines) != 6 || len(plan.Failures) == 0 {
-		t.Errorf("%d gateways, %d lines, %+v", plan.Size.Site.Gateways, len(plan.Lines), plan.Placement)
+	if plan.Size.Site.Gateways != 610 || len(plan.Requirements) == 0 || len(plan.Placement.Machines) != 6 || len(plan.Failures) == 0 {
+		t.Errorf("%d gateways, %d lines, %+v", plan.Size.Site.Gateways, len(plan.Requirements), plan.Placement)
 	}
 }
 
@@ -101,9 +101,9 @@
 	if err := json.Unmarshal([]byte(out), &plan); status != exitOK || err != nil {
 		t.Fatalf("status %d: %v: %s", status, err, errs)
 	}
-	for _, l := range plan.Lines {
+	for _, l := range plan.Requirements {
 		if l.Role == capacity.Configuration && l.Kind == capacity.State && strings.HasPrefix(l.Item, "whole file") {
-			if l.Verdict != capacity.Carried || *l.Value != 1800*110 {
+			if l.Verdict != capacity.WithinBudget || *l.Value != 1800*110 {
 				t.Errorf("%+v", l)
 			}
 			return
--- a/cmd/elderyard/restart_test.go
+++ b/cmd/elderyard/restart_test.go
@@ -120,7 +120,7 @@
 // allReady waits until every gateway is ready.
 func (s *restartSite) allReady(t *testing.T) {
 	t.Helper()
-	end := time.Now().Add(3 * testpeer.Patience)
+	end := time.Now().Add(3 * testpeer.Timeout)
 	for i, g := range s.gateways {
 		for !g.ready() {
 			if time.Now().After(end) {
@@ -176,7 +176,7 @@
 	for i, g := range s.gateways {
 		before[i] = g.served.Load()
 	}
-	end := time.Now().Add(3 * testpeer.Patience)
+	end := time.Now().Add(3 * testpeer.Timeout)
 	for i, g := range s.gateways {
 		for g.served.Load() == before[i] {
 			if time.Now().After(end) {
@@ -241,7 +241,7 @@
 				t.Fatalf("discovery responded to %d of them during the outage", n)
 			}
 			step.resume(t)
-			for end := time.Now().Add(3 * testpeer.Patience); s.informedGateways(step.name) < restartedGateways; time.Sleep(10 * time.Millisecond) {
+			for end := time.Now().Add(3 * testpeer.Timeout); s.informedGateways(step.name) < restartedGateways; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("only %d have received the new backend; calls: %+v", s.informedGateways(step.name), s.registry.Crowded())
 				}
--- a/internal/counter/http_test.go
+++ b/internal/counter/http_test.go
@@ -27,7 +27,7 @@
 // startClient runs a client of the counter at address. add queues a call, whose outcome
 // arrives in results.
 func startClient(t *testing.T, address string) (c *HTTP, add func(amount float64) *Call, results chan result) {
-	c = NewHTTP(address, testpeer.Patience)
+	c = NewHTTP(address, testpeer.Timeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { c.Run(ctx) })
@@ -62,12 +62,12 @@
 	// The event loop abandons the first call. The call keeps its place for the late response:
 	// otherwise each later call would receive the total of the one before it.
 	abandoned.abandoned.Store(true)
-	testpeer.Total(conn, 200, "1")
-	testpeer.Total(conn, 200, "-1.5\n")
-	testpeer.Total(conn, 503, "")
-	testpeer.Total(conn, 404, "")
+	testpeer.WriteCounterResponse(conn, 200, "1")
+	testpeer.WriteCounterResponse(conn, 200, "-1.5\n")
+	testpeer.WriteCounterResponse(conn, 503, "")
+	testpeer.WriteCounterResponse(conn, 404, "")
 	for _, want := range []result{{1, rules.Served, 1}, {-2.5, rules.Served, -1.5}, {3, rules.Overloaded, 0}, {4, rules.ConnectFailed, 0}} {
-		if got := testpeer.Wait(t, results, "result"); got != want {
+		if got := testpeer.Receive(t, results, "result"); got != want {
 			t.Errorf("result %v, want %v", got, want)
 		}
 	}
@@ -75,7 +75,7 @@
 	add(5)
 	testpeer.ReadRequest(t, r)
 	conn.Close()
-	if got := testpeer.Wait(t, results, "result"); got.outcome != rules.ConnectionBroken {
+	if got := testpeer.Receive(t, results, "result"); got.outcome != rules.ConnectionBroken {
 		t.Errorf("result of a call whose connection was closed: %v", got)
 	}
 	// The next call uses a new connection.
@@ -110,10 +110,10 @@
 		add(2)
 		testpeer.ReadRequest(t, r) // written behind the first call
 		fmt.Fprint(conn, c.response, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n8")
-		if got := testpeer.Wait(t, results, "result"); got != (result{1, c.outcome, 0}) {
+		if got := testpeer.Receive(t, results, "result"); got != (result{1, c.outcome, 0}) {
 			t.Errorf("%.60q: result %v, want outcome %d", c.response, got, c.outcome)
 		}
-		if got := testpeer.Wait(t, results, "result"); got != (result{2, rules.ConnectionBroken, 0}) {
+		if got := testpeer.Receive(t, results, "result"); got != (result{2, rules.ConnectionBroken, 0}) {
 			t.Errorf("%.60q: result of the call behind it: %v", c.response, got)
 		}
 	}
@@ -122,7 +122,7 @@
 	testpeer.ReadRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n12") // ends only with the connection
 	conn.Close()
-	if got := testpeer.Wait(t, results, "result"); got.outcome != rules.Errored {
+	if got := testpeer.Receive(t, results, "result"); got.outcome != rules.Errored {
 		t.Errorf("result of a response without a delimited end: %v", got)
 	}
 }
@@ -136,15 +136,15 @@
 	conn, r := server.Accept(t)
 	testpeer.ReadRequest(t, r)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX: ")
-	for until := time.Now().Add(testpeer.Patience); !stalled.responseStarted.Load() && time.Now().Before(until); {
+	for until := time.Now().Add(testpeer.Timeout); !stalled.responseStarted.Load() && time.Now().Before(until); {
 		time.Sleep(time.Millisecond) // the first bytes of the response are in transit
 	}
 	stalled.abandoned.Store(true)
 	add(2)
 	conn, r = server.Accept(t)
 	testpeer.ReadRequest(t, r)
-	testpeer.Total(conn, 200, "3")
-	for got := testpeer.Wait(t, results, "result"); got != (result{2, rules.Served, 3}); got = testpeer.Wait(t, results, "result") {
+	testpeer.WriteCounterResponse(conn, 200, "3")
+	for got := testpeer.Receive(t, results, "result"); got != (result{2, rules.Served, 3}); got = testpeer.Receive(t, results, "result") {
 		if got.amount != 1 { // the stalled call is reported when its connection times out
 			t.Fatalf("result on the new connection: %v", got)
 		}
@@ -155,7 +155,7 @@
 // at the limit, calls stay on the present connection.
 func TestHTTPConnectionLimit(t *testing.T) {
 	server := testpeer.New(t)
-	c := NewHTTP(server.Address(), testpeer.Patience)
+	c := NewHTTP(server.Address(), testpeer.Timeout)
 	var openConns atomic.Int64
 	openConns.Store(maxPipelineConns - 1) // stalled already
 	conn, err := c.dial(context.Background(), &openConns)
@@ -188,7 +188,7 @@
 	server.Listener.Close()
 	_, add, results := startClient(t, server.Address())
 	add(1)
-	if got := testpeer.Wait(t, results, "result"); got.outcome != rules.ConnectFailed {
+	if got := testpeer.Receive(t, results, "result"); got.outcome != rules.ConnectFailed {
 		t.Errorf("result %v, want a failed connection", got)
 	}
 }
@@ -196,7 +196,7 @@
 // A call that was abandoned before it was written must not be added later.
 func TestHTTPAbandonedCallIsNeverSent(t *testing.T) {
 	server := testpeer.New(t)
-	c := NewHTTP(server.Address(), testpeer.Patience)
+	c := NewHTTP(server.Address(), testpeer.Timeout)
 	reported := make(chan rules.Outcome, 2)
 	report := func(_ *Call, o rules.Outcome, _ float64) { reported <- o }
 	k := &Call{Key: 1, Amount: 1, TTL: time.Minute, Report: report}
@@ -211,7 +211,7 @@
 	if req, _ := testpeer.ReadRequest(t, r); req.URL.Query().Get("add") != "2" {
 		t.Errorf("the call written is %s, want the one that was not abandoned", req.RequestURI)
 	}
-	if got := testpeer.Wait(t, reported, "report"); got != rules.TimedOut {
+	if got := testpeer.Receive(t, reported, "report"); got != rules.TimedOut {
 		t.Errorf("outcome %d of the abandoned call, want %d", got, rules.TimedOut)
 	}
 }
@@ -228,8 +228,8 @@
 		add(1)
 		conn, r := server.Accept(t)
 		testpeer.ReadRequest(t, r)
-		testpeer.Total(conn, 200, "1")
-		testpeer.Wait(t, results, "result")
+		testpeer.WriteCounterResponse(conn, 200, "1")
+		testpeer.Receive(t, results, "result")
 		time.Sleep(10 * sockets.MinIdle) // the idle period is what is tested
 	}
 }
@@ -245,13 +245,13 @@
 		add(1)
 		conn, r := server.Accept(t)
 		testpeer.ReadRequest(t, r)
-		testpeer.Total(conn, 200, "1")
-		testpeer.Wait(t, results, "result")
+		testpeer.WriteCounterResponse(conn, 200, "1")
+		testpeer.Receive(t, results, "result")
 		time.Sleep(2 * sockets.MinIdle)
 		add(2)
 		testpeer.ReadRequest(t, r)
 		conn.Close()
-		if got := testpeer.Wait(t, results, "result"); got.outcome != rules.ConnectionBroken {
+		if got := testpeer.Receive(t, results, "result"); got.outcome != rules.ConnectionBroken {
 			t.Fatalf("result %v, want a broken connection", got)
 		}
 	}
@@ -261,7 +261,7 @@
 // was added, so the connection must not be used.
 func TestHTTPClosedWhileIdle(t *testing.T) {
 	server := testpeer.New(t)
-	c := NewHTTP(server.Address(), testpeer.Patience)
+	c := NewHTTP(server.Address(), testpeer.Timeout)
 	var openConns atomic.Int64
 	conn, err := c.dial(context.Background(), &openConns)
 	if err != nil {
@@ -277,7 +277,7 @@
 		t.Error("usable after the idle timeout")
 	}
 	remote.Close()
-	until := time.Now().Add(testpeer.Patience)
+	until := time.Now().Add(testpeer.Timeout)
 	for sockets.Alive(conn.Conn) && time.Now().Before(until) {
 		time.Sleep(time.Millisecond) // the close is in transit through the kernel
 	}
--- a/internal/counter/resp_test.go
+++ b/internal/counter/resp_test.go
@@ -29,7 +29,7 @@
 // arrives in the channel.
 func startRESPClient(t *testing.T, config RESPConfig) (*RESP, func(amount float64, ttl time.Duration) *Call, chan result) {
 	t.Helper()
-	config.Prefix, config.Timeout = "q:", testpeer.Patience
+	config.Prefix, config.Timeout = "q:", testpeer.Timeout
 	c := NewRESP(config)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -55,7 +55,7 @@
 	add(-2.5, time.Hour)
 	add(3, time.Hour)
 	for i, want := range []float64{1.5, -1, 2} {
-		if got := testpeer.Wait(t, results, "result"); got.outcome != rules.Served || got.total != want {
+		if got := testpeer.Receive(t, results, "result"); got.outcome != rules.Served || got.total != want {
 			t.Errorf("call %d: %+v, want total %g", i, got, want)
 		}
 	}
@@ -93,7 +93,7 @@
 		_, add, results := startRESPClient(t, RESPConfig{Address: s.Address()})
 		s.Set(c.fault)
 		add(2, time.Minute)
-		if got := testpeer.Wait(t, results, "result"); got.outcome != c.outcome {
+		if got := testpeer.Receive(t, results, "result"); got.outcome != c.outcome {
 			t.Errorf("%s: outcome %d, want %d", c.name, got.outcome, c.outcome)
 		}
 		if total, _ := s.Total(storeKey); (total == 2) != c.added {
@@ -105,7 +105,7 @@
 		if c.added {
 			want = 3
 		}
-		if got := testpeer.Wait(t, results, "result"); got.outcome != rules.Served || got.total != want {
+		if got := testpeer.Receive(t, results, "result"); got.outcome != rules.Served || got.total != want {
 			t.Errorf("%s: the next call: %+v, want total %g", c.name, got, want)
 		}
 		if _, dials := s.Counts(); dials != c.dials {
@@ -121,11 +121,11 @@
 	_, add, results := startRESPClient(t, RESPConfig{Address: configured.Address()})
 	configured.Set(respstore.Fault{Queue: "MOVED 7 " + moved.Address()})
 	add(1, time.Minute)
-	if got := testpeer.Wait(t, results, "result"); got.outcome != rules.Overloaded {
+	if got := testpeer.Receive(t, results, "result"); got.outcome != rules.Overloaded {
 		t.Errorf("redirected call: %+v", got)
 	}
 	add(1, time.Minute)
-	if got := testpeer.Wait(t, results, "result"); got.outcome != rules.Served {
+	if got := testpeer.Receive(t, results, "result"); got.outcome != rules.Served {
 		t.Errorf("call after the redirect: %+v", got)
 	}
 	if total, _ := moved.Total(storeKey); total != 1 {
@@ -135,7 +135,7 @@
 	moved.Close()
 	for range 2 * maxRedirects {
 		add(1, time.Minute)
-		if got := testpeer.Wait(t, results, "result"); got.outcome == rules.Served {
+		if got := testpeer.Receive(t, results, "result"); got.outcome == rules.Served {
 			return
 		}
 	}
@@ -148,18 +148,18 @@
 	s := newStore(t, nil, "")
 	_, add, results := startRESPClient(t, RESPConfig{Address: s.Address()})
 	add(1, time.Minute)
-	testpeer.Wait(t, results, "result")
+	testpeer.Receive(t, results, "result")
 	s.Set(respstore.Fault{Delay: 300 * time.Millisecond})
 	stalled := add(2, time.Minute)
 	time.Sleep(50 * time.Millisecond) // the call is in transit
 	stalled.Abandon()
 	s.Set(respstore.Fault{})
 	add(4, time.Minute)
-	got := testpeer.Wait(t, results, "result")
+	got := testpeer.Receive(t, results, "result")
 	if got.amount != 4 || got.outcome != rules.Served {
 		t.Errorf("the next call waits for the stalled one: %+v", got)
 	}
-	if late := testpeer.Wait(t, results, "late result"); late.amount != 2 || late.outcome != rules.Served {
+	if late := testpeer.Receive(t, results, "late result"); late.amount != 2 || late.outcome != rules.Served {
 		t.Errorf("late result of the abandoned call: %+v", late)
 	}
 }
@@ -167,8 +167,8 @@
 // Calls succeed over TLS with the right login. With a wrong or missing password, or a
 // certificate of an unknown authority, nothing is added and the call is reported as failed.
 func TestRESPTLSAndLogin(t *testing.T) {
-	cert, pool := testpeer.Certificate(t)
-	_, otherPool := testpeer.Certificate(t)
+	cert, pool := testpeer.SelfSignedCertificate(t)
+	_, otherPool := testpeer.SelfSignedCertificate(t)
 	s := newStore(t, &tls.Config{Certificates: []tls.Certificate{cert}}, "secret")
 	for _, c := range []struct {
 		password string
@@ -178,7 +178,7 @@
 		_, add, results := startRESPClient(t, RESPConfig{Address: s.Address(), User: "app", Password: c.password,
 			TLS: &tls.Config{RootCAs: c.pool, ServerName: "127.0.0.1"}})
 		add(1, time.Minute)
-		if got := testpeer.Wait(t, results, "result"); got.outcome != c.outcome {
+		if got := testpeer.Receive(t, results, "result"); got.outcome != c.outcome {
 			t.Errorf("password %q: %+v, want outcome %d", c.password, got, c.outcome)
 		}
 	}
--- a/internal/counter/size_test.go
+++ b/internal/counter/size_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, err := counter.Start(counter.Config{Parts: 1, Conns: pipelineCount * maxPipelineConns, Idle: testpeer.Patience, MostRecords: 1}, listener)
+	server, err := counter.Start(counter.Config{Parts: 1, Conns: pipelineCount * maxPipelineConns, Idle: testpeer.Timeout, MostRecords: 1}, listener)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 		if !client.Add(call) {
 			t.Fatal("call queue is full")
 		}
-		if outcome := testpeer.Wait(t, outcomes, "outcome"); outcome != rules.Served {
+		if outcome := testpeer.Receive(t, outcomes, "outcome"); outcome != rules.Served {
 			t.Fatalf("call %d: outcome %v", i, outcome)
 		}
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -52,10 +52,10 @@
 		{"", Listing{Generation: 50, Reset: true}, true, false},
 		{"since=50&timeout_ms=4000", "{\n  \"generation\": 52,\n\t\"instances\" : [ ]\r\n}\n", false, false},
 	} {
-		if got := testpeer.Wait(t, r.Calls, "call"); got != step.query {
+		if got := testpeer.Receive(t, r.Queries, "call"); got != step.query {
 			t.Fatalf("step %d: call %q, want %q", i, got, step.query)
 		}
-		r.Answers <- step.response
+		r.Responses <- step.response
 		if step.noListing {
 			continue
 		}
@@ -63,7 +63,7 @@
 		if l, ok := step.response.(Listing); ok {
 			want = l.Generation
 		}
-		if got := testpeer.Wait(t, listings, "list"); got.Generation != want || got.Reset != step.reset {
+		if got := testpeer.Receive(t, listings, "list"); got.Generation != want || got.Reset != step.reset {
 			t.Fatalf("step %d: listing %+v, want generation %d and reset %t", i, got, want, step.reset)
 		}
 	}
@@ -92,11 +92,11 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { w.Run(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
-	if limit := testpeer.Wait(t, hung, "first dial"); limit > dialTimeout {
+	if limit := testpeer.Receive(t, hung, "first dial"); limit > dialTimeout {
 		t.Errorf("the first dial is limited to %v, want at most %v", limit, dialTimeout)
 	}
-	r.Answers <- Listing{Generation: 42}
-	if l := testpeer.Wait(t, listings, "list"); l.Generation != 42 {
+	r.Responses <- Listing{Generation: 42}
+	if l := testpeer.Receive(t, listings, "list"); l.Generation != 42 {
 		t.Errorf("listing %+v, want generation 42", l)
 	}
 }
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -81,16 +81,16 @@
 	running.Go(func() { watcher.Run(ctx) })
 	defer func() { cancel(); running.Wait() }()
 
-	list := testpeer.Wait(t, listings, "the whole list")
+	list := testpeer.Receive(t, listings, "the whole list")
 	if !list.Reset || len(list.Instances) != size {
 		t.Fatalf("reset %v, %d instances of %d", list.Reset, len(list.Instances), size)
 	}
-	empty := testpeer.Wait(t, listings, "a watch without news")
+	empty := testpeer.Receive(t, listings, "a watch without news")
 	if empty.Reset || len(empty.Instances) != 0 {
 		t.Fatalf("%+v", empty)
 	}
 	server.Set(backend(0, started+1))
-	change := testpeer.Wait(t, listings, "one change")
+	change := testpeer.Receive(t, listings, "one change")
 	if change.Reset || len(change.Instances) != 1 {
 		t.Fatalf("%+v", change)
 	}
--- a/internal/discovery/watcher_fleet_test.go
+++ b/internal/discovery/watcher_fleet_test.go
@@ -71,7 +71,7 @@
 // gone may also be missing.
 func (f *fleet) waitKnown(t *testing.T, id, lifecycle string) {
 	t.Helper()
-	timeout := time.After(3 * testpeer.Patience)
+	timeout := time.After(3 * testpeer.Timeout)
 	for {
 		outdated := f.outdated(id, lifecycle)
 		if len(outdated) == 0 {
@@ -113,7 +113,7 @@
 // drain, and checks that all have applied it.
 func (f *fleet) checkDrainApplied(t *testing.T, drained string) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); f.informed(t, drained) < len(f.peers); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); f.informed(t, drained) < len(f.peers); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("only %d watchers are recorded as informed that %s drains", f.informed(t, drained), drained)
 		}
@@ -187,7 +187,7 @@
 	if before.Full+before.InVain > maxRefused*before.Taken {
 		t.Errorf("too many calls were refused: %+v", before)
 	}
-	for end := time.Now().Add(3 * testpeer.Patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(3 * testpeer.Timeout); ; time.Sleep(10 * time.Millisecond) {
 		now := f.registry.Crowded()
 		if now.Full+now.InVain-before.Full-before.InVain >= more {
 			return
@@ -217,7 +217,7 @@
 	f.set("a", registry.Ready)
 	f.waitKnown(t, "a", registry.Ready)
 	f.registry.SetCrowd(registry.Crowd{})
-	for end := time.Now().Add(3 * testpeer.Patience); f.registry.Watching() < size; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(3 * testpeer.Timeout); f.registry.Watching() < size; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d watches are open", f.registry.Watching())
 		}
--- a/internal/gateway/backend_test.go
+++ b/internal/gateway/backend_test.go
@@ -16,19 +16,19 @@
 	"elderyard/rules"
 )
 
-const testTimeout = testpeer.Patience
+const testTimeout = testpeer.Timeout
 
 type peer = testpeer.Peer
 
 var (
 	newPeer     = testpeer.New
 	readRequest = testpeer.ReadRequest
-	total       = testpeer.Total
+	total       = testpeer.WriteCounterResponse
 )
 
 func wait[T any](t *testing.T, ch <-chan T, what string) T {
 	t.Helper()
-	return testpeer.Wait(t, ch, what)
+	return testpeer.Receive(t, ch, what)
 }
 
 func newAttempt(timeout time.Duration) *attempt {
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -26,11 +26,11 @@
 			t.Parallel()
 			one, other := newPeer(t), newPeer(t)
 			gw := startGateway(t, one, other)
-			wait(t, gw.registry.Calls, "first list")
-			wait(t, gw.registry.Calls, "watch")
-			gw.registry.Answers <- fmt.Sprintf(`{"generation": 2, "instances": [{"instanceId": %q, %s},
+			wait(t, gw.registry.Queries, "first list")
+			wait(t, gw.registry.Queries, "watch")
+			gw.registry.Responses <- fmt.Sprintf(`{"generation": 2, "instances": [{"instanceId": %q, %s},
 				{"instanceId": %q, "zone": "a", "machineType": "m", "lifecycle": "Terminating", "weight": 1}]}`, one.Address(), entry, other.Address())
-			if query := wait(t, gw.registry.Calls, "next watch"); query != "since=2&timeout_ms=4000" {
+			if query := wait(t, gw.registry.Queries, "next watch"); query != "since=2&timeout_ms=4000" {
 				t.Errorf("asked %q", query)
 			}
 			_, responses := gw.send(t, requestText("GET", "glance", ""))
@@ -57,7 +57,7 @@
 			list := `{"generation": 1, "instances": [{"instanceId": "s1", "hostPort": "` + backend.Address() + `", "zone": "a", "lifecycle": "Ready", "weight": 1}]}`
 			conn, br := agent.Accept(t)
 			readRequest(t, br)
-			testpeer.Total(conn, http.StatusOK, list)
+			testpeer.WriteCounterResponse(conn, http.StatusOK, list)
 			req, _ := readRequest(t, br)
 			for range 2 { // the watch stalls, and so does the reopened one
 				if got := req.URL.RawQuery; got != "since=1&timeout_ms=4000" {
@@ -72,7 +72,7 @@
 				req, _ = readRequest(t, br)
 				conn = again
 			}
-			testpeer.Total(conn, http.StatusOK, strings.Replace(strings.Replace(list, "Ready", "Terminating", 1), ": 1,", ": 2,", 1))
+			testpeer.WriteCounterResponse(conn, http.StatusOK, strings.Replace(strings.Replace(list, "Ready", "Terminating", 1), ": 1,", ": 2,", 1))
 			if req, _ := readRequest(t, br); req.URL.RawQuery != "since=2&timeout_ms=4000" {
 				t.Errorf("asked %q", req.URL.RawQuery)
 			}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -78,7 +78,7 @@
 	if got := gw.readyStatus(t); got != http.StatusServiceUnavailable {
 		t.Errorf("ready before the first list: %d", got)
 	}
-	gw.registry.Answers <- newListing(true, "Ready", backends...)
+	gw.registry.Responses <- newListing(true, "Ready", backends...)
 	gw.waitForReadyStatus(t, http.StatusOK)
 	return gw
 }
@@ -447,7 +447,7 @@
 	next := strings.NewReplacer(gw.registry.Address(), other.Address(), counter.Address(), moved.Address()).Replace(good)
 	gw.config.Store(&next)
 	gw.reload <- syscall.SIGHUP
-	if query := wait(t, other.Calls, "call to the new discovery"); query != "" {
+	if query := wait(t, other.Queries, "call to the new discovery"); query != "" {
 		t.Errorf("the new discovery was asked for %q instead of the full list", query)
 	}
 	total(calls, 200, "12")
@@ -458,8 +458,8 @@
 	if _, err := cr.ReadByte(); err != io.EOF {
 		t.Errorf("connection to the old counter: %v", err)
 	}
-	other.Answers <- newListing(true, "Ready", second)
-	if query := wait(t, other.Calls, "watch"); query != "since=1&timeout_ms=4000" {
+	other.Responses <- newListing(true, "Ready", second)
+	if query := wait(t, other.Queries, "watch"); query != "since=1&timeout_ms=4000" {
 		t.Errorf("watch %q", query)
 	}
 	_, responses := gw.send(t, requestText("GET", "lookup", "", clientHeader, "0000000000000001"))
@@ -501,10 +501,10 @@
 		}
 	}
 	// The call after the drain update shows that the update was received.
-	wait(t, gw.registry.Calls, "first list")
-	wait(t, gw.registry.Calls, "watch")
-	gw.registry.Answers <- newListing(false, "Terminating", backend)
-	wait(t, gw.registry.Calls, "next watch")
+	wait(t, gw.registry.Queries, "first list")
+	wait(t, gw.registry.Queries, "watch")
+	gw.registry.Responses <- newListing(false, "Terminating", backend)
+	wait(t, gw.registry.Queries, "next watch")
 	_, responses := gw.send(t, requestText("GET", "glance", ""))
 	if resp := wait(t, responses, "response"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
 		t.Errorf("status %d, %d connections to the draining backend", resp.StatusCode, len(backend.Conns))
--- a/internal/gateway/operator_test.go
+++ b/internal/gateway/operator_test.go
@@ -115,12 +115,12 @@
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("its connection: %v", err)
 	}
-	wait(t, gw.registry.Calls, "first list")
-	wait(t, gw.registry.Calls, "watch")
+	wait(t, gw.registry.Queries, "first list")
+	wait(t, gw.registry.Queries, "watch")
 	again := newListing(true, "Ready", backend)
 	again.Instances[0].StartedAtMs = time.Now().UnixMilli()
-	gw.registry.Answers <- again
-	wait(t, gw.registry.Calls, "next watch")
+	gw.registry.Responses <- again
+	wait(t, gw.registry.Queries, "next watch")
 	_, refused := gw.send(t, requestText("GET", "glance", ""))
 	if resp := wait(t, refused, "response"); resp.StatusCode != 429 || len(backend.Conns) != 0 {
 		t.Errorf("while detached: %d, %d connections", resp.StatusCode, len(backend.Conns))
--- a/internal/gateway/streaming_test.go
+++ b/internal/gateway/streaming_test.go
@@ -127,7 +127,7 @@
 	runtime.ReadMemStats(&before)
 	var readers []*http.Response
 	for range transfers {
-		client := testpeer.DialNarrow(t, gw.address, 64<<10)
+		client := testpeer.DialWithReceiveBuffer(t, gw.address, 64<<10)
 		client.SetDeadline(time.Now().Add(3 * testTimeout))
 		io.WriteString(client, requestText("GET", "lookup", ""))
 		conn, br := backend.Accept(t)
--- a/internal/gateway/trace_test.go
+++ b/internal/gateway/trace_test.go
@@ -45,7 +45,7 @@
 func (gw *testGateway) stopAndWait(t *testing.T) {
 	t.Helper()
 	gw.stop()
-	if err := testpeer.Wait(t, gw.runErr, "end"); err != nil {
+	if err := testpeer.Receive(t, gw.runErr, "end"); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/owner/checks_test.go
+++ b/internal/owner/checks_test.go
@@ -18,7 +18,7 @@
 func startLoop(t *testing.T, k Counter) *EventLoop {
 	t.Helper()
 	set := rules.Settings{Classes: []rules.Class{{LatencyObjective: 1, Timeout: 2, Value: 1}}, Plans: []rules.Plan{{Price: 1, Rate: 0.001, Burst: 10}},
-		FleetSize: 1, Tick: 0.002, HasCounter: k != nil, CounterTimeout: testpeer.Patience.Seconds()}
+		FleetSize: 1, Tick: 0.002, HasCounter: k != nil, CounterTimeout: testpeer.Timeout.Seconds()}
 	l := New(set, 1, k)
 	l.Start(nil)
 	ctx, stop := context.WithCancel(context.Background())
@@ -59,11 +59,11 @@
 	results := make(chan rules.CheckResult, 16)
 	first, cancelled, last := newCheck(2, results), newCheck(5, results), newCheck(1, results)
 	l.Post(CheckBatch{l, []*Check{first, cancelled, last}})
-	call := testpeer.Wait(t, k.calls, "call")
+	call := testpeer.Receive(t, k.calls, "call")
 	l.Post(CancelChecks{l, []*Check{cancelled}})
 	call.Report(call, rules.Served, call.Amount)
 	for i, want := range []float64{2, 1} {
-		if got := testpeer.Wait(t, results, "result"); got.Granted != want || !got.Shared {
+		if got := testpeer.Receive(t, results, "result"); got.Granted != want || !got.Shared {
 			t.Errorf("result %d: %+v, want %g units", i, got, want)
 		}
 	}
@@ -74,7 +74,7 @@
 			call.Report(call, rules.Served, 10)
 		}
 	}()
-	if got := testpeer.Wait(t, results, "result"); got.Granted != 7 {
+	if got := testpeer.Receive(t, results, "result"); got.Granted != 7 {
 		t.Errorf("check for the remaining units: %+v, want 7 granted", got)
 	}
 	if len(results) > 0 {
@@ -89,8 +89,8 @@
 	results := make(chan rules.CheckResult, 1)
 	skipped := make(chan struct{}, 1)
 	l.Post(CheckBatch{l, []*Check{{CheckRequester: &unitRequester{skipped: skipped}}, newCheck(10, results)}})
-	testpeer.Wait(t, skipped, "call of NewEvent")
-	if got := testpeer.Wait(t, results, "result"); got.Granted != 10 || got.Shared {
+	testpeer.Receive(t, skipped, "call of NewEvent")
+	if got := testpeer.Receive(t, results, "result"); got.Granted != 10 || got.Shared {
 		t.Errorf("result %+v, want 10 units granted locally", got)
 	}
 }
--- a/internal/owner/clock_test.go
+++ b/internal/owner/clock_test.go
@@ -12,7 +12,7 @@
 func TestClock(t *testing.T) {
 	c := NewClock()
 	now := c.Now()
-	if d := time.Since(c.At(now)); d < 0 || d > testpeer.Patience || time.Since(time.Unix(int64(now), 0)) > testpeer.Patience {
+	if d := time.Since(c.At(now)); d < 0 || d > testpeer.Timeout || time.Since(time.Unix(int64(now), 0)) > testpeer.Timeout {
 		t.Errorf("Now is %f and converts to a time %v ago", now, d)
 	}
 }
--- a/internal/respfront/disconnect_linux_test.go
+++ b/internal/respfront/disconnect_linux_test.go
@@ -13,7 +13,7 @@
 // if unread data precede the end: a pipelined command or the closing alert of TLS. The take
 // takes no units, also after the counter answers again.
 func TestClientDisconnectsDuringTake(t *testing.T) {
-	cert, pool := testpeer.Certificate(t)
+	cert, pool := testpeer.SelfSignedCertificate(t)
 	plain := func(t *testing.T, address string) net.Conn {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
--- a/internal/respfront/server_test.go
+++ b/internal/respfront/server_test.go
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testpeer.Patience))
+	c.SetDeadline(time.Now().Add(testpeer.Timeout))
 	return &rawClient{c, t, resp.NewReader(c, resp.Limits{Args: 1000, Bulk: 1 << 16, Total: 1 << 18, Depth: 5})}
 }
 
@@ -310,7 +310,7 @@
 
 func (r *rig) waitFor(t *testing.T, condition string, satisfied func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(testpeer.Patience); !satisfied(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testpeer.Timeout); !satisfied(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting until %s", condition)
 		}
@@ -401,7 +401,7 @@
 // maximum number of connections is enforced.
 func TestSlowReaderAndMaxConnections(t *testing.T) {
 	r := newRig(t, Settings{MaxConnections: 2})
-	nonReader := testpeer.DialNarrow(t, r.address, 4<<10)
+	nonReader := testpeer.DialWithReceiveBuffer(t, r.address, 4<<10)
 	var w resp.Writer
 	for range 200 {
 		w.Command("ECHO", strings.Repeat("x", 4000))
--- a/internal/respfront/tls_test.go
+++ b/internal/respfront/tls_test.go
@@ -16,8 +16,8 @@
 // With TLS, a client with a valid certificate is served, also after its connection was
 // idle. Clients without one and plain connections are not.
 func TestTLS(t *testing.T) {
-	cert, pool := testpeer.Certificate(t)
-	clientCert, clientPool := testpeer.Certificate(t)
+	cert, pool := testpeer.SelfSignedCertificate(t)
+	clientCert, clientPool := testpeer.SelfSignedCertificate(t)
 	r := newRig(t, Settings{TLS: &tls.Config{Certificates: []tls.Certificate{cert}, ClientCAs: clientPool, ClientAuth: tls.RequireAndVerifyClientCert}})
 	ctx := context.Background()
 	client := redis.NewClient(&redis.Options{Addr: r.address, TLSConfig: &tls.Config{RootCAs: pool, Certificates: []tls.Certificate{clientCert}, ServerName: "127.0.0.1"}})
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	defer plain.Close()
-	plain.SetDeadline(time.Now().Add(testpeer.Patience))
+	plain.SetDeadline(time.Now().Add(testpeer.Timeout))
 	plain.Write([]byte("PING\r\n"))
 	if v, err := resp.NewReader(plain, commandLimits).Reply(); err == nil && v.Str == "PONG" {
 		t.Error("served without TLS")
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -46,7 +46,7 @@
 // waitUntil polls a condition until it holds, or fails the test.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting until %s", what)
 		}
--- a/internal/standin/collector/collector_test.go
+++ b/internal/standin/collector/collector_test.go
@@ -193,7 +193,7 @@
 			protocols := new(http.Protocols)
 			protocols.SetHTTP1(name == "http")
 			protocols.SetUnencryptedHTTP2(name == "grpc")
-			transport := &http.Transport{Protocols: protocols, ExpectContinueTimeout: testpeer.Patience}
+			transport := &http.Transport{Protocols: protocols, ExpectContinueTimeout: testpeer.Timeout}
 			defer transport.CloseIdleConnections()
 			call := func(ctx context.Context, body io.Reader) error {
 				req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Address("x")+k.path, body)
@@ -216,7 +216,7 @@
 			defer rest.Close()
 			done := make(chan error, 1)
 			go func() { done <- call(ctx, half) }()
-			testpeer.Wait(t, reading, "look at the body")
+			testpeer.Receive(t, reading, "look at the body")
 			if _, err := rest.Write([]byte{0, 0}); err != nil {
 				t.Fatal(err)
 			}
@@ -224,7 +224,7 @@
 			if err := <-done; err == nil {
 				t.Error("it was answered")
 			}
-			for end := time.Now().Add(testpeer.Patience); c.BrokenOff() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testpeer.Timeout); c.BrokenOff() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 			if c.BrokenOff() != 1 || len(c.Flaws()) != 0 {
 				t.Errorf("%d broken off, flaws %q", c.BrokenOff(), c.Flaws())
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -43,7 +43,7 @@
 
 func settings(address string) Settings {
 	return Settings{Endpoint: "http://" + address, Resource: []traces.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: "g0"}},
-		Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testpeer.Patience, Flush: testpeer.Patience, QueueBytes: 1 << 20,
+		Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testpeer.Timeout, Flush: testpeer.Timeout, QueueBytes: 1 << 20,
 		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyTargets: []float64{0.5}, SampleRatio: 1}}
 }
 
@@ -77,7 +77,7 @@
 // until waits for something to become true.
 func until(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -188,7 +188,7 @@
 	}
 	done := make(chan struct{})
 	go func() { x.Close(); close(done) }()
-	testpeer.Wait(t, done, "end")
+	testpeer.Receive(t, done, "end")
 	_, dropped := x.state.spanSender.queue.state()
 	if dropped == 0 || x.state.spanSender.sent.Load() != 0 {
 		t.Errorf("%d spans were dropped, %d sent", dropped, x.state.spanSender.sent.Load())
--- a/internal/testpeer/registry.go
+++ b/internal/testpeer/registry.go
@@ -10,18 +10,18 @@
 // Registry is a discovery whose answers a test gives one by one.
 type Registry struct {
 	*httptest.Server
-	Calls   chan string // the query of each call
-	Answers chan any    // a status, text, nil for a connection that ends, else what is sent as JSON
+	Queries   chan string // the query of each call
+	Responses chan any    // a status, text, nil for a connection that ends, else what is sent as JSON
 }
 
 // NewRegistry starts one for the length of a test.
 func NewRegistry(t *testing.T) *Registry {
-	r := &Registry{Calls: make(chan string, 64), Answers: make(chan any, 64)}
+	r := &Registry{Queries: make(chan string, 64), Responses: make(chan any, 64)}
 	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.Calls <- q.URL.RawQuery
+		r.Queries <- q.URL.RawQuery
 		select {
 		case <-q.Context().Done():
-		case a := <-r.Answers:
+		case a := <-r.Responses:
 			switch a := a.(type) {
 			case string:
 				w.Write([]byte(a))
--- a/internal/testpeer/testpeer.go
+++ b/internal/testpeer/testpeer.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// Patience bounds every wait of a test; none is expected to last so long.
-const Patience = 20 * time.Second
+// Timeout bounds every wait of a test; none is expected to last so long.
+const Timeout = 20 * time.Second
 
 // Peer hands each connection to it on, and closes what is left at the end of the
 // test.
@@ -56,18 +56,18 @@
 // Accept waits for the next connection.
 func (p *Peer) Accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	c := Wait(t, p.Conns, "a connection")
-	c.SetDeadline(time.Now().Add(Patience))
+	c := Receive(t, p.Conns, "a connection")
+	c.SetDeadline(time.Now().Add(Timeout))
 	return c, bufio.NewReader(c)
 }
 
-// Wait takes the next value of a channel, or fails the test.
-func Wait[T any](t *testing.T, ch <-chan T, what string) T {
+// Receive takes the next value of a channel, or fails the test.
+func Receive[T any](t *testing.T, ch <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		t.Fatalf("no %s came", what)
 		panic("unreachable")
 	}
@@ -87,13 +87,13 @@
 	return req, body
 }
 
-// Total writes a counter's answer.
-func Total(conn net.Conn, status int, body string) {
+// WriteCounterResponse writes a counter's answer.
+func WriteCounterResponse(conn net.Conn, status int, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// Certificate makes one for 127.0.0.1 that signs itself, and what trusts it.
-func Certificate(t *testing.T) (tls.Certificate, *x509.CertPool) {
+// SelfSignedCertificate makes one for 127.0.0.1 that signs itself, and what trusts it.
+func SelfSignedCertificate(t *testing.T) (tls.Certificate, *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -114,9 +114,9 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, pool
 }
 
-// DialNarrow connects with a receive buffer of so many bytes. It is set before the
+// DialWithReceiveBuffer connects with a receive buffer of so many bytes. It is set before the
 // connection is made: a window that shrinks later has systems drop each other's news.
-func DialNarrow(t *testing.T, address string, bytes int) net.Conn {
+func DialWithReceiveBuffer(t *testing.T, address string, bytes int) net.Conn {
 	t.Helper()
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		if e := c.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, bytes) }); e != nil {
