--- a/internal/golden/everyfield.go
+++ b/internal/golden/everyfield.go
@@ -8,21 +8,19 @@
 	"time"
 )
 
-// EveryField fails the test unless each field of the value, at any depth, is set, and in a
-// list or a map in each of its elements, of which there must be one at least. A field that
-// is added to a form thus has to be added to its pinned value.
+// EveryField fails the test unless each field of the value is set, at any depth. Lists and maps must
+// have at least one element, and every element must have its fields set. A field that is added to an
+// encoded type must thus be added to its pinned value.
 //
-// It is stricter than Complete: the one value must have all fields itself, and fields that
-// are not exported and those of types that encode themselves count too. Of a time.Time it
-// looks at the whole.
+// It is stricter than Complete: the value itself must have all fields, including unexported ones and
+// those of types that implement their own encoding. A time.Time counts as one field.
 func EveryField(t testing.TB, value any) {
 	t.Helper()
 	reportUnset(t, value, true)
 }
 
-// EveryFieldSomewhere is like EveryField, but a field below a list or a map need be set in
-// only one of the elements: for values that code has computed, whose elements can't all
-// have everything.
+// EveryFieldSomewhere is like EveryField, but a field below a list or a map need be set in only one of
+// the elements. It is for computed values, whose elements can't all have every field set.
 func EveryFieldSomewhere(t testing.TB, value any) {
 	t.Helper()
 	reportUnset(t, value, false)
@@ -37,8 +35,8 @@
 	}
 }
 
-// valueFields records for the path of each field of a value whether it is set. All
-// elements of a list or a map have one path, unless each of them must have all fields.
+// valueFields records by path whether each field of a value is set. The elements of a list or a map
+// share one path unless inEachElement is set.
 type valueFields struct {
 	set           map[string]bool
 	inEachElement bool
@@ -55,7 +53,7 @@
 	return paths
 }
 
-// record records whether a field is set in one more place with its path.
+// record adds one occurrence of a field to its path; the path counts as set if any occurrence is.
 func (f *valueFields) record(path string, isSet bool) { f.set[path] = f.set[path] || isSet }
 
 // add records the fields of a value, or the value itself if it has none.
@@ -64,7 +62,7 @@
 	case reflect.Invalid:
 		f.record(path, false)
 	case reflect.Pointer, reflect.Interface:
-		// The pointer has a path of its own, which does not hide that its target is zero.
+		// The pointer has its own path, so that a set pointer does not hide a zero target.
 		f.record(path, !value.IsNil())
 		if !value.IsNil() {
 			f.add(value.Elem(), path+".*")
--- a/internal/golden/everyfield_test.go
+++ b/internal/golden/everyfield_test.go
@@ -33,7 +33,7 @@
 	runtime.Goexit()
 }
 
-// failuresOf runs a test to its end and returns its failures.
+// failuresOf runs a test function until it returns or ends the test, and returns its failures.
 func failuresOf(test func(t testing.TB)) []string {
 	f := &failingTest{}
 	ended := make(chan struct{})
@@ -59,7 +59,7 @@
 	Embedded inner
 }
 
-// selfEncoded is a type for whose fields Complete doesn't look.
+// selfEncoded implements its own encoding, so Complete does not examine its fields.
 type selfEncoded struct{ Text string }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -126,13 +126,13 @@
 	}
 }
 
-// extended is a form that a later version may extend.
+// extended is an encoded type to which a later version may add keys.
 type extended struct {
 	Text string `json:"text"`
 	List []int  `json:"list,omitempty"`
 }
 
-// inFolder runs the test in a folder with these files in its testdata.
+// inFolder runs the rest of the test in a temporary folder that has these files in testdata.
 func inFolder(t *testing.T, files map[string]string) {
 	t.Helper()
 	t.Chdir(t.TempDir())
@@ -156,7 +156,7 @@
 		{"equal", `{"text":"a","list":[1]}` + "\n", extended{"a", []int{1}}, 0},
 		{"without the newline", `{"text":"a","list":[1]}`, extended{"a", []int{1}}, 1},
 		{"a field that is not set", `{"text":"a"}` + "\n", extended{Text: "a"}, 1},
-		{"another value", `{"text":"b","list":[1]}` + "\n", extended{"a", []int{1}}, 3}, // the text, and both decoded values
+		{"another value", `{"text":"b","list":[1]}` + "\n", extended{"a", []int{1}}, 3}, // the encoding, and both decoded values
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			inFolder(t, map[string]string{"form.json": test.file})
@@ -172,7 +172,7 @@
 	}
 }
 
-// rejecting is a form whose decoder rejects keys that it doesn't know.
+// rejecting is an encoded type whose decoder rejects unknown keys.
 type rejecting struct {
 	Text string `json:"text"`
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden holds tests to the encoded forms that a program's earlier versions
-// stored and sent. A golden file is written once, by the version that the form
-// belongs to, and never again: a test that finds other bytes has found a change of
-// the form, which other programs on a site and files on disk do not follow.
+// Package golden compares encoded values with golden files: the encodings that earlier versions of
+// a program stored and sent. A golden file is written once, by the version that introduces the
+// encoding, and never again. A test that finds other bytes has found a change of the encoding that
+// other programs on a site and files on disk do not follow.
 //
 // It is for tests alone and is linked into no program.
 package golden
@@ -26,14 +26,14 @@
 	"testing"
 )
 
-// create writes golden files of new forms. It never overwrites: an existing file is
-// what earlier versions wrote, and no change of the code can make that another.
+// create writes golden files of new encodings. It never overwrites: an existing file holds what
+// earlier versions wrote, which a change of the code cannot change.
 var create = flag.Bool("golden-create", false, "write golden files that do not exist yet; existing ones are compared as always")
 
 // Creating reports whether the test run writes missing golden files.
 func Creating() bool { return *create }
 
-// File fails the test unless testdata/name holds these very bytes.
+// File fails the test unless testdata/name holds exactly these bytes.
 func File(t testing.TB, name string, encoded []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -55,8 +55,8 @@
 	}
 }
 
-// Text fails the test unless testdata/golden/name holds this text, byte for byte. The
-// failure names the first line that differs.
+// Text fails the test unless testdata/golden/name holds exactly this text. The failure names the
+// first line that differs.
 func Text(t testing.TB, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -80,8 +80,8 @@
 	return "(end)"
 }
 
-// JSON fails the test unless the value is encoded as testdata/name has it, and that
-// file decodes to an equal value.
+// JSON fails the test unless the value's JSON encoding equals testdata/name and that file decodes to
+// an equal value.
 func JSON[T any](t testing.TB, name string, value T) {
 	t.Helper()
 	encoded, err := json.Marshal(value)
@@ -96,9 +96,8 @@
 	}
 }
 
-// ExtensibleJSON fails the test unless a value with every field set is encoded, with a
-// newline, as testdata/name has it, and that file decodes to an equal value, also with a
-// key that only a later version knows.
+// ExtensibleJSON is like JSON for a value with every field set, whose encoding ends with a newline. It
+// also fails the test unless the decoder ignores a key that only a later version knows.
 func ExtensibleJSON[T any](t testing.TB, name string, value T) {
 	t.Helper()
 	EveryField(t, value)
@@ -119,13 +118,13 @@
 	}
 }
 
-// WithNewKey returns an encoded object with a key added that only a later version knows.
+// WithNewKey returns an encoded JSON object with an added key that only a later version knows.
 func WithNewKey(text []byte) []byte {
 	return bytes.Replace(text, []byte("{"), []byte(`{"added later":{"a":[1]},`), 1)
 }
 
-// JSONLines fails the test unless testdata/name holds the encoded values, one a line.
-// Given the zero values of a form's types, it pins which keys are left out of them.
+// JSONLines fails the test unless testdata/name holds the JSON encodings of the values, one per line.
+// Given zero values, it pins which keys the encoding omits.
 func JSONLines(t testing.TB, name string, values ...any) {
 	t.Helper()
 	var text []byte
@@ -139,9 +138,9 @@
 	File(t, name, text)
 }
 
-// Read returns the content of testdata/name. If there is none, a test run that writes
-// missing golden files writes it with the missing content and returns that. It ends the
-// test otherwise, and whenever the missing content is nil: the file must exist then.
+// Read returns the content of testdata/name. If the file does not exist, a test run that writes missing
+// golden files writes the missing content to it and returns that; any other run ends the test. With
+// nil as the missing content, the file must exist.
 func Read(t testing.TB, name string, missing []byte) []byte {
 	t.Helper()
 	stored, err := os.ReadFile(filepath.Join("testdata", name))
@@ -164,9 +163,9 @@
 	}
 }
 
-// Complete fails the test unless every exported field that is reachable from the
-// values is set in at least one of them. A field that is added to a stored form thus
-// has to be added to its golden file's value.
+// Complete fails the test unless every exported field that is reachable from the values is set in at
+// least one of them. A field that is added to a stored type must thus be added to the value that is
+// compared with its golden file.
 func Complete(t testing.TB, values ...any) {
 	t.Helper()
 	if unset := UnsetFields(values...); len(unset) > 0 {
@@ -175,7 +174,7 @@
 }
 
 // UnsetFields returns the paths of the exported fields below the values that are zero in
-// all of them. A type that encodes itself is not looked into.
+// all of them. The fields of a type that implements its own encoding are not examined.
 func UnsetFields(values ...any) (unset []string) {
 	set := map[string]bool{}
 	for _, value := range values {
@@ -194,10 +193,10 @@
 	return unset
 }
 
-// leafTypes encode themselves, so their fields are not a form's keys.
+// leafTypes implement their own encoding, so their fields are not keys of the encoded value.
 var leafTypes = []reflect.Type{reflect.TypeFor[json.Marshaler](), reflect.TypeFor[encoding.TextMarshaler]()}
 
-// collectFields records for the path of each field below v whether it is set.
+// collectFields records whether each field below the value is set, by its path.
 func collectFields(set map[string]bool, path string, value reflect.Value) {
 	set[path] = set[path] || !value.IsZero()
 	if value.Kind() != reflect.Pointer && slices.ContainsFunc(leafTypes, value.Type().Implements) {
@@ -228,9 +227,9 @@
 	}
 }
 
-// Constants fails the test unless each constant still has its text and the list holds
-// all string constants with a type of their own that the test's package declares
-// outside its tests. The keys are the constants, the values the texts.
+// Constants fails the test unless each constant still has its text and the map holds all typed string
+// constants that the test's package declares outside its tests. The keys are the constants, the values
+// their texts.
 func Constants(t testing.TB, texts map[string]string) {
 	t.Helper()
 	for constant, text := range texts {
--- a/internal/testpeer/config.go
+++ b/internal/testpeer/config.go
@@ -1,6 +1,7 @@
 package testpeer
 
-// Settings are a gateway's, as the platform writes them. They have no quotas, so that the tests here are about sockets alone.
+// Settings is a gateway's settings document as the platform writes it. It has no quotas, so that tests of sockets
+// make no calls to a counter.
 const Settings = `{"fleetSize": 2, "rank": 1, "tickS": 0.002, "localities": ["a", "b"], "kinds": ["m"],
 	"allowed": {"cancel": true, "mostTries": 4, "connectTimeoutS": 5, "keepaliveS": 15, "retryAfter": true, "maxRetryAfterS": 0.5},
 	"obligations": {"answerSlackS": 0.01, "drainGraceS": 2},
@@ -12,7 +13,7 @@
 	"packages": [{"name": "basic", "pays": 1}, {"name": "council", "pays": 2}],
 	"familyInfo": {"mostUnits": 4}}`
 
-// ConfigText is a gateway's whole configuration.
+// ConfigText returns a complete gateway configuration with this discovery address and settings document.
 func ConfigText(discovery, settings string) string {
 	return `{"name": "n3", "listen": "127.0.0.1:0", "discovery": "` + discovery + `", "seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "counter": "127.0.0.1:1",
--- a/internal/testpeer/registry.go
+++ b/internal/testpeer/registry.go
@@ -7,30 +7,30 @@
 	"testing"
 )
 
-// Registry is a discovery whose answers a test gives one by one.
+// Registry is a discovery server that sends the responses that a test supplies, one for each call.
 type Registry struct {
 	*httptest.Server
-	Queries   chan string // the query of each call
-	Responses chan any    // a status, text, nil for a connection that ends, else what is sent as JSON
+	Queries   chan string // raw query of each call
+	Responses chan any    // int: a status; string: a body; nil: the connection is aborted; else a value sent as JSON
 }
 
-// NewRegistry starts one for the length of a test.
+// NewRegistry starts a discovery server that is closed at the end of the test.
 func NewRegistry(t *testing.T) *Registry {
 	r := &Registry{Queries: make(chan string, 64), Responses: make(chan any, 64)}
-	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.Queries <- q.URL.RawQuery
+	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		r.Queries <- request.URL.RawQuery
 		select {
-		case <-q.Context().Done():
-		case a := <-r.Responses:
-			switch a := a.(type) {
+		case <-request.Context().Done():
+		case response := <-r.Responses:
+			switch response := response.(type) {
 			case string:
-				w.Write([]byte(a))
+				w.Write([]byte(response))
 			case nil:
 				panic(http.ErrAbortHandler)
 			case int:
-				w.WriteHeader(a)
+				w.WriteHeader(response)
 			default:
-				json.NewEncoder(w).Encode(a)
+				json.NewEncoder(w).Encode(response)
 			}
 		}
 	}))
@@ -38,5 +38,5 @@
 	return r
 }
 
-// Address is where it listens.
+// Address returns the address that the server listens on.
 func (r *Registry) Address() string { return r.Listener.Addr().String() }
--- a/internal/testpeer/testpeer.go
+++ b/internal/testpeer/testpeer.go
@@ -1,4 +1,7 @@
-// Package testpeer is the other side of connections in tests.
+// Package testpeer provides TCP and HTTP endpoints that stand in for the remote side of
+// connections in tests: a raw TCP listener, a discovery server and test certificates.
+//
+// It is for tests alone and is linked into no program.
 package testpeer
 
 import (
@@ -18,42 +21,43 @@
 	"time"
 )
 
-// Timeout bounds every wait of a test; none is expected to last so long.
+// Timeout bounds every wait in a test; no wait is expected to take that long.
 const Timeout = 20 * time.Second
 
-// Peer hands each connection to it on, and closes what is left at the end of the
-// test.
+// Peer is a TCP server that delivers each accepted connection on a channel. Its listener and
+// connections are closed at the end of the test.
 type Peer struct {
 	Listener net.Listener
 	Conns    chan net.Conn
 }
 
-// New listens on a loopback address of its own.
+// New starts a peer on a loopback address with a free port.
 func New(t *testing.T) *Peer {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Peer{Listener: l, Conns: make(chan net.Conn, 64)}
-	t.Cleanup(func() { l.Close() })
+	peer := &Peer{Listener: listener, Conns: make(chan net.Conn, 64)}
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
-			p.Conns <- c
+			t.Cleanup(func() { conn.Close() })
+			peer.Conns <- conn
 		}
 	}()
-	return p
+	return peer
 }
 
-// Address is where the peer listens.
+// Address returns the address that the peer listens on.
 func (p *Peer) Address() string { return p.Listener.Addr().String() }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and returns it with a buffered reader. The connection has
+// Timeout as its deadline.
 func (p *Peer) Accept(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c := Receive(t, p.Conns, "a connection")
@@ -61,38 +65,39 @@
 	return c, bufio.NewReader(c)
 }
 
-// Receive takes the next value of a channel, or fails the test.
+// Receive returns the next value from a channel, and ends the test if none arrives within Timeout.
 func Receive[T any](t *testing.T, ch <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-ch:
 		return v
 	case <-time.After(Timeout):
-		t.Fatalf("no %s came", what)
+		t.Fatalf("no %s received within %v", what, Timeout)
 		panic("unreachable")
 	}
 }
 
-// ReadRequest reads one whole request.
-func ReadRequest(t *testing.T, r *bufio.Reader) (*http.Request, []byte) {
+// ReadRequest reads one HTTP request and returns it with its body.
+func ReadRequest(t *testing.T, reader *bufio.Reader) (*http.Request, []byte) {
 	t.Helper()
-	req, err := http.ReadRequest(r)
+	request, err := http.ReadRequest(reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := io.ReadAll(req.Body)
+	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return req, body
+	return request, body
 }
 
-// WriteCounterResponse writes a counter's answer.
+// WriteCounterResponse writes an HTTP response such as the counter sends.
 func WriteCounterResponse(conn net.Conn, status int, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// SelfSignedCertificate makes one for 127.0.0.1 that signs itself, and what trusts it.
+// SelfSignedCertificate returns a self-signed certificate for 127.0.0.1, valid for one hour, and a
+// pool that trusts it.
 func SelfSignedCertificate(t *testing.T) (tls.Certificate, *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -114,20 +119,21 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, pool
 }
 
-// DialWithReceiveBuffer connects with a receive buffer of so many bytes. It is set before the
-// connection is made: a window that shrinks later has systems drop each other's news.
+// DialWithReceiveBuffer connects with SO_RCVBUF set to the given number of bytes. The buffer must be
+// set before connect: shrinking the window of an established connection makes hosts drop each
+// other's segments.
 func DialWithReceiveBuffer(t *testing.T, address string, bytes int) net.Conn {
 	t.Helper()
-	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		if e := c.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, bytes) }); e != nil {
-			return e
+	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
+		if controlErr := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, bytes) }); controlErr != nil {
+			return controlErr
 		}
 		return err
 	}}
-	c, err := d.Dial("tcp", address)
+	conn, err := dialer.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return c
+	t.Cleanup(func() { conn.Close() })
+	return conn
 }
--- a/internal/testwait/testwait_test.go
+++ b/internal/testwait/testwait_test.go
@@ -26,8 +26,8 @@
 // Fatalf implements testing.TB.
 func (f *failingTest) Fatalf(format string, args ...any) { f.Fatal(fmt.Sprintf(format, args...)) }
 
-// failureOf runs a test to its end and returns its failure, "" if there is none, and
-// whether it returned.
+// failureOf runs a test function until it returns or ends the test. It returns the failure, "" if
+// there is none, and whether the function returned.
 func failureOf(test func(t testing.TB)) (failure string, returned bool) {
 	f := &failingTest{}
 	ended := make(chan struct{})
@@ -50,13 +50,13 @@
 	}{
 		{"true at once", 1, 0, time.Hour, ""},
 		{"true at the third check", 3, time.Minute, time.Millisecond, ""},
-		{"never true", -1, 20 * time.Millisecond, time.Millisecond, "not within 20ms: the door is open"},
+		{"never true", -1, 20 * time.Millisecond, time.Millisecond, "not within 20ms: the server is ready"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			checks := 0
 			condition := func() bool { checks++; return checks == test.checks }
 			start := time.Now()
-			failure, returned := failureOf(func(t testing.TB) { UntilEvery(t, test.timeout, test.interval, "the door is open", condition) })
+			failure, returned := failureOf(func(t testing.TB) { UntilEvery(t, test.timeout, test.interval, "the server is ready", condition) })
 			if failure != test.failure || returned != (test.failure == "") {
 				t.Errorf("failure %q, returned: %t; want %q", failure, returned, test.failure)
 			}
@@ -68,8 +68,8 @@
 			}
 		})
 	}
-	failure, returned := failureOf(func(t testing.TB) { Until(t, 0, "the door is open", func() bool { return false }) })
-	if failure != "not within 0s: the door is open" || returned {
+	failure, returned := failureOf(func(t testing.TB) { Until(t, 0, "the server is ready", func() bool { return false }) })
+	if failure != "not within 0s: the server is ready" || returned {
 		t.Errorf("failure %q, returned: %t", failure, returned)
 	}
 }
--- a/tools/testgate/main.go
+++ b/tools/testgate/main.go
@@ -1,13 +1,13 @@
-// Command testgate runs `go test -json` and lets pass exactly the failures that a file of known failures names.
+// Command testgate runs `go test -json` and tolerates exactly the failures that a file of known failures lists.
 //
 //	testgate -known KNOWN-RED.txt -- [go test arguments]
 //
-// It prints what go test prints without -v, then each known failure that was seen again, and each listed test
-// that passed. It exits with 1 when a test fails that is not listed, when a package fails other than by a listed test,
-// when a listed test did not run, or when no test ran at all.
+// It prints what go test prints without -v, then each known failure that occurred again and each listed test that
+// passed. It exits with status 1 if a test fails that is not listed, if a package fails for another reason than a
+// listed test, if a listed test did not run, or if no test passed or was skipped.
 //
-// The file has one entry a paragraph, each beginning with a line `test: PACKAGE NAME`; its other lines are for people.
-// NAME may be that of a subtest. A file that does not exist lists nothing.
+// The file has one entry per paragraph. An entry begins with a line `test: PACKAGE NAME`, where NAME may be that of a
+// subtest; its other lines are free text. A file that does not exist is an empty list.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	"strings"
 )
 
-// entryPrefix begins the line of an entry that names its test.
+// entryPrefix begins the line that names the test of an entry.
 const entryPrefix = "test: "
 
 func main() {
@@ -38,7 +38,7 @@
 	}
 }
 
-// run runs go test with args, writes its output to out and judges its result.
+// run runs go test with args, writes its output to out and returns an error unless all failures are known.
 func run(known []testName, args []string, out io.Writer) error {
 	command := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	command.Stderr = os.Stderr
@@ -64,10 +64,10 @@
 	Test    string
 }
 
-// String returns the name as an entry has it.
+// String returns the name in the format of an entry.
 func (n testName) String() string { return n.Package + " " + n.Test }
 
-// readKnown reads the tests that a file of known failures lists.
+// readKnown returns the tests that a file of known failures lists, none if the file does not exist.
 func readKnown(path string) ([]testName, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -104,14 +104,14 @@
 	FailedBuild string
 }
 
-// results collects what became of each test and package.
+// results collects the outcome of each test and package.
 type results struct {
 	outcomes       map[testName]string   // pass, fail, skip; "" while running
-	output         map[testName][]string // of tests that may still fail
-	crashed        map[testName]bool     // ended by a panic or a time-out
+	output         map[testName][]string // of tests that have not passed or been skipped; printed if the test fails
+	crashed        map[testName]bool     // ended by a panic, a timeout or a signal; with an empty Test for a whole package
 	failedPackages map[string]bool
 	failedBuilds   map[string]bool
-	order          []testName // in which the tests began
+	order          []testName // in which the tests started
 }
 
 func newResults() *results {
@@ -140,7 +140,7 @@
 	}
 }
 
-// accept takes in one line of go test's events. A line that is no event is printed as it stands.
+// accept records one line of the output of go test -json. A line that is not an event is printed unchanged.
 func (r *results) accept(line []byte, out io.Writer) {
 	var e event
 	if json.Unmarshal(line, &e) != nil {
@@ -178,12 +178,13 @@
 		r.output[name] = append(r.output[name], text)
 		return
 	}
-	if text != "PASS\n" { // go test prints it for a single package alone
+	if text != "PASS\n" { // go test prints it only when it tests a single package
 		io.WriteString(out, text)
 	}
 }
 
-// judge compares the results with the list of known failures.
+// judge compares the results with the list of known failures, prints the known failures and a summary, and returns
+// an error that lists everything else that went wrong.
 func (r *results) judge(known []testName, testErr error, out io.Writer) error {
 	var problems []string
 	problem := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
@@ -193,7 +194,7 @@
 		listed[name] = true
 	}
 	passed := 0
-	explained := map[string]bool{} // packages that failed by listed tests
+	explained := map[string]bool{} // packages with a failed test that is listed
 	for _, name := range r.order {
 		switch {
 		case r.outcomes[name] == "pass" || r.outcomes[name] == "skip":
@@ -235,7 +236,8 @@
 	return nil
 }
 
-// hasFailedSubtest reports whether a test failed together with one of its subtests, which is judged by itself.
+// hasFailedSubtest reports whether a subtest of a test failed. The subtest is judged by itself, so the failure of its
+// parent needs no entry.
 func (r *results) hasFailedSubtest(name testName) bool {
 	for other, outcome := range r.outcomes {
 		if outcome == "fail" && other.Package == name.Package && strings.HasPrefix(other.Test, name.Test+"/") {
--- a/tools/testgate/main_test.go
+++ b/tools/testgate/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// script turns lines of `ACTION PACKAGE [TEST] [OUTPUT]` into results.
-func script(t *testing.T, out *strings.Builder, lines ...string) *results {
+// readEvents returns the results of these lines of the output of go test -json.
+func readEvents(t *testing.T, out *strings.Builder, lines ...string) *results {
 	t.Helper()
 	r := newResults()
 	if err := r.read(strings.NewReader(strings.Join(lines, "\n")+"\n"), out); err != nil {
@@ -42,19 +42,19 @@
 		events  []string
 		known   []testName
 		testErr error
-		problem string // "": none
+		problem string // part of the error; "": no error
 		printed string
 	}{
 		"all pass":                         {events: []string{runA, passA, passP}},
 		"unlisted failure":                 {events: []string{runA, failA, runB, passB, failP}, testErr: exit, problem: "p TestA: failed, and is not"},
 		"listed failure":                   {events: []string{runA, failA, runB, passB, failP}, known: []testName{a}, testErr: exit, printed: "KNOWN FAILURE, seen again: p TestA"},
-		"listed beside unlisted":           {events: []string{runA, failA, runB, failB, failP}, known: []testName{a}, testErr: exit, problem: "p TestB: failed"},
+		"listed and unlisted failures":     {events: []string{runA, failA, runB, failB, failP}, known: []testName{a}, testErr: exit, problem: "p TestB: failed"},
 		"listed passes":                    {events: []string{runA, passA, passP}, known: []testName{a}, printed: "KNOWN FAILURE, passed this time: p TestA"},
 		"listed did not run":               {events: []string{runB, passB, passP}, known: []testName{a}, problem: "did not run"},
 		"listed subtest":                   {events: []string{runA, runAS, failAS, failA, runB, passB, failP}, known: []testName{sub}, testErr: exit, printed: "seen again: p TestA/s"},
 		"unlisted subtest":                 {events: []string{runA, runAS, failAS, failA, runB, passB, failP}, testErr: exit, problem: "p TestA/s: failed"},
-		"time-out in a listed test":        {events: []string{runB, passB, runA, panicA, failA, failP}, known: []testName{a}, testErr: exit, problem: "ended by a panic"},
-		"panic of the package":             {events: []string{runB, passB, runA, panicP, failA, failP}, known: []testName{a}, testErr: exit, problem: "ended by a panic"},
+		"timeout in a listed test":         {events: []string{runB, passB, runA, panicA, failA, failP}, known: []testName{a}, testErr: exit, problem: "ended by a panic"},
+		"panic outside a test":             {events: []string{runB, passB, runA, panicP, failA, failP}, known: []testName{a}, testErr: exit, problem: "ended by a panic"},
 		"unfinished listed test":           {events: []string{runB, passB, runA, failP}, known: []testName{a}, testErr: exit, problem: "began and did not end"},
 		"failed build":                     {events: []string{buildP}, testErr: exit, problem: "p: failed"},
 		"package fails with tests passing": {events: []string{runA, passA, failP}, testErr: exit, problem: "p: failed"},
@@ -63,7 +63,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out strings.Builder
-			err := script(t, &out, c.events...).judge(c.known, c.testErr, &out)
+			err := readEvents(t, &out, c.events...).judge(c.known, c.testErr, &out)
 			switch {
 			case c.problem == "" && err != nil:
 				t.Errorf("judge: %v", err)
@@ -80,9 +80,9 @@
 	}
 }
 
-func TestOutputOfFailedTestsAlone(t *testing.T) {
+func TestPrintsOutputOfFailedTestsOnly(t *testing.T) {
 	var out strings.Builder
-	script(t, &out,
+	readEvents(t, &out,
 		runA, `{"Action":"output","Package":"p","Test":"TestA","Output":"of A\n"}`, failA,
 		runB, `{"Action":"output","Package":"p","Test":"TestB","Output":"of B\n"}`, passB,
 		`{"Action":"output","Package":"p","Output":"FAIL\tp\t0.1s\n"}`, "no event")
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestRunOnARealModule(t *testing.T) {
+func TestRunGoTest(t *testing.T) {
 	dir := t.TempDir()
 	t.Chdir(dir)
 	for file, text := range map[string]string{
