--- a/capacity/curves_test.go
+++ b/capacity/curves_test.go
@@ -27,18 +27,18 @@
 	}
 }
 
-func TestCurves(t *testing.T) {
-	size := goodSize(t)
-	trial := slopeOf(t, MembersMemory, Point{5, 16}, Point{100, 32})
+func TestCurvesSVG(t *testing.T) {
+	size := repositorySize(t)
+	trial := newSlope(t, MembersMemory, Point{5, 16}, Point{100, 32})
 	trial.Trial = true
 	plan := Compute(size, []Slope{
-		slopeOf(t, AgentBytes, Point{610, 300}, Point{610, 320}), // one size: no panel
-		slopeOf(t, LeaderCPU, Point{76, 0.1}, Point{305, 0.2}, Point{610, 0.3}),
-		slopeOf(t, CounterCalls, Point{5, 0}, Point{50, 0}),
+		newSlope(t, AgentBytes, Point{610, 300}, Point{610, 320}), // one size: no panel
+		newSlope(t, LeaderCPU, Point{76, 0.1}, Point{305, 0.2}, Point{610, 0.3}),
+		newSlope(t, CounterCalls, Point{5, 0}, Point{50, 0}),
 		trial,
 	})
-	picture := plan.CurvesSVG()
-	counts := countElements(t, picture)
+	svg := plan.CurvesSVG()
+	counts := countElements(t, svg)
 	if counts["circle"] != 3+2+2 {
 		t.Errorf("%d points", counts["circle"])
 	}
@@ -46,10 +46,10 @@
 	if counts["polyline"] != 3+1 {
 		t.Errorf("%d curves", counts["polyline"])
 	}
-	if strings.Contains(picture, AgentBytes) || !strings.Contains(picture, MembersMemory) {
+	if strings.Contains(svg, AgentBytes) || !strings.Contains(svg, MembersMemory) {
 		t.Error("the wrong slopes are shown")
 	}
-	if strings.Contains(picture, "NaN") || strings.Contains(picture, "Inf") {
+	if strings.Contains(svg, "NaN") || strings.Contains(svg, "Inf") {
 		t.Error("a place that is no number")
 	}
 	if got := countElements(t, (&Plan{}).CurvesSVG()); got["circle"] != 0 || got["svg"] != 1 {
--- a/capacity/decode_test.go
+++ b/capacity/decode_test.go
@@ -14,7 +14,7 @@
 	slopesFile = "../docs/capacity/slopes.json"
 )
 
-func read(t testing.TB, path string) []byte {
+func readFile(t testing.TB, path string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -23,24 +23,24 @@
 	return text
 }
 
-func goodSize(t testing.TB) Size {
+func repositorySize(t testing.TB) Size {
 	t.Helper()
-	size, err := DecodeSize("size.toml", read(t, sizeFile))
+	size, err := DecodeSize("size.toml", readFile(t, sizeFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return size
 }
 
-func TestSizeOfTheCheckout(t *testing.T) {
-	size := goodSize(t)
+func TestDecodeRepositorySize(t *testing.T) {
+	size := repositorySize(t)
 	if size.Site.Gateways != 610 || size.Entries() != 26_000 || size.Budget.GatewayBytesPerSecond != 6000 || size.Machines() != 9416 {
 		t.Errorf("%+v", size)
 	}
 }
 
-func TestWrongSizesNameThePlace(t *testing.T) {
-	good := string(read(t, sizeFile))
+func TestDecodeSizeErrorsNameLineAndKey(t *testing.T) {
+	good := string(readFile(t, sizeFile))
 	for _, c := range []struct{ old, new, want string }{
 		{"gateways = 610", "gatways = 610", `f.toml:5: site.gatways: there is no such key; did you mean "gateways"?`},
 		{"gateways = 610", "gateways = -1", `f.toml:5: site.gateways: -1 is not between 0 and 1e+12`},
@@ -69,8 +69,8 @@
 	}
 }
 
-func TestSlopesOfTheCheckout(t *testing.T) {
-	slopes, err := DecodeSlopes("slopes.json", read(t, slopesFile))
+func TestDecodeRepositorySlopes(t *testing.T) {
+	slopes, err := DecodeSlopes("slopes.json", readFile(t, slopesFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-const twoSlopes = `[
+const validSlopes = `[
   {
     "measure": "agent.bytes_per_second",
     "unit": "B/s",
@@ -99,8 +99,8 @@
 ]
 `
 
-func TestWrongSlopesNameThePlace(t *testing.T) {
-	if slopes, err := DecodeSlopes("s.json", []byte(twoSlopes)); err != nil || len(slopes) != 2 || slopes[0].Points[1] != (Point{610, 2.5}) || !slopes[1].Trial {
+func TestDecodeSlopesErrorsNameLineAndKey(t *testing.T) {
+	if slopes, err := DecodeSlopes("s.json", []byte(validSlopes)); err != nil || len(slopes) != 2 || slopes[0].Points[1] != (Point{610, 2.5}) || !slopes[1].Trial {
 		t.Fatalf("%+v, %v", slopes, err)
 	}
 	if slopes, err := DecodeSlopes("s.json", []byte(" [ ] \n")); err != nil || len(slopes) != 0 {
@@ -125,8 +125,8 @@
 		{"  }\n]\n", "  }\n] 5\n", `s.json:18: there is more behind the list`},
 		{"[\n  {", "{\n  {", `s.json:1: a list of slopes is expected`},
 	} {
-		text := strings.Replace(twoSlopes, c.old, c.new, 1)
-		if text == twoSlopes {
+		text := strings.Replace(validSlopes, c.old, c.new, 1)
+		if text == validSlopes {
 			t.Fatalf("%q is not in the text", c.old)
 		}
 		_, err := DecodeSlopes("s.json", []byte(text))
@@ -138,10 +138,10 @@
 }
 
 func FuzzDecodeSlopes(f *testing.F) {
-	f.Add([]byte(twoSlopes))
+	f.Add([]byte(validSlopes))
 	f.Add([]byte("[{}]"))
 	f.Add([]byte(`[{"points":[{"size":1e400}]}]`))
-	size := goodSize(f)
+	size := repositorySize(f)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		slopes, err := DecodeSlopes("f", text)
 		if err != nil {
@@ -165,7 +165,7 @@
 }
 
 func FuzzDecodeSize(f *testing.F) {
-	f.Add(read(f, sizeFile))
+	f.Add(readFile(f, sizeFile))
 	f.Add([]byte("[site]\ngateways = 1"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		size, err := DecodeSize("f", text)
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -26,13 +26,13 @@
 
 // Fit is a least-squares fit of points by a form.
 type Fit struct {
-	Form      Form
-	Intercept float64
-	Slope     float64 // 0 for Constant and Interpolated
-	RMS       float64 // root of the mean squared residual, in the measure's unit
-	Worst     float64 // the largest distance of a point from the fit, in the measure's unit
-	Least     float64 // the smallest size measured
-	Largest   float64 // the largest size measured
+	Form         Form
+	Intercept    float64
+	Slope        float64 // 0 for Constant and Interpolated
+	RMS          float64 // root of the mean squared residual, in the measure's unit
+	MaxResidual  float64 // the largest distance of a point from the fit, in the measure's unit
+	SmallestSize float64 // the smallest size measured
+	LargestSize  float64 // the largest size measured
 
 	points []Point
 }
@@ -44,22 +44,22 @@
 func FitPoints(form Form, points []Point) Fit {
 	points = slices.Clone(points)
 	slices.SortStableFunc(points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
-	fit := Fit{Form: form, Least: points[0].Size, Largest: points[len(points)-1].Size, points: points}
-	if fit.Least == fit.Largest && form != Constant {
+	fit := Fit{Form: form, SmallestSize: points[0].Size, LargestSize: points[len(points)-1].Size, points: points}
+	if fit.SmallestSize == fit.LargestSize && form != Constant {
 		fit.Form = Interpolated
 	}
 	switch fit.Form {
 	case Constant:
 		fit.Intercept = mean(points, func(p Point) float64 { return p.Value })
 	case Linear, Logarithmic:
-		fit.leastSquares()
+		fit.fitLine()
 	}
-	fit.residuals()
+	fit.computeResiduals()
 	return fit
 }
 
-// leastSquares sets intercept and slope over the transformed size.
-func (f *Fit) leastSquares() {
+// fitLine sets intercept and slope over the transformed size.
+func (f *Fit) fitLine() {
 	meanX := mean(f.points, func(p Point) float64 { return f.transform(p.Size) })
 	meanY := mean(f.points, func(p Point) float64 { return p.Value })
 	var covariance, variance float64
@@ -80,13 +80,13 @@
 	return size
 }
 
-func (f *Fit) residuals() {
+func (f *Fit) computeResiduals() {
 	var squares float64
 	for _, p := range f.points {
 		value, _ := f.At(p.Size)
 		distance := math.Abs(p.Value - value)
 		squares += distance * distance
-		f.Worst = max(f.Worst, distance)
+		f.MaxResidual = max(f.MaxResidual, distance)
 	}
 	f.RMS = math.Sqrt(squares / float64(len(f.points)))
 }
@@ -94,18 +94,18 @@
 // At is the fitted value at a size; false where the form says nothing of it.
 func (f *Fit) At(size float64) (float64, bool) {
 	if f.Form == Interpolated {
-		return f.between(size)
+		return f.interpolate(size)
 	}
 	return f.Intercept + f.Slope*f.transform(size), true
 }
 
-// between is the value on the straight line between the neighbouring points;
+// interpolate is the value on the straight line interpolate the neighbouring points;
 // points of one size count by their mean.
-func (f *Fit) between(size float64) (float64, bool) {
-	if size < f.Least || size > f.Largest {
+func (f *Fit) interpolate(size float64) (float64, bool) {
+	if size < f.SmallestSize || size > f.LargestSize {
 		return 0, false
 	}
-	low, high := f.Least, f.Largest
+	low, high := f.SmallestSize, f.LargestSize
 	for _, p := range f.points {
 		if p.Size <= size {
 			low = p.Size
@@ -126,21 +126,21 @@
 	if low == high {
 		return at(low), true
 	}
-	share := (size - low) / (high - low)
-	return at(low) + share*(at(high)-at(low)), true
+	fraction := (size - low) / (high - low)
+	return at(low) + fraction*(at(high)-at(low)), true
 }
 
 // String is the fit as a formula of n, the size.
 func (f *Fit) String() string {
 	switch f.Form {
 	case Constant:
-		return number(f.Intercept)
+		return formatNumber(f.Intercept)
 	case Linear:
-		return fmt.Sprintf("%s + %s n", number(f.Intercept), number(f.Slope))
+		return fmt.Sprintf("%s + %s n", formatNumber(f.Intercept), formatNumber(f.Slope))
 	case Logarithmic:
-		return fmt.Sprintf("%s + %s ln n", number(f.Intercept), number(f.Slope))
+		return fmt.Sprintf("%s + %s ln n", formatNumber(f.Intercept), formatNumber(f.Slope))
 	}
-	if f.Least == f.Largest {
+	if f.SmallestSize == f.LargestSize {
 		return "one size"
 	}
 	return "between points"
--- a/capacity/fit_test.go
+++ b/capacity/fit_test.go
@@ -9,15 +9,15 @@
 
 func TestFitPoints(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		form     Form
-		points   []Point
-		size     float64
-		want     float64
-		none     bool // the form says nothing at the size
-		rms      float64
-		worst    float64
-		formText string
+		name        string
+		form        Form
+		points      []Point
+		size        float64
+		want        float64
+		undefined   bool // the form says nothing at the size
+		rms         float64
+		maxResidual float64
+		formText    string
 	}{
 		{"a constant is the mean", Constant, []Point{{5, 200}, {20, 202}, {50, 204}}, 610, 202, false, 1.632993, 2, "202"},
 		{"a constant of one point", Constant, []Point{{610, 320}}, 610, 320, false, 0, 0, "320"},
@@ -36,11 +36,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			fit := FitPoints(c.form, c.points)
 			got, ok := fit.At(c.size)
-			if ok == c.none || !near(got, c.want) {
-				t.Errorf("at %g: %g, %v; want %g, %v", c.size, got, ok, c.want, !c.none)
+			if ok == c.undefined || !approximatelyEqual(got, c.want) {
+				t.Errorf("at %g: %g, %v; want %g, %v", c.size, got, ok, c.want, !c.undefined)
 			}
-			if !near(fit.RMS, c.rms) || !near(fit.Worst, c.worst) {
-				t.Errorf("residual %g, worst %g; want %g, %g", fit.RMS, fit.Worst, c.rms, c.worst)
+			if !approximatelyEqual(fit.RMS, c.rms) || !approximatelyEqual(fit.MaxResidual, c.maxResidual) {
+				t.Errorf("residual %g, worst %g; want %g, %g", fit.RMS, fit.MaxResidual, c.rms, c.maxResidual)
 			}
 			if fit.String() != c.formText {
 				t.Errorf("%q, want %q", fit.String(), c.formText)
@@ -49,17 +49,19 @@
 	}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
+func approximatelyEqual(a, b float64) bool {
+	return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b))
+}
 
 // No other line has a smaller sum of squares than the fitted one.
-func TestLinearFitIsTheLeastSquares(t *testing.T) {
+func TestLinearFitMinimizesSquaredResiduals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.Float64Range(0, 1000)
 		points := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Point {
 			return Point{rapid.Float64Range(1, 1000).Draw(t, "size"), value.Draw(t, "value")}
 		}), 2, 20).Draw(t, "points")
 		fit := FitPoints(Linear, points)
-		if fit.Form != Linear || fit.Largest-fit.Least < 1 {
+		if fit.Form != Linear || fit.LargestSize-fit.SmallestSize < 1 {
 			t.Skip("one size, or sizes too close for a line")
 		}
 		squares := func(intercept, slope float64) (sum float64) {
@@ -75,13 +77,13 @@
 		if other := squares(intercept, slope); other < best-1e-6*max(1, best) {
 			t.Fatalf("%v has squares %g, and %g + %g n has %g", fit.String(), best, intercept, slope, other)
 		}
-		if !near(fit.RMS, math.Sqrt(best/float64(len(points)))) || fit.Worst < fit.RMS-1e-9 {
-			t.Fatalf("RMS %g, worst %g of squares %g", fit.RMS, fit.Worst, best)
+		if !approximatelyEqual(fit.RMS, math.Sqrt(best/float64(len(points)))) || fit.MaxResidual < fit.RMS-1e-9 {
+			t.Fatalf("RMS %g, worst %g of squares %g", fit.RMS, fit.MaxResidual, best)
 		}
 	})
 }
 
-func TestNumbersForPeople(t *testing.T) {
+func TestFormatWithUnit(t *testing.T) {
 	for _, c := range []struct {
 		value float64
 		unit  string
@@ -91,7 +93,7 @@
 		{8800, "", "8,800"}, {1234567, "1/s", "1,234,567/s"}, {0.98, "1", "0.98"}, {-1234, "s", "-1,234 s"},
 		{6000, "B/s", "6,000 B/s"}, {17531, "B/s", "17.5 kB/s"}, {2.97e6, "B", "2.97 MB"}, {1.8117e9, "B", "1.81 GB"}, {64, "MB", "64 MB"},
 	} {
-		if got := withUnit(c.value, c.unit); got != c.want {
+		if got := formatWithUnit(c.value, c.unit); got != c.want {
 			t.Errorf("%g %s: %q, want %q", c.value, c.unit, got, c.want)
 		}
 	}
--- a/capacity/measures.go
+++ b/capacity/measures.go
@@ -7,20 +7,20 @@
 const (
 	Gateways          Dimension = "gateways"             // gateways of the site, each with its agent
 	Records           Dimension = "records"              // routes and tenants of the site's configuration
-	BackendsOfSite    Dimension = "backends of the site" // in one whole list of discovery
-	BackendsInList    Dimension = "backends in one list" // that one request's decision chooses among
+	SiteBackends      Dimension = "backends of the site" // in one whole list of discovery
+	CandidateBackends Dimension = "backends in one list" // that one request's decision chooses among
 	GatewaysPerTenant Dimension = "gateways a tenant comes to"
-	Single            Dimension = "one" // does not depend on any size; points have size 1
+	SizeIndependent   Dimension = "one" // does not depend on any size; points have size 1
 )
 
 // Measure is a quantity that can be measured at several sizes. Its name is what
 // a file of slopes refers to.
 type Measure struct {
-	Name      string
-	Unit      string
-	Dimension Dimension
-	Form      Form // how it is expected to grow with the dimension
-	About     string
+	Name        string
+	Unit        string
+	Dimension   Dimension
+	Form        Form // how it is expected to grow with the dimension
+	Description string
 }
 
 // Names of the measures. What is "of one gateway" is the mean over all gateways
@@ -38,42 +38,42 @@
 	VoterMemory  = "voter.memory_mb"
 	VoterBytes   = "voter.bytes_per_second"
 
-	MembersBytes    = "members.bytes_per_second"
-	MembersMessages = "members.datagrams_per_second"
-	MembersCPU      = "members.cpu_cores"
-	MembersMemory   = "members.memory_mb"
-	MembersAgree    = "members.agree_seconds"
-	MembersHeal     = "members.heal_seconds"
-
-	FileBytesByRecords  = "file.bytes_per_change"
-	FileLeaderMemory    = "file.leader_peak_mb"
-	FileInForce         = "file.in_force_seconds"
-	FileBytesPerSecond  = "file.bytes_per_second"
-	FileWorstMinute     = "file.worst_minute_bytes_per_second"
-	FileLeaderCPU       = "file.leader_cpu_cores"
-	FileLeaderBytesRate = "file.leader_bytes_per_second"
-
-	RecordsBytes          = "records.bytes_per_second"
-	RecordsWorstMinute    = "records.worst_minute_bytes_per_second"
-	RecordsMessages       = "records.messages_per_second"
-	RecordsBytesPerChange = "records.bytes_per_change"
-	RecordsInForceMedian  = "records.in_force_median_seconds"
-	RecordsInForceP99     = "records.in_force_p99_seconds"
-	RecordsInForceMost    = "records.in_force_most_seconds"
-	RecordsAgentCPU       = "records.agent_cpu_cores"
-	RecordsAgentMemory    = "records.agent_memory_mb"
-	RecordsSnapshotBytes  = "records.snapshot_bytes"
-	RecordsServerCPU      = "records.server_cpu_cores"
-	RecordsServerMemory   = "records.server_memory_mb"
-	RecordsServerBytes    = "records.server_bytes_per_second"
-
-	RequestDecision = "request.decision_us"
-	RequestAdded    = "request.added_p99_ms"
-	RequestCPU      = "request.cpu_us"
-
-	DiscoveryListBytes   = "discovery.list_bytes"
-	DiscoveryChangeBytes = "discovery.bytes_per_change"
-	DiscoveryWatchBytes  = "discovery.bytes_per_empty_watch"
+	MembersBytes                 = "members.bytes_per_second"
+	MembersMessages              = "members.datagrams_per_second"
+	MembersCPU                   = "members.cpu_cores"
+	MembersMemory                = "members.memory_mb"
+	MembersDetectionTime         = "members.agree_seconds"
+	MembersPartitionRecoveryTime = "members.heal_seconds"
+
+	FileBytesPerChange   = "file.bytes_per_change"
+	FileLeaderPeakMemory = "file.leader_peak_mb"
+	FilePropagationTime  = "file.in_force_seconds"
+	FileBytesPerSecond   = "file.bytes_per_second"
+	FileWorstMinute      = "file.worst_minute_bytes_per_second"
+	FileLeaderCPU        = "file.leader_cpu_cores"
+	FileLeaderBytesRate  = "file.leader_bytes_per_second"
+
+	RecordsBytes             = "records.bytes_per_second"
+	RecordsWorstMinute       = "records.worst_minute_bytes_per_second"
+	RecordsMessages          = "records.messages_per_second"
+	RecordsBytesPerChange    = "records.bytes_per_change"
+	RecordsPropagationMedian = "records.in_force_median_seconds"
+	RecordsPropagationP99    = "records.in_force_p99_seconds"
+	RecordsPropagationMax    = "records.in_force_most_seconds"
+	RecordsAgentCPU          = "records.agent_cpu_cores"
+	RecordsAgentMemory       = "records.agent_memory_mb"
+	RecordsSnapshotBytes     = "records.snapshot_bytes"
+	RecordsServerCPU         = "records.server_cpu_cores"
+	RecordsServerMemory      = "records.server_memory_mb"
+	RecordsServerBytes       = "records.server_bytes_per_second"
+
+	RequestDecisionTime = "request.decision_us"
+	RequestAddedLatency = "request.added_p99_ms"
+	RequestCPU          = "request.cpu_us"
+
+	DiscoveryListBytes       = "discovery.list_bytes"
+	DiscoveryChangeBytes     = "discovery.bytes_per_change"
+	DiscoveryEmptyWatchBytes = "discovery.bytes_per_empty_watch"
 
 	CounterCalls = "counter.calls_per_request"
 	CounterBytes = "counter.bytes_per_call"
@@ -101,12 +101,12 @@
 	{MembersMessages, "1/s", Gateways, Constant, "one gateway's datagrams for membership, sent, at rest"},
 	{MembersCPU, "cores", Gateways, Linear, "one idle gateway that knows the others of its site"},
 	{MembersMemory, "MB", Gateways, Linear, "the largest resident memory of an idle gateway that knows the others"},
-	{MembersAgree, "s", Gateways, Logarithmic, "from a kill until every other gateway has given the killed one up; the longest"},
-	{MembersHeal, "s", Gateways, Logarithmic, "from the end of a cut into halves until all hear all; the longest"},
+	{MembersDetectionTime, "s", Gateways, Logarithmic, "from a kill until every other gateway has given the killed one up; the longest"},
+	{MembersPartitionRecoveryTime, "s", Gateways, Logarithmic, "from the end of a cut into halves until all hear all; the longest"},
 
-	{FileBytesByRecords, "B", Records, Linear, "whole file, sent as revisions are: bytes one agent receives for one change"},
-	{FileLeaderMemory, "MB", Records, Linear, "whole file: the leader's largest resident memory over a change"},
-	{FileInForce, "s", Gateways, Linear, "whole file: from accepted until in force at every gateway; the longest"},
+	{FileBytesPerChange, "B", Records, Linear, "whole file, sent as revisions are: bytes one agent receives for one change"},
+	{FileLeaderPeakMemory, "MB", Records, Linear, "whole file: the leader's largest resident memory over a change"},
+	{FilePropagationTime, "s", Gateways, Linear, "whole file: from accepted until in force at every gateway; the longest"},
 	{FileBytesPerSecond, "B/s", Gateways, Constant, "whole file: one gateway's control bytes over the day of changes, pressed rate turned back to the day's"},
 	{FileWorstMinute, "B/s", Gateways, Constant, "whole file: the worst 60 s of any gateway"},
 	{FileLeaderCPU, "cores", Gateways, Linear, "whole file: the leader's process over the day of changes"},
@@ -116,9 +116,9 @@
 	{RecordsWorstMinute, "B/s", Gateways, Constant, "records: the worst 60 s of any gateway"},
 	{RecordsMessages, "1/s", Gateways, Constant, "records: requests of one gateway's agent to the control machines"},
 	{RecordsBytesPerChange, "B", Records, Constant, "records: bytes one agent receives for one change of one record"},
-	{RecordsInForceMedian, "s", Gateways, Logarithmic, "records: from accepted until in force at every gateway; median of the day's changes"},
-	{RecordsInForceP99, "s", Gateways, Logarithmic, "records: the same; 99th of 100"},
-	{RecordsInForceMost, "s", Gateways, Logarithmic, "records: the same; the longest"},
+	{RecordsPropagationMedian, "s", Gateways, Logarithmic, "records: from accepted until in force at every gateway; median of the day's changes"},
+	{RecordsPropagationP99, "s", Gateways, Logarithmic, "records: the same; 99th of 100"},
+	{RecordsPropagationMax, "s", Gateways, Logarithmic, "records: the same; the longest"},
 	{RecordsAgentCPU, "cores", Gateways, Constant, "records: one agent's part for records"},
 	{RecordsAgentMemory, "MB", Records, Linear, "records: one agent's resident memory for a replica of so many records, with the copy on its way to disk"},
 	{RecordsSnapshotBytes, "B", Records, Linear, "records: bytes an empty replica receives until it is whole"},
@@ -126,17 +126,17 @@
 	{RecordsServerMemory, "MB", Gateways, Linear, "records: the largest resident memory of a control process"},
 	{RecordsServerBytes, "B/s", Gateways, Linear, "records: what the busiest control process sends and receives"},
 
-	{RequestDecision, "us", BackendsInList, Linear, "CPU of one request's decisions, with the housekeeping of its share, in a site of 610 gateways"},
-	{RequestAdded, "ms", BackendsInList, Linear, "time added to a request at the 99th of 100"},
-	{RequestCPU, "us", BackendsInList, Linear, "CPU of the gateway's process for one request, sockets and all"},
+	{RequestDecisionTime, "us", CandidateBackends, Linear, "CPU of one request's decisions, with the housekeeping of its share, in a site of 610 gateways"},
+	{RequestAddedLatency, "ms", CandidateBackends, Linear, "time added to a request at the 99th of 100"},
+	{RequestCPU, "us", CandidateBackends, Linear, "CPU of the gateway's process for one request, sockets and all"},
 
-	{DiscoveryListBytes, "B", BackendsOfSite, Linear, "one whole list, call and answer"},
-	{DiscoveryChangeBytes, "B", BackendsOfSite, Constant, "one backend's change, call and answer"},
-	{DiscoveryWatchBytes, "B", BackendsOfSite, Constant, "one watch that ends without news, call and answer"},
+	{DiscoveryListBytes, "B", SiteBackends, Linear, "one whole list, call and answer"},
+	{DiscoveryChangeBytes, "B", SiteBackends, Constant, "one backend's change, call and answer"},
+	{DiscoveryEmptyWatchBytes, "B", SiteBackends, Constant, "one watch that ends without news, call and answer"},
 
 	{CounterCalls, "1", GatewaysPerTenant, Interpolated, "calls to the counter for one request, at a gateway's 279 requests a second"},
-	{CounterBytes, "B", Single, Constant, "one call to the counter with its answer, without headers of TCP and IP"},
-	{CounterCPU, "us", Single, Constant, "the counter's CPU for one call"},
+	{CounterBytes, "B", SizeIndependent, Constant, "one call to the counter with its answer, without headers of TCP and IP"},
+	{CounterCPU, "us", SizeIndependent, Constant, "the counter's CPU for one call"},
 
 	{OperatorStatusBytes, "B", Gateways, Linear, "one answer to elderctl instances --json"},
 	{OperatorStatusSeconds, "s", Gateways, Linear, "one run of elderctl instances --json"},
@@ -145,8 +145,8 @@
 // Measures lists every measure that a file of slopes may name.
 func Measures() []Measure { return append([]Measure(nil), measures...) }
 
-// measureOf finds a measure by its name.
-func measureOf(name string) (Measure, bool) {
+// findMeasure finds a measure by its name.
+func findMeasure(name string) (Measure, bool) {
 	for _, m := range measures {
 		if m.Name == name {
 			return m, true
--- a/capacity/placement.go
+++ b/capacity/placement.go
@@ -1,8 +1,8 @@
 package capacity
 
-// mostVoters bounds the voters: each further one makes every write dearer, and
+// maxVoters bounds the voters: each further one makes every write dearer, and
 // five bear the loss of two.
-const mostVoters = 5
+const maxVoters = 5
 
 // ControlMachine is where one control machine stands, and whether it votes.
 type ControlMachine struct {
@@ -15,32 +15,32 @@
 type Placement struct {
 	Machines []ControlMachine `json:"machines"`
 	Voters   int              `json:"voters"`
-	Majority int              `json:"majority"` // voters that have to agree
+	Quorum   int              `json:"majority"` // voters that have to agree
 }
 
-// Place spreads control machines over regions, and over the zones of each. The
+// PlaceControlMachines spreads control machines over regions, and over the zones of each. The
 // number of voters is odd, so that a cut between two regions leaves one side that
 // decides; machines beyond it hold the state and don't vote. Zones are numbered
 // through and dealt out to the regions in turn.
-func Place(machines, regions, zones int) Placement {
-	voters := min(machines, mostVoters)
+func PlaceControlMachines(machines, regions, zones int) Placement {
+	voters := min(machines, maxVoters)
 	if voters%2 == 0 {
 		voters--
 	}
-	placement := Placement{Voters: voters, Majority: voters/2 + 1}
-	held := make([]int, regions)
+	placement := Placement{Voters: voters, Quorum: voters/2 + 1}
+	machinesByRegion := make([]int, regions)
 	for i := range machines {
-		region := fewest(held)
+		region := indexOfSmallest(machinesByRegion)
 		zonesHere := (zones - region + regions - 1) / regions
-		zone := held[region]%zonesHere*regions + region
-		held[region]++
+		zone := machinesByRegion[region]%zonesHere*regions + region
+		machinesByRegion[region]++
 		placement.Machines = append(placement.Machines, ControlMachine{region + 1, zone + 1, i < voters})
 	}
 	return placement
 }
 
-// fewest is the first index of the smallest number.
-func fewest(counts []int) int {
+// indexOfSmallest is the first index of the smallest number.
+func indexOfSmallest(counts []int) int {
 	best := 0
 	for i, n := range counts {
 		if n < counts[best] {
@@ -50,35 +50,35 @@
 	return best
 }
 
-// VotersIn counts the voters of a region.
-func (p *Placement) VotersIn(region int) int {
+// VotersInRegion counts the voters of a region.
+func (p *Placement) VotersInRegion(region int) int {
 	return p.count(func(m ControlMachine) bool { return m.Votes && m.Region == region })
 }
 
-// MostVotersInZone is the number of voters of the zone that has most of them.
-func (p *Placement) MostVotersInZone() int {
-	most := 0
+// MaxVotersInZone is the number of voters of the zone that has most of them.
+func (p *Placement) MaxVotersInZone() int {
+	maxVotersInZone := 0
 	for _, machine := range p.Machines {
-		most = max(most, p.count(func(m ControlMachine) bool { return m.Votes && m.Zone == machine.Zone }))
+		maxVotersInZone = max(maxVotersInZone, p.count(func(m ControlMachine) bool { return m.Votes && m.Zone == machine.Zone }))
 	}
-	return most
+	return maxVotersInZone
 }
 
-// DecidingRegion is the region that decides while all regions are cut from each
+// QuorumRegion is the region that decides while all regions are cut from each
 // other; 0 if none has a majority of the voters.
-func (p *Placement) DecidingRegion() int {
+func (p *Placement) QuorumRegion() int {
 	for _, m := range p.Machines {
-		if p.VotersIn(m.Region) >= p.Majority {
+		if p.VotersInRegion(m.Region) >= p.Quorum {
 			return m.Region
 		}
 	}
 	return 0
 }
 
-func (p *Placement) count(counts func(ControlMachine) bool) int {
+func (p *Placement) count(matches func(ControlMachine) bool) int {
 	n := 0
 	for _, m := range p.Machines {
-		if counts(m) {
+		if matches(m) {
 			n++
 		}
 	}
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -10,10 +10,10 @@
 
 // The verdicts.
 const (
-	WithinBudget  Verdict = "carried"
-	OverBudget     Verdict = "over"
-	Unknown Verdict = "not known" // a slope is missing, or does not reach so far
-	NoBudget Verdict = "no budget" // nothing says what it may be
+	WithinBudget Verdict = "carried"
+	OverBudget   Verdict = "over"
+	Unknown      Verdict = "not known" // a slope is missing, or does not reach so far
+	NoBudget     Verdict = "no budget" // nothing says what it may be
 )
 
 // Role is a process, or a part of one, that a site pays for.
@@ -49,47 +49,47 @@
 
 // Requirement is one requirement of a role at the size.
 type Requirement struct {
-	Role      Role     `json:"role"`
-	Kind      Kind     `json:"kind"`
-	Item      string   `json:"item"`
-	Mechanism string   `json:"mechanism"` // what carries it today
-	Planned   string   `json:"planned,omitempty"`
-	Unit      string   `json:"unit"`
-	Value     *float64 `json:"value"`              // absent: not known
-	Upper     *float64 `json:"upper"`              // value plus the fit's largest residual
-	AtLeast   *float64 `json:"at_least,omitempty"` // the known part of a sum that is not known
-	Budget    *float64 `json:"budget"`             // absent: there is none
-	Factor    *float64 `json:"factor,omitempty"`   // upper, or at least, over budget
-	Verdict   Verdict  `json:"verdict"`
-	Why       string   `json:"why,omitempty"` // where it is not known
-	Note      string   `json:"note,omitempty"`
-	Measures  []string `json:"measures,omitempty"` // none: arithmetic from the size alone
-	Trial     bool     `json:"trial,omitempty"`    // one of these is a trial
+	Role          Role     `json:"role"`
+	Kind          Kind     `json:"kind"`
+	Item          string   `json:"item"`
+	Mechanism     string   `json:"mechanism"` // what carries it today
+	Planned       string   `json:"planned,omitempty"`
+	Unit          string   `json:"unit"`
+	Value         *float64 `json:"value"`              // absent: not known
+	UpperBound    *float64 `json:"upper"`              // value plus the fit's largest residual
+	LowerBound    *float64 `json:"at_least,omitempty"` // the known part of a sum that is not known
+	Budget        *float64 `json:"budget"`             // absent: there is none
+	Factor        *float64 `json:"factor,omitempty"`   // upper, or at least, over budget
+	Verdict       Verdict  `json:"verdict"`
+	UnknownReason string   `json:"why,omitempty"` // where it is not known
+	Comment       string   `json:"note,omitempty"`
+	Measures      []string `json:"measures,omitempty"` // none: arithmetic from the size alone
+	Trial         bool     `json:"trial,omitempty"`    // one of these is a trial
 }
 
 // SlopeLine is one measured slope with its fit and its value at the size.
 type SlopeLine struct {
 	Slope
-	Dimension Dimension `json:"dimension"`
-	Fit       string    `json:"fit"`
-	Form      Form      `json:"form"`
-	RMS       float64   `json:"residual_rms"`
-	Worst     float64   `json:"residual_worst"`
-	Largest   float64   `json:"largest_size"`
-	At        float64   `json:"at_size"`
-	Value     *float64  `json:"value"`           // absent: the form says nothing of the size
-	Trusted   bool      `json:"trusted"`         // the size is within TrustedReach of the largest measured
-	About     string    `json:"about,omitempty"` // of the measure
+	Dimension   Dimension `json:"dimension"`
+	Fit         string    `json:"fit"`
+	Form        Form      `json:"form"`
+	RMS         float64   `json:"residual_rms"`
+	MaxResidual float64   `json:"residual_worst"`
+	LargestSize float64   `json:"largest_size"`
+	TargetSize  float64   `json:"at_size"`
+	Value       *float64  `json:"value"`           // absent: the form says nothing of the size
+	Trusted     bool      `json:"trusted"`         // the size is within TrustedReach of the largest measured
+	Description string    `json:"about,omitempty"` // of the measure
 }
 
 // Plan is all that is worked out for a size.
 type Plan struct {
-	Size       Size        `json:"size"`
-	Requirements      []Requirement      `json:"lines"`
-	Slopes     []SlopeLine `json:"slopes"`
-	Unmeasured []string    `json:"unmeasured"` // measures without a slope
-	Placement  Placement   `json:"placement"`
-	Failures   []Failure   `json:"failures"`
+	Size         Size          `json:"size"`
+	Requirements []Requirement `json:"lines"`
+	Slopes       []SlopeLine   `json:"slopes"`
+	Unmeasured   []string      `json:"unmeasured"` // measures without a slope
+	Placement    Placement     `json:"placement"`
+	Failures     []Failure     `json:"failures"`
 }
 
 // Compute works a plan out. Size and slopes have been validated.
@@ -106,7 +106,7 @@
 	b.counter()
 	b.registry()
 	b.tool()
-	plan := Plan{Size: size, Requirements: b.lines, Placement: Place(size.Budget.ControlMachines, size.Site.Regions, size.Site.Zones)}
+	plan := Plan{Size: size, Requirements: b.lines, Placement: PlaceControlMachines(size.Budget.ControlMachines, size.Site.Regions, size.Site.Zones)}
 	plan.Slopes, plan.Unmeasured = b.slopeLines(slopes)
 	plan.Failures = b.failures(plan.Placement)
 	return plan
@@ -152,32 +152,32 @@
 	unit      string
 	value     quantity
 	budget    float64 // 0: none
-	note      string
+	comment   string
 }
 
 func (b *builder) add(r requirementSpec) {
 	line := Requirement{
 		Role: r.role, Kind: r.kind, Item: r.item, Mechanism: r.mechanism, Planned: r.planned, Unit: r.unit,
-		Note: r.note, Measures: r.value.from, Trial: r.value.trial, Why: r.value.unknown,
+		Comment: r.comment, Measures: r.value.measures, Trial: r.value.trial, UnknownReason: r.value.unknownReason,
 	}
 	if r.budget > 0 {
 		line.Budget = &r.budget
 	}
-	if r.value.unknown == "" {
-		line.Value, line.Upper = &r.value.value, &r.value.upper
-	} else if r.value.least > 0 {
-		line.AtLeast = &r.value.least
+	if r.value.unknownReason == "" {
+		line.Value, line.UpperBound = &r.value.value, &r.value.upperBound
+	} else if r.value.lowerBound > 0 {
+		line.LowerBound = &r.value.lowerBound
 	}
-	line.Verdict = verdict(&line)
+	line.Verdict = assignVerdict(&line)
 	b.lines = append(b.lines, line)
 }
 
-// verdict sets the factor and rules by it. A sum of which a part is not known is
+// assignVerdict sets the factor and rules by it. A sum of which a part is not known is
 // over its budget if the known part is.
-func verdict(line *Requirement) Verdict {
+func assignVerdict(line *Requirement) Verdict {
 	switch {
-	case line.Value == nil && line.Budget != nil && line.AtLeast != nil && *line.AtLeast > *line.Budget:
-		factor := *line.AtLeast / *line.Budget
+	case line.Value == nil && line.Budget != nil && line.LowerBound != nil && *line.LowerBound > *line.Budget:
+		factor := *line.LowerBound / *line.Budget
 		line.Factor = &factor
 		return OverBudget
 	case line.Value == nil:
@@ -185,7 +185,7 @@
 	case line.Budget == nil:
 		return NoBudget
 	}
-	factor := *line.Upper / *line.Budget
+	factor := *line.UpperBound / *line.Budget
 	line.Factor = &factor
 	if factor > 1 {
 		return OverBudget
@@ -203,11 +203,11 @@
 			continue
 		}
 		line := SlopeLine{
-			Slope: f.slope, Dimension: m.Dimension, Form: f.fit.Form, Fit: f.fit.String(), RMS: f.fit.RMS, Worst: f.fit.Worst,
-			Largest: f.fit.Largest, At: b.target(m.Dimension), About: m.About,
+			Slope: f.slope, Dimension: m.Dimension, Form: f.fit.Form, Fit: f.fit.String(), RMS: f.fit.RMS, MaxResidual: f.fit.MaxResidual,
+			LargestSize: f.fit.LargestSize, TargetSize: b.targetSize(m.Dimension), Description: m.Description,
 		}
-		line.Trusted = line.At <= line.Largest*TrustedReach
-		if value, ok := f.fit.At(line.At); ok {
+		line.Trusted = line.TargetSize <= line.LargestSize*MaxExtrapolation
+		if value, ok := f.fit.At(line.TargetSize); ok {
 			line.Value = &value
 		}
 		lines = append(lines, line)
@@ -215,26 +215,26 @@
 	return lines, unmeasured
 }
 
-// target is the size that a dimension is to reach.
-func (b *builder) target(d Dimension) float64 {
+// targetSize is the size that a dimension is to reach.
+func (b *builder) targetSize(d Dimension) float64 {
 	site := &b.size.Site
 	switch d {
 	case Gateways:
 		return float64(site.Gateways)
 	case Records:
 		return float64(b.size.Entries())
-	case BackendsOfSite:
+	case SiteBackends:
 		return float64(site.Backends)
-	case BackendsInList:
-		return b.largestService()
+	case CandidateBackends:
+		return b.largestServiceBackends()
 	case GatewaysPerTenant:
 		return float64(b.size.Assumptions.GatewaysPerTenant)
 	}
 	return 1
 }
 
-// of is a measure's figure at the size.
-func (b *builder) of(name string) quantity {
-	m, _ := measureOf(name)
-	return b.estimates.at(name, b.target(m.Dimension))
+// estimate is a measure's figure at the size.
+func (b *builder) estimate(name string) quantity {
+	m, _ := findMeasure(name)
+	return b.estimates.estimate(name, b.targetSize(m.Dimension))
 }
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// slopeOf is a slope as a file would hold it.
-func slopeOf(t *testing.T, measure string, points ...Point) Slope {
+// newSlope is a slope as a file would hold it.
+func newSlope(t *testing.T, measure string, points ...Point) Slope {
 	t.Helper()
-	m, ok := measureOf(measure)
+	m, ok := findMeasure(measure)
 	if !ok {
 		t.Fatalf("no measure %q", measure)
 	}
-	return Slope{Measure: measure, Unit: m.Unit, Command: "a test", Measured: "2026-12-02", Points: points}
+	return Slope{Measure: measure, Unit: m.Unit, Command: "a test", Date: "2026-12-02", Points: points}
 }
 
-// lineOf is the line of a plan whose item begins so.
-func lineOf(t *testing.T, plan Plan, role Role, item string) Requirement {
+// findRequirement is the line of a plan whose item begins so.
+func findRequirement(t *testing.T, plan Plan, role Role, item string) Requirement {
 	t.Helper()
 	i := slices.IndexFunc(plan.Requirements, func(l Requirement) bool { return l.Role == role && strings.HasPrefix(l.Item, item) })
 	if i < 0 {
@@ -27,14 +27,14 @@
 }
 
 func TestVerdicts(t *testing.T) {
-	size := goodSize(t)
+	size := repositorySize(t)
 	for _, c := range []struct {
-		name    string
-		points  []Point
-		verdict Verdict
-		value   float64
-		factor  float64
-		why     string
+		name          string
+		points        []Point
+		verdict       Verdict
+		value         float64
+		factor        float64
+		unknownReason string
 	}{
 		{"within the budget", []Point{{305, 3000}, {610, 3000}}, WithinBudget, 3000, 0.5, ""},
 		{"exactly the budget", []Point{{610, 6000}}, WithinBudget, 6000, 1, ""},
@@ -47,11 +47,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			var slopes []Slope
 			if c.points != nil {
-				slopes = append(slopes, slopeOf(t, AgentBytes, c.points...))
+				slopes = append(slopes, newSlope(t, AgentBytes, c.points...))
 			}
-			l := lineOf(t, Compute(size, slopes), Agent, "reports and orders")
-			if l.Verdict != c.verdict || l.Why != c.why {
-				t.Fatalf("%s (%s), want %s (%s)", l.Verdict, l.Why, c.verdict, c.why)
+			l := findRequirement(t, Compute(size, slopes), Agent, "reports and orders")
+			if l.Verdict != c.verdict || l.UnknownReason != c.unknownReason {
+				t.Fatalf("%s (%s), want %s (%s)", l.Verdict, l.UnknownReason, c.verdict, c.unknownReason)
 			}
 			if c.verdict == Unknown {
 				if l.Value != nil || l.Factor != nil {
@@ -59,7 +59,7 @@
 				}
 				return
 			}
-			if !near(*l.Value, c.value) || !near(*l.Factor, c.factor) {
+			if !approximatelyEqual(*l.Value, c.value) || !approximatelyEqual(*l.Factor, c.factor) {
 				t.Errorf("%g, factor %g; want %g, %g", *l.Value, *l.Factor, c.value, c.factor)
 			}
 		})
@@ -67,11 +67,11 @@
 }
 
 // The figures of today's way, from the slopes that were seen.
-func TestWholeFilesAtTheSize(t *testing.T) {
-	size := goodSize(t)
+func TestFullFileRequirements(t *testing.T) {
+	size := repositorySize(t)
 	plan := Compute(size, []Slope{
-		slopeOf(t, FileBytesByRecords, Point{26_000, 2.97e6}),
-		slopeOf(t, AgentBytes, Point{610, 320}),
+		newSlope(t, FileBytesPerChange, Point{26_000, 2.97e6}),
+		newSlope(t, AgentBytes, Point{610, 320}),
 	})
 	for _, c := range []struct {
 		role   Role
@@ -84,8 +84,8 @@
 		{Configuration, "whole file: one change at the budget's", 495, 495.0 / 19},
 		{Voter, "whole file: that at the machine's", 2.97e6 * 610 / 125e6, 2.97e6 * 610 / 125e6 / 19},
 	} {
-		l := lineOf(t, plan, c.role, c.item)
-		if l.Value == nil || !near(*l.Value, c.value) || !near(*l.Factor, c.factor) {
+		l := findRequirement(t, plan, c.role, c.item)
+		if l.Value == nil || !approximatelyEqual(*l.Value, c.value) || !approximatelyEqual(*l.Factor, c.factor) {
 			t.Errorf("%s: %+v; want %g, factor %g", c.item, l, c.value, c.factor)
 		}
 	}
@@ -95,41 +95,41 @@
 			t.Errorf("%s (%g) stands behind %s (%g)", over[i].Item, *over[i].Factor, over[i-1].Item, *over[i-1].Factor)
 		}
 	}
-	rollout := lineOf(t, plan, Configuration, "whole file: one change by waves, with the default policy")
-	if rollout.Verdict != OverBudget || rollout.Value != nil || *rollout.AtLeast != 1280 {
+	rollout := findRequirement(t, plan, Configuration, "whole file: one change by waves, with the default policy")
+	if rollout.Verdict != OverBudget || rollout.Value != nil || *rollout.LowerBound != 1280 {
 		t.Errorf("%+v", rollout)
 	}
 	// A sum of which a part is missing is over if its known part is.
-	total := lineOf(t, plan, GatewayTotal, "configuration as whole files")
-	if total.Verdict != OverBudget || total.Value != nil || !near(*total.AtLeast, 320+2.97e6*510/86400) {
+	total := findRequirement(t, plan, GatewayTotal, "configuration as whole files")
+	if total.Verdict != OverBudget || total.Value != nil || !approximatelyEqual(*total.LowerBound, 320+2.97e6*510/86400) {
 		t.Errorf("%+v", total)
 	}
-	if total := lineOf(t, plan, GatewayTotal, "configuration as records"); total.Verdict != Unknown || !near(*total.AtLeast, 320) {
+	if total := findRequirement(t, plan, GatewayTotal, "configuration as records"); total.Verdict != Unknown || !approximatelyEqual(*total.LowerBound, 320) {
 		t.Errorf("%+v", total)
 	}
 }
 
-func TestQuotaCallsCountWhereTheSizeSaysSo(t *testing.T) {
-	size := goodSize(t)
-	slopes := []Slope{slopeOf(t, CounterCalls, Point{5, 0.25}, Point{610, 1}), slopeOf(t, CounterBytes, Point{1, 150})}
-	if l := lineOf(t, Compute(size, slopes), Quotas, "calls at the peak"); l.Verdict != NoBudget {
+func TestQuotaCallsCountAsControlWhenConfigured(t *testing.T) {
+	size := repositorySize(t)
+	slopes := []Slope{newSlope(t, CounterCalls, Point{5, 0.25}, Point{610, 1}), newSlope(t, CounterBytes, Point{1, 150})}
+	if l := findRequirement(t, Compute(size, slopes), Quotas, "calls at the peak"); l.Verdict != NoBudget {
 		t.Errorf("%+v", l)
 	}
 	size.Assumptions.QuotaCallsAreControl = true
 	size.Assumptions.GatewaysPerTenant = 5
 	i := slices.IndexFunc(Compute(size, slopes).Requirements, func(l Requirement) bool { return l.Role == Quotas && l.Kind == Bytes })
 	l := Compute(size, slopes).Requirements[i]
-	if want := 0.25 * 150 * 170_000 / 610.0; l.Verdict != OverBudget || !near(*l.Value, want) {
+	if want := 0.25 * 150 * 170_000 / 610.0; l.Verdict != OverBudget || !approximatelyEqual(*l.Value, want) {
 		t.Errorf("%+v, want %g", l, want)
 	}
 }
 
-func TestNothingIsInventedWithoutSlopes(t *testing.T) {
-	plan := Compute(goodSize(t), nil)
+func TestUnmeasuredRequirementsAreUnknown(t *testing.T) {
+	plan := Compute(repositorySize(t), nil)
 	for _, l := range plan.Requirements {
-		if len(l.Measures) > 0 && (l.Verdict != Unknown || l.Value != nil || l.AtLeast != nil) {
+		if len(l.Measures) > 0 && (l.Verdict != Unknown || l.Value != nil || l.LowerBound != nil) {
 			// The soak of a rollout is arithmetic, and the known part of its sum.
-			if l.Verdict == OverBudget && l.AtLeast != nil && *l.AtLeast == defaultWaves*defaultSoak {
+			if l.Verdict == OverBudget && l.LowerBound != nil && *l.LowerBound == defaultWaves*defaultSoakSeconds {
 				continue
 			}
 			t.Errorf("%+v", l)
@@ -142,7 +142,7 @@
 
 func TestEveryMeasureIsUsed(t *testing.T) {
 	used := map[string]bool{}
-	for _, l := range Compute(goodSize(t), nil).Requirements {
+	for _, l := range Compute(repositorySize(t), nil).Requirements {
 		for _, name := range l.Measures {
 			used[name] = true
 		}
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestPlace(t *testing.T) {
+func TestPlaceControlMachines(t *testing.T) {
 	for _, c := range []struct {
 		machines, regions, zones int
 		voters                   int
@@ -176,12 +176,12 @@
 		{2, 2, 2, 1, []int{1, 0}, 1, 1},
 		{9, 2, 5, 5, []int{3, 2}, 1, 1},
 	} {
-		p := Place(c.machines, c.regions, c.zones)
-		if len(p.Machines) != c.machines || p.Voters != c.voters || p.MostVotersInZone() != c.mostInZone || p.DecidingRegion() != c.deciding {
-			t.Errorf("%+v: %+v, %d in a zone, region %d decides", c, p, p.MostVotersInZone(), p.DecidingRegion())
+		p := PlaceControlMachines(c.machines, c.regions, c.zones)
+		if len(p.Machines) != c.machines || p.Voters != c.voters || p.MaxVotersInZone() != c.mostInZone || p.QuorumRegion() != c.deciding {
+			t.Errorf("%+v: %+v, %d in a zone, region %d decides", c, p, p.MaxVotersInZone(), p.QuorumRegion())
 		}
 		for i, want := range c.inRegions {
-			if got := p.VotersIn(i + 1); got != want {
+			if got := p.VotersInRegion(i + 1); got != want {
 				t.Errorf("%+v: %d voters in region %d, want %d", c, got, i+1, want)
 			}
 		}
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestFailuresOfOtherSites(t *testing.T) {
+func TestFailureTextsOfUnusualSites(t *testing.T) {
 	for _, change := range []func(*Size){
 		func(s *Size) { s.Site.Regions, s.Site.Zones = 1, 1 },
 		func(s *Size) { s.Site.Regions, s.Site.Zones = 3, 3 },
@@ -201,10 +201,10 @@
 		func(s *Size) { s.Failures = Failures{} },
 		func(s *Size) { s.Site.Gateways, s.Assumptions.GatewaysPerTenant = 1, 1 },
 	} {
-		size := goodSize(t)
+		size := repositorySize(t)
 		change(&size)
 		for _, f := range Compute(size, nil).Failures {
-			for _, text := range []string{f.Name, f.Often, f.Hits, f.GoesOn, f.Stops, f.Stale, f.Heals} {
+			for _, text := range []string{f.Name, f.Frequency, f.Affected, f.Unaffected, f.Unavailable, f.Staleness, f.Recovery} {
 				if text == "" || strings.Contains(text, "NaN") || strings.Contains(text, "Inf") || strings.Contains(text, "%!") {
 					t.Errorf("%+v", f)
 				}
--- a/capacity/quantity.go
+++ b/capacity/quantity.go
@@ -6,114 +6,116 @@
 	"strings"
 )
 
-// TrustedReach is how far beyond the largest measured size a fit is trusted: up
+// MaxExtrapolation is how far beyond the largest measured size a fit is trusted: up
 // to this many times that size. Beyond it a figure is not known.
-const TrustedReach = 2.0
+const MaxExtrapolation = 2.0
 
 // quantity is a figure, or why it is not known. Its upper value adds to it the
 // largest distance of a measured point from its fit; verdicts go by the upper
 // value.
 type quantity struct {
-	value, upper float64
-	least        float64  // the known part of a sum; the value, where it is known
-	unknown      string   // why it is not known; empty: it is
-	from         []string // names of the measures it comes from
-	trial        bool     // one of these is a trial
+	value, upperBound float64
+	lowerBound        float64  // the known part of a sum; the value, where it is known
+	unknownReason     string   // why it is not known; empty: it is
+	measures          []string // names of the measures it comes from
+	trial             bool     // one of these is a trial
 }
 
-// arithmetic is a figure that needs no slope.
-func arithmetic(value float64) quantity { return quantity{value: value, upper: value, least: value} }
+// computed is a figure that needs no slope.
+func computed(value float64) quantity {
+	return quantity{value: value, upperBound: value, lowerBound: value}
+}
 
-func (q quantity) times(factor float64) quantity {
+func (q quantity) scale(factor float64) quantity {
 	q.value *= factor
-	q.upper *= factor
-	q.least *= factor
+	q.upperBound *= factor
+	q.lowerBound *= factor
 	return q
 }
 
-// plus adds figures; the sum is known if both are, and else its known part is.
-func (q quantity) plus(other quantity) quantity {
+// add adds figures; the sum is known if both are, and else its known part is.
+func (q quantity) add(other quantity) quantity {
 	sum := q.combine(other, func(a, b float64) float64 { return a + b })
-	sum.least = q.least + other.least
+	sum.lowerBound = q.lowerBound + other.lowerBound
 	return sum
 }
 
 // multiply is the product of two figures; it is known if both are.
 func (q quantity) multiply(other quantity) quantity {
 	product := q.combine(other, func(a, b float64) float64 { return a * b })
-	if product.unknown == "" {
-		product.least = product.value
+	if product.unknownReason == "" {
+		product.lowerBound = product.value
 	}
 	return product
 }
 
 func (q quantity) combine(other quantity, operation func(a, b float64) float64) quantity {
 	result := quantity{
-		value:   operation(q.value, other.value),
-		upper:   operation(q.upper, other.upper),
-		unknown: q.unknown,
-		from:    slices.Clone(q.from),
-		trial:   q.trial || other.trial,
+		value:         operation(q.value, other.value),
+		upperBound:    operation(q.upperBound, other.upperBound),
+		unknownReason: q.unknownReason,
+		measures:      slices.Clone(q.measures),
+		trial:         q.trial || other.trial,
 	}
-	for _, name := range other.from {
-		if !slices.Contains(result.from, name) {
-			result.from = append(result.from, name)
+	for _, name := range other.measures {
+		if !slices.Contains(result.measures, name) {
+			result.measures = append(result.measures, name)
 		}
 	}
 	switch {
-	case result.unknown == "":
-		result.unknown = other.unknown
-	case other.unknown != "" && !strings.Contains(result.unknown, other.unknown):
-		result.unknown += "; " + other.unknown
+	case result.unknownReason == "":
+		result.unknownReason = other.unknownReason
+	case other.unknownReason != "" && !strings.Contains(result.unknownReason, other.unknownReason):
+		result.unknownReason += "; " + other.unknownReason
 	}
 	return result
 }
 
 // text is the figure with its unit, for a sentence.
 func (q quantity) text(unit string) string {
-	if q.unknown != "" {
+	if q.unknownReason != "" {
 		return "not known"
 	}
-	return withUnit(q.value, unit)
+	return formatWithUnit(q.value, unit)
 }
 
 // estimates are the fits of all slopes.
 type estimates struct {
-	slopes map[string]fitted
+	slopes map[string]fittedSlope
 }
 
-type fitted struct {
+type fittedSlope struct {
 	slope Slope
 	fit   Fit
 }
 
 func newEstimates(slopes []Slope) estimates {
-	e := estimates{slopes: map[string]fitted{}}
+	e := estimates{slopes: map[string]fittedSlope{}}
 	for _, s := range slopes {
-		measure, _ := measureOf(s.Measure)
-		e.slopes[s.Measure] = fitted{s, FitPoints(measure.Form, s.Points)}
+		measure, _ := findMeasure(s.Measure)
+		e.slopes[s.Measure] = fittedSlope{s, FitPoints(measure.Form, s.Points)}
 	}
 	return e
 }
 
-// at is a measure's figure at a size.
-func (e estimates) at(name string, size float64) quantity {
+// estimate is a measure's figure estimate a size.
+func (e estimates) estimate(name string, size float64) quantity {
 	f, measured := e.slopes[name]
 	if !measured {
-		return quantity{unknown: name + " is not measured", from: []string{name}}
+		return quantity{unknownReason: name + " is not measured", measures: []string{name}}
 	}
-	q := quantity{from: []string{name}, trial: f.slope.Trial}
-	if size > f.fit.Largest*TrustedReach {
-		q.unknown = fmt.Sprintf("%s is measured up to %s alone", name, number(f.fit.Largest))
+	q := quantity{measures: []string{name}, trial: f.slope.Trial}
+	if size > f.fit.LargestSize*MaxExtrapolation {
+		q.unknownReason = fmt.Sprintf("%s is measured up to %s alone", name, formatNumber(f.fit.LargestSize))
 		return q
 	}
 	value, ok := f.fit.At(size)
 	if !ok {
-		q.unknown = fmt.Sprintf("%s is measured from %s to %s alone", name, number(f.fit.Least), number(f.fit.Largest))
+		q.unknownReason = fmt.Sprintf("%s is measured from %s to %s alone", name, formatNumber(f.fit.SmallestSize), formatNumber(f.fit.LargestSize))
 		return q
 	}
 	q.value = max(value, 0)
-	q.upper = q.value + f.fit.Worst
-	q.least = q.value
+	q.upperBound = q.value + f.fit.MaxResidual
+	q.lowerBound = q.value
 	return q
 }
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	secondsPerDay   = 86_400.0
-	hoursPerDay     = 24.0
-	microsPerSecond = 1e6
-	microsPerMilli  = 1e3
-	defaultSoak     = 20.0 // seconds, soak_for of a rollout that names none
-	defaultWaves    = 3.0  // one instance, a quarter, all
-	reportEvery     = 2.0  // seconds between two reports of an agent
-	watchSeconds    = 4.0  // of a watch of discovery without news
+	secondsPerDay         = 86_400.0
+	hoursPerDay           = 24.0
+	microsPerSecond       = 1e6
+	microsPerMilli        = 1e3
+	defaultSoakSeconds    = 20.0 // seconds, soak_for of a rollout that names none
+	defaultWaves          = 3.0  // one instance, a quarter, all
+	reportIntervalSeconds = 2.0  // seconds between two reports of an agent
+	watchTimeoutSeconds   = 4.0  // of a watch of discovery without news
 )
 
 // Mechanisms that several lines name.
 const (
-	wholeFile       = "a revision of one file, pulled whole by each agent in waves"
-	plannedRecords  = "records, sent as changes, pulled from any control machine"
-	plannedQuota    = "calls to the counter in batches, by region"
-	plannedList     = "the list by service, and by change"
-	plannedFewer    = "a gateway's choice among few backends of a service"
-	swim            = "SWIM with Lifeguard (elderyard-peers)"
-	reportsAndOrder = "a report every 2 s, orders with the answer"
+	fullFile            = "a revision of one file, pulled whole by each agent in waves"
+	plannedRecords      = "records, sent as changes, pulled from any control machine"
+	plannedQuotaBatches = "calls to the counter in batches, by region"
+	plannedPartialList  = "the list by service, and by change"
+	plannedSubsetting   = "a gateway's choice among few backends of a service"
+	swim                = "SWIM with Lifeguard (elderyard-peers)"
+	reportsAndOrders    = "a report every 2 s, orders with the answer"
 )
 
 // requestsPerGateway is the peak over all gateways, evenly spread.
@@ -34,13 +34,13 @@
 	return float64(b.size.Site.RequestsPerSecond) / float64(b.size.Site.Gateways)
 }
 
-// meanService is the number of backends of a service of mean size.
-func (b *builder) meanService() float64 {
+// meanServiceBackends is the number of backends of a service of mean size.
+func (b *builder) meanServiceBackends() float64 {
 	return float64(b.size.Site.Backends) / float64(b.size.Site.Services)
 }
 
-// largestService is the number of backends of the largest service.
-func (b *builder) largestService() float64 {
+// largestServiceBackends is the number of backends of the largest service.
+func (b *builder) largestServiceBackends() float64 {
 	return max(b.size.Assumptions.LargestServiceShare*float64(b.size.Site.Backends), 1)
 }
 
@@ -49,70 +49,70 @@
 		b.add(requirementSpec{RequestPath, kind, item, "rules/, one pure module a gateway", planned, unit, value, budget, note})
 	}
 	rate := b.requestsPerGateway()
-	add(Messages, "requests at the peak, evenly spread", "1/s", arithmetic(rate), 0, "", "")
+	add(Messages, "requests at the peak, evenly spread", "1/s", computed(rate), 0, "", "")
 	for _, list := range []struct {
-		backends  float64
-		item      string
-		otherwise string
+		backends float64
+		item     string
+		planned  string
 	}{
-		{b.meanService(), "a service of mean size", ""},
-		{b.largestService(), "the largest service", plannedFewer},
+		{b.meanServiceBackends(), "a service of mean size", ""},
+		{b.largestServiceBackends(), "the largest service", plannedSubsetting},
 	} {
-		decision := b.estimates.at(RequestDecision, list.backends)
-		about := fmt.Sprintf("%s, %s backends", list.item, number(list.backends))
-		add(Time, "one decision, "+about, "ms", decision.times(1/microsPerMilli), b.size.Budget.AddedMilliseconds, list.otherwise, "the decision's CPU alone, beside the whole of what may be added")
-		add(CPU, "decisions, "+about, "cores", decision.times(rate/microsPerSecond), 0, list.otherwise, "not of the budget for control")
+		decision := b.estimates.estimate(RequestDecisionTime, list.backends)
+		item := fmt.Sprintf("%s, %s backends", list.item, formatNumber(list.backends))
+		add(Time, "one decision, "+item, "ms", decision.scale(1/microsPerMilli), b.size.Budget.AddedMilliseconds, list.planned, "the decision's CPU alone, beside the whole of what may be added")
+		add(CPU, "decisions, "+item, "cores", decision.scale(rate/microsPerSecond), 0, list.planned, "not of the budget for control")
 	}
-	add(Time, "added to a request, 99 in 100", "ms", b.of(RequestAdded), b.size.Budget.AddedMilliseconds, "", "")
-	add(CPU, "all of a request, sockets too", "cores", b.of(RequestCPU).times(rate/microsPerSecond), 0, "", "not of the budget for control")
+	add(Time, "added to a request, 99 in 100", "ms", b.estimate(RequestAddedLatency), b.size.Budget.AddedMilliseconds, "", "")
+	add(CPU, "all of a request, sockets too", "cores", b.estimate(RequestCPU).scale(rate/microsPerSecond), 0, "", "not of the budget for control")
 }
 
 func (b *builder) membership() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
 		b.add(requirementSpec{Membership, kind, item, swim, "", unit, value, budget, note})
 	}
-	add(State, "members that a gateway knows", "", arithmetic(float64(b.size.Site.Gateways)), members.MaxRosterSize, "the budget is the largest roster that is accepted today")
-	add(Messages, "datagrams", "1/s", b.of(MembersMessages), 0, "")
-	add(Bytes, "sent", "B/s", b.of(MembersBytes), b.size.Budget.GatewayBytesPerSecond, "")
-	add(CPU, "an idle gateway with members", "cores", b.of(MembersCPU), b.size.Budget.GatewayCores, "the whole idle gateway")
-	add(Memory, "an idle gateway with members", "MB", b.of(MembersMemory), b.size.Budget.GatewayMemoryMB, "the whole idle gateway")
-	add(Time, "until all have given a killed one up", "s", b.of(MembersAgree), 0, "")
-	add(Time, "until all hear all after a cut in halves", "s", b.of(MembersHeal), 0, "")
+	add(State, "members that a gateway knows", "", computed(float64(b.size.Site.Gateways)), members.MaxRosterSize, "the budget is the largest roster that is accepted today")
+	add(Messages, "datagrams", "1/s", b.estimate(MembersMessages), 0, "")
+	add(Bytes, "sent", "B/s", b.estimate(MembersBytes), b.size.Budget.GatewayBytesPerSecond, "")
+	add(CPU, "an idle gateway with members", "cores", b.estimate(MembersCPU), b.size.Budget.GatewayCores, "the whole idle gateway")
+	add(Memory, "an idle gateway with members", "MB", b.estimate(MembersMemory), b.size.Budget.GatewayMemoryMB, "the whole idle gateway")
+	add(Time, "until all have given a killed one up", "s", b.estimate(MembersDetectionTime), 0, "")
+	add(Time, "until all hear all after a cut in halves", "s", b.estimate(MembersPartitionRecoveryTime), 0, "")
 }
 
 func (b *builder) discovery() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, planned, note string) {
 		b.add(requirementSpec{Discovery, kind, item, "the whole list at a start, then changes", planned, unit, value, budget, note})
 	}
-	list := b.of(DiscoveryListBytes)
-	add(State, "backends in a gateway's list", "", arithmetic(float64(b.size.Site.Backends)), 0, "", "")
-	add(Bytes, "one whole list", "B", list, 0, plannedList, "")
-	add(Time, "one whole list at the budget's bytes a second", "s", list.times(1/b.size.Budget.GatewayBytesPerSecond), b.size.Assumptions.ListSeconds, plannedList, "each start, and each time that discovery has dropped the version; the bound is ours")
-	add(Bytes, "lists, mean of the day's starts", "B/s", b.listsPerSecond(), b.size.Budget.GatewayBytesPerSecond, plannedList, "")
-	add(Bytes, "watches without news", "B/s", b.emptyWatchesPerSecond(), b.size.Budget.GatewayBytesPerSecond, "", "each ends after 4 s")
-	add(Bytes, "changes, mean of the day", "B/s", b.backendChangesPerSecond(), b.size.Budget.GatewayBytesPerSecond, "", "a backend that fails or restarts is two changes")
+	list := b.estimate(DiscoveryListBytes)
+	add(State, "backends in a gateway's list", "", computed(float64(b.size.Site.Backends)), 0, "", "")
+	add(Bytes, "one whole list", "B", list, 0, plannedPartialList, "")
+	add(Time, "one whole list at the budget's bytes a second", "s", list.scale(1/b.size.Budget.GatewayBytesPerSecond), b.size.Assumptions.ListSeconds, plannedPartialList, "each start, and each time that discovery has dropped the version; the bound is ours")
+	add(Bytes, "lists, mean of the day's starts", "B/s", b.listBytesPerSecond(), b.size.Budget.GatewayBytesPerSecond, plannedPartialList, "")
+	add(Bytes, "watches without news", "B/s", b.idleWatchBytesPerSecond(), b.size.Budget.GatewayBytesPerSecond, "", "each ends after 4 s")
+	add(Bytes, "changes, mean of the day", "B/s", b.backendChangeBytesPerSecond(), b.size.Budget.GatewayBytesPerSecond, "", "a backend that fails or restarts is two changes")
 }
 
-// perMachine is how often a day one machine of the site fails or has its process
+// eventsPerMachineDay is how often a day one machine of the site fails or has its process
 // restarted.
-func (b *builder) perMachine() float64 {
+func (b *builder) eventsPerMachineDay() float64 {
 	return (b.size.Failures.MachinesPerDay + b.size.Failures.RestartsPerDay) / float64(b.size.Machines())
 }
 
-// listsPerSecond is what whole lists cost a gateway by the mean of its starts.
-func (b *builder) listsPerSecond() quantity {
-	return b.of(DiscoveryListBytes).times(b.perMachine() / secondsPerDay)
+// listBytesPerSecond is what whole lists cost a gateway by the mean of its starts.
+func (b *builder) listBytesPerSecond() quantity {
+	return b.estimate(DiscoveryListBytes).scale(b.eventsPerMachineDay() / secondsPerDay)
 }
 
-// backendChangesPerSecond is what changes of backends cost a gateway.
-func (b *builder) backendChangesPerSecond() quantity {
-	changes := 2 * b.perMachine() * float64(b.size.Site.Backends)
-	return b.of(DiscoveryChangeBytes).times(changes / secondsPerDay)
+// backendChangeBytesPerSecond is what changes of backends cost a gateway.
+func (b *builder) backendChangeBytesPerSecond() quantity {
+	changes := 2 * b.eventsPerMachineDay() * float64(b.size.Site.Backends)
+	return b.estimate(DiscoveryChangeBytes).scale(changes / secondsPerDay)
 }
 
-// emptyWatchesPerSecond is what watches without news cost a gateway.
-func (b *builder) emptyWatchesPerSecond() quantity {
-	return b.of(DiscoveryWatchBytes).times(1 / watchSeconds)
+// idleWatchBytesPerSecond is what watches without news cost a gateway.
+func (b *builder) idleWatchBytesPerSecond() quantity {
+	return b.estimate(DiscoveryEmptyWatchBytes).scale(1 / watchTimeoutSeconds)
 }
 
 func (b *builder) configuration() {
@@ -122,25 +122,25 @@
 
 // fileBytesPerSecond is what whole files cost a gateway by the day's mean.
 func (b *builder) fileBytesPerSecond() quantity {
-	return b.of(FileBytesByRecords).times(float64(b.size.Site.ChangesPerDay) / secondsPerDay)
+	return b.estimate(FileBytesPerChange).scale(float64(b.size.Site.ChangesPerDay) / secondsPerDay)
 }
 
 func (b *builder) configurationByFile() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{Configuration, kind, "whole file: " + item, wholeFile, plannedRecords, unit, value, budget, note})
+		b.add(requirementSpec{Configuration, kind, "whole file: " + item, fullFile, plannedRecords, unit, value, budget, note})
 	}
 	budget := &b.size.Budget
-	change := b.of(FileBytesByRecords)
-	plain := arithmetic(float64(b.size.Entries()) * b.size.Assumptions.RecordBytes)
-	add(State, "all entries in one file", "B", plain, revisions.MaxFileBytes, "the budget is the largest file that is accepted today")
+	change := b.estimate(FileBytesPerChange)
+	fileBytes := computed(float64(b.size.Entries()) * b.size.Assumptions.RecordBytes)
+	add(State, "all entries in one file", "B", fileBytes, revisions.MaxFileBytes, "the budget is the largest file that is accepted today")
 	add(Bytes, "mean of the day's changes", "B/s", b.fileBytesPerSecond(), budget.GatewayBytesPerSecond, "")
-	add(Time, "one change at the budget's bytes a second", "s", change.times(1/budget.GatewayBytesPerSecond), budget.InForceSeconds, "")
-	add(Time, "one change by waves, no soak, all away at once", "s", b.of(FileInForce), budget.InForceSeconds, "")
-	add(Time, "one change by waves, with the default soaks, all away at once", "s", b.of(FileInForce).plus(arithmetic(defaultWaves*defaultSoak)), budget.InForceSeconds, "20 s in each of 3 waves")
-	add(Time, "one change by waves, with the default policy", "s", b.defaultRollout(), budget.InForceSeconds, "most_away = 1: the next is told when the one before has reported that it is ready")
+	add(Time, "one change at the budget's bytes a second", "s", change.scale(1/budget.GatewayBytesPerSecond), budget.InForceSeconds, "")
+	add(Time, "one change by waves, no soak, all away at once", "s", b.estimate(FilePropagationTime), budget.InForceSeconds, "")
+	add(Time, "one change by waves, with the default soaks, all away at once", "s", b.estimate(FilePropagationTime).add(computed(defaultWaves*defaultSoakSeconds)), budget.InForceSeconds, "20 s in each of 3 waves")
+	add(Time, "one change by waves, with the default policy", "s", b.defaultRolloutSeconds(), budget.InForceSeconds, "most_away = 1: the next is told when the one before has reported that it is ready")
 	add(Time, "changes that the history holds, at the day's rate", "h", b.historyHours(), 0, "")
-	add(Bytes, "mean of a day as measured", "B/s", b.of(FileBytesPerSecond), budget.GatewayBytesPerSecond, "")
-	add(Bytes, "worst 60 s of any gateway", "B/s", b.of(FileWorstMinute), budget.GatewayBytesPerSecond, "")
+	add(Bytes, "mean of a day as measured", "B/s", b.estimate(FileBytesPerSecond), budget.GatewayBytesPerSecond, "")
+	add(Bytes, "worst 60 s of any gateway", "B/s", b.estimate(FileWorstMinute), budget.GatewayBytesPerSecond, "")
 }
 
 func (b *builder) configurationByRecords() {
@@ -148,100 +148,100 @@
 		b.add(requirementSpec{Configuration, kind, "records: " + item, plannedRecords, "", unit, value, budget, note})
 	}
 	budget := &b.size.Budget
-	add(State, "records in a gateway's replica", "", arithmetic(float64(b.size.Entries())), 0, "")
-	add(Messages, "requests", "1/s", b.of(RecordsMessages), 0, "")
-	add(Bytes, "mean of the day", "B/s", b.of(RecordsBytes), budget.GatewayBytesPerSecond, "")
-	add(Bytes, "worst 60 s of any gateway", "B/s", b.of(RecordsWorstMinute), budget.GatewayBytesPerSecond, "")
-	add(Bytes, "one change", "B", b.of(RecordsBytesPerChange), 0, "")
-	add(CPU, "the agent's part", "cores", b.of(RecordsAgentCPU), budget.GatewayCores, "")
-	add(Memory, "the agent with its replica", "MB", b.of(RecordsAgentMemory), budget.GatewayMemoryMB, "")
-	add(Time, "in force everywhere, median", "s", b.of(RecordsInForceMedian), budget.InForceSeconds, "")
-	add(Time, "in force everywhere, 99 in 100", "s", b.of(RecordsInForceP99), budget.InForceSeconds, "")
-	add(Time, "in force everywhere, longest", "s", b.of(RecordsInForceMost), budget.InForceSeconds, "")
-	add(Time, "an empty replica whole, at the budget's bytes a second", "s", b.of(RecordsSnapshotBytes).times(1/budget.GatewayBytesPerSecond), 0, "the newest changes come first meanwhile")
+	add(State, "records in a gateway's replica", "", computed(float64(b.size.Entries())), 0, "")
+	add(Messages, "requests", "1/s", b.estimate(RecordsMessages), 0, "")
+	add(Bytes, "mean of the day", "B/s", b.estimate(RecordsBytes), budget.GatewayBytesPerSecond, "")
+	add(Bytes, "worst 60 s of any gateway", "B/s", b.estimate(RecordsWorstMinute), budget.GatewayBytesPerSecond, "")
+	add(Bytes, "one change", "B", b.estimate(RecordsBytesPerChange), 0, "")
+	add(CPU, "the agent's part", "cores", b.estimate(RecordsAgentCPU), budget.GatewayCores, "")
+	add(Memory, "the agent with its replica", "MB", b.estimate(RecordsAgentMemory), budget.GatewayMemoryMB, "")
+	add(Time, "in force everywhere, median", "s", b.estimate(RecordsPropagationMedian), budget.InForceSeconds, "")
+	add(Time, "in force everywhere, 99 in 100", "s", b.estimate(RecordsPropagationP99), budget.InForceSeconds, "")
+	add(Time, "in force everywhere, longest", "s", b.estimate(RecordsPropagationMax), budget.InForceSeconds, "")
+	add(Time, "an empty replica whole, at the budget's bytes a second", "s", b.estimate(RecordsSnapshotBytes).scale(1/budget.GatewayBytesPerSecond), 0, "the newest changes come first meanwhile")
 }
 
-// defaultRollout is the least time of a rollout with the default policy: one
+// defaultRolloutSeconds is the least time of a rollout with the default policy: one
 // report for each gateway, since one alone may be away, and the waves' soaks.
-func (b *builder) defaultRollout() quantity {
+func (b *builder) defaultRolloutSeconds() quantity {
 	return quantity{
-		least:   reportEvery*float64(b.size.Site.Gateways) + defaultWaves*defaultSoak,
-		unknown: "a lower bound",
+		lowerBound:    reportIntervalSeconds*float64(b.size.Site.Gateways) + defaultWaves*defaultSoakSeconds,
+		unknownReason: "a lower bound",
 	}
 }
 
 // historyHours is how far back a history of whole files reaches.
 func (b *builder) historyHours() quantity {
-	size := b.of(FileBytesByRecords)
-	if size.unknown != "" {
+	size := b.estimate(FileBytesPerChange)
+	if size.unknownReason != "" {
 		return size
 	}
 	changes := min(revisions.MaxHistoryBytes/size.value, revisions.MaxRevisions)
 	size.value = changes * hoursPerDay / float64(b.size.Site.ChangesPerDay)
-	size.upper, size.least = size.value, size.value
+	size.upperBound, size.lowerBound = size.value, size.value
 	return size
 }
 
 // counterCallsPerSecond is what all gateways ask of the counter at the peak.
 func (b *builder) counterCallsPerSecond() quantity {
-	return b.of(CounterCalls).times(float64(b.size.Site.RequestsPerSecond))
+	return b.estimate(CounterCalls).scale(float64(b.size.Site.RequestsPerSecond))
 }
 
 // quotaBytesPerSecond is what one gateway's calls to the counter cost at the peak.
 func (b *builder) quotaBytesPerSecond() quantity {
-	return b.of(CounterCalls).times(b.requestsPerGateway()).multiply(b.of(CounterBytes))
+	return b.estimate(CounterCalls).scale(b.requestsPerGateway()).multiply(b.estimate(CounterBytes))
 }
 
 func (b *builder) quotas() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{Quotas, kind, item, "calls to the shared counter; local shares while it is away", plannedQuota, unit, value, budget, note})
+		b.add(requirementSpec{Quotas, kind, item, "calls to the shared counter; local shares while it is away", plannedQuotaBatches, unit, value, budget, note})
 	}
-	calls := b.of(CounterCalls).times(b.requestsPerGateway())
+	calls := b.estimate(CounterCalls).scale(b.requestsPerGateway())
 	bytes := b.quotaBytesPerSecond()
-	budget, note := 0.0, fmt.Sprintf("counted as control it would be %s times the budget", ratio(bytes, b.size.Budget.GatewayBytesPerSecond))
+	budget, note := 0.0, fmt.Sprintf("counted as control it would be %s times the budget", ratioText(bytes, b.size.Budget.GatewayBytesPerSecond))
 	if b.size.Assumptions.QuotaCallsAreControl {
 		budget, note = b.size.Budget.GatewayBytesPerSecond, "counted as control"
 	}
-	add(State, "tenants, of which a gateway keeps those that come to it", "", arithmetic(float64(b.size.Site.Tenants)), 0, "")
-	add(Messages, fmt.Sprintf("calls at the peak, a tenant at %s gateways", number(float64(b.size.Assumptions.GatewaysPerTenant))), "1/s", calls, 0, "")
+	add(State, "tenants, of which a gateway keeps those that come to it", "", computed(float64(b.size.Site.Tenants)), 0, "")
+	add(Messages, fmt.Sprintf("calls at the peak, a tenant at %s gateways", formatNumber(float64(b.size.Assumptions.GatewaysPerTenant))), "1/s", calls, 0, "")
 	add(Bytes, "calls at the peak", "B/s", bytes, budget, note)
 }
 
-// ratio is a figure over a budget, as text.
-func ratio(q quantity, budget float64) string {
-	if q.unknown != "" {
+// ratioText is a figure over a budget, as text.
+func ratioText(q quantity, budget float64) string {
+	if q.unknownReason != "" {
 		return "an unknown number of"
 	}
-	return number(q.value / budget)
+	return formatNumber(q.value / budget)
 }
 
 func (b *builder) agent() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64) {
-		b.add(requirementSpec{Agent, kind, item, reportsAndOrder, "", unit, value, budget, "without records"})
+		b.add(requirementSpec{Agent, kind, item, reportsAndOrders, "", unit, value, budget, "without records"})
 	}
 	budget := &b.size.Budget
-	add(State, "gateways of its machine", "", arithmetic(1), 0)
-	add(Messages, "reports", "1/s", b.of(AgentMessages), 0)
-	add(Bytes, "reports and orders", "B/s", b.of(AgentBytes), budget.GatewayBytesPerSecond)
-	add(CPU, "at rest", "cores", b.of(AgentCPU), budget.GatewayCores)
-	add(Memory, "at rest", "MB", b.of(AgentMemory), budget.GatewayMemoryMB)
+	add(State, "gateways of its machine", "", computed(1), 0)
+	add(Messages, "reports", "1/s", b.estimate(AgentMessages), 0)
+	add(Bytes, "reports and orders", "B/s", b.estimate(AgentBytes), budget.GatewayBytesPerSecond)
+	add(CPU, "at rest", "cores", b.estimate(AgentCPU), budget.GatewayCores)
+	add(Memory, "at rest", "MB", b.estimate(AgentMemory), budget.GatewayMemoryMB)
 }
 
 // gatewayTotal adds up what counts as control on a gateway's machine, with the
 // configuration sent in either way.
 func (b *builder) gatewayTotal() {
 	budget := &b.size.Budget
-	bytes := b.of(AgentBytes).plus(b.of(MembersBytes)).plus(b.listsPerSecond()).plus(b.emptyWatchesPerSecond()).plus(b.backendChangesPerSecond())
+	bytes := b.estimate(AgentBytes).add(b.estimate(MembersBytes)).add(b.listBytesPerSecond()).add(b.idleWatchBytesPerSecond()).add(b.backendChangeBytesPerSecond())
 	if b.size.Assumptions.QuotaCallsAreControl {
-		bytes = bytes.plus(b.quotaBytesPerSecond())
+		bytes = bytes.add(b.quotaBytesPerSecond())
 	}
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
 		b.add(requirementSpec{GatewayTotal, kind, item, "the sum of the roles above", "", unit, value, budget, note})
 	}
-	add(Bytes, "configuration as whole files", "B/s", bytes.plus(b.fileBytesPerSecond()), budget.GatewayBytesPerSecond, "mean of the day")
-	add(Bytes, "configuration as records", "B/s", bytes.plus(b.of(RecordsBytes)), budget.GatewayBytesPerSecond, "mean of the day")
-	add(CPU, "configuration as records", "cores", b.of(AgentCPU).plus(b.of(MembersCPU)).plus(b.of(RecordsAgentCPU)), budget.GatewayCores, "with the whole idle gateway")
-	add(Memory, "configuration as records", "MB", b.of(RecordsAgentMemory).plus(b.of(MembersMemory)), budget.GatewayMemoryMB, "with the whole idle gateway; the agent's memory is in that of its replica")
+	add(Bytes, "configuration as whole files", "B/s", bytes.add(b.fileBytesPerSecond()), budget.GatewayBytesPerSecond, "mean of the day")
+	add(Bytes, "configuration as records", "B/s", bytes.add(b.estimate(RecordsBytes)), budget.GatewayBytesPerSecond, "mean of the day")
+	add(CPU, "configuration as records", "cores", b.estimate(AgentCPU).add(b.estimate(MembersCPU)).add(b.estimate(RecordsAgentCPU)), budget.GatewayCores, "with the whole idle gateway")
+	add(Memory, "configuration as records", "MB", b.estimate(RecordsAgentMemory).add(b.estimate(MembersMemory)), budget.GatewayMemoryMB, "with the whole idle gateway; the agent's memory is in that of its replica")
 }
 
 func (b *builder) voter() {
@@ -250,26 +250,26 @@
 	}
 	machine := &b.size.Assumptions
 	const raft = "raft among the voters; the leader hears all agents"
-	add(State, "agents that the leader hears", raft, "", "", arithmetic(float64(b.size.Site.Gateways)), 0, "")
-	add(Messages, "reports to the leader", raft, "", "1/s", b.of(AgentMessages).times(float64(b.size.Site.Gateways)), 0, "")
-	add(Bytes, "leader at rest", raft, "", "B/s", b.of(LeaderBytes), machine.ControlBytesPerSecond, "")
-	add(CPU, "leader at rest", raft, "", "cores", b.of(LeaderCPU), machine.ControlCores, "")
-	add(Memory, "leader at rest", raft, "", "MB", b.of(LeaderMemory), machine.ControlMemoryMB, "")
-	add(Bytes, "another voter at rest", raft, "", "B/s", b.of(VoterBytes), machine.ControlBytesPerSecond, "")
-	add(CPU, "another voter at rest", raft, "", "cores", b.of(VoterCPU), machine.ControlCores, "")
-	add(Memory, "another voter at rest", raft, "", "MB", b.of(VoterMemory), machine.ControlMemoryMB, "")
-
-	sent := b.of(FileBytesByRecords).times(float64(b.size.Site.Gateways))
-	add(Bytes, "whole file: one change, from the leader to all", wholeFile, plannedRecords, "B", sent, 0, "")
-	add(Time, "whole file: that at the machine's bytes a second", wholeFile, plannedRecords, "s", sent.times(1/machine.ControlBytesPerSecond), b.size.Budget.InForceSeconds, "nothing else on the link")
-	add(Memory, "whole file: leader's peak in a change", wholeFile, plannedRecords, "MB", b.of(FileLeaderMemory), machine.ControlMemoryMB, "")
-	add(Bytes, "whole file: leader over the day", wholeFile, plannedRecords, "B/s", b.of(FileLeaderBytesRate), machine.ControlBytesPerSecond, "")
-	add(CPU, "whole file: leader over the day", wholeFile, plannedRecords, "cores", b.of(FileLeaderCPU), machine.ControlCores, "")
-	add(Bytes, "records: the busiest control process", plannedRecords, "", "B/s", b.of(RecordsServerBytes), machine.ControlBytesPerSecond, "")
-	add(CPU, "records: the busiest control process", plannedRecords, "", "cores", b.of(RecordsServerCPU), machine.ControlCores, "")
-	add(Memory, "records: a control process", plannedRecords, "", "MB", b.of(RecordsServerMemory), machine.ControlMemoryMB, "")
-	burst := b.of(RecordsSnapshotBytes).times(b.restartBurst())
-	add(Bytes, "records: a burst of empty replicas, all of their bytes", plannedRecords, "", "B", burst, 0, fmt.Sprintf("%s gateways in one instant", number(b.restartBurst())))
+	add(State, "agents that the leader hears", raft, "", "", computed(float64(b.size.Site.Gateways)), 0, "")
+	add(Messages, "reports to the leader", raft, "", "1/s", b.estimate(AgentMessages).scale(float64(b.size.Site.Gateways)), 0, "")
+	add(Bytes, "leader at rest", raft, "", "B/s", b.estimate(LeaderBytes), machine.ControlBytesPerSecond, "")
+	add(CPU, "leader at rest", raft, "", "cores", b.estimate(LeaderCPU), machine.ControlCores, "")
+	add(Memory, "leader at rest", raft, "", "MB", b.estimate(LeaderMemory), machine.ControlMemoryMB, "")
+	add(Bytes, "another voter at rest", raft, "", "B/s", b.estimate(VoterBytes), machine.ControlBytesPerSecond, "")
+	add(CPU, "another voter at rest", raft, "", "cores", b.estimate(VoterCPU), machine.ControlCores, "")
+	add(Memory, "another voter at rest", raft, "", "MB", b.estimate(VoterMemory), machine.ControlMemoryMB, "")
+
+	sent := b.estimate(FileBytesPerChange).scale(float64(b.size.Site.Gateways))
+	add(Bytes, "whole file: one change, from the leader to all", fullFile, plannedRecords, "B", sent, 0, "")
+	add(Time, "whole file: that at the machine's bytes a second", fullFile, plannedRecords, "s", sent.scale(1/machine.ControlBytesPerSecond), b.size.Budget.InForceSeconds, "nothing else on the link")
+	add(Memory, "whole file: leader's peak in a change", fullFile, plannedRecords, "MB", b.estimate(FileLeaderPeakMemory), machine.ControlMemoryMB, "")
+	add(Bytes, "whole file: leader over the day", fullFile, plannedRecords, "B/s", b.estimate(FileLeaderBytesRate), machine.ControlBytesPerSecond, "")
+	add(CPU, "whole file: leader over the day", fullFile, plannedRecords, "cores", b.estimate(FileLeaderCPU), machine.ControlCores, "")
+	add(Bytes, "records: the busiest control process", plannedRecords, "", "B/s", b.estimate(RecordsServerBytes), machine.ControlBytesPerSecond, "")
+	add(CPU, "records: the busiest control process", plannedRecords, "", "cores", b.estimate(RecordsServerCPU), machine.ControlCores, "")
+	add(Memory, "records: a control process", plannedRecords, "", "MB", b.estimate(RecordsServerMemory), machine.ControlMemoryMB, "")
+	burst := b.estimate(RecordsSnapshotBytes).scale(b.restartBurst())
+	add(Bytes, "records: a burst of empty replicas, all of their bytes", plannedRecords, "", "B", burst, 0, fmt.Sprintf("%s gateways in one instant", formatNumber(b.restartBurst())))
 }
 
 // restartBurst is the number of gateways that may be restarted in one instant.
@@ -279,32 +279,32 @@
 
 func (b *builder) counter() {
 	add := func(kind Kind, item, unit string, value quantity, note string) {
-		b.add(requirementSpec{Counter, kind, item, "one counter for all gateways", plannedQuota, unit, value, 0, note})
+		b.add(requirementSpec{Counter, kind, item, "one counter for all gateways", plannedQuotaBatches, unit, value, 0, note})
 	}
 	calls := b.counterCallsPerSecond()
-	add(State, "tenants with a window each", "", arithmetic(float64(b.size.Site.Tenants)), "")
+	add(State, "tenants with a window each", "", computed(float64(b.size.Site.Tenants)), "")
 	add(Messages, "calls at the peak", "1/s", calls, "the counter is the platform's; what it bears is not given")
-	add(Bytes, "calls at the peak", "B/s", calls.multiply(b.of(CounterBytes)), "")
-	add(CPU, "calls at the peak", "cores", calls.multiply(b.of(CounterCPU)).times(1/microsPerSecond), "")
+	add(Bytes, "calls at the peak", "B/s", calls.multiply(b.estimate(CounterBytes)), "")
+	add(CPU, "calls at the peak", "cores", calls.multiply(b.estimate(CounterCPU)).scale(1/microsPerSecond), "")
 }
 
 func (b *builder) registry() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{Registry, kind, item, "one watch a gateway", plannedList, unit, value, budget, note})
+		b.add(requirementSpec{Registry, kind, item, "one watch a gateway", plannedPartialList, unit, value, budget, note})
 	}
 	watches := float64(b.size.Site.Gateways)
-	burst := b.of(DiscoveryListBytes).times(b.restartBurst())
-	add(State, "watches held", "", arithmetic(watches), 0, "")
-	add(Messages, "changes told to all gateways, mean of the day", "1/s", arithmetic(2*b.perMachine()*float64(b.size.Site.Backends)*watches/secondsPerDay), 0, "a backend that fails or restarts is two changes")
-	add(Bytes, "whole lists to a burst of starts", "B", burst, 0, fmt.Sprintf("%s gateways in one instant", number(b.restartBurst())))
-	add(Time, "that at a control machine's bytes a second", "s", burst.times(1/b.size.Assumptions.ControlBytesPerSecond), b.size.Assumptions.ListSeconds, "the platform's discovery may have another link")
+	burst := b.estimate(DiscoveryListBytes).scale(b.restartBurst())
+	add(State, "watches held", "", computed(watches), 0, "")
+	add(Messages, "changes told to all gateways, mean of the day", "1/s", computed(2*b.eventsPerMachineDay()*float64(b.size.Site.Backends)*watches/secondsPerDay), 0, "a backend that fails or restarts is two changes")
+	add(Bytes, "whole lists to a burst of starts", "B", burst, 0, fmt.Sprintf("%s gateways in one instant", formatNumber(b.restartBurst())))
+	add(Time, "that at a control machine's bytes a second", "s", burst.scale(1/b.size.Assumptions.ControlBytesPerSecond), b.size.Assumptions.ListSeconds, "the platform's discovery may have another link")
 }
 
 func (b *builder) tool() {
 	add := func(kind Kind, item, unit string, value quantity) {
 		b.add(requirementSpec{Tool, kind, item, "one call to any agent, which has the leader answer", "", unit, value, 0, ""})
 	}
-	add(State, "gateways in one answer", "", arithmetic(float64(b.size.Site.Gateways)))
-	add(Bytes, "elderctl instances --json", "B", b.of(OperatorStatusBytes))
-	add(Time, "elderctl instances --json", "s", b.of(OperatorStatusSeconds))
+	add(State, "gateways in one answer", "", computed(float64(b.size.Site.Gateways)))
+	add(Bytes, "elderctl instances --json", "B", b.estimate(OperatorStatusBytes))
+	add(Time, "elderctl instances --json", "s", b.estimate(OperatorStatusSeconds))
 }
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -85,32 +85,32 @@
 	return size, nil
 }
 
-// sizeRange is what a key's value may be.
-type sizeRange struct {
-	least, most float64
-	above       bool // least itself is not allowed
+// valueRange is what a key's value may be.
+type valueRange struct {
+	minimum, maximum float64
+	exclusiveMinimum bool // least itself is not allowed
 }
 
-// mostCount bounds every number and every size, far above what any site has.
-const mostCount = 1e12
-
-// mostPlaces bounds regions, zones and control machines.
-const mostPlaces = 1000
-
-// sizeRanges are the keys whose values may not be anything above 0.
-var sizeRanges = map[string]sizeRange{
-	"site.regions":                      {least: 1, most: mostPlaces},
-	"site.zones":                        {least: 1, most: mostPlaces},
-	"budget.control_machines":           {least: 1, most: mostPlaces},
-	"failures.machines_per_day":         {least: 0, most: mostCount},
-	"failures.restarts_per_day":         {least: 0, most: mostCount},
-	"failures.racks_per_year":           {least: 0, most: mostCount},
-	"failures.zones_per_year":           {least: 0, most: mostCount},
-	"failures.region_cuts_per_year":     {least: 0, most: mostCount},
-	"failures.region_cut_minutes":       {least: 0, most: mostCount},
-	"assumptions.change_peak_over_mean": {least: 1, most: mostCount},
-	"assumptions.restart_burst_share":   {least: 0, most: 1, above: true},
-	"assumptions.largest_service_share": {least: 0, most: 1, above: true},
+// maxNumber bounds every number and every size, far above what any site has.
+const maxNumber = 1e12
+
+// maxTopologyCount bounds regions, zones and control machines.
+const maxTopologyCount = 1000
+
+// keyRanges are the keys whose values may not be anything above 0.
+var keyRanges = map[string]valueRange{
+	"site.regions":                      {minimum: 1, maximum: maxTopologyCount},
+	"site.zones":                        {minimum: 1, maximum: maxTopologyCount},
+	"budget.control_machines":           {minimum: 1, maximum: maxTopologyCount},
+	"failures.machines_per_day":         {minimum: 0, maximum: maxNumber},
+	"failures.restarts_per_day":         {minimum: 0, maximum: maxNumber},
+	"failures.racks_per_year":           {minimum: 0, maximum: maxNumber},
+	"failures.zones_per_year":           {minimum: 0, maximum: maxNumber},
+	"failures.region_cuts_per_year":     {minimum: 0, maximum: maxNumber},
+	"failures.region_cut_minutes":       {minimum: 0, maximum: maxNumber},
+	"assumptions.change_peak_over_mean": {minimum: 1, maximum: maxNumber},
+	"assumptions.restart_burst_share":   {minimum: 0, maximum: 1, exclusiveMinimum: true},
+	"assumptions.largest_service_share": {minimum: 0, maximum: 1, exclusiveMinimum: true},
 }
 
 func (s *Size) validate(file string, text []byte) error {
@@ -144,22 +144,22 @@
 		default:
 			continue
 		}
-		allowed, special := sizeRanges[key]
-		if !special {
-			allowed = sizeRange{least: 0, most: mostCount, above: true}
+		allowed, listed := keyRanges[key]
+		if !listed {
+			allowed = valueRange{minimum: 0, maximum: maxNumber, exclusiveMinimum: true}
 		}
 		switch {
-		case math.IsNaN(number), number < allowed.least, number > allowed.most:
-			return strict.ErrorAt(file, text, key, "%g is not between %g and %g", number, allowed.least, allowed.most)
-		case allowed.above && number == allowed.least:
-			return strict.ErrorAt(file, text, key, "it must be given, and above %g: %s", allowed.least, value.Type().Field(i).Tag.Get("doc"))
+		case math.IsNaN(number), number < allowed.minimum, number > allowed.maximum:
+			return strict.ErrorAt(file, text, key, "%g is not between %g and %g", number, allowed.minimum, allowed.maximum)
+		case allowed.exclusiveMinimum && number == allowed.minimum:
+			return strict.ErrorAt(file, text, key, "it must be given, and above %g: %s", allowed.minimum, value.Type().Field(i).Tag.Get("doc"))
 		}
 	}
 	return nil
 }
 
 // sizeKey is one key of a size with its value, for a table.
-type sizeKey struct{ name, value, about string }
+type sizeKey struct{ name, value, description string }
 
 // keys lists all keys of the size, in the order of the file.
 func (s *Size) keys() (list []sizeKey) {
@@ -169,18 +169,18 @@
 		value := root.Field(i)
 		for k := range value.NumField() {
 			tag := value.Type().Field(k).Tag
-			list = append(list, sizeKey{table + "." + tag.Get("toml"), keyText(value.Field(k)), tag.Get("doc")})
+			list = append(list, sizeKey{table + "." + tag.Get("toml"), formatValue(value.Field(k)), tag.Get("doc")})
 		}
 	}
 	return list
 }
 
-func keyText(value reflect.Value) string {
+func formatValue(value reflect.Value) string {
 	switch value.Kind() {
 	case reflect.Int:
-		return number(float64(value.Int()))
+		return formatNumber(float64(value.Int()))
 	case reflect.Float64:
-		return number(value.Float())
+		return formatNumber(value.Float())
 	}
 	return fmt.Sprint(value.Interface())
 }
--- a/capacity/slopes.go
+++ b/capacity/slopes.go
@@ -14,30 +14,30 @@
 
 // Bounds of a file of slopes.
 const (
-	mostSlopeFile = 1 << 20 // bytes
-	mostPoints    = 10_000  // of one slope
-	mostValue     = 1e15    // of one point
-	dateForm      = "2006-01-02"
+	maxSlopesFileBytes = 1 << 20 // bytes
+	maxPoints          = 10_000  // of one slope
+	maxPointValue      = 1e15    // of one point
+	dateLayout         = "2006-01-02"
 )
 
 // Slope is one measure at several sizes, as one command measured it.
 type Slope struct {
-	Measure  string  `json:"measure"`        // the name of a Measure
-	Unit     string  `json:"unit"`           // the measure's unit, said again so that a mistake is noticed
-	Command  string  `json:"command"`        // what measured it, so that it can be measured again
-	Measured string  `json:"measured"`       // the day, as 2026-12-02
-	Beside   string  `json:"beside"`         // what else ran on the machine
-	Trial    bool    `json:"trial"`          // of a scratch copy, or on a machine with other load: to be measured again
-	Note     string  `json:"note,omitempty"` // anything that a reader has to know
-	Points   []Point `json:"points"`
+	Measure        string  `json:"measure"`        // the name of a Measure
+	Unit           string  `json:"unit"`           // the measure's unit, said again so that a mistake is noticed
+	Command        string  `json:"command"`        // what measured it, so that it can be measured again
+	Date           string  `json:"measured"`       // the day, as 2026-12-02
+	ConcurrentLoad string  `json:"beside"`         // what else ran on the machine
+	Trial          bool    `json:"trial"`          // of a scratch copy, or on a machine with other load: to be measured again
+	Comment        string  `json:"note,omitempty"` // anything that a reader has to know
+	Points         []Point `json:"points"`
 }
 
 // DecodeSlopes reads a file of slopes: a JSON list of Slope. Errors are
 // *strict.Error and name file, line and key. A measure may stand in it once.
 func DecodeSlopes(file string, text []byte) ([]Slope, error) {
 	d := slopeDecoder{file: file, text: text}
-	if len(text) > mostSlopeFile {
-		return nil, d.errorAt(0, "", "%d bytes, and %d may be", len(text), mostSlopeFile)
+	if len(text) > maxSlopesFileBytes {
+		return nil, d.errorAt(0, "", "%d bytes, and %d may be", len(text), maxSlopesFileBytes)
 	}
 	return d.decode()
 }
@@ -63,11 +63,11 @@
 			return nil, d.decodeError(start, key, err)
 		}
 		end := int(reader.InputOffset())
-		if field, problem := slope.problem(); problem != "" {
+		if field, problem := slope.validate(); problem != "" {
 			return nil, d.errorAt(d.fieldOffset(start, end, field), key+"."+field, "%s", problem)
 		}
-		if before, twice := seen[slope.Measure]; twice {
-			return nil, d.errorAt(d.fieldOffset(start, end, "measure"), key+".measure", "%q stands in [%d] already", slope.Measure, before)
+		if firstIndex, duplicate := seen[slope.Measure]; duplicate {
+			return nil, d.errorAt(d.fieldOffset(start, end, "measure"), key+".measure", "%q stands in [%d] already", slope.Measure, firstIndex)
 		}
 		seen[slope.Measure] = len(slopes)
 		slopes = append(slopes, slope)
@@ -81,9 +81,9 @@
 	return slopes, nil
 }
 
-// problem is what is wrong with a slope, and in which field; empty if nothing is.
-func (s *Slope) problem() (field, problem string) {
-	measure, known := measureOf(s.Measure)
+// validate is what is wrong with a slope, and in which field; empty if nothing is.
+func (s *Slope) validate() (field, problem string) {
+	measure, known := findMeasure(s.Measure)
 	switch {
 	case s.Measure == "":
 		return "measure", "it must be named"
@@ -99,18 +99,18 @@
 		return "command", "it must say what measured the points"
 	case len(s.Points) == 0:
 		return "points", "there must be one at least"
-	case len(s.Points) > mostPoints:
-		return "points", fmt.Sprintf("%d, and %d may be", len(s.Points), mostPoints)
+	case len(s.Points) > maxPoints:
+		return "points", fmt.Sprintf("%d, and %d may be", len(s.Points), maxPoints)
 	}
-	if _, err := time.Parse(dateForm, s.Measured); err != nil {
-		return "measured", fmt.Sprintf("%q is not a day such as \"2026-12-02\"", s.Measured)
+	if _, err := time.Parse(dateLayout, s.Date); err != nil {
+		return "measured", fmt.Sprintf("%q is not a day such as \"2026-12-02\"", s.Date)
 	}
 	for i, p := range s.Points {
 		switch {
-		case p.Size < 1 || p.Size > mostCount:
-			return fmt.Sprintf("points[%d].size", i), fmt.Sprintf("%g is not between 1 and %g", p.Size, mostCount)
-		case p.Value < 0 || p.Value > mostValue:
-			return fmt.Sprintf("points[%d].value", i), fmt.Sprintf("%g is not between 0 and %g", p.Value, mostValue)
+		case p.Size < 1 || p.Size > maxNumber:
+			return fmt.Sprintf("points[%d].size", i), fmt.Sprintf("%g is not between 1 and %g", p.Size, maxNumber)
+		case p.Value < 0 || p.Value > maxPointValue:
+			return fmt.Sprintf("points[%d].value", i), fmt.Sprintf("%g is not between 0 and %g", p.Value, maxPointValue)
 		}
 	}
 	return "", ""
@@ -128,12 +128,12 @@
 // begins at start, into one that names the line.
 func (d *slopeDecoder) decodeError(start int, key string, err error) error {
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
 		return d.errorAt(int(syntax.Offset), key, "%s", strings.TrimPrefix(syntax.Error(), "json: "))
-	case errors.As(err, &kind):
-		return d.errorAt(int(kind.Offset), key+"."+kind.Field, "a %s where a %s is expected", kind.Value, kind.Type)
+	case errors.As(err, &wrongType):
+		return d.errorAt(int(wrongType.Offset), key+"."+wrongType.Field, "a %s where a %s is expected", wrongType.Value, wrongType.Type)
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
 		return d.errorAt(len(d.text), key, "the file ends in the midst of it")
 	}
@@ -164,13 +164,13 @@
 // fieldOffset finds a field of the element between start and end, such as "unit"
 // or "points[2].size"; start if it is not there.
 func (d *slopeDecoder) fieldOffset(start, end int, field string) int {
-	name, turn := field, 0
+	name, occurrence := field, 0
 	if i := strings.LastIndex(field, "."); i >= 0 {
 		name = field[i+1:]
-		fmt.Sscanf(field, "points[%d]", &turn)
+		fmt.Sscanf(field, "points[%d]", &occurrence)
 	}
 	offset := start
-	for range turn + 1 {
+	for range occurrence + 1 {
 		at := bytes.Index(d.text[offset:end], []byte(`"`+name+`"`))
 		if at < 0 {
 			return start
