--- a/capacity/curves.go
+++ b/capacity/curves.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// The layout of the picture, in pixels.
+// Layout of the SVG, in pixels unless noted otherwise.
 const (
 	panelWidth   = 320.0
 	panelHeight  = 220.0
@@ -15,13 +15,13 @@
 	marginRight  = 14.0
 	marginTop    = 38.0
 	marginBottom = 40.0
-	curveSteps   = 40
-	axisHeadroom = 1.08 // axes reach so far beyond the largest value
+	curveSteps   = 40   // line segments per fitted curve
+	axisHeadroom = 1.08 // length of an axis as a multiple of the largest value on it
 )
 
-// CurvesSVG is an SVG picture of every slope that has two sizes or more: a panel
-// each with its points (hollow for trials), the fit (dashed beyond the largest size measured, as
-// far as it is trusted) and the size of the site (a dotted line).
+// CurvesSVG returns an SVG with one panel for each slope that was measured at two sizes or more. A panel shows
+// the measured points (hollow for trials), the fit (dashed beyond the largest measured size, as far as it is
+// trusted) and the size of the site (a dotted line).
 func (p *Plan) CurvesSVG() string {
 	var drawn []*SlopeLine
 	for i := range p.Slopes {
@@ -41,7 +41,7 @@
 	return svg.String()
 }
 
-// hasSeveralSizes tells whether the points are of two sizes or more.
+// hasSeveralSizes reports whether the points cover two sizes or more.
 func (s *SlopeLine) hasSeveralSizes() bool {
 	for _, p := range s.Points {
 		if p.Size != s.Points[0].Size {
@@ -51,16 +51,17 @@
 	return false
 }
 
-// panel draws one slope; x and y are the corner, the scales are pixels a unit.
+// panel draws one slope. x and y are its top left corner; the scales are in pixels per unit.
 type panel struct {
 	slope             *SlopeLine
 	fit               Fit
 	x, y              float64
 	scaleX, scaleY    float64
-	maxSize, maxValue float64 // the largest size and value on the axes
-	maxTrustedSize    float64 // the largest size that the fit is trusted at
+	maxSize, maxValue float64 // ends of the axes
+	maxTrustedSize    float64 // the largest size to which the fit is trusted
 }
 
+// newPanel computes the scales of a slope's panel.
 func newPanel(s *SlopeLine, x, y float64) *panel {
 	p := &panel{slope: s, fit: FitPoints(s.Form, s.Points), x: x, y: y}
 	p.maxTrustedSize = p.fit.LargestSize * MaxExtrapolation
@@ -84,12 +85,13 @@
 	return p
 }
 
-// pixelX and down place a size and a value.
+// pixelX and pixelY return the position of a size and of a value.
 func (p *panel) pixelX(size float64) float64 { return p.x + marginLeft + size*p.scaleX }
 func (p *panel) pixelY(value float64) float64 {
 	return p.y + panelHeight - marginBottom - value*p.scaleY
 }
 
+// draw writes the titles, axes, fitted curve and points.
 func (p *panel) draw(out *strings.Builder) {
 	s := p.slope
 	p.drawText(out, p.x+marginLeft, p.y+16, "start", s.Measure+", "+s.Unit)
@@ -112,8 +114,8 @@
 	}
 }
 
-// maxValueLabel is the largest value on the axis; the unit stands in the title, but
-// for bytes in a larger one.
+// maxValueLabel returns the label of the largest value on the axis. The title gives the unit, except that bytes
+// are scaled to a larger one here.
 func (p *panel) maxValueLabel() string {
 	top := p.maxValue / axisHeadroom
 	if strings.HasPrefix(p.slope.Unit, "B") {
@@ -137,11 +139,13 @@
 	fmt.Fprintf(out, `<polyline points="%s" fill="none" stroke="firebrick" stroke-dasharray="%s"/>`+"\n", strings.Join(points, " "), dashes)
 }
 
+// drawLine draws a line between two points that are given as sizes and values.
 func (p *panel) drawLine(out *strings.Builder, fromSize, fromValue, toSize, toValue float64, color, dashes string) {
 	fmt.Fprintf(out, `<line x1="%.1f" y1="%.1f" x2="%.1f" y2="%.1f" stroke="%s" stroke-dasharray="%s"/>`+"\n",
 		p.pixelX(fromSize), p.pixelY(fromValue), p.pixelX(toSize), p.pixelY(toValue), color, dashes)
 }
 
+// drawText writes text at a position in pixels.
 func (p *panel) drawText(out *strings.Builder, x, y float64, anchor, text string) {
 	fmt.Fprintf(out, `<text x="%.1f" y="%.1f" text-anchor="%s">`, x, y, anchor)
 	xml.EscapeText(out, []byte(text))
--- a/capacity/curves_test.go
+++ b/capacity/curves_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// countElements reads a picture as XML and counts its elements by name.
-func countElements(t *testing.T, picture string) map[string]int {
+// countElements parses an SVG as XML and counts its elements by name.
+func countElements(t *testing.T, svg string) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
-	decoder := xml.NewDecoder(strings.NewReader(picture))
+	decoder := xml.NewDecoder(strings.NewReader(svg))
 	for {
 		token, err := decoder.Token()
 		if errors.Is(err, io.EOF) {
@@ -40,19 +40,19 @@
 	svg := plan.CurvesSVG()
 	counts := countElements(t, svg)
 	if counts["circle"] != 3+2+2 {
-		t.Errorf("%d points", counts["circle"])
+		t.Errorf("%d points, want 7", counts["circle"])
 	}
-	// A line each up to the largest size, and one beyond it where the fit is trusted there and the site is larger.
+	// Each slope has a curve up to its largest measured size, and a second one if the site is larger and the fit trusted.
 	if counts["polyline"] != 3+1 {
-		t.Errorf("%d curves", counts["polyline"])
+		t.Errorf("%d curves, want 4", counts["polyline"])
 	}
 	if strings.Contains(svg, AgentBytes) || !strings.Contains(svg, MembersMemory) {
-		t.Error("the wrong slopes are shown")
+		t.Error("a slope of one size has a panel, or one of two sizes has none")
 	}
 	if strings.Contains(svg, "NaN") || strings.Contains(svg, "Inf") {
-		t.Error("a place that is no number")
+		t.Error("a coordinate is not a finite number")
 	}
 	if got := countElements(t, (&Plan{}).CurvesSVG()); got["circle"] != 0 || got["svg"] != 1 {
-		t.Errorf("%v", got)
+		t.Errorf("elements of an empty plan: %v", got)
 	}
 }
--- a/capacity/decode_test.go
+++ b/capacity/decode_test.go
@@ -23,6 +23,7 @@
 	return text
 }
 
+// repositorySize returns the size file in docs/capacity.
 func repositorySize(t testing.TB) Size {
 	t.Helper()
 	size, err := DecodeSize("size.toml", readFile(t, sizeFile))
@@ -32,15 +33,16 @@
 	return size
 }
 
+// The files in docs/capacity must stay valid, since elderctl capacity reads them by default.
 func TestDecodeRepositorySize(t *testing.T) {
 	size := repositorySize(t)
 	if size.Site.Gateways != 610 || size.Entries() != 26_000 || size.Budget.GatewayBytesPerSecond != 6000 || size.Machines() != 9416 {
-		t.Errorf("%+v", size)
+		t.Errorf("decoded %+v", size)
 	}
 }
 
 func TestDecodeSizeErrorsNameLineAndKey(t *testing.T) {
-	good := string(readFile(t, sizeFile))
+	valid := string(readFile(t, sizeFile))
 	for _, c := range []struct{ old, new, want string }{
 		{"gateways = 610", "gatways = 610", `f.toml:5: site.gatways: there is no such key; did you mean "gateways"?`},
 		{"gateways = 610", "gateways = -1", `f.toml:5: site.gateways: -1 is not between 0 and 1e+12`},
@@ -57,8 +59,8 @@
 		{"in_force_seconds = 19.0", "in_force_seconds = inf", `budget.in_force_seconds: +Inf is not between`},
 		{"[failures]", "[failure]", `there is no such key; did you mean "failures"?`},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		if text == good {
+		text := strings.Replace(valid, c.old, c.new, 1)
+		if text == valid {
 			t.Fatalf("%q is not in the file", c.old)
 		}
 		_, err := DecodeSize("f.toml", []byte(text))
@@ -147,7 +149,7 @@
 		if err != nil {
 			var located *strict.Error
 			if !errors.As(err, &located) || located.Text == "" || located.Line < 1 {
-				t.Fatalf("no place in %v", err)
+				t.Fatalf("error without text or line: %v", err)
 			}
 			return
 		}
@@ -158,8 +160,8 @@
 		for _, table := range plan.Tables() {
 			table.Markdown()
 		}
-		if picture := plan.CurvesSVG(); strings.Contains(picture, "NaN") || strings.Contains(picture, "Inf") {
-			t.Fatal("a place in the picture that is no number")
+		if svg := plan.CurvesSVG(); strings.Contains(svg, "NaN") || strings.Contains(svg, "Inf") {
+			t.Fatal("a coordinate in the SVG is not a finite number")
 		}
 	})
 }
@@ -172,7 +174,7 @@
 		if err == nil {
 			Compute(size, nil)
 		} else if err.Error() == "" {
-			t.Fatal("an error without a text")
+			t.Fatal("error with an empty message")
 		}
 	})
 }
--- a/capacity/failures.go
+++ b/capacity/failures.go
@@ -2,25 +2,26 @@
 
 import "fmt"
 
-// Failure is what a kind of failure does to the site.
+// Failure describes the effect of one kind of failure on the site, as text.
 type Failure struct {
 	Name        string `json:"name"`
-	Frequency   string `json:"often"`
-	Affected    string `json:"hits"`    // how many of what are gone, by arithmetic
-	Unaffected  string `json:"goes_on"` // what goes on
-	Unavailable string `json:"stops"`   // what stops
-	Staleness   string `json:"stale"`   // how old what is known may be
-	Recovery    string `json:"heals"`   // how it heals, and how long that takes
+	Frequency   string `json:"often"`   // how often it occurs
+	Affected    string `json:"hits"`    // how many of which machines it affects, computed from the size
+	Unaffected  string `json:"goes_on"` // what continues to work
+	Unavailable string `json:"stops"`   // what stops working
+	Staleness   string `json:"stale"`   // how old the data of what still runs may be
+	Recovery    string `json:"heals"`   // how the site recovers, and how long that takes
 }
 
 const (
 	daysPerYear              = 365.0
 	minutesPerDay            = 1440.0
-	silentAfterSeconds       = 10.0 // seconds, silent_after of a rollout that names none
-	firstRestartDelaySeconds = 0.5  // seconds before an agent starts an ended gateway again
-	maxNewLeaderWaitSeconds  = 10.0 // seconds that a new leader waits to hear all agents
+	silentAfterSeconds       = 10.0 // default of a rollout's silent_after
+	firstRestartDelaySeconds = 0.5  // delay before an agent restarts a gateway that has exited
+	maxNewLeaderWaitSeconds  = 10.0 // longest time that a new leader waits for reports of all agents
 )
 
+// failures lists the kinds of failures in the order of the page.
 func (b *builder) failures(placement Placement) []Failure {
 	return []Failure{
 		b.singleMachine(placement),
@@ -34,22 +35,22 @@
 	}
 }
 
-// expectedAmong is the number of gateways and backends among so many machines, drawn
-// evenly.
+// expectedAmong returns how many of the given number of machines are gateways and backends, if the machines are
+// drawn uniformly at random.
 func (b *builder) expectedAmong(machines float64) (gateways, backends float64) {
 	fraction := machines / float64(b.size.Machines())
 	return fraction * float64(b.size.Site.Gateways), fraction * float64(b.size.Site.Backends)
 }
 
-// loadWithout is what each gateway that is left has to take.
-func (b *builder) loadWithout(lost float64) string {
-	remaining := max(float64(b.size.Site.Gateways)-lost, 1)
+// loadWithout describes the load of each remaining gateway after the loss of some.
+func (b *builder) loadWithout(failedGateways float64) string {
+	remaining := max(float64(b.size.Site.Gateways)-failedGateways, 1)
 	rate := float64(b.size.Site.RequestsPerSecond) / remaining
 	increasePercent := 100 * (rate/b.requestsPerGateway() - 1)
 	return fmt.Sprintf("at %s requests a second each (%s%% more)", formatNumber(rate), formatNumber(increasePercent))
 }
 
-// afterText is when something is done.
+// afterText formats a duration in seconds as "after ...".
 func afterText(q quantity) string {
 	if q.unknownReason != "" {
 		return "after a time that is not known"
@@ -57,7 +58,7 @@
 	return "after " + q.text("s")
 }
 
-// bytesText is a number of bytes, or of bytes a second.
+// bytesText formats a number of bytes or a byte rate.
 func bytesText(q quantity, unit string) string {
 	if q.unknownReason != "" {
 		return "bytes that are not known"
@@ -65,11 +66,12 @@
 	return q.text(unit)
 }
 
+// detectionText describes how soon members and the leader detect a lost gateway.
 func (b *builder) detectionText() string {
 	return fmt.Sprintf("members: all have given it up %s; the leader calls it silent after %s s", afterText(b.estimate(MembersDetectionTime)), formatNumber(silentAfterSeconds))
 }
 
-// snapshotTransferText is when an empty replica is whole, at the budget's bytes a second.
+// snapshotTransferText says when an empty replica has all records, at the byte rate of the budget.
 func (b *builder) snapshotTransferText() string {
 	return afterText(b.estimate(RecordsSnapshotBytes).scale(1 / b.size.Budget.GatewayBytesPerSecond))
 }
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// Form is how a quantity is expected to grow with its size.
+// Form is the function by which a quantity is expected to grow with size.
 type Form string
 
-// The forms that a slope may take.
+// Forms of a slope.
 const (
 	Constant     Form = "constant"     // a
 	Linear       Form = "linear"       // a + b*size
 	Logarithmic  Form = "logarithmic"  // a + b*ln(size)
-	Interpolated Form = "interpolated" // straight between neighbouring points, nothing beyond them
+	Interpolated Form = "interpolated" // piecewise linear between neighboring points, undefined beyond them
 )
 
 // Point is one measured value at one size.
@@ -24,23 +24,22 @@
 	Value float64 `json:"value"`
 }
 
-// Fit is a least-squares fit of points by a form.
+// Fit is a least-squares fit of measured points to a form.
 type Fit struct {
 	Form         Form
 	Intercept    float64
 	Slope        float64 // 0 for Constant and Interpolated
-	RMS          float64 // root of the mean squared residual, in the measure's unit
-	MaxResidual  float64 // the largest distance of a point from the fit, in the measure's unit
+	RMS          float64 // root mean square of the residuals, in the unit of the measure
+	MaxResidual  float64 // the largest absolute residual, in the unit of the measure
 	SmallestSize float64 // the smallest size measured
 	LargestSize  float64 // the largest size measured
 
 	points []Point
 }
 
-// FitPoints fits points by a form. Linear and logarithmic forms need two
-// different sizes; with fewer the fit holds at the one measured size alone, as
-// Interpolated does. Sizes must be positive and there must be a point; callers
-// have validated that.
+// FitPoints fits points to a form. Linear and logarithmic fits need two different sizes; with a single size the
+// result is Interpolated, which holds at that size alone. There must be at least one point and all sizes must be
+// positive; callers have validated that.
 func FitPoints(form Form, points []Point) Fit {
 	points = slices.Clone(points)
 	slices.SortStableFunc(points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
@@ -58,7 +57,7 @@
 	return fit
 }
 
-// fitLine sets intercept and slope over the transformed size.
+// fitLine computes the intercept and slope by least squares over the transformed sizes.
 func (f *Fit) fitLine() {
 	meanX := mean(f.points, func(p Point) float64 { return f.transform(p.Size) })
 	meanY := mean(f.points, func(p Point) float64 { return p.Value })
@@ -72,7 +71,7 @@
 	f.Intercept = meanY - f.Slope*meanX
 }
 
-// transform is the size as the form's line sees it.
+// transform maps a size to the variable in which the form is linear.
 func (f *Fit) transform(size float64) float64 {
 	if f.Form == Logarithmic {
 		return math.Log(size)
@@ -80,6 +79,7 @@
 	return size
 }
 
+// computeResiduals sets RMS and MaxResidual.
 func (f *Fit) computeResiduals() {
 	var squares float64
 	for _, p := range f.points {
@@ -91,7 +91,7 @@
 	f.RMS = math.Sqrt(squares / float64(len(f.points)))
 }
 
-// At is the fitted value at a size; false where the form says nothing of it.
+// At returns the fitted value at a size, and false if the form is undefined there.
 func (f *Fit) At(size float64) (float64, bool) {
 	if f.Form == Interpolated {
 		return f.interpolate(size)
@@ -99,8 +99,8 @@
 	return f.Intercept + f.Slope*f.transform(size), true
 }
 
-// interpolate is the value on the straight line interpolate the neighbouring points;
-// points of one size count by their mean.
+// interpolate returns the value on the straight line between the neighboring points. Points of the same size
+// count as their mean.
 func (f *Fit) interpolate(size float64) (float64, bool) {
 	if size < f.SmallestSize || size > f.LargestSize {
 		return 0, false
@@ -130,7 +130,7 @@
 	return at(low) + fraction*(at(high)-at(low)), true
 }
 
-// String is the fit as a formula of n, the size.
+// String returns the fit as a formula in n, the size.
 func (f *Fit) String() string {
 	switch f.Form {
 	case Constant:
@@ -146,6 +146,7 @@
 	return "between points"
 }
 
+// mean returns the mean of a coordinate of the points.
 func mean(points []Point, of func(Point) float64) float64 {
 	var sum float64
 	for _, p := range points {
--- a/capacity/measures.go
+++ b/capacity/measures.go
@@ -1,30 +1,29 @@
 package capacity
 
-// Dimension is what the sizes of a slope's points count.
+// Dimension is the size over which a measure is taken.
 type Dimension string
 
-// The dimensions that a slope may be measured over.
+// Dimensions of slopes.
 const (
 	Gateways          Dimension = "gateways"             // gateways of the site, each with its agent
 	Records           Dimension = "records"              // routes and tenants of the site's configuration
-	SiteBackends      Dimension = "backends of the site" // in one whole list of discovery
-	CandidateBackends Dimension = "backends in one list" // that one request's decision chooses among
+	SiteBackends      Dimension = "backends of the site" // backends of the site, all of which a full discovery list contains
+	CandidateBackends Dimension = "backends in one list" // backends among which one request is routed
 	GatewaysPerTenant Dimension = "gateways a tenant comes to"
-	SizeIndependent   Dimension = "one" // does not depend on any size; points have size 1
+	SizeIndependent   Dimension = "one" // independent of any size; all points have size 1
 )
 
-// Measure is a quantity that can be measured at several sizes. Its name is what
-// a file of slopes refers to.
+// Measure is a quantity that can be measured at several sizes. Slope files refer to it by name.
 type Measure struct {
 	Name        string
 	Unit        string
 	Dimension   Dimension
-	Form        Form // how it is expected to grow with the dimension
+	Form        Form // expected growth with the dimension
 	Description string
 }
 
-// Names of the measures. What is "of one gateway" is the mean over all gateways
-// of the run unless the name says worst.
+// Names of the measures. A value for one gateway is the mean over all gateways of the run, unless the name says
+// worst.
 const (
 	AgentBytes    = "agent.bytes_per_second"
 	AgentMessages = "agent.messages_per_second"
@@ -71,9 +70,9 @@
 	RequestAddedLatency = "request.added_p99_ms"
 	RequestCPU          = "request.cpu_us"
 
-	DiscoveryListBytes       = "discovery.list_bytes"
-	DiscoveryChangeBytes     = "discovery.bytes_per_change"
-	DiscoveryEmptyWatchBytes = "discovery.bytes_per_empty_watch"
+	DiscoveryListBytes      = "discovery.list_bytes"
+	DiscoveryChangeBytes    = "discovery.bytes_per_change"
+	DiscoveryIdleWatchBytes = "discovery.bytes_per_empty_watch"
 
 	CounterCalls = "counter.calls_per_request"
 	CounterBytes = "counter.bytes_per_call"
@@ -83,7 +82,7 @@
 	OperatorStatusSeconds = "operator.status_seconds"
 )
 
-// measures are all that a file of slopes may name.
+// measures lists the measures that a slope file may name, in the order of the page.
 var measures = []Measure{
 	{AgentBytes, "B/s", Gateways, Constant, "one agent's reports and the orders it gets, both directions, on a site at rest"},
 	{AgentMessages, "1/s", Gateways, Constant, "one agent's reports, on a site at rest"},
@@ -132,7 +131,7 @@
 
 	{DiscoveryListBytes, "B", SiteBackends, Linear, "one whole list, call and answer"},
 	{DiscoveryChangeBytes, "B", SiteBackends, Constant, "one backend's change, call and answer"},
-	{DiscoveryEmptyWatchBytes, "B", SiteBackends, Constant, "one watch that ends without news, call and answer"},
+	{DiscoveryIdleWatchBytes, "B", SiteBackends, Constant, "one watch that ends without news, call and answer"},
 
 	{CounterCalls, "1", GatewaysPerTenant, Interpolated, "calls to the counter for one request, at a gateway's 279 requests a second"},
 	{CounterBytes, "B", SizeIndependent, Constant, "one call to the counter with its answer, without headers of TCP and IP"},
@@ -142,10 +141,10 @@
 	{OperatorStatusSeconds, "s", Gateways, Linear, "one run of elderctl instances --json"},
 }
 
-// Measures lists every measure that a file of slopes may name.
+// Measures returns all measures that a slope file may name.
 func Measures() []Measure { return append([]Measure(nil), measures...) }
 
-// findMeasure finds a measure by its name.
+// findMeasure returns the measure with this name.
 func findMeasure(name string) (Measure, bool) {
 	for _, m := range measures {
 		if m.Name == name {
--- a/capacity/number.go
+++ b/capacity/number.go
@@ -6,14 +6,13 @@
 	"strings"
 )
 
-// byteUnits are the larger units of bytes: from how many bytes each is used, and
-// how many it stands for.
+// byteUnits lists the larger units of bytes with the number of bytes from which each is used and its size.
 var byteUnits = []struct {
 	threshold, size float64
 	name            string
 }{{1e9, 1e9, "GB"}, {1e6, 1e6, "MB"}, {1e4, 1e3, "kB"}}
 
-// formatWithUnit is a figure with its unit; large numbers of bytes get a larger one.
+// formatWithUnit formats a value with its unit. Large numbers of bytes are scaled to a larger unit.
 func formatWithUnit(v float64, unit string) string {
 	if unit == "B" || unit == "B/s" {
 		for _, larger := range byteUnits {
@@ -33,8 +32,8 @@
 	return formatNumber(v) + " " + unit
 }
 
-// formatNumber is a figure in three digits, without an exponent where a person reads it
-// easily.
+// formatNumber formats a value with three significant digits, or as an integer with thousands separators from
+// 1000 on. Only values below 0.001 get an exponent.
 func formatNumber(v float64) string {
 	magnitude := math.Abs(v)
 	switch {
@@ -50,7 +49,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// groupThousands writes a whole number with its thousands apart.
+// groupThousands formats a whole number with thousands separators.
 func groupThousands(v float64) string {
 	text := fmt.Sprintf("%.0f", math.Abs(v))
 	for i := len(text) - 3; i > 0; i -= 3 {
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// Table is a table of the plan, for a page or a terminal.
+// Table is a table of the plan, to be written to a page or a terminal.
 type Table struct {
-	Name      string // by which a page's markers name it
+	Name      string // the name in the markers of a page
 	Title     string
 	Header    []string
 	Rows      [][]string
-	EmptyText string // said in place of a table without rows
+	EmptyText string // shown in place of a table without rows
 }
 
-// Tables are all tables of a plan.
+// Tables returns all tables of the plan, in the order of the page.
 func (p *Plan) Tables() []Table {
 	return []Table{
 		p.sizeTable("site", "The site", "site"),
 		p.sizeTable("budget", "What may be spent", "budget"),
 		p.sizeTable("assumptions", "What is assumed", "assumptions"),
-		p.rolesTable("roles", "Roles", func(l *Requirement) bool { return !isRecordsRequirement(l) }),
+		p.rolesTable("roles", "Roles", func(r *Requirement) bool { return !isRecordsRequirement(r) }),
 		p.rolesTable("records", "Configuration as records", isRecordsRequirement),
 		p.overBudgetTable(),
 		p.unknownTable(),
@@ -32,12 +32,13 @@
 	}
 }
 
-// isRecordsRequirement tells whether a line is about configuration as records.
-func isRecordsRequirement(l *Requirement) bool {
-	return slices.ContainsFunc(l.Measures, func(name string) bool { return strings.HasPrefix(name, "records.") }) ||
-		strings.HasPrefix(l.Item, "records: ")
+// isRecordsRequirement reports whether a requirement concerns configuration that is distributed as records.
+func isRecordsRequirement(r *Requirement) bool {
+	return slices.ContainsFunc(r.Measures, func(name string) bool { return strings.HasPrefix(name, "records.") }) ||
+		strings.HasPrefix(r.Item, "records: ")
 }
 
+// sizeTable lists the keys of one table of the size file.
 func (p *Plan) sizeTable(name, title, prefix string) Table {
 	t := Table{Name: name, Title: title, Header: []string{"key", "value", "meaning"}}
 	for _, k := range p.Size.keys() {
@@ -48,76 +49,79 @@
 	return t
 }
 
+// rolesTable lists the requirements that the filter includes. A role or mechanism that repeats the one above is
+// left blank.
 func (p *Plan) rolesTable(name, title string, include func(*Requirement) bool) Table {
 	t := Table{Name: name, Title: title, Header: []string{"role", "mechanism", "what", "at the size", "with the fit's worst residual", "budget", "verdict", "from"}}
 	var last Requirement
 	for i := range p.Requirements {
-		l := &p.Requirements[i]
-		if !include(l) {
+		r := &p.Requirements[i]
+		if !include(r) {
 			continue
 		}
-		role, mechanism := string(l.Role), l.Mechanism
-		if l.Role == last.Role { // said once
+		role, mechanism := string(r.Role), r.Mechanism
+		if r.Role == last.Role {
 			role = ""
-			if l.Mechanism == last.Mechanism {
+			if r.Mechanism == last.Mechanism {
 				mechanism = ""
 			}
 		}
-		last = *l
-		t.Rows = append(t.Rows, []string{role, mechanism, l.label(), l.valueText(), l.upperBoundText(), l.formatFigure(l.Budget), l.verdictText(), l.sourceText()})
+		last = *r
+		t.Rows = append(t.Rows, []string{role, mechanism, r.label(), r.valueText(), r.upperBoundText(), r.formatFigure(r.Budget), r.verdictText(), r.sourceText()})
 	}
 	return t
 }
 
-// label names a line's kind and item, with its note.
-func (l *Requirement) label() string {
-	text := fmt.Sprintf("%s: %s", l.Kind, l.Item)
-	if l.Comment != "" {
-		text += " (" + l.Comment + ")"
+// label returns the kind and item of a requirement, with its comment.
+func (r *Requirement) label() string {
+	text := fmt.Sprintf("%s: %s", r.Kind, r.Item)
+	if r.Comment != "" {
+		text += " (" + r.Comment + ")"
 	}
 	return text
 }
 
-func (l *Requirement) formatFigure(v *float64) string {
+// formatFigure formats a figure in the unit of the requirement, and an absent one as "-".
+func (r *Requirement) formatFigure(v *float64) string {
 	if v == nil {
 		return "-"
 	}
-	return formatWithUnit(*v, l.Unit)
+	return formatWithUnit(*v, r.Unit)
 }
 
-// valueText is the value at the size, or its known part.
-func (l *Requirement) valueText() string {
-	if l.LowerBound != nil {
-		return "at least " + l.formatFigure(l.LowerBound)
+// valueText returns the value at the target size, or its lower bound.
+func (r *Requirement) valueText() string {
+	if r.LowerBound != nil {
+		return "at least " + r.formatFigure(r.LowerBound)
 	}
-	return l.formatFigure(l.Value)
+	return r.formatFigure(r.Value)
 }
 
-// upperBoundText is the upper value where it differs from the value.
-func (l *Requirement) upperBoundText() string {
-	if l.UpperBound == nil || *l.UpperBound == *l.Value {
+// upperBoundText returns the upper bound if it differs from the value.
+func (r *Requirement) upperBoundText() string {
+	if r.UpperBound == nil || *r.UpperBound == *r.Value {
 		return "-"
 	}
-	return l.formatFigure(l.UpperBound)
+	return r.formatFigure(r.UpperBound)
 }
 
-func (l *Requirement) verdictText() string {
+func (r *Requirement) verdictText() string {
 	switch {
-	case l.Verdict == OverBudget:
-		return "over, " + formatNumber(*l.Factor) + " times"
-	case l.Verdict == WithinBudget:
-		return fmt.Sprintf("carried, %s%%", formatNumber(100**l.Factor))
+	case r.Verdict == OverBudget:
+		return "over, " + formatNumber(*r.Factor) + " times"
+	case r.Verdict == WithinBudget:
+		return fmt.Sprintf("carried, %s%%", formatNumber(100**r.Factor))
 	}
-	return string(l.Verdict)
+	return string(r.Verdict)
 }
 
-// sourceText names the measures that a line comes from.
-func (l *Requirement) sourceText() string {
-	if len(l.Measures) == 0 {
+// sourceText names the measures from which a requirement is derived.
+func (r *Requirement) sourceText() string {
+	if len(r.Measures) == 0 {
 		return "arithmetic"
 	}
-	text := strings.Join(l.Measures, ", ")
-	if l.Trial {
+	text := strings.Join(r.Measures, ", ")
+	if r.Trial {
 		text += " (trial)"
 	}
 	return text
@@ -126,16 +130,16 @@
 func (p *Plan) overBudgetTable() Table {
 	t := Table{Name: "not-carried", Title: "Not carried, by factor", Header: []string{"over by", "role", "what", "at the size", "budget", "mechanism today", "planned"},
 		EmptyText: "Everything with a budget and a slope is carried."}
-	for _, l := range p.RequirementsOverBudget() {
-		t.Rows = append(t.Rows, []string{formatNumber(*l.Factor), string(l.Role), l.label(), l.valueText(), l.formatFigure(l.Budget), l.Mechanism, orDash(l.Planned)})
+	for _, r := range p.RequirementsOverBudget() {
+		t.Rows = append(t.Rows, []string{formatNumber(*r.Factor), string(r.Role), r.label(), r.valueText(), r.formatFigure(r.Budget), r.Mechanism, orDash(r.Planned)})
 	}
 	return t
 }
 
 func (p *Plan) unknownTable() Table {
 	t := Table{Name: "not-known", Title: "Not known", Header: []string{"role", "what", "budget", "why"}, EmptyText: "Nothing is unknown."}
-	for _, l := range p.UnknownRequirements() {
-		t.Rows = append(t.Rows, []string{string(l.Role), l.label(), l.formatFigure(l.Budget), l.UnknownReason})
+	for _, r := range p.UnknownRequirements() {
+		t.Rows = append(t.Rows, []string{string(r.Role), r.label(), r.formatFigure(r.Budget), r.UnknownReason})
 	}
 	return t
 }
@@ -150,7 +154,7 @@
 	return t
 }
 
-// pointsText lists the points, the sizes first.
+// pointsText lists the points as "size: value".
 func (s *SlopeLine) pointsText() string {
 	var parts []string
 	for _, p := range s.Points {
@@ -159,7 +163,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// targetText is the value at the size, and how far that is from what was measured.
+// targetText returns the value at the target size, with the largest measured size if the target lies beyond it.
 func (s *SlopeLine) targetText() string {
 	switch {
 	case s.Dimension == SizeIndependent && s.Value != nil:
@@ -174,6 +178,7 @@
 	return fmt.Sprintf("%s at %s", formatNumber(*s.Value), formatNumber(s.TargetSize))
 }
 
+// provenanceText returns the date of the measurement with its concurrent load and comment.
 func (s *SlopeLine) provenanceText() string {
 	text := s.Date
 	if s.Trial {
@@ -222,7 +227,7 @@
 	return text
 }
 
-// Markdown is the table as a page has it.
+// Markdown returns the table in Markdown, or its EmptyText if it has no rows.
 func (t *Table) Markdown() string {
 	if len(t.Rows) == 0 {
 		return t.EmptyText + "\n"
@@ -243,17 +248,15 @@
 	return b.String()
 }
 
-// Markers of a generated block on a page: <!-- capacity:begin NAME --> and
-// <!-- capacity:end NAME -->.
+// A generated block of a page lies between <!-- capacity:begin NAME --> and <!-- capacity:end NAME -->.
 const (
 	beginMarkerPrefix = "<!-- capacity:begin "
 	endMarkerPrefix   = "<!-- capacity:end "
 	markerSuffix      = " -->"
 )
 
-// FillPage writes the plan's tables between their markers on a page. Each table must
-// have its block once; a block that no table has, or that does not end, is an
-// error that names its line.
+// FillPage returns a page with the plan's tables written between their markers. Each table must have exactly one
+// block. A block without a table or without an end is an error that names its line.
 func (p *Plan) FillPage(page string) (string, error) {
 	pending := map[string]Table{}
 	for _, t := range p.Tables() {
@@ -296,7 +299,7 @@
 	return filled.String(), nil
 }
 
-// parseMarker reads the name in a parseMarker.
+// parseMarker returns the name in a marker.
 func parseMarker(line, mark string) (name string, ok bool) {
 	rest, begins := strings.CutPrefix(line, mark)
 	name, closed := strings.CutSuffix(rest, markerSuffix)
--- a/capacity/placement.go
+++ b/capacity/placement.go
@@ -1,28 +1,27 @@
 package capacity
 
-// maxVoters bounds the voters: each further one makes every write dearer, and
-// five bear the loss of two.
+// maxVoters limits the number of voters: each voter makes every write more expensive, and five tolerate the loss
+// of two.
 const maxVoters = 5
 
-// ControlMachine is where one control machine stands, and whether it votes.
+// ControlMachine is the location of a control machine and whether it is a voter.
 type ControlMachine struct {
 	Region int  `json:"region"` // from 1
-	Zone   int  `json:"zone"`   // from 1, over all regions
+	Zone   int  `json:"zone"`   // from 1, numbered over all regions
 	Votes  bool `json:"votes"`
 }
 
-// Placement is where the control machines stand.
+// Placement is the distribution of the control machines over regions and zones.
 type Placement struct {
 	Machines []ControlMachine `json:"machines"`
 	Voters   int              `json:"voters"`
-	Quorum   int              `json:"majority"` // voters that have to agree
+	Quorum   int              `json:"majority"` // voters that have to agree: more than half of them
 }
 
-// PlaceControlMachines spreads control machines over regions, and over the zones of each. The
-// number of voters is odd, so that a cut between two regions leaves one side that
-// decides; machines beyond it hold the state and don't vote. Zones are numbered
-// through and dealt out to the regions in turn.
-func PlaceControlMachines(machines, regions, zones int) Placement {
+// NewPlacement spreads control machines evenly over regions, and over the zones of each. The number of voters is
+// odd, so that a partition between two regions leaves one side with a quorum; further machines hold the state
+// without a vote. Zones are numbered over all regions and assigned to the regions round-robin.
+func NewPlacement(machines, regions, zones int) Placement {
 	voters := min(machines, maxVoters)
 	if voters%2 == 0 {
 		voters--
@@ -39,7 +38,7 @@
 	return placement
 }
 
-// indexOfSmallest is the first index of the smallest number.
+// indexOfSmallest returns the first index of the smallest number.
 func indexOfSmallest(counts []int) int {
 	best := 0
 	for i, n := range counts {
@@ -50,12 +49,12 @@
 	return best
 }
 
-// VotersInRegion counts the voters of a region.
+// VotersInRegion returns the number of voters in a region.
 func (p *Placement) VotersInRegion(region int) int {
 	return p.count(func(m ControlMachine) bool { return m.Votes && m.Region == region })
 }
 
-// MaxVotersInZone is the number of voters of the zone that has most of them.
+// MaxVotersInZone returns the largest number of voters that share a zone.
 func (p *Placement) MaxVotersInZone() int {
 	maxVotersInZone := 0
 	for _, machine := range p.Machines {
@@ -64,8 +63,8 @@
 	return maxVotersInZone
 }
 
-// QuorumRegion is the region that decides while all regions are cut from each
-// other; 0 if none has a majority of the voters.
+// QuorumRegion returns the region that has a quorum while all regions are partitioned from each other, or 0 if
+// none has.
 func (p *Placement) QuorumRegion() int {
 	for _, m := range p.Machines {
 		if p.VotersInRegion(m.Region) >= p.Quorum {
@@ -75,6 +74,7 @@
 	return 0
 }
 
+// count returns the number of control machines that match.
 func (p *Placement) count(matches func(ControlMachine) bool) int {
 	n := 0
 	for _, m := range p.Machines {
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Verdict is what becomes of a requirement at the size.
+// Verdict says whether a requirement fits its budget at the target size.
 type Verdict string
 
-// The verdicts.
+// Verdicts.
 const (
 	WithinBudget Verdict = "carried"
 	OverBudget   Verdict = "over"
-	Unknown      Verdict = "not known" // a slope is missing, or does not reach so far
-	NoBudget     Verdict = "no budget" // nothing says what it may be
+	Unknown      Verdict = "not known" // a slope is missing, or is not trusted at the target size
+	NoBudget     Verdict = "no budget" // the size file has no limit for it
 )
 
-// Role is a process, or a part of one, that a site pays for.
+// Role is a process, or a part of one, that consumes resources.
 type Role string
 
-// The roles, in the order of the page.
+// Roles, in the order of the page.
 const (
 	RequestPath   Role = "gateway: request path"
 	Membership    Role = "gateway: membership"
@@ -34,10 +34,10 @@
 	Tool          Role = "operator's tool"
 )
 
-// Kind is what a line is about.
+// Kind is the resource or property that a requirement is about.
 type Kind string
 
-// The kinds of lines.
+// Kinds of requirements.
 const (
 	State    Kind = "state"
 	Messages Kind = "messages"
@@ -47,27 +47,27 @@
 	Time     Kind = "time"
 )
 
-// Requirement is one requirement of a role at the size.
+// Requirement is what a role needs of one resource at the target size, with its verdict.
 type Requirement struct {
 	Role          Role     `json:"role"`
 	Kind          Kind     `json:"kind"`
 	Item          string   `json:"item"`
-	Mechanism     string   `json:"mechanism"` // what carries it today
+	Mechanism     string   `json:"mechanism"` // the present implementation
 	Planned       string   `json:"planned,omitempty"`
 	Unit          string   `json:"unit"`
-	Value         *float64 `json:"value"`              // absent: not known
-	UpperBound    *float64 `json:"upper"`              // value plus the fit's largest residual
-	LowerBound    *float64 `json:"at_least,omitempty"` // the known part of a sum that is not known
-	Budget        *float64 `json:"budget"`             // absent: there is none
-	Factor        *float64 `json:"factor,omitempty"`   // upper, or at least, over budget
+	Value         *float64 `json:"value"`              // nil: unknown
+	UpperBound    *float64 `json:"upper"`              // value plus the largest residual of its fits; nil: unknown
+	LowerBound    *float64 `json:"at_least,omitempty"` // the known part of a sum with an unknown part
+	Budget        *float64 `json:"budget"`             // nil: none
+	Factor        *float64 `json:"factor,omitempty"`   // upper or lower bound divided by the budget
 	Verdict       Verdict  `json:"verdict"`
-	UnknownReason string   `json:"why,omitempty"` // where it is not known
+	UnknownReason string   `json:"why,omitempty"` // why the value is unknown
 	Comment       string   `json:"note,omitempty"`
-	Measures      []string `json:"measures,omitempty"` // none: arithmetic from the size alone
-	Trial         bool     `json:"trial,omitempty"`    // one of these is a trial
+	Measures      []string `json:"measures,omitempty"` // empty: computed from the size alone
+	Trial         bool     `json:"trial,omitempty"`    // one of the measures is from a trial
 }
 
-// SlopeLine is one measured slope with its fit and its value at the size.
+// SlopeLine is a measured slope with its fit and its value at the target size.
 type SlopeLine struct {
 	Slope
 	Dimension   Dimension `json:"dimension"`
@@ -77,22 +77,22 @@
 	MaxResidual float64   `json:"residual_worst"`
 	LargestSize float64   `json:"largest_size"`
 	TargetSize  float64   `json:"at_size"`
-	Value       *float64  `json:"value"`           // absent: the form says nothing of the size
-	Trusted     bool      `json:"trusted"`         // the size is within TrustedReach of the largest measured
+	Value       *float64  `json:"value"`           // nil: the fit is undefined at the target size
+	Trusted     bool      `json:"trusted"`         // the target size is at most MaxExtrapolation times the largest measured one
 	Description string    `json:"about,omitempty"` // of the measure
 }
 
-// Plan is all that is worked out for a size.
+// Plan is everything that is computed for a size.
 type Plan struct {
 	Size         Size          `json:"size"`
 	Requirements []Requirement `json:"lines"`
 	Slopes       []SlopeLine   `json:"slopes"`
-	Unmeasured   []string      `json:"unmeasured"` // measures without a slope
+	Unmeasured   []string      `json:"unmeasured"` // names of measures without a slope
 	Placement    Placement     `json:"placement"`
 	Failures     []Failure     `json:"failures"`
 }
 
-// Compute works a plan out. Size and slopes have been validated.
+// Compute computes the plan of a size. The size and the slopes must have been validated.
 func Compute(size Size, slopes []Slope) Plan {
 	b := &builder{size: size, estimates: newEstimates(slopes)}
 	b.requestPath()
@@ -106,43 +106,44 @@
 	b.counter()
 	b.registry()
 	b.tool()
-	plan := Plan{Size: size, Requirements: b.lines, Placement: PlaceControlMachines(size.Budget.ControlMachines, size.Site.Regions, size.Site.Zones)}
+	plan := Plan{Size: size, Requirements: b.requirements, Placement: NewPlacement(size.Budget.ControlMachines, size.Site.Regions, size.Site.Zones)}
 	plan.Slopes, plan.Unmeasured = b.slopeLines(slopes)
 	plan.Failures = b.failures(plan.Placement)
 	return plan
 }
 
-// RequirementsOverBudget are the lines that are over their budget, by factor, largest first.
+// RequirementsOverBudget returns the requirements that exceed their budget, the largest factor first.
 func (p *Plan) RequirementsOverBudget() []Requirement {
 	var over []Requirement
-	for _, l := range p.Requirements {
-		if l.Verdict == OverBudget {
-			over = append(over, l)
+	for _, r := range p.Requirements {
+		if r.Verdict == OverBudget {
+			over = append(over, r)
 		}
 	}
 	slices.SortStableFunc(over, func(a, b Requirement) int { return cmp.Compare(*b.Factor, *a.Factor) })
 	return over
 }
 
-// UnknownRequirements are the lines for which a slope is missing.
+// UnknownRequirements returns the requirements whose value is unknown and whose lower bound does not exceed the
+// budget.
 func (p *Plan) UnknownRequirements() []Requirement {
 	var list []Requirement
-	for _, l := range p.Requirements {
-		if l.Verdict == Unknown {
-			list = append(list, l)
+	for _, r := range p.Requirements {
+		if r.Verdict == Unknown {
+			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// builder collects the lines of a plan.
+// builder collects the requirements of a plan.
 type builder struct {
-	size      Size
-	estimates estimates
-	lines     []Requirement
+	size         Size
+	estimates    estimates
+	requirements []Requirement
 }
 
-// requirementSpec is a line before its verdict.
+// requirementSpec is a requirement before its verdict.
 type requirementSpec struct {
 	role      Role
 	kind      Kind
@@ -155,46 +156,46 @@
 	comment   string
 }
 
-func (b *builder) add(r requirementSpec) {
-	line := Requirement{
-		Role: r.role, Kind: r.kind, Item: r.item, Mechanism: r.mechanism, Planned: r.planned, Unit: r.unit,
-		Comment: r.comment, Measures: r.value.measures, Trial: r.value.trial, UnknownReason: r.value.unknownReason,
+// add appends a requirement with its verdict.
+func (b *builder) add(spec requirementSpec) {
+	requirement := Requirement{
+		Role: spec.role, Kind: spec.kind, Item: spec.item, Mechanism: spec.mechanism, Planned: spec.planned, Unit: spec.unit,
+		Comment: spec.comment, Measures: spec.value.measures, Trial: spec.value.trial, UnknownReason: spec.value.unknownReason,
 	}
-	if r.budget > 0 {
-		line.Budget = &r.budget
+	if spec.budget > 0 {
+		requirement.Budget = &spec.budget
 	}
-	if r.value.unknownReason == "" {
-		line.Value, line.UpperBound = &r.value.value, &r.value.upperBound
-	} else if r.value.lowerBound > 0 {
-		line.LowerBound = &r.value.lowerBound
+	if spec.value.unknownReason == "" {
+		requirement.Value, requirement.UpperBound = &spec.value.value, &spec.value.upperBound
+	} else if spec.value.lowerBound > 0 {
+		requirement.LowerBound = &spec.value.lowerBound
 	}
-	line.Verdict = assignVerdict(&line)
-	b.lines = append(b.lines, line)
+	requirement.Verdict = assignVerdict(&requirement)
+	b.requirements = append(b.requirements, requirement)
 }
 
-// assignVerdict sets the factor and rules by it. A sum of which a part is not known is
-// over its budget if the known part is.
-func assignVerdict(line *Requirement) Verdict {
+// assignVerdict sets the factor of a requirement and returns its verdict. A sum with an unknown part is over its
+// budget if its known part is.
+func assignVerdict(requirement *Requirement) Verdict {
 	switch {
-	case line.Value == nil && line.Budget != nil && line.LowerBound != nil && *line.LowerBound > *line.Budget:
-		factor := *line.LowerBound / *line.Budget
-		line.Factor = &factor
+	case requirement.Value == nil && requirement.Budget != nil && requirement.LowerBound != nil && *requirement.LowerBound > *requirement.Budget:
+		factor := *requirement.LowerBound / *requirement.Budget
+		requirement.Factor = &factor
 		return OverBudget
-	case line.Value == nil:
+	case requirement.Value == nil:
 		return Unknown
-	case line.Budget == nil:
+	case requirement.Budget == nil:
 		return NoBudget
 	}
-	factor := *line.UpperBound / *line.Budget
-	line.Factor = &factor
+	factor := *requirement.UpperBound / *requirement.Budget
+	requirement.Factor = &factor
 	if factor > 1 {
 		return OverBudget
 	}
 	return WithinBudget
 }
 
-// slopeLines are the slopes in the order of the measures, and the measures
-// without one.
+// slopeLines returns the slopes in the order of the measures, and the names of the measures without one.
 func (b *builder) slopeLines(slopes []Slope) (lines []SlopeLine, unmeasured []string) {
 	for _, m := range measures {
 		f, measured := b.estimates.slopes[m.Name]
@@ -215,7 +216,7 @@
 	return lines, unmeasured
 }
 
-// targetSize is the size that a dimension is to reach.
+// targetSize returns the size of the planned site in a dimension.
 func (b *builder) targetSize(d Dimension) float64 {
 	site := &b.size.Site
 	switch d {
@@ -233,7 +234,7 @@
 	return 1
 }
 
-// estimate is a measure's figure at the size.
+// estimate returns the value of a measure at the target size.
 func (b *builder) estimate(name string) quantity {
 	m, _ := findMeasure(name)
 	return b.estimates.estimate(name, b.targetSize(m.Dimension))
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// newSlope is a slope as a file would hold it.
+// newSlope returns a valid slope of a measure.
 func newSlope(t *testing.T, measure string, points ...Point) Slope {
 	t.Helper()
 	m, ok := findMeasure(measure)
@@ -16,12 +16,12 @@
 	return Slope{Measure: measure, Unit: m.Unit, Command: "a test", Date: "2026-12-02", Points: points}
 }
 
-// findRequirement is the line of a plan whose item begins so.
+// findRequirement returns the first requirement of a role whose item has this prefix.
 func findRequirement(t *testing.T, plan Plan, role Role, item string) Requirement {
 	t.Helper()
-	i := slices.IndexFunc(plan.Requirements, func(l Requirement) bool { return l.Role == role && strings.HasPrefix(l.Item, item) })
+	i := slices.IndexFunc(plan.Requirements, func(r Requirement) bool { return r.Role == role && strings.HasPrefix(r.Item, item) })
 	if i < 0 {
-		t.Fatalf("no line %s: %s", role, item)
+		t.Fatalf("no requirement %s: %s", role, item)
 	}
 	return plan.Requirements[i]
 }
@@ -39,9 +39,9 @@
 		{"within the budget", []Point{{305, 3000}, {610, 3000}}, WithinBudget, 3000, 0.5, ""},
 		{"exactly the budget", []Point{{610, 6000}}, WithinBudget, 6000, 1, ""},
 		{"over the budget", []Point{{610, 12000}}, OverBudget, 12000, 2, ""},
-		{"the fit's worst residual is over it", []Point{{305, 5000}, {610, 6900}}, OverBudget, 5950, 1.15, ""},
-		{"half the size measured: trusted", []Point{{305, 600}}, WithinBudget, 600, 0.1, ""},
-		{"less than half of it measured: not", []Point{{100, 600}, {304, 600}}, Unknown, 0, 0, "agent.bytes_per_second is measured up to 304 alone"},
+		{"upper bound over the budget", []Point{{305, 5000}, {610, 6900}}, OverBudget, 5950, 1.15, ""},
+		{"measured at half the target size", []Point{{305, 600}}, WithinBudget, 600, 0.1, ""},
+		{"measured below half the target size", []Point{{100, 600}, {304, 600}}, Unknown, 0, 0, "agent.bytes_per_second is measured up to 304 alone"},
 		{"not measured", nil, Unknown, 0, 0, "agent.bytes_per_second is not measured"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,24 +49,24 @@
 			if c.points != nil {
 				slopes = append(slopes, newSlope(t, AgentBytes, c.points...))
 			}
-			l := findRequirement(t, Compute(size, slopes), Agent, "reports and orders")
-			if l.Verdict != c.verdict || l.UnknownReason != c.unknownReason {
-				t.Fatalf("%s (%s), want %s (%s)", l.Verdict, l.UnknownReason, c.verdict, c.unknownReason)
+			r := findRequirement(t, Compute(size, slopes), Agent, "reports and orders")
+			if r.Verdict != c.verdict || r.UnknownReason != c.unknownReason {
+				t.Fatalf("%s (%s), want %s (%s)", r.Verdict, r.UnknownReason, c.verdict, c.unknownReason)
 			}
 			if c.verdict == Unknown {
-				if l.Value != nil || l.Factor != nil {
-					t.Errorf("a figure that is not known: %+v", l)
+				if r.Value != nil || r.Factor != nil {
+					t.Errorf("an unknown requirement has a value or factor: %+v", r)
 				}
 				return
 			}
-			if !approximatelyEqual(*l.Value, c.value) || !approximatelyEqual(*l.Factor, c.factor) {
-				t.Errorf("%g, factor %g; want %g, %g", *l.Value, *l.Factor, c.value, c.factor)
+			if !approximatelyEqual(*r.Value, c.value) || !approximatelyEqual(*r.Factor, c.factor) {
+				t.Errorf("%g, factor %g; want %g, %g", *r.Value, *r.Factor, c.value, c.factor)
 			}
 		})
 	}
 }
 
-// The figures of today's way, from the slopes that were seen.
+// Requirements of the present distribution of whole files, computed from measured slopes.
 func TestFullFileRequirements(t *testing.T) {
 	size := repositorySize(t)
 	plan := Compute(size, []Slope{
@@ -84,22 +84,22 @@
 		{Configuration, "whole file: one change at the budget's", 495, 495.0 / 19},
 		{Voter, "whole file: that at the machine's", 2.97e6 * 610 / 125e6, 2.97e6 * 610 / 125e6 / 19},
 	} {
-		l := findRequirement(t, plan, c.role, c.item)
-		if l.Value == nil || !approximatelyEqual(*l.Value, c.value) || !approximatelyEqual(*l.Factor, c.factor) {
-			t.Errorf("%s: %+v; want %g, factor %g", c.item, l, c.value, c.factor)
+		r := findRequirement(t, plan, c.role, c.item)
+		if r.Value == nil || !approximatelyEqual(*r.Value, c.value) || !approximatelyEqual(*r.Factor, c.factor) {
+			t.Errorf("%s: %+v; want %g, factor %g", c.item, r, c.value, c.factor)
 		}
 	}
 	over := plan.RequirementsOverBudget()
 	for i := 1; i < len(over); i++ {
 		if *over[i].Factor > *over[i-1].Factor {
-			t.Errorf("%s (%g) stands behind %s (%g)", over[i].Item, *over[i].Factor, over[i-1].Item, *over[i-1].Factor)
+			t.Errorf("%s (%g) is listed after %s (%g)", over[i].Item, *over[i].Factor, over[i-1].Item, *over[i-1].Factor)
 		}
 	}
 	rollout := findRequirement(t, plan, Configuration, "whole file: one change by waves, with the default policy")
 	if rollout.Verdict != OverBudget || rollout.Value != nil || *rollout.LowerBound != 1280 {
 		t.Errorf("%+v", rollout)
 	}
-	// A sum of which a part is missing is over if its known part is.
+	// A sum with an unknown part is over its budget if its known part is.
 	total := findRequirement(t, plan, GatewayTotal, "configuration as whole files")
 	if total.Verdict != OverBudget || total.Value != nil || !approximatelyEqual(*total.LowerBound, 320+2.97e6*510/86400) {
 		t.Errorf("%+v", total)
@@ -112,27 +112,28 @@
 func TestQuotaCallsCountAsControlWhenConfigured(t *testing.T) {
 	size := repositorySize(t)
 	slopes := []Slope{newSlope(t, CounterCalls, Point{5, 0.25}, Point{610, 1}), newSlope(t, CounterBytes, Point{1, 150})}
-	if l := findRequirement(t, Compute(size, slopes), Quotas, "calls at the peak"); l.Verdict != NoBudget {
-		t.Errorf("%+v", l)
+	if r := findRequirement(t, Compute(size, slopes), Quotas, "calls at the peak"); r.Verdict != NoBudget {
+		t.Errorf("%+v", r)
 	}
 	size.Assumptions.QuotaCallsAreControl = true
 	size.Assumptions.GatewaysPerTenant = 5
-	i := slices.IndexFunc(Compute(size, slopes).Requirements, func(l Requirement) bool { return l.Role == Quotas && l.Kind == Bytes })
-	l := Compute(size, slopes).Requirements[i]
-	if want := 0.25 * 150 * 170_000 / 610.0; l.Verdict != OverBudget || !approximatelyEqual(*l.Value, want) {
-		t.Errorf("%+v, want %g", l, want)
+	i := slices.IndexFunc(Compute(size, slopes).Requirements, func(r Requirement) bool { return r.Role == Quotas && r.Kind == Bytes })
+	r := Compute(size, slopes).Requirements[i]
+	if want := 0.25 * 150 * 170_000 / 610.0; r.Verdict != OverBudget || !approximatelyEqual(*r.Value, want) {
+		t.Errorf("%+v, want %g", r, want)
 	}
 }
 
+// A requirement that depends on a measure without a slope must be unknown rather than get a default value.
 func TestUnmeasuredRequirementsAreUnknown(t *testing.T) {
 	plan := Compute(repositorySize(t), nil)
-	for _, l := range plan.Requirements {
-		if len(l.Measures) > 0 && (l.Verdict != Unknown || l.Value != nil || l.LowerBound != nil) {
-			// The soak of a rollout is arithmetic, and the known part of its sum.
-			if l.Verdict == OverBudget && l.LowerBound != nil && *l.LowerBound == defaultWaves*defaultSoakSeconds {
+	for _, r := range plan.Requirements {
+		if len(r.Measures) > 0 && (r.Verdict != Unknown || r.Value != nil || r.LowerBound != nil) {
+			// The soak time of a rollout is known without any slope and is the lower bound of the sum.
+			if r.Verdict == OverBudget && r.LowerBound != nil && *r.LowerBound == defaultWaves*defaultSoakSeconds {
 				continue
 			}
-			t.Errorf("%+v", l)
+			t.Errorf("%+v", r)
 		}
 	}
 	if len(plan.Unmeasured) != len(measures) {
@@ -142,30 +143,30 @@
 
 func TestEveryMeasureIsUsed(t *testing.T) {
 	used := map[string]bool{}
-	for _, l := range Compute(repositorySize(t), nil).Requirements {
-		for _, name := range l.Measures {
+	for _, r := range Compute(repositorySize(t), nil).Requirements {
+		for _, name := range r.Measures {
 			used[name] = true
 		}
 	}
 	seen := map[string]bool{}
 	for _, m := range measures {
 		if !used[m.Name] {
-			t.Errorf("no line rests on %s", m.Name)
+			t.Errorf("no requirement uses %s", m.Name)
 		}
 		if seen[m.Name] {
-			t.Errorf("%s stands twice", m.Name)
+			t.Errorf("%s is listed twice", m.Name)
 		}
 		seen[m.Name] = true
 	}
 }
 
-func TestPlaceControlMachines(t *testing.T) {
+func TestNewPlacement(t *testing.T) {
 	for _, c := range []struct {
 		machines, regions, zones int
 		voters                   int
 		inRegions                []int // voters
-		mostInZone               int
-		deciding                 int
+		maxInZone                int
+		quorumRegion             int
 	}{
 		{6, 2, 4, 5, []int{3, 2}, 2, 1},
 		{5, 2, 4, 5, []int{3, 2}, 2, 1},
@@ -176,9 +177,9 @@
 		{2, 2, 2, 1, []int{1, 0}, 1, 1},
 		{9, 2, 5, 5, []int{3, 2}, 1, 1},
 	} {
-		p := PlaceControlMachines(c.machines, c.regions, c.zones)
-		if len(p.Machines) != c.machines || p.Voters != c.voters || p.MaxVotersInZone() != c.mostInZone || p.QuorumRegion() != c.deciding {
-			t.Errorf("%+v: %+v, %d in a zone, region %d decides", c, p, p.MaxVotersInZone(), p.QuorumRegion())
+		p := NewPlacement(c.machines, c.regions, c.zones)
+		if len(p.Machines) != c.machines || p.Voters != c.voters || p.MaxVotersInZone() != c.maxInZone || p.QuorumRegion() != c.quorumRegion {
+			t.Errorf("%+v: %+v, up to %d voters in a zone, region %d has a quorum", c, p, p.MaxVotersInZone(), p.QuorumRegion())
 		}
 		for i, want := range c.inRegions {
 			if got := p.VotersInRegion(i + 1); got != want {
@@ -187,12 +188,14 @@
 		}
 		for _, m := range p.Machines {
 			if m.Zone < 1 || m.Zone > c.zones || (m.Zone-1)%c.regions != m.Region-1 {
-				t.Errorf("%+v: a machine in zone %d of region %d", c, m.Zone, m.Region)
+				t.Errorf("%+v: machine in zone %d of region %d", c, m.Zone, m.Region)
 			}
 		}
 	}
 }
 
+// Sites with a single region, zone, gateway or control machine, or without failures, must not lead to divisions
+// by zero or formatting errors in the texts.
 func TestFailureTextsOfUnusualSites(t *testing.T) {
 	for _, change := range []func(*Size){
 		func(s *Size) { s.Site.Regions, s.Site.Zones = 1, 1 },
--- a/capacity/quantity.go
+++ b/capacity/quantity.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// MaxExtrapolation is how far beyond the largest measured size a fit is trusted: up
-// to this many times that size. Beyond it a figure is not known.
+// MaxExtrapolation is the ratio of a size to the largest measured size up to which a fit is trusted. Beyond it a
+// value is unknown.
 const MaxExtrapolation = 2.0
 
-// quantity is a figure, or why it is not known. Its upper value adds to it the
-// largest distance of a measured point from its fit; verdicts go by the upper
-// value.
+// quantity is a value, or the reason why it is unknown. The upper bound adds the largest residual of the fit to
+// the value; verdicts are based on the upper bound.
 type quantity struct {
 	value, upperBound float64
-	lowerBound        float64  // the known part of a sum; the value, where it is known
-	unknownReason     string   // why it is not known; empty: it is
-	measures          []string // names of the measures it comes from
-	trial             bool     // one of these is a trial
+	lowerBound        float64  // the known part of a sum; equals the value if that is known
+	unknownReason     string   // empty: the value is known
+	measures          []string // names of the measures from which it is derived
+	trial             bool     // one of the measures is from a trial
 }
 
-// computed is a figure that needs no slope.
+// computed returns a quantity that depends on no slope.
 func computed(value float64) quantity {
 	return quantity{value: value, upperBound: value, lowerBound: value}
 }
 
+// scale multiplies a quantity by a known factor.
 func (q quantity) scale(factor float64) quantity {
 	q.value *= factor
 	q.upperBound *= factor
@@ -33,14 +33,14 @@
 	return q
 }
 
-// add adds figures; the sum is known if both are, and else its known part is.
+// add returns the sum of two quantities. It is known if both are; its lower bound is always set.
 func (q quantity) add(other quantity) quantity {
 	sum := q.combine(other, func(a, b float64) float64 { return a + b })
 	sum.lowerBound = q.lowerBound + other.lowerBound
 	return sum
 }
 
-// multiply is the product of two figures; it is known if both are.
+// multiply returns the product of two quantities. It is known if both are.
 func (q quantity) multiply(other quantity) quantity {
 	product := q.combine(other, func(a, b float64) float64 { return a * b })
 	if product.unknownReason == "" {
@@ -49,6 +49,7 @@
 	return product
 }
 
+// combine applies an operation to values and upper bounds, and merges reasons, measures and trial.
 func (q quantity) combine(other quantity, operation func(a, b float64) float64) quantity {
 	result := quantity{
 		value:         operation(q.value, other.value),
@@ -71,7 +72,7 @@
 	return result
 }
 
-// text is the figure with its unit, for a sentence.
+// text formats the quantity with its unit, for use in a sentence.
 func (q quantity) text(unit string) string {
 	if q.unknownReason != "" {
 		return "not known"
@@ -79,11 +80,12 @@
 	return formatWithUnit(q.value, unit)
 }
 
-// estimates are the fits of all slopes.
+// estimates holds the fits of all slopes by the name of their measure.
 type estimates struct {
 	slopes map[string]fittedSlope
 }
 
+// fittedSlope is a slope with its fit.
 type fittedSlope struct {
 	slope Slope
 	fit   Fit
@@ -98,7 +100,7 @@
 	return e
 }
 
-// estimate is a measure's figure estimate a size.
+// estimate returns the value of a measure at a size.
 func (e estimates) estimate(name string, size float64) quantity {
 	f, measured := e.slopes[name]
 	if !measured {
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -12,13 +12,13 @@
 	hoursPerDay           = 24.0
 	microsPerSecond       = 1e6
 	microsPerMilli        = 1e3
-	defaultSoakSeconds    = 20.0 // seconds, soak_for of a rollout that names none
+	defaultSoakSeconds    = 20.0 // default of a rollout's soak_for
 	defaultWaves          = 3.0  // one instance, a quarter, all
-	reportIntervalSeconds = 2.0  // seconds between two reports of an agent
-	watchTimeoutSeconds   = 4.0  // of a watch of discovery without news
+	reportIntervalSeconds = 2.0  // between two reports of an agent
+	watchTimeoutSeconds   = 4.0  // duration of a discovery watch that reports no change
 )
 
-// Mechanisms that several lines name.
+// Mechanisms that several requirements name.
 const (
 	fullFile            = "a revision of one file, pulled whole by each agent in waves"
 	plannedRecords      = "records, sent as changes, pulled from any control machine"
@@ -29,24 +29,25 @@
 	reportsAndOrders    = "a report every 2 s, orders with the answer"
 )
 
-// requestsPerGateway is the peak over all gateways, evenly spread.
+// requestsPerGateway returns the peak request rate of a gateway, with the load evenly spread.
 func (b *builder) requestsPerGateway() float64 {
 	return float64(b.size.Site.RequestsPerSecond) / float64(b.size.Site.Gateways)
 }
 
-// meanServiceBackends is the number of backends of a service of mean size.
+// meanServiceBackends returns the mean number of backends of a service.
 func (b *builder) meanServiceBackends() float64 {
 	return float64(b.size.Site.Backends) / float64(b.size.Site.Services)
 }
 
-// largestServiceBackends is the number of backends of the largest service.
+// largestServiceBackends returns the number of backends of the largest service.
 func (b *builder) largestServiceBackends() float64 {
 	return max(b.size.Assumptions.LargestServiceShare*float64(b.size.Site.Backends), 1)
 }
 
+// requestPath adds the requirements of the request path of a gateway.
 func (b *builder) requestPath() {
-	add := func(kind Kind, item, unit string, value quantity, budget float64, planned, note string) {
-		b.add(requirementSpec{RequestPath, kind, item, "rules/, one pure module a gateway", planned, unit, value, budget, note})
+	add := func(kind Kind, item, unit string, value quantity, budget float64, planned, comment string) {
+		b.add(requirementSpec{RequestPath, kind, item, "rules/, one pure module a gateway", planned, unit, value, budget, comment})
 	}
 	rate := b.requestsPerGateway()
 	add(Messages, "requests at the peak, evenly spread", "1/s", computed(rate), 0, "", "")
@@ -67,9 +68,10 @@
 	add(CPU, "all of a request, sockets too", "cores", b.estimate(RequestCPU).scale(rate/microsPerSecond), 0, "", "not of the budget for control")
 }
 
+// membership adds the requirements of a gateway as a member of the site.
 func (b *builder) membership() {
-	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{Membership, kind, item, swim, "", unit, value, budget, note})
+	add := func(kind Kind, item, unit string, value quantity, budget float64, comment string) {
+		b.add(requirementSpec{Membership, kind, item, swim, "", unit, value, budget, comment})
 	}
 	add(State, "members that a gateway knows", "", computed(float64(b.size.Site.Gateways)), members.MaxRosterSize, "the budget is the largest roster that is accepted today")
 	add(Messages, "datagrams", "1/s", b.estimate(MembersMessages), 0, "")
@@ -80,9 +82,10 @@
 	add(Time, "until all hear all after a cut in halves", "s", b.estimate(MembersPartitionRecoveryTime), 0, "")
 }
 
+// discovery adds the requirements of a gateway's discovery client.
 func (b *builder) discovery() {
-	add := func(kind Kind, item, unit string, value quantity, budget float64, planned, note string) {
-		b.add(requirementSpec{Discovery, kind, item, "the whole list at a start, then changes", planned, unit, value, budget, note})
+	add := func(kind Kind, item, unit string, value quantity, budget float64, planned, comment string) {
+		b.add(requirementSpec{Discovery, kind, item, "the whole list at a start, then changes", planned, unit, value, budget, comment})
 	}
 	list := b.estimate(DiscoveryListBytes)
 	add(State, "backends in a gateway's list", "", computed(float64(b.size.Site.Backends)), 0, "", "")
@@ -93,26 +96,26 @@
 	add(Bytes, "changes, mean of the day", "B/s", b.backendChangeBytesPerSecond(), b.size.Budget.GatewayBytesPerSecond, "", "a backend that fails or restarts is two changes")
 }
 
-// eventsPerMachineDay is how often a day one machine of the site fails or has its process
-// restarted.
+// eventsPerMachineDay returns how many failures and process restarts a machine of the site has per day.
 func (b *builder) eventsPerMachineDay() float64 {
 	return (b.size.Failures.MachinesPerDay + b.size.Failures.RestartsPerDay) / float64(b.size.Machines())
 }
 
-// listBytesPerSecond is what whole lists cost a gateway by the mean of its starts.
+// listBytesPerSecond returns the byte rate of the full lists that a gateway fetches when it starts, averaged
+// over the day.
 func (b *builder) listBytesPerSecond() quantity {
 	return b.estimate(DiscoveryListBytes).scale(b.eventsPerMachineDay() / secondsPerDay)
 }
 
-// backendChangeBytesPerSecond is what changes of backends cost a gateway.
+// backendChangeBytesPerSecond returns the byte rate of backend changes that a gateway receives.
 func (b *builder) backendChangeBytesPerSecond() quantity {
 	changes := 2 * b.eventsPerMachineDay() * float64(b.size.Site.Backends)
 	return b.estimate(DiscoveryChangeBytes).scale(changes / secondsPerDay)
 }
 
-// idleWatchBytesPerSecond is what watches without news cost a gateway.
+// idleWatchBytesPerSecond returns the byte rate of watches that end without a change, for one gateway.
 func (b *builder) idleWatchBytesPerSecond() quantity {
-	return b.estimate(DiscoveryEmptyWatchBytes).scale(1 / watchTimeoutSeconds)
+	return b.estimate(DiscoveryIdleWatchBytes).scale(1 / watchTimeoutSeconds)
 }
 
 func (b *builder) configuration() {
@@ -120,14 +123,16 @@
 	b.configurationByRecords()
 }
 
-// fileBytesPerSecond is what whole files cost a gateway by the day's mean.
+// fileBytesPerSecond returns the byte rate of a gateway that receives the full file at each change, averaged
+// over the day.
 func (b *builder) fileBytesPerSecond() quantity {
 	return b.estimate(FileBytesPerChange).scale(float64(b.size.Site.ChangesPerDay) / secondsPerDay)
 }
 
+// configurationByFile adds the requirements of configuration that is distributed as full files.
 func (b *builder) configurationByFile() {
-	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{Configuration, kind, "whole file: " + item, fullFile, plannedRecords, unit, value, budget, note})
+	add := func(kind Kind, item, unit string, value quantity, budget float64, comment string) {
+		b.add(requirementSpec{Configuration, kind, "whole file: " + item, fullFile, plannedRecords, unit, value, budget, comment})
 	}
 	budget := &b.size.Budget
 	change := b.estimate(FileBytesPerChange)
@@ -143,9 +148,10 @@
 	add(Bytes, "worst 60 s of any gateway", "B/s", b.estimate(FileWorstMinute), budget.GatewayBytesPerSecond, "")
 }
 
+// configurationByRecords adds the requirements of configuration that is distributed as records.
 func (b *builder) configurationByRecords() {
-	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{Configuration, kind, "records: " + item, plannedRecords, "", unit, value, budget, note})
+	add := func(kind Kind, item, unit string, value quantity, budget float64, comment string) {
+		b.add(requirementSpec{Configuration, kind, "records: " + item, plannedRecords, "", unit, value, budget, comment})
 	}
 	budget := &b.size.Budget
 	add(State, "records in a gateway's replica", "", computed(float64(b.size.Entries())), 0, "")
@@ -161,8 +167,8 @@
 	add(Time, "an empty replica whole, at the budget's bytes a second", "s", b.estimate(RecordsSnapshotBytes).scale(1/budget.GatewayBytesPerSecond), 0, "the newest changes come first meanwhile")
 }
 
-// defaultRolloutSeconds is the least time of a rollout with the default policy: one
-// report for each gateway, since one alone may be away, and the waves' soaks.
+// defaultRolloutSeconds returns a lower bound of the duration of a rollout with the default policy: one report
+// interval per gateway, since only one may be away at a time, plus the soak time of each wave.
 func (b *builder) defaultRolloutSeconds() quantity {
 	return quantity{
 		lowerBound:    reportIntervalSeconds*float64(b.size.Site.Gateways) + defaultWaves*defaultSoakSeconds,
@@ -170,7 +176,7 @@
 	}
 }
 
-// historyHours is how far back a history of whole files reaches.
+// historyHours returns the time span that the history of full files covers.
 func (b *builder) historyHours() quantity {
 	size := b.estimate(FileBytesPerChange)
 	if size.unknownReason != "" {
@@ -182,32 +188,33 @@
 	return size
 }
 
-// counterCallsPerSecond is what all gateways ask of the counter at the peak.
+// counterCallsPerSecond returns the peak call rate of all gateways to the counter.
 func (b *builder) counterCallsPerSecond() quantity {
 	return b.estimate(CounterCalls).scale(float64(b.size.Site.RequestsPerSecond))
 }
 
-// quotaBytesPerSecond is what one gateway's calls to the counter cost at the peak.
+// quotaBytesPerSecond returns the peak byte rate of one gateway's calls to the counter.
 func (b *builder) quotaBytesPerSecond() quantity {
 	return b.estimate(CounterCalls).scale(b.requestsPerGateway()).multiply(b.estimate(CounterBytes))
 }
 
+// quotas adds the requirements of a gateway's calls to the counter.
 func (b *builder) quotas() {
-	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{Quotas, kind, item, "calls to the shared counter; local shares while it is away", plannedQuotaBatches, unit, value, budget, note})
+	add := func(kind Kind, item, unit string, value quantity, budget float64, comment string) {
+		b.add(requirementSpec{Quotas, kind, item, "calls to the shared counter; local shares while it is away", plannedQuotaBatches, unit, value, budget, comment})
 	}
 	calls := b.estimate(CounterCalls).scale(b.requestsPerGateway())
 	bytes := b.quotaBytesPerSecond()
-	budget, note := 0.0, fmt.Sprintf("counted as control it would be %s times the budget", ratioText(bytes, b.size.Budget.GatewayBytesPerSecond))
+	budget, comment := 0.0, fmt.Sprintf("counted as control it would be %s times the budget", ratioText(bytes, b.size.Budget.GatewayBytesPerSecond))
 	if b.size.Assumptions.QuotaCallsAreControl {
-		budget, note = b.size.Budget.GatewayBytesPerSecond, "counted as control"
+		budget, comment = b.size.Budget.GatewayBytesPerSecond, "counted as control"
 	}
 	add(State, "tenants, of which a gateway keeps those that come to it", "", computed(float64(b.size.Site.Tenants)), 0, "")
 	add(Messages, fmt.Sprintf("calls at the peak, a tenant at %s gateways", formatNumber(float64(b.size.Assumptions.GatewaysPerTenant))), "1/s", calls, 0, "")
-	add(Bytes, "calls at the peak", "B/s", bytes, budget, note)
+	add(Bytes, "calls at the peak", "B/s", bytes, budget, comment)
 }
 
-// ratioText is a figure over a budget, as text.
+// ratioText formats the ratio of a quantity to a budget.
 func ratioText(q quantity, budget float64) string {
 	if q.unknownReason != "" {
 		return "an unknown number of"
@@ -215,6 +222,7 @@
 	return formatNumber(q.value / budget)
 }
 
+// agent adds the requirements of an agent without records.
 func (b *builder) agent() {
 	add := func(kind Kind, item, unit string, value quantity, budget float64) {
 		b.add(requirementSpec{Agent, kind, item, reportsAndOrders, "", unit, value, budget, "without records"})
@@ -227,16 +235,16 @@
 	add(Memory, "at rest", "MB", b.estimate(AgentMemory), budget.GatewayMemoryMB)
 }
 
-// gatewayTotal adds up what counts as control on a gateway's machine, with the
-// configuration sent in either way.
+// gatewayTotal adds up what counts as control on a gateway's machine, for each of the two ways to distribute the
+// configuration.
 func (b *builder) gatewayTotal() {
 	budget := &b.size.Budget
 	bytes := b.estimate(AgentBytes).add(b.estimate(MembersBytes)).add(b.listBytesPerSecond()).add(b.idleWatchBytesPerSecond()).add(b.backendChangeBytesPerSecond())
 	if b.size.Assumptions.QuotaCallsAreControl {
 		bytes = bytes.add(b.quotaBytesPerSecond())
 	}
-	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{GatewayTotal, kind, item, "the sum of the roles above", "", unit, value, budget, note})
+	add := func(kind Kind, item, unit string, value quantity, budget float64, comment string) {
+		b.add(requirementSpec{GatewayTotal, kind, item, "the sum of the roles above", "", unit, value, budget, comment})
 	}
 	add(Bytes, "configuration as whole files", "B/s", bytes.add(b.fileBytesPerSecond()), budget.GatewayBytesPerSecond, "mean of the day")
 	add(Bytes, "configuration as records", "B/s", bytes.add(b.estimate(RecordsBytes)), budget.GatewayBytesPerSecond, "mean of the day")
@@ -244,9 +252,10 @@
 	add(Memory, "configuration as records", "MB", b.estimate(RecordsAgentMemory).add(b.estimate(MembersMemory)), budget.GatewayMemoryMB, "with the whole idle gateway; the agent's memory is in that of its replica")
 }
 
+// voter adds the requirements of a control machine, as the leader and as another voter.
 func (b *builder) voter() {
-	add := func(kind Kind, item, mechanism, planned, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{Voter, kind, item, mechanism, planned, unit, value, budget, note})
+	add := func(kind Kind, item, mechanism, planned, unit string, value quantity, budget float64, comment string) {
+		b.add(requirementSpec{Voter, kind, item, mechanism, planned, unit, value, budget, comment})
 	}
 	machine := &b.size.Assumptions
 	const raft = "raft among the voters; the leader hears all agents"
@@ -272,14 +281,15 @@
 	add(Bytes, "records: a burst of empty replicas, all of their bytes", plannedRecords, "", "B", burst, 0, fmt.Sprintf("%s gateways in one instant", formatNumber(b.restartBurst())))
 }
 
-// restartBurst is the number of gateways that may be restarted in one instant.
+// restartBurst returns the number of gateways that may be restarted at the same time.
 func (b *builder) restartBurst() float64 {
 	return b.size.Assumptions.RestartBurstShare * float64(b.size.Site.Gateways)
 }
 
+// counter adds the requirements of the shared counter.
 func (b *builder) counter() {
-	add := func(kind Kind, item, unit string, value quantity, note string) {
-		b.add(requirementSpec{Counter, kind, item, "one counter for all gateways", plannedQuotaBatches, unit, value, 0, note})
+	add := func(kind Kind, item, unit string, value quantity, comment string) {
+		b.add(requirementSpec{Counter, kind, item, "one counter for all gateways", plannedQuotaBatches, unit, value, 0, comment})
 	}
 	calls := b.counterCallsPerSecond()
 	add(State, "tenants with a window each", "", computed(float64(b.size.Site.Tenants)), "")
@@ -288,9 +298,10 @@
 	add(CPU, "calls at the peak", "cores", calls.multiply(b.estimate(CounterCPU)).scale(1/microsPerSecond), "")
 }
 
+// registry adds the requirements of the discovery server.
 func (b *builder) registry() {
-	add := func(kind Kind, item, unit string, value quantity, budget float64, note string) {
-		b.add(requirementSpec{Registry, kind, item, "one watch a gateway", plannedPartialList, unit, value, budget, note})
+	add := func(kind Kind, item, unit string, value quantity, budget float64, comment string) {
+		b.add(requirementSpec{Registry, kind, item, "one watch a gateway", plannedPartialList, unit, value, budget, comment})
 	}
 	watches := float64(b.size.Site.Gateways)
 	burst := b.estimate(DiscoveryListBytes).scale(b.restartBurst())
@@ -300,6 +311,7 @@
 	add(Time, "that at a control machine's bytes a second", "s", burst.scale(1/b.size.Assumptions.ControlBytesPerSecond), b.size.Assumptions.ListSeconds, "the platform's discovery may have another link")
 }
 
+// tool adds the requirements of the operator's tool.
 func (b *builder) tool() {
 	add := func(kind Kind, item, unit string, value quantity) {
 		b.add(requirementSpec{Tool, kind, item, "one call to any agent, which has the leader answer", "", unit, value, 0, ""})
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -8,8 +8,8 @@
 	"elderyard/internal/strict"
 )
 
-// Size is a site, what it may spend, what fails in it, and what is assumed where
-// nothing says.
+// Size is the size of a site, its budgets, its failure rates, and assumptions about figures that its plan does
+// not give. TOML errors name the Go types and fields, so these are part of the messages.
 type Size struct {
 	Site        Site        `toml:"site" json:"site" doc:"what the site has and does"`
 	Budget      Budget      `toml:"budget" json:"budget" doc:"what may be spent"`
@@ -17,7 +17,7 @@
 	Assumptions Assumptions `toml:"assumptions" json:"assumptions" doc:"what is assumed where nothing says"`
 }
 
-// Site is what a site has and does.
+// Site is what a site consists of, and its load.
 type Site struct {
 	Gateways          int `toml:"gateways" json:"gateways" doc:"gateways, one a machine, each with its agent"`
 	Backends          int `toml:"backends" json:"backends" doc:"backends, one a machine"`
@@ -30,7 +30,7 @@
 	ChangesPerDay     int `toml:"changes_per_day" json:"changes_per_day" doc:"changes of configuration a day"`
 }
 
-// Budget is what the site may spend.
+// Budget is what control may cost and how much latency it may add.
 type Budget struct {
 	InForceSeconds        float64 `toml:"in_force_seconds" json:"in_force_seconds" doc:"from a change's acceptance until it is in force at every gateway"`
 	AddedMilliseconds     float64 `toml:"added_ms" json:"added_ms" doc:"ms added to a request, for 99 in 100"`
@@ -40,7 +40,7 @@
 	ControlMachines       int     `toml:"control_machines" json:"control_machines" doc:"machines set aside for control"`
 }
 
-// Failures is what fails, and how often.
+// Failures is how often machines, racks, zones and regions fail.
 type Failures struct {
 	MachinesPerDay    float64 `toml:"machines_per_day" json:"machines_per_day" doc:"machines that fail on an ordinary day"`
 	RestartsPerDay    float64 `toml:"restarts_per_day" json:"restarts_per_day" doc:"processes that are restarted or replaced on a day"`
@@ -65,15 +65,14 @@
 	ControlBytesPerSecond float64 `toml:"control_bytes_per_second" json:"control_bytes_per_second" doc:"bytes a second that a control machine may send and receive"`
 }
 
-// Entries is the number of records that the configuration holds.
+// Entries returns the number of records in the configuration.
 func (s *Size) Entries() int { return s.Site.Routes + s.Site.Tenants }
 
-// Machines is the number of machines: one for each gateway, backend and control
-// process.
+// Machines returns the number of machines: one for each gateway, backend and control process.
 func (s *Size) Machines() int { return s.Site.Gateways + s.Site.Backends + s.Budget.ControlMachines }
 
-// DecodeSize reads a size from TOML. What is not given counts as 0, which most
-// keys refuse. Errors are *strict.Error and name file, key, and line if there is one.
+// DecodeSize decodes and validates a size in TOML. A missing key counts as 0, which most keys reject. Errors are
+// *strict.Error and name the file, the key and, if known, the line.
 func DecodeSize(file string, text []byte) (Size, error) {
 	var size Size
 	if err := strict.Decode(file, text, &size); err != nil {
@@ -85,19 +84,19 @@
 	return size, nil
 }
 
-// valueRange is what a key's value may be.
+// valueRange is the range of values that a key accepts.
 type valueRange struct {
 	minimum, maximum float64
-	exclusiveMinimum bool // least itself is not allowed
+	exclusiveMinimum bool // the minimum itself is rejected
 }
 
-// maxNumber bounds every number and every size, far above what any site has.
+// maxNumber limits every number and size; it is far above that of any site.
 const maxNumber = 1e12
 
-// maxTopologyCount bounds regions, zones and control machines.
+// maxTopologyCount limits the numbers of regions, zones and control machines.
 const maxTopologyCount = 1000
 
-// keyRanges are the keys whose values may not be anything above 0.
+// keyRanges has the ranges of the keys that differ from the default, which is above 0 and at most maxNumber.
 var keyRanges = map[string]valueRange{
 	"site.regions":                      {minimum: 1, maximum: maxTopologyCount},
 	"site.zones":                        {minimum: 1, maximum: maxTopologyCount},
@@ -113,6 +112,7 @@
 	"assumptions.largest_service_share": {minimum: 0, maximum: 1, exclusiveMinimum: true},
 }
 
+// validate checks each key, and keys that depend on each other.
 func (s *Size) validate(file string, text []byte) error {
 	root := reflect.ValueOf(s).Elem()
 	for i := range root.NumField() {
@@ -132,6 +132,7 @@
 	return nil
 }
 
+// validateTable checks the range of each number of one table.
 func validateTable(file string, text []byte, table string, value reflect.Value) error {
 	for i := range value.NumField() {
 		key := table + "." + value.Type().Field(i).Tag.Get("toml")
@@ -158,10 +159,10 @@
 	return nil
 }
 
-// sizeKey is one key of a size with its value, for a table.
+// sizeKey is one key of a size with its value, as a row of a table.
 type sizeKey struct{ name, value, description string }
 
-// keys lists all keys of the size, in the order of the file.
+// keys returns all keys of the size, in the order of the struct fields.
 func (s *Size) keys() (list []sizeKey) {
 	root := reflect.ValueOf(s).Elem()
 	for i := range root.NumField() {
--- a/capacity/slopes.go
+++ b/capacity/slopes.go
@@ -12,28 +12,28 @@
 	"elderyard/internal/strict"
 )
 
-// Bounds of a file of slopes.
+// Limits and date format of a slope file.
 const (
 	maxSlopesFileBytes = 1 << 20 // bytes
-	maxPoints          = 10_000  // of one slope
-	maxPointValue      = 1e15    // of one point
+	maxPoints          = 10_000  // per slope
+	maxPointValue      = 1e15
 	dateLayout         = "2006-01-02"
 )
 
-// Slope is one measure at several sizes, as one command measured it.
+// Slope is the values of one measure at several sizes, as measured by one command.
 type Slope struct {
-	Measure        string  `json:"measure"`        // the name of a Measure
-	Unit           string  `json:"unit"`           // the measure's unit, said again so that a mistake is noticed
-	Command        string  `json:"command"`        // what measured it, so that it can be measured again
-	Date           string  `json:"measured"`       // the day, as 2026-12-02
+	Measure        string  `json:"measure"`        // name of a Measure
+	Unit           string  `json:"unit"`           // unit of the measure, repeated so that a mismatch is detected
+	Command        string  `json:"command"`        // the command that measured it, so that the measurement can be repeated
+	Date           string  `json:"measured"`       // such as 2026-12-02
 	ConcurrentLoad string  `json:"beside"`         // what else ran on the machine
-	Trial          bool    `json:"trial"`          // of a scratch copy, or on a machine with other load: to be measured again
-	Comment        string  `json:"note,omitempty"` // anything that a reader has to know
+	Trial          bool    `json:"trial"`          // measured on a scratch copy or on a machine with other load; to be repeated
+	Comment        string  `json:"note,omitempty"` // anything else that readers have to know
 	Points         []Point `json:"points"`
 }
 
-// DecodeSlopes reads a file of slopes: a JSON list of Slope. Errors are
-// *strict.Error and name file, line and key. A measure may stand in it once.
+// DecodeSlopes decodes and validates a slope file: a JSON list of Slope in which each measure occurs at most
+// once. Errors are *strict.Error and name the file, line and key.
 func DecodeSlopes(file string, text []byte) ([]Slope, error) {
 	d := slopeDecoder{file: file, text: text}
 	if len(text) > maxSlopesFileBytes {
@@ -42,11 +42,13 @@
 	return d.decode()
 }
 
+// slopeDecoder decodes a slope file and locates its errors in the text.
 type slopeDecoder struct {
 	file string
 	text []byte
 }
 
+// decode decodes the list element by element, so that an error can name its element and line.
 func (d *slopeDecoder) decode() ([]Slope, error) {
 	reader := json.NewDecoder(bytes.NewReader(d.text))
 	reader.DisallowUnknownFields()
@@ -81,7 +83,7 @@
 	return slopes, nil
 }
 
-// validate is what is wrong with a slope, and in which field; empty if nothing is.
+// validate returns the first invalid field of a slope and what is wrong with it, or empty strings.
 func (s *Slope) validate() (field, problem string) {
 	measure, known := findMeasure(s.Measure)
 	switch {
@@ -124,8 +126,8 @@
 	return names
 }
 
-// decodeError turns an error of the standard decoder, within the element that
-// begins at start, into one that names the line.
+// decodeError converts an error of encoding/json, in the element that begins at start, to one that names the
+// line.
 func (d *slopeDecoder) decodeError(start int, key string, err error) error {
 	var syntax *json.SyntaxError
 	var wrongType *json.UnmarshalTypeError
@@ -137,7 +139,7 @@
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
 		return d.errorAt(len(d.text), key, "the file ends in the midst of it")
 	}
-	// The decoder names an unknown field in its text alone.
+	// encoding/json has no error type for an unknown field; only its message names the field.
 	if _, rest, ok := strings.Cut(err.Error(), "unknown field "); ok {
 		field := strings.Trim(rest, `"`)
 		problem := "there is no such key"
@@ -149,10 +151,10 @@
 	return d.errorAt(start, key, "%v", err)
 }
 
-// slopeKeys are the keys of a slope and of its points.
+// slopeKeys lists the keys of a slope and of its points, for suggestions.
 var slopeKeys = []string{"measure", "unit", "command", "measured", "beside", "trial", "note", "points", "size", "value"}
 
-// elementStart skips the comma and space before an element.
+// elementStart returns the offset of the next element, after commas and white space.
 func (d *slopeDecoder) elementStart(offset int64) int {
 	start := int(offset)
 	for start < len(d.text) && strings.ContainsRune(" \t\r\n,", rune(d.text[start])) {
@@ -161,8 +163,8 @@
 	return start
 }
 
-// fieldOffset finds a field of the element between start and end, such as "unit"
-// or "points[2].size"; start if it is not there.
+// fieldOffset returns the offset of a field such as "unit" or "points[2].size" in the element between start and
+// end, or start if the element does not have the field.
 func (d *slopeDecoder) fieldOffset(start, end int, field string) int {
 	name, occurrence := field, 0
 	if i := strings.LastIndex(field, "."); i >= 0 {
@@ -180,7 +182,7 @@
 	return offset
 }
 
-// errorAt is an error at an offset of the text.
+// errorAt returns an error with the line of an offset in the text.
 func (d *slopeDecoder) errorAt(offset int, key, format string, a ...any) error {
 	offset = min(max(offset, 0), len(d.text))
 	line := 1 + bytes.Count(d.text[:offset], []byte("\n"))
