--- a/cmd/elderctl/apply.go
+++ b/cmd/elderctl/apply.go
@@ -15,11 +15,11 @@
 	"elderyard/revisions"
 )
 
-// applyTimeout bounds the call of an apply, which is repeated while its response is lost, and the time that a rollout is
-// followed without a leader.
+// applyTimeout limits the call that applies a revision, which is retried after a lost response, and the time for which
+// a rollout is followed without a leader.
 const applyTimeout = 2 * time.Minute
 
-// applyOptions are the flags of the verbs that make a revision.
+// applyOptions are the flags of the commands that create a revision.
 type applyOptions struct {
 	parent  uint64
 	message string
@@ -33,7 +33,7 @@
 	cmd.Flags().BoolVar(&o.noWait, "no-wait", false, "do not follow the rollout to its end")
 }
 
-// request returns a request with the parent and the message that the flags give, or else with these.
+// request returns a request with the parent and the message of the flags; newest and message are the defaults.
 func (o *applyOptions) request(cmd *cobra.Command, newest uint64, message string) agentapi.ApplyRequest {
 	request := agentapi.ApplyRequest{Parent: newest, Message: cmp.Or(o.message, message)}
 	if cmd.Flags().Changed("parent") {
@@ -70,11 +70,11 @@
 	return cmd
 }
 
-// send makes the revision and, unless the flags say otherwise, follows its rollout to the end. The file names the
-// content in a diff.
+// send creates the revision and, unless --no-wait is set, follows its rollout to the end. In a diff, the content
+// appears under the name file.
 func (o *applyOptions) send(cmd *cobra.Command, client *agentapi.Client, request agentapi.ApplyRequest, file string) error {
 	var err error
-	if request.Request, err = newRequestID(); err != nil {
+	if request.IdempotencyKey, err = newRequestID(); err != nil {
 		return err
 	}
 	result, err := requestApply(cmd.Context(), client, request)
@@ -82,7 +82,7 @@
 		return err
 	}
 	report := newApplyReport(cmd, result)
-	switch result.Answer {
+	switch result.Status {
 	case revisions.Accepted:
 		fmt.Fprintf(report.out, "revision %d was accepted\n", result.Revision.Number)
 		if o.noWait {
@@ -94,9 +94,10 @@
 	case revisions.Conflict, fleet.Busy:
 		return report.conflict(request, result, file)
 	}
-	return report.finish(exitRefused, fmt.Errorf("%s; nothing was changed", result.Answer))
+	return report.finish(exitRefused, fmt.Errorf("%s; nothing was changed", result.Status))
 }
 
+// requestApply calls the agent. An unknown outcome is an error with its own message and exit status.
 func requestApply(ctx context.Context, client *agentapi.Client, request agentapi.ApplyRequest) (agentapi.ApplyResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
@@ -108,7 +109,7 @@
 	return result, err
 }
 
-// applyReport prints what became of an apply: text as it goes on, or with --json one value at the end.
+// applyReport prints the result of an apply: text while it proceeds, or with --json one value at the end.
 type applyReport struct {
 	cmd    *cobra.Command
 	out    io.Writer      // of the text; discards it with --json
@@ -117,14 +118,14 @@
 
 func newApplyReport(cmd *cobra.Command, result agentapi.ApplyResult) *applyReport {
 	r := &applyReport{cmd: cmd, out: cmd.OutOrStdout(), values: map[string]any{
-		"answer": result.Answer, "revision": result.Revision.Number, "author": result.Revision.Author, "at": result.Revision.At}}
+		"answer": result.Status, "revision": result.Revision.Number, "author": result.Revision.Author, "at": result.Revision.At}}
 	if wantsJSON(cmd) {
 		r.out = io.Discard
 	}
 	return r
 }
 
-// finish prints the JSON, if it is wanted, and returns the error for the exit status: nil for exitOK.
+// finish prints the JSON if --json is set, and returns the error for the exit status, nil for exitOK.
 func (r *applyReport) finish(status int, cause error) error {
 	if wantsJSON(r.cmd) {
 		if err := writeJSON(r.cmd.OutOrStdout(), "-", r.values); err != nil {
@@ -151,17 +152,17 @@
 	return r.finish(rolloutExitStatus(status))
 }
 
-// unchanged reports that the newest revision has this content already. It is an error if that revision was rolled back.
+// unchanged reports that the newest revision already has this content. It is an error if that revision was rolled back.
 func (r *applyReport) unchanged(client *agentapi.Client, newest uint64) error {
 	fmt.Fprintf(r.out, "revision %d says this already; nothing was changed\n", newest)
 	status, err := client.Status(r.cmd.Context())
-	if err == nil && status.Stale == "" && status.Wanted != newest {
-		return r.finish(exitRefused, fmt.Errorf("revision %d went back, and %d is wanted: --again tries it once more", newest, status.Wanted))
+	if err == nil && status.Stale == "" && status.Desired != newest {
+		return r.finish(exitRefused, fmt.Errorf("revision %d went back, and %d is wanted: --again tries it once more", newest, status.Desired))
 	}
 	return r.finish(exitOK, nil)
 }
 
-// conflict reports the revision that came first, with its difference to the rejected content.
+// conflict reports the revision that was accepted first, with a diff to the rejected content.
 func (r *applyReport) conflict(request agentapi.ApplyRequest, result agentapi.ApplyResult, file string) error {
 	first := result.Revision
 	fmt.Fprintf(r.out, "revision %d came first: by %s at %s: %s\n", first.Number, first.Author, first.At.Local().Format(time.DateTime), orDash(first.Message))
@@ -170,9 +171,9 @@
 		r.values["diff"] = diff
 		printDiff(r.out, diff)
 	}
-	if result.Answer == fleet.Busy {
-		r.values["why"] = result.Why
-		return r.finish(exitConflict, fmt.Errorf("%s; nothing was changed: wait for its end, or elderctl abort", result.Why))
+	if result.Status == fleet.Busy {
+		r.values["why"] = result.Reason
+		return r.finish(exitConflict, fmt.Errorf("%s; nothing was changed: wait for its end, or elderctl abort", result.Reason))
 	}
 	return r.finish(exitConflict, fmt.Errorf("the change was made from revision %d, and %d is the newest; nothing was changed", request.Parent, first.Number))
 }
--- a/cmd/elderctl/lab_view.go
+++ b/cmd/elderctl/lab_view.go
@@ -16,29 +16,28 @@
 )
 
 const (
-	screenInterval = 250 * time.Millisecond // between two drawings of the screen
-	lineInterval   = 2 * time.Second        // between two lines where there is no screen
-	maxEvents      = 8                      // on the screen
+	screenInterval = 250 * time.Millisecond // between updates of the screen
+	lineInterval   = 2 * time.Second        // between lines without a screen
+	maxEvents      = 8                      // shown on the screen
 	barWidth       = 30                     // characters of the progress bar
-	defaultWidth   = 100                    // characters of a screen whose size is unknown
+	defaultWidth   = 100                    // characters, if the size of the screen is unknown
 )
 
-// labView shows a running lab: one screen that is drawn again in a terminal, lines elsewhere. Its methods may be called
-// by several goroutines.
+// labView shows a running lab: a screen that is redrawn in a terminal, lines elsewhere. It is safe for concurrent use.
 type labView struct {
-	out    io.Writer
-	screen bool
-	name   string
-	about  string
-	start  time.Time
-
-	mu     sync.Mutex
-	events []string
-	drawn  int // lines that the last drawing occupies
+	out         io.Writer
+	screen      bool
+	name        string
+	description string
+	start       time.Time
+
+	mu         sync.Mutex
+	events     []string
+	drawnLines int // number of lines of the last redraw
 }
 
 func newLabView(out io.Writer, name, about string) *labView {
-	v := &labView{out: out, name: name, about: about, start: time.Now()}
+	v := &labView{out: out, name: name, description: about, start: time.Now()}
 	if f, ok := out.(*os.File); ok {
 		v.screen = term.IsTerminal(int(f.Fd())) && os.Getenv("TERM") != "dumb"
 	}
@@ -48,7 +47,7 @@
 	return v
 }
 
-// event shows a line about what happened, with the time since the start.
+// event shows a line about an event, with the time since the start.
 func (v *labView) event(format string, args ...any) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -62,7 +61,7 @@
 	}
 }
 
-// follow shows snapshots until ctx ends, and a last one then.
+// follow shows snapshots until ctx is done, and then a last one.
 func (v *labView) follow(ctx context.Context, snapshot func() lab.Snapshot) {
 	interval := lineInterval
 	if v.screen {
@@ -81,7 +80,7 @@
 	}
 }
 
-// show draws the screen again, or prints a line.
+// show redraws the screen or prints a line.
 func (v *labView) show(s lab.Snapshot) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -94,23 +93,23 @@
 	v.redraw(v.draw(s))
 }
 
-// redraw writes a text over the one that it wrote last.
+// redraw replaces the text that it wrote last.
 func (v *labView) redraw(text string) {
-	if v.drawn > 0 {
-		fmt.Fprintf(v.out, "\x1b[%dA", v.drawn)
+	if v.drawnLines > 0 {
+		fmt.Fprintf(v.out, "\x1b[%dA", v.drawnLines)
 	}
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
 	width := screenWidth(v.out)
 	for _, line := range lines {
 		if r := []rune(line); len(r) >= width {
-			line = string(r[:width-1]) // a line that wraps would move the screen
+			line = string(r[:width-1]) // a wrapped line would shift the screen
 		}
 		fmt.Fprintf(v.out, "\x1b[2K%s\n", line)
 	}
-	for range max(0, v.drawn-len(lines)) {
+	for range max(0, v.drawnLines-len(lines)) {
 		fmt.Fprint(v.out, "\x1b[2K\n")
 	}
-	v.drawn = max(v.drawn, len(lines))
+	v.drawnLines = max(v.drawnLines, len(lines))
 }
 
 // screenWidth returns the width of a terminal in characters.
@@ -123,7 +122,7 @@
 	return defaultWidth
 }
 
-// formatLimitCommands counts the limit commands, or returns "" if there were none.
+// formatLimitCommands formats the number of limit commands, "" if there were none.
 func formatLimitCommands(p load.Progress) string {
 	if p.Takes == 0 {
 		return ""
@@ -146,7 +145,7 @@
 	return "; on: " + strings.Join(faults, ", ")
 }
 
-// percentOf formats a part of a total in percent, or a dash if the total is 0.
+// percentOf formats n as a percentage of a total, or as a dash if the total is 0.
 func percentOf(n, of int) string {
 	if of == 0 {
 		return "    -"
@@ -154,8 +153,8 @@
 	return fmt.Sprintf("%4.0f%%", 100*float64(n)/float64(of))
 }
 
-// bar returns a progress bar.
-func bar(done, of time.Duration) string {
+// progressBar returns a progress bar that shows done of a total.
+func progressBar(done, of time.Duration) string {
 	n := 0
 	if of > 0 {
 		n = int(float64(barWidth) * done.Seconds() / of.Seconds())
@@ -168,7 +167,7 @@
 func (v *labView) draw(snapshot lab.Snapshot) string {
 	var b strings.Builder
 	p := snapshot.Progress
-	fmt.Fprintf(&b, "elderyard lab  %s  %s %.0f of %.0f s\n%s\n\n", v.name, bar(snapshot.At, snapshot.Of), snapshot.At.Seconds(), snapshot.Of.Seconds(), v.about)
+	fmt.Fprintf(&b, "elderyard lab  %s  %s %.0f of %.0f s\n%s\n\n", v.name, progressBar(snapshot.At, snapshot.Of), snapshot.At.Seconds(), snapshot.Of.Seconds(), v.description)
 	fmt.Fprintf(&b, "asked %d   served %d   refused %d   failed %d   no answer %d   retries %d   late %d%s\n\n",
 		p.First, p.Served, p.Refused, p.Failed, p.Unhandled, p.Retries, snapshot.Late, formatLimitCommands(p))
 	w := newTable(&b)
--- a/cmd/elderctl/records_test.go
+++ b/cmd/elderctl/records_test.go
@@ -46,7 +46,7 @@
 	for end := time.Now().Add(testTimeout); ; time.Sleep(50 * time.Millisecond) {
 		// Until its first report the leader lists no agent, and a wait for all agents ends at once.
 		status, out, errs := tool(t, "records", "lag", "--agent", socket)
-		if (status == exitOK || status == exitPartly) && strings.Contains(out, "of 1 agents") {
+		if (status == exitOK || status == exitPartial) && strings.Contains(out, "of 1 agents") {
 			return socket
 		} else if time.Now().After(end) {
 			t.Fatalf("no agent answers: %s", errs)
@@ -112,7 +112,7 @@
 	run(exitOK, "the first", "versions")
 	run(exitOK, "accepted", "delete", "tenant/acme", "--if", strconv.FormatUint(two.Version, 10), "--wait", "1m")
 	run(exitOK, "- ", "diff", strconv.FormatUint(two.Version, 10))
-	if lag := recordsLag(t, socket); lag.InForce != 1 || !lag.Everywhere() {
+	if lag := recordsLag(t, socket); lag.UpToDate != 1 || !lag.AllUpToDate() {
 		t.Fatalf("%+v", lag)
 	}
 	checkRecordsUsage(t, socket, first, value)
--- a/traces/event.go
+++ b/traces/event.go
@@ -2,55 +2,54 @@
 
 import "elderyard/rules"
 
-// Begin describes a request that was accepted. Every event of the request carries a pointer to it, and it holds
-// the trace under construction, so there are never more open traces than open requests.
-type Begin struct {
-	Context  Context // sent by the client; an all-zero span means that it sent none
-	Self     Context // of the request's own span; forwarded to the backend
-	Client   string  // the client's own ID of this try
-	Class    int
-	Plan     int
-	Units    float64
-	Method   string
-	Key      bool    // whether the request carried an idempotency key
-	Repeated bool    // whether the client marked it as a retry
-	Sent     float64 // when the client sent it, in seconds
+// Request describes an accepted request. Every event of the request carries a pointer to it, and it holds the trace
+// under construction, so there are never more open traces than open requests.
+type Request struct {
+	ParentContext     Context // from the client; an all-zero span ID means that it sent none
+	SpanContext       Context // of the request's own span; the backend gets it with the span ID of the attempt
+	RequestID         string  // the correlation ID that the client sent with this try
+	Class             int
+	Plan              int
+	Units             float64
+	Method            string
+	HasIdempotencyKey bool    // whether the request carried an idempotency key
+	IsRetry           bool    // whether the client marked it as a retry
+	SentAt            float64 // when the client sent it, in seconds
 
 	trace requestTrace // owned by the Recorder
 }
 
-// Event is one thing that happened to a request. The fields after Begin are set only for the kinds named beside
-// them.
+// Event is one step in the life of a request. The fields below Request are set only for the kinds in their comments.
 type Event struct {
-	Kind  EventKind
-	At    float64 // seconds
-	Begin *Begin
-
-	Attempt    int    // Sent and Ended: the attempt's number
-	Span       SpanID // Sent: the attempt's span
-	Backend    string // Sent
-	Zone       string // Sent
-	Paid       float64
-	Outcome    rules.Outcome // Ended
-	Status     int           // Answered: the HTTP status
-	Reason     rules.Reason  // Answered: why the request was refused
-	RetryAfter float64       // Answered: seconds
+	Kind    EventKind
+	At      float64 // seconds
+	Request *Request
+
+	Attempt    int           // AttemptStarted and AttemptEnded: the attempt's number
+	SpanID     SpanID        // AttemptStarted: the attempt's span
+	Backend    string        // AttemptStarted
+	Zone       string        // AttemptStarted
+	AdmittedAt float64       // AttemptStarted and FinalResponse: when the quota admitted the request, in seconds
+	Outcome    rules.Outcome // AttemptEnded
+	Status     int           // FinalResponse: the HTTP status
+	Reason     rules.Reason  // FinalResponse: why the request was refused
+	RetryAfter float64       // FinalResponse: seconds
 }
 
-// EventKind says what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
 // The kinds of event.
 const (
-	Began      EventKind = iota // a request was accepted
-	Sent                        // an attempt was started
-	Ended                       // an attempt ended
-	Answered                    // the request got its final answer
-	ClientLeft                  // the client disconnected before the final answer
+	RequestAccepted    EventKind = iota // a request was accepted
+	AttemptStarted                      // an attempt was started
+	AttemptEnded                        // an attempt ended
+	FinalResponse                       // the request got its final response
+	ClientDisconnected                  // the client disconnected before the final response
 )
 
 // EventKindCount is the number of kinds of event.
-const EventKindCount = int(ClientLeft) + 1
+const EventKindCount = int(ClientDisconnected) + 1
 
 // String returns the kind's name in exported metrics.
 func (k EventKind) String() string {
