--- a/capacity/failures.go
+++ b/capacity/failures.go
@@ -13,6 +13,7 @@
 	Recovery    string `json:"heals"`   // how the site recovers, and how long that takes
 }
 
+// Time units, and defaults of rollouts, agents and the leader that the texts quote.
 const (
 	daysPerYear              = 365.0
 	minutesPerDay            = 1440.0
@@ -76,13 +77,14 @@
 	return afterText(b.estimate(RecordsSnapshotBytes).scale(1 / b.size.Budget.GatewayBytesPerSecond))
 }
 
+// singleMachine describes the failure of one machine.
 func (b *builder) singleMachine(p Placement) Failure {
 	perDay := b.size.Failures.MachinesPerDay
 	total := float64(b.size.Machines())
-	control := total / max(perDay*float64(b.size.Budget.ControlMachines), 1e-9)
+	daysPerControlMachine := total / max(perDay*float64(b.size.Budget.ControlMachines), 1e-9)
 	return Failure{
 		Name:      "a machine",
-		Frequency: fmt.Sprintf("a given one every %s days; one of the control machines every %s days", formatNumber(total/max(perDay, 1e-9)), formatNumber(control)),
+		Frequency: fmt.Sprintf("a given one every %s days; one of the control machines every %s days", formatNumber(total/max(perDay, 1e-9)), formatNumber(daysPerControlMachine)),
 		Affected:  "a gateway, a backend or a control machine",
 		Unaffected: fmt.Sprintf("all other gateways, %s; %d voters bear the loss of %d",
 			b.loadWithout(1), p.Voters, p.Voters-p.Quorum),
@@ -93,6 +95,7 @@
 	}
 }
 
+// dailyMachineFailures describes the machine failures of an ordinary day.
 func (b *builder) dailyMachineFailures() Failure {
 	perDay := b.size.Failures.MachinesPerDay
 	gateways, backends := b.expectedAmong(perDay)
@@ -108,6 +111,7 @@
 	}
 }
 
+// dailyRestarts describes the process restarts of an ordinary day.
 func (b *builder) dailyRestarts() Failure {
 	perDay := b.size.Failures.RestartsPerDay
 	gateways, backends := b.expectedAmong(perDay)
@@ -124,6 +128,7 @@
 	}
 }
 
+// simultaneousRestarts describes the restart of many gateways at once, all with empty replicas.
 func (b *builder) simultaneousRestarts() Failure {
 	burst := b.restartBurst()
 	snapshot := b.estimate(RecordsSnapshotBytes)
@@ -140,6 +145,7 @@
 	}
 }
 
+// rackOutage describes the failure of a rack or its switch.
 func (b *builder) rackOutage(p Placement) Failure {
 	machines := float64(b.size.Assumptions.RackMachines)
 	gateways, backends := b.expectedAmong(machines)
@@ -154,39 +160,41 @@
 	}
 }
 
+// zoneOutage describes the failure of a zone, including the loss of its voters.
 func (b *builder) zoneOutage(p Placement) Failure {
 	zones := float64(b.size.Site.Zones)
 	gateways := float64(b.size.Site.Gateways) / zones
 	votersLost := p.MaxVotersInZone()
-	control := fmt.Sprintf("%d voters of %d at least: changes go on", p.Voters-votersLost, p.Voters)
+	stillWorking := fmt.Sprintf("%d voters of %d at least: changes go on", p.Voters-votersLost, p.Voters)
 	unavailable := "what its gateways held"
 	if p.Voters-votersLost < p.Quorum {
-		control = "requests, with the configuration in force"
+		stillWorking = "requests, with the configuration in force"
 		unavailable += fmt.Sprintf("; with %d voters in the zone, all changes", votersLost)
 	}
 	return Failure{
 		Name:        "a zone",
 		Frequency:   fmt.Sprintf("%s times a year", formatNumber(b.size.Failures.ZonesPerYear)),
 		Affected:    fmt.Sprintf("%s gateways, %s backends, %d voters at most", formatNumber(gateways), formatNumber(float64(b.size.Site.Backends)/zones), votersLost),
-		Unaffected:  fmt.Sprintf("the others, %s; %s", b.loadWithout(gateways), control),
+		Unaffected:  fmt.Sprintf("the others, %s; %s", b.loadWithout(gateways), stillWorking),
 		Unavailable: unavailable,
 		Staleness:   "its gateways, for as long as they are away",
 		Recovery:    b.detectionText() + "; on their return they ask for the changes since, or repair by ranges",
 	}
 }
 
+// regionOutage describes the failure of a region.
 func (b *builder) regionOutage(p Placement) Failure {
 	regions := float64(b.size.Site.Regions)
 	gateways := float64(b.size.Site.Gateways) / regions
-	deciding := p.QuorumRegion()
+	quorumRegion := p.QuorumRegion()
 	unavailable := "what its gateways held"
 	unaffected := "changes, whichever region it is"
 	switch {
 	case b.size.Site.Regions == 1:
 		return Failure{Name: "a region", Frequency: "not planned for", Affected: "the whole site", Unaffected: "nothing", Unavailable: "everything", Staleness: "-", Recovery: "a new site from `elderctl snapshot restore`"}
-	case deciding != 0:
-		unaffected = fmt.Sprintf("changes, if it is not region %d", deciding)
-		unavailable += fmt.Sprintf("; if it is region %d, all changes until it is back, or until an operator runs one voter of the other with --recover", deciding)
+	case quorumRegion != 0:
+		unaffected = fmt.Sprintf("changes, if it is not region %d", quorumRegion)
+		unavailable += fmt.Sprintf("; if it is region %d, all changes until it is back, or until an operator runs one voter of the other with --recover", quorumRegion)
 	}
 	return Failure{
 		Name:        "a whole region",
@@ -199,6 +207,7 @@
 	}
 }
 
+// regionPartition describes a network partition between regions.
 func (b *builder) regionPartition(p Placement) Failure {
 	minutes := b.size.Failures.RegionCutMinutes
 	changes := float64(b.size.Site.ChangesPerDay) * minutes / minutesPerDay
@@ -212,9 +221,9 @@
 			formatNumber(minutes), formatNumber(changes), formatNumber(changes*b.size.Assumptions.ChangePeakOverMean)),
 		Recovery: fmt.Sprintf("the changes since are in force everywhere %s from the heal on; members hear each other %s", afterText(b.estimate(RecordsPropagationMax)), afterText(b.estimate(MembersPartitionRecoveryTime))),
 	}
-	if deciding := p.QuorumRegion(); deciding != 0 {
-		failure.Unaffected += fmt.Sprintf("; changes in region %d, which has %d voters of %d", deciding, p.VotersInRegion(deciding), p.Voters)
-		failure.Unavailable = fmt.Sprintf("changes, rollouts and orders on the other side: it has %d voters of %d", p.Voters-p.VotersInRegion(deciding), p.Voters)
+	if quorumRegion := p.QuorumRegion(); quorumRegion != 0 {
+		failure.Unaffected += fmt.Sprintf("; changes in region %d, which has %d voters of %d", quorumRegion, p.VotersInRegion(quorumRegion), p.Voters)
+		failure.Unavailable = fmt.Sprintf("changes, rollouts and orders on the other side: it has %d voters of %d", p.Voters-p.VotersInRegion(quorumRegion), p.Voters)
 	} else {
 		failure.Unavailable = "changes, rollouts and orders on all sides: none has a majority"
 	}
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -7,6 +7,7 @@
 	"elderyard/revisions"
 )
 
+// Time units, and the defaults and intervals of the present implementation.
 const (
 	secondsPerDay         = 86_400.0
 	hoursPerDay           = 24.0
