--- a/capacity/decode_test.go
+++ b/capacity/decode_test.go
@@ -14,7 +14,7 @@
 	slopesFile = "../docs/capacity/slopes.json"
 )
 
-func read(t testing.TB, path string) []byte {
+func readFile(t testing.TB, path string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -23,24 +23,26 @@
 	return text
 }
 
-func goodSize(t testing.TB) Size {
+// repositorySize returns the size file in docs/capacity.
+func repositorySize(t testing.TB) Size {
 	t.Helper()
-	size, err := DecodeSize("size.toml", read(t, sizeFile))
+	size, err := DecodeSize("size.toml", readFile(t, sizeFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return size
 }
 
-func TestSizeOfTheCheckout(t *testing.T) {
-	size := goodSize(t)
+// The files in docs/capacity must stay valid, since elderctl capacity reads them by default.
+func TestDecodeRepositorySize(t *testing.T) {
+	size := repositorySize(t)
 	if size.Site.Gateways != 610 || size.Entries() != 26_000 || size.Budget.GatewayBytesPerSecond != 6000 || size.Machines() != 9416 {
-		t.Errorf("%+v", size)
+		t.Errorf("decoded %+v", size)
 	}
 }
 
-func TestWrongSizesNameThePlace(t *testing.T) {
-	good := string(read(t, sizeFile))
+func TestDecodeSizeErrorsNameLineAndKey(t *testing.T) {
+	valid := string(readFile(t, sizeFile))
 	for _, c := range []struct{ old, new, want string }{
 		{"gateways = 610", "gatways = 610", `f.toml:5: site.gatways: there is no such key; did you mean "gateways"?`},
 		{"gateways = 610", "gateways = -1", `f.toml:5: site.gateways: -1 is not between 0 and 1e+12`},
@@ -57,8 +59,8 @@
 		{"in_force_seconds = 19.0", "in_force_seconds = inf", `budget.in_force_seconds: +Inf is not between`},
 		{"[failures]", "[failure]", `there is no such key; did you mean "failures"?`},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		if text == good {
+		text := strings.Replace(valid, c.old, c.new, 1)
+		if text == valid {
 			t.Fatalf("%q is not in the file", c.old)
 		}
 		_, err := DecodeSize("f.toml", []byte(text))
@@ -69,8 +71,8 @@
 	}
 }
 
-func TestSlopesOfTheCheckout(t *testing.T) {
-	slopes, err := DecodeSlopes("slopes.json", read(t, slopesFile))
+func TestDecodeRepositorySlopes(t *testing.T) {
+	slopes, err := DecodeSlopes("slopes.json", readFile(t, slopesFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +81,7 @@
 	}
 }
 
-const twoSlopes = `[
+const validSlopes = `[
   {
     "measure": "agent.bytes_per_second",
     "unit": "B/s",
@@ -99,8 +101,8 @@
 ]
 `
 
-func TestWrongSlopesNameThePlace(t *testing.T) {
-	if slopes, err := DecodeSlopes("s.json", []byte(twoSlopes)); err != nil || len(slopes) != 2 || slopes[0].Points[1] != (Point{610, 2.5}) || !slopes[1].Trial {
+func TestDecodeSlopesErrorsNameLineAndKey(t *testing.T) {
+	if slopes, err := DecodeSlopes("s.json", []byte(validSlopes)); err != nil || len(slopes) != 2 || slopes[0].Points[1] != (Point{610, 2.5}) || !slopes[1].Trial {
 		t.Fatalf("%+v, %v", slopes, err)
 	}
 	if slopes, err := DecodeSlopes("s.json", []byte(" [ ] \n")); err != nil || len(slopes) != 0 {
@@ -125,8 +127,8 @@
 		{"  }\n]\n", "  }\n] 5\n", `s.json:18: there is more behind the list`},
 		{"[\n  {", "{\n  {", `s.json:1: a list of slopes is expected`},
 	} {
-		text := strings.Replace(twoSlopes, c.old, c.new, 1)
-		if text == twoSlopes {
+		text := strings.Replace(validSlopes, c.old, c.new, 1)
+		if text == validSlopes {
 			t.Fatalf("%q is not in the text", c.old)
 		}
 		_, err := DecodeSlopes("s.json", []byte(text))
@@ -138,41 +140,41 @@
 }
 
 func FuzzDecodeSlopes(f *testing.F) {
-	f.Add([]byte(twoSlopes))
+	f.Add([]byte(validSlopes))
 	f.Add([]byte("[{}]"))
 	f.Add([]byte(`[{"points":[{"size":1e400}]}]`))
-	size := goodSize(f)
+	size := repositorySize(f)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		slopes, err := DecodeSlopes("f", text)
 		if err != nil {
 			var located *strict.Error
 			if !errors.As(err, &located) || located.Text == "" || located.Line < 1 {
-				t.Fatalf("no place in %v", err)
+				t.Fatalf("error without text or line: %v", err)
 			}
 			return
 		}
 		plan := Compute(size, slopes)
-		if len(plan.Lines) == 0 || len(plan.Slopes) != len(slopes) {
-			t.Fatalf("%d lines, %d slopes of %d", len(plan.Lines), len(plan.Slopes), len(slopes))
+		if len(plan.Requirements) == 0 || len(plan.Slopes) != len(slopes) {
+			t.Fatalf("%d lines, %d slopes of %d", len(plan.Requirements), len(plan.Slopes), len(slopes))
 		}
 		for _, table := range plan.Tables() {
 			table.Markdown()
 		}
-		if picture := plan.Curves(); strings.Contains(picture, "NaN") || strings.Contains(picture, "Inf") {
-			t.Fatal("a place in the picture that is no number")
+		if svg := plan.CurvesSVG(); strings.Contains(svg, "NaN") || strings.Contains(svg, "Inf") {
+			t.Fatal("a coordinate in the SVG is not a finite number")
 		}
 	})
 }
 
 func FuzzDecodeSize(f *testing.F) {
-	f.Add(read(f, sizeFile))
+	f.Add(readFile(f, sizeFile))
 	f.Add([]byte("[site]\ngateways = 1"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		size, err := DecodeSize("f", text)
 		if err == nil {
 			Compute(size, nil)
 		} else if err.Error() == "" {
-			t.Fatal("an error without a text")
+			t.Fatal("error with an empty message")
 		}
 	})
 }
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Verdict is what becomes of a requirement at the size.
+// Verdict says whether a requirement fits its budget at the target size.
 type Verdict string
 
-// The verdicts.
+// Verdicts.
 const (
-	Carried  Verdict = "carried"
-	Over     Verdict = "over"
-	NotKnown Verdict = "not known" // a slope is missing, or does not reach so far
-	NoBudget Verdict = "no budget" // nothing says what it may be
+	WithinBudget Verdict = "carried"
+	OverBudget   Verdict = "over"
+	Unknown      Verdict = "not known" // a slope is missing, or is not trusted at the target size
+	NoBudget     Verdict = "no budget" // the size file has no limit for it
 )
 
-// Role is a process, or a part of one, that a site pays for.
+// Role is a process, or a part of one, that consumes resources.
 type Role string
 
-// The roles, in the order of the page.
+// Roles, in the order of the page.
 const (
 	RequestPath   Role = "gateway: request path"
 	Membership    Role = "gateway: membership"
@@ -34,10 +34,10 @@
 	Tool          Role = "operator's tool"
 )
 
-// Kind is what a line is about.
+// Kind is the resource or property that a requirement is about.
 type Kind string
 
-// The kinds of lines.
+// Kinds of requirements.
 const (
 	State    Kind = "state"
 	Messages Kind = "messages"
@@ -47,52 +47,52 @@
 	Time     Kind = "time"
 )
 
-// Line is one requirement of a role at the size.
-type Line struct {
-	Role      Role     `json:"role"`
-	Kind      Kind     `json:"kind"`
-	Item      string   `json:"item"`
-	Mechanism string   `json:"mechanism"` // what carries it today
-	Planned   string   `json:"planned,omitempty"`
-	Unit      string   `json:"unit"`
-	Value     *float64 `json:"value"`              // absent: not known
-	Upper     *float64 `json:"upper"`              // value plus the fit's largest residual
-	AtLeast   *float64 `json:"at_least,omitempty"` // the known part of a sum that is not known
-	Budget    *float64 `json:"budget"`             // absent: there is none
-	Factor    *float64 `json:"factor,omitempty"`   // upper, or at least, over budget
-	Verdict   Verdict  `json:"verdict"`
-	Why       string   `json:"why,omitempty"` // where it is not known
-	Note      string   `json:"note,omitempty"`
-	Measures  []string `json:"measures,omitempty"` // none: arithmetic from the size alone
-	Trial     bool     `json:"trial,omitempty"`    // one of these is a trial
+// Requirement is what a role needs of one resource at the target size, with its verdict.
+type Requirement struct {
+	Role          Role     `json:"role"`
+	Kind          Kind     `json:"kind"`
+	Item          string   `json:"item"`
+	Mechanism     string   `json:"mechanism"` // the present implementation
+	Planned       string   `json:"planned,omitempty"`
+	Unit          string   `json:"unit"`
+	Value         *float64 `json:"value"`              // nil: unknown
+	UpperBound    *float64 `json:"upper"`              // value plus the largest residual of its fits; nil: unknown
+	LowerBound    *float64 `json:"at_least,omitempty"` // the known part of a sum with an unknown part
+	Budget        *float64 `json:"budget"`             // nil: none
+	Factor        *float64 `json:"factor,omitempty"`   // upper or lower bound divided by the budget
+	Verdict       Verdict  `json:"verdict"`
+	UnknownReason string   `json:"why,omitempty"` // why the value is unknown
+	Comment       string   `json:"note,omitempty"`
+	Measures      []string `json:"measures,omitempty"` // empty: computed from the size alone
+	Trial         bool     `json:"trial,omitempty"`    // one of the measures is from a trial
 }
 
-// SlopeLine is one measured slope with its fit and its value at the size.
+// SlopeLine is a measured slope with its fit and its value at the target size.
 type SlopeLine struct {
 	Slope
-	Dimension Dimension `json:"dimension"`
-	Fit       string    `json:"fit"`
-	Form      Form      `json:"form"`
-	RMS       float64   `json:"residual_rms"`
-	Worst     float64   `json:"residual_worst"`
-	Largest   float64   `json:"largest_size"`
-	At        float64   `json:"at_size"`
-	Value     *float64  `json:"value"`           // absent: the form says nothing of the size
-	Trusted   bool      `json:"trusted"`         // the size is within TrustedReach of the largest measured
-	About     string    `json:"about,omitempty"` // of the measure
+	Dimension   Dimension `json:"dimension"`
+	Fit         string    `json:"fit"`
+	Form        Form      `json:"form"`
+	RMS         float64   `json:"residual_rms"`
+	MaxResidual float64   `json:"residual_worst"`
+	LargestSize float64   `json:"largest_size"`
+	TargetSize  float64   `json:"at_size"`
+	Value       *float64  `json:"value"`           // nil: the fit is undefined at the target size
+	Trusted     bool      `json:"trusted"`         // the target size is at most MaxExtrapolation times the largest measured one
+	Description string    `json:"about,omitempty"` // of the measure
 }
 
-// Plan is all that is worked out for a size.
+// Plan is everything that is computed for a size.
 type Plan struct {
-	Size       Size        `json:"size"`
-	Lines      []Line      `json:"lines"`
-	Slopes     []SlopeLine `json:"slopes"`
-	Unmeasured []string    `json:"unmeasured"` // measures without a slope
-	Placement  Placement   `json:"placement"`
-	Failures   []Failure   `json:"failures"`
+	Size         Size          `json:"size"`
+	Requirements []Requirement `json:"lines"`
+	Slopes       []SlopeLine   `json:"slopes"`
+	Unmeasured   []string      `json:"unmeasured"` // names of measures without a slope
+	Placement    Placement     `json:"placement"`
+	Failures     []Failure     `json:"failures"`
 }
 
-// Compute works a plan out. Size and slopes have been validated.
+// Compute computes the plan of a size. The size and the slopes must have been validated.
 func Compute(size Size, slopes []Slope) Plan {
 	b := &builder{size: size, estimates: newEstimates(slopes)}
 	b.requestPath()
@@ -106,44 +106,45 @@
 	b.counter()
 	b.registry()
 	b.tool()
-	plan := Plan{Size: size, Lines: b.lines, Placement: Place(size.Budget.ControlMachines, size.Site.Regions, size.Site.Zones)}
+	plan := Plan{Size: size, Requirements: b.requirements, Placement: NewPlacement(size.Budget.ControlMachines, size.Site.Regions, size.Site.Zones)}
 	plan.Slopes, plan.Unmeasured = b.slopeLines(slopes)
 	plan.Failures = b.failures(plan.Placement)
 	return plan
 }
 
-// NotCarried are the lines that are over their budget, by factor, largest first.
-func (p *Plan) NotCarried() []Line {
-	var over []Line
-	for _, l := range p.Lines {
-		if l.Verdict == Over {
-			over = append(over, l)
+// RequirementsOverBudget returns the requirements that exceed their budget, the largest factor first.
+func (p *Plan) RequirementsOverBudget() []Requirement {
+	var over []Requirement
+	for _, r := range p.Requirements {
+		if r.Verdict == OverBudget {
+			over = append(over, r)
 		}
 	}
-	slices.SortStableFunc(over, func(a, b Line) int { return cmp.Compare(*b.Factor, *a.Factor) })
+	slices.SortStableFunc(over, func(a, b Requirement) int { return cmp.Compare(*b.Factor, *a.Factor) })
 	return over
 }
 
-// Unknown are the lines for which a slope is missing.
-func (p *Plan) Unknown() []Line {
-	var list []Line
-	for _, l := range p.Lines {
-		if l.Verdict == NotKnown {
-			list = append(list, l)
+// UnknownRequirements returns the requirements whose value is unknown and whose lower bound does not exceed the
+// budget.
+func (p *Plan) UnknownRequirements() []Requirement {
+	var list []Requirement
+	for _, r := range p.Requirements {
+		if r.Verdict == Unknown {
+			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// builder collects the lines of a plan.
+// builder collects the requirements of a plan.
 type builder struct {
-	size      Size
-	estimates estimates
-	lines     []Line
+	size         Size
+	estimates    estimates
+	requirements []Requirement
 }
 
-// requirement is a line before its verdict.
-type requirement struct {
+// requirementSpec is a requirement before its verdict.
+type requirementSpec struct {
 	role      Role
 	kind      Kind
 	item      string
@@ -152,49 +153,49 @@
 	unit      string
 	value     quantity
 	budget    float64 // 0: none
-	note      string
+	comment   string
 }
 
-func (b *builder) add(r requirement) {
-	line := Line{
-		Role: r.role, Kind: r.kind, Item: r.item, Mechanism: r.mechanism, Planned: r.planned, Unit: r.unit,
-		Note: r.note, Measures: r.value.from, Trial: r.value.trial, Why: r.value.unknown,
+// add appends a requirement with its verdict.
+func (b *builder) add(spec requirementSpec) {
+	requirement := Requirement{
+		Role: spec.role, Kind: spec.kind, Item: spec.item, Mechanism: spec.mechanism, Planned: spec.planned, Unit: spec.unit,
+		Comment: spec.comment, Measures: spec.value.measures, Trial: spec.value.trial, UnknownReason: spec.value.unknownReason,
 	}
-	if r.budget > 0 {
-		line.Budget = &r.budget
+	if spec.budget > 0 {
+		requirement.Budget = &spec.budget
 	}
-	if r.value.unknown == "" {
-		line.Value, line.Upper = &r.value.value, &r.value.upper
-	} else if r.value.least > 0 {
-		line.AtLeast = &r.value.least
+	if spec.value.unknownReason == "" {
+		requirement.Value, requirement.UpperBound = &spec.value.value, &spec.value.upperBound
+	} else if spec.value.lowerBound > 0 {
+		requirement.LowerBound = &spec.value.lowerBound
 	}
-	line.Verdict = verdict(&line)
-	b.lines = append(b.lines, line)
+	requirement.Verdict = assignVerdict(&requirement)
+	b.requirements = append(b.requirements, requirement)
 }
 
-// verdict sets the factor and rules by it. A sum of which a part is not known is
-// over its budget if the known part is.
-func verdict(line *Line) Verdict {
+// assignVerdict sets the factor of a requirement and returns its verdict. A sum with an unknown part is over its
+// budget if its known part is.
+func assignVerdict(requirement *Requirement) Verdict {
 	switch {
-	case line.Value == nil && line.Budget != nil && line.AtLeast != nil && *line.AtLeast > *line.Budget:
-		factor := *line.AtLeast / *line.Budget
-		line.Factor = &factor
-		return Over
-	case line.Value == nil:
-		return NotKnown
-	case line.Budget == nil:
+	case requirement.Value == nil && requirement.Budget != nil && requirement.LowerBound != nil && *requirement.LowerBound > *requirement.Budget:
+		factor := *requirement.LowerBound / *requirement.Budget
+		requirement.Factor = &factor
+		return OverBudget
+	case requirement.Value == nil:
+		return Unknown
+	case requirement.Budget == nil:
 		return NoBudget
 	}
-	factor := *line.Upper / *line.Budget
-	line.Factor = &factor
+	factor := *requirement.UpperBound / *requirement.Budget
+	requirement.Factor = &factor
 	if factor > 1 {
-		return Over
+		return OverBudget
 	}
-	return Carried
+	return WithinBudget
 }
 
-// slopeLines are the slopes in the order of the measures, and the measures
-// without one.
+// slopeLines returns the slopes in the order of the measures, and the names of the measures without one.
 func (b *builder) slopeLines(slopes []Slope) (lines []SlopeLine, unmeasured []string) {
 	for _, m := range measures {
 		f, measured := b.estimates.slopes[m.Name]
@@ -203,11 +204,11 @@
 			continue
 		}
 		line := SlopeLine{
-			Slope: f.slope, Dimension: m.Dimension, Form: f.fit.Form, Fit: f.fit.String(), RMS: f.fit.RMS, Worst: f.fit.Worst,
-			Largest: f.fit.Largest, At: b.target(m.Dimension), About: m.About,
+			Slope: f.slope, Dimension: m.Dimension, Form: f.fit.Form, Fit: f.fit.String(), RMS: f.fit.RMS, MaxResidual: f.fit.MaxResidual,
+			LargestSize: f.fit.LargestSize, TargetSize: b.targetSize(m.Dimension), Description: m.Description,
 		}
-		line.Trusted = line.At <= line.Largest*TrustedReach
-		if value, ok := f.fit.At(line.At); ok {
+		line.Trusted = line.TargetSize <= line.LargestSize*MaxExtrapolation
+		if value, ok := f.fit.At(line.TargetSize); ok {
 			line.Value = &value
 		}
 		lines = append(lines, line)
@@ -215,26 +216,26 @@
 	return lines, unmeasured
 }
 
-// target is the size that a dimension is to reach.
-func (b *builder) target(d Dimension) float64 {
+// targetSize returns the size of the planned site in a dimension.
+func (b *builder) targetSize(d Dimension) float64 {
 	site := &b.size.Site
 	switch d {
 	case Gateways:
 		return float64(site.Gateways)
 	case Records:
 		return float64(b.size.Entries())
-	case BackendsOfSite:
+	case SiteBackends:
 		return float64(site.Backends)
-	case BackendsInList:
-		return b.largestService()
+	case CandidateBackends:
+		return b.largestServiceBackends()
 	case GatewaysPerTenant:
 		return float64(b.size.Assumptions.GatewaysPerTenant)
 	}
 	return 1
 }
 
-// of is a measure's figure at the size.
-func (b *builder) of(name string) quantity {
-	m, _ := measureOf(name)
-	return b.estimates.at(name, b.target(m.Dimension))
+// estimate returns the value of a measure at the target size.
+func (b *builder) estimate(name string) quantity {
+	m, _ := findMeasure(name)
+	return b.estimates.estimate(name, b.targetSize(m.Dimension))
 }
--- a/cmd/elderctl/capacity_test.go
+++ b/cmd/elderctl/capacity_test.go
@@ -89,8 +89,8 @@
 	if err := json.Unmarshal([]byte(out), &plan); status != exitOK || err != nil {
 		t.Fatalf("status %d: %v: %s", status, err, errs)
 	}
-	if plan.Size.Site.Gateways != 610 || len(plan.Lines) == 0 || len(plan.Placement.Machines) != 6 || len(plan.Failures) == 0 {
-		t.Errorf("%d gateways, %d lines, %+v", plan.Size.Site.Gateways, len(plan.Lines), plan.Placement)
+	if plan.Size.Site.Gateways != 610 || len(plan.Requirements) == 0 || len(plan.Placement.Machines) != 6 || len(plan.Failures) == 0 {
+		t.Errorf("%d gateways, %d lines, %+v", plan.Size.Site.Gateways, len(plan.Requirements), plan.Placement)
 	}
 }
 
@@ -103,9 +103,9 @@
 	if err := json.Unmarshal([]byte(out), &plan); status != exitOK || err != nil {
 		t.Fatalf("status %d: %v: %s", status, err, errs)
 	}
-	for _, line := range plan.Lines {
+	for _, line := range plan.Requirements {
 		if line.Role == capacity.Configuration && line.Kind == capacity.State && strings.HasPrefix(line.Item, "whole file") {
-			if line.Verdict != capacity.Carried || *line.Value != 1800*110 {
+			if line.Verdict != capacity.WithinBudget || *line.Value != 1800*110 {
 				t.Errorf("%+v", line)
 			}
 			return
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -43,7 +43,7 @@
 
 func settings(address string) Settings {
 	return Settings{Endpoint: "http://" + address, Resource: []traces.Attr{{Key: "service.name", Value: "elderyard"}, {Key: "service.instance.id", Value: "g0"}},
-		Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testpeer.Patience, FlushTimeout: testpeer.Patience, QueueBytes: 1 << 20,
+		Traces: true, Metrics: true, Interval: 100 * time.Millisecond, Timeout: testpeer.Timeout, FlushTimeout: testpeer.Timeout, QueueBytes: 1 << 20,
 		Tracing: traces.Settings{Classes: []string{"lookup"}, Plans: []string{"basic"}, LatencyObjectives: []float64{0.5}, SampleRatio: 1}}
 }
 
@@ -77,7 +77,7 @@
 // waitUntil waits for a condition and fails the test if it does not hold in time.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testpeer.Patience); !condition(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testpeer.Timeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out before %s", what)
 		}
@@ -188,7 +188,7 @@
 	}
 	done := make(chan struct{})
 	go func() { exporter.Close(); close(done) }()
-	testpeer.Wait(t, done, "Close")
+	testpeer.Receive(t, done, "Close")
 	_, dropped := exporter.state.spanSender.queue.stats()
 	if dropped == 0 || exporter.state.spanSender.sent.Load() != 0 {
 		t.Errorf("%d spans dropped, %d sent", dropped, exporter.state.spanSender.sent.Load())
