--- a/internal/lab/load/bad.go
+++ b/internal/lab/load/bad.go
@@ -28,27 +28,27 @@
 	Plan  Plan
 }
 
-// badKind is one way to be bad.
-type badKind struct {
+// invalidKind is one way to be bad.
+type invalidKind struct {
 	name string
 	text func(b *Bad, id string) string
 	// drip is sent again and again after the text, with short pauses.
 	drip string
 	// leaves: the client closes right behind the text, and is owed nothing.
-	leaves bool
+	closesEarly bool
 	// hides: the text holds another request inside, with the id's inner form.
-	hides bool
+	smuggles bool
 }
 
-const innerMark = "-in" // ends the id of a hidden request
+const innerIDSuffix = "-in" // ends the id of a hidden request
 
-var badKinds = []badKind{
+var invalidKinds = []invalidKind{
 	{name: "noise", text: func(*Bad, string) string { return "\x16\x03\x01\x02\x00 noise\r\n\r\n" }},
 	{name: "endless head", text: func(b *Bad, id string) string { return "GET /" + b.Class.Name + " HTTP/1.1\r\nHost: lab\r\n" }, drip: "X-More: " + strings.Repeat("m", 100) + "\r\n"},
 	{name: "negative length", text: func(b *Bad, id string) string { return b.request(id, "Content-Length: -4") }},
 	{name: "huge length", text: func(b *Bad, id string) string { return b.request(id, "Content-Length: 62914560") }, drip: strings.Repeat("b", 1000)},
-	{name: "two lengths", hides: true, text: func(b *Bad, id string) string {
-		inner := b.request(id+innerMark, "Content-Length: 0")
+	{name: "two lengths", smuggles: true, text: func(b *Bad, id string) string {
+		inner := b.request(id+innerIDSuffix, "Content-Length: 0")
 		return b.request(id, fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked", 5+len(inner))) + "0\r\n\r\n" + inner
 	}},
 	{name: "unknown class", text: func(b *Bad, id string) string {
@@ -72,7 +72,7 @@
 	{name: "no id", text: func(b *Bad, id string) string {
 		return strings.Replace(b.request(id, "Content-Length: 0"), "X-Correlation-Id", "X-Other-Id", 1)
 	}},
-	{name: "half a request", leaves: true, text: func(b *Bad, id string) string {
+	{name: "half a request", closesEarly: true, text: func(b *Bad, id string) string {
 		return b.request(id, "Content-Length: 50") + "half"
 	}},
 	{name: "silent", text: func(*Bad, string) string { return "" }},
@@ -92,23 +92,23 @@
 		r := rand.New(rand.NewPCG(b.Seed^0xbad, uint64(i)))
 		wg.Go(func() {
 			for n := i; ctx.Err() == nil; n++ {
-				b.one(ctx, r, &badKinds[n%len(badKinds)])
+				b.sendOne(ctx, r, &invalidKinds[n%len(invalidKinds)])
 				wait.For(ctx, b.Gap)
 			}
 		})
 	}
 }
 
-func (b *Bad) one(ctx context.Context, r *rand.Rand, k *badKind) {
-	g := r.IntN(len(b.Front.gates))
+func (b *Bad) sendOne(ctx context.Context, r *rand.Rand, k *invalidKind) {
+	g := r.IntN(len(b.Front.endpoints))
 	t := audit.Try{ID: fmt.Sprintf("bad%013x", r.Uint64()>>12), First: -1, Gateway: b.Front.name(g), Bad: k.name, Outcome: audit.Turned}
 	b.Front.mu.Lock()
-	address, up := b.Front.gates[g].address, b.Front.gates[g].up
+	address, up := b.Front.endpoints[g].address, b.Front.endpoints[g].up
 	b.Front.mu.Unlock()
 	if !up {
 		return
 	}
-	d := net.Dialer{Timeout: dialWait}
+	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return
@@ -119,13 +119,13 @@
 	until := t.Sent.Add(b.Owed)
 	c.SetDeadline(until)
 	io.WriteString(c, k.text(b, t.ID)) // a gateway may end the connection at any byte
-	if k.hides {
+	if k.smuggles {
 		inner := t
-		inner.ID += innerMark
+		inner.ID += innerIDSuffix
 		inner.Over = t.Sent
 		b.Sink.Try(inner)
 	}
-	if !k.leaves {
+	if !k.closesEarly {
 		dripped := make(chan struct{})
 		go func() {
 			defer close(dripped)
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	mostAnswer  = 1 << 20
-	extraWait   = 400 * time.Millisecond // past its time, to tell a late answer from none
-	leastLeft   = 20 * time.Millisecond  // a try with less time is not made
-	mostOpen    = 20000                  // requests out at once; beyond, the lab itself is overrun
-	lateDealing = 20 * time.Millisecond  // an arrival dealt out so late makes the run late
+	maxBodyBytes   = 1 << 20
+	lateAnswerWait = 400 * time.Millisecond // past its time, to tell a late answer from none
+	minTimeLeft    = 20 * time.Millisecond  // a try with less time is not made
+	maxInFlight    = 20000                  // requests out at once; beyond, the lab itself is overrun
+	lateArrival    = 20 * time.Millisecond  // an arrival dealt out so late makes the run late
 )
 
 // Habits are how clients retry.
@@ -60,7 +60,7 @@
 	TakeWithin time.Duration // a take that names no wait is owed its answer
 
 	mu       sync.Mutex
-	open     int
+	inFlight int
 	progress Progress
 }
 
@@ -106,17 +106,17 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if late := time.Since(due); late > lateDealing {
+		if late := time.Since(due); late > lateArrival {
 			c.Sink.Late(due, due.Add(late), fmt.Sprintf("an arrival was dealt out %v late", late.Round(time.Millisecond)))
 		}
 		if !c.begin(a) {
-			c.Sink.Late(due, due, fmt.Sprintf("over %d requests were out at once, and one was left out", mostOpen))
+			c.Sink.Late(due, due, fmt.Sprintf("over %d requests were out at once, and one was left out", maxInFlight))
 			continue
 		}
 		wg.Go(func() {
 			defer c.end()
 			if a.Take {
-				c.take(ctx, a, due)
+				c.playTake(ctx, a, due)
 				return
 			}
 			c.request(ctx, a, due)
@@ -130,20 +130,20 @@
 	if !a.Take {
 		c.progress.First++
 	}
-	if c.open >= mostOpen {
+	if c.inFlight >= maxInFlight {
 		return false
 	}
-	c.open++
+	c.inFlight++
 	return true
 }
 
 func (c *Clients) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open--
+	c.inFlight--
 }
 
-func (c *Clients) note(a *Arrival, served bool, retries int) {
+func (c *Clients) countRequest(a *Arrival, served bool, retries int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := &c.progress
@@ -157,7 +157,7 @@
 	}
 }
 
-func (c *Clients) noteTry(o audit.Outcome) {
+func (c *Clients) countAttempt(o audit.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch o {
@@ -178,15 +178,15 @@
 	r := rand.New(rand.NewPCG(c.Seed^0x5eed, uint64(a.N)))
 	class := &c.Classes[a.Class]
 	over := due.Add(class.Deadline)
-	key := id(r) + id(r)
+	key := randomID(r) + randomID(r)
 	honours := r.Float64() < c.Habits.Honour
 	gateway, backoff := a.Gateway, c.Habits.Wait
 	served, n := false, 0
 	for ; ; n++ {
-		patience := time.Duration(between(r, c.Habits.Impatient, 1) * float64(class.Deadline))
-		t := audit.Try{ID: id(r), First: a.N, Number: n, Customer: a.Customer.ID, Plan: a.Customer.Plan,
+		patience := time.Duration(uniform(r, c.Habits.Impatient, 1) * float64(class.Deadline))
+		t := audit.Try{ID: randomID(r), First: a.N, Number: n, Customer: a.Customer.ID, Plan: a.Customer.Plan,
 			Class: a.Class, Units: c.Units, Arrived: due, Left: min(patience, time.Until(over))}
-		if t.Left < leastLeft || ctx.Err() != nil {
+		if t.Left < minTimeLeft || ctx.Err() != nil {
 			break
 		}
 		if class.Keyed {
@@ -194,13 +194,13 @@
 		}
 		to := c.Front.route(a.Customer, gateway)
 		t.Gateway = c.Front.name(to)
-		advice := c.try(ctx, to, a, &t)
+		advice := c.attempt(ctx, to, a, &t)
 		c.Sink.Try(t)
-		c.noteTry(t.Outcome)
+		c.countAttempt(t.Outcome)
 		if served = t.Outcome == audit.Served; served || n >= c.Habits.Retries {
 			break
 		}
-		pause := time.Duration(between(r, 0.8, 1.2) * float64(backoff))
+		pause := time.Duration(uniform(r, 0.8, 1.2) * float64(backoff))
 		if c.Habits.Doubling {
 			backoff *= 2
 		}
@@ -208,23 +208,23 @@
 			pause = max(pause, advice)
 		}
 		if r.Float64() < c.Habits.Elsewhere {
-			gateway = a.Customer.gateway(r, a.At, len(c.Front.gates))
+			gateway = a.Customer.gateway(r, a.At, len(c.Front.endpoints))
 		}
 		if !wait.For(ctx, pause) {
 			break
 		}
 	}
-	c.note(a, served, n)
+	c.countRequest(a, served, n)
 }
 
 // id draws a name that no other request has.
-func id(r *rand.Rand) string { return fmt.Sprintf("%016x", r.Uint64()) }
+func randomID(r *rand.Rand) string { return fmt.Sprintf("%016x", r.Uint64()) }
 
 // try makes one try and says how long the gateway advises to stay away. A
 // request that crossed the close of an idle connection is sent once more on a
 // new one, as clients do.
-func (c *Clients) try(ctx context.Context, to int, a *Arrival, t *audit.Try) time.Duration {
-	advice := c.tryOn(ctx, to, a, t, false)
+func (c *Clients) attempt(ctx context.Context, to int, a *Arrival, t *audit.Try) time.Duration {
+	advice := c.attemptOnce(ctx, to, a, t, false)
 	if t.Outcome != audit.Closed && t.Outcome != audit.NotTaken || !t.Pooled || time.Since(t.Sent) > t.Left/2 || ctx.Err() != nil {
 		return advice
 	}
@@ -232,10 +232,10 @@
 		c.Sink.Try(*t) // the auditor wants to know of both
 		t.ID = t.ID[:15] + "+"
 	}
-	return c.tryOn(ctx, to, a, t, true)
+	return c.attemptOnce(ctx, to, a, t, true)
 }
 
-func (c *Clients) tryOn(ctx context.Context, to int, a *Arrival, t *audit.Try, fresh bool) (advice time.Duration) {
+func (c *Clients) attemptOnce(ctx context.Context, to int, a *Arrival, t *audit.Try, fresh bool) (advice time.Duration) {
 	t.Outcome, t.Over = audit.NotTaken, time.Now()
 	cn, err := c.Front.get(ctx, to, fresh)
 	if err != nil {
@@ -246,9 +246,9 @@
 	defer func() { c.Front.put(to, cn, again) }()
 	stop := context.AfterFunc(ctx, func() { cn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	t.Pooled = cn.used
-	cn.SetDeadline(time.Now().Add(t.Left + c.Slack + extraWait))
-	if _, err := io.WriteString(cn, c.text(a, t)); err != nil {
+	t.Pooled = cn.reused
+	cn.SetDeadline(time.Now().Add(t.Left + c.Slack + lateAnswerWait))
+	if _, err := io.WriteString(cn, c.requestText(a, t)); err != nil {
 		t.Over = time.Now()
 		return 0
 	}
@@ -259,11 +259,11 @@
 	resp, err := http.ReadResponse(cn.r, nil)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	}
 	t.Over = time.Now()
 	if err != nil {
-		t.Outcome = c.ended(ctx, err, t)
+		t.Outcome = c.classifyError(ctx, err, t)
 		return 0
 	}
 	t.Status = resp.StatusCode
@@ -283,7 +283,7 @@
 }
 
 // ended names the end of a try that has no whole answer.
-func (c *Clients) ended(ctx context.Context, err error, t *audit.Try) audit.Outcome {
+func (c *Clients) classifyError(ctx context.Context, err error, t *audit.Try) audit.Outcome {
 	switch {
 	case ctx.Err() != nil:
 		return audit.Unfinished
@@ -299,7 +299,7 @@
 }
 
 // text is the request on the wire.
-func (c *Clients) text(a *Arrival, t *audit.Try) string {
+func (c *Clients) requestText(a *Arrival, t *audit.Try) string {
 	class := &c.Classes[a.Class]
 	method, rest := "GET", "\r\n"
 	if class.Post {
--- a/internal/lab/load/closed.go
+++ b/internal/lab/load/closed.go
@@ -18,7 +18,7 @@
 	Times         []time.Duration // from send to answer, of those served
 }
 
-const mostTimes = 1 << 20
+const maxLatencies = 1 << 20
 
 // Closed plays so many clients that each ask a gateway again as soon as they
 // have their answer, for a time. With a rate above 0 they ask so often a second
@@ -55,17 +55,17 @@
 				k := customers[r.IntN(len(customers))]
 				a := &Arrival{N: n, Customer: k, Class: r.IntN(len(c.Classes))}
 				class := &c.Classes[a.Class]
-				try := audit.Try{ID: id(r), Customer: k.ID, Plan: k.Plan, Class: a.Class, Units: c.Units, Left: class.Deadline}
+				try := audit.Try{ID: randomID(r), Customer: k.ID, Plan: k.Plan, Class: a.Class, Units: c.Units, Left: class.Deadline}
 				if class.Keyed {
-					try.Key = id(r)
+					try.Key = randomID(r)
 				}
-				c.tryOn(ctx, gateway, a, &try, false)
+				c.attemptOnce(ctx, gateway, a, &try, false)
 				if try.Outcome != audit.Served {
 					other++
 					continue
 				}
 				served++
-				if len(times) < mostTimes/clients {
+				if len(times) < maxLatencies/clients {
 					times = append(times, try.Over.Sub(try.Sent))
 				}
 			}
--- a/internal/lab/load/front.go
+++ b/internal/lab/load/front.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	dialWait  = time.Second
-	mostIdle  = 256 // connections kept for a gateway
-	idleMost  = 30 * time.Second
-	readerMax = 4 << 10
+	dialTimeout    = time.Second
+	maxIdleConns   = 256 // connections kept for a gateway
+	idleTimeout    = 30 * time.Second
+	readBufferSize = 4 << 10
 )
 
 // Front deals out requests among the gateways. It takes in one that is ready
 // and leaves out one that it knows to be down. It is safe for concurrent use.
 type Front struct {
-	mu    sync.Mutex
-	gates []*gate
+	mu        sync.Mutex
+	endpoints []*endpoint
 }
 
 // gate is the way to one gateway.
-type gate struct {
+type endpoint struct {
 	name    string
 	address string
 	up      bool
@@ -34,16 +34,16 @@
 // conn is one connection of the front to a gateway, for one request at a time.
 type conn struct {
 	net.Conn
-	r    *bufio.Reader
-	used bool
-	idle time.Time
+	r         *bufio.Reader
+	reused    bool
+	idleSince time.Time
 }
 
 // NewFront returns a front of the named gateways, none of them in.
 func NewFront(names []string) *Front {
 	f := &Front{}
 	for _, n := range names {
-		f.gates = append(f.gates, &gate{name: n, open: map[*conn]struct{}{}})
+		f.endpoints = append(f.endpoints, &endpoint{name: n, open: map[*conn]struct{}{}})
 	}
 	return f
 }
@@ -52,21 +52,21 @@
 func (f *Front) Take(g int, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gates[g].address, f.gates[g].up = address, true
+	f.endpoints[g].address, f.endpoints[g].up = address, true
 }
 
 // Leave leaves a gateway out. Its connections stay until they end by themselves.
 func (f *Front) Leave(g int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gates[g].up = false
+	f.endpoints[g].up = false
 }
 
 // Close closes all connections.
 func (f *Front) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, g := range f.gates {
+	for _, g := range f.endpoints {
 		for c := range g.open {
 			c.Close()
 		}
@@ -79,47 +79,47 @@
 func (f *Front) route(k *Customer, g int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.gates[g].up {
+	if f.endpoints[g].up {
 		return g
 	}
 	for i := range k.Spread {
-		if n := (k.First + i) % len(f.gates); f.gates[n].up {
+		if n := (k.First + i) % len(f.endpoints); f.endpoints[n].up {
 			return n
 		}
 	}
 	return g
 }
 
-func (f *Front) name(g int) string { return f.gates[g].name }
+func (f *Front) name(g int) string { return f.endpoints[g].name }
 
 // get returns an idle connection to a gateway, or a new one.
 func (f *Front) get(ctx context.Context, g int, fresh bool) (*conn, error) {
 	f.mu.Lock()
-	gate := f.gates[g]
-	for len(gate.idle) > 0 && !fresh {
-		c := gate.idle[len(gate.idle)-1]
-		gate.idle = gate.idle[:len(gate.idle)-1]
-		if time.Since(c.idle) < idleMost {
+	endpoint := f.endpoints[g]
+	for len(endpoint.idle) > 0 && !fresh {
+		c := endpoint.idle[len(endpoint.idle)-1]
+		endpoint.idle = endpoint.idle[:len(endpoint.idle)-1]
+		if time.Since(c.idleSince) < idleTimeout {
 			f.mu.Unlock()
-			c.used = true
+			c.reused = true
 			return c, nil
 		}
 		c.Close()
-		delete(gate.open, c)
+		delete(endpoint.open, c)
 	}
-	address := gate.address
+	address := endpoint.address
 	f.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, dialWait)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, r: bufio.NewReaderSize(raw, readerMax)}
+	c := &conn{Conn: raw, r: bufio.NewReaderSize(raw, readBufferSize)}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	gate.open[c] = struct{}{}
+	endpoint.open[c] = struct{}{}
 	return c, nil
 }
 
@@ -127,12 +127,12 @@
 func (f *Front) put(g int, c *conn, again bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	gate := f.gates[g]
-	if again && len(gate.idle) < mostIdle {
-		c.idle = time.Now()
-		gate.idle = append(gate.idle, c)
+	endpoint := f.endpoints[g]
+	if again && len(endpoint.idle) < maxIdleConns {
+		c.idleSince = time.Now()
+		endpoint.idle = append(endpoint.idle, c)
 		return
 	}
 	c.Close()
-	delete(gate.open, c)
+	delete(endpoint.open, c)
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -205,7 +205,7 @@
 	cfg := config()
 	cfg.Classes[0].Deadline, cfg.Classes[1].Deadline = 700*time.Millisecond, 700*time.Millisecond
 	c := &Clients{Seed: 1, Habits: h, Plans: cfg.Plans, Classes: cfg.Classes, Front: front, Sink: s, Units: 1}
-	k := &Customer{ID: 9, Spread: 1, shifts: []shift{{time.Hour, []float64{1}}}}
+	k := &Customer{ID: 9, Spread: 1, weightPeriods: []weightPeriod{{time.Hour, []float64{1}}}}
 	c.Play(context.Background(), time.Now(), []Arrival{{N: 0, Customer: k, Class: class}})
 	if p := c.Progress(); p.First != 1 || p.Done != 1 {
 		t.Errorf("%+v", p)
@@ -296,17 +296,17 @@
 		front.Take(0, address)
 		s := &sink{}
 		b := &Bad{Seed: 1, Front: front, Sink: s, Owed: 50 * time.Millisecond, Class: config().Classes[1], Plan: config().Plans[0]}
-		for i := range badKinds {
-			b.one(t.Context(), rand.New(rand.NewPCG(1, 1)), &badKinds[i])
+		for i := range invalidKinds {
+			b.sendOne(t.Context(), rand.New(rand.NewPCG(1, 1)), &invalidKinds[i])
 		}
 		stop()
 		kinds := map[string]audit.Outcome{}
 		for _, try := range s.tries {
-			if !strings.HasSuffix(try.ID, innerMark) {
+			if !strings.HasSuffix(try.ID, innerIDSuffix) {
 				kinds[try.Bad] = try.Outcome
 			}
 		}
-		for _, k := range badKinds {
+		for _, k := range invalidKinds {
 			name, want := k.name, audit.Turned
 			if silent && name != "half a request" {
 				want = audit.NoAnswer
--- a/internal/lab/load/takes_test.go
+++ b/internal/lab/load/takes_test.go
@@ -51,7 +51,7 @@
 func (k *taker) serve(t *testing.T, answer func(w *resp.Writer, args []string) bool) (address string) {
 	t.Helper()
 	address, stop := serveConnections(t, func(c net.Conn) {
-		r := resp.NewReader(c, replyBounds)
+		r := resp.NewReader(c, replyLimits)
 		for {
 			words, _, err := r.Command(nil, nil)
 			if err != nil {
--- a/internal/lab/load/timeline.go
+++ b/internal/lab/load/timeline.go
@@ -53,38 +53,38 @@
 // The customers' habits: shares of accounts, and what part of its quota an
 // account asks for.
 const (
-	fullShare  = 0.13
-	heavyShare = 0.10
-	spikyShare = 0.16
-	calmLeast  = 0.2
-	calmMost   = 0.5
-	fullUse    = 0.95
-	heavyLeast = 2.3
-	heavyMost  = 4.2
-	spikeLeast = 3.0
-	spikeMost  = 7.8
-	meanInside = 0.52 // of its quota that an account uses, over all habits
+	fullFraction  = 0.13
+	heavyFraction = 0.10
+	spikyFraction = 0.16
+	calmUseMin    = 0.2
+	calmUseMax    = 0.5
+	fullUse       = 0.95
+	heavyUseMin   = 2.3
+	heavyUseMax   = 4.2
+	spikeUseMin   = 3.0
+	spikeUseMax   = 7.8
+	meanQuotaUse  = 0.52 // of its quota that an account uses, over all habits
 
-	mostArrivals = 1 << 20
+	maxArrivals = 1 << 20
 )
 
 // Customer is one account.
 type Customer struct {
-	ID     uint64
-	Plan   int
-	First  int // the gateways of its set are Spread in a row from here
-	Spread int
-	rate   float64 // requests a second when it asks for its whole quota
-	spells []spell // what it asks for, in parts of its quota
-	shifts []shift // where its requests go
+	ID            uint64
+	Plan          int
+	First         int // the gateways of its set are Spread in a row from here
+	Spread        int
+	rate          float64        // requests a second when it asks for its whole quota
+	usePeriods    []usePeriod    // what it asks for, in parts of its quota
+	weightPeriods []weightPeriod // where its requests go
 }
 
-type spell struct {
+type usePeriod struct {
 	until time.Duration
 	use   float64
 }
 
-type shift struct {
+type weightPeriod struct {
 	until  time.Duration
 	weight []float64 // for each gateway of its set, rising to 1
 }
@@ -106,21 +106,21 @@
 		return nil, nil, errors.New("load: rate, length and gateways must be above 0")
 	case len(c.Plans) == 0 || len(c.Classes) == 0:
 		return nil, nil, errors.New("load: no plans or no classes")
-	case c.Rate*c.For.Seconds() > mostArrivals/8:
-		return nil, nil, fmt.Errorf("load: %g requests a second for %v are more than the lab holds (%d)", c.Rate, c.For, mostArrivals/8)
+	case c.Rate*c.For.Seconds() > maxArrivals/8:
+		return nil, nil, fmt.Errorf("load: %g requests a second for %v are more than the lab holds (%d)", c.Rate, c.For, maxArrivals/8)
 	}
 	r := rand.New(rand.NewPCG(c.Seed, 1))
 	var all []*Customer
 	for p, plan := range c.Plans {
-		n := max(1, int(math.Round(c.Rate*plan.Share/(plan.Rate*meanInside))))
+		n := max(1, int(math.Round(c.Rate*plan.Share/(plan.Rate*meanQuotaUse))))
 		for range n {
-			all = append(all, c.customer(r, p, habit(r)))
+			all = append(all, c.customer(r, p, drawUse(r)))
 		}
 	}
 	if c.Greedy > 0 {
-		g := c.customer(r, c.GreedyIn, func(*rand.Rand, time.Duration) []spell { return []spell{{c.For, c.Greedy}} })
+		g := c.customer(r, c.GreedyIn, func(*rand.Rand, time.Duration) []usePeriod { return []usePeriod{{c.For, c.Greedy}} })
 		g.Spread = c.Gateways
-		g.shifts = []shift{{c.For, even(c.Gateways)}}
+		g.weightPeriods = []weightPeriod{{c.For, evenWeights(c.Gateways)}}
 		all = append(all, g)
 	}
 	var arrivals []Arrival
@@ -128,8 +128,8 @@
 		arrivals = append(arrivals, c.arrivals(r, k)...)
 	}
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
-	if len(arrivals) > mostArrivals {
-		return nil, nil, fmt.Errorf("load: %d requests are more than the lab holds (%d)", len(arrivals), mostArrivals)
+	if len(arrivals) > maxArrivals {
+		return nil, nil, fmt.Errorf("load: %d requests are more than the lab holds (%d)", len(arrivals), maxArrivals)
 	}
 	r = rand.New(rand.NewPCG(c.Seed, 2)) // its own, so that the rest is the same without limit commands
 	for i := range arrivals {
@@ -139,74 +139,74 @@
 	return all, arrivals, nil
 }
 
-func between(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
+func uniform(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
 
-func span(r *rand.Rand, low, high float64) time.Duration {
-	return time.Duration(between(r, low, high) * float64(time.Second))
+func randomDuration(r *rand.Rand, low, high float64) time.Duration {
+	return time.Duration(uniform(r, low, high) * float64(time.Second))
 }
 
 // habit draws what an account asks for over time.
-func habit(r *rand.Rand) func(*rand.Rand, time.Duration) []spell {
+func drawUse(r *rand.Rand) func(*rand.Rand, time.Duration) []usePeriod {
 	x := r.Float64()
-	calm := between(r, calmLeast, calmMost)
+	calm := uniform(r, calmUseMin, calmUseMax)
 	switch {
-	case x < fullShare:
-		return func(_ *rand.Rand, length time.Duration) []spell { return []spell{{length, fullUse}} }
-	case x < fullShare+heavyShare:
-		heavy := between(r, heavyLeast, heavyMost)
+	case x < fullFraction:
+		return func(_ *rand.Rand, length time.Duration) []usePeriod { return []usePeriod{{length, fullUse}} }
+	case x < fullFraction+heavyFraction:
+		heavy := uniform(r, heavyUseMin, heavyUseMax)
 		return alternate(calm, heavy, 6, 15, 8, 20)
-	case x < fullShare+heavyShare+spikyShare:
-		spike := between(r, spikeLeast, spikeMost)
+	case x < fullFraction+heavyFraction+spikyFraction:
+		spike := uniform(r, spikeUseMin, spikeUseMax)
 		return alternate(calm, spike, 10, 19, 1, 4.9)
 	}
-	return func(_ *rand.Rand, length time.Duration) []spell { return []spell{{length, calm}} }
+	return func(_ *rand.Rand, length time.Duration) []usePeriod { return []usePeriod{{length, calm}} }
 }
 
 // alternate goes between two uses, each for a time between its bounds in seconds.
-func alternate(low, high, lowLeast, lowMost, highLeast, highMost float64) func(*rand.Rand, time.Duration) []spell {
-	return func(r *rand.Rand, length time.Duration) (s []spell) {
-		at := -span(r, 0, lowLeast) // it began before the run
+func alternate(low, high, lowMin, lowMax, highMin, highMax float64) func(*rand.Rand, time.Duration) []usePeriod {
+	return func(r *rand.Rand, length time.Duration) (s []usePeriod) {
+		at := -randomDuration(r, 0, lowMin) // it began before the run
 		for up := false; at < length; up = !up {
 			use := low
 			if up {
-				at, use = at+span(r, highLeast, highMost), high
+				at, use = at+randomDuration(r, highMin, highMax), high
 			} else {
-				at += span(r, lowLeast, lowMost)
+				at += randomDuration(r, lowMin, lowMax)
 			}
 			if at > 0 {
-				s = append(s, spell{at, use})
+				s = append(s, usePeriod{at, use})
 			}
 		}
 		return s
 	}
 }
 
-func (c *Config) customer(r *rand.Rand, plan int, spells func(*rand.Rand, time.Duration) []spell) *Customer {
+func (c *Config) customer(r *rand.Rand, plan int, usePeriods func(*rand.Rand, time.Duration) []usePeriod) *Customer {
 	spread := min(2+r.IntN(3), c.Gateways)
 	k := &Customer{ID: r.Uint64() >> 31, Plan: plan, First: r.IntN(c.Gateways), Spread: spread, rate: c.Plans[plan].Rate}
-	k.spells = spells(r, c.For)
-	skew := between(r, 0.3, 1.2)
+	k.usePeriods = usePeriods(r, c.For)
+	skew := uniform(r, 0.3, 1.2)
 	for at := time.Duration(0); at < c.For; {
-		at += span(r, 8, 22)
+		at += randomDuration(r, 8, 22)
 		weight := make([]float64, spread)
 		for i := range weight {
 			weight[i] = math.Pow(float64(i+1), -skew)
 		}
 		r.Shuffle(spread, func(i, j int) { weight[i], weight[j] = weight[j], weight[i] })
-		k.shifts = append(k.shifts, shift{at, cumulate(weight)})
+		k.weightPeriods = append(k.weightPeriods, weightPeriod{at, cumulative(weight)})
 	}
 	return k
 }
 
-func even(n int) []float64 {
+func evenWeights(n int) []float64 {
 	w := make([]float64, n)
 	for i := range w {
 		w[i] = 1
 	}
-	return cumulate(w)
+	return cumulative(w)
 }
 
-func cumulate(w []float64) []float64 {
+func cumulative(w []float64) []float64 {
 	sum := 0.0
 	for _, x := range w {
 		sum += x
@@ -223,7 +223,7 @@
 // from spell to spell.
 func (c *Config) arrivals(r *rand.Rand, k *Customer) (list []Arrival) {
 	most := 0.0
-	for _, s := range k.spells {
+	for _, s := range k.usePeriods {
 		most = max(most, s.use)
 	}
 	for _, s := range c.Surges {
@@ -232,7 +232,7 @@
 		}
 	}
 	peak := k.rate * most
-	for at := 0.0; len(list) <= mostArrivals; {
+	for at := 0.0; len(list) <= maxArrivals; {
 		at += r.ExpFloat64() / peak
 		t := time.Duration(at * float64(time.Second))
 		if t >= c.For {
@@ -248,8 +248,8 @@
 }
 
 func (c *Config) useAt(k *Customer, t time.Duration) float64 {
-	use := k.spells[len(k.spells)-1].use
-	for _, s := range k.spells {
+	use := k.usePeriods[len(k.usePeriods)-1].use
+	for _, s := range k.usePeriods {
 		if t < s.until {
 			use = s.use
 			break
@@ -275,8 +275,8 @@
 
 // gateway draws where a request at time t goes.
 func (k *Customer) gateway(r *rand.Rand, t time.Duration, gateways int) int {
-	weight := k.shifts[len(k.shifts)-1].weight
-	for _, s := range k.shifts {
+	weight := k.weightPeriods[len(k.weightPeriods)-1].weight
+	for _, s := range k.weightPeriods {
 		if t < s.until {
 			weight = s.weight
 			break
