--- a/internal/lab/load/bad.go
+++ b/internal/lab/load/bad.go
@@ -16,23 +16,23 @@
 	"elderyard/internal/wait"
 )
 
-// Bad plays clients that send what no gateway should take.
+// Bad plays clients that send invalid requests, which a gateway has to reject.
 type Bad struct {
 	Seed  uint64
-	Count int           // at once
-	Gap   time.Duration // between one's requests
-	Owed  time.Duration // within it each is owed an error or a close
+	Count int           // concurrent clients
+	Gap   time.Duration // between the requests of one client
+	Owed  time.Duration // each request must get an error or a close within this time
 	Front *Front
 	Sink  Sink
 	Class Class
 	Plan  Plan
 }
 
-// invalidKind is one way to be bad.
+// invalidKind is one kind of invalid request.
 type invalidKind struct {
 	name string
 	text func(b *Bad, id string) string
-	// drip is sent again and again after the text, with short pauses.
+	// drip is sent repeatedly after the text, with short pauses.
 	drip string
 	// leaves: the client closes right behind the text, and is owed nothing.
 	closesEarly bool
@@ -40,7 +40,7 @@
 	smuggles bool
 }
 
-const innerIDSuffix = "-in" // ends the id of a hidden request
+const innerIDSuffix = "-in" // ends the ID of a smuggled request
 
 var invalidKinds = []invalidKind{
 	{name: "noise", text: func(*Bad, string) string { return "\x16\x03\x01\x02\x00 noise\r\n\r\n" }},
@@ -78,13 +78,14 @@
 	{name: "silent", text: func(*Bad, string) string { return "" }},
 }
 
+// request returns a request that is valid except for its length headers.
 func (b *Bad) request(id, length string) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: lab\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Tier: %s\r\n"+
 		"X-Api-Key: 0000000000000001\r\nX-Time-Left-Ms: 900\r\nX-Call-Terms: units=1,spread=1,first=0\r\nIdempotency-Key: %s\r\n%s\r\n\r\n",
 		b.Class.Name, id, b.Class.Name, b.Plan.Name, id, length)
 }
 
-// Play sends until ctx ends.
+// Play sends invalid requests until ctx ends.
 func (b *Bad) Play(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -99,6 +100,7 @@
 	}
 }
 
+// sendOne sends one invalid request on a connection of its own and reports its outcome to the sink.
 func (b *Bad) sendOne(ctx context.Context, r *rand.Rand, k *invalidKind) {
 	g := r.IntN(len(b.Front.endpoints))
 	t := audit.Try{ID: fmt.Sprintf("bad%013x", r.Uint64()>>12), First: -1, Gateway: b.Front.name(g), Bad: k.name, Outcome: audit.Turned}
@@ -118,7 +120,7 @@
 	t.Sent = time.Now()
 	until := t.Sent.Add(b.Owed)
 	c.SetDeadline(until)
-	io.WriteString(c, k.text(b, t.ID)) // a gateway may end the connection at any byte
+	io.WriteString(c, k.text(b, t.ID)) // error ignored: a gateway may close the connection at any byte
 	if k.smuggles {
 		inner := t
 		inner.ID += innerIDSuffix
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -19,31 +19,31 @@
 
 const (
 	maxBodyBytes   = 1 << 20
-	lateAnswerWait = 400 * time.Millisecond // past its time, to tell a late answer from none
-	minTimeLeft    = 20 * time.Millisecond  // a try with less time is not made
-	maxInFlight    = 20000                  // requests out at once; beyond, the lab itself is overrun
-	lateArrival    = 20 * time.Millisecond  // an arrival dealt out so late makes the run late
+	lateAnswerWait = 400 * time.Millisecond // read past the deadline, to tell a late answer from none
+	minTimeLeft    = 20 * time.Millisecond  // no attempt is made with less time left
+	maxInFlight    = 20000                  // more requests in flight overload the lab itself
+	lateArrival    = 20 * time.Millisecond  // an arrival started later than this is reported as late
 )
 
-// Habits are how clients retry.
+// Habits is the retry policy of the clients.
 type Habits struct {
 	Retries   int
-	Wait      time.Duration // before the first retry; later ones double where Doubling
+	Wait      time.Duration // backoff before the first retry; Doubling doubles it for each later one
 	Doubling  bool
-	Honour    float64 // share of clients that wait as Retry-After says
-	Elsewhere float64 // share of retries that go through another gateway of the set
-	Impatient float64 // least part of the class's patience that a try waits
-	Marks     bool    // retries are marked
+	Honour    float64 // share of clients that honour Retry-After
+	Elsewhere float64 // share of retries for which a gateway of the customer's set is drawn anew
+	Impatient float64 // lower bound of an attempt's timeout, as a share of the class's deadline
+	Marks     bool    // retries carry the X-Repeat header
 }
 
-// Sink takes what clients saw. Its methods are called from many goroutines.
+// Sink receives what the clients observed. Its methods are called from many goroutines.
 type Sink interface {
 	Try(audit.Try)
 	Take(audit.Take)
 	Late(from, to time.Time, what string)
 }
 
-// Clients play a timeline against gateways.
+// Clients plays a timeline against the gateways.
 type Clients struct {
 	Seed    uint64
 	Habits  Habits
@@ -52,29 +52,29 @@
 	Front   *Front
 	Sink    Sink
 	Units   float64       // of each request
-	Slack   time.Duration // on a try's time
+	Slack   time.Duration // added to an attempt's timeout
 
-	// Of limit commands:
-	Limits     *Front        // those who take them
-	Gateways   int           // of the site
-	TakeWithin time.Duration // a take that names no wait is owed its answer
+	// For limit commands:
+	Limits     *Front        // the servers that answer them
+	Gateways   int           // number of gateways of the site
+	TakeWithin time.Duration // time within which a take without WAIT must be answered
 
 	mu       sync.Mutex
 	inFlight int
 	progress Progress
 }
 
-// Progress counts what has happened so far.
+// Progress holds the counters of a run.
 type Progress struct {
 	First, Done       int
 	Served, Refused   int
 	Failed, Unhandled int
 	Retries           int
-	Takes, Granted    int      // limit commands, and takes that got units
-	ByClass, ByPlan   [][2]int // first tries over, and those of them served
+	Takes, Granted    int      // limit commands, and takes that were granted units
+	ByClass, ByPlan   [][2]int // requests finished, and those of them served
 }
 
-// Progress returns the counts so far.
+// Progress returns a copy of the counters.
 func (c *Clients) Progress() Progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,8 +84,8 @@
 	return p
 }
 
-// Play deals out the arrivals from the given start on, without waiting for
-// answers, and returns when the last request has ended, or ctx.
+// Play starts the arrivals in open loop, at their times after start, without waiting for answers. It stops starting
+// them when ctx ends, and returns when all that it started have finished.
 func (c *Clients) Play(ctx context.Context, start time.Time, arrivals []Arrival) {
 	c.progress.ByClass, c.progress.ByPlan = make([][2]int, len(c.Classes)), make([][2]int, len(c.Plans))
 	var wg sync.WaitGroup
@@ -124,6 +124,7 @@
 	}
 }
 
+// begin counts an arrival and reports false if too many requests are in flight to start it.
 func (c *Clients) begin(a *Arrival) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,6 +144,7 @@
 	c.inFlight--
 }
 
+// countRequest counts a request that is over, with all its attempts.
 func (c *Clients) countRequest(a *Arrival, served bool, retries int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,8 +174,8 @@
 	}
 }
 
-// request makes the tries of one first try until it is served or its time or
-// patience is over. All its choices are drawn from the seed and its number.
+// request makes the attempts of one request until it is served, its deadline is too close or its retries are used up.
+// All choices are drawn from the seed and the number of the request, so that they are the same in each run.
 func (c *Clients) request(ctx context.Context, a *Arrival, due time.Time) {
 	r := rand.New(rand.NewPCG(c.Seed^0x5eed, uint64(a.N)))
 	class := &c.Classes[a.Class]
@@ -217,24 +219,24 @@
 	c.countRequest(a, served, n)
 }
 
-// id draws a name that no other request has.
+// randomID draws a request ID of 16 hexadecimal digits.
 func randomID(r *rand.Rand) string { return fmt.Sprintf("%016x", r.Uint64()) }
 
-// try makes one try and says how long the gateway advises to stay away. A
-// request that crossed the close of an idle connection is sent once more on a
-// new one, as clients do.
+// attempt makes one attempt and returns the delay of Retry-After. A request that fails on a reused connection, because
+// the gateway closed it while idle, is sent once more on a new connection, as HTTP clients do.
 func (c *Clients) attempt(ctx context.Context, to int, a *Arrival, t *audit.Try) time.Duration {
 	advice := c.attemptOnce(ctx, to, a, t, false)
 	if t.Outcome != audit.Closed && t.Outcome != audit.NotTaken || !t.Pooled || time.Since(t.Sent) > t.Left/2 || ctx.Err() != nil {
 		return advice
 	}
 	if t.Outcome == audit.Closed {
-		c.Sink.Try(*t) // the auditor wants to know of both
+		c.Sink.Try(*t) // the audit needs both attempts
 		t.ID = t.ID[:15] + "+"
 	}
 	return c.attemptOnce(ctx, to, a, t, true)
 }
 
+// attemptOnce sends the request on one connection and fills in its outcome.
 func (c *Clients) attemptOnce(ctx context.Context, to int, a *Arrival, t *audit.Try, fresh bool) (advice time.Duration) {
 	t.Outcome, t.Over = audit.NotTaken, time.Now()
 	cn, err := c.Front.get(ctx, to, fresh)
@@ -242,8 +244,8 @@
 		t.Over = time.Now()
 		return 0
 	}
-	again := false
-	defer func() { c.Front.put(to, cn, again) }()
+	reusable := false
+	defer func() { c.Front.put(to, cn, reusable) }()
 	stop := context.AfterFunc(ctx, func() { cn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	t.Pooled = cn.reused
@@ -275,14 +277,14 @@
 	default:
 		t.Outcome = audit.Failed
 	}
-	again = !resp.Close && stop()
+	reusable = !resp.Close && stop()
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
 		advice = time.Duration(s * float64(time.Second))
 	}
 	return advice
 }
 
-// ended names the end of a try that has no whole answer.
+// classifyError returns the outcome of an attempt without a complete answer.
 func (c *Clients) classifyError(ctx context.Context, err error, t *audit.Try) audit.Outcome {
 	switch {
 	case ctx.Err() != nil:
@@ -298,7 +300,7 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// text is the request on the wire.
+// requestText returns the request as sent on the wire.
 func (c *Clients) requestText(a *Arrival, t *audit.Try) string {
 	class := &c.Classes[a.Class]
 	method, rest := "GET", "\r\n"
--- a/internal/lab/load/closed.go
+++ b/internal/lab/load/closed.go
@@ -11,19 +11,19 @@
 	"elderyard/internal/wait"
 )
 
-// Tally is what a closed loop came to.
+// Tally is the result of a closed-loop run.
 type Tally struct {
 	Served, Other int
 	Took          time.Duration
-	Times         []time.Duration // from send to answer, of those served
+	Times         []time.Duration // latency from send to answer of the served requests
 }
 
+// maxLatencies bounds the latencies kept over all clients.
 const maxLatencies = 1 << 20
 
-// Closed plays so many clients that each ask a gateway again as soon as they
-// have their answer, for a time. With a rate above 0 they ask so often a second
-// in all, at even distances, and skip what they are too late for. Nothing goes
-// to the sink.
+// Closed runs a closed loop for the given length: each client sends its next request to the gateway as soon as the
+// previous one is answered. With a rate above 0 the clients together send that many requests a second at even
+// intervals, and skip the send times that they have missed. Nothing is reported to the sink.
 func (c *Clients) Closed(ctx context.Context, gateway int, customers []*Customer, clients int, length time.Duration, rate float64) (Tally, error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/lab/load/front.go
+++ b/internal/lab/load/front.go
@@ -10,28 +10,28 @@
 
 const (
 	dialTimeout    = time.Second
-	maxIdleConns   = 256 // connections kept for a gateway
+	maxIdleConns   = 256 // idle connections kept per gateway
 	idleTimeout    = 30 * time.Second
 	readBufferSize = 4 << 10
 )
 
-// Front deals out requests among the gateways. It takes in one that is ready
-// and leaves out one that it knows to be down. It is safe for concurrent use.
+// Front is the client-side load balancer: it routes requests to the gateways that are up and pools the connections to
+// them. It is safe for concurrent use.
 type Front struct {
 	mu        sync.Mutex
 	endpoints []*endpoint
 }
 
-// gate is the way to one gateway.
+// endpoint is the address, state and connection pool of one gateway.
 type endpoint struct {
 	name    string
 	address string
 	up      bool
-	idle    []*conn // the most recently used last
+	idle    []*conn // most recently used last
 	open    map[*conn]struct{}
 }
 
-// conn is one connection of the front to a gateway, for one request at a time.
+// conn is a pooled connection to a gateway that carries one request at a time.
 type conn struct {
 	net.Conn
 	r         *bufio.Reader
@@ -39,7 +39,7 @@
 	idleSince time.Time
 }
 
-// NewFront returns a front of the named gateways, none of them in.
+// NewFront returns a Front for the named gateways, all of them down until Take is called.
 func NewFront(names []string) *Front {
 	f := &Front{}
 	for _, n := range names {
@@ -48,21 +48,21 @@
 	return f
 }
 
-// Take takes a gateway in at an address.
+// Take marks a gateway as up at the given address.
 func (f *Front) Take(g int, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.endpoints[g].address, f.endpoints[g].up = address, true
 }
 
-// Leave leaves a gateway out. Its connections stay until they end by themselves.
+// Leave marks a gateway as down. Its connections are not closed; they last until either side ends them.
 func (f *Front) Leave(g int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.endpoints[g].up = false
 }
 
-// Close closes all connections.
+// Close closes all connections, idle and in use.
 func (f *Front) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,8 +74,8 @@
 	}
 }
 
-// route is the gateway that a request for g goes to: itself, or the next one of
-// the customer's set that is in. If none is, it goes to g all the same.
+// route returns the gateway that a request for g goes to: g if it is up, else the first one of the customer's set that
+// is up. If none is, it returns g all the same.
 func (f *Front) route(k *Customer, g int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,7 +92,7 @@
 
 func (f *Front) name(g int) string { return f.endpoints[g].name }
 
-// get returns an idle connection to a gateway, or a new one.
+// get returns an idle connection to a gateway, or dials a new one. With fresh it always dials.
 func (f *Front) get(ctx context.Context, g int, fresh bool) (*conn, error) {
 	f.mu.Lock()
 	endpoint := f.endpoints[g]
@@ -123,12 +123,12 @@
 	return c, nil
 }
 
-// put gives a connection back; one that may not be used again is closed.
-func (f *Front) put(g int, c *conn, again bool) {
+// put returns a connection to the pool. It closes the connection if it is not reusable or the pool is full.
+func (f *Front) put(g int, c *conn, reusable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	endpoint := f.endpoints[g]
-	if again && len(endpoint.idle) < maxIdleConns {
+	if reusable && len(endpoint.idle) < maxIdleConns {
 		c.idleSince = time.Now()
 		endpoint.idle = append(endpoint.idle, c)
 		return
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -24,7 +24,7 @@
 		Classes: []Class{{Name: "lookup", Share: 0.6, Deadline: 2 * time.Second}, {Name: "booking", Share: 0.4, Deadline: 3 * time.Second, Keyed: true, Post: true}}}
 }
 
-func TestOneSeedIsOneTimeline(t *testing.T) {
+func TestTimelineIsDeterminedBySeed(t *testing.T) {
 	_, a, err := Timeline(config())
 	if err != nil {
 		t.Fatal(err)
@@ -34,12 +34,12 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(a, b) {
-		t.Error("one seed drew two timelines")
+		t.Error("the same seed drew different timelines")
 	}
 	c := config()
 	c.Seed = 2
 	if _, other, _ := Timeline(c); reflect.DeepEqual(a, other) {
-		t.Error("two seeds drew one timeline")
+		t.Error("different seeds drew the same timeline")
 	}
 	for i := range a {
 		if a[i].N != i || i > 0 && a[i].At < a[i-1].At || a[i].At >= c.For || a[i].Gateway < 0 || a[i].Gateway >= 3 {
@@ -47,14 +47,14 @@
 		}
 		k := a[i].Customer
 		if (a[i].Gateway-k.First+3)%3 >= k.Spread {
-			t.Fatalf("a request outside its customer's set: %+v %+v", a[i], k)
+			t.Fatalf("request goes to a gateway outside the set of its customer: %+v %+v", a[i], k)
 		}
 	}
 }
 
-// TestTheRateIsThatInsideQuotas counts what a token bucket for each account lets
-// through.
-func TestTheRateIsThatInsideQuotas(t *testing.T) {
+// TestRateCountsRequestsInsideQuotas guards against a mismatch of Config.Rate and the load that fits the quotas. It counts the
+// arrivals that a token bucket per account admits.
+func TestRateCountsRequestsInsideQuotas(t *testing.T) {
 	inside := 0
 	for seed := range uint64(5) {
 		c := config()
@@ -99,7 +99,7 @@
 	calm := count(c, 10*time.Second, 20*time.Second, 0)
 	c.Surges = []Surge{{10 * time.Second, 20 * time.Second, 0, 4}}
 	if n := count(c, 10*time.Second, 20*time.Second, 0); n < 3*calm || n > 5*calm {
-		t.Errorf("a surge of 4 made %d of %d", n, calm)
+		t.Errorf("a surge of factor 4 raised the arrivals to %d from %d", n, calm)
 	}
 	c = config()
 	c.Greedy = 10
@@ -115,14 +115,14 @@
 	}
 }
 
-func TestTimelineRefusesWhatCannotBePlayed(t *testing.T) {
+func TestTimelineRejectsInvalidConfig(t *testing.T) {
 	for _, change := range []func(*Config){
 		func(c *Config) { c.Rate = 0 }, func(c *Config) { c.Plans = nil }, func(c *Config) { c.Rate = 1e6 }, func(c *Config) { c.Gateways = 0 },
 	} {
 		c := config()
 		change(&c)
 		if _, _, err := Timeline(c); err == nil {
-			t.Errorf("%+v was taken", c)
+			t.Errorf("invalid config was accepted: %+v", c)
 		}
 	}
 }
@@ -173,8 +173,8 @@
 	}
 }
 
-// play sends one arrival at a server that answers tries with the given texts,
-// one after another; "" closes the connection, "-" says nothing.
+// play sends one arrival to a server that answers the attempts with the given texts in order. "" closes the connection,
+// "-" sends no answer.
 func play(t *testing.T, h Habits, class int, answers ...string) ([]audit.Try, []*http.Request) {
 	t.Helper()
 	var mu sync.Mutex
@@ -219,7 +219,7 @@
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 2\r\n\r\nok", status, header)
 }
 
-func TestRetriesKeepTheirKeyAndTakeANewID(t *testing.T) {
+func TestRetriesKeepKeyAndChangeID(t *testing.T) {
 	h := Habits{Retries: 3, Wait: time.Millisecond, Impatient: 1, Marks: true}
 	tries, seen := play(t, h, 1, answer(502, ""), answer(503, ""), answer(200, ""))
 	if len(tries) != 3 || tries[0].Outcome != audit.Failed || tries[1].Outcome != audit.Refused || tries[2].Outcome != audit.Served {
@@ -241,7 +241,7 @@
 	}
 }
 
-func TestRetryAfterIsHonouredByThoseWhoDo(t *testing.T) {
+func TestRetryAfterIsHonouredByConfiguredShare(t *testing.T) {
 	for honour, least := range map[float64]time.Duration{0: 0, 1: 300 * time.Millisecond} {
 		h := Habits{Retries: 1, Wait: time.Millisecond, Impatient: 1, Honour: honour}
 		tries, _ := play(t, h, 0, answer(429, "Retry-After: 0.3\r\n"), answer(200, ""))
@@ -254,7 +254,7 @@
 	}
 }
 
-func TestWhatAClientSees(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	h := Habits{Impatient: 1}
 	for text, want := range map[string]audit.Outcome{"": audit.Closed, "-": audit.NoAnswer, answer(400, ""): audit.Failed, answer(200, ""): audit.Served,
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort": audit.NoAnswer} {
@@ -265,17 +265,17 @@
 	}
 }
 
-func TestARequestThatCrossedAnIdleCloseGoesOnceMore(t *testing.T) {
+func TestRequestIsResentAfterIdleClose(t *testing.T) {
 	h := Habits{Retries: 1, Wait: time.Millisecond, Impatient: 1}
-	// The first try is failed, the second goes out on the kept connection, which
-	// closes under it, and once more on a new one.
+	// The first attempt fails. The second goes out on the reused connection, which the server closes, and is sent once
+	// more on a new one.
 	tries, seen := play(t, h, 0, answer(502, ""), "", answer(200, ""))
 	if len(tries) != 3 || tries[1].Outcome != audit.Closed || !tries[1].Pooled || tries[2].Outcome != audit.Served || tries[2].Number != 1 || len(seen) != 3 {
 		t.Fatalf("%+v", tries)
 	}
 }
 
-func TestASecondAnswerBehindTheFirstIsSeen(t *testing.T) {
+func TestExtraAnswerIsDetected(t *testing.T) {
 	h := Habits{Retries: 1, Wait: 50 * time.Millisecond, Impatient: 1}
 	tries, _ := play(t, h, 0, answer(502, "")+answer(200, ""), answer(200, ""))
 	if len(tries) != 2 || !tries[1].Extra {
@@ -283,9 +283,9 @@
 	}
 }
 
-// TestBadClientsAreOwedAnEnd plays all kinds against a server that turns all
-// down, and one that keeps silent.
-func TestBadClientsAreOwedAnEnd(t *testing.T) {
+// TestInvalidRequestOutcomes sends all kinds of invalid requests to a server that closes each connection, and to one that
+// never answers, which must be recorded as a missing answer.
+func TestInvalidRequestOutcomes(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		address, stop := serveConnections(t, func(c net.Conn) {
 			if silent {
--- a/internal/lab/load/takes.go
+++ b/internal/lab/load/takes.go
@@ -14,25 +14,24 @@
 	"elderyard/internal/wait"
 )
 
-// What apps do with limit commands: shares of their takes.
+// The mix of limit commands that applications send, as shares of their takes.
 const (
-	tokenFraction    = 0.4  // carry a token, and
-	resendFraction   = 0.3  // of these are sent again, as if their answer had been lost
-	giveFraction     = 0.25 // of these give a unit back
-	partialFraction  = 0.15 // ask for partialUnits, and are content with fewer
-	waitFraction     = 0.2  // wait for their units
-	throttleFraction = 0.1  // use the command that rate-limiting modules publish
-	dropFraction     = 0.02 // leave without reading the reply
+	tokenFraction    = 0.4  // carry a token
+	resendFraction   = 0.3  // of those with a token, sent again as if the answer had been lost
+	giveFraction     = 0.25 // of those with a token, followed by the return of one unit
+	partialFraction  = 0.15 // ask for partialUnits and accept fewer
+	waitFraction     = 0.2  // wait for their units (WAIT)
+	throttleFraction = 0.1  // use CL.THROTTLE, the command of published rate-limiting modules
+	dropFraction     = 0.02 // close the connection without reading the reply
 	partialUnits     = 3.0
 	minWait          = 50 * time.Millisecond
 	maxWait          = 400 * time.Millisecond
-	giveDelay        = 150 * time.Millisecond // before one is given back
+	giveDelay        = 150 * time.Millisecond // before a unit is returned
 )
 
 var replyLimits = resp.Limits{Args: 64, Bulk: 1 << 10, Total: 8 << 10, Depth: 2}
 
-// take plays one arrival as a limit command. All its choices are drawn from the
-// seed and its number.
+// playTake plays one arrival as a limit command. All choices are drawn from the seed and the number of the arrival.
 func (c *Clients) playTake(ctx context.Context, a *Arrival, due time.Time) {
 	r := rand.New(rand.NewPCG(c.Seed^0x7a4e, uint64(a.N)))
 	plan := &c.Plans[a.Customer.Plan]
@@ -44,7 +43,7 @@
 	kind, drops := r.Float64(), r.Float64() < dropFraction
 	switch {
 	case kind < throttleFraction && a.Customer.Spread == c.Gateways && plan.Burst >= 1:
-		// Its figures have to be the plan's: whole numbers, so the rate is in tenths.
+		// The arguments must match the plan and be whole numbers, so the rate is stated as units per 10 seconds.
 		words = []string{"CL.THROTTLE", account(a), strconv.Itoa(int(plan.Burst) - 1), strconv.Itoa(int(math.Round(plan.Rate * 10))), "10"}
 	case kind < throttleFraction+partialFraction:
 		t.Asked = min(partialUnits, math.Floor(plan.Burst))
@@ -60,19 +59,19 @@
 	default:
 		words = append(words, whose...)
 	}
-	again, back := r.Float64() < resendFraction, r.Float64() < giveFraction
+	resend, giveBack := r.Float64() < resendFraction, r.Float64() < giveFraction
 	c.sendCommand(ctx, to, words, &t, drops)
 	c.recordTake(&t)
 	if t.Token == "" || t.Granted == 0 || drops {
 		return
 	}
-	if again {
+	if resend {
 		repeat := audit.Take{First: a.N, Number: 1, Front: t.Front, Customer: t.Customer, Plan: t.Plan, Token: t.Token, Asked: t.Asked,
 			Arrived: due, Left: c.TakeWithin, Fresh: true}
 		c.sendCommand(ctx, to, words, &repeat, false)
 		c.recordTake(&repeat)
 	}
-	if back && wait.For(ctx, giveDelay) {
+	if giveBack && wait.For(ctx, giveDelay) {
 		give := audit.Take{First: a.N, Number: 1, Front: t.Front, Customer: t.Customer, Plan: t.Plan, Token: t.Token, Asked: 1,
 			Arrived: due, Left: c.TakeWithin, Gives: true}
 		c.sendCommand(ctx, to, append([]string{"LIMIT.GIVE", account(a), "1", "ID", t.Token}, whose...), &give, false)
@@ -84,8 +83,8 @@
 
 func units(n float64) string { return strconv.FormatFloat(n, 'g', -1, 64) }
 
-// command sends one limit command and takes its reply. One that crossed the close
-// of an idle connection is sent once more on a new one.
+// sendCommand sends one limit command and reads its reply. A command that fails on a reused connection, because the
+// server closed it while idle, is sent once more on a new connection.
 func (c *Clients) sendCommand(ctx context.Context, to int, words []string, t *audit.Take, drops bool) {
 	c.sendCommandOnce(ctx, to, words, t, drops)
 	if (t.Outcome == audit.Closed || t.Outcome == audit.NotTaken) && t.Pooled && ctx.Err() == nil {
@@ -101,8 +100,8 @@
 		t.Over = time.Now()
 		return
 	}
-	again := false
-	defer func() { c.Limits.put(to, cn, again) }()
+	reusable := false
+	defer func() { c.Limits.put(to, cn, reusable) }()
 	stop := context.AfterFunc(ctx, func() { cn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	t.Pooled = cn.reused
@@ -122,7 +121,7 @@
 	t.Over = time.Now()
 	switch {
 	case err == nil:
-		again = stop()
+		reusable = stop()
 		parseReply(t, v)
 	case ctx.Err() != nil:
 		t.Outcome = audit.Unfinished
@@ -135,7 +134,7 @@
 	}
 }
 
-// note takes a reply's figures. What is no reply to the command is an error.
+// parseReply fills in the outcome from a reply. A reply that does not fit the command counts as failed.
 func parseReply(t *audit.Take, v resp.Value) {
 	t.Outcome = audit.Failed
 	switch {
@@ -168,10 +167,10 @@
 	}
 }
 
-// throttleReplyLen are what CL.THROTTLE answers with.
+// throttleReplyLen is the number of elements in a reply to CL.THROTTLE.
 const throttleReplyLen = 5
 
-// text is a value of a reply as version 2 writes it.
+// valueText returns a value of a reply as RESP version 2 encodes it.
 func valueText(v resp.Value) string {
 	if v.Kind == resp.Int {
 		return strconv.FormatInt(v.Int, 10)
--- a/internal/lab/load/takes_test.go
+++ b/internal/lab/load/takes_test.go
@@ -15,8 +15,8 @@
 	"elderyard/internal/resp"
 )
 
-// Limit commands are a share of the timeline, and the rest of it is as without them.
-func TestTakesAreAShareOfTheTimeline(t *testing.T) {
+// Guards against limit commands that change the rest of the timeline: only their share of the arrivals is marked.
+func TestTakesAreShareOfTimeline(t *testing.T) {
 	c := config()
 	_, without, err := Timeline(c)
 	if err != nil {
@@ -35,14 +35,14 @@
 		with[i].Take = false
 	}
 	if share := float64(n) / float64(len(with)); share < 0.25 || share > 0.35 {
-		t.Errorf("%.2f are limit commands", share)
+		t.Errorf("share of limit commands is %.2f, want 0.25 to 0.35", share)
 	}
 	if !reflect.DeepEqual(with, without) {
-		t.Error("the rest of the timeline is another")
+		t.Error("limit commands changed the rest of the timeline")
 	}
 }
 
-// taker is a server that answers limit commands as answer says, and remembers them.
+// taker is a server that records the limit commands that it receives.
 type taker struct {
 	mu   sync.Mutex
 	seen [][]string
@@ -75,7 +75,7 @@
 	return address
 }
 
-// playTakes plays so many arrivals of one customer as limit commands.
+// playTakes plays n arrivals of one customer as limit commands.
 func playTakes(t *testing.T, n int, answer func(w *resp.Writer, args []string) bool) (*sink, *taker) {
 	t.Helper()
 	k := &taker{}
@@ -116,9 +116,9 @@
 	w.Bool(repeated)
 }
 
-// All forms of limit commands are played, their figures are read, and what repeats a
-// token goes out on a connection of its own.
-func TestTakesAreOfAllForms(t *testing.T) {
+// All forms of limit commands must be played and their replies parsed, and a command that repeats a token must go out on
+// a connection of its own.
+func TestAllFormsOfTakes(t *testing.T) {
 	had := map[string]bool{}
 	var mu sync.Mutex
 	s, k := playTakes(t, 300, func(w *resp.Writer, args []string) bool {
@@ -161,10 +161,10 @@
 			gives++
 		case take.Number == 1:
 			if repeats++; !take.Repeated || take.Pooled {
-				t.Errorf("a repeat: %+v", take)
+				t.Errorf("repeated take is not marked as repeated, or used a pooled connection: %+v", take)
 			}
 		case take.Repeated:
-			t.Errorf("a first take was taken for a repeat: %+v", take)
+			t.Errorf("first take is marked as repeated: %+v", take)
 		}
 	}
 	if repeats == 0 || gives == 0 || dropped == 0 {
@@ -172,18 +172,18 @@
 	}
 }
 
-// What is no good reply is told as what it is.
-func TestTakesTellWhatWentWrong(t *testing.T) {
+// Errors, malformed replies, closed connections and empty grants must each be recorded with their own outcome.
+func TestTakeOutcomes(t *testing.T) {
 	for name, k := range map[string]struct {
 		answer func(w *resp.Writer, args []string) bool
 		want   audit.Outcome
 		says   string
 	}{
-		"an error":   {func(w *resp.Writer, _ []string) bool { w.Error("ERR what"); return true }, audit.Failed, "ERR what"},
-		"no figures": {func(w *resp.Writer, _ []string) bool { w.Simple("OK"); return true }, audit.Failed, "a reply without granted"},
-		"noise":      {func(w *resp.Writer, _ []string) bool { w.Buf = []byte("!!\r\n"); return true }, audit.Failed, "Protocol error"},
-		"a close":    {func(w *resp.Writer, _ []string) bool { return false }, audit.Closed, ""},
-		"none left":  {func(w *resp.Writer, a []string) bool { granted(w, a, 0, false); return true }, audit.Refused, ""},
+		"error reply":           {func(w *resp.Writer, _ []string) bool { w.Error("ERR what"); return true }, audit.Failed, "ERR what"},
+		"reply without figures": {func(w *resp.Writer, _ []string) bool { w.Simple("OK"); return true }, audit.Failed, "a reply without granted"},
+		"malformed reply":       {func(w *resp.Writer, _ []string) bool { w.Buf = []byte("!!\r\n"); return true }, audit.Failed, "Protocol error"},
+		"closed connection":     {func(w *resp.Writer, _ []string) bool { return false }, audit.Closed, ""},
+		"nothing granted":       {func(w *resp.Writer, a []string) bool { granted(w, a, 0, false); return true }, audit.Refused, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, _ := playTakes(t, 12, k.answer)
--- a/internal/lab/load/timeline.go
+++ b/internal/lab/load/timeline.go
@@ -1,6 +1,6 @@
-// Package load plays clients: customers with plans and quotas whose requests
-// arrive in open loop, retries, and bad clients. What arrives when is drawn from
-// one seed before anything starts, so one seed is one timeline.
+// Package load generates the client load of the lab: customers with plans and quotas whose requests arrive in open
+// loop, retries, and clients that send invalid requests. All arrivals are drawn from one seed before the run starts,
+// so a seed always yields the same timeline.
 package load
 
 import (
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// Plan is a plan as the load sees it.
+// Plan is a plan with its share of the load.
 type Plan struct {
 	Name  string
-	Share float64 // of the use inside quotas
+	Share float64 // of the load inside the quotas
 	Rate  float64 // units a second that an account may use
 	Burst float64
 }
 
-// Class is a class of requests as the load sees it.
+// Class is a request class with its share of the load.
 type Class struct {
 	Name     string
 	Share    float64
-	Deadline time.Duration // a client's patience over all its tries
+	Deadline time.Duration // for a request over all its attempts
 	Keyed    bool
 	Post     bool // sent with a body
 }
 
-// Surge makes the accounts of a plan ask for more.
+// Surge multiplies the demand of the accounts of a plan by Times between From and To.
 type Surge struct {
 	From, To time.Duration
 	Plan     int
 	Times    float64
 }
 
-// Config states the load.
+// Config describes the load.
 type Config struct {
 	Seed     uint64
 	Rate     float64 // requests a second inside the quotas, by all customers
@@ -45,13 +45,13 @@
 	Plans    []Plan
 	Classes  []Class
 	Surges   []Surge
-	Greedy   float64 // an extra account asks for so many times its quota, all the time; 0: none
-	GreedyIn int     // its plan
-	Takes    float64 // share of all that comes as limit commands
+	Greedy   float64 // constant demand of one extra account, as a multiple of its quota; 0: no such account
+	GreedyIn int     // plan of that account
+	Takes    float64 // share of the arrivals that are limit commands
 }
 
-// The customers' habits: shares of accounts, and what part of its quota an
-// account asks for.
+// The demand patterns of the accounts: the share of accounts with each pattern, and the demand as a multiple of the
+// quota.
 const (
 	fullFraction  = 0.13
 	heavyFraction = 0.10
@@ -63,43 +63,45 @@
 	heavyUseMax   = 4.2
 	spikeUseMin   = 3.0
 	spikeUseMax   = 7.8
-	meanQuotaUse  = 0.52 // of its quota that an account uses, over all habits
+	meanQuotaUse  = 0.52 // mean use of an account inside its quota, over all patterns
 
 	maxArrivals = 1 << 20
 )
 
-// Customer is one account.
+// Customer is one account with its demand and routing over time.
 type Customer struct {
 	ID            uint64
 	Plan          int
-	First         int // the gateways of its set are Spread in a row from here
+	First         int // its set of gateways is Spread consecutive ones from here
 	Spread        int
-	rate          float64        // requests a second when it asks for its whole quota
-	usePeriods    []usePeriod    // what it asks for, in parts of its quota
-	weightPeriods []weightPeriod // where its requests go
+	rate          float64        // requests a second at its full quota
+	usePeriods    []usePeriod    // its demand as a multiple of its quota
+	weightPeriods []weightPeriod // how its requests are spread over its gateways
 }
 
+// usePeriod is a period of constant demand; it starts where the one before ends.
 type usePeriod struct {
 	until time.Duration
 	use   float64
 }
 
+// weightPeriod is a period of constant routing weights; it starts where the one before ends.
 type weightPeriod struct {
 	until  time.Duration
-	weight []float64 // for each gateway of its set, rising to 1
+	weight []float64 // cumulative weight of each gateway of the set; the last is 1
 }
 
-// Arrival is one first try.
+// Arrival is the first attempt of one request, or a limit command.
 type Arrival struct {
 	N        int
 	At       time.Duration
 	Customer *Customer
 	Class    int
 	Gateway  int
-	Take     bool // a limit command, to whoever takes them
+	Take     bool // sent as a limit command
 }
 
-// Timeline draws the customers and all that they will first ask for.
+// Timeline draws the customers and all arrivals, in order of time.
 func Timeline(c Config) ([]*Customer, []Arrival, error) {
 	switch {
 	case c.Rate <= 0 || c.For <= 0 || c.Gateways < 1:
@@ -131,7 +133,7 @@
 	if len(arrivals) > maxArrivals {
 		return nil, nil, fmt.Errorf("load: %d requests are more than the lab holds (%d)", len(arrivals), maxArrivals)
 	}
-	r = rand.New(rand.NewPCG(c.Seed, 2)) // its own, so that the rest is the same without limit commands
+	r = rand.New(rand.NewPCG(c.Seed, 2)) // own generator, so that Takes does not change the rest of the timeline
 	for i := range arrivals {
 		arrivals[i].N = i
 		arrivals[i].Take = r.Float64() < c.Takes
@@ -139,13 +141,15 @@
 	return all, arrivals, nil
 }
 
+// uniform draws from the uniform distribution over [low, high).
 func uniform(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
 
+// randomDuration draws a duration between low and high seconds.
 func randomDuration(r *rand.Rand, low, high float64) time.Duration {
 	return time.Duration(uniform(r, low, high) * float64(time.Second))
 }
 
-// habit draws what an account asks for over time.
+// drawUse draws the demand pattern of an account.
 func drawUse(r *rand.Rand) func(*rand.Rand, time.Duration) []usePeriod {
 	x := r.Float64()
 	calm := uniform(r, calmUseMin, calmUseMax)
@@ -162,10 +166,10 @@
 	return func(_ *rand.Rand, length time.Duration) []usePeriod { return []usePeriod{{length, calm}} }
 }
 
-// alternate goes between two uses, each for a time between its bounds in seconds.
+// alternate returns a pattern that alternates between two demands, each for a random time within its bounds in seconds.
 func alternate(low, high, lowMin, lowMax, highMin, highMax float64) func(*rand.Rand, time.Duration) []usePeriod {
 	return func(r *rand.Rand, length time.Duration) (s []usePeriod) {
-		at := -randomDuration(r, 0, lowMin) // it began before the run
+		at := -randomDuration(r, 0, lowMin) // the first period began before the run
 		for up := false; at < length; up = !up {
 			use := low
 			if up {
@@ -181,6 +185,7 @@
 	}
 }
 
+// customer draws an account of a plan with its set of gateways, demand and routing weights.
 func (c *Config) customer(r *rand.Rand, plan int, usePeriods func(*rand.Rand, time.Duration) []usePeriod) *Customer {
 	spread := min(2+r.IntN(3), c.Gateways)
 	k := &Customer{ID: r.Uint64() >> 31, Plan: plan, First: r.IntN(c.Gateways), Spread: spread, rate: c.Plans[plan].Rate}
@@ -198,6 +203,7 @@
 	return k
 }
 
+// evenWeights returns the cumulative form of n equal weights.
 func evenWeights(n int) []float64 {
 	w := make([]float64, n)
 	for i := range w {
@@ -206,6 +212,7 @@
 	return cumulative(w)
 }
 
+// cumulative replaces weights by their normalized running sum, in place.
 func cumulative(w []float64) []float64 {
 	sum := 0.0
 	for _, x := range w {
@@ -219,8 +226,7 @@
 	return w
 }
 
-// arrivals draws one account's first tries: a Poisson stream whose rate changes
-// from spell to spell.
+// arrivals draws the arrivals of one account: a Poisson process whose rate changes from one period to the next.
 func (c *Config) arrivals(r *rand.Rand, k *Customer) (list []Arrival) {
 	most := 0.0
 	for _, s := range k.usePeriods {
@@ -238,7 +244,7 @@
 		if t >= c.For {
 			return list
 		}
-		// Thinning keeps the stream Poisson while its rate is below the peak.
+		// Thinning: the process stays Poisson at rates below the peak.
 		if r.Float64()*peak > k.rate*c.useAt(k, t) {
 			continue
 		}
@@ -247,6 +253,7 @@
 	return list
 }
 
+// useAt returns the demand of an account at time t, surges included.
 func (c *Config) useAt(k *Customer, t time.Duration) float64 {
 	use := k.usePeriods[len(k.usePeriods)-1].use
 	for _, s := range k.usePeriods {
@@ -263,6 +270,7 @@
 	return use
 }
 
+// class draws a request class by the shares of the classes.
 func (c *Config) class(r *rand.Rand) int {
 	x := r.Float64()
 	for i, class := range c.Classes {
@@ -273,7 +281,7 @@
 	return len(c.Classes) - 1
 }
 
-// gateway draws where a request at time t goes.
+// gateway draws the gateway of a request at time t.
 func (k *Customer) gateway(r *rand.Rand, t time.Duration, gateways int) int {
 	weight := k.weightPeriods[len(k.weightPeriods)-1].weight
 	for _, s := range k.weightPeriods {
