--- a/internal/lab/audit/members.go
+++ b/internal/lab/audit/members.go
@@ -123,7 +123,7 @@
 func (v *MembersVerdict) breach(rule, gateway, format string, a ...any) {
 	f := &v.Findings[slices.Index(MemberNames(), rule)]
 	f.Broken++
-	if len(f.Evidence) < mostEvidence {
+	if len(f.Evidence) < maxEvidence {
 		f.Evidence = append(f.Evidence, Evidence{Gateway: gateway, Text: fmt.Sprintf(format, a...)})
 	}
 }
--- a/internal/lab/audit/quotas.go
+++ b/internal/lab/audit/quotas.go
@@ -8,22 +8,21 @@
 	"time"
 )
 
-// use is units of an account that were passed on.
+// use is an amount of units that an account consumed at a time.
 type use struct {
 	at    time.Time
 	units float64
-	worth float64 // of all of them, before the plan's price
+	worth float64 // of all units, before the plan's price
 	id    string
 }
 
-// bucket is a store of units that fills at a rate. Left to run below zero, it
-// tells how far use went beyond the quota: over all windows [s, t], the most of
-// units(s, t) - (burst + rate * (t - s)) is the deepest that it stands below zero.
+// bucket is a token bucket whose level may fall below zero. The deepest level below zero is the excess over the quota:
+// the maximum of units(s, t) - (burst + rate * (t - s)) over all windows [s, t].
 type bucket struct {
 	rate, burst float64
 	level       float64
 	at          time.Time
-	full        time.Time // when it was last full: the start of the window
+	full        time.Time // when the bucket was last full: the start of the window
 }
 
 func newBucket(rate, burst float64, at time.Time) *bucket {
@@ -38,42 +37,41 @@
 		}
 		b.level, b.at = filled, at
 	}
-	b.level = min(b.level-units, b.burst) // units may be below 0: they came back
+	b.level = min(b.level-units, b.burst) // negative units are returned ones
 }
 
-// passed returns what was had of each account: of every try that was passed on,
-// once, the units that its client named, when the first attempt was sent that came whole to a
-// backend; of every take what its client learnt that it has; less what came back. A repeat under a
-// token is no second take.
-func (j *judge) passed() map[uint64][]use {
-	all := map[uint64][]use{}
-	for id, list := range j.byID {
-		t := j.tries[id]
+// usageByAccount returns the use of each account in time order. A try that was forwarded counts once, with the units that
+// its client named, at the time of the first attempt that reached a backend whole. A take counts what its client
+// learned that it was granted, and returned units are subtracted. A repeat under a token does not count again.
+func (j *judge) usageByAccount() map[uint64][]use {
+	usage := map[uint64][]use{}
+	for id, list := range j.attemptsByID {
+		t := j.triesByID[id]
 		if t == nil || t.Bad != "" {
 			continue
 		}
-		all[t.Customer] = append(all[t.Customer], use{list[0].First, t.Units, j.rules.Classes[t.Class].Worth, id})
+		usage[t.Customer] = append(usage[t.Customer], use{list[0].First, t.Units, j.rules.Classes[t.Class].Worth, id})
 	}
-	type token struct{ front, id string }
-	had := map[token]bool{}
+	type tokenKey struct{ front, id string }
+	counted := map[tokenKey]bool{}
 	for i := range j.log.Takes {
 		switch t := &j.log.Takes[i]; {
-		case t.Granted == 0 || t.Token != "" && !t.Gives && had[token{t.Front, t.Token}]:
+		case t.Granted == 0 || t.Token != "" && !t.Gives && counted[tokenKey{t.Front, t.Token}]:
 		case t.Gives:
-			all[t.Customer] = append(all[t.Customer], use{t.Sent, -t.Granted, -j.rules.TakeWorth * t.Granted, t.Token})
+			usage[t.Customer] = append(usage[t.Customer], use{t.Sent, -t.Granted, -j.rules.TakeWorth * t.Granted, t.Token})
 		default:
-			had[token{t.Front, t.Token}] = true
-			all[t.Customer] = append(all[t.Customer], use{t.Over, t.Granted, j.rules.TakeWorth * t.Granted, t.Token})
+			counted[tokenKey{t.Front, t.Token}] = true
+			usage[t.Customer] = append(usage[t.Customer], use{t.Over, t.Granted, j.rules.TakeWorth * t.Granted, t.Token})
 		}
 	}
-	for _, list := range all {
+	for _, list := range usage {
 		slices.SortFunc(list, func(a, b use) int { return a.at.Compare(b.at) })
 	}
-	return all
+	return usage
 }
 
-// plans tells the plan of each account.
-func (j *judge) plans() map[uint64]int {
+// planByAccount returns the index of the plan of each account.
+func (j *judge) planByAccount() map[uint64]int {
 	plans := map[uint64]int{}
 	for i := range j.log.Tries {
 		if j.log.Tries[i].Bad == "" {
@@ -86,18 +84,18 @@
 	return plans
 }
 
-// beyond adds up by plan what was passed on and found no unit in its account's store: that
-// takes none, so it is counted once, unlike the depth of the furthest window.
-func (j *judge) beyond(asked []Service) []Beyond {
+// overQuotaByPlan sums by plan the units that were forwarded while the account's token bucket was too low. Such use is
+// not deducted from the bucket, so it counts once, unlike in the excess of the worst window.
+func (j *judge) overQuotaByPlan(asked []Service) []Beyond {
 	total := Service{}
 	for _, s := range asked {
 		total.add(s)
 	}
-	plans, all := j.plans(), make([]Beyond, len(j.rules.Plans))
+	plans, all := j.planByAccount(), make([]Beyond, len(j.rules.Plans))
 	for i := range all {
 		all[i].Plan = j.rules.Plans[i].Name
 	}
-	for customer, list := range j.passed() {
+	for customer, list := range j.usageByAccount() {
 		plan, sum := &j.rules.Plans[plans[customer]], &all[plans[customer]]
 		b := newBucket(plan.Rate, plan.Burst, j.log.From)
 		for _, u := range list {
@@ -115,14 +113,14 @@
 	return all
 }
 
-// quotas holds all gateways together to each account's quota and ceiling.
-func (j *judge) quotas(v *Verdict) {
-	plans := j.plans()
+// checkQuotas checks the use of each account over all gateways against its quota and ceiling.
+func (j *judge) checkQuotas(v *Verdict) {
+	plans := j.planByAccount()
 	v.Worst.Percent = math.Inf(-1)
-	for customer, list := range j.passed() {
+	for customer, list := range j.usageByAccount() {
 		plan := &j.rules.Plans[plans[customer]]
 		if plan.Rate > 0 {
-			q := j.worst(customer, plan.Name, plan.Rate, plan.Burst, list)
+			q := j.worstWindow(customer, plan.Name, plan.Rate, plan.Burst, list)
 			if q.Percent > v.Worst.Percent || q.Percent == v.Worst.Percent && customer < v.Worst.Customer {
 				v.Worst = q
 			}
@@ -131,9 +129,9 @@
 			}
 		}
 		if plan.CeilingRate > 0 {
-			q := j.worst(customer, plan.Name, plan.CeilingRate, plan.CeilingBurst, list)
+			q := j.worstWindow(customer, plan.Name, plan.CeilingRate, plan.CeilingBurst, list)
 			if q.Units > plan.CeilingSlack {
-				j.certain(RuleCeiling, Evidence{At: q.To, Text: fmt.Sprintf(
+				j.recordViolation(RuleCeiling, Evidence{At: q.To, Text: fmt.Sprintf(
 					"account %016x (%s): %.1f units beyond its ceiling of %.1f between %v and %v, with a slack of %.1f",
 					customer, plan.Name, q.Units, q.Allowed, q.From.Round(time.Millisecond), q.To.Round(time.Millisecond), plan.CeilingSlack)})
 			}
@@ -146,22 +144,22 @@
 		return cmp.Or(cmp.Compare(b.Percent, a.Percent), cmp.Compare(a.Customer, b.Customer))
 	})
 	for _, q := range v.Over {
-		j.certain(RuleQuota, Evidence{At: q.To, Text: fmt.Sprintf(
+		j.recordViolation(RuleQuota, Evidence{At: q.To, Text: fmt.Sprintf(
 			"account %016x (%s): %.1f units (%.0f%%) beyond its quota of %.1f between %v and %v; %.0f%% of its burst and %.1f units are let pass",
 			q.Customer, q.Plan, q.Units, q.Percent, q.Allowed, q.From.Round(time.Millisecond), q.To.Round(time.Millisecond),
 			j.rules.Overshoot, j.rules.SpareUnits)})
 	}
 }
 
-// worst is the window in which an account went furthest beyond rate and burst.
-// Where it never did, Units and Percent are 0 or below.
-func (j *judge) worst(customer uint64, plan string, rate, burst float64, list []use) Quota {
+// worstWindow returns the window in which an account exceeded rate and burst the most. Units and Percent are 0 or below
+// if it never did.
+func (j *judge) worstWindow(customer uint64, plan string, rate, burst float64, list []use) Quota {
 	b := newBucket(rate, burst, j.log.From)
 	q := Quota{Customer: customer, Plan: plan, Units: math.Inf(-1)}
 	for _, u := range list {
 		b.take(u.at, u.units)
 		if -b.level > q.Units {
-			q.Units, q.From, q.To = -b.level, j.at(b.full), j.at(u.at)
+			q.Units, q.From, q.To = -b.level, j.sinceStart(b.full), j.sinceStart(u.at)
 			q.Allowed = burst + rate*u.at.Sub(b.full).Seconds()
 		}
 	}
@@ -171,7 +169,7 @@
 	return q
 }
 
-// account is one customer's part in the service.
+// account is the demand and service of one customer.
 type account struct {
 	plan                 int
 	askedUnits, inside   float64
@@ -179,15 +177,15 @@
 	askedWorth, gotWorth map[int]float64 // by class
 }
 
-// service measures worth answered within the aim over worth asked for inside
-// the quotas. Retries belong to their first try. What an account asks beyond its
-// quota earns nothing: its worth, asked and answered, is scaled down to its quota.
-func (j *judge) service(v *Verdict) {
+// computeService compares the worth answered within the aim with the worth requested within the quotas. Retries belong to
+// their first try. Demand beyond the quota of an account earns nothing: its worth, requested and served, is scaled
+// down to the quota.
+func (j *judge) computeService(v *Verdict) {
 	type first struct {
 		arrived time.Time
 		t       *Try
 		served  bool
-		take    *Take // in place of t
+		take    *Take // set instead of t for a limit command
 	}
 	firsts := map[int]*first{}
 	var order []*first
@@ -213,7 +211,7 @@
 	}
 	slices.SortStableFunc(order, func(a, b *first) int { return a.arrived.Compare(b.arrived) })
 	accounts, buckets := map[uint64]*account{}, map[uint64]*bucket{}
-	takes := len(j.rules.Classes) // stands for a class of their own
+	takes := len(j.rules.Classes) // index of the additional class for limit commands
 	for _, f := range order {
 		customer, in, units := uint64(0), 0, 0.0
 		if f.take != nil {
@@ -264,13 +262,13 @@
 	}
 	total := Service{}
 	for _, a := range accounts {
-		asked, got := scale(a.inside, a.askedUnits), scale(a.inside, a.servedUnits)
+		askedScale, servedScale := scale(a.inside, a.askedUnits), scale(a.inside, a.servedUnits)
 		whole := Service{}
 		for class := range classes {
-			s := Service{Asked: a.askedWorth[class] * asked, Served: a.gotWorth[class] * got}
+			s := Service{Asked: a.askedWorth[class] * askedScale, Served: a.gotWorth[class] * servedScale}
 			whole.add(s)
-			// Beyond its quota an account may be served more of one class than
-			// falls to that class; it counts for no more than was asked.
+			// An account beyond its quota may be served more of one class than the scaled demand for that class;
+			// the excess does not count.
 			s.Served = min(s.Served, s.Asked)
 			classes[class].add(s)
 		}
@@ -286,7 +284,7 @@
 	s.Served += more.Served
 }
 
-// scale is the share of units that lie inside.
+// scale returns the fraction of units that lies within the quota, at most 1.
 func scale(inside, units float64) float64 {
 	if units <= inside || units == 0 {
 		return 1
--- a/internal/lab/audit/requests.go
+++ b/internal/lab/audit/requests.go
@@ -12,11 +12,11 @@
 	if from.IsZero() {
 		from = t.Over
 	}
-	return overlap(j.log.Excused, t.Gateway, from, t.Over) != nil
+	return overlappingWindow(j.log.Excused, t.Gateway, from, t.Over) != nil
 }
 
 // answers holds the gateways to one final answer, in time, made by a backend.
-func (j *judge) answers(c *Counts) {
+func (j *judge) checkAnswers(c *Counts) {
 	for i := range j.log.Tries {
 		t := &j.log.Tries[i]
 		if t.Bad != "" || t.Outcome == Unfinished || t.Outcome == NotTaken {
@@ -27,29 +27,29 @@
 			continue
 		}
 		due := t.Sent.Add(t.Left + j.rules.Slack)
-		e := Evidence{At: j.at(t.Sent), Request: t.ID, Gateway: t.Gateway}
+		e := Evidence{At: j.sinceStart(t.Sent), Request: t.ID, Gateway: t.Gateway}
 		switch {
 		case t.Outcome == NoAnswer:
 			e.Text = fmt.Sprintf("no answer within %v", t.Left)
-			j.overdue(RuleAnswer, e, t.Sent, t.Left, t.Over)
-		case t.Outcome == Closed && t.Pooled && len(j.byID[t.ID]) == 0:
+			j.recordOverdue(RuleAnswer, e, t.Sent, t.Left, t.Over)
+		case t.Outcome == Closed && t.Pooled && len(j.attemptsByID[t.ID]) == 0:
 			// The gateway closed a connection that stood idle, and the request
 			// crossed that. The client sends it again, so nothing is lost.
 			c.Unanswered++
 		case t.Outcome == Closed:
 			e.Text = fmt.Sprintf("the connection ended without a whole answer after %v", t.Over.Sub(t.Sent).Round(time.Millisecond))
-			j.certain(RuleAnswer, e)
+			j.recordViolation(RuleAnswer, e)
 		case t.Over.After(due):
 			e.Text = fmt.Sprintf("%s after %v, with %v to answer in", t.Outcome, t.Over.Sub(t.Sent).Round(time.Millisecond), t.Left)
-			j.overdue(RuleAnswer, e, t.Sent, t.Left, t.Over)
+			j.recordOverdue(RuleAnswer, e, t.Sent, t.Left, t.Over)
 		}
 		if t.Outcome == Served && !j.made(t) {
 			e.Text = "was served an answer that no backend made for it"
-			j.certain(RuleAnswer, e)
+			j.recordViolation(RuleAnswer, e)
 		}
 		if t.Extra {
 			e.Text = "a second answer came behind the final one"
-			j.certain(RuleAnswer, e)
+			j.recordViolation(RuleAnswer, e)
 		}
 		j.after(t)
 	}
@@ -57,7 +57,7 @@
 
 // made tells whether a backend made the answer that a client was served.
 func (j *judge) made(t *Try) bool {
-	for _, a := range j.byID[t.ID] {
+	for _, a := range j.attemptsByID[t.ID] {
 		if a.Sum == t.Sum {
 			return true
 		}
@@ -67,9 +67,9 @@
 
 // after holds a gateway to sending nothing more for a request that has its answer.
 func (j *judge) after(t *Try) {
-	for _, a := range j.byID[t.ID] {
+	for _, a := range j.attemptsByID[t.ID] {
 		if a.Gateway == t.Gateway && a.First.After(t.Over.Add(j.rules.Slack)) {
-			j.breach(RuleAnswer, Evidence{At: j.at(a.First), Request: t.ID, Gateway: t.Gateway, Backend: a.Backend,
+			j.recordUnlessLate(RuleAnswer, Evidence{At: j.sinceStart(a.First), Request: t.ID, Gateway: t.Gateway, Backend: a.Backend,
 				Text: fmt.Sprintf("was sent on %v after its final answer", a.First.Sub(t.Over).Round(time.Millisecond))}, t.Over, a.First)
 		}
 	}
@@ -84,9 +84,9 @@
 // effects holds the gateways to the effect that each class allows. A client's
 // own retry is a request of its own here: whether that was harmless is what the
 // answer to the try before said, and the rule on refusals sees to that.
-func (j *judge) effects(c *Counts) {
-	for id, list := range j.byID {
-		t := j.tries[id]
+func (j *judge) checkEffects(c *Counts) {
+	for id, list := range j.attemptsByID {
+		t := j.triesByID[id]
 		if t == nil || t.Bad != "" {
 			continue
 		}
@@ -99,18 +99,18 @@
 				if a.Gateway != earlier.Gateway || !mayHaveRun(earlier, a.First) {
 					continue
 				}
-				e := Evidence{At: j.at(a.First), Request: id, Gateway: a.Gateway, Backend: a.Backend}
+				e := Evidence{At: j.sinceStart(a.First), Request: id, Gateway: a.Gateway, Backend: a.Backend}
 				switch {
 				case class.Effect == Once:
 					e.Text = fmt.Sprintf("was sent again though it may have run at %s, and its class may run but once", earlier.Backend)
-					j.certain(RuleEffect, e)
+					j.recordViolation(RuleEffect, e)
 				case a.Cell != earlier.Cell:
 					e.Text = fmt.Sprintf("was sent to cell %d though it may have run at %s in cell %d", a.Cell, earlier.Backend, earlier.Cell)
-					j.certain(RuleEffect, e)
+					j.recordViolation(RuleEffect, e)
 				case a.First.Sub(earlier.First) > class.Window+j.rules.Slack:
 					e.Text = fmt.Sprintf("was sent again %v after it may have run at %s; its cell remembers for %v",
 						a.First.Sub(earlier.First).Round(time.Millisecond), earlier.Backend, class.Window)
-					j.breach(RuleEffect, e, earlier.First.Add(class.Window), a.First)
+					j.recordUnlessLate(RuleEffect, e, earlier.First.Add(class.Window), a.First)
 				default:
 					continue
 				}
@@ -129,7 +129,7 @@
 	}
 	for _, a := range list {
 		if a.Gateway == t.Gateway && !a.First.After(t.Over) && mayHaveRun(a, t.Over) {
-			j.certain(RuleEffect, Evidence{At: j.at(t.Over), Request: t.ID, Gateway: t.Gateway, Backend: a.Backend,
+			j.recordViolation(RuleEffect, Evidence{At: j.sinceStart(t.Over), Request: t.ID, Gateway: t.Gateway, Backend: a.Backend,
 				Text: fmt.Sprintf("a %s request was refused (%d) though it may have run at %s", class.Effect, t.Status, a.Backend)})
 			return
 		}
--- a/internal/lab/audit/takes.go
+++ b/internal/lab/audit/takes.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// takes holds those who answer limit commands to their word: an answer in time and
-// no error, no more than was asked for, and under one token one answer.
-func (j *judge) takes(c *Counts) {
-	type token struct {
+// checkLimitCommands checks the answers to limit commands: in time and without an error, no more units than
+// requested, and the same answer for each repeat under one token.
+func (j *judge) checkLimitCommands(c *Counts) {
+	type tokenKey struct {
 		front, id string
 		customer  uint64
 	}
-	had := map[token]*Take{}
+	firstByToken := map[tokenKey]*Take{}
 	for i := range j.log.Takes {
 		t := &j.log.Takes[i]
 		c.Takes++
@@ -29,44 +29,44 @@
 		if from.IsZero() {
 			from = t.Over
 		}
-		if overlap(j.log.Excused, t.Front, from, t.Over) != nil {
+		if overlappingWindow(j.log.Excused, t.Front, from, t.Over) != nil {
 			c.Excused++
 			continue
 		}
-		e := Evidence{At: j.at(t.Sent), Gateway: t.Front}
+		evidence := Evidence{At: j.sinceStart(t.Sent), Gateway: t.Front}
 		due := t.Sent.Add(t.Left + j.rules.Slack)
 		switch {
 		case t.Outcome == NoAnswer:
-			e.Text = fmt.Sprintf("a limit command had no answer within %v", t.Left)
-			j.overdue(RuleTakes, e, t.Sent, t.Left, t.Over)
+			evidence.Text = fmt.Sprintf("a limit command had no answer within %v", t.Left)
+			j.recordOverdue(RuleTakes, evidence, t.Sent, t.Left, t.Over)
 		case t.Outcome == Closed && t.Pooled:
 			c.Unanswered++
 		case t.Outcome == Closed:
-			e.Text = fmt.Sprintf("the connection ended without a reply after %v", t.Over.Sub(t.Sent).Round(time.Millisecond))
-			j.certain(RuleTakes, e)
+			evidence.Text = fmt.Sprintf("the connection ended without a reply after %v", t.Over.Sub(t.Sent).Round(time.Millisecond))
+			j.recordViolation(RuleTakes, evidence)
 		case t.Outcome == Failed:
-			e.Text = "a limit command was answered with an error: " + t.Error
-			j.certain(RuleTakes, e)
+			evidence.Text = "a limit command was answered with an error: " + t.Error
+			j.recordViolation(RuleTakes, evidence)
 		case t.Over.After(due):
-			e.Text = fmt.Sprintf("a limit command was answered after %v, with %v to answer in", t.Over.Sub(t.Sent).Round(time.Millisecond), t.Left)
-			j.overdue(RuleTakes, e, t.Sent, t.Left, t.Over)
+			evidence.Text = fmt.Sprintf("a limit command was answered after %v, with %v to answer in", t.Over.Sub(t.Sent).Round(time.Millisecond), t.Left)
+			j.recordOverdue(RuleTakes, evidence, t.Sent, t.Left, t.Over)
 		}
 		if t.Granted > t.Asked || !t.Part && !t.Gives && t.Granted > 0 && t.Granted < t.Asked {
-			e.Text = fmt.Sprintf("%g units were granted where %g were asked for", t.Granted, t.Asked)
-			j.certain(RuleTakes, e)
+			evidence.Text = fmt.Sprintf("%g units were granted where %g were asked for", t.Granted, t.Asked)
+			j.recordViolation(RuleTakes, evidence)
 		}
 		if t.Token == "" || t.Gives || t.Outcome != Served {
 			continue
 		}
-		k := token{t.Front, t.Token, t.Customer}
-		first := had[k]
+		key := tokenKey{t.Front, t.Token, t.Customer}
+		first := firstByToken[key]
 		if first == nil {
-			had[k] = t
+			firstByToken[key] = t
 			continue
 		}
-		if overlap(j.log.Excused, t.Front, first.Sent, t.Over) == nil && (!t.Repeated || t.Granted != first.Granted) {
-			e.Text = fmt.Sprintf("a take that was repeated under its token got %g units, at first %g", t.Granted, first.Granted)
-			j.certain(RuleTakes, e)
+		if overlappingWindow(j.log.Excused, t.Front, first.Sent, t.Over) == nil && (!t.Repeated || t.Granted != first.Granted) {
+			evidence.Text = fmt.Sprintf("a take that was repeated under its token got %g units, at first %g", t.Granted, first.Granted)
+			j.recordViolation(RuleTakes, evidence)
 		}
 	}
 }
--- a/internal/lab/audit/takes_test.go
+++ b/internal/lab/audit/takes_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// withTakes is a good run with limit commands: a take under a token, its repeat, a
-// give, and one that is refused.
+// withTakes returns a run without violations that has limit commands: a take under a token, its repeat, a return of
+// units, a refused take and a partial grant.
 func withTakes() Log {
 	l := good()
 	take := func(at int, change func(*Take)) {
@@ -33,9 +33,9 @@
 }
 
 func TestTakesThatBreakTheirRule(t *testing.T) {
-	for name, k := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(*Log)
-		says   string
+		want   string
 	}{
 		"no answer":      {func(l *Log) { l.Takes[3].Outcome, l.Takes[3].Over = NoAnswer, ms(5000) }, "no answer within 200ms"},
 		"late":           {func(l *Log) { l.Takes[3].Over = ms(4600) }, "after 300ms"},
@@ -48,32 +48,32 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := withTakes()
-			k.change(&l)
+			test.change(&l)
 			v := Judge(rules(), l)
 			f := v.Finding(RuleTakes)
-			if f.Broken != 1 || !strings.Contains(f.Evidence[0].Text, k.says) || v.Broken() != 1 {
+			if f.Broken != 1 || !strings.Contains(f.Evidence[0].Text, test.want) || v.Broken() != 1 {
 				t.Fatalf("%+v", v.Findings)
 			}
 			l.Excused = []Window{{Gateway: "a0", From: ms(0), To: ms(20000)}}
 			l.Takes = l.Takes[3:4]
 			if v := Judge(rules(), l); v.Broken() != 0 {
-				t.Errorf("a front that was killed is to blame: %+v", v.Findings)
+				t.Errorf("violations reported for a gateway that was killed: %+v", v.Findings)
 			}
 		})
 	}
 	l := withTakes()
-	l.Takes[3].Outcome, l.Takes[3].Pooled = Closed, true // it crossed the close of an idle connection
+	l.Takes[3].Outcome, l.Takes[3].Pooled = Closed, true // the command raced with the close of an idle connection
 	if v := Judge(rules(), l); v.Broken() != 0 {
 		t.Errorf("%+v", v.Findings)
 	}
 }
 
-// Units that are taken count with those of requests, those that come back do not,
-// and a repeat under a token counts once, whichever of its answers was read.
+// Guards against miscounting the use of an account: granted units count like those of requests, returned units are
+// subtracted, and a repeat under a token counts once, whichever of its answers was read.
 func TestTakesCountTowardsTheQuota(t *testing.T) {
 	worst := func(change func(*Log)) float64 {
 		l := Log{From: start, To: ms(20000)}
-		for i := range 6 { // of a burst of 4
+		for i := range 6 { // the burst is 4
 			l.Takes = append(l.Takes, Take{First: i, Front: "a0", Customer: 7, Asked: 1, Granted: 1, Outcome: Served, Left: time.Second, Sent: ms(1000), Over: ms(1000)})
 		}
 		change(&l)
