--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -70,16 +70,16 @@
 		"forgotten key":   {RuleEffect, func(l *Log) { l.Tries[1].Over, l.Tries[1].Left = ms(4990), 3*time.Second; again(l, 1, 4100, 1) }, "remembers for 2s"},
 		"refused, ran":    {RuleEffect, func(l *Log) { l.Tries[1].Outcome, l.Tries[1].Status = Refused, 503 }, "was refused (503)"},
 		"drain": {RuleDrain, func(l *Log) {
-			l.Told = []Told{{Gateway: "g0", Backend: "n0", At: ms(-1200)}}
+			l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(-1200)}}
 			l.Attempts = l.Attempts[:1]
 			l.Tries = l.Tries[:1]
 		}, "drains or is gone"},
 		"drain told again": {RuleDrain, func(l *Log) {
-			l.Told = []Told{{Gateway: "g0", Backend: "n0", At: ms(-1200)}, {Gateway: "g0", Backend: "n0", At: ms(900)}}
+			l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(-1200)}, {Gateway: "g0", Backend: "n0", At: ms(900)}}
 			l.Attempts = l.Attempts[:1]
 			l.Tries = l.Tries[:1]
 		}, "2.205s"},
-		"fall": {RuleCold, func(l *Log) { l.Falls = []Fall{{Backend: "n0", At: ms(5), Sent: 9, Could: 2}} }, "9.00 s of work"},
+		"fall": {RuleCold, func(l *Log) { l.Overloads = []Overload{{Backend: "n0", At: ms(5), Sent: 9, Could: 2}} }, "9.00 s of work"},
 		"ceiling": {RuleCeiling, func(l *Log) {
 			for i := range l.Tries {
 				l.Tries[i].Plan, l.Tries[i].Units = 1, 2
@@ -149,10 +149,10 @@
 		"safe repeat anywhere":   func(l *Log) { resend(l, 0, 1100, 2) },
 		"keyed repeat in cell":   func(l *Log) { resend(l, 1, 2100, 1) },
 		"another gateway's copy": func(l *Log) { resend(l, 1, 2100, 2); l.Attempts[3].Gateway = "g1" },
-		"within the grace":       func(l *Log) { l.Told = []Told{{Gateway: "g0", Backend: "n0", At: ms(1000)}} },
-		"another's news":         func(l *Log) { l.Told = []Told{{Gateway: "g1", Backend: "n0", At: ms(-9000)}} },
+		"within the grace":       func(l *Log) { l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(1000)}} },
+		"another's news":         func(l *Log) { l.Notices = []Notice{{Gateway: "g1", Backend: "n0", At: ms(-9000)}} },
 		"back before the send": func(l *Log) {
-			l.Told = []Told{{Gateway: "g0", Backend: "n0", At: ms(-9000)}, {Gateway: "g0", Backend: "n0", Ready: true, At: ms(1)}}
+			l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(-9000)}, {Gateway: "g0", Backend: "n0", Ready: true, At: ms(1)}}
 		},
 		"quota within bound": func(l *Log) { l.Tries[0].Units, l.Tries[1].Units, l.Tries[2].Units = 4, 1, 1.9 },
 	} {
@@ -178,7 +178,7 @@
 	for name, change := range map[string]func(*Log){
 		"late answer": func(l *Log) { l.Tries[0].Over = ms(2300) },
 		"no answer":   func(l *Log) { l.Tries[0].Outcome, l.Tries[0].Over = NoAnswer, ms(2400) },
-		"drain":       func(l *Log) { l.Told = []Told{{Gateway: "g0", Backend: "n0", At: ms(-1200)}} },
+		"drain":       func(l *Log) { l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(-1200)}} },
 		"sent after":  func(l *Log) { resend(l, 0, 1900, 1) },
 	} {
 		l := good()
--- a/internal/lab/audit/log.go
+++ b/internal/lab/audit/log.go
@@ -101,7 +101,7 @@
 	Asked    float64 // units
 	Granted  float64 // units that its client learnt that it has, or gave
 	Part     bool    // fewer would do
-	Gives    bool
+	Returns  bool
 	Arrived  time.Time // when the first command was due
 	Sent     time.Time
 	Left     time.Duration // within it an answer is owed
@@ -129,16 +129,16 @@
 	Sum     uint64 // of the body that was made for it; 0: none
 }
 
-// Told is one gateway that heard of a backend.
-type Told struct {
+// Notice is one gateway that heard of a backend.
+type Notice struct {
 	Gateway string
 	Backend string
 	Ready   bool // otherwise it drains or is gone
 	At      time.Time
 }
 
-// Fall is a cold backend that was pushed over.
-type Fall struct {
+// Overload is a cold backend that was pushed over.
+type Overload struct {
 	Backend     string
 	At          time.Time
 	Sent, Could float64 // seconds of work
@@ -165,15 +165,15 @@
 
 // Log is all that a run left behind.
 type Log struct {
-	From, To  time.Time // while load was on
-	Tries     []Try
-	Attempts  []Attempt
-	Takes     []Take
-	Told      []Told
-	Falls     []Fall
-	Excused   []Window // a gateway was killed, stopped or cut off from its clients
-	Deaf      []Window // a gateway was cut off from its news
-	Late      []Window // the machine ran late
-	Processes []Process
-	Lost      int // records that there was no room for
+	From, To   time.Time // while load was on
+	Tries      []Try
+	Attempts   []Attempt
+	Takes      []Take
+	Notices    []Notice
+	Overloads  []Overload
+	Excused    []Window // a gateway was killed, stopped or cut off from its clients
+	Uninformed []Window // a gateway was cut off from its news
+	Late       []Window // the machine ran late
+	Processes  []Process
+	Lost       int // records that there was no room for
 }
--- a/internal/lab/audit/members.go
+++ b/internal/lab/audit/members.go
@@ -11,52 +11,52 @@
 	"elderyard/members"
 )
 
-// Happening is what the lab did.
-type Happening string
+// EventKind is what the lab did.
+type EventKind string
 
 // The happenings.
 const (
-	Started  Happening = "started"
-	Ended    Happening = "ended"
-	Slept    Happening = "slept"
-	Woke     Happening = "woke"
-	Agreed   Happening = "agreed" // on a roster
-	Troubled Happening = "troubled"
-	Healed   Happening = "healed"
+	Started  EventKind = "started"
+	Ended    EventKind = "ended"
+	Slept    EventKind = "slept"
+	Woke     EventKind = "woke"
+	Agreed   EventKind = "agreed" // on a roster
+	Troubled EventKind = "troubled"
+	Healed   EventKind = "healed"
 )
 
-// Happened is one thing that the lab did, when it had done it.
-type Happened struct {
+// Event is one thing that the lab did, when it had done it.
+type Event struct {
 	At   time.Time
-	What Happening
+	What EventKind
 	Name string // of a gateway, or of a trouble
 }
 
 // Picture is what one process believed when it was asked.
 type Picture struct {
-	At      time.Time // of the question; the answer is not older
-	Name    string
-	Life    members.Incarnation
-	Verdict string
-	Epoch   uint64
-	Safe    int
-	Share   int
-	MayHold bool
-	There   map[string]members.Incarnation // whom it counts as living, itself among them
+	At          time.Time // of the question; the answer is not older
+	Name        string
+	Incarnation members.Incarnation
+	Verdict     string
+	Epoch       uint64
+	Safe        int
+	Share       int
+	MayExercise bool
+	Alive       map[string]members.Incarnation // whom it counts as living, itself among them
 }
 
-// PictureOf reads an answer.
-func PictureOf(asked time.Time, a peers.Status) Picture {
-	p := Picture{At: asked, Name: a.View.Self, Life: a.View.Incarnation, Verdict: a.View.Verdict.String(), Epoch: a.View.Epoch,
-		Safe: a.View.SafeCount, Share: a.View.QuotaDivisor, There: map[string]members.Incarnation{}}
+// NewPicture reads an answer.
+func NewPicture(asked time.Time, a peers.Status) Picture {
+	p := Picture{At: asked, Name: a.View.Self, Incarnation: a.View.Incarnation, Verdict: a.View.Verdict.String(), Epoch: a.View.Epoch,
+		Safe: a.View.SafeCount, Share: a.View.QuotaDivisor, Alive: map[string]members.Incarnation{}}
 	for _, v := range a.View.Members {
 		if v.State.Alive() {
-			p.There[v.Name] = v.Incarnation
+			p.Alive[v.Name] = v.Incarnation
 		}
 	}
 	for _, u := range a.Permissions {
 		if u.Operation == members.ExerciseLease.String() {
-			p.MayHold = u.Allowed
+			p.MayExercise = u.Allowed
 		}
 	}
 	return p
@@ -65,7 +65,7 @@
 // MembersLog is all that was seen of the gateways' pictures.
 type MembersLog struct {
 	Pictures []Picture
-	Happened []Happened
+	Events   []Event
 	Lost     int // pictures that there was no room for
 }
 
@@ -107,7 +107,7 @@
 		v.Findings = append(v.Findings, Finding{Rule: name})
 	}
 	slices.SortStableFunc(log.Pictures, func(a, b Picture) int { return a.At.Compare(b.At) })
-	slices.SortStableFunc(log.Happened, func(a, b Happened) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(log.Events, func(a, b Event) int { return a.At.Compare(b.At) })
 	if log.Lost > 0 {
 		v.breach(RuleRecorded, "", "%d pictures found no room", log.Lost)
 	}
@@ -140,14 +140,14 @@
 
 // calm tells whether the lab did nothing to anybody in a time but end processes.
 func calm(log MembersLog, from, to time.Time) bool {
-	return !slices.ContainsFunc(log.Happened, func(h Happened) bool { return h.At.After(from) && h.At.Before(to) && h.What != Ended })
+	return !slices.ContainsFunc(log.Events, func(h Event) bool { return h.At.After(from) && h.At.Before(to) && h.What != Ended })
 }
 
 // settled is when the last trouble before a moment had ended; false: one is on.
 func settled(log MembersLog, at time.Time) (time.Time, bool) {
 	on := 0
 	var last time.Time
-	for _, h := range log.Happened {
+	for _, h := range log.Events {
 		if h.At.After(at) {
 			break
 		}
@@ -164,7 +164,7 @@
 
 // failed rules on ends after which nothing else happened for the bound.
 func (v *MembersVerdict) failed(r MemberRules, log MembersLog) {
-	for i, end := range log.Happened {
+	for i, end := range log.Events {
 		if end.What != Ended {
 			continue
 		}
@@ -176,7 +176,7 @@
 			continue
 		}
 		next := time.Time{}
-		for _, h := range log.Happened[i+1:] {
+		for _, h := range log.Events[i+1:] {
 			if h.Name == end.Name && h.What == Started {
 				next = h.At
 				break
@@ -187,7 +187,7 @@
 			if p.Name == end.Name || p.At.Before(end.At) || !next.IsZero() && p.At.After(next) {
 				continue
 			}
-			_, there := p.There[end.Name]
+			_, there := p.Alive[end.Name]
 			if there && p.At.Before(until) {
 				lastThere = max(lastThere, p.At.Sub(end.At))
 			}
@@ -209,7 +209,7 @@
 // running is the names that have a process at a moment.
 func running(log MembersLog, at time.Time) map[string]int {
 	n := map[string]int{}
-	for _, h := range log.Happened {
+	for _, h := range log.Events {
 		if h.At.After(at) {
 			break
 		}
@@ -241,7 +241,7 @@
 		if p.At.Before(last) {
 			continue
 		}
-		if !sameNames(p.There, want) && want[p.Name] > 0 {
+		if !sameNames(p.Alive, want) && want[p.Name] > 0 {
 			differs = max(differs, p.At.Sub(last))
 		}
 		seen[p.Name] = p
@@ -259,8 +259,8 @@
 			continue
 		}
 		epochs[p.Epoch] = true
-		if !sameNames(p.There, want) {
-			v.breach(RuleAgree, name, "%v after the last trouble it counts %v as living, and %v run", end.Sub(last).Round(time.Millisecond), slices.Sorted(maps.Keys(p.There)),
+		if !sameNames(p.Alive, want) {
+			v.breach(RuleAgree, name, "%v after the last trouble it counts %v as living, and %v run", end.Sub(last).Round(time.Millisecond), slices.Sorted(maps.Keys(p.Alive)),
 				slices.Sorted(maps.Keys(want)))
 		}
 	}
@@ -285,15 +285,15 @@
 func (v *MembersVerdict) twoMay(log MembersLog) {
 	later := map[string]Picture{}
 	for _, p := range log.Pictures {
-		if !p.MayHold {
+		if !p.MayExercise {
 			continue
 		}
-		if q := later[p.Name]; q.Life > p.Life {
-			v.breach(RuleTwoMay, p.Name, "life %d may hold duties %v after life %d might", p.Life, p.At.Sub(q.At).Round(time.Millisecond), q.Life)
-		} else if q.Life != 0 && q.Life < p.Life {
+		if q := later[p.Name]; q.Incarnation > p.Incarnation {
+			v.breach(RuleTwoMay, p.Name, "life %d may hold duties %v after life %d might", p.Incarnation, p.At.Sub(q.At).Round(time.Millisecond), q.Incarnation)
+		} else if q.Incarnation != 0 && q.Incarnation < p.Incarnation {
 			v.Judged[RuleTwoMay]++
 		}
-		if p.Life >= later[p.Name].Life {
+		if p.Incarnation >= later[p.Name].Incarnation {
 			later[p.Name] = p
 		}
 	}
@@ -306,8 +306,8 @@
 	next := 0
 	up := map[string]int{}
 	for _, p := range log.Pictures {
-		for ; next < len(log.Happened) && !log.Happened[next].At.After(p.At); next++ {
-			switch h := log.Happened[next]; h.What {
+		for ; next < len(log.Events) && !log.Events[next].At.After(p.At); next++ {
+			switch h := log.Events[next]; h.What {
 			case Started:
 				up[h.Name]++
 			case Ended:
@@ -348,14 +348,14 @@
 	for _, p := range log.Pictures {
 		q, known := last[p.Name]
 		last[p.Name] = p
-		if !known || q.Life != p.Life {
+		if !known || q.Incarnation != p.Incarnation {
 			continue
 		}
 		if q.Verdict != p.Verdict {
 			v.Changes++
 		}
-		for name := range q.There {
-			if _, still := p.There[name]; still {
+		for name := range q.Alive {
+			if _, still := p.Alive[name]; still {
 				continue
 			}
 			if untroubled(log, name, p.Name, p.At) {
@@ -370,7 +370,7 @@
 // untroubled tells whether neither of two gateways ended, slept or was cut off lately.
 func untroubled(log MembersLog, one, other string, at time.Time) bool {
 	on := false
-	for _, h := range log.Happened {
+	for _, h := range log.Events {
 		if h.At.After(at) {
 			break
 		}
--- a/internal/lab/audit/members_test.go
+++ b/internal/lab/audit/members_test.go
@@ -17,9 +17,9 @@
 
 var memberBounds = MemberRules{FailWithin: 5 * time.Second, AgreeWithin: 8 * time.Second}
 
-func (c *clean) happen(what Happening, name string) {
+func (c *clean) happen(what EventKind, name string) {
 	c.at = c.at.Add(time.Millisecond)
-	c.log.Happened = append(c.log.Happened, Happened{At: c.at, What: what, Name: name})
+	c.log.Events = append(c.log.Events, Event{At: c.at, What: what, Name: name})
 }
 
 // pass records pictures of those that run for a while.
@@ -27,9 +27,9 @@
 	for end := c.at.Add(d); c.at.Before(end); {
 		c.at = c.at.Add(100 * time.Millisecond)
 		for name, life := range there {
-			p := Picture{At: c.at, Name: name, Life: life, Verdict: "whole", Epoch: 1, Safe: 3, Share: 3, MayHold: true, There: map[string]members.Incarnation{}}
+			p := Picture{At: c.at, Name: name, Incarnation: life, Verdict: "whole", Epoch: 1, Safe: 3, Share: 3, MayExercise: true, Alive: map[string]members.Incarnation{}}
 			for other, l := range there {
-				p.There[other] = l
+				p.Alive[other] = l
 			}
 			if change != nil {
 				change(&p)
@@ -48,7 +48,7 @@
 	c.pass(2*time.Second, all, nil)
 	c.happen(Ended, "g2")
 	two := map[string]members.Incarnation{"g0": 10, "g1": 11}
-	c.pass(2*time.Second, two, func(p *Picture) { p.There["g2"] = 12 }) // not given up yet
+	c.pass(2*time.Second, two, func(p *Picture) { p.Alive["g2"] = 12 }) // not given up yet
 	spoil(c, 0)
 	c.pass(6*time.Second, two, nil)
 	spoil(c, 1)
@@ -59,7 +59,7 @@
 	c.happen(Troubled, "peers-cut")
 	c.pass(3*time.Second, again, func(p *Picture) {
 		if p.Name == "g2" {
-			p.There, p.MayHold = map[string]members.Incarnation{"g2": 20}, false
+			p.Alive, p.MayExercise = map[string]members.Incarnation{"g2": 20}, false
 		}
 	})
 	c.happen(Healed, "peers-cut")
@@ -91,11 +91,11 @@
 		step int
 		flaw func(*clean)
 	}{
-		{RuleFailed, 1, func(c *clean) { c.pass(time.Second, two, func(p *Picture) { p.There["g2"] = 12 }) }},
+		{RuleFailed, 1, func(c *clean) { c.pass(time.Second, two, func(p *Picture) { p.Alive["g2"] = 12 }) }},
 		{RuleAgree, 3, func(c *clean) {
 			c.pass(time.Second, three, func(p *Picture) {
 				if p.Name == "g0" {
-					delete(p.There, "g2")
+					delete(p.Alive, "g2")
 				}
 			})
 		}},
@@ -107,14 +107,14 @@
 			})
 		}},
 		{RuleTwoMay, 2, func(c *clean) {
-			c.pass(time.Second, map[string]members.Incarnation{"g2": 12}, func(p *Picture) { p.There = map[string]members.Incarnation{"g0": 1, "g1": 1, "g2": 1} })
+			c.pass(time.Second, map[string]members.Incarnation{"g2": 12}, func(p *Picture) { p.Alive = map[string]members.Incarnation{"g0": 1, "g1": 1, "g2": 1} })
 		}},
 		{RuleSafe, 2, func(c *clean) {
 			c.pass(time.Second, three, func(p *Picture) { p.Safe = 2 })
 		}},
 		{RuleEpoch, 0, func(c *clean) {
-			c.pass(200*time.Millisecond, two, func(p *Picture) { p.Epoch = 2; p.There["g2"] = 12 })
-			c.pass(200*time.Millisecond, two, func(p *Picture) { p.There["g2"] = 12 })
+			c.pass(200*time.Millisecond, two, func(p *Picture) { p.Epoch = 2; p.Alive["g2"] = 12 })
+			c.pass(200*time.Millisecond, two, func(p *Picture) { p.Alive["g2"] = 12 })
 		}},
 		{RuleRecorded, 0, func(c *clean) { c.log.Lost++ }},
 	} {
@@ -139,7 +139,7 @@
 			c.pass(time.Second, three, nil)
 			c.pass(time.Second, three, func(p *Picture) {
 				if p.Name == "g0" {
-					delete(p.There, "g1")
+					delete(p.Alive, "g1")
 				}
 			})
 			c.pass(time.Second, three, nil)
--- a/internal/lab/audit/quotas.go
+++ b/internal/lab/audit/quotas.go
@@ -56,8 +56,8 @@
 	counted := map[tokenKey]bool{}
 	for i := range j.log.Takes {
 		switch t := &j.log.Takes[i]; {
-		case t.Granted == 0 || t.Token != "" && !t.Gives && counted[tokenKey{t.Front, t.Token}]:
-		case t.Gives:
+		case t.Granted == 0 || t.Token != "" && !t.Returns && counted[tokenKey{t.Front, t.Token}]:
+		case t.Returns:
 			usage[t.Customer] = append(usage[t.Customer], use{t.Sent, -t.Granted, -j.rules.TakeWorth * t.Granted, t.Token})
 		default:
 			counted[tokenKey{t.Front, t.Token}] = true
--- a/internal/lab/audit/takes.go
+++ b/internal/lab/audit/takes.go
@@ -16,7 +16,7 @@
 	for i := range j.log.Takes {
 		t := &j.log.Takes[i]
 		c.Takes++
-		if t.Outcome == Served && !t.Gives && !t.Repeated {
+		if t.Outcome == Served && !t.Returns && !t.Repeated {
 			c.Granted += t.Granted
 		}
 		if t.Local && t.Outcome == Served {
@@ -51,11 +51,11 @@
 			evidence.Text = fmt.Sprintf("a limit command was answered after %v, with %v to answer in", t.Over.Sub(t.Sent).Round(time.Millisecond), t.Left)
 			j.recordOverdue(RuleTakes, evidence, t.Sent, t.Left, t.Over)
 		}
-		if t.Granted > t.Asked || !t.Part && !t.Gives && t.Granted > 0 && t.Granted < t.Asked {
+		if t.Granted > t.Asked || !t.Part && !t.Returns && t.Granted > 0 && t.Granted < t.Asked {
 			evidence.Text = fmt.Sprintf("%g units were granted where %g were asked for", t.Granted, t.Asked)
 			j.recordViolation(RuleTakes, evidence)
 		}
-		if t.Token == "" || t.Gives || t.Outcome != Served {
+		if t.Token == "" || t.Returns || t.Outcome != Served {
 			continue
 		}
 		key := tokenKey{t.Front, t.Token, t.Customer}
--- a/internal/lab/audit/takes_test.go
+++ b/internal/lab/audit/takes_test.go
@@ -19,7 +19,7 @@
 	}
 	take(4000, func(t *Take) { t.Token = "t" })
 	take(4100, func(t *Take) { t.Token, t.Repeated, t.Number = "t", true, 1 })
-	take(4200, func(t *Take) { t.Token, t.Gives, t.Number = "t", true, 1 })
+	take(4200, func(t *Take) { t.Token, t.Returns, t.Number = "t", true, 1 })
 	take(4300, func(t *Take) { t.Outcome, t.Granted = Refused, 0 })
 	take(4400, func(t *Take) { t.Asked, t.Granted, t.Part = 3, 2, true })
 	return l
@@ -91,13 +91,13 @@
 		t.Errorf("with two of them repeats of one: %g over", got)
 	}
 	if got := worst(func(l *Log) {
-		l.Takes = append(l.Takes[:5:5], Take{First: 5, Front: "a0", Customer: 7, Asked: 2, Granted: 2, Gives: true, Outcome: Served, Left: time.Second, Sent: ms(999), Over: ms(1000)},
+		l.Takes = append(l.Takes[:5:5], Take{First: 5, Front: "a0", Customer: 7, Asked: 2, Granted: 2, Returns: true, Outcome: Served, Left: time.Second, Sent: ms(999), Over: ms(1000)},
 			l.Takes[5])
 	}); got != 2 {
 		t.Errorf("with two units back into a full store: %g over", got)
 	}
 	if got := worst(func(l *Log) {
-		l.Takes = append(l.Takes[:4:4], Take{First: 5, Front: "a0", Customer: 7, Asked: 2, Granted: 2, Gives: true, Outcome: Served, Left: time.Second, Sent: ms(1000), Over: ms(1001)},
+		l.Takes = append(l.Takes[:4:4], Take{First: 5, Front: "a0", Customer: 7, Asked: 2, Granted: 2, Returns: true, Outcome: Served, Left: time.Second, Sent: ms(1000), Over: ms(1001)},
 			l.Takes[4], l.Takes[5])
 	}); got != 0 {
 		t.Errorf("with two units back: %g over", got)
--- a/internal/lab/audit/verdict.go
+++ b/internal/lab/audit/verdict.go
@@ -328,7 +328,7 @@
 
 // checkColdBackends records each cold backend that was overloaded.
 func (j *judge) checkColdBackends() {
-	for _, f := range j.log.Falls {
+	for _, f := range j.log.Overloads {
 		from := make([]string, 0, len(f.From))
 		for g, n := range f.From {
 			from = append(from, fmt.Sprintf("%s %d", g, n))
@@ -343,17 +343,17 @@
 // or removal.
 func (j *judge) checkDrains() {
 	type link struct{ gateway, backend string }
-	told := map[link][]Told{}
-	for _, t := range j.log.Told {
+	told := map[link][]Notice{}
+	for _, t := range j.log.Notices {
 		k := link{t.Gateway, t.Backend}
 		told[k] = append(told[k], t)
 	}
 	for _, list := range told {
-		slices.SortStableFunc(list, func(a, b Told) int { return a.At.Compare(b.At) })
+		slices.SortStableFunc(list, func(a, b Notice) int { return a.At.Compare(b.At) })
 	}
 	for i := range j.log.Attempts {
 		a := &j.log.Attempts[i]
-		var last *Told
+		var last *Notice
 		list := told[link{a.Gateway, a.Backend}]
 		for n := range list {
 			if list[n].At.After(a.First) {
@@ -368,7 +368,7 @@
 			continue
 		}
 		until := last.At.Add(j.rules.DrainGrace + j.rules.Slack)
-		if overlappingWindow(j.log.Excused, a.Gateway, last.At, a.First) != nil || overlappingWindow(j.log.Deaf, a.Gateway, last.At, a.First) != nil {
+		if overlappingWindow(j.log.Excused, a.Gateway, last.At, a.First) != nil || overlappingWindow(j.log.Uninformed, a.Gateway, last.At, a.First) != nil {
 			continue // the gateway may not have read the notice
 		}
 		if a.First.After(until) {
--- a/internal/lab/load/takes.go
+++ b/internal/lab/load/takes.go
@@ -74,7 +74,7 @@
 	}
 	if back && wait.For(ctx, holdUnit) {
 		give := audit.Take{First: a.N, Number: 1, Front: t.Front, Customer: t.Customer, Plan: t.Plan, Token: t.Token, Asked: 1,
-			Arrived: due, Left: c.TakeWithin, Gives: true}
+			Arrived: due, Left: c.TakeWithin, Returns: true}
 		c.command(ctx, to, append([]string{"LIMIT.GIVE", account(a), "1", "ID", t.Token}, whose...), &give, false)
 		c.noteTake(&give)
 	}
@@ -154,7 +154,7 @@
 		figures[v.Elements[i].Str] = text(v.Elements[i+1])
 	}
 	name := "granted"
-	if t.Gives {
+	if t.Returns {
 		name = "given"
 	}
 	n, err := strconv.ParseFloat(figures[name], 64)
@@ -184,7 +184,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.Takes++
-	if t.Outcome == audit.Served && !t.Gives {
+	if t.Outcome == audit.Served && !t.Returns {
 		c.progress.Granted++
 	}
 }
--- a/internal/lab/load/takes_test.go
+++ b/internal/lab/load/takes_test.go
@@ -157,7 +157,7 @@
 			dropped++
 		case take.Outcome != audit.Served || take.Granted != 1 && take.Asked == 1:
 			t.Fatalf("%+v", take)
-		case take.Gives:
+		case take.Returns:
 			gives++
 		case take.Number == 1:
 			if repeats++; !take.Repeated || take.Pooled {
--- a/internal/lab/members_measure_test.go
+++ b/internal/lab/members_measure_test.go
@@ -163,7 +163,7 @@
 		}
 		last[p.Name] = p
 		for _, other := range []string{"g0", "g1", "g3", "g4"} {
-			if _, there := p.There[other]; !there && p.Name != "g2" {
+			if _, there := p.Alive[other]; !there && p.Name != "g2" {
 				lost++
 			}
 		}
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -276,7 +276,7 @@
 	for _, sleeps := range []bool{false, true} {
 		t.Run(fmt.Sprintf("sleeps=%v", sleeps), func(t *testing.T) {
 			c := newClub(t, 5, 0)
-			for !slices.ContainsFunc(c.peerNetwork.read().Pictures, func(p audit.Picture) bool { return p.Name == "g2" && p.MayHold }) {
+			for !slices.ContainsFunc(c.peerNetwork.read().Pictures, func(p audit.Picture) bool { return p.Name == "g2" && p.MayExercise }) {
 				time.Sleep(pictureInterval) // what is ruled on is what was recorded
 			}
 			if sleeps {
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -46,19 +46,19 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	log := n.log
-	log.Pictures, log.Happened = slices.Clone(log.Pictures), slices.Clone(log.Happened)
+	log.Pictures, log.Events = slices.Clone(log.Pictures), slices.Clone(log.Events)
 	return log
 }
 
 // happened records what the lab did to a gateway or to the network between them.
-func (l *Lab) happened(what audit.Happening, name string) {
+func (l *Lab) happened(what audit.EventKind, name string) {
 	if l.peerNetwork == nil {
 		return
 	}
 	n := l.peerNetwork
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.log.Happened = append(n.log.Happened, audit.Happened{At: time.Now(), What: what, Name: name})
+	n.log.Events = append(n.log.Events, audit.Event{At: time.Now(), What: what, Name: name})
 }
 
 // openPeerNetwork makes the network between gateways and the files that they read.
@@ -173,7 +173,7 @@
 		if err != nil {
 			continue // it is stopped, starting or ending
 		}
-		p := audit.PictureOf(asked, a)
+		p := audit.NewPicture(asked, a)
 		n := l.peerNetwork
 		n.mu.Lock()
 		if len(n.log.Pictures) < maxPictures {
--- a/internal/lab/record.go
+++ b/internal/lab/record.go
@@ -75,7 +75,7 @@
 	told, beyond := l.registry.Record()
 	log.Lost += beyond
 	for _, t := range told {
-		log.Told = append(log.Told, audit.Told{Gateway: t.Peer, Backend: t.Instance, Ready: t.Lifecycle == registryReady, At: t.At})
+		log.Notices = append(log.Notices, audit.Notice{Gateway: t.Peer, Backend: t.Instance, Ready: t.Lifecycle == registryReady, At: t.At})
 	}
 	l.addOwnRecords(&log)
 	log.Late = endingAfter(log.Late, log.From) // what came before the load does not count
@@ -107,7 +107,7 @@
 		})
 	}
 	for _, f := range falls {
-		log.Falls = append(log.Falls, audit.Fall(f))
+		log.Overloads = append(log.Overloads, audit.Overload(f))
 	}
 }
 
@@ -122,7 +122,7 @@
 	log.Takes = append(log.Takes, l.takes...)
 	log.Late = append(log.Late, l.late...)
 	log.Excused = append(log.Excused, l.excused...)
-	log.Deaf = append(log.Deaf, l.deaf...)
+	log.Uninformed = append(log.Uninformed, l.deaf...)
 	log.Lost += l.dropped
 	for _, g := range l.gateways {
 		process := g.process()
