--- a/internal/lab/audit/log.go
+++ b/internal/lab/audit/log.go
@@ -1,7 +1,6 @@
-// Package audit rules on a run of the lab. It is given what crossed the
-// sockets, as clients and stand-ins recorded it, and says which rules were kept,
-// which were broken, by what evidence, and what can't be ruled on because the
-// machine ran late. It does no I/O and reads no clock.
+// Package audit checks a run of the lab against its rules. Its input is the traffic on the sockets as clients and
+// stand-ins recorded it. It reports which rules were kept, which were broken and the evidence, and what cannot be
+// judged because the machine ran late. It does no I/O and reads no clock.
 package audit
 
 import (
@@ -11,7 +10,7 @@
 // Effect says how often a request of a class may take effect.
 type Effect string
 
-// The effects.
+// Effects.
 const (
 	Safe  Effect = "safe"  // may run any number of times
 	Keyed Effect = "keyed" // a cell drops repeats of its key for a while
@@ -22,8 +21,8 @@
 type Class struct {
 	Name   string
 	Effect Effect
-	Window time.Duration // for how long a cell drops repeats
-	Aim    time.Duration // an answer within it earns the worth
+	Window time.Duration // how long a cell drops repeats of a key
+	Aim    time.Duration // latency within which an answer earns its worth
 	Worth  float64
 }
 
@@ -32,37 +31,37 @@
 	Name         string
 	Rate, Burst  float64
 	Price        float64
-	OverCost     float64 // share of its worth that what is passed on beyond the quota costs
+	OverCost     float64 // cost of forwarding beyond the quota, as a share of the worth
 	CeilingRate  float64
 	CeilingBurst float64
 	CeilingSlack float64
 }
 
-// Rules are the figures that a run is held to.
+// Rules are the parameters and limits for checking a run.
 type Rules struct {
 	Classes    []Class
 	Plans      []Plan
-	TakeWorth  float64       // of a unit that a limit command is granted
-	Slack      time.Duration // on every time limit
-	DrainGrace time.Duration // after the news, before the rule on drains holds
-	Overshoot  float64       // of a quota that is let pass, in percent of the account's burst
-	SpareUnits float64       // that an account may go over beside that; small quotas come in whole units
-	BadOwed    time.Duration // within it a bad client is owed an error or a close
+	TakeWorth  float64       // worth of a unit granted by a limit command
+	Slack      time.Duration // tolerance added to every time limit
+	DrainGrace time.Duration // time after a notice before RuleDrain applies
+	Overshoot  float64       // tolerated excess over a quota, in percent of the account's burst
+	SpareUnits float64       // additional tolerated units, because small quotas come in whole units
+	BadOwed    time.Duration // time limit for sending a bad client an error or closing its connection
 	MemoryMB   int
 	Files      int
 }
 
-// Outcome is what a client saw of a try.
+// Outcome is the result of a try as its client saw it.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a try.
 const (
 	Served     Outcome = "served"      // 200, whole
 	Refused    Outcome = "refused"     // 429 or 503
 	Failed     Outcome = "failed"      // any other status
 	NoAnswer   Outcome = "no answer"   // none came in time
 	Closed     Outcome = "closed"      // the connection ended without a whole answer
-	NotTaken   Outcome = "not taken"   // no connection came up, or it ended before the last byte
+	NotTaken   Outcome = "not taken"   // no connection was established, or it ended before the last byte was sent
 	Unfinished Outcome = "unfinished"  // the run ended first
 	Turned     Outcome = "turned down" // a bad client's request: an error or a close
 )
@@ -90,26 +89,26 @@
 	Bad      string // the kind of bad client; "" for a usual one
 }
 
-// Take is one limit command: a take, or with Gives what hands units back.
+// Take is one limit command: a take, or a return of units if Returns is set.
 type Take struct {
 	First    int    // number of the arrival that this belongs to
 	Number   int    // 0: the first command of it
-	Front    string // who was asked
+	Front    string // the server that the command was sent to
 	Customer uint64
 	Plan     int
 	Token    string
 	Asked    float64 // units
-	Granted  float64 // units that its client learnt that it has, or gave
-	Part     bool    // fewer would do
+	Granted  float64 // units that its client learned it was granted, or returned
+	Part     bool    // a partial grant is acceptable
 	Returns  bool
 	Arrived  time.Time // when the first command was due
 	Sent     time.Time
-	Left     time.Duration // within it an answer is owed
+	Left     time.Duration // time limit for an answer
 	Over     time.Time
-	Outcome  Outcome // Served: units were had; Failed: an error
+	Outcome  Outcome // Served: units were granted; Failed: an error
 	Error    string
-	Local    bool // from a local share
-	Repeated bool // the answer of an earlier command
+	Local    bool // granted from a local share
+	Repeated bool // the answer repeats that of an earlier command
 	Pooled   bool // it went out on a connection that had been used before
 	Fresh    bool // it was sent on a connection of its own
 }
@@ -124,12 +123,12 @@
 	First   time.Time // its first byte
 	Whole   time.Time // its last byte
 	Over    time.Time
-	NotRan  bool   // the gateway was told that it did not run
+	NotRan  bool   // the gateway was notified that the request did not run
 	Ran     bool   // its work was done
 	Sum     uint64 // of the body that was made for it; 0: none
 }
 
-// Notice is one gateway that heard of a backend.
+// Notice is the delivery of the state of a backend to a gateway.
 type Notice struct {
 	Gateway string
 	Backend string
@@ -137,33 +136,33 @@
 	At      time.Time
 }
 
-// Overload is a cold backend that was pushed over.
+// Overload is an overload of a cold backend.
 type Overload struct {
 	Backend     string
 	At          time.Time
-	Sent, Could float64 // seconds of work
-	From        map[string]int
+	Sent, Could float64        // seconds of work
+	From        map[string]int // requests by gateway
 }
 
-// Window is a time in which something held for a gateway, or for all ("").
+// Window is a period during which a condition held for a gateway, or for all gateways if Gateway is "".
 type Window struct {
 	Gateway  string
 	From, To time.Time
-	By       time.Duration // of a time in which the machine ran late: how much
+	By       time.Duration // delay, if the machine ran late
 	What     string
 }
 
-// Process is one gateway's use of the machine.
+// Process is the resource use of one gateway process.
 type Process struct {
 	Gateway  string
 	PeakMB   float64
-	Files    int // the most open descriptors that were seen
+	Files    int // highest observed number of open descriptors
 	CPU      time.Duration
-	Requests int    // taken
-	Died     string // how it ended, where it was not asked to
+	Requests int    // accepted
+	Died     string // how it ended, if unexpectedly
 }
 
-// Log is all that a run left behind.
+// Log holds the records of a run.
 type Log struct {
 	From, To   time.Time // while load was on
 	Tries      []Try
@@ -172,8 +171,8 @@
 	Notices    []Notice
 	Overloads  []Overload
 	Excused    []Window // a gateway was killed, stopped or cut off from its clients
-	Uninformed []Window // a gateway was cut off from its news
+	Uninformed []Window // a gateway was cut off from its updates
 	Late       []Window // the machine ran late
 	Processes  []Process
-	Lost       int // records that there was no room for
+	Lost       int // records dropped because the log was full
 }
--- a/internal/lab/audit/members.go
+++ b/internal/lab/audit/members.go
@@ -11,30 +11,30 @@
 	"elderyard/members"
 )
 
-// EventKind is what the lab did.
+// EventKind is the kind of an action of the lab.
 type EventKind string
 
-// The happenings.
+// Kinds of events.
 const (
 	Started  EventKind = "started"
 	Ended    EventKind = "ended"
 	Slept    EventKind = "slept"
 	Woke     EventKind = "woke"
-	Agreed   EventKind = "agreed" // on a roster
+	Agreed   EventKind = "agreed" // the gateways agreed on a roster
 	Troubled EventKind = "troubled"
 	Healed   EventKind = "healed"
 )
 
-// Event is one thing that the lab did, when it had done it.
+// Event is one action of the lab, recorded on completion.
 type Event struct {
 	At   time.Time
 	What EventKind
-	Name string // of a gateway, or of a trouble
+	Name string // name of the gateway or of the fault
 }
 
-// Picture is what one process believed when it was asked.
+// Picture is the membership view of one process when it was queried.
 type Picture struct {
-	At          time.Time // of the question; the answer is not older
+	At          time.Time // when the query was sent; the answer is not older
 	Name        string
 	Incarnation members.Incarnation
 	Verdict     string
@@ -42,10 +42,10 @@
 	Safe        int
 	Share       int
 	MayExercise bool
-	Alive       map[string]members.Incarnation // whom it counts as living, itself among them
+	Alive       map[string]members.Incarnation // members that it considers alive, itself included
 }
 
-// NewPicture reads an answer.
+// NewPicture builds a Picture from the status that a process returned to a query sent at asked.
 func NewPicture(asked time.Time, a peers.Status) Picture {
 	p := Picture{At: asked, Name: a.View.Self, Incarnation: a.View.Incarnation, Verdict: a.View.Verdict.String(), Epoch: a.View.Epoch,
 		Safe: a.View.SafeCount, Share: a.View.QuotaDivisor, Alive: map[string]members.Incarnation{}}
@@ -62,30 +62,30 @@
 	return p
 }
 
-// MembersLog is all that was seen of the gateways' pictures.
+// MembersLog holds the recorded views of the gateways and the events of the lab.
 type MembersLog struct {
 	Pictures []Picture
 	Events   []Event
-	Lost     int // pictures that there was no room for
+	Lost     int // views dropped because the log was full
 }
 
-// MemberRules are the bounds that pictures are held to.
+// MemberRules are the time limits for the membership views.
 type MemberRules struct {
-	FailWithin  time.Duration // whoever ended is living in no picture so long after, where nothing else is wrong
-	AgreeWithin time.Duration // all pictures are one so long after the last trouble
+	FailWithin  time.Duration // limit from the end of a process until no view counts it as alive, without other faults
+	AgreeWithin time.Duration // limit from the end of the last fault until all views agree
 }
 
-// MembersVerdict is what the auditor says of the pictures.
+// MembersVerdict is the result of auditing the membership views.
 type MembersVerdict struct {
 	Findings []Finding       `json:"findings"`
-	Judged   map[string]int  `json:"judged"` // by rule, how often there was something to rule on
-	Failed   []time.Duration `json:"failed"` // from an end until the last picture of a gateway had it so
-	Agreed   []time.Duration `json:"agreed"` // from the last trouble until all pictures were one and stayed so
+	Judged   map[string]int  `json:"judged"` // number of cases judged, by rule
+	Failed   []time.Duration `json:"failed"` // from the end of a process until the last view that still counted it as alive
+	Agreed   []time.Duration `json:"agreed"` // from the end of the last fault until all views agreed and stayed so
 	Changes  int             `json:"changes"`
-	False    int             `json:"false"` // times that a gateway stopped counting one that ran and was not troubled
+	False    int             `json:"false"` // number of times that a gateway gave up a member that ran without a fault
 }
 
-// The rules on pictures.
+// Names of the rules on membership views, as they are reported.
 const (
 	RuleFailed   = "whoever ended is given up"
 	RuleAgree    = "pictures become one"
@@ -95,12 +95,12 @@
 	RuleRecorded = "all pictures are recorded"
 )
 
-// MemberNames returns the rules on pictures in the order in which they are reported.
+// MemberNames returns the rules on membership views in the order in which they are reported.
 func MemberNames() []string {
 	return []string{RuleFailed, RuleAgree, RuleTwoMay, RuleSafe, RuleEpoch, RuleRecorded}
 }
 
-// JudgeMembers rules on what was recorded, and on nothing else.
+// JudgeMembers checks the recorded views and events against all rules, and uses no other input.
 func JudgeMembers(r MemberRules, log MembersLog) *MembersVerdict {
 	v := &MembersVerdict{Judged: map[string]int{}}
 	for _, name := range MemberNames() {
@@ -109,18 +109,18 @@
 	slices.SortStableFunc(log.Pictures, func(a, b Picture) int { return a.At.Compare(b.At) })
 	slices.SortStableFunc(log.Events, func(a, b Event) int { return a.At.Compare(b.At) })
 	if log.Lost > 0 {
-		v.breach(RuleRecorded, "", "%d pictures found no room", log.Lost)
+		v.recordViolation(RuleRecorded, "", "%d pictures found no room", log.Lost)
 	}
-	v.failed(r, log)
-	v.agreed(r, log)
-	v.twoMay(log)
-	v.safe(log)
-	v.epochs(log)
-	v.count(log)
+	v.checkFailures(r, log)
+	v.checkAgreement(r, log)
+	v.checkIncarnations(log)
+	v.checkSafeCount(log)
+	v.checkEpochs(log)
+	v.countChanges(log)
 	return v
 }
 
-func (v *MembersVerdict) breach(rule, gateway, format string, a ...any) {
+func (v *MembersVerdict) recordViolation(rule, gateway, format string, a ...any) {
 	f := &v.Findings[slices.Index(MemberNames(), rule)]
 	f.Broken++
 	if len(f.Evidence) < maxEvidence {
@@ -128,7 +128,7 @@
 	}
 }
 
-// Broken counts the rules that were broken.
+// Broken returns the number of rules with at least one violation.
 func (v *MembersVerdict) Broken() (n int) {
 	for _, f := range v.Findings {
 		if f.Broken > 0 {
@@ -138,12 +138,12 @@
 	return n
 }
 
-// calm tells whether the lab did nothing to anybody in a time but end processes.
-func calm(log MembersLog, from, to time.Time) bool {
+// onlyEnds reports whether the lab did nothing between from and to except end processes.
+func onlyEnds(log MembersLog, from, to time.Time) bool {
 	return !slices.ContainsFunc(log.Events, func(h Event) bool { return h.At.After(from) && h.At.Before(to) && h.What != Ended })
 }
 
-// settled is when the last trouble before a moment had ended; false: one is on.
+// settled returns the time of the last event up to a time, and false if a fault is active then.
 func settled(log MembersLog, at time.Time) (time.Time, bool) {
 	on := 0
 	var last time.Time
@@ -162,8 +162,8 @@
 	return last, on <= 0
 }
 
-// failed rules on ends after which nothing else happened for the bound.
-func (v *MembersVerdict) failed(r MemberRules, log MembersLog) {
+// checkFailures checks each end of a process that no other event followed within FailWithin.
+func (v *MembersVerdict) checkFailures(r MemberRules, log MembersLog) {
 	for i, end := range log.Events {
 		if end.What != Ended {
 			continue
@@ -172,7 +172,7 @@
 			continue
 		}
 		until := end.At.Add(r.FailWithin)
-		if !calm(log, end.At, until) {
+		if !onlyEnds(log, end.At, until) {
 			continue
 		}
 		next := time.Time{}
@@ -194,7 +194,7 @@
 			if p.At.After(until) {
 				judged = true
 				if there {
-					v.breach(RuleFailed, p.Name, "%s ended, and %v later it still counts as living", end.Name, p.At.Sub(end.At).Round(time.Millisecond))
+					v.recordViolation(RuleFailed, p.Name, "%s ended, and %v later it still counts as living", end.Name, p.At.Sub(end.At).Round(time.Millisecond))
 					break
 				}
 			}
@@ -206,7 +206,7 @@
 	}
 }
 
-// running is the names that have a process at a moment.
+// running returns the number of processes of each name that has one at a time.
 func running(log MembersLog, at time.Time) map[string]int {
 	n := map[string]int{}
 	for _, h := range log.Events {
@@ -224,8 +224,8 @@
 	return n
 }
 
-// agreed rules on the time after the last trouble.
-func (v *MembersVerdict) agreed(r MemberRules, log MembersLog) {
+// checkAgreement checks that the views agree after the last fault.
+func (v *MembersVerdict) checkAgreement(r MemberRules, log MembersLog) {
 	if len(log.Pictures) == 0 {
 		return
 	}
@@ -255,17 +255,17 @@
 	for _, name := range slices.Sorted(maps.Keys(want)) {
 		p, told := seen[name]
 		if !told {
-			v.breach(RuleAgree, name, "it runs, and tells nobody what it believes")
+			v.recordViolation(RuleAgree, name, "it runs, and tells nobody what it believes")
 			continue
 		}
 		epochs[p.Epoch] = true
 		if !sameNames(p.Alive, want) {
-			v.breach(RuleAgree, name, "%v after the last trouble it counts %v as living, and %v run", end.Sub(last).Round(time.Millisecond), slices.Sorted(maps.Keys(p.Alive)),
+			v.recordViolation(RuleAgree, name, "%v after the last trouble it counts %v as living, and %v run", end.Sub(last).Round(time.Millisecond), slices.Sorted(maps.Keys(p.Alive)),
 				slices.Sorted(maps.Keys(want)))
 		}
 	}
 	if len(epochs) > 1 {
-		v.breach(RuleAgree, "", "%v after the last trouble the epochs are %v", end.Sub(last).Round(time.Millisecond), slices.Sorted(maps.Keys(epochs)))
+		v.recordViolation(RuleAgree, "", "%v after the last trouble the epochs are %v", end.Sub(last).Round(time.Millisecond), slices.Sorted(maps.Keys(epochs)))
 	}
 }
 
@@ -281,15 +281,15 @@
 	return true
 }
 
-// twoMay rules on lives of one name: once a later one may hold, no earlier one may.
-func (v *MembersVerdict) twoMay(log MembersLog) {
+// checkIncarnations checks the incarnations of each name: once a later one may exercise a lease, no earlier one may.
+func (v *MembersVerdict) checkIncarnations(log MembersLog) {
 	later := map[string]Picture{}
 	for _, p := range log.Pictures {
 		if !p.MayExercise {
 			continue
 		}
 		if q := later[p.Name]; q.Incarnation > p.Incarnation {
-			v.breach(RuleTwoMay, p.Name, "life %d may hold duties %v after life %d might", p.Incarnation, p.At.Sub(q.At).Round(time.Millisecond), q.Incarnation)
+			v.recordViolation(RuleTwoMay, p.Name, "life %d may hold duties %v after life %d might", p.Incarnation, p.At.Sub(q.At).Round(time.Millisecond), q.Incarnation)
 		} else if q.Incarnation != 0 && q.Incarnation < p.Incarnation {
 			v.Judged[RuleTwoMay]++
 		}
@@ -299,9 +299,9 @@
 	}
 }
 
-// safe rules on the safe count: never under the number of gateways that run and
-// have a share. A newcomer that has none does not count.
-func (v *MembersVerdict) safe(log MembersLog) {
+// checkSafeCount checks that the safe count is never below the number of gateways that run and have a quota share. A new
+// gateway without a share does not count.
+func (v *MembersVerdict) checkSafeCount(log MembersLog) {
 	share := map[string]bool{}
 	next := 0
 	up := map[string]int{}
@@ -324,26 +324,26 @@
 		}
 		v.Judged[RuleSafe]++
 		if p.Share != members.NoQuota && p.Safe < serving {
-			v.breach(RuleSafe, p.Name, "it counts %d, and %d serve", p.Safe, serving)
+			v.recordViolation(RuleSafe, p.Name, "it counts %d, and %d serve", p.Safe, serving)
 			return
 		}
 	}
 }
 
-func (v *MembersVerdict) epochs(log MembersLog) {
+// checkEpochs checks that the epoch of no gateway decreases.
+func (v *MembersVerdict) checkEpochs(log MembersLog) {
 	last := map[string]uint64{}
 	for _, p := range log.Pictures {
 		if p.Epoch < last[p.Name] {
-			v.breach(RuleEpoch, p.Name, "it went from epoch %d to %d", last[p.Name], p.Epoch)
+			v.recordViolation(RuleEpoch, p.Name, "it went from epoch %d to %d", last[p.Name], p.Epoch)
 		}
 		last[p.Name] = max(last[p.Name], p.Epoch)
 		v.Judged[RuleEpoch]++
 	}
 }
 
-// count tells how often verdicts changed, and how often one that ran undisturbed
-// was given up.
-func (v *MembersVerdict) count(log MembersLog) {
+// countChanges counts changes of verdicts, and members without a fault that were given up.
+func (v *MembersVerdict) countChanges(log MembersLog) {
 	last := map[string]Picture{}
 	for _, p := range log.Pictures {
 		q, known := last[p.Name]
@@ -365,9 +365,9 @@
 	}
 }
 
-const troubleLasts = 30 * time.Second // so long after its end, a trouble may still be why one is given up
+const troubleLasts = 30 * time.Second // a fault may still cause a member to be given up for this long after its end
 
-// untroubled tells whether neither of two gateways ended, slept or was cut off lately.
+// untroubled reports whether neither of two gateways ended, slept or was cut off recently.
 func untroubled(log MembersLog, one, other string, at time.Time) bool {
 	on := false
 	for _, h := range log.Events {
@@ -396,8 +396,8 @@
 	return !on
 }
 
-// Spread is the least, the middle and the most of some times.
-func Spread(times []time.Duration) (least, middle, most time.Duration) {
+// Spread returns the minimum, median and maximum of times, or zeros if there are none.
+func Spread(times []time.Duration) (minimum, median, maximum time.Duration) {
 	if len(times) == 0 {
 		return 0, 0, 0
 	}
--- a/internal/lab/audit/requests.go
+++ b/internal/lab/audit/requests.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// excused tells whether a fault of the lab's own ended a try: its gateway was
-// killed, stopped or cut off while it was out.
+// excused reports whether a fault that the lab injected may have ended a try: its gateway was killed, stopped or cut off
+// while the try was in flight.
 func (j *judge) excused(t *Try) bool {
 	from := t.Sent
 	if from.IsZero() {
@@ -15,7 +15,7 @@
 	return overlappingWindow(j.log.Excused, t.Gateway, from, t.Over) != nil
 }
 
-// answers holds the gateways to one final answer, in time, made by a backend.
+// checkAnswers checks that each try has one final answer, in time and made by a backend.
 func (j *judge) checkAnswers(c *Counts) {
 	for i := range j.log.Tries {
 		t := &j.log.Tries[i]
@@ -33,8 +33,8 @@
 			e.Text = fmt.Sprintf("no answer within %v", t.Left)
 			j.recordOverdue(RuleAnswer, e, t.Sent, t.Left, t.Over)
 		case t.Outcome == Closed && t.Pooled && len(j.attemptsByID[t.ID]) == 0:
-			// The gateway closed a connection that stood idle, and the request
-			// crossed that. The client sends it again, so nothing is lost.
+			// The request raced with the close of an idle connection by the gateway. The client sends it
+			// again, so nothing is lost.
 			c.Unanswered++
 		case t.Outcome == Closed:
 			e.Text = fmt.Sprintf("the connection ended without a whole answer after %v", t.Over.Sub(t.Sent).Round(time.Millisecond))
@@ -43,7 +43,7 @@
 			e.Text = fmt.Sprintf("%s after %v, with %v to answer in", t.Outcome, t.Over.Sub(t.Sent).Round(time.Millisecond), t.Left)
 			j.recordOverdue(RuleAnswer, e, t.Sent, t.Left, t.Over)
 		}
-		if t.Outcome == Served && !j.made(t) {
+		if t.Outcome == Served && !j.madeByBackend(t) {
 			e.Text = "was served an answer that no backend made for it"
 			j.recordViolation(RuleAnswer, e)
 		}
@@ -51,12 +51,12 @@
 			e.Text = "a second answer came behind the final one"
 			j.recordViolation(RuleAnswer, e)
 		}
-		j.after(t)
+		j.checkNoLaterAttempt(t)
 	}
 }
 
-// made tells whether a backend made the answer that a client was served.
-func (j *judge) made(t *Try) bool {
+// madeByBackend reports whether the checksum of the served answer matches an answer that a backend made for the request.
+func (j *judge) madeByBackend(t *Try) bool {
 	for _, a := range j.attemptsByID[t.ID] {
 		if a.Sum == t.Sum {
 			return true
@@ -65,8 +65,8 @@
 	return false
 }
 
-// after holds a gateway to sending nothing more for a request that has its answer.
-func (j *judge) after(t *Try) {
+// checkNoLaterAttempt checks that a gateway starts no attempt for a request after its final answer.
+func (j *judge) checkNoLaterAttempt(t *Try) {
 	for _, a := range j.attemptsByID[t.ID] {
 		if a.Gateway == t.Gateway && a.First.After(t.Over.Add(j.rules.Slack)) {
 			j.recordUnlessLate(RuleAnswer, Evidence{At: j.sinceStart(a.First), Request: t.ID, Gateway: t.Gateway, Backend: a.Backend,
@@ -75,15 +75,13 @@
 	}
 }
 
-// mayHaveRun tells whether a gateway had to reckon at time t with an attempt
-// having run.
+// mayHaveRun reports whether, as far as its gateway knew at time t, an attempt may have run.
 func mayHaveRun(a *Attempt, t time.Time) bool {
 	return !(a.NotRan && !a.Over.After(t))
 }
 
-// effects holds the gateways to the effect that each class allows. A client's
-// own retry is a request of its own here: whether that was harmless is what the
-// answer to the try before said, and the rule on refusals sees to that.
+// checkEffects checks that gateways resend requests only as their class allows. A client's own retry is a separate
+// request here: the answer to the try before said whether a retry is safe, and checkRefusal checks that answer.
 func (j *judge) checkEffects(c *Counts) {
 	for id, list := range j.attemptsByID {
 		t := j.triesByID[id]
@@ -114,16 +112,16 @@
 				default:
 					continue
 				}
-				break // one breach for each attempt
+				break // at most one violation per attempt
 			}
 		}
-		j.refusal(t, class, list)
+		j.checkRefusal(t, class, list)
 	}
 	c.RanTwice = j.ranTwice()
 }
 
-// refusal holds a gateway to its word that trying again is harmless.
-func (j *judge) refusal(t *Try, class *Class, list []*Attempt) {
+// checkRefusal checks that a gateway refuses a request, which permits a retry, only if no attempt of its own may have run.
+func (j *judge) checkRefusal(t *Try, class *Class, list []*Attempt) {
 	if t.Outcome != Refused {
 		return
 	}
@@ -136,8 +134,8 @@
 	}
 }
 
-// ranTwice counts the keys whose work was done more than once, by whatever
-// chain of gateways' attempts and clients' own retries.
+// ranTwice returns the number of keys whose work ran more than once, whether through attempts of gateways or retries of
+// clients.
 func (j *judge) ranTwice() int {
 	ran := map[string]int{}
 	n := 0
