--- a/internal/lab/audit/members.go
+++ b/internal/lab/audit/members.go
@@ -253,8 +253,8 @@
 	v.Agreed = append(v.Agreed, differs)
 	epochs := map[uint64]bool{}
 	for _, name := range slices.Sorted(maps.Keys(want)) {
-		p, told := seen[name]
-		if !told {
+		p, recorded := seen[name]
+		if !recorded {
 			v.recordViolation(RuleAgree, name, "it runs, and tells nobody what it believes")
 			continue
 		}
--- a/internal/lab/audit/verdict.go
+++ b/internal/lab/audit/verdict.go
@@ -343,18 +343,18 @@
 // or removal.
 func (j *judge) checkDrains() {
 	type link struct{ gateway, backend string }
-	told := map[link][]Notice{}
+	notices := map[link][]Notice{}
 	for _, t := range j.log.Notices {
 		k := link{t.Gateway, t.Backend}
-		told[k] = append(told[k], t)
+		notices[k] = append(notices[k], t)
 	}
-	for _, list := range told {
+	for _, list := range notices {
 		slices.SortStableFunc(list, func(a, b Notice) int { return a.At.Compare(b.At) })
 	}
 	for i := range j.log.Attempts {
 		a := &j.log.Attempts[i]
 		var last *Notice
-		list := told[link{a.Gateway, a.Backend}]
+		list := notices[link{a.Gateway, a.Backend}]
 		for n := range list {
 			if list[n].At.After(a.First) {
 				break
