--- a/internal/lab/load/takes.go
+++ b/internal/lab/load/takes.go
@@ -73,7 +73,7 @@
 	}
 	if giveBack && wait.For(ctx, giveDelay) {
 		give := audit.Take{First: a.N, Number: 1, Front: t.Front, Customer: t.Customer, Plan: t.Plan, Token: t.Token, Asked: 1,
-			Arrived: due, Left: c.TakeWithin, Gives: true}
+			Arrived: due, Left: c.TakeWithin, Returns: true}
 		c.sendCommand(ctx, to, append([]string{"LIMIT.GIVE", account(a), "1", "ID", t.Token}, whose...), &give, false)
 		c.recordTake(&give)
 	}
@@ -153,7 +153,7 @@
 		figures[v.Elements[i].Str] = valueText(v.Elements[i+1])
 	}
 	name := "granted"
-	if t.Gives {
+	if t.Returns {
 		name = "given"
 	}
 	n, err := strconv.ParseFloat(figures[name], 64)
@@ -183,7 +183,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.Takes++
-	if t.Outcome == audit.Served && !t.Gives {
+	if t.Outcome == audit.Served && !t.Returns {
 		c.progress.Granted++
 	}
 }
