--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -10,9 +10,11 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
+// ms returns the time n milliseconds after the start of the run.
 func ms(n int) time.Time { return start.Add(time.Duration(n) * time.Millisecond) }
 
-func rules() Rules {
+// testRules returns rules with one class per effect, a plan with a quota and a plan with a hard ceiling.
+func testRules() Rules {
 	return Rules{
 		Classes: []Class{{Name: "lookup", Effect: Safe, Aim: 800 * time.Millisecond, Worth: 1},
 			{Name: "booking", Effect: Keyed, Window: 2 * time.Second, Aim: time.Second, Worth: 3},
@@ -22,8 +24,8 @@
 		DrainGrace: 2 * time.Second, Overshoot: 5, SpareUnits: 1, BadOwed: 3 * time.Second, MemoryMB: 100, Files: 500}
 }
 
-// good is a run in which all is kept: one request of each class, sent on once.
-func good() Log {
+// compliantLog returns a run without violations: one request of each class, each forwarded once.
+func compliantLog() Log {
 	l := Log{From: start, To: ms(20000)}
 	for class := range 3 {
 		id := string(rune('a' + class))
@@ -37,49 +39,48 @@
 	return l
 }
 
-func TestAGoodRunIsKept(t *testing.T) {
-	v := Judge(rules(), good())
+func TestCompliantRun(t *testing.T) {
+	v := Judge(testRules(), compliantLog())
 	if v.State() != "kept" || v.Service != 1 || v.Counts.CPUEach != 100*time.Microsecond || v.Counts.First != 3 {
 		t.Fatalf("%s %+v", v.State(), v)
 	}
 }
 
-// TestEachRuleCanBeBroken changes the good run so that one rule is broken, and
-// none besides.
-func TestEachRuleCanBeBroken(t *testing.T) {
-	again := func(l *Log, of, at int, cell int) *Attempt {
-		a := l.Attempts[of]
+// Each case changes the compliant run so that it violates exactly one rule; no other rule may report a violation.
+func TestEachRuleViolation(t *testing.T) {
+	repeat := func(l *Log, index, at int, cell int) *Attempt {
+		a := l.Attempts[index]
 		a.First, a.Whole, a.Over, a.Cell, a.Backend = ms(at), ms(at), ms(at+100), cell, "n1"
 		l.Attempts = append(l.Attempts, a)
 		return &l.Attempts[len(l.Attempts)-1]
 	}
-	for name, k := range map[string]struct {
+	for name, test := range map[string]struct {
 		rule   string
 		change func(*Log)
-		says   string
+		want   string
 	}{
-		"late":            {RuleAnswer, func(l *Log) { l.Tries[0].Over = ms(2051) }, "to answer in"},
-		"none":            {RuleAnswer, func(l *Log) { l.Tries[0].Outcome, l.Tries[0].Over = NoAnswer, ms(2400) }, "no answer within 1s"},
-		"cut short":       {RuleAnswer, func(l *Log) { l.Tries[0].Outcome = Closed }, "without a whole answer"},
-		"closed, sent on": {RuleAnswer, func(l *Log) { l.Tries[0].Outcome, l.Tries[0].Pooled = Closed, true }, "without a whole answer"},
-		"made up":         {RuleAnswer, func(l *Log) { l.Tries[0].Sum = 8 }, "no backend made"},
-		"second answer":   {RuleAnswer, func(l *Log) { l.Tries[0].Extra = true }, "second answer"},
-		"sent after":      {RuleAnswer, func(l *Log) { again(l, 0, 1300, 1) }, "after its final answer"},
-		"once twice":      {RuleEffect, func(l *Log) { again(l, 2, 3100, 1) }, "may run but once"},
-		"other cell":      {RuleEffect, func(l *Log) { again(l, 1, 2100, 2) }, "to cell 2"},
-		"forgotten key":   {RuleEffect, func(l *Log) { l.Tries[1].Over, l.Tries[1].Left = ms(4990), 3*time.Second; again(l, 1, 4100, 1) }, "remembers for 2s"},
-		"refused, ran":    {RuleEffect, func(l *Log) { l.Tries[1].Outcome, l.Tries[1].Status = Refused, 503 }, "was refused (503)"},
-		"drain": {RuleDrain, func(l *Log) {
+		"late answer":      {RuleAnswer, func(l *Log) { l.Tries[0].Over = ms(2051) }, "to answer in"},
+		"no answer":        {RuleAnswer, func(l *Log) { l.Tries[0].Outcome, l.Tries[0].Over = NoAnswer, ms(2400) }, "no answer within 1s"},
+		"truncated answer": {RuleAnswer, func(l *Log) { l.Tries[0].Outcome = Closed }, "without a whole answer"},
+		"pooled connection closed after forwarding": {RuleAnswer, func(l *Log) { l.Tries[0].Outcome, l.Tries[0].Pooled = Closed, true }, "without a whole answer"},
+		"answer of no backend":                      {RuleAnswer, func(l *Log) { l.Tries[0].Sum = 8 }, "no backend made"},
+		"second answer":                             {RuleAnswer, func(l *Log) { l.Tries[0].Extra = true }, "second answer"},
+		"attempt after the final answer":            {RuleAnswer, func(l *Log) { repeat(l, 0, 1300, 1) }, "after its final answer"},
+		"once class run twice":                      {RuleEffect, func(l *Log) { repeat(l, 2, 3100, 1) }, "may run but once"},
+		"repeat in another cell":                    {RuleEffect, func(l *Log) { repeat(l, 1, 2100, 2) }, "to cell 2"},
+		"expired key":                               {RuleEffect, func(l *Log) { l.Tries[1].Over, l.Tries[1].Left = ms(4990), 3*time.Second; repeat(l, 1, 4100, 1) }, "remembers for 2s"},
+		"refused after running":                     {RuleEffect, func(l *Log) { l.Tries[1].Outcome, l.Tries[1].Status = Refused, 503 }, "was refused (503)"},
+		"draining backend": {RuleDrain, func(l *Log) {
 			l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(-1200)}}
 			l.Attempts = l.Attempts[:1]
 			l.Tries = l.Tries[:1]
 		}, "drains or is gone"},
-		"drain told again": {RuleDrain, func(l *Log) {
+		"repeated drain notice": {RuleDrain, func(l *Log) {
 			l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(-1200)}, {Gateway: "g0", Backend: "n0", At: ms(900)}}
 			l.Attempts = l.Attempts[:1]
 			l.Tries = l.Tries[:1]
 		}, "2.205s"},
-		"fall": {RuleCold, func(l *Log) { l.Overloads = []Overload{{Backend: "n0", At: ms(5), Sent: 9, Could: 2}} }, "9.00 s of work"},
+		"cold backend overloaded": {RuleCold, func(l *Log) { l.Overloads = []Overload{{Backend: "n0", At: ms(5), Sent: 9, Could: 2}} }, "9.00 s of work"},
 		"ceiling": {RuleCeiling, func(l *Log) {
 			for i := range l.Tries {
 				l.Tries[i].Plan, l.Tries[i].Units = 1, 2
@@ -90,11 +91,11 @@
 				l.Tries[i].Units = 3.5
 			}
 		}, "beyond its quota"},
-		"bad served": {RuleBad, func(l *Log) {
+		"bad client served": {RuleBad, func(l *Log) {
 			l.Tries = append(l.Tries, Try{ID: "x", Bad: "noise", Outcome: Served, Sent: ms(1), Over: ms(2)})
 		}, "was served"},
-		"bad passed on": {RuleBad, func(l *Log) { l.Tries[0].Bad, l.Tries[0].Outcome = "smuggled", Turned }, "passed on"},
-		"bad kept": {RuleBad, func(l *Log) {
+		"bad client forwarded": {RuleBad, func(l *Log) { l.Tries[0].Bad, l.Tries[0].Outcome = "smuggled", Turned }, "passed on"},
+		"bad client left open": {RuleBad, func(l *Log) {
 			l.Tries = append(l.Tries, Try{ID: "x", Bad: "silent", Outcome: NoAnswer, Sent: ms(1), Over: ms(4000)})
 		}, "neither an error"},
 		"memory":      {RuleLimits, func(l *Log) { l.Processes[0].PeakMB = 101 }, "101.0 MB"},
@@ -102,24 +103,24 @@
 		"crash":       {RuleRunning, func(l *Log) { l.Processes[0].Died = "exit status 2" }, "exit status 2"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := good()
-			k.change(&l)
-			v := Judge(rules(), l)
+			l := compliantLog()
+			test.change(&l)
+			v := Judge(testRules(), l)
 			if v.State() != "broken" || v.Broken() != 1 {
 				t.Fatalf("%s: %+v", v.State(), v.Findings)
 			}
-			f := v.Finding(k.rule)
-			if f.Broken != 1 || !strings.Contains(f.Evidence[0].Text, k.says) {
+			f := v.Finding(test.rule)
+			if f.Broken != 1 || !strings.Contains(f.Evidence[0].Text, test.want) {
 				t.Fatalf("%+v", f)
 			}
 		})
 	}
 }
 
-// What is passed on beyond a quota is counted once, and priced by its plan: of three requests
-// of 3.5 units the first finds a full store of 4, the others 1.5 and 2.5 units.
-func TestBeyondQuotas(t *testing.T) {
-	r, l := rules(), good()
+// Guards against counting or pricing units over quota twice: they count once, at the cost of their plan. Of three
+// requests of 3.5 units, the first finds a full bucket of 4 units, the others 1.5 and 2.5 units.
+func TestUnitsBeyondQuota(t *testing.T) {
+	r, l := testRules(), compliantLog()
 	r.Plans[0].OverCost = 0.5
 	for i := range l.Tries {
 		l.Tries[i].Units = 3.5
@@ -131,96 +132,98 @@
 	}
 }
 
-// TestWhatIsNoBreach has what looks like a breach and is none.
-func TestWhatIsNoBreach(t *testing.T) {
+// Guards against false positives: each case resembles a violation but complies with all rules.
+func TestNoFalseViolations(t *testing.T) {
 	for name, change := range map[string]func(*Log){
-		"within the slack": func(l *Log) { l.Tries[0].Over = ms(2049) },
+		"late within the slack": func(l *Log) { l.Tries[0].Over = ms(2049) },
 		"killed gateway": func(l *Log) {
 			l.Tries[0].Outcome = Closed
 			l.Excused = []Window{{Gateway: "g0", From: ms(1100), To: ms(9000)}}
 		},
-		"crossed an idle close": func(l *Log) { l.Tries[0].Outcome, l.Tries[0].Pooled, l.Attempts = Closed, true, l.Attempts[1:] },
-		"not taken":             func(l *Log) { l.Tries[0].Outcome, l.Attempts = NotTaken, l.Attempts[1:] },
-		"turned away before": func(l *Log) {
+		"race with an idle close": func(l *Log) { l.Tries[0].Outcome, l.Tries[0].Pooled, l.Attempts = Closed, true, l.Attempts[1:] },
+		"request not fully sent":  func(l *Log) { l.Tries[0].Outcome, l.Attempts = NotTaken, l.Attempts[1:] },
+		"retry after a backend rejected the attempt": func(l *Log) {
 			l.Attempts[2].NotRan, l.Attempts[2].Ran, l.Attempts[2].Over = true, false, ms(3010)
 			resend(l, 2, 3020, 2)
 		},
-		"refused, turned away":   func(l *Log) { l.Attempts[1].NotRan, l.Tries[1].Outcome = true, Refused },
-		"safe repeat anywhere":   func(l *Log) { resend(l, 0, 1100, 2) },
-		"keyed repeat in cell":   func(l *Log) { resend(l, 1, 2100, 1) },
-		"another gateway's copy": func(l *Log) { resend(l, 1, 2100, 2); l.Attempts[3].Gateway = "g1" },
-		"within the grace":       func(l *Log) { l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(1000)}} },
-		"another's news":         func(l *Log) { l.Notices = []Notice{{Gateway: "g1", Backend: "n0", At: ms(-9000)}} },
-		"back before the send": func(l *Log) {
+		"refused after the backend rejected it": func(l *Log) { l.Attempts[1].NotRan, l.Tries[1].Outcome = true, Refused },
+		"safe request repeated in another cell": func(l *Log) { resend(l, 0, 1100, 2) },
+		"keyed request repeated in its cell":    func(l *Log) { resend(l, 1, 2100, 1) },
+		"attempt by another gateway":            func(l *Log) { resend(l, 1, 2100, 2); l.Attempts[3].Gateway = "g1" },
+		"attempt within the drain grace":        func(l *Log) { l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(1000)}} },
+		"drain notice to another gateway":       func(l *Log) { l.Notices = []Notice{{Gateway: "g1", Backend: "n0", At: ms(-9000)}} },
+		"backend ready again before the send": func(l *Log) {
 			l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(-9000)}, {Gateway: "g0", Backend: "n0", Ready: true, At: ms(1)}}
 		},
-		"quota within bound": func(l *Log) { l.Tries[0].Units, l.Tries[1].Units, l.Tries[2].Units = 4, 1, 1.9 },
+		"over quota within the overshoot": func(l *Log) { l.Tries[0].Units, l.Tries[1].Units, l.Tries[2].Units = 4, 1, 1.9 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := good()
+			l := compliantLog()
 			change(&l)
-			if v := Judge(rules(), l); v.State() != "kept" {
+			if v := Judge(testRules(), l); v.State() != "kept" {
 				t.Fatalf("%+v", v.Findings)
 			}
 		})
 	}
 }
 
-func resend(l *Log, of, at, cell int) {
-	a := l.Attempts[of]
+// resend appends a copy of the attempt at index that backend n1 of cell receives at millisecond at.
+func resend(l *Log, index, at, cell int) {
+	a := l.Attempts[index]
 	a.First, a.Whole, a.Over, a.Cell, a.Backend, a.NotRan = ms(at), ms(at), ms(at+100), cell, "n1", false
 	l.Attempts = append(l.Attempts, a)
 }
 
-// TestLatenessVoidsAndNeverBreaks plays breaches of time limits in a moment at
-// which the machine ran late.
-func TestLatenessVoidsAndNeverBreaks(t *testing.T) {
+// Guards against blaming a gateway for a slow test machine: a time limit exceeded while the machine ran late makes the
+// run void, not broken. Violations that depend on no time limit, or that occur while only another gateway runs late,
+// still break the run.
+func TestLatenessVoidsTimeLimits(t *testing.T) {
 	for name, change := range map[string]func(*Log){
-		"late answer": func(l *Log) { l.Tries[0].Over = ms(2300) },
-		"no answer":   func(l *Log) { l.Tries[0].Outcome, l.Tries[0].Over = NoAnswer, ms(2400) },
-		"drain":       func(l *Log) { l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(-1200)}} },
-		"sent after":  func(l *Log) { resend(l, 0, 1900, 1) },
+		"late answer":                    func(l *Log) { l.Tries[0].Over = ms(2300) },
+		"no answer":                      func(l *Log) { l.Tries[0].Outcome, l.Tries[0].Over = NoAnswer, ms(2400) },
+		"draining backend":               func(l *Log) { l.Notices = []Notice{{Gateway: "g0", Backend: "n0", At: ms(-1200)}} },
+		"attempt after the final answer": func(l *Log) { resend(l, 0, 1900, 1) },
 	} {
-		l := good()
+		l := compliantLog()
 		change(&l)
-		l.Late = []Window{{From: ms(800), To: ms(4000), What: "the lab's clock stood still"}}
-		if v := Judge(rules(), l); v.State() != "void" || v.Broken() != 0 {
+		l.Late = []Window{{From: ms(800), To: ms(4000), What: "the lab's clock stalled"}}
+		if v := Judge(testRules(), l); v.State() != "void" || v.Broken() != 0 {
 			t.Errorf("%s: %s %+v", name, v.State(), v.Findings)
 		}
-		l.Late[0].Gateway = "g9" // another's lateness excuses nothing
-		if v := Judge(rules(), l); v.State() != "broken" {
-			t.Errorf("%s with another's lateness: %s", name, v.State())
+		l.Late[0].Gateway = "g9" // the lateness of another gateway is no excuse
+		if v := Judge(testRules(), l); v.State() != "broken" {
+			t.Errorf("%s with another gateway running late: state %s, want broken", name, v.State())
 		}
 	}
-	// The request was seen late: then its answer may come later by as much, and by no more.
+	// The gateway received the request late: its answer may be late by the same time and no more.
 	for late, want := range map[time.Duration]string{100 * time.Millisecond: "broken", 300 * time.Millisecond: "void"} {
-		l := good()
-		first := &l.Tries[0]
-		first.Over = first.Sent.Add(first.Left + rules().Slack + 200*time.Millisecond)
-		l.Late = []Window{{Gateway: "g0", From: first.Sent, To: first.Sent.Add(50 * time.Millisecond), By: late}}
-		if v := Judge(rules(), l); v.State() != want {
-			t.Errorf("seen %v late and answered 200ms late: %s, want %s", late, v.State(), want)
+		l := compliantLog()
+		try := &l.Tries[0]
+		try.Over = try.Sent.Add(try.Left + testRules().Slack + 200*time.Millisecond)
+		l.Late = []Window{{Gateway: "g0", From: try.Sent, To: try.Sent.Add(50 * time.Millisecond), By: late}}
+		if v := Judge(testRules(), l); v.State() != want {
+			t.Errorf("received %v late and answered 200ms late: state %s, want %s", late, v.State(), want)
 		}
-		l.Late[0].From, l.Late[0].To = first.Sent.Add(-time.Second), first.Sent.Add(-time.Millisecond)
-		if v := Judge(rules(), l); v.State() != "broken" {
-			t.Errorf("the machine ran late before the request was sent: %s", v.State())
+		l.Late[0].From, l.Late[0].To = try.Sent.Add(-time.Second), try.Sent.Add(-time.Millisecond)
+		if v := Judge(testRules(), l); v.State() != "broken" {
+			t.Errorf("the machine ran late only before the request was sent: state %s, want broken", v.State())
 		}
 	}
-	l := good()
+	l := compliantLog()
 	l.Tries[1].Outcome = Refused
 	l.Late = []Window{{From: ms(0), To: ms(9000)}}
-	if v := Judge(rules(), l); v.State() != "broken" {
-		t.Errorf("a refusal that was no matter of time: %s", v.State())
+	if v := Judge(testRules(), l); v.State() != "broken" {
+		t.Errorf("refused after running, which depends on no time limit: state %s, want broken", v.State())
 	}
-	l = good()
+	l = compliantLog()
 	l.Lost = 1
-	if v := Judge(rules(), l); v.State() != "void" {
-		t.Errorf("lost records: %s", v.State())
+	if v := Judge(testRules(), l); v.State() != "void" {
+		t.Errorf("with a lost record: state %s, want void", v.State())
 	}
 }
 
-func TestWorstWindowOfAQuota(t *testing.T) {
-	// Rate 1, burst 4: 6 units at once at 10 s are 2 beyond; 20 spread over 20 s are none.
+func TestWorstQuotaWindow(t *testing.T) {
+	// Rate 1, burst 4: 6 units at once at 10 s exceed the quota by 2; 20 units spread over 20 s do not exceed it.
 	l := Log{From: start, To: ms(60000)}
 	add := func(at int, units float64) {
 		id := string(rune('A' + len(l.Tries)))
@@ -234,7 +237,7 @@
 	for i := range 20 {
 		add(20000+1000*i, 1)
 	}
-	v := Judge(rules(), l)
+	v := Judge(testRules(), l)
 	if v.Worst.Units != 2 || v.Worst.Percent != 50 || v.Worst.Allowed != 4 || v.Worst.To != 10*time.Second || len(v.Over) != 1 {
 		t.Fatalf("%+v", v.Worst)
 	}
@@ -243,8 +246,8 @@
 	}
 }
 
-func TestServiceFoldsRetriesIntoTheirFirstTry(t *testing.T) {
-	l := good()
+func TestServiceCountsRetriesWithTheirFirstTry(t *testing.T) {
+	l := compliantLog()
 	l.Tries[0].Outcome, l.Tries[0].Status = Failed, 502
 	retry := l.Tries[0]
 	retry.ID, retry.Number, retry.Outcome, retry.Sent, retry.Over = "r", 1, Served, ms(1250), ms(1700)
@@ -252,17 +255,17 @@
 	a := l.Attempts[0]
 	a.ID, a.First, a.Whole, a.Over = "r", ms(1260), ms(1260), ms(1690)
 	l.Attempts = append(l.Attempts, a)
-	if v := Judge(rules(), l); v.Service != 1 || v.Counts.First != 3 || v.Counts.Tries != 4 {
+	if v := Judge(testRules(), l); v.Service != 1 || v.Counts.First != 3 || v.Counts.Tries != 4 {
 		t.Fatalf("%v %+v", v.Service, v.Counts)
 	}
-	l.Tries[3].Over = ms(1801) // past the aim, counted from the first try
-	if v := Judge(rules(), l); v.Service >= 1 || v.Classes[0].Share() != 0 || v.Classes[1].Share() != 1 {
+	l.Tries[3].Over = ms(1801) // exceeds the latency target, measured from the first try
+	if v := Judge(testRules(), l); v.Service >= 1 || v.Classes[0].Share() != 0 || v.Classes[1].Share() != 1 {
 		t.Fatalf("%v %+v", v.Service, v.Classes)
 	}
 }
 
-func TestNamesAreOfAllFindings(t *testing.T) {
-	v := Judge(rules(), Log{From: start})
+func TestNamesMatchFindings(t *testing.T) {
+	v := Judge(testRules(), Log{From: start})
 	var got []string
 	for _, f := range v.Findings {
 		got = append(got, f.Rule)
--- a/internal/lab/audit/members_test.go
+++ b/internal/lab/audit/members_test.go
@@ -8,141 +8,144 @@
 	"elderyard/members"
 )
 
-// clean is a record that breaks nothing: three gateways, one killed and started
-// again, one cut off and healed, pictures each tenth of a second.
-type clean struct {
+// membersLogBuilder builds a log of three gateways with a picture of each every 100 ms.
+type membersLogBuilder struct {
 	log MembersLog
 	at  time.Time
 }
 
 var memberBounds = MemberRules{FailWithin: 5 * time.Second, AgreeWithin: 8 * time.Second}
 
-func (c *clean) happen(what EventKind, name string) {
-	c.at = c.at.Add(time.Millisecond)
-	c.log.Events = append(c.log.Events, Event{At: c.at, What: what, Name: name})
+func (b *membersLogBuilder) recordEvent(what EventKind, name string) {
+	b.at = b.at.Add(time.Millisecond)
+	b.log.Events = append(b.log.Events, Event{At: b.at, What: what, Name: name})
 }
 
-// pass records pictures of those that run for a while.
-func (c *clean) pass(d time.Duration, there map[string]members.Incarnation, change func(*Picture)) {
-	for end := c.at.Add(d); c.at.Before(end); {
-		c.at = c.at.Add(100 * time.Millisecond)
-		for name, life := range there {
-			p := Picture{At: c.at, Name: name, Incarnation: life, Verdict: "whole", Epoch: 1, Safe: 3, Share: 3, MayExercise: true, Alive: map[string]members.Incarnation{}}
-			for other, l := range there {
-				p.Alive[other] = l
+// recordPictures advances the time by d and records pictures of the running gateways, each modified by change.
+func (b *membersLogBuilder) recordPictures(d time.Duration, running map[string]members.Incarnation, change func(*Picture)) {
+	for end := b.at.Add(d); b.at.Before(end); {
+		b.at = b.at.Add(100 * time.Millisecond)
+		for name, incarnation := range running {
+			p := Picture{At: b.at, Name: name, Incarnation: incarnation, Verdict: "whole", Epoch: 1, Safe: 3, Share: 3, MayExercise: true, Alive: map[string]members.Incarnation{}}
+			for other, incarnation := range running {
+				p.Alive[other] = incarnation
 			}
 			if change != nil {
 				change(&p)
 			}
-			c.log.Pictures = append(c.log.Pictures, p)
+			b.log.Pictures = append(b.log.Pictures, p)
 		}
 	}
 }
 
-func record(spoil func(c *clean, step int)) MembersLog {
-	c := &clean{at: time.Unix(1e9, 0)}
+// buildMembersLog returns a log without violations, apart from those that inject adds at steps 0 to 3: one gateway is
+// killed and restarted, then cut off and reconnected.
+func buildMembersLog(inject func(b *membersLogBuilder, step int)) MembersLog {
+	b := &membersLogBuilder{at: time.Unix(1e9, 0)}
 	all := map[string]members.Incarnation{"g0": 10, "g1": 11, "g2": 12}
 	for _, name := range []string{"g0", "g1", "g2"} {
-		c.happen(Started, name)
+		b.recordEvent(Started, name)
 	}
-	c.pass(2*time.Second, all, nil)
-	c.happen(Ended, "g2")
+	b.recordPictures(2*time.Second, all, nil)
+	b.recordEvent(Ended, "g2")
 	two := map[string]members.Incarnation{"g0": 10, "g1": 11}
-	c.pass(2*time.Second, two, func(p *Picture) { p.Alive["g2"] = 12 }) // not given up yet
-	spoil(c, 0)
-	c.pass(6*time.Second, two, nil)
-	spoil(c, 1)
-	c.happen(Started, "g2")
-	again := map[string]members.Incarnation{"g0": 10, "g1": 11, "g2": 20}
-	c.pass(3*time.Second, again, nil)
-	spoil(c, 2)
-	c.happen(Troubled, "peers-cut")
-	c.pass(3*time.Second, again, func(p *Picture) {
+	b.recordPictures(2*time.Second, two, func(p *Picture) { p.Alive["g2"] = 12 }) // not yet declared failed
+	inject(b, 0)
+	b.recordPictures(6*time.Second, two, nil)
+	inject(b, 1)
+	b.recordEvent(Started, "g2")
+	restarted := map[string]members.Incarnation{"g0": 10, "g1": 11, "g2": 20}
+	b.recordPictures(3*time.Second, restarted, nil)
+	inject(b, 2)
+	b.recordEvent(Troubled, "peers-cut")
+	b.recordPictures(3*time.Second, restarted, func(p *Picture) {
 		if p.Name == "g2" {
 			p.Alive, p.MayExercise = map[string]members.Incarnation{"g2": 20}, false
 		}
 	})
-	c.happen(Healed, "peers-cut")
-	c.pass(9*time.Second, again, nil)
-	spoil(c, 3)
-	return c.log
+	b.recordEvent(Healed, "peers-cut")
+	b.recordPictures(9*time.Second, restarted, nil)
+	inject(b, 3)
+	return b.log
 }
 
-func TestCleanPicturesAreKept(t *testing.T) {
-	v := JudgeMembers(memberBounds, record(func(*clean, int) {}))
+func TestCompliantMembersLog(t *testing.T) {
+	v := JudgeMembers(memberBounds, buildMembersLog(func(*membersLogBuilder, int) {}))
 	if v.Broken() != 0 {
 		t.Errorf("%+v", v.Findings)
 	}
 	for _, rule := range []string{RuleFailed, RuleAgree, RuleTwoMay, RuleSafe, RuleEpoch} {
 		if v.Judged[rule] == 0 {
-			t.Errorf("there was nothing to rule on: %s", rule)
+			t.Errorf("rule %q was never checked", rule)
 		}
 	}
 	if v.False != 0 {
-		t.Errorf("%d false failures of gateways that were killed or cut off", v.False)
+		t.Errorf("%d false failures, want 0: only killed or cut-off gateways were declared failed", v.False)
 	}
 }
 
-// Each flaw breaks its own rule and no other.
-func TestEachFlawOfPicturesIsCaught(t *testing.T) {
+// Each injected fault must violate its own rule and no other.
+func TestEachMembersRuleViolation(t *testing.T) {
 	two, three := map[string]members.Incarnation{"g0": 10, "g1": 11}, map[string]members.Incarnation{"g0": 10, "g1": 11, "g2": 20}
-	for _, c := range []struct {
-		rule string
-		step int
-		flaw func(*clean)
+	for _, test := range []struct {
+		rule  string
+		step  int
+		fault func(*membersLogBuilder)
 	}{
-		{RuleFailed, 1, func(c *clean) { c.pass(time.Second, two, func(p *Picture) { p.Alive["g2"] = 12 }) }},
-		{RuleAgree, 3, func(c *clean) {
-			c.pass(time.Second, three, func(p *Picture) {
+		{RuleFailed, 1, func(b *membersLogBuilder) {
+			b.recordPictures(time.Second, two, func(p *Picture) { p.Alive["g2"] = 12 })
+		}},
+		{RuleAgree, 3, func(b *membersLogBuilder) {
+			b.recordPictures(time.Second, three, func(p *Picture) {
 				if p.Name == "g0" {
 					delete(p.Alive, "g2")
 				}
 			})
 		}},
-		{RuleAgree, 3, func(c *clean) {
-			c.pass(time.Second, three, func(p *Picture) {
+		{RuleAgree, 3, func(b *membersLogBuilder) {
+			b.recordPictures(time.Second, three, func(p *Picture) {
 				if p.Name == "g0" {
 					p.Epoch = 2
 				}
 			})
 		}},
-		{RuleTwoMay, 2, func(c *clean) {
-			c.pass(time.Second, map[string]members.Incarnation{"g2": 12}, func(p *Picture) { p.Alive = map[string]members.Incarnation{"g0": 1, "g1": 1, "g2": 1} })
+		{RuleTwoMay, 2, func(b *membersLogBuilder) {
+			b.recordPictures(time.Second, map[string]members.Incarnation{"g2": 12}, func(p *Picture) { p.Alive = map[string]members.Incarnation{"g0": 1, "g1": 1, "g2": 1} })
 		}},
-		{RuleSafe, 2, func(c *clean) {
-			c.pass(time.Second, three, func(p *Picture) { p.Safe = 2 })
+		{RuleSafe, 2, func(b *membersLogBuilder) {
+			b.recordPictures(time.Second, three, func(p *Picture) { p.Safe = 2 })
 		}},
-		{RuleEpoch, 0, func(c *clean) {
-			c.pass(200*time.Millisecond, two, func(p *Picture) { p.Epoch = 2; p.Alive["g2"] = 12 })
-			c.pass(200*time.Millisecond, two, func(p *Picture) { p.Alive["g2"] = 12 })
+		{RuleEpoch, 0, func(b *membersLogBuilder) {
+			b.recordPictures(200*time.Millisecond, two, func(p *Picture) { p.Epoch = 2; p.Alive["g2"] = 12 })
+			b.recordPictures(200*time.Millisecond, two, func(p *Picture) { p.Alive["g2"] = 12 })
 		}},
-		{RuleRecorded, 0, func(c *clean) { c.log.Lost++ }},
+		{RuleRecorded, 0, func(b *membersLogBuilder) { b.log.Lost++ }},
 	} {
-		v := JudgeMembers(memberBounds, record(func(l *clean, step int) {
-			if step == c.step {
-				c.flaw(l)
+		v := JudgeMembers(memberBounds, buildMembersLog(func(b *membersLogBuilder, step int) {
+			if step == test.step {
+				test.fault(b)
 			}
 		}))
 		for _, f := range v.Findings {
-			if (f.Broken > 0) != (f.Rule == c.rule) {
-				t.Errorf("flaw of %q: %q is broken %d times: %+v", c.rule, f.Rule, f.Broken, f.Evidence)
+			if (f.Broken > 0) != (f.Rule == test.rule) {
+				t.Errorf("fault for rule %q: rule %q has %d violations: %+v", test.rule, f.Rule, f.Broken, f.Evidence)
 			}
 		}
 	}
 }
 
-func TestFalseFailuresAreCounted(t *testing.T) {
-	v := JudgeMembers(memberBounds, record(func(c *clean, step int) {
+func TestFalseFailureCount(t *testing.T) {
+	v := JudgeMembers(memberBounds, buildMembersLog(func(b *membersLogBuilder, step int) {
 		if step == 3 {
-			c.at = c.at.Add(time.Minute) // the last trouble is long over
+			b.at = b.at.Add(time.Minute) // long after the last fault has ended
 			three := map[string]members.Incarnation{"g0": 10, "g1": 11, "g2": 20}
-			c.pass(time.Second, three, nil)
-			c.pass(time.Second, three, func(p *Picture) {
+			b.recordPictures(time.Second, three, nil)
+			b.recordPictures(time.Second, three, func(p *Picture) {
 				if p.Name == "g0" {
 					delete(p.Alive, "g1")
 				}
 			})
-			c.pass(time.Second, three, nil)
+			b.recordPictures(time.Second, three, nil)
 		}
 	}))
 	if v.False != 1 {
@@ -151,8 +154,8 @@
 }
 
 func TestSpread(t *testing.T) {
-	least, middle, most := Spread([]time.Duration{3, 1, 2})
-	if got := fmt.Sprint(int(least), int(middle), int(most)); got != "1 2 3" {
-		t.Errorf("%s", got)
+	minimum, median, maximum := Spread([]time.Duration{3, 1, 2})
+	if got := fmt.Sprint(int(minimum), int(median), int(maximum)); got != "1 2 3" {
+		t.Errorf("minimum, median, maximum: %s, want 1 2 3", got)
 	}
 }
