--- a/cmd/elderctl/agent.go
+++ b/cmd/elderctl/agent.go
@@ -77,8 +77,8 @@
 	return cmd
 }
 
-// write creates the agent's file and its folder. It does not replace an existing file, and removes the new one if the
-// agent would reject it.
+// write creates the agent's file and its directory. It does not replace an existing file, and removes the new one if
+// the agent would reject it.
 func (a *newAgent) write(path string) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		return usageError(fmt.Errorf("%s is there already", path))
--- a/cmd/elderctl/authorization_linux_test.go
+++ b/cmd/elderctl/authorization_linux_test.go
@@ -17,7 +17,7 @@
 	t       *testing.T
 	dir     string
 	address string
-	siteCA  string // folder of the site's authority
+	siteCA  string // directory of the site's authority
 	otherCA string
 }
 
--- a/cmd/elderctl/import.go
+++ b/cmd/elderctl/import.go
@@ -48,7 +48,7 @@
 	text []byte
 }
 
-// writeNewFiles writes files to a folder and prints their paths. If one of them exists already, it writes none.
+// writeNewFiles writes files to a directory and prints their paths. If one of them exists already, it writes none.
 func writeNewFiles(out io.Writer, dir string, files []importedFile) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return operationError(err)
--- a/cmd/elderctl/lab.go
+++ b/cmd/elderctl/lab.go
@@ -79,7 +79,8 @@
 	return site
 }
 
-// openSite returns the scenario and the site to run, and creates the folder for its rollups. Errors are usage errors.
+// openSite returns the scenario and the site to run, and creates the directory for its rollups. Errors are usage
+// errors.
 func (f *labFlags) openSite(cmd *cobra.Command) (lab.Scenario, lab.Site, error) {
 	scenario, err := lab.FindScenario(f.scenario)
 	if err != nil {
--- a/cmd/elderctl/lab_read.go
+++ b/cmd/elderctl/lab_read.go
@@ -86,7 +86,7 @@
 	return selected
 }
 
-// readRollups reads the rollup files of all gateways in a folder.
+// readRollups reads the rollup files of all gateways in a directory.
 func readRollups(dir string) (lines []rollup.Line, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.moments"))
 	if err != nil {
--- a/cmd/elderctl/lab_read_test.go
+++ b/cmd/elderctl/lab_read_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	if _, err := readRollups(dir); err == nil {
-		t.Error("an empty folder was accepted")
+		t.Error("an empty directory was accepted")
 	}
 	good := `{"at":100.1,"gateway":"n0","sends":2}` + "\n"
 	writeRollup("n0.moments", good+`{"at":100.2,"gateway":"n0","ca`) // the gateway was killed here
--- a/cmd/elderctl/main_test.go
+++ b/cmd/elderctl/main_test.go
@@ -61,7 +61,7 @@
 	return path
 }
 
-// writeFile writes a file to a temporary folder and returns its path.
+// writeFile writes a file to a temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -84,7 +84,7 @@
 // It opens the agent's parts step by step; the error of a step names the part that could
 // not be opened. At the end, Run first stops all goroutines and waits for them, and then
 // closes the parts in reverse order: the store must outlive the leader that uses it, and
-// the folder must stay locked until nothing writes to it any more.
+// the directory must stay locked until nothing writes to it any more.
 func Run(ctx context.Context, config Config, options Options) error {
 	a := &Agent{config: config, log: options.Log, processes: map[string]*process.Process{}, rejected: map[string]rejectedRevision{}, cachedRevisions: map[uint64]revisions.Revision{},
 		checkSlots: make(chan struct{}, maxConcurrentChecks), failed: make(chan error, 2),
@@ -126,7 +126,7 @@
 	}
 }
 
-// openFolder creates and locks the agent's folder, and opens its files.
+// openFolder creates and locks the agent's directory, and opens its files.
 func (a *Agent) openFolder() error {
 	if err := os.MkdirAll(a.config.Dir, 0o700); err != nil {
 		return fmt.Errorf("agent's folder: %w", err)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -7,7 +7,7 @@
 // An agent keeps each gateway at the revision that the leader orders, and at the last
 // committed one while no leader can be reached. It does not decide what a gateway runs.
 // Run owns all goroutines, the goroutine of runReports owns the roster file, and a mutex
-// guards the state that calls and reports share. Two agents must not share a folder: Run
+// guards the state that calls and reports share. Two agents must not share a directory: Run
 // locks it.
 package agent
 
@@ -95,7 +95,7 @@
 }
 
 // ReadConfig reads an agent's configuration file, sets defaults and validates it. Relative
-// paths are resolved against the file's folder. An error names the file and, if possible,
+// paths are resolved against the file's directory. An error names the file and, if possible,
 // the line and the key.
 func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
--- a/internal/agent/golden_linux_test.go
+++ b/internal/agent/golden_linux_test.go
@@ -14,7 +14,7 @@
 	"elderyard/rollout"
 )
 
-// The files of an agent's folder, their modes and the environment of its gateways must not
+// The files of an agent's directory, their modes and the environment of its gateways must not
 // change.
 func TestGoldenFolder(t *testing.T) {
 	t.Parallel()
--- a/internal/agent/instances.go
+++ b/internal/agent/instances.go
@@ -17,7 +17,7 @@
 	maxUnreachable         = 64 // names
 )
 
-// instanceDir returns the folder of an instance's files.
+// instanceDir returns the directory of an instance's files.
 func (c *Config) instanceDir(name string) string { return filepath.Join(c.Dir, "instances", name) }
 
 // processOptions returns the options of the process of an instance.
--- a/internal/agent/local_socket.go
+++ b/internal/agent/local_socket.go
@@ -13,7 +13,7 @@
 	"elderyard/internal/pki"
 )
 
-// lockFolder locks the folder so that no second agent can run in it.
+// lockFolder locks the directory so that no second agent can run in it.
 func lockFolder(dir string) (unlock func(), err error) {
 	path := filepath.Join(dir, "lock")
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -25,7 +25,7 @@
 		return nil, fmt.Errorf("%s: another agent runs on this folder", dir)
 	}
 	// Must unlock explicitly: a forked child that has not executed its program yet shares
-	// the open file, so closing it here would leave the folder locked.
+	// the open file, so closing it here would leave the directory locked.
 	return func() {
 		syscall.Flock(int(f.Fd()), syscall.LOCK_UN)
 		f.Close()
@@ -33,7 +33,7 @@
 }
 
 // listenLocal listens on the local socket, which is protected by file permissions. The
-// folder must be locked: then an existing socket is stale, and is replaced.
+// directory must be locked: then an existing socket is stale, and is replaced.
 func listenLocal(path string) (net.Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("local socket: %w", err)
--- a/internal/agent/local_socket_linux_test.go
+++ b/internal/agent/local_socket_linux_test.go
@@ -8,7 +8,7 @@
 )
 
 // The socket must have mode 0600 as soon as it exists. Setting the umask for that would change the permissions of files
-// that other goroutines create at the same time, so the test creates folders meanwhile.
+// that other goroutines create at the same time, so the test creates directories meanwhile.
 func TestLocalSocketModeIsPrivate(t *testing.T) {
 	t.Parallel()
 	dir, err := os.MkdirTemp("", "socket") // short: a socket's path is bounded
@@ -17,7 +17,7 @@
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	done := make(chan error)
-	go func() { // ends after its folders
+	go func() { // ends after its directories
 		for i := range 2000 {
 			path := filepath.Join(dir, fmt.Sprint("folder", i))
 			if err := os.Mkdir(path, 0o700); err != nil {
--- a/internal/agent/records_linux_test.go
+++ b/internal/agent/records_linux_test.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// An agent without records must refuse calls on them and create no folder for them.
+// An agent without records must refuse calls on them and create no directory for them.
 func TestRecordsDisabled(t *testing.T) {
 	t.Parallel()
 	agent := newTestAgent(t, "a0", true, nil).start()
@@ -189,7 +189,7 @@
 		t.Fatalf("%v", err)
 	}
 	if _, err := os.Stat(filepath.Join(agent.config.Dir, recordsFolder)); !os.IsNotExist(err) {
-		t.Fatalf("the folder of records exists: %v", err)
+		t.Fatalf("the records directory exists: %v", err)
 	}
 }
 
--- a/internal/files/files_test.go
+++ b/internal/files/files_test.go
@@ -22,7 +22,7 @@
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o640 {
 		t.Fatalf("%v %v", info.Mode(), err)
 	}
-	// A folder can't be replaced: what is there stays, and nothing is left beside it.
+	// A directory can't be replaced: what is there stays, and nothing is left beside it.
 	if err := os.Mkdir(filepath.Join(dir, "d"), 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if err := Replace(filepath.Join(dir, "none", "f"), nil, 0o600); err == nil {
-		t.Fatal("a folder that is not there was written to")
+		t.Fatal("a file was written to a directory that does not exist")
 	}
 	if list, err := os.ReadDir(dir); err != nil || len(list) != 2 {
 		t.Fatalf("%v %v", list, err)
--- a/internal/golden/everyfield_test.go
+++ b/internal/golden/everyfield_test.go
@@ -132,7 +132,7 @@
 	List []int  `json:"list,omitempty"`
 }
 
-// inFolder runs the rest of the test in a temporary folder that has these files in testdata.
+// inFolder runs the rest of the test in a temporary directory that has these files in testdata.
 func inFolder(t *testing.T, files map[string]string) {
 	t.Helper()
 	t.Chdir(t.TempDir())
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -244,7 +244,7 @@
 }
 
 // declaredStrings returns the texts of all typed string constants in the current
-// folder, in order.
+// directory, in order.
 func declaredStrings(t testing.TB) (texts []string) {
 	t.Helper()
 	paths, err := filepath.Glob("*.go")
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -4,12 +4,12 @@
 //
 // supervise.Machine makes the decisions. This package feeds it the exits of processes,
 // timers and results of health checks as events, and executes its actions. The goroutine
-// of Run owns the machine, the process id and the files in the instance's folder. Other
+// of Run owns the machine, the process id and the files in the instance's directory. Other
 // goroutines set the desired state with SetDesired and read the current one with State.
 //
 // The package does not choose what an instance runs and does not render files: the agent
 // does. A gateway outlives the agent: it keeps running after Run has ended, and the
-// next Open finds it by the state file. Two Processes must not share a folder.
+// next Open finds it by the state file. Two Processes must not share a directory.
 package process
 
 import (
@@ -30,7 +30,7 @@
 type Options struct {
 	Name    string   // of the instance
 	Listen  string   // address at which the gateway serves clients and health checks
-	Dir     string   // the instance's folder; Open creates it
+	Dir     string   // the instance's directory; Open creates it
 	Program string   // path of the gateway's program
 	Env     []string // KEY=VALUE added to the agent's own environment
 	Policy  supervise.Policy
@@ -80,8 +80,8 @@
 	handled  chan struct{}      // closed when the machine has handled it
 }
 
-// Open creates the instance's folder and reads its state file. A gateway that an earlier
-// run left is adopted if it is still running. An error names the instance: the folder
+// Open creates the instance's directory and reads its state file. A gateway that an earlier
+// run left is adopted if it is still running. An error names the instance: the directory
 // can't be created or the state file can't be read.
 func Open(options Options) (*Process, error) {
 	p := &Process{options: options, log: options.Log.With("instance", options.Name),
--- a/internal/process/spawn.go
+++ b/internal/process/spawn.go
@@ -13,7 +13,7 @@
 	"elderyard/supervise"
 )
 
-// Files of a gateway in its instance's folder.
+// Files of a gateway in its instance's directory.
 const (
 	ConfigFile = "config.json" // the platform's configuration
 	SiteFile   = "site.toml"   // the operators' settings
