--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,7 +31,7 @@
 	MemoryMB          int
 	Sockets           int // file descriptors
 	InitialBackends   discovery.Listing
-	Site              site.Settings // from the operator's file, not from the platform
+	Site              site.Settings // from the site file, not from the platform
 	wire.Deployment
 }
 
--- a/internal/counter/http.go
+++ b/internal/counter/http.go
@@ -43,7 +43,7 @@
 	Retarget(address string) // sets the address for all further calls
 }
 
-// Open returns the client that the operator's file specifies, nil if the settings have no
+// Open returns the client that the site file specifies, nil if the settings have no
 // counter. No connection is made before the first call.
 func Open(s site.Counter, set rules.Settings, address string) (Client, error) {
 	timeout := time.Duration(set.CounterTimeout * float64(time.Second))
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -1,5 +1,5 @@
 // Package launch runs a gateway program: it reads the environment, the platform's configuration and the
-// operator's file, and runs the gateway until it ends. The programs differ only in whether they can
+// site file, and runs the gateway until it ends. The programs differ only in whether they can
 // join the other gateways of their site.
 package launch
 
@@ -21,7 +21,7 @@
 	"elderyard/internal/telemetry"
 )
 
-// defaultSite is the operator's file if ELDERYARD_SITE is not set. It need not exist.
+// defaultSite is the site file if ELDERYARD_SITE is not set. It need not exist.
 const defaultSite = "deploy/site.toml"
 
 // OpenPeers joins the gateways of the site as the configuration specifies. It returns nil if the gateway
@@ -87,7 +87,7 @@
 	}})
 }
 
-// readSiteSettings reads the operator's file. A file that ELDERYARD_SITE names must exist.
+// readSiteSettings reads the site file. A file that ELDERYARD_SITE names must exist.
 func readSiteSettings() (site.Settings, error) {
 	path := os.Getenv("ELDERYARD_SITE")
 	if path == "" {
--- a/internal/peers/settings.go
+++ b/internal/peers/settings.go
@@ -44,7 +44,7 @@
 	gossipToDeadIntervals = 60 // for which failed members still receive gossip, so that they can refute the failure
 )
 
-// FromSite returns the settings of the process self from the operator's file and the environment, or nil if membership
+// FromSite returns the settings of the process self from the site file and the environment, or nil if membership
 // is disabled. It returns an error if no roster file is set.
 func FromSite(config site.Peers, self, adminAddress string, env func(string) string, log *slog.Logger) (*Settings, error) {
 	if config.Listen == "" {
--- a/internal/respfront/site.go
+++ b/internal/respfront/site.go
@@ -13,7 +13,7 @@
 	"elderyard/rules"
 )
 
-// FromSite returns a server with the settings of the operator's file, for an event loop
+// FromSite returns a server with the settings of the site file, for an event loop
 // whose module has the settings set and plans of these names. It opens no socket.
 func FromSite(respSettings site.RESP, loop *owner.EventLoop, set rules.Settings, plans []string) (*Server, error) {
 	accounts := map[uint64]string{}
--- a/internal/site/golden_test.go
+++ b/internal/site/golden_test.go
@@ -12,7 +12,7 @@
 	"elderyard/internal/golden"
 )
 
-// The keys of the operator's file with their descriptions, and the defaults.
+// The keys of the site file with their descriptions, and the defaults.
 func TestGoldenKeysAndDefaults(t *testing.T) {
 	var b strings.Builder
 	for _, k := range Keys() {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,4 +1,4 @@
-// Package site reads the operator's file: the settings of a gateway that the platform's
+// Package site reads the site file: the settings of a gateway that the platform's
 // configuration doesn't have and that an operator chooses. A missing file is the same as
 // an empty one.
 package site
@@ -16,7 +16,7 @@
 	"elderyard/internal/strict"
 )
 
-// Settings are the content of the operator's file. The doc tags are the only descriptions
+// Settings are the content of the site file. The doc tags are the only descriptions
 // of the keys; `elderctl site keys` prints them.
 //
 // An error about a value of a wrong type has the names of the Go type and field in its
--- a/revisions/revision.go
+++ b/revisions/revision.go
@@ -1,4 +1,4 @@
-// Package revisions is the desired state of a site: numbered, immutable revisions of the operator's file with its
+// Package revisions is the desired state of a site: numbered, immutable revisions of the site file with its
 // overlays for individual instances, each with a parent, an author, a message and a checksum. It is a pure state
 // machine: commands are applied in the order of the replicated log, and every voter reaches the same History. It does
 // no I/O and reads no clock.
@@ -34,7 +34,7 @@
 
 // Content is the part of a revision that an operator writes.
 type Content struct {
-	File              string            `json:"file"`               // the operator's file, as text
+	File              string            `json:"file"`               // the site file, as text
 	Overlays          map[string]string `json:"overlays,omitempty"` // by instance; override keys of the file
 	RestartGeneration uint64            `json:"turn,omitempty"`     // a new value alone restarts every instance
 }
