--- a/internal/gateway/streaming_test.go
+++ b/internal/gateway/streaming_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// A backend that closes before the last byte of a request has not run it: the client is told at once to
+// A backend that closes before the last byte of a request has not run it: the client is asked at once to
 // retry, and the request is not sent again, since its body is gone.
 func TestBackendClosesDuringUpload(t *testing.T) {
 	t.Parallel()
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -30,7 +30,7 @@
 	maxExactGateways       = 5.0  // gateways that can keep the bucket of a customer exactly
 	exactWindowSeconds     = 50.0 // window of an exact bucket; keys live 60 s at most
 	maxExhaustedRefill     = 3.0  // units of refill after which an exhausted bucket is tried again
-	minCorrectionUnits     = 0.25 // less is not worth a call
+	minCorrectionUnits     = 0.25 // a smaller correction does not justify a call
 	ceilingLeaseFraction   = 0.22 // part of a ceiling's burst that a window may lease; the rest is local
 	keyTTLSeconds          = 60.0 // longer than the key's window
 	leaseTTLFraction       = 0.5  // part of its window for which a lease is valid
