--- a/capacity/curves_test.go
+++ b/capacity/curves_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// countElements reads a picture as XML and counts its elements by name.
-func countElements(t *testing.T, picture string) map[string]int {
+// countElements parses an SVG as XML and counts its elements by name.
+func countElements(t *testing.T, svg string) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
-	decoder := xml.NewDecoder(strings.NewReader(picture))
+	decoder := xml.NewDecoder(strings.NewReader(svg))
 	for {
 		token, err := decoder.Token()
 		if errors.Is(err, io.EOF) {
@@ -27,32 +27,32 @@
 	}
 }
 
-func TestCurves(t *testing.T) {
-	size := goodSize(t)
-	trial := slopeOf(t, MembersMemory, Point{5, 16}, Point{100, 32})
+func TestCurvesSVG(t *testing.T) {
+	size := repositorySize(t)
+	trial := newSlope(t, MembersMemory, Point{5, 16}, Point{100, 32})
 	trial.Trial = true
 	plan := Compute(size, []Slope{
-		slopeOf(t, AgentBytes, Point{610, 300}, Point{610, 320}), // one size: no panel
-		slopeOf(t, LeaderCPU, Point{76, 0.1}, Point{305, 0.2}, Point{610, 0.3}),
-		slopeOf(t, CounterCalls, Point{5, 0}, Point{50, 0}),
+		newSlope(t, AgentBytes, Point{610, 300}, Point{610, 320}), // one size: no panel
+		newSlope(t, LeaderCPU, Point{76, 0.1}, Point{305, 0.2}, Point{610, 0.3}),
+		newSlope(t, CounterCalls, Point{5, 0}, Point{50, 0}),
 		trial,
 	})
-	picture := plan.Curves()
-	counts := countElements(t, picture)
+	svg := plan.CurvesSVG()
+	counts := countElements(t, svg)
 	if counts["circle"] != 3+2+2 {
-		t.Errorf("%d points", counts["circle"])
+		t.Errorf("%d points, want 7", counts["circle"])
 	}
-	// A line each up to the largest size, and one beyond it where the fit is trusted there and the site is larger.
+	// Each slope has a curve up to its largest measured size, and a second one if the site is larger and the fit trusted.
 	if counts["polyline"] != 3+1 {
-		t.Errorf("%d curves", counts["polyline"])
+		t.Errorf("%d curves, want 4", counts["polyline"])
 	}
-	if strings.Contains(picture, AgentBytes) || !strings.Contains(picture, MembersMemory) {
-		t.Error("the wrong slopes are shown")
+	if strings.Contains(svg, AgentBytes) || !strings.Contains(svg, MembersMemory) {
+		t.Error("a slope of one size has a panel, or one of two sizes has none")
 	}
-	if strings.Contains(picture, "NaN") || strings.Contains(picture, "Inf") {
-		t.Error("a place that is no number")
+	if strings.Contains(svg, "NaN") || strings.Contains(svg, "Inf") {
+		t.Error("a coordinate is not a finite number")
 	}
-	if got := countElements(t, (&Plan{}).Curves()); got["circle"] != 0 || got["svg"] != 1 {
-		t.Errorf("%v", got)
+	if got := countElements(t, (&Plan{}).CurvesSVG()); got["circle"] != 0 || got["svg"] != 1 {
+		t.Errorf("elements of an empty plan: %v", got)
 	}
 }
--- a/capacity/placement.go
+++ b/capacity/placement.go
@@ -1,46 +1,45 @@
 package capacity
 
-// mostVoters bounds the voters: each further one makes every write dearer, and
-// five bear the loss of two.
-const mostVoters = 5
+// maxVoters limits the number of voters: each voter makes every write more expensive, and five tolerate the loss
+// of two.
+const maxVoters = 5
 
-// ControlMachine is where one control machine stands, and whether it votes.
+// ControlMachine is the location of a control machine and whether it is a voter.
 type ControlMachine struct {
 	Region int  `json:"region"` // from 1
-	Zone   int  `json:"zone"`   // from 1, over all regions
+	Zone   int  `json:"zone"`   // from 1, numbered over all regions
 	Votes  bool `json:"votes"`
 }
 
-// Placement is where the control machines stand.
+// Placement is the distribution of the control machines over regions and zones.
 type Placement struct {
 	Machines []ControlMachine `json:"machines"`
 	Voters   int              `json:"voters"`
-	Majority int              `json:"majority"` // voters that have to agree
+	Quorum   int              `json:"majority"` // voters that have to agree: more than half of them
 }
 
-// Place spreads control machines over regions, and over the zones of each. The
-// number of voters is odd, so that a cut between two regions leaves one side that
-// decides; machines beyond it hold the state and don't vote. Zones are numbered
-// through and dealt out to the regions in turn.
-func Place(machines, regions, zones int) Placement {
-	voters := min(machines, mostVoters)
+// NewPlacement spreads control machines evenly over regions, and over the zones of each. The number of voters is
+// odd, so that a partition between two regions leaves one side with a quorum; further machines hold the state
+// without a vote. Zones are numbered over all regions and assigned to the regions round-robin.
+func NewPlacement(machines, regions, zones int) Placement {
+	voters := min(machines, maxVoters)
 	if voters%2 == 0 {
 		voters--
 	}
-	placement := Placement{Voters: voters, Majority: voters/2 + 1}
-	held := make([]int, regions)
+	placement := Placement{Voters: voters, Quorum: voters/2 + 1}
+	machinesByRegion := make([]int, regions)
 	for i := range machines {
-		region := fewest(held)
+		region := indexOfSmallest(machinesByRegion)
 		zonesHere := (zones - region + regions - 1) / regions
-		zone := held[region]%zonesHere*regions + region
-		held[region]++
+		zone := machinesByRegion[region]%zonesHere*regions + region
+		machinesByRegion[region]++
 		placement.Machines = append(placement.Machines, ControlMachine{region + 1, zone + 1, i < voters})
 	}
 	return placement
 }
 
-// fewest is the first index of the smallest number.
-func fewest(counts []int) int {
+// indexOfSmallest returns the first index of the smallest number.
+func indexOfSmallest(counts []int) int {
 	best := 0
 	for i, n := range counts {
 		if n < counts[best] {
@@ -50,35 +49,36 @@
 	return best
 }
 
-// VotersIn counts the voters of a region.
-func (p *Placement) VotersIn(region int) int {
+// VotersInRegion returns the number of voters in a region.
+func (p *Placement) VotersInRegion(region int) int {
 	return p.count(func(m ControlMachine) bool { return m.Votes && m.Region == region })
 }
 
-// MostVotersInZone is the number of voters of the zone that has most of them.
-func (p *Placement) MostVotersInZone() int {
-	most := 0
+// MaxVotersInZone returns the largest number of voters that share a zone.
+func (p *Placement) MaxVotersInZone() int {
+	maxVotersInZone := 0
 	for _, machine := range p.Machines {
-		most = max(most, p.count(func(m ControlMachine) bool { return m.Votes && m.Zone == machine.Zone }))
+		maxVotersInZone = max(maxVotersInZone, p.count(func(m ControlMachine) bool { return m.Votes && m.Zone == machine.Zone }))
 	}
-	return most
+	return maxVotersInZone
 }
 
-// DecidingRegion is the region that decides while all regions are cut from each
-// other; 0 if none has a majority of the voters.
-func (p *Placement) DecidingRegion() int {
+// QuorumRegion returns the region that has a quorum while all regions are partitioned from each other, or 0 if
+// none has.
+func (p *Placement) QuorumRegion() int {
 	for _, m := range p.Machines {
-		if p.VotersIn(m.Region) >= p.Majority {
+		if p.VotersInRegion(m.Region) >= p.Quorum {
 			return m.Region
 		}
 	}
 	return 0
 }
 
-func (p *Placement) count(counts func(ControlMachine) bool) int {
+// count returns the number of control machines that match.
+func (p *Placement) count(matches func(ControlMachine) bool) int {
 	n := 0
 	for _, m := range p.Machines {
-		if counts(m) {
+		if matches(m) {
 			n++
 		}
 	}
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -8,8 +8,8 @@
 	"elderyard/internal/strict"
 )
 
-// Size is a site, what it may spend, what fails in it, and what is assumed where
-// nothing says.
+// Size is the size of a site, its budgets, its failure rates, and assumptions about figures that its plan does
+// not give. TOML errors name the Go types and fields, so these are part of the messages.
 type Size struct {
 	Site        Site        `toml:"site" json:"site" doc:"what the site has and does"`
 	Budget      Budget      `toml:"budget" json:"budget" doc:"what may be spent"`
@@ -17,7 +17,7 @@
 	Assumptions Assumptions `toml:"assumptions" json:"assumptions" doc:"what is assumed where nothing says"`
 }
 
-// Site is what a site has and does.
+// Site is what a site consists of, and its load.
 type Site struct {
 	Gateways          int `toml:"gateways" json:"gateways" doc:"gateways, one a machine, each with its agent"`
 	Backends          int `toml:"backends" json:"backends" doc:"backends, one a machine"`
@@ -30,7 +30,7 @@
 	ChangesPerDay     int `toml:"changes_per_day" json:"changes_per_day" doc:"changes of configuration a day"`
 }
 
-// Budget is what the site may spend.
+// Budget is what control may cost and how much latency it may add.
 type Budget struct {
 	InForceSeconds        float64 `toml:"in_force_seconds" json:"in_force_seconds" doc:"from a change's acceptance until it is in force at every gateway"`
 	AddedMilliseconds     float64 `toml:"added_ms" json:"added_ms" doc:"ms added to a request, for 99 in 100"`
@@ -40,7 +40,7 @@
 	ControlMachines       int     `toml:"control_machines" json:"control_machines" doc:"machines set aside for control"`
 }
 
-// Failures is what fails, and how often.
+// Failures is how often machines, racks, zones and regions fail.
 type Failures struct {
 	MachinesPerDay    float64 `toml:"machines_per_day" json:"machines_per_day" doc:"machines that fail on an ordinary day"`
 	RestartsPerDay    float64 `toml:"restarts_per_day" json:"restarts_per_day" doc:"processes that are restarted or replaced on a day"`
@@ -65,15 +65,14 @@
 	ControlBytesPerSecond float64 `toml:"control_bytes_per_second" json:"control_bytes_per_second" doc:"bytes a second that a control machine may send and receive"`
 }
 
-// Entries is the number of records that the configuration holds.
+// Entries returns the number of records in the configuration.
 func (s *Size) Entries() int { return s.Site.Routes + s.Site.Tenants }
 
-// Machines is the number of machines: one for each gateway, backend and control
-// process.
+// Machines returns the number of machines: one for each gateway, backend and control process.
 func (s *Size) Machines() int { return s.Site.Gateways + s.Site.Backends + s.Budget.ControlMachines }
 
-// DecodeSize reads a size from TOML. What is not given counts as 0, which most
-// keys refuse. Errors are *strict.Error and name file, key, and line if there is one.
+// DecodeSize decodes and validates a size in TOML. A missing key counts as 0, which most keys reject. Errors are
+// *strict.Error and name the file, the key and, if known, the line.
 func DecodeSize(file string, text []byte) (Size, error) {
 	var size Size
 	if err := strict.Decode(file, text, &size); err != nil {
@@ -85,34 +84,35 @@
 	return size, nil
 }
 
-// sizeRange is what a key's value may be.
-type sizeRange struct {
-	least, most float64
-	above       bool // least itself is not allowed
+// valueRange is the range of values that a key accepts.
+type valueRange struct {
+	minimum, maximum float64
+	exclusiveMinimum bool // the minimum itself is rejected
 }
 
-// mostCount bounds every number and every size, far above what any site has.
-const mostCount = 1e12
-
-// mostPlaces bounds regions, zones and control machines.
-const mostPlaces = 1000
-
-// sizeRanges are the keys whose values may not be anything above 0.
-var sizeRanges = map[string]sizeRange{
-	"site.regions":                      {least: 1, most: mostPlaces},
-	"site.zones":                        {least: 1, most: mostPlaces},
-	"budget.control_machines":           {least: 1, most: mostPlaces},
-	"failures.machines_per_day":         {least: 0, most: mostCount},
-	"failures.restarts_per_day":         {least: 0, most: mostCount},
-	"failures.racks_per_year":           {least: 0, most: mostCount},
-	"failures.zones_per_year":           {least: 0, most: mostCount},
-	"failures.region_cuts_per_year":     {least: 0, most: mostCount},
-	"failures.region_cut_minutes":       {least: 0, most: mostCount},
-	"assumptions.change_peak_over_mean": {least: 1, most: mostCount},
-	"assumptions.restart_burst_share":   {least: 0, most: 1, above: true},
-	"assumptions.largest_service_share": {least: 0, most: 1, above: true},
+// maxNumber limits every number and size; it is far above that of any site.
+const maxNumber = 1e12
+
+// maxTopologyCount limits the numbers of regions, zones and control machines.
+const maxTopologyCount = 1000
+
+// keyRanges has the ranges of the keys that differ from the default, which is above 0 and at most maxNumber.
+var keyRanges = map[string]valueRange{
+	"site.regions":                      {minimum: 1, maximum: maxTopologyCount},
+	"site.zones":                        {minimum: 1, maximum: maxTopologyCount},
+	"budget.control_machines":           {minimum: 1, maximum: maxTopologyCount},
+	"failures.machines_per_day":         {minimum: 0, maximum: maxNumber},
+	"failures.restarts_per_day":         {minimum: 0, maximum: maxNumber},
+	"failures.racks_per_year":           {minimum: 0, maximum: maxNumber},
+	"failures.zones_per_year":           {minimum: 0, maximum: maxNumber},
+	"failures.region_cuts_per_year":     {minimum: 0, maximum: maxNumber},
+	"failures.region_cut_minutes":       {minimum: 0, maximum: maxNumber},
+	"assumptions.change_peak_over_mean": {minimum: 1, maximum: maxNumber},
+	"assumptions.restart_burst_share":   {minimum: 0, maximum: 1, exclusiveMinimum: true},
+	"assumptions.largest_service_share": {minimum: 0, maximum: 1, exclusiveMinimum: true},
 }
 
+// validate checks each key, and keys that depend on each other.
 func (s *Size) validate(file string, text []byte) error {
 	root := reflect.ValueOf(s).Elem()
 	for i := range root.NumField() {
@@ -132,6 +132,7 @@
 	return nil
 }
 
+// validateTable checks the range of each number of one table.
 func validateTable(file string, text []byte, table string, value reflect.Value) error {
 	for i := range value.NumField() {
 		key := table + "." + value.Type().Field(i).Tag.Get("toml")
@@ -144,24 +145,24 @@
 		default:
 			continue
 		}
-		allowed, special := sizeRanges[key]
-		if !special {
-			allowed = sizeRange{least: 0, most: mostCount, above: true}
+		allowed, listed := keyRanges[key]
+		if !listed {
+			allowed = valueRange{minimum: 0, maximum: maxNumber, exclusiveMinimum: true}
 		}
 		switch {
-		case math.IsNaN(number), number < allowed.least, number > allowed.most:
-			return strict.ErrorAt(file, text, key, "%g is not between %g and %g", number, allowed.least, allowed.most)
-		case allowed.above && number == allowed.least:
-			return strict.ErrorAt(file, text, key, "it must be given, and above %g: %s", allowed.least, value.Type().Field(i).Tag.Get("doc"))
+		case math.IsNaN(number), number < allowed.minimum, number > allowed.maximum:
+			return strict.ErrorAt(file, text, key, "%g is not between %g and %g", number, allowed.minimum, allowed.maximum)
+		case allowed.exclusiveMinimum && number == allowed.minimum:
+			return strict.ErrorAt(file, text, key, "it must be given, and above %g: %s", allowed.minimum, value.Type().Field(i).Tag.Get("doc"))
 		}
 	}
 	return nil
 }
 
-// sizeKey is one key of a size with its value, for a table.
-type sizeKey struct{ name, value, about string }
+// sizeKey is one key of a size with its value, as a row of a table.
+type sizeKey struct{ name, value, description string }
 
-// keys lists all keys of the size, in the order of the file.
+// keys returns all keys of the size, in the order of the struct fields.
 func (s *Size) keys() (list []sizeKey) {
 	root := reflect.ValueOf(s).Elem()
 	for i := range root.NumField() {
@@ -169,18 +170,18 @@
 		value := root.Field(i)
 		for k := range value.NumField() {
 			tag := value.Type().Field(k).Tag
-			list = append(list, sizeKey{table + "." + tag.Get("toml"), keyText(value.Field(k)), tag.Get("doc")})
+			list = append(list, sizeKey{table + "." + tag.Get("toml"), formatValue(value.Field(k)), tag.Get("doc")})
 		}
 	}
 	return list
 }
 
-func keyText(value reflect.Value) string {
+func formatValue(value reflect.Value) string {
 	switch value.Kind() {
 	case reflect.Int:
-		return number(float64(value.Int()))
+		return formatNumber(float64(value.Int()))
 	case reflect.Float64:
-		return number(value.Float())
+		return formatNumber(value.Float())
 	}
 	return fmt.Sprint(value.Interface())
 }
--- a/internal/gateway/streaming_test.go
+++ b/internal/gateway/streaming_test.go
@@ -127,7 +127,7 @@
 	runtime.ReadMemStats(&before)
 	var readers []*http.Response
 	for range transfers {
-		client := testpeer.DialNarrow(t, gw.address, 64<<10)
+		client := testpeer.DialWithReceiveBuffer(t, gw.address, 64<<10)
 		client.SetDeadline(time.Now().Add(3 * testTimeout))
 		io.WriteString(client, requestText("GET", "lookup", ""))
 		conn, br := backend.Accept(t)
@@ -185,7 +185,7 @@
 	}
 }
 
-// A backend that closes before the last byte of a request has not run it: the client is told at once to
+// A backend that closes before the last byte of a request has not run it: the client is asked at once to
 // retry, and the request is not sent again, since its body is gone.
 func TestBackendClosesDuringUpload(t *testing.T) {
 	t.Parallel()
--- a/internal/lab/load/clients.go
+++ b/internal/lab/load/clients.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	mostAnswer  = 1 << 20
-	extraWait   = 400 * time.Millisecond // past its time, to tell a late answer from none
-	leastLeft   = 20 * time.Millisecond  // a try with less time is not made
-	mostOpen    = 20000                  // requests out at once; beyond, the lab itself is overrun
-	lateDealing = 20 * time.Millisecond  // an arrival dealt out so late makes the run late
+	maxBodyBytes   = 1 << 20
+	lateAnswerWait = 400 * time.Millisecond // read past the deadline, to tell a late answer from none
+	minTimeLeft    = 20 * time.Millisecond  // no attempt is made with less time left
+	maxInFlight    = 20000                  // more requests in flight overload the lab itself
+	lateArrival    = 20 * time.Millisecond  // an arrival started later than this is reported as late
 )
 
-// Habits are how clients retry.
+// Habits is the retry policy of the clients.
 type Habits struct {
 	Retries   int
-	Wait      time.Duration // before the first retry; later ones double where Doubling
+	Wait      time.Duration // backoff before the first retry; Doubling doubles it for each later one
 	Doubling  bool
-	Honour    float64 // share of clients that wait as Retry-After says
-	Elsewhere float64 // share of retries that go through another gateway of the set
-	Impatient float64 // least part of the class's patience that a try waits
-	Marks     bool    // retries are marked
+	Honour    float64 // share of clients that honour Retry-After
+	Elsewhere float64 // share of retries for which a gateway of the customer's set is drawn anew
+	Impatient float64 // lower bound of an attempt's timeout, as a share of the class's deadline
+	Marks     bool    // retries carry the X-Repeat header
 }
 
-// Sink takes what clients saw. Its methods are called from many goroutines.
+// Sink receives what the clients observed. Its methods are called from many goroutines.
 type Sink interface {
 	Try(audit.Try)
 	Take(audit.Take)
 	Late(from, to time.Time, what string)
 }
 
-// Clients play a timeline against gateways.
+// Clients plays a timeline against the gateways.
 type Clients struct {
 	Seed    uint64
 	Habits  Habits
@@ -52,29 +52,29 @@
 	Front   *Front
 	Sink    Sink
 	Units   float64       // of each request
-	Slack   time.Duration // on a try's time
+	Slack   time.Duration // added to an attempt's timeout
 
-	// Of limit commands:
-	Limits     *Front        // those who take them
-	Gateways   int           // of the site
-	TakeWithin time.Duration // a take that names no wait is owed its answer
+	// For limit commands:
+	Limits     *Front        // the servers that answer them
+	Gateways   int           // number of gateways of the site
+	TakeWithin time.Duration // time within which a take without WAIT must be answered
 
 	mu       sync.Mutex
-	open     int
+	inFlight int
 	progress Progress
 }
 
-// Progress counts what has happened so far.
+// Progress holds the counters of a run.
 type Progress struct {
 	First, Done       int
 	Served, Refused   int
 	Failed, Unhandled int
 	Retries           int
-	Takes, Granted    int      // limit commands, and takes that got units
-	ByClass, ByPlan   [][2]int // first tries over, and those of them served
+	Takes, Granted    int      // limit commands, and takes that were granted units
+	ByClass, ByPlan   [][2]int // requests finished, and those of them served
 }
 
-// Progress returns the counts so far.
+// Progress returns a copy of the counters.
 func (c *Clients) Progress() Progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,8 +84,8 @@
 	return p
 }
 
-// Play deals out the arrivals from the given start on, without waiting for
-// answers, and returns when the last request has ended, or ctx.
+// Play starts the arrivals in open loop, at their times after start, without waiting for answers. It stops starting
+// them when ctx ends, and returns when all that it started have finished.
 func (c *Clients) Play(ctx context.Context, start time.Time, arrivals []Arrival) {
 	c.progress.ByClass, c.progress.ByPlan = make([][2]int, len(c.Classes)), make([][2]int, len(c.Plans))
 	var wg sync.WaitGroup
@@ -106,17 +106,17 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if late := time.Since(due); late > lateDealing {
+		if late := time.Since(due); late > lateArrival {
 			c.Sink.Late(due, due.Add(late), fmt.Sprintf("an arrival was dealt out %v late", late.Round(time.Millisecond)))
 		}
 		if !c.begin(a) {
-			c.Sink.Late(due, due, fmt.Sprintf("over %d requests were out at once, and one was left out", mostOpen))
+			c.Sink.Late(due, due, fmt.Sprintf("over %d requests were out at once, and one was left out", maxInFlight))
 			continue
 		}
 		wg.Go(func() {
 			defer c.end()
 			if a.Take {
-				c.take(ctx, a, due)
+				c.playTake(ctx, a, due)
 				return
 			}
 			c.request(ctx, a, due)
@@ -124,26 +124,28 @@
 	}
 }
 
+// begin counts an arrival and reports false if too many requests are in flight to start it.
 func (c *Clients) begin(a *Arrival) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !a.Take {
 		c.progress.First++
 	}
-	if c.open >= mostOpen {
+	if c.inFlight >= maxInFlight {
 		return false
 	}
-	c.open++
+	c.inFlight++
 	return true
 }
 
 func (c *Clients) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open--
+	c.inFlight--
 }
 
-func (c *Clients) note(a *Arrival, served bool, retries int) {
+// countRequest counts a request that is over, with all its attempts.
+func (c *Clients) countRequest(a *Arrival, served bool, retries int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := &c.progress
@@ -157,7 +159,7 @@
 	}
 }
 
-func (c *Clients) noteTry(o audit.Outcome) {
+func (c *Clients) countAttempt(o audit.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch o {
@@ -172,21 +174,21 @@
 	}
 }
 
-// request makes the tries of one first try until it is served or its time or
-// patience is over. All its choices are drawn from the seed and its number.
+// request makes the attempts of one request until it is served, its deadline is too close or its retries are used up.
+// All choices are drawn from the seed and the number of the request, so that they are the same in each run.
 func (c *Clients) request(ctx context.Context, a *Arrival, due time.Time) {
 	r := rand.New(rand.NewPCG(c.Seed^0x5eed, uint64(a.N)))
 	class := &c.Classes[a.Class]
 	over := due.Add(class.Deadline)
-	key := id(r) + id(r)
+	key := randomID(r) + randomID(r)
 	honours := r.Float64() < c.Habits.Honour
 	gateway, backoff := a.Gateway, c.Habits.Wait
 	served, n := false, 0
 	for ; ; n++ {
-		patience := time.Duration(between(r, c.Habits.Impatient, 1) * float64(class.Deadline))
-		t := audit.Try{ID: id(r), First: a.N, Number: n, Customer: a.Customer.ID, Plan: a.Customer.Plan,
+		patience := time.Duration(uniform(r, c.Habits.Impatient, 1) * float64(class.Deadline))
+		t := audit.Try{ID: randomID(r), First: a.N, Number: n, Customer: a.Customer.ID, Plan: a.Customer.Plan,
 			Class: a.Class, Units: c.Units, Arrived: due, Left: min(patience, time.Until(over))}
-		if t.Left < leastLeft || ctx.Err() != nil {
+		if t.Left < minTimeLeft || ctx.Err() != nil {
 			break
 		}
 		if class.Keyed {
@@ -194,13 +196,13 @@
 		}
 		to := c.Front.route(a.Customer, gateway)
 		t.Gateway = c.Front.name(to)
-		advice := c.try(ctx, to, a, &t)
+		advice := c.attempt(ctx, to, a, &t)
 		c.Sink.Try(t)
-		c.noteTry(t.Outcome)
+		c.countAttempt(t.Outcome)
 		if served = t.Outcome == audit.Served; served || n >= c.Habits.Retries {
 			break
 		}
-		pause := time.Duration(between(r, 0.8, 1.2) * float64(backoff))
+		pause := time.Duration(uniform(r, 0.8, 1.2) * float64(backoff))
 		if c.Habits.Doubling {
 			backoff *= 2
 		}
@@ -208,47 +210,47 @@
 			pause = max(pause, advice)
 		}
 		if r.Float64() < c.Habits.Elsewhere {
-			gateway = a.Customer.gateway(r, a.At, len(c.Front.gates))
+			gateway = a.Customer.gateway(r, a.At, len(c.Front.endpoints))
 		}
 		if !wait.For(ctx, pause) {
 			break
 		}
 	}
-	c.note(a, served, n)
+	c.countRequest(a, served, n)
 }
 
-// id draws a name that no other request has.
-func id(r *rand.Rand) string { return fmt.Sprintf("%016x", r.Uint64()) }
+// randomID draws a request ID of 16 hexadecimal digits.
+func randomID(r *rand.Rand) string { return fmt.Sprintf("%016x", r.Uint64()) }
 
-// try makes one try and says how long the gateway advises to stay away. A
-// request that crossed the close of an idle connection is sent once more on a
-// new one, as clients do.
-func (c *Clients) try(ctx context.Context, to int, a *Arrival, t *audit.Try) time.Duration {
-	advice := c.tryOn(ctx, to, a, t, false)
+// attempt makes one attempt and returns the delay of Retry-After. A request that fails on a reused connection, because
+// the gateway closed it while idle, is sent once more on a new connection, as HTTP clients do.
+func (c *Clients) attempt(ctx context.Context, to int, a *Arrival, t *audit.Try) time.Duration {
+	advice := c.attemptOnce(ctx, to, a, t, false)
 	if t.Outcome != audit.Closed && t.Outcome != audit.NotTaken || !t.Pooled || time.Since(t.Sent) > t.Left/2 || ctx.Err() != nil {
 		return advice
 	}
 	if t.Outcome == audit.Closed {
-		c.Sink.Try(*t) // the auditor wants to know of both
+		c.Sink.Try(*t) // the audit needs both attempts
 		t.ID = t.ID[:15] + "+"
 	}
-	return c.tryOn(ctx, to, a, t, true)
+	return c.attemptOnce(ctx, to, a, t, true)
 }
 
-func (c *Clients) tryOn(ctx context.Context, to int, a *Arrival, t *audit.Try, fresh bool) (advice time.Duration) {
+// attemptOnce sends the request on one connection and fills in its outcome.
+func (c *Clients) attemptOnce(ctx context.Context, to int, a *Arrival, t *audit.Try, fresh bool) (advice time.Duration) {
 	t.Outcome, t.Over = audit.NotTaken, time.Now()
 	cn, err := c.Front.get(ctx, to, fresh)
 	if err != nil {
 		t.Over = time.Now()
 		return 0
 	}
-	again := false
-	defer func() { c.Front.put(to, cn, again) }()
+	reusable := false
+	defer func() { c.Front.put(to, cn, reusable) }()
 	stop := context.AfterFunc(ctx, func() { cn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	t.Pooled = cn.used
-	cn.SetDeadline(time.Now().Add(t.Left + c.Slack + extraWait))
-	if _, err := io.WriteString(cn, c.text(a, t)); err != nil {
+	t.Pooled = cn.reused
+	cn.SetDeadline(time.Now().Add(t.Left + c.Slack + lateAnswerWait))
+	if _, err := io.WriteString(cn, c.requestText(a, t)); err != nil {
 		t.Over = time.Now()
 		return 0
 	}
@@ -259,11 +261,11 @@
 	resp, err := http.ReadResponse(cn.r, nil)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	}
 	t.Over = time.Now()
 	if err != nil {
-		t.Outcome = c.ended(ctx, err, t)
+		t.Outcome = c.classifyError(ctx, err, t)
 		return 0
 	}
 	t.Status = resp.StatusCode
@@ -275,15 +277,15 @@
 	default:
 		t.Outcome = audit.Failed
 	}
-	again = !resp.Close && stop()
+	reusable = !resp.Close && stop()
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
 		advice = time.Duration(s * float64(time.Second))
 	}
 	return advice
 }
 
-// ended names the end of a try that has no whole answer.
-func (c *Clients) ended(ctx context.Context, err error, t *audit.Try) audit.Outcome {
+// classifyError returns the outcome of an attempt without a complete answer.
+func (c *Clients) classifyError(ctx context.Context, err error, t *audit.Try) audit.Outcome {
 	switch {
 	case ctx.Err() != nil:
 		return audit.Unfinished
@@ -298,8 +300,8 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// text is the request on the wire.
-func (c *Clients) text(a *Arrival, t *audit.Try) string {
+// requestText returns the request as sent on the wire.
+func (c *Clients) requestText(a *Arrival, t *audit.Try) string {
 	class := &c.Classes[a.Class]
 	method, rest := "GET", "\r\n"
 	if class.Post {
--- a/internal/lab/load/closed.go
+++ b/internal/lab/load/closed.go
@@ -11,19 +11,19 @@
 	"elderyard/internal/wait"
 )
 
-// Tally is what a closed loop came to.
+// Tally is the result of a closed-loop run.
 type Tally struct {
 	Served, Other int
 	Took          time.Duration
-	Times         []time.Duration // from send to answer, of those served
+	Times         []time.Duration // latency from send to answer of the served requests
 }
 
-const mostTimes = 1 << 20
+// maxLatencies bounds the latencies kept over all clients.
+const maxLatencies = 1 << 20
 
-// Closed plays so many clients that each ask a gateway again as soon as they
-// have their answer, for a time. With a rate above 0 they ask so often a second
-// in all, at even distances, and skip what they are too late for. Nothing goes
-// to the sink.
+// Closed runs a closed loop for the given length: each client sends its next request to the gateway as soon as the
+// previous one is answered. With a rate above 0 the clients together send that many requests a second at even
+// intervals, and skip the send times that they have missed. Nothing is reported to the sink.
 func (c *Clients) Closed(ctx context.Context, gateway int, customers []*Customer, clients int, length time.Duration, rate float64) (Tally, error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -55,17 +55,17 @@
 				k := customers[r.IntN(len(customers))]
 				a := &Arrival{N: n, Customer: k, Class: r.IntN(len(c.Classes))}
 				class := &c.Classes[a.Class]
-				try := audit.Try{ID: id(r), Customer: k.ID, Plan: k.Plan, Class: a.Class, Units: c.Units, Left: class.Deadline}
+				try := audit.Try{ID: randomID(r), Customer: k.ID, Plan: k.Plan, Class: a.Class, Units: c.Units, Left: class.Deadline}
 				if class.Keyed {
-					try.Key = id(r)
+					try.Key = randomID(r)
 				}
-				c.tryOn(ctx, gateway, a, &try, false)
+				c.attemptOnce(ctx, gateway, a, &try, false)
 				if try.Outcome != audit.Served {
 					other++
 					continue
 				}
 				served++
-				if len(times) < mostTimes/clients {
+				if len(times) < maxLatencies/clients {
 					times = append(times, try.Over.Sub(try.Sent))
 				}
 			}
--- a/internal/lab/load/takes.go
+++ b/internal/lab/load/takes.go
@@ -14,69 +14,68 @@
 	"elderyard/internal/wait"
 )
 
-// What apps do with limit commands: shares of their takes.
+// The mix of limit commands that applications send, as shares of their takes.
 const (
-	takeToken    = 0.4  // carry a token, and
-	takeAgain    = 0.3  // of these are sent again, as if their answer had been lost
-	takeBack     = 0.25 // of these give a unit back
-	takePart     = 0.15 // ask for partUnits, and are content with fewer
-	takeWaits    = 0.2  // wait for their units
-	takeThrottle = 0.1  // use the command that rate-limiting modules publish
-	takeDrop     = 0.02 // leave without reading the reply
-	partUnits    = 3.0
-	leastWait    = 50 * time.Millisecond
-	mostWait     = 400 * time.Millisecond
-	holdUnit     = 150 * time.Millisecond // before one is given back
+	tokenFraction    = 0.4  // carry a token
+	resendFraction   = 0.3  // of those with a token, sent again as if the answer had been lost
+	giveFraction     = 0.25 // of those with a token, followed by the return of one unit
+	partialFraction  = 0.15 // ask for partialUnits and accept fewer
+	waitFraction     = 0.2  // wait for their units (WAIT)
+	throttleFraction = 0.1  // use CL.THROTTLE, the command of published rate-limiting modules
+	dropFraction     = 0.02 // close the connection without reading the reply
+	partialUnits     = 3.0
+	minWait          = 50 * time.Millisecond
+	maxWait          = 400 * time.Millisecond
+	giveDelay        = 150 * time.Millisecond // before a unit is returned
 )
 
-var replyBounds = resp.Limits{Args: 64, Bulk: 1 << 10, Total: 8 << 10, Depth: 2}
+var replyLimits = resp.Limits{Args: 64, Bulk: 1 << 10, Total: 8 << 10, Depth: 2}
 
-// take plays one arrival as a limit command. All its choices are drawn from the
-// seed and its number.
-func (c *Clients) take(ctx context.Context, a *Arrival, due time.Time) {
+// playTake plays one arrival as a limit command. All choices are drawn from the seed and the number of the arrival.
+func (c *Clients) playTake(ctx context.Context, a *Arrival, due time.Time) {
 	r := rand.New(rand.NewPCG(c.Seed^0x7a4e, uint64(a.N)))
 	plan := &c.Plans[a.Customer.Plan]
 	t := audit.Take{First: a.N, Customer: a.Customer.ID, Plan: a.Customer.Plan, Asked: c.Units, Arrived: due, Left: c.TakeWithin}
-	to := c.Limits.route(a.Customer, r.IntN(len(c.Limits.gates)))
+	to := c.Limits.route(a.Customer, r.IntN(len(c.Limits.endpoints)))
 	t.Front = c.Limits.name(to)
 	words := []string{"LIMIT.TAKE", account(a), units(t.Asked)}
 	whose := []string{"PLAN", plan.Name, "SPREAD", strconv.Itoa(a.Customer.Spread), "FIRST", strconv.Itoa(a.Customer.First)}
-	kind, drops := r.Float64(), r.Float64() < takeDrop
+	kind, drops := r.Float64(), r.Float64() < dropFraction
 	switch {
-	case kind < takeThrottle && a.Customer.Spread == c.Gateways && plan.Burst >= 1:
-		// Its figures have to be the plan's: whole numbers, so the rate is in tenths.
+	case kind < throttleFraction && a.Customer.Spread == c.Gateways && plan.Burst >= 1:
+		// The arguments must match the plan and be whole numbers, so the rate is stated as units per 10 seconds.
 		words = []string{"CL.THROTTLE", account(a), strconv.Itoa(int(plan.Burst) - 1), strconv.Itoa(int(math.Round(plan.Rate * 10))), "10"}
-	case kind < takeThrottle+takePart:
-		t.Asked = min(partUnits, math.Floor(plan.Burst))
+	case kind < throttleFraction+partialFraction:
+		t.Asked = min(partialUnits, math.Floor(plan.Burst))
 		words = append(append(words[:2], units(t.Asked), "PARTIAL"), whose...)
 		t.Part = true
-	case kind < takeThrottle+takePart+takeWaits:
-		wait := time.Duration(between(r, leastWait.Seconds(), mostWait.Seconds()) * float64(time.Second)).Round(time.Millisecond)
+	case kind < throttleFraction+partialFraction+waitFraction:
+		wait := time.Duration(uniform(r, minWait.Seconds(), maxWait.Seconds()) * float64(time.Second)).Round(time.Millisecond)
 		t.Left += wait
 		words = append(append(words, "WAIT", strconv.FormatInt(wait.Milliseconds(), 10)), whose...)
-	case kind < takeThrottle+takePart+takeWaits+takeToken:
-		t.Token = id(r)
+	case kind < throttleFraction+partialFraction+waitFraction+tokenFraction:
+		t.Token = randomID(r)
 		words = append(append(words, "ID", t.Token), whose...)
 	default:
 		words = append(words, whose...)
 	}
-	again, back := r.Float64() < takeAgain, r.Float64() < takeBack
-	c.command(ctx, to, words, &t, drops)
-	c.noteTake(&t)
+	resend, giveBack := r.Float64() < resendFraction, r.Float64() < giveFraction
+	c.sendCommand(ctx, to, words, &t, drops)
+	c.recordTake(&t)
 	if t.Token == "" || t.Granted == 0 || drops {
 		return
 	}
-	if again {
+	if resend {
 		repeat := audit.Take{First: a.N, Number: 1, Front: t.Front, Customer: t.Customer, Plan: t.Plan, Token: t.Token, Asked: t.Asked,
 			Arrived: due, Left: c.TakeWithin, Fresh: true}
-		c.command(ctx, to, words, &repeat, false)
-		c.noteTake(&repeat)
+		c.sendCommand(ctx, to, words, &repeat, false)
+		c.recordTake(&repeat)
 	}
-	if back && wait.For(ctx, holdUnit) {
+	if giveBack && wait.For(ctx, giveDelay) {
 		give := audit.Take{First: a.N, Number: 1, Front: t.Front, Customer: t.Customer, Plan: t.Plan, Token: t.Token, Asked: 1,
-			Arrived: due, Left: c.TakeWithin, Gives: true}
-		c.command(ctx, to, append([]string{"LIMIT.GIVE", account(a), "1", "ID", t.Token}, whose...), &give, false)
-		c.noteTake(&give)
+			Arrived: due, Left: c.TakeWithin, Returns: true}
+		c.sendCommand(ctx, to, append([]string{"LIMIT.GIVE", account(a), "1", "ID", t.Token}, whose...), &give, false)
+		c.recordTake(&give)
 	}
 }
 
@@ -84,29 +83,29 @@
 
 func units(n float64) string { return strconv.FormatFloat(n, 'g', -1, 64) }
 
-// command sends one limit command and takes its reply. One that crossed the close
-// of an idle connection is sent once more on a new one.
-func (c *Clients) command(ctx context.Context, to int, words []string, t *audit.Take, drops bool) {
-	c.commandOn(ctx, to, words, t, drops)
+// sendCommand sends one limit command and reads its reply. A command that fails on a reused connection, because the
+// server closed it while idle, is sent once more on a new connection.
+func (c *Clients) sendCommand(ctx context.Context, to int, words []string, t *audit.Take, drops bool) {
+	c.sendCommandOnce(ctx, to, words, t, drops)
 	if (t.Outcome == audit.Closed || t.Outcome == audit.NotTaken) && t.Pooled && ctx.Err() == nil {
 		t.Fresh = true
-		c.commandOn(ctx, to, words, t, drops)
+		c.sendCommandOnce(ctx, to, words, t, drops)
 	}
 }
 
-func (c *Clients) commandOn(ctx context.Context, to int, words []string, t *audit.Take, drops bool) {
+func (c *Clients) sendCommandOnce(ctx context.Context, to int, words []string, t *audit.Take, drops bool) {
 	t.Outcome, t.Over = audit.NotTaken, time.Now()
 	cn, err := c.Limits.get(ctx, to, t.Fresh)
 	if err != nil {
 		t.Over = time.Now()
 		return
 	}
-	again := false
-	defer func() { c.Limits.put(to, cn, again) }()
+	reusable := false
+	defer func() { c.Limits.put(to, cn, reusable) }()
 	stop := context.AfterFunc(ctx, func() { cn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	t.Pooled = cn.used
-	cn.SetDeadline(time.Now().Add(t.Left + c.Slack + extraWait))
+	t.Pooled = cn.reused
+	cn.SetDeadline(time.Now().Add(t.Left + c.Slack + lateAnswerWait))
 	var w resp.Writer
 	w.Command(words...)
 	if _, err := cn.Write(w.Buf); err != nil {
@@ -118,12 +117,12 @@
 		t.Outcome, t.Over = audit.Unfinished, t.Sent
 		return
 	}
-	v, err := resp.NewReader(cn.r, replyBounds).Reply()
+	v, err := resp.NewReader(cn.r, replyLimits).Reply()
 	t.Over = time.Now()
 	switch {
 	case err == nil:
-		again = stop()
-		note(t, v)
+		reusable = stop()
+		parseReply(t, v)
 	case ctx.Err() != nil:
 		t.Outcome = audit.Unfinished
 	case timedOut(err) && t.Over.Sub(t.Sent) >= t.Left:
@@ -135,14 +134,14 @@
 	}
 }
 
-// note takes a reply's figures. What is no reply to the command is an error.
-func note(t *audit.Take, v resp.Value) {
+// parseReply fills in the outcome from a reply. A reply that does not fit the command counts as failed.
+func parseReply(t *audit.Take, v resp.Value) {
 	t.Outcome = audit.Failed
 	switch {
 	case v.Kind == resp.Error:
 		t.Error = v.Str
 		return
-	case v.Kind == resp.Array && len(v.Elements) == throttleFigures && v.Elements[0].Kind == resp.Int:
+	case v.Kind == resp.Array && len(v.Elements) == throttleReplyLen && v.Elements[0].Kind == resp.Int:
 		t.Outcome = audit.Refused
 		if v.Elements[0].Int == 0 {
 			t.Outcome, t.Granted = audit.Served, t.Asked
@@ -151,10 +150,10 @@
 	}
 	figures := map[string]string{}
 	for i := 0; i+1 < len(v.Elements); i += 2 {
-		figures[v.Elements[i].Str] = text(v.Elements[i+1])
+		figures[v.Elements[i].Str] = valueText(v.Elements[i+1])
 	}
 	name := "granted"
-	if t.Gives {
+	if t.Returns {
 		name = "given"
 	}
 	n, err := strconv.ParseFloat(figures[name], 64)
@@ -168,23 +167,23 @@
 	}
 }
 
-// throttleFigures are what CL.THROTTLE answers with.
-const throttleFigures = 5
+// throttleReplyLen is the number of elements in a reply to CL.THROTTLE.
+const throttleReplyLen = 5
 
-// text is a value of a reply as version 2 writes it.
-func text(v resp.Value) string {
+// valueText returns a value of a reply as RESP version 2 encodes it.
+func valueText(v resp.Value) string {
 	if v.Kind == resp.Int {
 		return strconv.FormatInt(v.Int, 10)
 	}
 	return v.Str
 }
 
-func (c *Clients) noteTake(t *audit.Take) {
+func (c *Clients) recordTake(t *audit.Take) {
 	c.Sink.Take(*t)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.Takes++
-	if t.Outcome == audit.Served && !t.Gives {
+	if t.Outcome == audit.Served && !t.Returns {
 		c.progress.Granted++
 	}
 }
--- a/internal/process/spawn.go
+++ b/internal/process/spawn.go
@@ -13,7 +13,7 @@
 	"elderyard/supervise"
 )
 
-// Files of a gateway in its instance's folder.
+// Files of a gateway in its instance's directory.
 const (
 	ConfigFile = "config.json" // the platform's configuration
 	SiteFile   = "site.toml"   // the operators' settings
@@ -92,7 +92,7 @@
 	}
 	text := make([]byte, maxTailBytes)
 	n, _ := f.Read(text)
-	if line := output.Telling(string(text[:n])); line != "" {
+	if line := output.FailureLine(string(text[:n])); line != "" {
 		return ": " + line
 	}
 	return ""
